--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -15,91 +15,91 @@
 
 // Settings of a Core.
 type Settings struct {
-	Migration   time.Duration // of a VM to another pool
-	Maintenance time.Duration // of a VM
-	// QuietFor is how long a new owner leaves VMs alone that an earlier one has
+	MigrationTime   time.Duration // of a VM to another pool
+	MaintenanceTime time.Duration // of a VM
+	// EarlierOrderQuietPeriod is how long a new owner leaves VMs alone that an earlier one has
 	// ordered: orders of two holders for one VM are to be this far apart.
-	QuietFor time.Duration
+	EarlierOrderQuietPeriod time.Duration
 }
 
 // Times that decisions rest on.
 const (
-	// settleSlack is what a VM may take longer than told to come back, and the
+	// returnGracePeriod is what a VM may take longer than told to come back, and the
 	// list to show it.
-	settleSlack = 4 * time.Second
-	// quietSlack is added to the time that a VM is left alone, for an order of
+	returnGracePeriod = 4 * time.Second
+	// inFlightOrderSlack is added to the time that a VM is left alone, for an order of
 	// the earlier owner that is on its way.
-	quietSlack = 500 * time.Millisecond
-	// clockSlack is how far the clocks of two nodes may be apart.
-	clockSlack = 2500 * time.Millisecond
-	// orderRetry is the pause after an order that was not taken.
-	orderRetry = 400 * time.Millisecond
-	// waveShare is the part of a wave's time in which it is to be done; the rest
+	inFlightOrderSlack = 500 * time.Millisecond
+	// maxClockSkew is how far the clocks of two nodes may be apart.
+	maxClockSkew = 2500 * time.Millisecond
+	// orderRetryInterval is the pause after an order that was not taken.
+	orderRetryInterval = 400 * time.Millisecond
+	// waveTargetShare is the part of a wave's time in which it is to be done; the rest
 	// is for what comes between.
-	waveShare = 0.6
-	// turnTime is what one VM's maintenance takes with emptying it and its
+	waveTargetShare = 0.6
+	// drainAndReturnTime is what one VM's maintenance takes with emptying it and its
 	// return, without the maintenance itself.
-	turnTime = 2 * time.Second
-	// patience is how long a VM may take to be emptied before another one of its
+	drainAndReturnTime = 2 * time.Second
+	// slowDrainThreshold is how long a VM may take to be emptied before another one of its
 	// pool is taken along.
-	patience = 3 * time.Second
+	slowDrainThreshold = 3 * time.Second
 )
 
-// phase is how far the work on a VM is.
-type phase int
+// operationPhase is how far the work on a VM is.
+type operationPhase int
 
 const (
-	phaseEmptying phase = iota
-	phaseOrdered        // an order is in flight
-	phaseSettling       // the order was taken; the VM is not back yet
+	phaseDraining       operationPhase = iota
+	phaseOrderInFlight                 // an order is in flight
+	phaseAwaitingReturn                // the order was taken; the VM is not back yet
 )
 
-// work is what is under way on a VM.
-type work struct {
-	vm      string
-	pool    string // it was in
-	worker  string // it had
-	wave    int64  // 0 for a move
-	lasting bool   // the VM had lasting tasks when a wave's work began
-	to      string // pool of a move
-	reason  string // of a move
-	phase   phase
-	since   time.Time // of the phase
-	retryAt time.Time
-	// vacancy is what the worker's owner said in answer to a question of askedAt, and to
+// operation is what is under way on a VM.
+type operation struct {
+	vm             string
+	sourcePool     string // it was in
+	worker         string // it had
+	wave           int64  // 0 for a move
+	hadLongRunning bool   // the VM had lasting tasks when a wave's work began
+	targetPool     string // pool of a move
+	reason         string // of a move
+	phase          operationPhase
+	phaseSince     time.Time // of the phase
+	retryAt        time.Time
+	// drainState is what the worker's owner said in answer to a question of askedAt, and to
 	// each one since saidSince.
-	vacancy            workload.Vacancy
-	askedAt, saidSince time.Time
-	wantedFor          time.Time // a move is dropped after this
-	// seenAway is set once a list has shown the VM as away after its order: it may come back
+	drainState                         workload.Vacancy
+	drainStateAskedAt, drainStateSince time.Time
+	moveExpiresAt                      time.Time // a move is dropped after this
+	// hasBeenListedAway is set once a list has shown the VM as away after its order: it may come back
 	// with a worker of the same ID.
-	seenAway bool
+	hasBeenListedAway bool
 }
 
-// waveState is what is known of a wave.
-type waveState struct {
-	wave  workload.Wave
-	begun time.Time // first seen here
-	done  map[string]bool
-	state workload.WaveState
+// waveProgress is what is known of a wave.
+type waveProgress struct {
+	wave          workload.Wave
+	firstSeenAt   time.Time // first seen here
+	doneVMs       map[string]bool
+	reportedState workload.WaveState
 }
 
 // Core holds what is under way. It is not safe for concurrent use.
 type Core struct {
-	cfg     Settings
-	started time.Time
-	works   map[string]*work
-	waves   map[int64]*waveState
-	vms     []workload.VM
-	byID    map[string]workload.VM
-	listed  time.Time // when the list was asked for
-	loads   map[string]*poolLoad
-	standby string
-	out     []Action
-	// workerSeen is when a worker was listed first.
-	workerSeen map[string]time.Time
-	// quiet are the VMs that an earlier owner ordered.
-	quiet map[string]earlierOrder
+	settings          Settings
+	startedAt         time.Time
+	operations        map[string]*operation
+	waves             map[int64]*waveProgress
+	vms               []workload.VM
+	vmsByID           map[string]workload.VM
+	vmListRequestedAt time.Time // when the list was asked for
+	poolLoads         map[string]*poolLoad
+	sparePool         string
+	actions           []Action
+	// workerFirstListedAt is when a worker was listed first.
+	workerFirstListedAt map[string]time.Time
+	// earlierOrders are the VMs that an earlier owner ordered.
+	earlierOrders map[string]earlierOrder
 	// dirtyWaves are to be stored.
 	dirtyWaves map[int64]bool
 }
@@ -109,38 +109,38 @@
 
 // The verbs.
 const (
-	Empty    Verb = iota // ask the worker's owner to empty it
-	Maintain             // begin maintenance
-	Move                 // move to a pool
-	Store                // store how far a wave is
+	DrainWorker Verb = iota // ask the worker's owner to empty it
+	MaintainVM              // begin maintenance
+	MoveVM                  // move to a pool
+	StoreWave               // store how far a wave is
 )
 
 // Action is something to be done now.
 type Action struct {
-	Verb   Verb
-	VM     string
-	Pool   string // of the worker for Empty, the new one for Move
-	Worker string
-	Wave   int64
-	State  workload.WaveState
-	Done   []string // VMs of the wave, for Store
-	// Until is until when a Maintain or Move may be sent: the VM's worker is surely
+	Verb    Verb
+	VM      string
+	Pool    string // of the worker for Empty, the new one for Move
+	Worker  string
+	Wave    int64
+	State   workload.WaveState
+	DoneVMs []string // VMs of the wave, for Store
+	// ValidUntil is until when a Maintain or Move may be sent: the VM's worker is surely
 	// empty so long. Zero is for ever, as for a VM that is off.
-	Until  time.Time
-	Reason string
+	ValidUntil time.Time
+	Reason     string
 }
 
 // New returns a core of an owner that took over at now.
 func New(cfg Settings, now time.Time) *Core {
 	return &Core{
-		cfg:        cfg,
-		started:    now,
-		works:      map[string]*work{},
-		waves:      map[int64]*waveState{},
-		byID:       map[string]workload.VM{},
-		loads:      map[string]*poolLoad{},
-		dirtyWaves: map[int64]bool{},
-		quiet:      map[string]earlierOrder{},
+		settings:      cfg,
+		startedAt:     now,
+		operations:    map[string]*operation{},
+		waves:         map[int64]*waveProgress{},
+		vmsByID:       map[string]workload.VM{},
+		poolLoads:     map[string]*poolLoad{},
+		dirtyWaves:    map[int64]bool{},
+		earlierOrders: map[string]earlierOrder{},
 	}
 }
 
@@ -151,242 +151,242 @@
 			s.wave = w
 			continue
 		}
-		c.waves[w.Number] = &waveState{wave: w, begun: now, done: map[string]bool{}}
+		c.waves[w.Number] = &waveProgress{wave: w, firstSeenAt: now, doneVMs: map[string]bool{}}
 		c.dirtyWaves[w.Number] = true
 	}
 }
 
-// Recalled takes what an earlier owner stored of a wave.
-func (c *Core) Recalled(wave int64, done []string, now time.Time) {
+// RestoreWave takes what an earlier owner stored of a wave.
+func (c *Core) RestoreWave(wave int64, doneVMs []string, now time.Time) {
 	s, ok := c.waves[wave]
 	if !ok {
-		s = &waveState{wave: workload.Wave{Number: wave}, begun: now, done: map[string]bool{}}
+		s = &waveProgress{wave: workload.Wave{Number: wave}, firstSeenAt: now, doneVMs: map[string]bool{}}
 		c.waves[wave] = s
 	}
-	for _, vm := range done {
-		s.done[vm] = true
+	for _, vm := range doneVMs {
+		s.doneVMs[vm] = true
 	}
 }
 
 // earlierOrder is an order of an earlier owner for a VM.
 type earlierOrder struct {
-	wave  int64     // 0 for a move, AnyWave where it isn't known
-	until time.Time // the VM is left alone
+	wave       int64     // 0 for a move, AnyWave where it isn't known
+	quietUntil time.Time // the VM is left alone
 }
 
-// AnyWave stands for the wave of an order of which it isn't known what it was for.
-const AnyWave = -1
+// UnknownWave stands for the wave of an order of which it isn't known what it was for.
+const UnknownWave = -1
 
-// OrderedBefore notes that an earlier owner has ordered a VM at a time by its
+// RecordEarlierOrder notes that an earlier owner has ordered a VM at a time by its
 // clock, for a wave or, with 0, to another pool.
-func (c *Core) OrderedBefore(vm string, wave int64, at time.Time) {
-	until := at.Add(c.cfg.QuietFor + clockSlack)
-	if latest := c.started.Add(c.cfg.QuietFor + quietSlack); until.After(latest) {
-		until = latest
+func (c *Core) RecordEarlierOrder(vm string, wave int64, orderedAt time.Time) {
+	quietUntil := orderedAt.Add(c.settings.EarlierOrderQuietPeriod + maxClockSkew)
+	if latest := c.startedAt.Add(c.settings.EarlierOrderQuietPeriod + inFlightOrderSlack); quietUntil.After(latest) {
+		quietUntil = latest
 	}
-	c.quiet[vm] = earlierOrder{wave: wave, until: until}
+	c.earlierOrders[vm] = earlierOrder{wave: wave, quietUntil: quietUntil}
 }
 
-// mayOrder tells whether a VM may be ordered by this owner yet.
-func (c *Core) mayOrder(vm string, now time.Time) bool {
-	return !now.Before(c.quiet[vm].until)
+// canOrder tells whether a VM may be ordered by this owner yet.
+func (c *Core) canOrder(vm string, now time.Time) bool {
+	return !now.Before(c.earlierOrders[vm].quietUntil)
 }
 
 // SetVMs takes the list of VMs that was asked for at a time.
-func (c *Core) SetVMs(vms []workload.VM, asked time.Time) {
+func (c *Core) SetVMs(vms []workload.VM, requestedAt time.Time) {
 	slices.SortFunc(vms, func(a, b workload.VM) int { return cmp.Compare(a.ID, b.ID) })
 	c.vms = vms
-	c.listed = asked
-	clear(c.byID)
-	seen := make(map[string]time.Time, len(vms))
+	c.vmListRequestedAt = requestedAt
+	clear(c.vmsByID)
+	firstListedAt := make(map[string]time.Time, len(vms))
 	for _, vm := range vms {
-		c.byID[vm.ID] = vm
+		c.vmsByID[vm.ID] = vm
 		if vm.Worker == "" {
 			continue
 		}
-		seen[vm.Worker] = asked
-		if at, known := c.workerSeen[vm.Worker]; known {
-			seen[vm.Worker] = at
+		firstListedAt[vm.Worker] = requestedAt
+		if at, known := c.workerFirstListedAt[vm.Worker]; known {
+			firstListedAt[vm.Worker] = at
 		}
 	}
-	c.workerSeen = seen
+	c.workerFirstListedAt = firstListedAt
 }
 
 // SetConfig takes the services; one of them may be the spare pool.
 func (c *Core) SetConfig(config *workload.Config) {
-	c.standby = ""
+	c.sparePool = ""
 	for _, s := range config.Services {
 		if s.Standby {
-			c.standby = s.Name
+			c.sparePool = s.Name
 		}
 	}
 }
 
 // Step returns what is due.
 func (c *Core) Step(now time.Time) []Action {
-	c.out = nil
-	c.settle(now)
+	c.actions = nil
+	c.finishReturned(now)
 	if len(c.vms) > 0 {
 		c.planWaves(now)
 		c.planMoves(now)
-		c.advance(now)
+		c.advanceDrains(now)
 	}
-	c.report()
-	return c.out
+	c.queueWaveStores()
+	return c.actions
 }
 
-// settle ends works whose VM is back.
-func (c *Core) settle(now time.Time) {
-	for id, w := range c.works {
-		if w.phase != phaseSettling {
+// finishReturned ends works whose VM is back.
+func (c *Core) finishReturned(now time.Time) {
+	for id, op := range c.operations {
+		if op.phase != phaseAwaitingReturn {
 			continue
 		}
-		vm, known := c.byID[id]
-		expected := c.cfg.Maintenance
-		if w.wave == 0 {
-			expected = c.cfg.Migration
+		vm, known := c.vmsByID[id]
+		expectedTime := c.settings.MaintenanceTime
+		if op.wave == 0 {
+			expectedTime = c.settings.MigrationTime
 		}
-		if known && vm.State != workload.VMUp && c.listed.After(w.since) {
-			w.seenAway = true
+		if known && vm.State != workload.VMUp && c.vmListRequestedAt.After(op.phaseSince) {
+			op.hasBeenListedAway = true
 		}
-		back := c.listed.After(w.since.Add(expected)) && known && vm.State == workload.VMUp &&
-			(vm.Pool == c.standby || vm.Worker != "" && (vm.Worker != w.worker || w.seenAway))
-		if back || now.Sub(w.since) > expected+settleSlack {
-			delete(c.works, id)
+		isBack := c.vmListRequestedAt.After(op.phaseSince.Add(expectedTime)) && known && vm.State == workload.VMUp &&
+			(vm.Pool == c.sparePool || vm.Worker != "" && (vm.Worker != op.worker || op.hasBeenListedAway))
+		if isBack || now.Sub(op.phaseSince) > expectedTime+returnGracePeriod {
+			delete(c.operations, id)
 		}
 	}
 }
 
-// advance carries works on: asks for emptying, and orders what is empty.
-func (c *Core) advance(now time.Time) {
-	for _, id := range c.workIDs() {
-		w := c.works[id]
-		if w.phase != phaseEmptying || now.Before(w.retryAt) {
+// advanceDrains carries works on: asks for emptying, and orders what is empty.
+func (c *Core) advanceDrains(now time.Time) {
+	for _, id := range c.operationIDs() {
+		op := c.operations[id]
+		if op.phase != phaseDraining || now.Before(op.retryAt) {
 			continue
 		}
-		vm, known := c.byID[id]
+		vm, known := c.vmsByID[id]
 		switch {
-		case !known || vm.State != workload.VMUp && vm.State != workload.VMDown || vm.Pool != w.pool:
-			delete(c.works, id) // it left, or something else happened to it
-		case w.wave == 0 && now.After(w.wantedFor):
-			delete(c.works, id)
-		case !c.mayOrder(id, now):
-		case vm.Pool == c.standby || vm.Worker == w.worker && c.isVacant(w, now):
-			c.order(w, now) // spare VMs are off and run nothing
+		case !known || vm.State != workload.VMUp && vm.State != workload.VMDown || vm.Pool != op.sourcePool:
+			delete(c.operations, id) // it left, or something else happened to it
+		case op.wave == 0 && now.After(op.moveExpiresAt):
+			delete(c.operations, id)
+		case !c.canOrder(id, now):
+		case vm.Pool == c.sparePool || vm.Worker == op.worker && c.isDrained(op, now):
+			c.issueOrder(op, now) // spare VMs are off and run nothing
 		case vm.Worker == "":
 			// The list lags: its worker may be there already, with tasks.
 		default:
-			if w.worker != vm.Worker {
-				w.worker = vm.Worker
-				w.vacancy = workload.Occupied
+			if op.worker != vm.Worker {
+				op.worker = vm.Worker
+				op.drainState = workload.Occupied
 			}
-			c.out = append(c.out, Action{Verb: Empty, VM: id, Pool: w.pool, Worker: vm.Worker})
+			c.actions = append(c.actions, Action{Verb: DrainWorker, VM: id, Pool: op.sourcePool, Worker: vm.Worker})
 		}
 	}
 }
 
-// isVacant tells whether a VM's worker surely runs nothing. Where its process hasn't
+// isDrained tells whether a VM's worker surely runs nothing. Where its process hasn't
 // answered, its successor may be there by now and run tasks, which an order would cut, and
 // the list lags.
-func (c *Core) isVacant(w *work, now time.Time) bool {
-	if now.Sub(w.askedAt) >= vacancyValid {
+func (c *Core) isDrained(op *operation, now time.Time) bool {
+	if now.Sub(op.drainStateAskedAt) >= drainStateValidity {
 		return false
 	}
-	return w.vacancy == workload.Vacant ||
-		w.vacancy == workload.VacantUnseen && c.listed.After(w.saidSince) && now.Sub(c.listed) < listCurrent
+	return op.drainState == workload.Vacant ||
+		op.drainState == workload.VacantUnseen && c.vmListRequestedAt.After(op.drainStateSince) && now.Sub(c.vmListRequestedAt) < maxVMListAge
 }
 
-// listCurrent is how old the list may be to name the worker that is there: one takes
+// maxVMListAge is how old the list may be to name the worker that is there: one takes
 // longer to start, register and get its first task.
-const listCurrent = 600 * time.Millisecond
+const maxVMListAge = 600 * time.Millisecond
 
-// vacancyValid is how long it counts that a worker is vacant: its owner keeps it closed
+// drainStateValidity is how long it counts that a worker is vacant: its owner keeps it closed
 // for a while after the last wish.
-const vacancyValid = time.Second
-
-func (c *Core) order(w *work, now time.Time) {
-	w.phase = phaseOrdered
-	w.since = now
-	a := Action{Verb: Move, VM: w.vm, Pool: w.to, Reason: w.reason}
-	if w.wave != 0 {
-		a = Action{Verb: Maintain, VM: w.vm, Wave: w.wave, Reason: "emptied for maintenance"}
+const drainStateValidity = time.Second
+
+func (c *Core) issueOrder(op *operation, now time.Time) {
+	op.phase = phaseOrderInFlight
+	op.phaseSince = now
+	a := Action{Verb: MoveVM, VM: op.vm, Pool: op.targetPool, Reason: op.reason}
+	if op.wave != 0 {
+		a = Action{Verb: MaintainVM, VM: op.vm, Wave: op.wave, Reason: "emptied for maintenance"}
 	}
-	if w.vacancy != workload.Occupied {
-		a.Until = w.askedAt.Add(vacancyValid)
+	if op.drainState != workload.Occupied {
+		a.ValidUntil = op.drainStateAskedAt.Add(drainStateValidity)
 	}
-	c.out = append(c.out, a)
+	c.actions = append(c.actions, a)
 }
 
-// Emptied takes the answer to an Empty that was asked at a time. The answer counts
+// HandleDrainResult takes the answer to an Empty that was asked at a time. The answer counts
 // from then: a process that stood still since would take it for a fresh one, while
 // the worker is open again and runs tasks.
-func (c *Core) Emptied(vm, worker string, v workload.Vacancy, asked time.Time) {
-	w := c.works[vm]
-	if w == nil || w.phase != phaseEmptying || w.worker != worker {
+func (c *Core) HandleDrainResult(vm, worker string, state workload.Vacancy, askedAt time.Time) {
+	op := c.operations[vm]
+	if op == nil || op.phase != phaseDraining || op.worker != worker {
 		return
 	}
-	if v != w.vacancy {
-		w.saidSince = asked
+	if state != op.drainState {
+		op.drainStateSince = askedAt
 	}
-	w.vacancy = v
-	w.askedAt = asked
+	op.drainState = state
+	op.drainStateAskedAt = askedAt
 }
 
-// Result is how an order for a VM ended.
-type Result int
+// OrderResult is how an order for a VM ended.
+type OrderResult int
 
 // Results of an order.
 const (
-	Taken   Result = iota
-	Refused        // not carried out, may be tried again
-	Invalid        // makes no sense (any more)
-	Unclear        // may have been carried out
+	OrderAccepted       OrderResult = iota
+	OrderRefused                    // not carried out, may be tried again
+	OrderInvalid                    // makes no sense (any more)
+	OrderOutcomeUnknown             // may have been carried out
 )
 
-// Ordered takes the outcome of a Maintain or Move.
-func (c *Core) Ordered(vm string, result Result, now time.Time) {
-	w := c.works[vm]
-	if w == nil || w.phase != phaseOrdered {
+// HandleOrderResult takes the outcome of a Maintain or Move.
+func (c *Core) HandleOrderResult(vm string, result OrderResult, now time.Time) {
+	op := c.operations[vm]
+	if op == nil || op.phase != phaseOrderInFlight {
 		return
 	}
-	w.since = now
+	op.phaseSince = now
 	switch result {
-	case Taken:
-		w.phase = phaseSettling
-		if s := c.waves[w.wave]; s != nil {
-			s.done[vm] = true
-			c.dirtyWaves[w.wave] = true
+	case OrderAccepted:
+		op.phase = phaseAwaitingReturn
+		if s := c.waves[op.wave]; s != nil {
+			s.doneVMs[vm] = true
+			c.dirtyWaves[op.wave] = true
 		}
-	case Refused, Unclear:
+	case OrderRefused, OrderOutcomeUnknown:
 		// Ordering again what was carried out is answered as taken.
-		w.phase = phaseEmptying
-		w.vacancy = workload.Occupied
-		w.retryAt = now.Add(orderRetry)
-	case Invalid:
-		if s := c.waves[w.wave]; s != nil {
-			s.done[vm] = true
-			c.dirtyWaves[w.wave] = true
+		op.phase = phaseDraining
+		op.drainState = workload.Occupied
+		op.retryAt = now.Add(orderRetryInterval)
+	case OrderInvalid:
+		if s := c.waves[op.wave]; s != nil {
+			s.doneVMs[vm] = true
+			c.dirtyWaves[op.wave] = true
 		}
-		delete(c.works, vm)
+		delete(c.operations, vm)
 	}
 }
 
-func (c *Core) workIDs() []string {
-	ids := make([]string, 0, len(c.works))
-	for id := range c.works {
+func (c *Core) operationIDs() []string {
+	ids := make([]string, 0, len(c.operations))
+	for id := range c.operations {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// Busy tells whether the list of VMs is needed often.
-func (c *Core) Busy() bool {
-	if len(c.works) > 0 || len(c.vms) == 0 {
+// NeedsFrequentVMLists tells whether the list of VMs is needed often.
+func (c *Core) NeedsFrequentVMLists() bool {
+	if len(c.operations) > 0 || len(c.vms) == 0 {
 		return true
 	}
 	for _, s := range c.waves {
-		if s.state != workload.WaveCompleted {
+		if s.reportedState != workload.WaveCompleted {
 			return true
 		}
 	}
--- a/internal/fleet/core_test.go
+++ b/internal/fleet/core_test.go
@@ -11,27 +11,27 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-var begin = time.UnixMilli(1_700_000_000_000)
+var startTime = time.UnixMilli(1_700_000_000_000)
 
 const (
-	migration   = 1500 * time.Millisecond
-	maintenance = 2 * time.Second
-	quietFor    = 3 * time.Second
+	migrationTime   = 1500 * time.Millisecond
+	maintenanceTime = 2 * time.Second
+	quietPeriod     = 3 * time.Second
 )
 
 var vmSize = workload.Resources{CPU: 32000, MemoryMB: 65536}
 
 func newCore() *fleet.Core {
-	c := fleet.New(fleet.Settings{Migration: migration, Maintenance: maintenance, QuietFor: quietFor}, begin)
+	c := fleet.New(fleet.Settings{MigrationTime: migrationTime, MaintenanceTime: maintenanceTime, EarlierOrderQuietPeriod: quietPeriod}, startTime)
 	c.SetConfig(&workload.Config{Services: []workload.Service{{Name: "booking"}, {Name: "returns"}, {Name: "spare", Standby: true}}})
 	return c
 }
 
-func up(id, pool, worker string) workload.VM {
+func upVM(id, pool, worker string) workload.VM {
 	return workload.VM{ID: id, Pool: pool, State: workload.VMUp, Capacity: vmSize, Worker: worker}
 }
 
-func verbs(actions []fleet.Action, verb fleet.Verb) []fleet.Action {
+func actionsWithVerb(actions []fleet.Action, verb fleet.Verb) []fleet.Action {
 	var out []fleet.Action
 	for _, a := range actions {
 		if a.Verb == verb {
@@ -41,158 +41,158 @@
 	return out
 }
 
-func wave(n int64, limit int, vms ...string) workload.Wave {
+func newWave(n int64, limit int, vms ...string) workload.Wave {
 	return workload.Wave{Number: n, VMs: vms, Duration: 20 * time.Second, Cap: limit}
 }
 
 // A VM is ordered only once its worker's owner has said that it is empty, and
 // that word is only as good as the worker it was given for: the list may show
 // another one by then.
-func TestVMIsOrderedOnlyWhenItsWorkerIsEmpty(t *testing.T) {
+func TestVMIsOrderedOnlyOnceItsWorkerIsDrained(t *testing.T) {
 	c := newCore()
-	c.SetWaves([]workload.Wave{wave(1, 1, "vm-1")}, begin)
-	c.SetVMs([]workload.VM{up("vm-1", "booking", "w-1")}, begin)
-	actions := c.Step(begin)
-	require.Len(t, verbs(actions, fleet.Empty), 1)
-	assert.Empty(t, verbs(actions, fleet.Maintain))
+	c.SetWaves([]workload.Wave{newWave(1, 1, "vm-1")}, startTime)
+	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-1")}, startTime)
+	actions := c.Step(startTime)
+	require.Len(t, actionsWithVerb(actions, fleet.DrainWorker), 1)
+	assert.Empty(t, actionsWithVerb(actions, fleet.MaintainVM))
 
-	c.Emptied("vm-1", "w-1", workload.Occupied, begin.Add(100*time.Millisecond))
-	assert.Empty(t, verbs(c.Step(begin.Add(200*time.Millisecond)), fleet.Maintain))
+	c.HandleDrainResult("vm-1", "w-1", workload.Occupied, startTime.Add(100*time.Millisecond))
+	assert.Empty(t, actionsWithVerb(c.Step(startTime.Add(200*time.Millisecond)), fleet.MaintainVM))
 
-	c.Emptied("vm-1", "w-1", workload.Vacant, begin.Add(300*time.Millisecond))
-	c.SetVMs([]workload.VM{up("vm-1", "booking", "w-2")}, begin.Add(300*time.Millisecond))
-	assert.Empty(t, verbs(c.Step(begin.Add(400*time.Millisecond)), fleet.Maintain), "another worker is there")
+	c.HandleDrainResult("vm-1", "w-1", workload.Vacant, startTime.Add(300*time.Millisecond))
+	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-2")}, startTime.Add(300*time.Millisecond))
+	assert.Empty(t, actionsWithVerb(c.Step(startTime.Add(400*time.Millisecond)), fleet.MaintainVM), "another worker is there")
 
-	c.Emptied("vm-1", "w-2", workload.Vacant, begin.Add(500*time.Millisecond))
-	orders := verbs(c.Step(begin.Add(600*time.Millisecond)), fleet.Maintain)
+	c.HandleDrainResult("vm-1", "w-2", workload.Vacant, startTime.Add(500*time.Millisecond))
+	orders := actionsWithVerb(c.Step(startTime.Add(600*time.Millisecond)), fleet.MaintainVM)
 	require.Len(t, orders, 1)
-	assert.Equal(t, begin.Add(1500*time.Millisecond), orders[0].Until, "the word holds for a second")
+	assert.Equal(t, startTime.Add(1500*time.Millisecond), orders[0].ValidUntil, "the word holds for a second")
 }
 
 // The list lags. A VM that is just back shows no worker yet, although tasks may
 // run on it already: ordering it would end them.
 func TestVMWithoutListedWorkerIsNotOrdered(t *testing.T) {
 	c := newCore()
-	c.SetWaves([]workload.Wave{wave(1, 1, "vm-1")}, begin)
-	c.SetVMs([]workload.VM{up("vm-1", "booking", "")}, begin)
+	c.SetWaves([]workload.Wave{newWave(1, 1, "vm-1")}, startTime)
+	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "")}, startTime)
 	for at := time.Duration(0); at < 5*time.Second; at += 100 * time.Millisecond {
-		require.Empty(t, verbs(c.Step(begin.Add(at)), fleet.Maintain), "after %s", at)
+		require.Empty(t, actionsWithVerb(c.Step(startTime.Add(at)), fleet.MaintainVM), "after %s", at)
 	}
 }
 
 // Spare VMs are off: nothing has to be emptied.
-func TestSpareVMIsOrderedAtOnce(t *testing.T) {
+func TestSpareVMIsOrderedWithoutDrain(t *testing.T) {
 	c := newCore()
-	c.SetWaves([]workload.Wave{wave(1, 2, "vm-1")}, begin)
-	c.SetVMs([]workload.VM{up("vm-1", "spare", "")}, begin)
-	orders := verbs(c.Step(begin), fleet.Maintain)
+	c.SetWaves([]workload.Wave{newWave(1, 2, "vm-1")}, startTime)
+	c.SetVMs([]workload.VM{upVM("vm-1", "spare", "")}, startTime)
+	orders := actionsWithVerb(c.Step(startTime), fleet.MaintainVM)
 	require.Len(t, orders, 1)
-	assert.Zero(t, orders[0].Until)
+	assert.Zero(t, orders[0].ValidUntil)
 }
 
 // At most the wave's cap of VMs are away at once, from the order until they are
 // seen back.
-func TestWaveKeepsItsCap(t *testing.T) {
+func TestWaveNeverExceedsItsCap(t *testing.T) {
 	c := newCore()
 	ids := []string{"vm-1", "vm-2", "vm-3", "vm-4", "vm-5"}
-	c.SetWaves([]workload.Wave{{Number: 1, VMs: ids, Duration: time.Second, Cap: 2}}, begin)
+	c.SetWaves([]workload.Wave{{Number: 1, VMs: ids, Duration: time.Second, Cap: 2}}, startTime)
 	list := func(worker string) []workload.VM {
 		var vms []workload.VM
 		for _, id := range ids {
-			vms = append(vms, up(id, "booking", worker+id))
+			vms = append(vms, upVM(id, "booking", worker+id))
 		}
 		return vms
 	}
-	c.SetVMs(list("a-"), begin)
+	c.SetVMs(list("a-"), startTime)
 	away := map[string]bool{}
 	for at := time.Duration(0); at < 1900*time.Millisecond; at += 100 * time.Millisecond {
-		now := begin.Add(at)
+		now := startTime.Add(at)
 		for _, a := range c.Step(now) {
 			switch a.Verb {
-			case fleet.Empty:
-				c.Emptied(a.VM, a.Worker, workload.Vacant, now)
-			case fleet.Maintain:
+			case fleet.DrainWorker:
+				c.HandleDrainResult(a.VM, a.Worker, workload.Vacant, now)
+			case fleet.MaintainVM:
 				away[a.VM] = true
-				c.Ordered(a.VM, fleet.Taken, now)
+				c.HandleOrderResult(a.VM, fleet.OrderAccepted, now)
 			}
 		}
 		require.LessOrEqual(t, len(away), 2)
 	}
 	require.Len(t, away, 2)
-	later := begin.Add(3 * time.Second)
+	later := startTime.Add(3 * time.Second)
 	c.SetVMs(list("b-"), later)
 	assert.NotEmpty(t, c.Step(later), "the next two follow")
 }
 
 // A wave is completed once each VM of it that is there has begun its
 // maintenance, and not before.
-func TestWaveIsCompletedWhenAllHaveBegun(t *testing.T) {
+func TestWaveIsNotCompletedBeforeEveryMaintenanceHasBegun(t *testing.T) {
 	c := newCore()
-	c.SetWaves([]workload.Wave{wave(1, 5, "vm-1", "vm-gone")}, begin)
-	c.SetVMs([]workload.VM{up("vm-1", "booking", "w-1")}, begin)
-	stored := verbs(c.Step(begin), fleet.Store)
+	c.SetWaves([]workload.Wave{newWave(1, 5, "vm-1", "vm-gone")}, startTime)
+	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-1")}, startTime)
+	stored := actionsWithVerb(c.Step(startTime), fleet.StoreWave)
 	require.Len(t, stored, 1)
 	assert.Equal(t, workload.WaveRunning, stored[0].State)
-	c.Emptied("vm-1", "w-1", workload.Vacant, begin)
-	require.Len(t, verbs(c.Step(begin.Add(100*time.Millisecond)), fleet.Maintain), 1)
-	assert.Empty(t, verbs(c.Step(begin.Add(200*time.Millisecond)), fleet.Store), "the order is on its way")
-	c.Ordered("vm-1", fleet.Taken, begin.Add(300*time.Millisecond))
-	stored = verbs(c.Step(begin.Add(400*time.Millisecond)), fleet.Store)
+	c.HandleDrainResult("vm-1", "w-1", workload.Vacant, startTime)
+	require.Len(t, actionsWithVerb(c.Step(startTime.Add(100*time.Millisecond)), fleet.MaintainVM), 1)
+	assert.Empty(t, actionsWithVerb(c.Step(startTime.Add(200*time.Millisecond)), fleet.StoreWave), "the order is on its way")
+	c.HandleOrderResult("vm-1", fleet.OrderAccepted, startTime.Add(300*time.Millisecond))
+	stored = actionsWithVerb(c.Step(startTime.Add(400*time.Millisecond)), fleet.StoreWave)
 	require.Len(t, stored, 1)
 	assert.Equal(t, workload.WaveCompleted, stored[0].State)
-	assert.Equal(t, []string{"vm-1"}, stored[0].Done)
+	assert.Equal(t, []string{"vm-1"}, stored[0].DoneVMs)
 }
 
 // An order without an answer may have been carried out. It is given again, after
 // the VM was asked to be emptied again.
-func TestOrderWithoutAnAnswerIsGivenAgain(t *testing.T) {
+func TestOrderWithUnknownOutcomeIsRetriedAfterAnotherDrain(t *testing.T) {
 	c := newCore()
-	c.SetWaves([]workload.Wave{wave(1, 1, "vm-1")}, begin)
-	c.SetVMs([]workload.VM{up("vm-1", "booking", "w-1")}, begin)
-	c.Step(begin)
-	c.Emptied("vm-1", "w-1", workload.Vacant, begin)
-	require.Len(t, verbs(c.Step(begin), fleet.Maintain), 1)
-	c.Ordered("vm-1", fleet.Unclear, begin.Add(time.Second))
-	later := begin.Add(2 * time.Second)
-	require.Len(t, verbs(c.Step(later), fleet.Empty), 1)
-	c.Emptied("vm-1", "w-1", workload.Vacant, later)
-	assert.Len(t, verbs(c.Step(later), fleet.Maintain), 1)
+	c.SetWaves([]workload.Wave{newWave(1, 1, "vm-1")}, startTime)
+	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-1")}, startTime)
+	c.Step(startTime)
+	c.HandleDrainResult("vm-1", "w-1", workload.Vacant, startTime)
+	require.Len(t, actionsWithVerb(c.Step(startTime), fleet.MaintainVM), 1)
+	c.HandleOrderResult("vm-1", fleet.OrderOutcomeUnknown, startTime.Add(time.Second))
+	later := startTime.Add(2 * time.Second)
+	require.Len(t, actionsWithVerb(c.Step(later), fleet.DrainWorker), 1)
+	c.HandleDrainResult("vm-1", "w-1", workload.Vacant, later)
+	assert.Len(t, actionsWithVerb(c.Step(later), fleet.MaintainVM), 1)
 }
 
 // Two holders must not order one VM closely one after the other. A new owner
 // leaves those alone that the one before ordered lately, and only those.
-func TestNewOwnerLeavesLatelyOrderedVMsAlone(t *testing.T) {
+func TestNewOwnerDoesNotReorderRecentlyOrderedVMs(t *testing.T) {
 	c := newCore()
-	c.OrderedBefore("vm-1", 1, begin.Add(-100*time.Millisecond))
-	c.OrderedBefore("vm-2", 1, begin.Add(-time.Minute))
-	c.SetWaves([]workload.Wave{wave(1, 5, "vm-1", "vm-2", "vm-3")}, begin)
-	c.SetVMs([]workload.VM{up("vm-1", "spare", ""), up("vm-2", "spare", ""), up("vm-3", "spare", "")}, begin)
+	c.RecordEarlierOrder("vm-1", 1, startTime.Add(-100*time.Millisecond))
+	c.RecordEarlierOrder("vm-2", 1, startTime.Add(-time.Minute))
+	c.SetWaves([]workload.Wave{newWave(1, 5, "vm-1", "vm-2", "vm-3")}, startTime)
+	c.SetVMs([]workload.VM{upVM("vm-1", "spare", ""), upVM("vm-2", "spare", ""), upVM("vm-3", "spare", "")}, startTime)
 	ordered := map[string]time.Duration{}
 	for at := time.Duration(0); at < 6*time.Second; at += 100 * time.Millisecond {
-		for _, a := range verbs(c.Step(begin.Add(at)), fleet.Maintain) {
+		for _, a := range actionsWithVerb(c.Step(startTime.Add(at)), fleet.MaintainVM) {
 			ordered[a.VM] = at
-			c.Ordered(a.VM, fleet.Taken, begin.Add(at))
+			c.HandleOrderResult(a.VM, fleet.OrderAccepted, startTime.Add(at))
 		}
 	}
 	assert.Less(t, ordered["vm-2"], time.Second)
 	assert.Less(t, ordered["vm-3"], 5*time.Second)
-	assert.GreaterOrEqual(t, ordered["vm-1"], quietFor)
+	assert.GreaterOrEqual(t, ordered["vm-1"], quietPeriod)
 }
 
 // What an earlier owner has ordered is not ordered again.
-func TestNewOwnerKnowsWhatIsDone(t *testing.T) {
+func TestNewOwnerDoesNotRepeatStoredMaintenance(t *testing.T) {
 	c := newCore()
-	c.Recalled(1, []string{"vm-1"}, begin)
-	c.SetWaves([]workload.Wave{wave(1, 5, "vm-1")}, begin)
-	c.SetVMs([]workload.VM{up("vm-1", "booking", "w-1")}, begin)
-	actions := c.Step(begin)
-	assert.Empty(t, verbs(actions, fleet.Empty))
-	stored := verbs(actions, fleet.Store)
+	c.RestoreWave(1, []string{"vm-1"}, startTime)
+	c.SetWaves([]workload.Wave{newWave(1, 5, "vm-1")}, startTime)
+	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-1")}, startTime)
+	actions := c.Step(startTime)
+	assert.Empty(t, actionsWithVerb(actions, fleet.DrainWorker))
+	stored := actionsWithVerb(actions, fleet.StoreWave)
 	require.Len(t, stored, 1)
 	assert.Equal(t, workload.WaveCompleted, stored[0].State)
 }
 
-func load(service string, used, waiting int, arrivedCoreMS int64, workers map[string]workload.WorkerLoad) workload.ServiceLoad {
+func newLoad(service string, used, waiting int, arrivedCoreMS int64, workers map[string]workload.WorkerLoad) workload.ServiceLoad {
 	return workload.ServiceLoad{
 		Service: service,
 		Used:    workload.Resources{CPU: used},
@@ -204,67 +204,67 @@
 
 // A pool in demand gets spare VMs first, then idle ones of other pools. VMs with
 // lasting tasks stay where they are.
-func TestPoolInDemandGetsVMs(t *testing.T) {
+func TestPoolInDemandGetsSpareThenIdleVMs(t *testing.T) {
 	c := newCore()
 	c.SetVMs([]workload.VM{
-		up("vm-1", "booking", "w-1"), up("vm-2", "booking", "w-2"),
-		up("vm-3", "returns", "w-3"), up("vm-4", "returns", "w-4"), up("vm-5", "returns", "w-5"),
-		up("vm-6", "spare", ""),
-	}, begin)
-	c.SetLoad(load("returns", 0, 0, 0, map[string]workload.WorkerLoad{"w-3": {Usable: true, Runs: 1, Lasting: 1}, "w-4": {Usable: true}, "w-5": {Usable: true}}), begin)
-	c.SetLoad(load("booking", 64000, 64000, 0, map[string]workload.WorkerLoad{"w-1": {Usable: true, Runs: 9}, "w-2": {Usable: true, Runs: 9}}), begin)
-	actions := c.Step(begin)
-	moves := verbs(actions, fleet.Move)
+		upVM("vm-1", "booking", "w-1"), upVM("vm-2", "booking", "w-2"),
+		upVM("vm-3", "returns", "w-3"), upVM("vm-4", "returns", "w-4"), upVM("vm-5", "returns", "w-5"),
+		upVM("vm-6", "spare", ""),
+	}, startTime)
+	c.SetLoad(newLoad("returns", 0, 0, 0, map[string]workload.WorkerLoad{"w-3": {Usable: true, Runs: 1, Lasting: 1}, "w-4": {Usable: true}, "w-5": {Usable: true}}), startTime)
+	c.SetLoad(newLoad("booking", 64000, 64000, 0, map[string]workload.WorkerLoad{"w-1": {Usable: true, Runs: 9}, "w-2": {Usable: true, Runs: 9}}), startTime)
+	actions := c.Step(startTime)
+	moves := actionsWithVerb(actions, fleet.MoveVM)
 	require.Len(t, moves, 1)
 	assert.Equal(t, "vm-6", moves[0].VM)
 	assert.Equal(t, "booking", moves[0].Pool)
-	empties := verbs(actions, fleet.Empty)
+	empties := actionsWithVerb(actions, fleet.DrainWorker)
 	require.Len(t, empties, 1, "returns keeps two")
 	assert.Equal(t, "vm-4", empties[0].VM)
 }
 
 // Two pools ask for more than there is, one of them for far more. Neither takes all
 // VMs: both get as many, and a third one keeps the little that it needs.
-func TestPoolsInDemandShareWhatThereIs(t *testing.T) {
+func TestPoolsInDemandShareScarceVMsEqually(t *testing.T) {
 	c := newCore()
 	c.SetConfig(&workload.Config{Version: 1, Services: []workload.Service{{Name: "booking"}, {Name: "fitting"}, {Name: "returns"}, {Name: "spare", Standby: true}}})
 	var vms []workload.VM
 	workers := map[string]map[string]workload.WorkerLoad{"booking": {}, "fitting": {}, "returns": {}}
 	for i, pool := range []string{"booking", "booking", "fitting", "fitting", "returns", "returns", "spare", "spare", "spare", "spare", "spare", "spare"} {
 		name := string(rune('a' + i))
-		vm := up("vm-"+name, pool, "")
+		vm := upVM("vm-"+name, pool, "")
 		if pool != "spare" {
 			vm.Worker = "w-" + name
 			workers[pool][vm.Worker] = workload.WorkerLoad{Usable: true, Runs: 5, Used: vmSize}
 		}
 		vms = append(vms, vm)
 	}
-	c.SetVMs(vms, begin)
-	c.SetLoad(load("booking", 64000, 9_000_000, 0, workers["booking"]), begin)
-	c.SetLoad(load("fitting", 64000, 300_000, 0, workers["fitting"]), begin)
-	c.SetLoad(load("returns", 10000, 0, 0, workers["returns"]), begin)
+	c.SetVMs(vms, startTime)
+	c.SetLoad(newLoad("booking", 64000, 9_000_000, 0, workers["booking"]), startTime)
+	c.SetLoad(newLoad("fitting", 64000, 300_000, 0, workers["fitting"]), startTime)
+	c.SetLoad(newLoad("returns", 10000, 0, 0, workers["returns"]), startTime)
 	got := map[string]int{}
-	for _, a := range verbs(c.Step(begin), fleet.Move) {
+	for _, a := range actionsWithVerb(c.Step(startTime), fleet.MoveVM) {
 		got[a.Pool]++
 	}
 	assert.Equal(t, map[string]int{"booking": 3, "fitting": 3}, got)
 }
 
 // A pool gives VMs back to the spare pool only after a while without need.
-func TestIdleVMsGoBackAfterAWhile(t *testing.T) {
+func TestIdleVMsReturnToTheSparePoolAfterADelay(t *testing.T) {
 	c := newCore()
-	vms := []workload.VM{up("vm-1", "booking", "w-1"), up("vm-2", "booking", "w-2"), up("vm-3", "booking", "w-3")}
+	vms := []workload.VM{upVM("vm-1", "booking", "w-1"), upVM("vm-2", "booking", "w-2"), upVM("vm-3", "booking", "w-3")}
 	idle := map[string]workload.WorkerLoad{"w-1": {Usable: true}, "w-2": {Usable: true}, "w-3": {Usable: true}}
 	first := time.Duration(-1)
 	for at := time.Duration(0); at < 20*time.Second && first < 0; at += 200 * time.Millisecond {
-		now := begin.Add(at)
+		now := startTime.Add(at)
 		c.SetVMs(vms, now)
 		used := 0
 		if at < 2*time.Second {
 			used = 90000
 		}
-		c.SetLoad(load("booking", used, 0, 0, idle), now)
-		if len(verbs(c.Step(now), fleet.Empty)) > 0 {
+		c.SetLoad(newLoad("booking", used, 0, 0, idle), now)
+		if len(actionsWithVerb(c.Step(now), fleet.DrainWorker)) > 0 {
 			first = at
 		}
 	}
@@ -273,14 +273,14 @@
 }
 
 // The platform lists a VM as up whose worker has crashed. Its pool gets another.
-func TestVMWithoutUsableWorkerDoesNotCount(t *testing.T) {
+func TestVMWithoutUsableWorkerIsNotCountedForItsPool(t *testing.T) {
 	c := newCore()
-	vms := []workload.VM{up("vm-1", "booking", "w-1"), up("vm-2", "booking", "w-2"), up("vm-3", "spare", "")}
-	later := begin.Add(10 * time.Second)
-	c.SetVMs(vms, begin)
+	vms := []workload.VM{upVM("vm-1", "booking", "w-1"), upVM("vm-2", "booking", "w-2"), upVM("vm-3", "spare", "")}
+	later := startTime.Add(10 * time.Second)
+	c.SetVMs(vms, startTime)
 	c.SetVMs(vms, later)
-	c.SetLoad(load("booking", 0, 0, 0, map[string]workload.WorkerLoad{"w-1": {Usable: true}}), later)
-	moves := verbs(c.Step(later), fleet.Move)
+	c.SetLoad(newLoad("booking", 0, 0, 0, map[string]workload.WorkerLoad{"w-1": {Usable: true}}), later)
+	moves := actionsWithVerb(c.Step(later), fleet.MoveVM)
 	require.Len(t, moves, 1)
 	assert.Equal(t, "booking", moves[0].Pool)
 }
@@ -288,36 +288,36 @@
 // An owner of the fleet is killed with VMs of a wave away. The one that follows
 // counts them to the cap: those that the list shows, and those that were ordered
 // just now, which it may not show yet.
-func TestNewOwnerCountsVMsThatAreAwayToTheCap(t *testing.T) {
+func TestNewOwnerCountsVMsUnderMaintenanceTowardTheCap(t *testing.T) {
 	c := newCore()
-	c.OrderedBefore("vm-2", 1, begin.Add(-50*time.Millisecond))
-	c.SetWaves([]workload.Wave{{Number: 1, VMs: []string{"vm-1", "vm-2", "vm-3", "vm-4"}, Duration: time.Second, Cap: 2}}, begin)
-	away := up("vm-1", "booking", "")
+	c.RecordEarlierOrder("vm-2", 1, startTime.Add(-50*time.Millisecond))
+	c.SetWaves([]workload.Wave{{Number: 1, VMs: []string{"vm-1", "vm-2", "vm-3", "vm-4"}, Duration: time.Second, Cap: 2}}, startTime)
+	away := upVM("vm-1", "booking", "")
 	away.State = workload.VMMaintenance
-	c.SetVMs([]workload.VM{away, up("vm-2", "booking", "w-2"), up("vm-3", "booking", "w-3"), up("vm-4", "booking", "w-4")}, begin)
-	actions := c.Step(begin.Add(100 * time.Millisecond))
-	assert.Empty(t, verbs(actions, fleet.Empty))
-	assert.Empty(t, verbs(actions, fleet.Maintain))
+	c.SetVMs([]workload.VM{away, upVM("vm-2", "booking", "w-2"), upVM("vm-3", "booking", "w-3"), upVM("vm-4", "booking", "w-4")}, startTime)
+	actions := c.Step(startTime.Add(100 * time.Millisecond))
+	assert.Empty(t, actionsWithVerb(actions, fleet.DrainWorker))
+	assert.Empty(t, actionsWithVerb(actions, fleet.MaintainVM))
 }
 
 // A VM is being emptied for maintenance and can't be: the task on it waits until
 // another one of its step is back, which finds no room in the pool. The pool gets
 // a VM more, as the one that is closed serves nobody.
-func TestPoolGetsAnotherVMWhenOneCannotBeEmptied(t *testing.T) {
+func TestPoolGetsAnotherVMWhenOneCannotBeDrained(t *testing.T) {
 	c := newCore()
-	vms := []workload.VM{up("vm-1", "booking", "w-1"), up("vm-2", "booking", "w-2"), up("vm-3", "spare", "")}
+	vms := []workload.VM{upVM("vm-1", "booking", "w-1"), upVM("vm-2", "booking", "w-2"), upVM("vm-3", "spare", "")}
 	workers := map[string]workload.WorkerLoad{"w-1": {Usable: true, Runs: 1, Lasting: 1}, "w-2": {Usable: true, Runs: 1, Lasting: 1}}
-	c.SetWaves([]workload.Wave{wave(1, 1, "vm-1")}, begin)
+	c.SetWaves([]workload.Wave{newWave(1, 1, "vm-1")}, startTime)
 	var moved []fleet.Action
 	for at := time.Duration(0); at < 5*time.Second; at += 200 * time.Millisecond {
-		now := begin.Add(at)
+		now := startTime.Add(at)
 		c.SetVMs(vms, now)
-		c.SetLoad(load("booking", 1000, 1000, 0, workers), now)
+		c.SetLoad(newLoad("booking", 1000, 1000, 0, workers), now)
 		for _, a := range c.Step(now) {
 			switch a.Verb {
-			case fleet.Empty:
-				c.Emptied(a.VM, a.Worker, workload.Occupied, now)
-			case fleet.Move:
+			case fleet.DrainWorker:
+				c.HandleDrainResult(a.VM, a.Worker, workload.Occupied, now)
+			case fleet.MoveVM:
 				moved = append(moved, a)
 			}
 		}
@@ -330,42 +330,42 @@
 // The workers of a pool say that half of their room is gone for a while; the list of
 // VMs goes on naming what they have as a rule. Callers' jobs would wait for the other
 // half: the pool gets the VMs that it lacks, and its workers count as fuller.
-func TestPoolWhoseWorkersHaveShrunkGetsVMs(t *testing.T) {
+func TestPoolWithShrunkWorkersGetsMoreVMs(t *testing.T) {
 	half := workload.Resources{CPU: vmSize.CPU / 2, MemoryMB: vmSize.MemoryMB / 2}
-	moved := func(size workload.Resources, shrunk *workload.Resources) int {
+	movesWith := func(size workload.Resources, shrunk *workload.Resources) int {
 		c := newCore()
-		vms := []workload.VM{up("vm-9", "spare", ""), up("vm-8", "spare", ""), up("vm-7", "spare", ""), up("vm-6", "spare", "")}
+		vms := []workload.VM{upVM("vm-9", "spare", ""), upVM("vm-8", "spare", ""), upVM("vm-7", "spare", ""), upVM("vm-6", "spare", "")}
 		workers := map[string]workload.WorkerLoad{}
 		for _, n := range []string{"1", "2", "3", "4"} {
-			vms = append(vms, up("vm-"+n, "booking", "w-"+n))
+			vms = append(vms, upVM("vm-"+n, "booking", "w-"+n))
 			workers["w-"+n] = workload.WorkerLoad{Usable: true, Runs: 1, Used: half, Shrunk: shrunk}
 		}
-		c.SetVMs(vms, begin)
-		l := load("booking", 4*half.CPU, 0, 0, workers)
+		c.SetVMs(vms, startTime)
+		l := newLoad("booking", 4*half.CPU, 0, 0, workers)
 		l.Size = size
-		c.SetLoad(l, begin)
-		return len(verbs(c.Step(begin), fleet.Move))
+		c.SetLoad(l, startTime)
+		return len(actionsWithVerb(c.Step(startTime), fleet.MoveVM))
 	}
-	assert.Zero(t, moved(workload.Resources{}, nil))
-	assert.Positive(t, moved(half, &half))
+	assert.Zero(t, movesWith(workload.Resources{}, nil))
+	assert.Positive(t, movesWith(half, &half))
 }
 
 // A task needs more than any worker of its pool has left. A VM of another pool that has
 // shrunk can't run it either, whatever the list of VMs says, and is not moved there.
-func TestShrunkVMIsNotBroughtForALargeTask(t *testing.T) {
+func TestShrunkVMIsNotMovedForALargeTask(t *testing.T) {
 	half := workload.Resources{CPU: vmSize.CPU / 2, MemoryMB: vmSize.MemoryMB / 2}
 	c := newCore()
-	c.SetVMs([]workload.VM{up("vm-1", "booking", "w-1"), up("vm-2", "returns", "w-2"), up("vm-3", "returns", "w-3"), up("vm-4", "returns", "w-4"), up("vm-5", "returns", "w-5")}, begin)
+	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-1"), upVM("vm-2", "returns", "w-2"), upVM("vm-3", "returns", "w-3"), upVM("vm-4", "returns", "w-4"), upVM("vm-5", "returns", "w-5")}, startTime)
 	shrunk := map[string]workload.WorkerLoad{}
 	for _, id := range []string{"w-2", "w-3", "w-4"} {
 		shrunk[id] = workload.WorkerLoad{Usable: true, Shrunk: &half}
 	}
 	shrunk["w-5"] = workload.WorkerLoad{Usable: true, Runs: 3, Used: half}
-	c.SetLoad(load("returns", half.CPU, 0, 0, shrunk), begin)
-	l := load("booking", 0, 0, 0, map[string]workload.WorkerLoad{"w-1": {Usable: true, Shrunk: &half}})
+	c.SetLoad(newLoad("returns", half.CPU, 0, 0, shrunk), startTime)
+	l := newLoad("booking", 0, 0, 0, map[string]workload.WorkerLoad{"w-1": {Usable: true, Shrunk: &half}})
 	l.Lacks = []workload.Lack{{Need: workload.Resources{CPU: vmSize.CPU, MemoryMB: 1000}, Never: true}}
-	c.SetLoad(l, begin)
-	for _, a := range verbs(c.Step(begin), fleet.Empty) {
+	c.SetLoad(l, startTime)
+	for _, a := range actionsWithVerb(c.Step(startTime), fleet.DrainWorker) {
 		if a.VM != "vm-1" {
 			assert.Equal(t, "vm-5", a.VM)
 			return
--- a/internal/fleet/labels.go
+++ b/internal/fleet/labels.go
@@ -8,111 +8,111 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// meetLacks moves VMs to pools whose tasks wait for want of VMs that may run them,
+// startMovesForUnmetRequirements moves VMs to pools whose tasks wait for want of VMs that may run them,
 // for their label or size. The pool's load alone would bring any VMs, which these
 // tasks can't use, and they would wait however many it gets. It begins limit moves
 // at most and returns how many it has begun.
-func (c *Core) meetLacks(balances []balance, limit int, now time.Time) int {
-	begun := 0
+func (c *Core) startMovesForUnmetRequirements(balances []poolBalance, limit int, now time.Time) int {
+	started := 0
 	for i := range balances {
 		b := &balances[i]
-		l := c.loads[b.pool]
-		for _, lack := range l.load.Lacks {
-			for n := c.lacking(b.pool, lack) - c.coming(b.pool, lack, now); n > 0 && begun < limit; n-- {
-				vm, ok := c.able(b.pool, lack, balances, now)
+		l := c.poolLoads[b.pool]
+		for _, requirement := range l.load.Lacks {
+			for n := c.vmsRequired(b.pool, requirement) - c.vmsInTransit(b.pool, requirement, now); n > 0 && started < limit; n-- {
+				vm, ok := c.findCapableVM(b.pool, requirement, balances, now)
 				if !ok {
 					break
 				}
-				c.move(vm, b.pool, balances, now, fmt.Sprintf("%s has no room for tasks with label %q", b.pool, lack.Label))
-				b.rest = max(b.rest, b.have) // it is not to send another one away for it
-				begun++
+				c.startMove(vm, b.pool, balances, now, fmt.Sprintf("%s has no room for tasks with label %q", b.pool, requirement.Label))
+				b.keepFromSpare = max(b.keepFromSpare, b.vms) // it is not to send another one away for it
+				started++
 			}
 		}
 	}
-	return begun
+	return started
 }
 
-// lacking is how many VMs of a kind a pool is to get.
-func (c *Core) lacking(pool string, lack workload.Lack) int {
-	if lack.Never {
+// vmsRequired is how many VMs of a kind a pool is to get.
+func (c *Core) vmsRequired(pool string, requirement workload.Lack) int {
+	if requirement.Never {
 		return 1
 	}
-	wants, size := c.loads[pool].load.Wants[lack.Label], c.size(pool)
-	return max(1, int(math.Ceil(shareOf(wants, size))))
+	demanded, size := c.poolLoads[pool].load.Wants[requirement.Label], c.meanCapacity(pool)
+	return max(1, int(math.Ceil(shareOf(demanded, size))))
 }
 
-// coming is how many VMs that may run what a pool lacks are on their way to it, or
+// vmsInTransit is how many VMs that may run what a pool lacks are on their way to it, or
 // have come just now.
-func (c *Core) coming(pool string, lack workload.Lack, now time.Time) int {
+func (c *Core) vmsInTransit(pool string, requirement workload.Lack, now time.Time) int {
 	n := 0
 	for _, vm := range c.vms {
-		if !vm.CanRun(lack, c.room(vm)) {
+		if !vm.CanRun(requirement, c.effectiveCapacity(vm)) {
 			continue
 		}
-		w := c.works[vm.ID]
-		moving := w != nil && w.wave == 0
-		young := vm.State == workload.VMMoving || now.Sub(c.workerSeen[vm.Worker]) < joinTime
-		if moving && w.to == pool || !moving && vm.Pool == pool && young {
+		op := c.operations[vm.ID]
+		isMoving := op != nil && op.wave == 0
+		hasJustJoined := vm.State == workload.VMMoving || now.Sub(c.workerFirstListedAt[vm.Worker]) < workerJoinTimeout
+		if isMoving && op.targetPool == pool || !isMoving && vm.Pool == pool && hasJustJoined {
 			n++
 		}
 	}
 	return n
 }
 
-// able finds a VM elsewhere that may run what a pool lacks: a spare one, else the
+// findCapableVM finds a VM elsewhere that may run what a pool lacks: a spare one, else the
 // one with the least in use. Where the pool has some such VMs, others give theirs
 // only if they have more than they need, or nothing runs there.
-func (c *Core) able(pool string, lack workload.Lack, balances []balance, now time.Time) (workload.VM, bool) {
+func (c *Core) findCapableVM(pool string, requirement workload.Lack, balances []poolBalance, now time.Time) (workload.VM, bool) {
 	for _, vm := range c.vms {
-		if c.spare(vm, now) && vm.CanRun(lack, c.room(vm)) {
+		if c.isAvailableSpare(vm, now) && vm.CanRun(requirement, c.effectiveCapacity(vm)) {
 			return vm, true
 		}
 	}
-	var best workload.VM
+	var leastUsed workload.VM
 	found := false
-	bestUse := 0.0
+	leastUse := 0.0
 	for _, b := range balances {
-		l := c.loads[b.pool]
-		if b.pool == pool || lack.Label != "" && l.load.Wants[lack.Label].CPU > 0 {
+		l := c.poolLoads[b.pool]
+		if b.pool == pool || requirement.Label != "" && l.load.Wants[requirement.Label].CPU > 0 {
 			continue // it would take the VM back at once, and each move costs seconds
 		}
 		for _, vm := range c.vms {
-			if vm.Pool != b.pool || !vm.CanRun(lack, c.room(vm)) || !c.movable(vm, l, now) {
+			if vm.Pool != b.pool || !vm.CanRun(requirement, c.effectiveCapacity(vm)) || !c.isMovable(vm, l, now) {
 				continue
 			}
-			use := l.use(vm)
-			if !lack.Never && b.have <= b.keep && use > 0 {
+			use := l.utilization(vm)
+			if !requirement.Never && b.vms <= b.keepFromPools && use > 0 {
 				continue
 			}
-			if !found || use < bestUse {
-				best, bestUse, found = vm, use, true
+			if !found || use < leastUse {
+				leastUsed, leastUse, found = vm, use, true
 			}
 		}
 	}
-	return best, found
+	return leastUsed, found
 }
 
-// bestSpare finds the spare VM whose labels are asked for most in a pool, as its
+// bestSpareVM finds the spare VM whose labels are asked for most in a pool, as its
 // kind and the rack of the data; any where none is.
-func (c *Core) bestSpare(pool string, now time.Time) (workload.VM, bool) {
+func (c *Core) bestSpareVM(pool string, now time.Time) (workload.VM, bool) {
 	var best workload.VM
 	found := false
-	bestWanted := 0
+	bestDemandedCPU := 0
 	for _, vm := range c.vms {
-		if !c.spare(vm, now) {
+		if !c.isAvailableSpare(vm, now) {
 			continue
 		}
-		if wanted := c.wanted(pool, vm); !found || wanted > bestWanted {
-			best, bestWanted, found = vm, wanted, true
+		if demandedCPU := c.demandedCPU(pool, vm); !found || demandedCPU > bestDemandedCPU {
+			best, bestDemandedCPU, found = vm, demandedCPU, true
 		}
 	}
 	return best, found
 }
 
-// wanted is how much processor time waiting tasks of a pool ask for with a VM's
+// demandedCPU is how much processor time waiting tasks of a pool ask for with a VM's
 // labels, in thousandths of a core.
-func (c *Core) wanted(pool string, vm workload.VM) int {
-	l := c.loads[pool]
+func (c *Core) demandedCPU(pool string, vm workload.VM) int {
+	l := c.poolLoads[pool]
 	if l == nil {
 		return 0
 	}
--- a/internal/fleet/labels_test.go
+++ b/internal/fleet/labels_test.go
@@ -11,7 +11,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-func labelled(vm workload.VM, labels ...string) workload.VM {
+func withLabels(vm workload.VM, labels ...string) workload.VM {
 	vm.Labels = labels
 	return vm
 }
@@ -27,43 +27,43 @@
 // A caller's task needs a kind of VM that its pool has none of. The pool's load asks
 // for no more VMs, and the task would wait for ever: it gets one of that kind, here
 // from another pool that needs it too little, and no second one meanwhile.
-func TestPoolGetsAVMOfTheKindThatItLacks(t *testing.T) {
+func TestPoolGetsOneVMForAnUnmetRequirement(t *testing.T) {
 	c := newCore()
 	c.SetVMs([]workload.VM{
-		labelled(up("vm-1", "booking", "w-1"), "a", "rack-1"), labelled(up("vm-2", "booking", "w-2"), "a", "rack-1"),
-		labelled(up("vm-3", "returns", "w-3"), "b", "rack-1"), labelled(up("vm-4", "returns", "w-4"), "b", "rack-2"),
-		labelled(up("vm-5", "spare", ""), "a", "rack-2"),
-	}, begin)
-	booking := load("booking", 0, 0, 0, idleWorkers("w-1", "w-2"))
+		withLabels(upVM("vm-1", "booking", "w-1"), "a", "rack-1"), withLabels(upVM("vm-2", "booking", "w-2"), "a", "rack-1"),
+		withLabels(upVM("vm-3", "returns", "w-3"), "b", "rack-1"), withLabels(upVM("vm-4", "returns", "w-4"), "b", "rack-2"),
+		withLabels(upVM("vm-5", "spare", ""), "a", "rack-2"),
+	}, startTime)
+	booking := newLoad("booking", 0, 0, 0, idleWorkers("w-1", "w-2"))
 	booking.Lacks = []workload.Lack{{Label: "b", Need: workload.Resources{CPU: 1000}, Never: true}}
-	returns := load("returns", 9000, 0, 0, idleWorkers("w-3", "w-4"))
+	returns := newLoad("returns", 9000, 0, 0, idleWorkers("w-3", "w-4"))
 	busy := returns.Workers["w-3"]
 	busy.Used = workload.Resources{CPU: 9000}
 	returns.Workers["w-3"] = busy
-	c.SetLoad(booking, begin)
-	c.SetLoad(returns, begin)
-	empties := verbs(c.Step(begin), fleet.Empty)
+	c.SetLoad(booking, startTime)
+	c.SetLoad(returns, startTime)
+	empties := actionsWithVerb(c.Step(startTime), fleet.DrainWorker)
 	require.Len(t, empties, 1)
 	assert.Equal(t, "vm-4", empties[0].VM)
-	assert.Empty(t, verbs(c.Step(begin), fleet.Move))
-	c.Emptied("vm-4", "w-4", workload.Vacant, begin)
-	moves := verbs(c.Step(begin), fleet.Move)
+	assert.Empty(t, actionsWithVerb(c.Step(startTime), fleet.MoveVM))
+	c.HandleDrainResult("vm-4", "w-4", workload.Vacant, startTime)
+	moves := actionsWithVerb(c.Step(startTime), fleet.MoveVM)
 	require.Len(t, moves, 1)
 	assert.Equal(t, "booking", moves[0].Pool)
 }
 
 // A pool needs one VM more, and much of what waits has its data in one rack. Of the
 // spare VMs the one of that rack comes: elsewhere these tasks take twice as long.
-func TestSpareVMNearTheDataGoesFirst(t *testing.T) {
+func TestSpareVMInTheRackOfTheDataIsMovedFirst(t *testing.T) {
 	c := newCore()
 	c.SetVMs([]workload.VM{
-		labelled(up("vm-1", "booking", "w-1"), "a", "rack-1"), labelled(up("vm-2", "booking", "w-2"), "a", "rack-1"),
-		labelled(up("vm-3", "spare", ""), "a", "rack-2"), labelled(up("vm-4", "spare", ""), "a", "rack-3"),
-	}, begin)
-	booking := load("booking", 64000, 20000, 0, idleWorkers("w-1", "w-2"))
+		withLabels(upVM("vm-1", "booking", "w-1"), "a", "rack-1"), withLabels(upVM("vm-2", "booking", "w-2"), "a", "rack-1"),
+		withLabels(upVM("vm-3", "spare", ""), "a", "rack-2"), withLabels(upVM("vm-4", "spare", ""), "a", "rack-3"),
+	}, startTime)
+	booking := newLoad("booking", 64000, 20000, 0, idleWorkers("w-1", "w-2"))
 	booking.Wants = map[string]workload.Resources{"rack-3": {CPU: 12000}, "rack-2": {CPU: 1000}}
-	c.SetLoad(booking, begin)
-	moves := verbs(c.Step(begin), fleet.Move)
+	c.SetLoad(booking, startTime)
+	moves := actionsWithVerb(c.Step(startTime), fleet.MoveVM)
 	require.NotEmpty(t, moves)
 	assert.Equal(t, "vm-4", moves[0].VM)
 }
@@ -71,24 +71,24 @@
 // Much of what waits in a pool needs VMs of one kind. Those that it has are full,
 // its others idle. It gets idle VMs of that kind from another pool, as many as what
 // waits would fill.
-func TestPoolGetsMoreVMsOfTheKindThatIsFull(t *testing.T) {
+func TestPoolGetsMoreVMsOfTheLabelThatIsFull(t *testing.T) {
 	c := newCore()
 	vms := []workload.VM{
-		labelled(up("vm-1", "booking", "w-1"), "a", "rack-1"), labelled(up("vm-2", "booking", "w-2"), "b", "rack-1"),
-		labelled(up("vm-3", "booking", "w-3"), "b", "rack-1"), labelled(up("vm-4", "returns", "w-4"), "a", "rack-2"),
-		labelled(up("vm-5", "returns", "w-5"), "a", "rack-2"), labelled(up("vm-6", "returns", "w-6"), "b", "rack-2"),
-		labelled(up("vm-7", "returns", "w-7"), "b", "rack-2"),
+		withLabels(upVM("vm-1", "booking", "w-1"), "a", "rack-1"), withLabels(upVM("vm-2", "booking", "w-2"), "b", "rack-1"),
+		withLabels(upVM("vm-3", "booking", "w-3"), "b", "rack-1"), withLabels(upVM("vm-4", "returns", "w-4"), "a", "rack-2"),
+		withLabels(upVM("vm-5", "returns", "w-5"), "a", "rack-2"), withLabels(upVM("vm-6", "returns", "w-6"), "b", "rack-2"),
+		withLabels(upVM("vm-7", "returns", "w-7"), "b", "rack-2"),
 	}
-	c.SetVMs(vms, begin.Add(-time.Minute))
-	c.SetVMs(vms, begin)
-	booking := load("booking", 32000, 60000, 0, idleWorkers("w-1", "w-2", "w-3"))
+	c.SetVMs(vms, startTime.Add(-time.Minute))
+	c.SetVMs(vms, startTime)
+	booking := newLoad("booking", 32000, 60000, 0, idleWorkers("w-1", "w-2", "w-3"))
 	booking.Wants = map[string]workload.Resources{"a": {CPU: 60000}}
 	booking.Lacks = []workload.Lack{{Label: "a", Need: workload.Resources{CPU: 2000}}}
-	c.SetLoad(booking, begin)
-	c.SetLoad(load("returns", 0, 0, 0, idleWorkers("w-4", "w-5", "w-6", "w-7")), begin)
-	var emptied []string
-	for _, a := range verbs(c.Step(begin), fleet.Empty) {
-		emptied = append(emptied, a.VM)
+	c.SetLoad(booking, startTime)
+	c.SetLoad(newLoad("returns", 0, 0, 0, idleWorkers("w-4", "w-5", "w-6", "w-7")), startTime)
+	var drained []string
+	for _, a := range actionsWithVerb(c.Step(startTime), fleet.DrainWorker) {
+		drained = append(drained, a.VM)
 	}
-	assert.Equal(t, []string{"vm-4", "vm-5"}, emptied)
+	assert.Equal(t, []string{"vm-4", "vm-5"}, drained)
 }
--- a/internal/fleet/ration.go
+++ b/internal/fleet/ration.go
@@ -1,46 +1,46 @@
 package fleet
 
-// ration bounds what each pool may ask for where there are too few VMs for all:
+// limitToFairShare bounds what each pool may ask for where there are too few VMs for all:
 // none gets more than an equal share until those that ask for less have what they
 // ask for. Without it the pool that is furthest behind takes every VM and keeps
 // it, and the others serve nothing as long as it is behind; a forecast that is far
 // too high does the same. spares is how many VMs no pool has.
-func ration(balances []balance, spares int) {
-	left := spares
+func limitToFairShare(balances []poolBalance, spares int) {
+	remaining := spares
 	for _, b := range balances {
-		left += b.have
+		remaining += b.vms
 	}
-	open := make([]*balance, 0, len(balances))
+	unsatisfied := make([]*poolBalance, 0, len(balances))
 	for i := range balances {
-		open = append(open, &balances[i])
+		unsatisfied = append(unsatisfied, &balances[i])
 	}
-	for len(open) > 0 {
-		share := left / len(open)
-		var above []*balance
-		for _, b := range open {
-			if b.wants() <= share {
-				left -= b.wants()
+	for len(unsatisfied) > 0 {
+		share := remaining / len(unsatisfied)
+		var aboveShare []*poolBalance
+		for _, b := range unsatisfied {
+			if b.claim() <= share {
+				remaining -= b.claim()
 			} else {
-				above = append(above, b)
+				aboveShare = append(aboveShare, b)
 			}
 		}
-		if len(above) == len(open) {
-			for _, b := range above {
-				b.bound(share)
+		if len(aboveShare) == len(unsatisfied) {
+			for _, b := range aboveShare {
+				b.limitClaim(share)
 			}
 			return
 		}
-		open = above
+		unsatisfied = aboveShare
 	}
 }
 
-// wants is what the pool has a claim to.
-func (b *balance) wants() int { return max(b.now, b.keep) }
+// claim is what the pool has a claim to.
+func (b *poolBalance) claim() int { return max(b.needed, b.keepFromPools) }
 
-// bound takes a claim back to a number of VMs, but never below what lasting tasks
+// limitClaim takes a claim back to a number of VMs, but never below what lasting tasks
 // need.
-func (b *balance) bound(share int) {
-	limit := max(share, b.floor)
-	b.now = min(b.now, limit)
-	b.keep = min(b.keep, limit)
+func (b *poolBalance) limitClaim(share int) {
+	limit := max(share, b.minVMs)
+	b.needed = min(b.needed, limit)
+	b.keepFromPools = min(b.keepFromPools, limit)
 }
--- a/internal/fleet/waves.go
+++ b/internal/fleet/waves.go
@@ -14,199 +14,199 @@
 func (c *Core) planWaves(now time.Time) {
 	for _, n := range c.waveNumbers() {
 		s := c.waves[n]
-		if s.state == workload.WaveCompleted {
+		if s.reportedState == workload.WaveCompleted {
 			continue
 		}
-		due := c.due(s)
-		if len(due) == 0 {
+		pending := c.pendingVMs(s)
+		if len(pending) == 0 {
 			continue
 		}
-		c.beginLasting(s, due, now)
-		for c.underWay(s, now) < c.pace(s, len(due), now) {
-			vm, ok := c.next(due, now)
+		c.startLongRunningMaintenance(s, pending, now)
+		for c.vmsUnderMaintenance(s, now) < c.targetConcurrency(s, len(pending), now) {
+			vm, ok := c.cheapestVM(pending, now)
 			if !ok {
 				break
 			}
-			c.begin(s, vm, now)
+			c.startMaintenance(s, vm, now)
 		}
 	}
 }
 
-func (c *Core) begin(s *waveState, vm workload.VM, now time.Time) {
-	l := c.loads[vm.Pool]
-	lasting := l != nil && l.load.Workers[vm.Worker].Lasting > 0
-	c.works[vm.ID] = &work{vm: vm.ID, pool: vm.Pool, worker: vm.Worker, wave: s.wave.Number, lasting: lasting, since: now}
+func (c *Core) startMaintenance(s *waveProgress, vm workload.VM, now time.Time) {
+	l := c.poolLoads[vm.Pool]
+	hasLongRunning := l != nil && l.load.Workers[vm.Worker].Lasting > 0
+	c.operations[vm.ID] = &operation{vm: vm.ID, sourcePool: vm.Pool, worker: vm.Worker, wave: s.wave.Number, hadLongRunning: hasLongRunning, phaseSince: now}
 }
 
-// lastingAtOnce is how many VMs with lasting tasks are emptied at once in each pool. A
+// maxLongRunningDrainsPerPool is how many VMs with lasting tasks are emptied at once in each pool. A
 // step may miss a task or two at a time, so such VMs follow one another however many
 // are closed; the second and third keep the steps that the first has none of moving.
-const lastingAtOnce = 3
+const maxLongRunningDrainsPerPool = 3
 
-// beginLasting takes VMs with lasting tasks into maintenance from the wave's beginning
+// startLongRunningMaintenance takes VMs with lasting tasks into maintenance from the wave's beginning
 // on. Emptying one takes about a second, in which others of its pool must wait. Taken
 // last, as the most costly ones, they would end long after all others: 25 of them in a
 // pool take 25 s, whatever time the rest of the wave has left.
-func (c *Core) beginLasting(s *waveState, due []workload.VM, now time.Time) {
-	byPool := map[string][]workload.VM{}
-	emptying := map[string]int{}
-	for _, vm := range due {
-		l := c.loads[vm.Pool]
+func (c *Core) startLongRunningMaintenance(s *waveProgress, pending []workload.VM, now time.Time) {
+	pendingByPool := map[string][]workload.VM{}
+	startedByPool := map[string]int{}
+	for _, vm := range pending {
+		l := c.poolLoads[vm.Pool]
 		if l == nil || l.load.Workers[vm.Worker].Lasting == 0 {
 			continue
 		}
-		if w := c.works[vm.ID]; w != nil {
-			emptying[vm.Pool]++
+		if op := c.operations[vm.ID]; op != nil {
+			startedByPool[vm.Pool]++
 			continue
 		}
-		byPool[vm.Pool] = append(byPool[vm.Pool], vm)
+		pendingByPool[vm.Pool] = append(pendingByPool[vm.Pool], vm)
 	}
-	room := s.wave.Cap - c.underWay(s, now)
-	for _, pool := range slices.Sorted(maps.Keys(byPool)) {
-		for ; room > 0 && emptying[pool] < lastingAtOnce; emptying[pool]++ {
-			vm, ok := c.next(byPool[pool], now)
+	capLeft := s.wave.Cap - c.vmsUnderMaintenance(s, now)
+	for _, pool := range slices.Sorted(maps.Keys(pendingByPool)) {
+		for ; capLeft > 0 && startedByPool[pool] < maxLongRunningDrainsPerPool; startedByPool[pool]++ {
+			vm, ok := c.cheapestVM(pendingByPool[pool], now)
 			if !ok {
 				break
 			}
-			c.begin(s, vm, now)
-			room--
+			c.startMaintenance(s, vm, now)
+			capLeft--
 		}
 	}
 }
 
-// due lists the VMs of a wave that have not begun and are there.
-func (c *Core) due(s *waveState) []workload.VM {
-	var due []workload.VM
+// pendingVMs lists the VMs of a wave that have not begun and are there.
+func (c *Core) pendingVMs(s *waveProgress) []workload.VM {
+	var pending []workload.VM
 	for _, id := range s.wave.VMs {
-		vm, known := c.byID[id]
-		if s.done[id] || !known {
+		vm, known := c.vmsByID[id]
+		if s.doneVMs[id] || !known {
 			continue
 		}
-		due = append(due, vm)
+		pending = append(pending, vm)
 	}
-	return due
+	return pending
 }
 
-// Leaving are, by pool, the workers whose VMs are yet to begin their maintenance.
-type Leaving map[string][]string
+// WorkersByPool are, by pool, the workers whose VMs are yet to begin their maintenance.
+type WorkersByPool map[string][]string
 
-// Leaving lists the workers that are to leave in a wave.
-func (c *Core) Leaving() Leaving {
-	leaving := Leaving{}
+// WorkersDueForMaintenance lists the workers that are to leave in a wave.
+func (c *Core) WorkersDueForMaintenance() WorkersByPool {
+	workers := WorkersByPool{}
 	for _, s := range c.waves {
-		for _, vm := range c.due(s) {
-			if vm.Worker != "" && vm.Pool != c.standby {
-				leaving[vm.Pool] = append(leaving[vm.Pool], vm.Worker)
+		for _, vm := range c.pendingVMs(s) {
+			if vm.Worker != "" && vm.Pool != c.sparePool {
+				workers[vm.Pool] = append(workers[vm.Pool], vm.Worker)
 			}
 		}
 	}
-	return leaving
+	return workers
 }
 
-// pace is how many VMs of a wave are to be under way at once: enough to be done
+// targetConcurrency is how many VMs of a wave are to be under way at once: enough to be done
 // in its share of the time, and no more, as each takes room from its pool.
-func (c *Core) pace(s *waveState, left int, now time.Time) int {
-	target := time.Duration(float64(s.wave.Duration) * waveShare)
-	remaining := max(time.Second, target-now.Sub(s.begun))
-	each := c.cfg.Maintenance + turnTime
-	n := int(math.Ceil(float64(left) * float64(each) / float64(remaining)))
-	slow := 0
-	for _, w := range c.works {
-		if w.wave == s.wave.Number && w.phase == phaseEmptying && now.Sub(w.since) > patience {
-			slow++ // it waits for others' tasks; another VM goes on meanwhile
+func (c *Core) targetConcurrency(s *waveProgress, vmsLeft int, now time.Time) int {
+	targetTime := time.Duration(float64(s.wave.Duration) * waveTargetShare)
+	timeLeft := max(time.Second, targetTime-now.Sub(s.firstSeenAt))
+	timePerVM := c.settings.MaintenanceTime + drainAndReturnTime
+	n := int(math.Ceil(float64(vmsLeft) * float64(timePerVM) / float64(timeLeft)))
+	slowDrains := 0
+	for _, op := range c.operations {
+		if op.wave == s.wave.Number && op.phase == phaseDraining && now.Sub(op.phaseSince) > slowDrainThreshold {
+			slowDrains++ // it waits for others' tasks; another VM goes on meanwhile
 		}
 	}
-	return min(n+slow, max(1, s.wave.Cap))
+	return min(n+slowDrains, max(1, s.wave.Cap))
 }
 
-// underWay is how many VMs of a wave are away or about to be. An earlier owner's
+// vmsUnderMaintenance is how many VMs of a wave are away or about to be. An earlier owner's
 // orders count, too: by the list, and where they are too new for it by the word
 // that was stored ahead of them. Its moves don't: at a peak it has moved more VMs just
 // before than the wave may have away, and the wave would stand still for seconds
 // after each change of the owner.
-func (c *Core) underWay(s *waveState, now time.Time) int {
-	n, away := s.wave.Number, 0
+func (c *Core) vmsUnderMaintenance(s *waveProgress, now time.Time) int {
+	n, count := s.wave.Number, 0
 	for _, id := range s.wave.VMs {
-		w := c.works[id]
-		ours := w != nil && w.wave == n
-		if ours || c.byID[id].State == workload.VMMaintenance || w == nil && c.quiet[id].mayBeOf(n) && !c.mayOrder(id, now) {
-			away++
+		op := c.operations[id]
+		isOurs := op != nil && op.wave == n
+		if isOurs || c.vmsByID[id].State == workload.VMMaintenance || op == nil && c.earlierOrders[id].canBelongTo(n) && !c.canOrder(id, now) {
+			count++
 		}
 	}
-	return away
+	return count
 }
 
-// mayBeOf tells whether the order may have been one of a wave.
-func (o earlierOrder) mayBeOf(wave int64) bool { return o.wave == wave || o.wave == AnyWave }
+// canBelongTo tells whether the order may have been one of a wave.
+func (o earlierOrder) canBelongTo(wave int64) bool { return o.wave == wave || o.wave == UnknownWave }
 
-// next picks the VM whose absence costs least: one without work, else one of the
+// cheapestVM picks the VM whose absence costs least: one without work, else one of the
 // pool with the most room left over.
-func (c *Core) next(due []workload.VM, now time.Time) (workload.VM, bool) {
-	best, bestCost := -1, 0.0
-	for i, vm := range due {
-		if c.works[vm.ID] != nil || !c.mayOrder(vm.ID, now) || vm.State != workload.VMUp && !(vm.State == workload.VMDown && vm.Worker == "") {
+func (c *Core) cheapestVM(pending []workload.VM, now time.Time) (workload.VM, bool) {
+	best, lowestCost := -1, 0.0
+	for i, vm := range pending {
+		if c.operations[vm.ID] != nil || !c.canOrder(vm.ID, now) || vm.State != workload.VMUp && !(vm.State == workload.VMDown && vm.Worker == "") {
 			continue
 		}
-		cost := c.cost(vm)
-		if best < 0 || cost < bestCost {
-			best, bestCost = i, cost
+		cost := c.maintenanceCost(vm)
+		if best < 0 || cost < lowestCost {
+			best, lowestCost = i, cost
 		}
 	}
 	if best < 0 {
 		return workload.VM{}, false
 	}
-	return due[best], true
+	return pending[best], true
 }
 
-// absentCost weighs a VM of a pool that others are already away from.
-const absentCost = 1.0
+// absentVMCost weighs a VM of a pool that others are already away from.
+const absentVMCost = 1.0
 
-func (c *Core) cost(vm workload.VM) float64 {
-	if vm.Worker == "" || vm.Pool == c.standby {
+func (c *Core) maintenanceCost(vm workload.VM) float64 {
+	if vm.Worker == "" || vm.Pool == c.sparePool {
 		return 0
 	}
 	cost := 0.1
-	if l := c.loads[vm.Pool]; l != nil {
-		cost += l.use(vm)
+	if l := c.poolLoads[vm.Pool]; l != nil {
+		cost += l.utilization(vm)
 		cost += float64(l.load.Workers[vm.Worker].Lasting)
 	}
-	for _, w := range c.works {
-		if w.pool == vm.Pool {
-			cost += absentCost
+	for _, op := range c.operations {
+		if op.sourcePool == vm.Pool {
+			cost += absentVMCost
 		}
 	}
 	return cost
 }
 
-// report stores what has changed of the waves.
-func (c *Core) report() {
+// queueWaveStores stores what has changed of the waves.
+func (c *Core) queueWaveStores() {
 	for _, n := range c.waveNumbers() {
 		s := c.waves[n]
 		if s.wave.VMs == nil {
 			continue // only an earlier owner's report of it was read so far
 		}
 		state := workload.WaveRunning
-		if len(c.vms) > 0 && len(c.due(s)) == 0 && !c.ordering(n) {
+		if len(c.vms) > 0 && len(c.pendingVMs(s)) == 0 && !c.hasOrderInFlight(n) {
 			state = workload.WaveCompleted
 		}
-		if state == s.state && !c.dirtyWaves[n] {
+		if state == s.reportedState && !c.dirtyWaves[n] {
 			continue
 		}
-		s.state = state
+		s.reportedState = state
 		delete(c.dirtyWaves, n)
-		done := make([]string, 0, len(s.done))
-		for vm := range s.done {
-			done = append(done, vm)
+		doneVMs := make([]string, 0, len(s.doneVMs))
+		for vm := range s.doneVMs {
+			doneVMs = append(doneVMs, vm)
 		}
-		slices.Sort(done)
-		c.out = append(c.out, Action{Verb: Store, Wave: n, State: state, Done: done})
+		slices.Sort(doneVMs)
+		c.actions = append(c.actions, Action{Verb: StoreWave, Wave: n, State: state, DoneVMs: doneVMs})
 	}
 }
 
-// ordering tells whether an order of a wave is in flight.
-func (c *Core) ordering(wave int64) bool {
-	for _, w := range c.works {
-		if w.wave == wave && w.phase == phaseOrdered {
+// hasOrderInFlight tells whether an order of a wave is in flight.
+func (c *Core) hasOrderInFlight(wave int64) bool {
+	for _, op := range c.operations {
+		if op.wave == wave && op.phase == phaseOrderInFlight {
 			return true
 		}
 	}
@@ -222,5 +222,5 @@
 	return numbers
 }
 
-// StoreFailed takes back that a wave's state was stored.
-func (c *Core) StoreFailed(wave int64) { c.dirtyWaves[wave] = true }
+// HandleStoreFailure takes back that a wave's state was stored.
+func (c *Core) HandleStoreFailure(wave int64) { c.dirtyWaves[wave] = true }
--- a/internal/fleet/waves_test.go
+++ b/internal/fleet/waves_test.go
@@ -17,7 +17,7 @@
 // At a peak the owner before moved two thirds of the VMs to the pool in demand, and is
 // lost. The next one leaves each of them alone for a while, as it must; but it may not
 // take them for VMs that are away for maintenance: the wave's others are there.
-func TestWaveGoesOnUnderANewOwnerThatFollowsMoves(t *testing.T) {
+func TestEarlierMovesDoNotCountTowardTheWavesCap(t *testing.T) {
 	const vms, moved = 60, 40
 	c := newCore()
 	var list []workload.VM
@@ -25,24 +25,24 @@
 	for i := range vms {
 		id := fmt.Sprintf("vm-%02d", i)
 		ids = append(ids, id)
-		list = append(list, up(id, "booking", "w-"+id))
+		list = append(list, upVM(id, "booking", "w-"+id))
 		if i < moved {
-			c.OrderedBefore(id, 0, begin.Add(-time.Duration(i)*50*time.Millisecond))
+			c.RecordEarlierOrder(id, 0, startTime.Add(-time.Duration(i)*50*time.Millisecond))
 		}
 	}
-	c.SetWaves([]workload.Wave{{Number: 1, VMs: ids, Duration: 24 * time.Second, Cap: 30}}, begin)
-	c.SetVMs(list, begin)
-	assert.NotEmpty(t, verbs(c.Step(begin.Add(100*time.Millisecond)), fleet.Empty))
+	c.SetWaves([]workload.Wave{{Number: 1, VMs: ids, Duration: 24 * time.Second, Cap: 30}}, startTime)
+	c.SetVMs(list, startTime)
+	assert.NotEmpty(t, actionsWithVerb(c.Step(startTime.Add(100*time.Millisecond)), fleet.DrainWorker))
 }
 
 // An owner of an earlier version did not store what it ordered a VM for. It may have
 // been the wave, so the VM counts to its cap.
-func TestEarlierOrderOfUnknownKindCountsToTheCap(t *testing.T) {
+func TestEarlierOrderOfUnknownWaveCountsTowardTheCap(t *testing.T) {
 	c := newCore()
-	c.OrderedBefore("vm-1", fleet.AnyWave, begin.Add(-50*time.Millisecond))
-	c.SetWaves([]workload.Wave{{Number: 1, VMs: []string{"vm-1", "vm-2"}, Duration: time.Second, Cap: 1}}, begin)
-	c.SetVMs([]workload.VM{up("vm-1", "booking", "w-1"), up("vm-2", "booking", "w-2")}, begin)
-	assert.Empty(t, verbs(c.Step(begin.Add(100*time.Millisecond)), fleet.Empty))
+	c.RecordEarlierOrder("vm-1", fleet.UnknownWave, startTime.Add(-50*time.Millisecond))
+	c.SetWaves([]workload.Wave{{Number: 1, VMs: []string{"vm-1", "vm-2"}, Duration: time.Second, Cap: 1}}, startTime)
+	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-1"), upVM("vm-2", "booking", "w-2")}, startTime)
+	assert.Empty(t, actionsWithVerb(c.Step(startTime.Add(100*time.Millisecond)), fleet.DrainWorker))
 }
 
 // Operators see a few of some hundred VMs left over at the end of a wave, each time.
@@ -52,55 +52,55 @@
 // emptied one after the other. They cost most to take away and so were taken last, when
 // all others were done at three fifths of the wave's time, and needed more than the rest
 // of it. The wave asks for all VMs within its time.
-func TestVMsWithLastingTasksAreMaintainedInTime(t *testing.T) {
+func TestVMsWithLongRunningTasksAreMaintainedInTime(t *testing.T) {
 	const (
-		lasting  = 20
-		others   = 80
-		duration = 25 * time.Second
-		moveTime = time.Second // until a lasting task is back at work elsewhere
+		longRunningVMs = 20
+		otherVMs       = 80
+		duration       = 25 * time.Second
+		moveTime       = time.Second // until a lasting task is back at work elsewhere
 	)
 	c := newCore()
 	workers := map[string]workload.WorkerLoad{}
 	var list []workload.VM
 	var ids []string
-	for i := range lasting + others {
+	for i := range longRunningVMs + otherVMs {
 		id := fmt.Sprintf("vm-%03d", i)
 		ids = append(ids, id)
-		list = append(list, up(id, "booking", "w-"+id))
+		list = append(list, upVM(id, "booking", "w-"+id))
 		w := workload.WorkerLoad{Usable: true, Runs: 1, Used: workload.Resources{CPU: 8000, MemoryMB: 1000}}
-		if i < lasting {
+		if i < longRunningVMs {
 			w.Lasting = 3
 		}
 		workers["w-"+id] = w
 	}
-	c.SetWaves([]workload.Wave{{Number: 1, VMs: ids, Duration: duration, Cap: 40}}, begin)
+	c.SetWaves([]workload.Wave{{Number: 1, VMs: ids, Duration: duration, Cap: 40}}, startTime)
 	ordered := map[string]bool{}
-	var moving string // the VM whose lasting tasks move
-	var moved time.Time
+	var movingWorker string // the VM whose lasting tasks move
+	var movedAt time.Time
 	for at := time.Duration(0); at < duration; at += 100 * time.Millisecond {
-		now := begin.Add(at)
+		now := startTime.Add(at)
 		c.SetVMs(list, now)
-		c.SetLoad(load("booking", 100*8000, 100*1000, 0, workers), now)
+		c.SetLoad(newLoad("booking", 100*8000, 100*1000, 0, workers), now)
 		for _, a := range c.Step(now) {
 			switch a.Verb {
-			case fleet.Empty:
+			case fleet.DrainWorker:
 				w := workers[a.Worker]
-				if w.Lasting > 0 && moving == "" {
-					moving, moved = a.Worker, now.Add(moveTime)
+				if w.Lasting > 0 && movingWorker == "" {
+					movingWorker, movedAt = a.Worker, now.Add(moveTime)
 				}
-				if a.Worker == moving && !now.Before(moved) {
+				if a.Worker == movingWorker && !now.Before(movedAt) {
 					w.Lasting = 0
 					workers[a.Worker] = w
-					moving = ""
+					movingWorker = ""
 				}
-				vacancy := workload.Vacant
+				state := workload.Vacant
 				if w.Lasting > 0 {
-					vacancy = workload.Occupied
+					state = workload.Occupied
 				}
-				c.Emptied(a.VM, a.Worker, vacancy, now)
-			case fleet.Maintain:
+				c.HandleDrainResult(a.VM, a.Worker, state, now)
+			case fleet.MaintainVM:
 				ordered[a.VM] = true
-				c.Ordered(a.VM, fleet.Taken, now)
+				c.HandleOrderResult(a.VM, fleet.OrderAccepted, now)
 			}
 		}
 		for i, vm := range list { // back with a new worker in time
@@ -110,7 +110,7 @@
 			}
 		}
 	}
-	assert.Len(t, ordered, lasting+others)
+	assert.Len(t, ordered, longRunningVMs+otherVMs)
 }
 
 // Operators see a wave's last VMs follow one another at one in two seconds.
@@ -118,14 +118,14 @@
 // A pool has one VM beyond those that its lasting tasks must lie on. While a VM is
 // maintained that one has its tasks, and no other VM can be emptied until it is back. A
 // pool gets one VM more for each that is away so.
-func TestPoolGetsAVMForEachThatIsMaintainedWithLastingTasks(t *testing.T) {
+func TestPoolGetsAVMForEachMaintainedOneWithLongRunningTasks(t *testing.T) {
 	const spread = 4
 	c := newCore()
 	workers := map[string]workload.WorkerLoad{}
 	var list []workload.VM
 	for i := range spread + 1 {
 		id := fmt.Sprintf("vm-%d", i)
-		list = append(list, up(id, "booking", "w-"+id))
+		list = append(list, upVM(id, "booking", "w-"+id))
 		w := workload.WorkerLoad{Usable: true}
 		if i < spread {
 			w.Runs, w.Lasting = 1, 1
@@ -133,24 +133,24 @@
 		workers["w-"+id] = w
 	}
 	for i := range 4 {
-		list = append(list, up(fmt.Sprintf("spare-%d", i), "spare", ""))
+		list = append(list, upVM(fmt.Sprintf("spare-%d", i), "spare", ""))
 	}
-	c.SetWaves([]workload.Wave{wave(1, 4, "vm-0", "vm-1")}, begin)
+	c.SetWaves([]workload.Wave{newWave(1, 4, "vm-0", "vm-1")}, startTime)
 	moved := map[string]bool{}
 	for at := time.Duration(0); at < time.Second; at += 100 * time.Millisecond {
-		now := begin.Add(at)
+		now := startTime.Add(at)
 		c.SetVMs(list, now)
-		l := load("booking", 1000, 0, 0, workers)
+		l := newLoad("booking", 1000, 0, 0, workers)
 		l.Spread = spread
 		c.SetLoad(l, now)
 		for _, a := range c.Step(now) {
-			if a.Verb == fleet.Move {
+			if a.Verb == fleet.MoveVM {
 				assert.Equal(t, "booking", a.Pool)
 				moved[a.VM] = true
-				c.Ordered(a.VM, fleet.Taken, now)
+				c.HandleOrderResult(a.VM, fleet.OrderAccepted, now)
 			}
 		}
 	}
 	assert.Len(t, moved, 2)
-	assert.Equal(t, fleet.Leaving{"booking": {"w-vm-0", "w-vm-1"}}, c.Leaving())
+	assert.Equal(t, fleet.WorkersByPool{"booking": {"w-vm-0", "w-vm-1"}}, c.WorkersDueForMaintenance())
 }
--- a/internal/fleetowner/acts_test.go
+++ b/internal/fleetowner/acts_test.go
@@ -18,10 +18,10 @@
 )
 
 // slowStore takes writes a while after they were sent.
-type slowStore struct{ takes time.Duration }
+type slowStore struct{ latency time.Duration }
 
 func (s *slowStore) Append(context.Context, platform.Partition, *platform.Producer, ...platform.KeyedRecord) (platform.StoreStatus, error) {
-	time.Sleep(s.takes)
+	time.Sleep(s.latency)
 	return platform.StoreOK, nil
 }
 
@@ -37,81 +37,81 @@
 	return platform.StoreOK, nil
 }
 
-// orderedVMs notes when VMs are ordered.
-type orderedVMs struct {
-	mu    sync.Mutex
-	moved []time.Time
+// moveRecorder notes when VMs are ordered.
+type moveRecorder struct {
+	mu      sync.Mutex
+	movedAt []time.Time
 }
 
-func (m *orderedVMs) List(context.Context) ([]workload.VM, error) { return nil, nil }
+func (m *moveRecorder) List(context.Context) ([]workload.VM, error) { return nil, nil }
 
-func (m *orderedVMs) Move(context.Context, platform.Holder, string, string) (platform.ActStatus, error) {
+func (m *moveRecorder) Move(context.Context, platform.Holder, string, string) (platform.ActStatus, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.moved = append(m.moved, time.Now())
+	m.movedAt = append(m.movedAt, time.Now())
 	return platform.ActOK, nil
 }
 
-func (m *orderedVMs) Maintain(context.Context, platform.Holder, string, int64) (platform.ActStatus, error) {
+func (m *moveRecorder) Maintain(context.Context, platform.Holder, string, int64) (platform.ActStatus, error) {
 	return platform.ActOK, nil
 }
 
-// playMove has a move of an emptied VM announced on a store that takes a while, and
+// runMove has a move of an emptied VM announced on a store that takes a while, and
 // returns how many orders went out.
-func playMove(t *testing.T, storeTakes time.Duration, until func(now time.Time) time.Time) int {
-	machines := &orderedVMs{}
+func runMove(t *testing.T, storeLatency time.Duration, validUntil func(now time.Time) time.Time) int {
+	machines := &moveRecorder{}
 	synctest.Test(t, func(t *testing.T) {
-		o := New(Deps{Store: &slowStore{takes: storeTakes}, Hedger: hedge.New(), Machines: machines, Logger: hclog.NewNullLogger()}, 0, 7)
+		o := New(Deps{Store: &slowStore{latency: storeLatency}, Hedger: hedge.New(), Machines: machines, Logger: hclog.NewNullLogger()}, 0, 7)
 		ctx, cancel := context.WithCancel(t.Context())
 		go o.writer.run(ctx)
-		o.act(ctx, fleet.Action{Verb: fleet.Move, VM: "vm-1", Pool: "booking", Until: until(time.Now())})
+		o.execute(ctx, fleet.Action{Verb: fleet.MoveVM, VM: "vm-1", Pool: "booking", ValidUntil: validUntil(time.Now())})
 		time.Sleep(30 * time.Second)
 		cancel()
 		synctest.Wait()
 	})
-	return len(machines.moved)
+	return len(machines.movedAt)
 }
 
 // The store is away for seconds while an order is announced there. By its return
 // the worker is open again and has got tasks, among them a lasting one whose step
 // may miss no more: the order would end it. It is not given; the VM is emptied anew.
-func TestOrderIsNotGivenOnAnOldWordOfEmptiness(t *testing.T) {
+func TestOrderIsNotSentOnAStaleDrainState(t *testing.T) {
 	inASecond := func(now time.Time) time.Time { return now.Add(time.Second) }
-	assert.Zero(t, playMove(t, 4*time.Second, inASecond))
-	assert.Equal(t, 1, playMove(t, 20*time.Millisecond, inASecond))
+	assert.Zero(t, runMove(t, 4*time.Second, inASecond))
+	assert.Equal(t, 1, runMove(t, 20*time.Millisecond, inASecond))
 }
 
 // A VM of the spare pool is off: no wait can make it busy.
-func TestOrderForASpareVMIsGivenHoweverLate(t *testing.T) {
+func TestOrderForASpareVMIsSentHoweverLate(t *testing.T) {
 	never := func(time.Time) time.Time { return time.Time{} }
-	assert.Equal(t, 1, playMove(t, 4*time.Second, never))
+	assert.Equal(t, 1, runMove(t, 4*time.Second, never))
 }
 
 // Guards against a VM that is ordered by an owner of the fleet that has a successor by then:
 // its process stood still, or the store was away, after the order was announced. The successor
 // would count the VM as back, and order others of its wave beside it.
-func TestOrderIsNotGivenOnceAnotherNodeMayOwnTheFleet(t *testing.T) {
-	for takes, ordered := range map[time.Duration]int{4 * time.Second: 0, 20 * time.Millisecond: 1} {
-		machines := &orderedVMs{}
+func TestOrderIsNotSentOnceAnotherNodeMayOwnTheFleet(t *testing.T) {
+	for latency, ordered := range map[time.Duration]int{4 * time.Second: 0, 20 * time.Millisecond: 1} {
+		machines := &moveRecorder{}
 		synctest.Test(t, func(t *testing.T) {
 			ownedUntil := time.Now().Add(time.Second)
-			o := New(Deps{Store: &slowStore{takes: takes}, Hedger: hedge.New(), Machines: machines, OwnedUntil: func() time.Time { return ownedUntil }, Logger: hclog.NewNullLogger()}, 0, 7)
+			o := New(Deps{Store: &slowStore{latency: latency}, Hedger: hedge.New(), Machines: machines, OwnedUntil: func() time.Time { return ownedUntil }, Logger: hclog.NewNullLogger()}, 0, 7)
 			ctx, cancel := context.WithCancel(t.Context())
 			go o.writer.run(ctx)
-			o.act(ctx, fleet.Action{Verb: fleet.Move, VM: "vm-1", Pool: "booking"})
+			o.execute(ctx, fleet.Action{Verb: fleet.MoveVM, VM: "vm-1", Pool: "booking"})
 			time.Sleep(10 * time.Second)
 			cancel()
 			synctest.Wait()
 		})
-		assert.Len(t, machines.moved, ordered, "announced within %s", takes)
+		assert.Len(t, machines.movedAt, ordered, "announced within %s", latency)
 	}
 }
 
 // slowService says that a worker is empty, and its answer arrives a while later.
-type slowService struct{ takes time.Duration }
+type slowService struct{ latency time.Duration }
 
-func (s slowService) Empty(context.Context, string, string) (workload.Vacancy, bool) {
-	time.Sleep(s.takes)
+func (s slowService) RequestDrain(context.Context, string, string) (workload.Vacancy, bool) {
+	time.Sleep(s.latency)
 	return workload.Vacant, true
 }
 
@@ -122,52 +122,52 @@
 // The fleet's owner stands still between its question and the answer that a worker
 // is empty. When it wakes the worker is open again and has got tasks. The word counts
 // from the question, so it is too old, and the VM is not ordered.
-func TestWordOfEmptinessCountsFromTheQuestion(t *testing.T) {
-	for takes, ordered := range map[time.Duration]int{1600 * time.Millisecond: 0, 20 * time.Millisecond: 1} {
+func TestDrainStateAgeCountsFromTheRequest(t *testing.T) {
+	for latency, ordered := range map[time.Duration]int{1600 * time.Millisecond: 0, 20 * time.Millisecond: 1} {
 		synctest.Test(t, func(t *testing.T) {
-			o := New(Deps{Services: slowService{takes: takes}, Logger: hclog.NewNullLogger()}, 0, 7)
+			o := New(Deps{Services: slowService{latency: latency}, Logger: hclog.NewNullLogger()}, 0, 7)
 			core := fleet.New(fleet.Settings{}, time.Now())
 			core.SetWaves([]workload.Wave{{Number: 1, VMs: []string{"vm-1"}, Duration: 20 * time.Second, Cap: 1}}, time.Now())
 			core.SetVMs([]workload.VM{{ID: "vm-1", Pool: "booking", State: workload.VMUp, Worker: "w-1"}}, time.Now())
 			orders := 0
 			for _, a := range core.Step(time.Now()) {
-				if a.Verb == fleet.Empty {
-					o.act(t.Context(), a)
+				if a.Verb == fleet.DrainWorker {
+					o.execute(t.Context(), a)
 				}
 			}
 			e := <-o.inbox
 			e(core, time.Now())
 			for _, a := range core.Step(time.Now()) {
-				if a.Verb == fleet.Maintain {
+				if a.Verb == fleet.MaintainVM {
 					orders++
 				}
 			}
-			assert.Equal(t, ordered, orders, "the answer took %s", takes)
+			assert.Equal(t, ordered, orders, "the answer took %s", latency)
 		})
 	}
 }
 
 // After a suspension only the time of day has gone on; times without a reading of
 // the steady clock stand for it here.
-func TestPastByEitherClock(t *testing.T) {
+func TestTimeHasPassedByEitherClock(t *testing.T) {
 	now := time.Now()
-	assert.False(t, past(now.Add(time.Second), now))
-	assert.True(t, past(now, now.Add(time.Millisecond)))
-	assert.True(t, past(now.Round(0), now.Add(time.Millisecond)))
-	assert.True(t, past(now, now.Add(time.Millisecond).Round(0)))
+	assert.False(t, hasPassed(now.Add(time.Second), now))
+	assert.True(t, hasPassed(now, now.Add(time.Millisecond)))
+	assert.True(t, hasPassed(now.Round(0), now.Add(time.Millisecond)))
+	assert.True(t, hasPassed(now, now.Add(time.Millisecond).Round(0)))
 }
 
 // idleService has a worker that answers its owner a while after it is asked for first.
 type idleService struct {
 	slowService
-	from *time.Time
+	answersFrom *time.Time
 }
 
-func (s idleService) Empty(context.Context, string, string) (workload.Vacancy, bool) {
-	if s.from.IsZero() {
-		*s.from = time.Now().Add(10 * time.Millisecond)
+func (s idleService) RequestDrain(context.Context, string, string) (workload.Vacancy, bool) {
+	if s.answersFrom.IsZero() {
+		*s.answersFrom = time.Now().Add(10 * time.Millisecond)
 	}
-	if time.Now().Before(*s.from) {
+	if time.Now().Before(*s.answersFrom) {
 		return workload.VacantUnseen, true
 	}
 	return workload.Vacant, true
@@ -177,14 +177,14 @@
 // asks it only once it is to be emptied.
 func TestIdleWorkersVMIsOrderedAtTheNextStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := New(Deps{Services: idleService{from: &time.Time{}}, Logger: hclog.NewNullLogger()}, 0, 7)
+		o := New(Deps{Services: idleService{answersFrom: &time.Time{}}, Logger: hclog.NewNullLogger()}, 0, 7)
 		core := fleet.New(fleet.Settings{}, time.Now())
 		core.SetWaves([]workload.Wave{{Number: 1, VMs: []string{"vm-1"}, Duration: 20 * time.Second, Cap: 1}}, time.Now())
 		core.SetVMs([]workload.VM{{ID: "vm-1", Pool: "booking", State: workload.VMUp, Worker: "w-1"}}, time.Now())
 		began := time.Now()
 		for _, a := range core.Step(began) {
-			if a.Verb == fleet.Empty {
-				o.act(t.Context(), a)
+			if a.Verb == fleet.DrainWorker {
+				o.execute(t.Context(), a)
 			}
 		}
 		e := <-o.inbox
@@ -192,7 +192,7 @@
 		require.Less(t, time.Since(began), stepInterval)
 		orders := 0
 		for _, a := range core.Step(began.Add(stepInterval)) {
-			if a.Verb == fleet.Maintain {
+			if a.Verb == fleet.MaintainVM {
 				orders++
 			}
 		}
--- a/internal/fleetowner/fleetowner.go
+++ b/internal/fleetowner/fleetowner.go
@@ -24,20 +24,20 @@
 // Times of the fleet's owner.
 const (
 	stepInterval = 100 * time.Millisecond
-	// listBusy is the pause between lists of VMs while work is under way,
+	// vmListIntervalBusy is the pause between lists of VMs while work is under way,
 	// listIdle while none is. Each list is a call that costs.
-	listBusy = 400 * time.Millisecond
-	listIdle = 2 * time.Second
+	vmListIntervalBusy = 400 * time.Millisecond
+	vmListIntervalIdle = 2 * time.Second
 	// loadInterval is the pause between questions for a service's load.
-	loadInterval = 200 * time.Millisecond
-	retry        = 200 * time.Millisecond
-	inboxSize    = 256
-	// maxCalls bounds the calls in flight.
-	maxCalls = 32
+	loadInterval          = 200 * time.Millisecond
+	takeoverRetryInterval = 200 * time.Millisecond
+	inboxSize             = 256
+	// maxCallsInFlight bounds the calls in flight.
+	maxCallsInFlight = 32
 )
 
-// ErrLost is returned by Run when a later owner was seen.
-var ErrLost = errors.New("ownership of the fleet is lost")
+// ErrOwnershipLost is returned by Run when a later owner was seen.
+var ErrOwnershipLost = errors.New("ownership of the fleet is lost")
 
 // Machines lists and orders VMs.
 type Machines interface {
@@ -48,7 +48,7 @@
 
 // Services are the owners of the services' jobs.
 type Services interface {
-	Empty(ctx context.Context, service, worker string) (v workload.Vacancy, ok bool)
+	RequestDrain(ctx context.Context, service, worker string) (v workload.Vacancy, ok bool)
 	LoadsOf(ctx context.Context, service string, leaving []string) ([]workload.ServiceLoad, bool)
 }
 
@@ -72,24 +72,24 @@
 	Logger     hclog.Logger
 }
 
-type event func(c *fleet.Core, now time.Time)
+type coreEvent func(c *fleet.Core, now time.Time)
 
 // Owner owns the fleet while Run runs.
 type Owner struct {
-	deps   Deps
-	epoch  int64
-	log    *joblog.Log
-	logger hclog.Logger
-	inbox  chan event
-	slots  chan struct{}
+	deps      Deps
+	epoch     int64
+	log       *joblog.Log
+	logger    hclog.Logger
+	inbox     chan coreEvent
+	callSlots chan struct{}
 
-	writer   *writer
-	lost     chan error
-	asking   map[string]bool // workers that are asked about
-	listing  bool
-	listedAt time.Time
-	loading  bool
-	loadedAt time.Time
+	writer         *writer
+	ownershipLost  chan error
+	drainsInFlight map[string]bool // workers that are asked about
+	vmListInFlight bool
+	vmListSentAt   time.Time
+	loadsInFlight  bool
+	loadsSentAt    time.Time
 }
 
 // New returns the fleet's owner. epoch is above all earlier owners' ones, and is
@@ -97,24 +97,24 @@
 func New(deps Deps, partition int, epoch int64) *Owner {
 	log := joblog.New(deps.Store, deps.Hedger, joblog.FleetTopic, partition)
 	return &Owner{
-		deps:   deps,
-		epoch:  epoch,
-		log:    log,
-		writer: newWriter(log, epoch, deps.Logger),
-		logger: deps.Logger.With("epoch", epoch),
-		inbox:  make(chan event, inboxSize),
-		slots:  make(chan struct{}, maxCalls),
-		lost:   make(chan error, 1),
-		asking: map[string]bool{},
+		deps:           deps,
+		epoch:          epoch,
+		log:            log,
+		writer:         newWriter(log, epoch, deps.Logger),
+		logger:         deps.Logger.With("epoch", epoch),
+		inbox:          make(chan coreEvent, inboxSize),
+		callSlots:      make(chan struct{}, maxCallsInFlight),
+		ownershipLost:  make(chan error, 1),
+		drainsInFlight: map[string]bool{},
 	}
 }
 
-// waveKey is the key of what is stored of a wave.
-const waveKey = "wave/"
+// waveKeyPrefix is the key of what is stored of a wave.
+const waveKeyPrefix = "wave/"
 
 // storedWave is what is stored of a wave.
 type storedWave struct {
-	Done []string `json:"done"` // VMs whose maintenance was ordered
+	DoneVMs []string `json:"done"` // VMs whose maintenance was ordered
 }
 
 // Run owns the fleet until ctx ends or a later owner is seen.
@@ -122,9 +122,9 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	core := fleet.New(fleet.Settings{
-		Migration:   o.deps.Bounds.Migration,
-		Maintenance: o.deps.Bounds.Maintenance,
-		QuietFor:    o.deps.Bounds.HolderLease,
+		MigrationTime:           o.deps.Bounds.Migration,
+		MaintenanceTime:         o.deps.Bounds.Maintenance,
+		EarlierOrderQuietPeriod: o.deps.Bounds.HolderLease,
 	}, time.Now())
 	if err := o.takeOver(ctx, core); err != nil {
 		return err
@@ -137,7 +137,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case err := <-o.lost:
+		case err := <-o.ownershipLost:
 			return err
 		case e := <-o.inbox:
 			e(core, time.Now())
@@ -153,47 +153,47 @@
 	for ctx.Err() == nil {
 		status, err := o.log.Fence(ctx, o.epoch)
 		if status == platform.StoreFenced {
-			return errors.Wrap(ErrLost, "a later owner has fenced the fleet")
+			return errors.Wrap(ErrOwnershipLost, "a later owner has fenced the fleet")
 		}
 		if status != platform.StoreOK {
 			o.logger.Warn("fleet can't be fenced yet", "status", status.String(), "error", err)
-			wait.Pause(ctx, retry)
+			wait.Pause(ctx, takeoverRetryInterval)
 			continue
 		}
 		batch, status, err := o.log.Snapshot(ctx)
 		if status != platform.StoreOK {
 			o.logger.Warn("stored waves can't be read yet", "status", status.String(), "error", err)
-			wait.Pause(ctx, retry)
+			wait.Pause(ctx, takeoverRetryInterval)
 			continue
 		}
-		o.recall(core, batch)
+		o.restore(core, batch)
 		return nil
 	}
 	return ctx.Err()
 }
 
-func (o *Owner) recall(core *fleet.Core, batch platform.Batch) {
+func (o *Owner) restore(core *fleet.Core, batch platform.Batch) {
 	now := time.Now()
 	for _, r := range batch.Records {
 		if len(r.Value) == 0 {
 			continue
 		}
-		if err := recallRecord(core, r, now); err != nil {
+		if err := restoreRecord(core, r, now); err != nil {
 			o.logger.Error("stored record of the fleet can't be read and is left out", "key", r.Key, "error", err)
 		}
 	}
 }
 
-func recallRecord(core *fleet.Core, r platform.KeyedRecord, now time.Time) error {
-	if vm, ok := strings.CutPrefix(r.Key, vmKey); ok {
-		stored := storedOrder{Wave: fleet.AnyWave}
+func restoreRecord(core *fleet.Core, r platform.KeyedRecord, now time.Time) error {
+	if vm, ok := strings.CutPrefix(r.Key, vmKeyPrefix); ok {
+		stored := storedOrder{Wave: fleet.UnknownWave}
 		if err := json.Unmarshal(r.Value, &stored); err != nil {
 			return errors.Wrap(err, "order")
 		}
-		core.OrderedBefore(vm, stored.Wave, time.UnixMilli(stored.AtMS))
+		core.RecordEarlierOrder(vm, stored.Wave, time.UnixMilli(stored.AnnouncedAtMS))
 		return nil
 	}
-	number, ok := strings.CutPrefix(r.Key, waveKey)
+	number, ok := strings.CutPrefix(r.Key, waveKeyPrefix)
 	if !ok {
 		return nil
 	}
@@ -205,7 +205,7 @@
 	if err := json.Unmarshal(r.Value, &stored); err != nil {
 		return errors.Wrap(err, "wave")
 	}
-	core.Recalled(wave, stored.Done, now)
+	core.RestoreWave(wave, stored.DoneVMs, now)
 	return nil
 }
 
@@ -216,74 +216,74 @@
 	}
 	core.SetConfig(config)
 	core.SetWaves(o.deps.Published.Waves(), now)
-	o.look(ctx, core, config, now)
+	o.refresh(ctx, core, config, now)
 	for _, a := range core.Step(now) {
-		o.act(ctx, a)
+		o.execute(ctx, a)
 	}
 }
 
-// look asks for the list of VMs and the services' loads when they are due.
-func (o *Owner) look(ctx context.Context, core *fleet.Core, config *workload.Config, now time.Time) {
-	pause := listIdle
-	if core.Busy() {
-		pause = listBusy
+// refresh asks for the list of VMs and the services' loads when they are due.
+func (o *Owner) refresh(ctx context.Context, core *fleet.Core, config *workload.Config, now time.Time) {
+	listInterval := vmListIntervalIdle
+	if core.NeedsFrequentVMLists() {
+		listInterval = vmListIntervalBusy
 	}
-	if !o.listing && now.Sub(o.listedAt) >= pause {
-		o.listing = true
-		o.listedAt = now
-		o.do(ctx, o.list)
+	if !o.vmListInFlight && now.Sub(o.vmListSentAt) >= listInterval {
+		o.vmListInFlight = true
+		o.vmListSentAt = now
+		o.startCall(ctx, o.listVMs)
 	}
-	if !o.loading && now.Sub(o.loadedAt) >= loadInterval {
-		o.loading = true
-		o.loadedAt = now
-		leaving := core.Leaving()
-		o.do(ctx, func(ctx context.Context) { o.loads(ctx, config, leaving) })
+	if !o.loadsInFlight && now.Sub(o.loadsSentAt) >= loadInterval {
+		o.loadsInFlight = true
+		o.loadsSentAt = now
+		workersDue := core.WorkersDueForMaintenance()
+		o.startCall(ctx, func(ctx context.Context) { o.readLoads(ctx, config, workersDue) })
 	}
 }
 
-// do runs a call beside the loop; their number is bounded.
-func (o *Owner) do(ctx context.Context, call func(ctx context.Context)) {
+// startCall runs a call beside the loop; their number is bounded.
+func (o *Owner) startCall(ctx context.Context, call func(ctx context.Context)) {
 	go func() {
 		select {
-		case o.slots <- struct{}{}:
+		case o.callSlots <- struct{}{}:
 		case <-ctx.Done():
 			return
 		}
-		defer func() { <-o.slots }()
+		defer func() { <-o.callSlots }()
 		call(ctx)
 	}()
 }
 
-func (o *Owner) send(ctx context.Context, e event) {
+func (o *Owner) enqueue(ctx context.Context, e coreEvent) {
 	select {
 	case o.inbox <- e:
 	case <-ctx.Done():
 	}
 }
 
-func (o *Owner) list(ctx context.Context) {
-	asked := time.Now()
+func (o *Owner) listVMs(ctx context.Context) {
+	requestedAt := time.Now()
 	vms, err := o.deps.Machines.List(ctx)
 	if err != nil {
 		o.logger.Warn("VMs can't be listed", "error", err)
 	}
-	o.send(ctx, func(c *fleet.Core, _ time.Time) {
-		o.listing = false
+	o.enqueue(ctx, func(c *fleet.Core, _ time.Time) {
+		o.vmListInFlight = false
 		if err == nil {
-			c.SetVMs(vms, asked)
+			c.SetVMs(vms, requestedAt)
 		}
 	})
 }
 
-// loads asks the owners of the services for their loads, and tells them which workers
+// readLoads asks the owners of the services for their loads, and tells them which workers
 // are about to leave.
-func (o *Owner) loads(ctx context.Context, config *workload.Config, leaving fleet.Leaving) {
+func (o *Owner) readLoads(ctx context.Context, config *workload.Config, workersDue fleet.WorkersByPool) {
 	var all []workload.ServiceLoad
 	for _, s := range config.Services {
 		if s.Standby {
 			continue
 		}
-		loads, ok := o.deps.Services.LoadsOf(ctx, s.Name, leaving[s.Name])
+		loads, ok := o.deps.Services.LoadsOf(ctx, s.Name, workersDue[s.Name])
 		if !ok {
 			o.logger.Debug("load of a service is not known", "service", s.Name)
 		}
@@ -293,8 +293,8 @@
 			}
 		}
 	}
-	o.send(ctx, func(c *fleet.Core, now time.Time) {
-		o.loading = false
+	o.enqueue(ctx, func(c *fleet.Core, now time.Time) {
+		o.loadsInFlight = false
 		for _, l := range all {
 			c.SetLoad(l, now)
 		}
--- a/internal/fleetowner/writer.go
+++ b/internal/fleetowner/writer.go
@@ -11,11 +11,11 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// writerSize is how many writes wait; each is for one VM or wave.
-const writerSize = 512
+// maxPendingWrites is how many writes wait; each is for one VM or wave.
+const maxPendingWrites = 512
 
-// writeRetry is the pause before a write is sent again.
-const writeRetry = 100 * time.Millisecond
+// writeRetryInterval is the pause before a write is sent again.
+const writeRetryInterval = 100 * time.Millisecond
 
 // pendingWrite is a record to be stored. done gets nil once it is, and is then
 // closed; an error means that it never will be by this owner.
@@ -36,7 +36,7 @@
 }
 
 func newWriter(log *joblog.Log, epoch int64, logger hclog.Logger) *writer {
-	return &writer{log: log, epoch: epoch, logger: logger, queue: make(chan pendingWrite, writerSize)}
+	return &writer{log: log, epoch: epoch, logger: logger, queue: make(chan pendingWrite, maxPendingWrites)}
 }
 
 // put stores a record and returns once it is stored.
@@ -58,7 +58,7 @@
 // run stores until ctx ends.
 func (w *writer) run(ctx context.Context) {
 	for sequence := int64(1); ; sequence++ {
-		batch := w.next(ctx)
+		batch := w.nextBatch(ctx)
 		if batch == nil {
 			return
 		}
@@ -69,8 +69,8 @@
 	}
 }
 
-// next returns what waits, at least one record; nil once ctx has ended.
-func (w *writer) next(ctx context.Context) []pendingWrite {
+// nextBatch returns what waits, at least one record; nil once ctx has ended.
+func (w *writer) nextBatch(ctx context.Context) []pendingWrite {
 	var batch []pendingWrite
 	select {
 	case p := <-w.queue:
@@ -78,7 +78,7 @@
 	case <-ctx.Done():
 		return nil
 	}
-	for len(batch) < writerSize {
+	for len(batch) < maxPendingWrites {
 		select {
 		case p := <-w.queue:
 			batch = append(batch, p)
@@ -103,7 +103,7 @@
 			return err
 		}
 		w.logger.Debug("records of the fleet can't be stored yet", "sequence", sequence, "status", status.String(), "error", err)
-		wait.Pause(ctx, writeRetry)
+		wait.Pause(ctx, writeRetryInterval)
 	}
 	return ctx.Err()
 }
--- a/internal/node/intake.go
+++ b/internal/node/intake.go
@@ -45,7 +45,7 @@
 	if p.owners.get(partition) != nil {
 		return ""
 	}
-	address := p.owners.manager.KnownOwner(platform.Partition{Topic: joblog.Topic, Part: partition})
+	address := p.owners.manager.CachedOwner(platform.Partition{Topic: joblog.Topic, Part: partition})
 	if address == p.owners.self {
 		return ""
 	}
@@ -56,7 +56,7 @@
 
 func (p storePeers) Others() []string {
 	var others []string
-	for _, a := range p.owners.manager.Addresses() {
+	for _, a := range p.owners.manager.OwnerAddresses() {
 		if a != p.owners.self {
 			others = append(others, a)
 		}
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -22,13 +22,13 @@
 	if answer.LastJoin == nil {
 		return ownership.LastJoin{}, errors.Errorf("node %s does not know of its joins", address)
 	}
-	return ownership.LastJoin{Never: answer.LastJoin.Never, Age: time.Duration(answer.LastJoin.AgeMS) * time.Millisecond, Held: answer.LastJoin.Held}, nil
+	return ownership.LastJoin{Never: answer.LastJoin.Never, Age: time.Duration(answer.LastJoin.AgeMS) * time.Millisecond, Owned: answer.LastJoin.Held}, nil
 }
 
 // Membership answers another node.
 func (o *owners) Membership(context.Context, nodepeer.Ask) (nodepeer.Answer, error) {
 	last := o.manager.LastJoin()
-	return nodepeer.Answer{LastJoin: &nodepeer.LastJoin{Never: last.Never, AgeMS: last.Age.Milliseconds(), Held: last.Held}}, nil
+	return nodepeer.Answer{LastJoin: &nodepeer.LastJoin{Never: last.Never, AgeMS: last.Age.Milliseconds(), Held: last.Owned}}, nil
 }
 
 // suspended is for how long the machine was suspended. Where that can't be read, nothing is
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -146,24 +146,24 @@
 	self := peerAddress(s, peersPort)
 	n.owners = &owners{partitions: s.Store.Partitions, self: self, clients: nodepeer.NewClients(), local: map[int]*owner.Owner{}, reports: map[int]owner.Report{}}
 	n.manager = ownership.New(n.store, ownership.Config{
-		Node:       s.Node,
-		Address:    self,
-		MilliCores: s.MilliCores,
-		MinTTL:     s.Store.MinMemberTTL,
-		Topics:     []string{joblog.Topic, joblog.FleetTopic},
-		Partitions: s.Store.Partitions,
-		InUse:      n.inUse,
-		Unique:     func() string { return ulid.Make().String() },
-		Members:    members{n.owners.clients},
-		Suspended:  n.suspended,
-		Logger:     logger.Named("ownership"),
+		Node:         s.Node,
+		Address:      self,
+		MilliCores:   s.MilliCores,
+		MinTTL:       s.Store.MinMemberTTL,
+		Topics:       []string{joblog.Topic, joblog.FleetTopic},
+		Partitions:   s.Store.Partitions,
+		HasWork:      n.inUse,
+		UniqueID:     func() string { return ulid.Make().String() },
+		MemberClient: members{n.owners.clients},
+		SuspendedFor: n.suspended,
+		Logger:       logger.Named("ownership"),
 	}, n.own)
 	n.owners.manager = n.manager
 	local := localStore{acceptor: joblog.NewAcceptor(n.store, hedger, n.stored), contact: n.contact, hedger: hedger}
 	n.intake = intake.New(local, storePeers{n.owners}, logger.Named("intake"))
-	n.deps.Confirm = n.manager.Confirm
+	n.deps.Confirm = n.manager.RequestJoin
 	n.deps.Confirmed = func(partition int) time.Time {
-		return n.manager.Confirmed(platform.Partition{Topic: joblog.Topic, Part: partition})
+		return n.manager.ConfirmingJoinSentAt(platform.Partition{Topic: joblog.Topic, Part: partition})
 	}
 	n.deps.AuthorityUntil = func(partition int) time.Time {
 		return n.manager.AuthorityUntil(platform.Partition{Topic: joblog.Topic, Part: partition})
--- a/internal/node/owners.go
+++ b/internal/node/owners.go
@@ -96,9 +96,9 @@
 	return a.Waiting, ok
 }
 
-// Empty asks the owner of a service to empty a worker, once. It tells whether the
+// RequestDrain asks the owner of a service to empty a worker, once. It tells whether the
 // worker is vacant.
-func (o *owners) Empty(ctx context.Context, service, worker string) (workload.Vacancy, bool) {
+func (o *owners) RequestDrain(ctx context.Context, service, worker string) (workload.Vacancy, bool) {
 	a, ok := o.askOnce(ctx, nodepeer.Evacuate, nodepeer.Ask{Partition: o.partitionOf(service), Worker: worker}, false)
 	switch {
 	case !ok || !a.Owner:
--- a/internal/node/release.go
+++ b/internal/node/release.go
@@ -39,7 +39,7 @@
 
 // Release answers the next owner of a partition: the one here is stopped.
 func (o *owners) Release(ctx context.Context, a nodepeer.Ask) (nodepeer.Answer, error) {
-	o.manager.Release(ctx, platform.Partition{Topic: joblog.Topic, Part: a.Partition}, a.Epoch)
+	o.manager.StopOwnerBelow(ctx, platform.Partition{Topic: joblog.Topic, Part: a.Partition}, a.Epoch)
 	report, ok := o.report(a.Partition, a.Epoch)
 	if !ok {
 		return nodepeer.Answer{}, nil
--- a/internal/ownership/authority.go
+++ b/internal/ownership/authority.go
@@ -15,12 +15,12 @@
 // from a store that is down for all, where tasks have to run on. The other members tell: a
 // successor is one of them and has had a join answered.
 
-// memberTimeout bounds a question to another member, which answers from memory. It leaves
+// memberQueryTimeout bounds a question to another member, which answers from memory. It leaves
 // time to act on the answer before the authority that it gives is over.
-const memberTimeout = 800 * time.Millisecond
+const memberQueryTimeout = 800 * time.Millisecond
 
-// Members asks other members of the group.
-type Members interface {
+// MemberClient asks other members of the group.
+type MemberClient interface {
 	// LastJoin asks the node at an address when the store last answered one of its joins.
 	// An error says that the node did not tell.
 	LastJoin(ctx context.Context, address string) (LastJoin, error)
@@ -30,36 +30,36 @@
 type LastJoin struct {
 	Never bool
 	Age   time.Duration // since the answer
-	// Held are the partitions that the group has given to the process.
-	Held []platform.Partition
+	// Owned are the partitions that the group has given to the process.
+	Owned []platform.Partition
 }
 
 // instant is a time by the steady clock, and for how long the machine had been suspended
 // then.
 type instant struct {
-	at        time.Time
-	suspended time.Duration
+	at           time.Time
+	suspendedFor time.Duration
 }
 
-func (m *Manager) instant() instant {
-	return instant{at: time.Now(), suspended: m.suspended()}
+func (m *Manager) currentInstant() instant {
+	return instant{at: time.Now(), suspendedFor: m.suspendedFor()}
 }
 
-// onClock is when an instant was, by a steady clock that had counted each suspension since.
+// suspendAdjustedTime is when an instant was, by a steady clock that had counted each suspension since.
 // Zero for no instant.
-func (m *Manager) onClock(i instant) time.Time {
+func (m *Manager) suspendAdjustedTime(i instant) time.Time {
 	if i.at.IsZero() {
 		return time.Time{}
 	}
-	return i.at.Add(-max(0, m.suspended()-i.suspended))
+	return i.at.Add(-max(0, m.suspendedFor()-i.suspendedFor))
 }
 
-// lapse is when a time to live that began at an instant is over. Zero for no instant.
-func (m *Manager) lapse(i instant) time.Time {
+// ttlExpiresAt is when a time to live that began at an instant is over. Zero for no instant.
+func (m *Manager) ttlExpiresAt(i instant) time.Time {
 	if i.at.IsZero() {
 		return time.Time{}
 	}
-	return m.onClock(i).Add(m.ttl)
+	return m.suspendAdjustedTime(i).Add(m.ttl)
 }
 
 // TTL is after how long without a join the group gives a member's partitions to others.
@@ -71,8 +71,8 @@
 func (m *Manager) OwnedUntil(p platform.Partition) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if h := m.held[p]; h != nil {
-		return m.lapse(h.confirmed)
+	if own := m.owned[p]; own != nil {
+		return m.ttlExpiresAt(own.confirmingJoinSentAt)
 	}
 	return time.Time{}
 }
@@ -84,13 +84,13 @@
 func (m *Manager) AuthorityUntil(p platform.Partition) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	h := m.held[p]
-	if h == nil {
+	own := m.owned[p]
+	if own == nil {
 		return time.Time{}
 	}
-	until := m.lapse(h.confirmed)
-	if unopposed := m.lapse(m.unopposed); unopposed.After(until) {
-		return unopposed
+	until := m.ttlExpiresAt(own.confirmingJoinSentAt)
+	if byMembers := m.ttlExpiresAt(m.noSuccessorAsOf); byMembers.After(until) {
+		return byMembers
 	}
 	return until
 }
@@ -99,64 +99,64 @@
 func (m *Manager) LastJoin() LastJoin {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.answeredAt.IsZero() {
+	if m.lastJoinAnsweredAt.IsZero() {
 		return LastJoin{Never: true}
 	}
-	return LastJoin{Age: time.Since(m.answeredAt), Held: slices.Collect(maps.Keys(m.held))}
+	return LastJoin{Age: time.Since(m.lastJoinAnsweredAt), Owned: slices.Collect(maps.Keys(m.owned))}
 }
 
 // memberAnswer is what another member told while joins got no answer.
 type memberAnswer struct {
-	asked  instant // of the latest question that it answered with no later join
-	joined instant // since which no other join counts
-	open   bool    // a question is under way
-	reason string  // why it may be a successor, "" if it is none or was not asked yet
+	askedAt         instant // of the latest question that it answered with no later join
+	joinSentAt      instant // since which no other join counts
+	isQueryInFlight bool    // a question is under way
+	vetoReason      string  // why it may be a successor, "" if it is none or was not asked yet
 }
 
-// askMembers asks the other members, while joins get no answer, whether one of them may be a
+// queryMembers asks the other members, while joins get no answer, whether one of them may be a
 // successor of this one.
-func (m *Manager) askMembers(ctx context.Context) {
-	var asking sync.WaitGroup
-	defer asking.Wait()
+func (m *Manager) queryMembers(ctx context.Context) {
+	var queries sync.WaitGroup
+	defer queries.Wait()
 	for ctx.Err() == nil {
 		wait.Pause(ctx, joinInterval)
-		for _, address := range m.toAsk() {
-			asking.Go(func() { m.askMember(ctx, address) })
+		for _, address := range m.membersToQuery() {
+			queries.Go(func() { m.queryMember(ctx, address) })
 		}
-		m.logStanding()
+		m.logCertainty()
 	}
 }
 
-// toAsk returns the members of whom no question is under way, none while joins are answered
+// membersToQuery returns the members of whom no question is under way, none while joins are answered
 // or nothing is held.
-func (m *Manager) toAsk() []string {
+func (m *Manager) membersToQuery() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.held) == 0 || time.Since(m.joined.at) < 2*joinInterval {
+	if len(m.owned) == 0 || time.Since(m.lastAnsweredJoinSentAt.at) < 2*joinInterval {
 		return nil
 	}
 	var addresses []string
-	others := m.others()
+	others := m.otherAddresses()
 	for _, address := range others {
-		if m.answers[address] == nil {
-			m.answers[address] = &memberAnswer{}
+		if m.memberAnswers[address] == nil {
+			m.memberAnswers[address] = &memberAnswer{}
 		}
-		if !m.answers[address].open {
-			m.answers[address].open = true
+		if !m.memberAnswers[address].isQueryInFlight {
+			m.memberAnswers[address].isQueryInFlight = true
 			addresses = append(addresses, address)
 		}
 	}
 	if len(others) == 0 {
-		m.unopposed = m.instant() // nobody else is a member
+		m.noSuccessorAsOf = m.currentInstant() // nobody else is a member
 	}
 	return addresses
 }
 
-// others are the addresses of the other members, as last read from the group. The lock is
+// otherAddresses are the addresses of the other members, as last read from the group. The lock is
 // held.
-func (m *Manager) others() []string {
+func (m *Manager) otherAddresses() []string {
 	var addresses []string
-	for _, member := range m.members() {
+	for _, member := range m.owningMembers() {
 		if member.address != m.address {
 			addresses = append(addresses, member.address)
 		}
@@ -164,99 +164,99 @@
 	return addresses
 }
 
-// askMember asks one member.
-func (m *Manager) askMember(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, memberTimeout)
+// queryMember asks one member.
+func (m *Manager) queryMember(ctx context.Context, address string) {
+	ctx, cancel := context.WithTimeout(ctx, memberQueryTimeout)
 	defer cancel()
-	asked := m.instant()
-	last, err := m.peers.LastJoin(ctx, address)
+	askedAt := m.currentInstant()
+	lastJoin, err := m.memberClient.LastJoin(ctx, address)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	v := m.answers[address]
-	v.open = false
+	answer := m.memberAnswers[address]
+	answer.isQueryInFlight = false
 	if err != nil {
-		v.reason = "does not tell: " + err.Error()
+		answer.vetoReason = "does not tell: " + err.Error()
 		return
 	}
-	v.asked, v.joined = asked, m.joined
-	if v.reason = m.objection(last); v.reason != "" {
-		v.asked = instant{}
+	answer.askedAt, answer.joinSentAt = askedAt, m.lastAnsweredJoinSentAt
+	if answer.vetoReason = m.vetoReason(lastJoin); answer.vetoReason != "" {
+		answer.askedAt = instant{}
 	}
-	m.unopposed = m.allAnswered()
+	m.noSuccessorAsOf = m.earliestAnsweredQuery()
 }
 
-// objection tells why a member may own a partition that is held here, "" if it can't. The
+// vetoReason tells why a member may own a partition that is held here, "" if it can't. The
 // lock is held.
-func (m *Manager) objection(last LastJoin) string {
-	answered := time.Now().Add(-last.Age)
+func (m *Manager) vetoReason(lastJoin LastJoin) string {
+	answeredAt := time.Now().Add(-lastJoin.Age)
 	switch {
-	case last.Never || !answered.After(m.onClock(m.joined)):
+	case lastJoin.Never || !answeredAt.After(m.suspendAdjustedTime(m.lastAnsweredJoinSentAt)):
 		return "" // what it holds has passed on to this one since
-	case answered.After(m.lapse(m.joined)):
+	case answeredAt.After(m.ttlExpiresAt(m.lastAnsweredJoinSentAt)):
 		return "has joined meanwhile"
 	}
-	for _, p := range last.Held {
-		if m.held[p] != nil {
+	for _, p := range lastJoin.Owned {
+		if m.owned[p] != nil {
 			return "holds a partition, too" // the group has dealt it anew
 		}
 	}
 	return ""
 }
 
-// allAnswered is the earliest instant of the latest questions that the members answered with
+// earliestAnsweredQuery is the earliest instant of the latest questions that the members answered with
 // no later join, zero if one of them has not since the latest answered join. The lock is held.
-func (m *Manager) allAnswered() instant {
+func (m *Manager) earliestAnsweredQuery() instant {
 	var earliest instant
-	for _, address := range m.others() {
-		v := m.answers[address]
-		if v == nil || v.joined != m.joined || v.asked.at.IsZero() {
+	for _, address := range m.otherAddresses() {
+		answer := m.memberAnswers[address]
+		if answer == nil || answer.joinSentAt != m.lastAnsweredJoinSentAt || answer.askedAt.at.IsZero() {
 			return instant{}
 		}
-		if earliest.at.IsZero() || v.asked.at.Before(earliest.at) {
-			earliest = v.asked
+		if earliest.at.IsZero() || answer.askedAt.at.Before(earliest.at) {
+			earliest = answer.askedAt
 		}
 	}
 	return earliest
 }
 
-// logStanding writes a line when the other members tell that none of them is a successor, and
+// logCertainty writes a line when the other members tell that none of them is a successor, and
 // when one of them may be.
-func (m *Manager) logStanding() {
+func (m *Manager) logCertainty() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	lapsed := m.lapse(m.joined)
-	if m.joined.at.IsZero() || len(m.held) == 0 || time.Now().Before(lapsed) {
-		m.standing = confirmed
+	membershipExpiresAt := m.ttlExpiresAt(m.lastAnsweredJoinSentAt)
+	if m.lastAnsweredJoinSentAt.at.IsZero() || len(m.owned) == 0 || time.Now().Before(membershipExpiresAt) {
+		m.loggedCertainty = confirmedByJoin
 		return
 	}
-	now := unopposed
+	certainty := confirmedByMembers
 	reason := ""
-	if !time.Now().Before(m.lapse(m.unopposed)) {
-		now = doubted
-		for _, address := range m.others() {
-			if v := m.answers[address]; v != nil && v.reason != "" {
-				reason = address + " " + v.reason
+	if !time.Now().Before(m.ttlExpiresAt(m.noSuccessorAsOf)) {
+		certainty = unconfirmed
+		for _, address := range m.otherAddresses() {
+			if answer := m.memberAnswers[address]; answer != nil && answer.vetoReason != "" {
+				reason = address + " " + answer.vetoReason
 				break
 			}
 		}
 	}
-	if now == m.standing {
+	if certainty == m.loggedCertainty {
 		return
 	}
-	m.standing = now
-	since := time.Since(m.joined.at).Milliseconds()
-	if now == unopposed {
-		m.logger.Info("store answers no member, partitions are kept", "since_ms", since)
+	m.loggedCertainty = certainty
+	sinceJoinMS := time.Since(m.lastAnsweredJoinSentAt.at).Milliseconds()
+	if certainty == confirmedByMembers {
+		m.logger.Info("store answers no member, partitions are kept", "since_ms", sinceJoinMS)
 		return
 	}
-	m.logger.Warn("another member may own the partitions", "reason", reason, "since_ms", since)
+	m.logger.Warn("another member may own the partitions", "reason", reason, "since_ms", sinceJoinMS)
 }
 
-// standing is how certain it is that no other member owns the partitions, for the log.
-type standing int
+// ownershipCertainty is how certain it is that no other member owns the partitions, for the log.
+type ownershipCertainty int
 
 const (
-	confirmed standing = iota // by a join
-	unopposed                 // by the answers of all other members
-	doubted
+	confirmedByJoin    ownershipCertainty = iota // by a join
+	confirmedByMembers                           // by the answers of all other members
+	unconfirmed
 )
--- a/internal/ownership/authority_test.go
+++ b/internal/ownership/authority_test.go
@@ -14,42 +14,42 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// heldBy lists the partitions that a node runs.
-func (c *cluster) heldBy(n *clusterNode) []platform.Partition {
+// partitionsOf lists the partitions that a node runs.
+func (c *cluster) partitionsOf(n *clusterNode) []platform.Partition {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var held []platform.Partition
-	for p, owner := range c.owner {
+	var owned []platform.Partition
+	for p, owner := range c.ownerByPartition {
 		if owner == n {
-			held = append(held, p)
+			owned = append(owned, p)
 		}
 	}
-	return held
+	return owned
 }
 
 func hasAuthority(n *clusterNode, p platform.Partition) bool {
 	return time.Now().Before(n.manager.AuthorityUntil(p))
 }
 
-// settled plays a cluster of three nodes until each owns something, and hands over one
+// withRunningCluster plays a cluster of three nodes until each owns something, and hands over one
 // that does.
-func settled(t *testing.T, play func(c *cluster, n *clusterNode, held []platform.Partition)) {
-	playCluster(t, 3, 0, func(c *cluster) {
-		c.start(all)
-		c.until(true)
+func withRunningCluster(t *testing.T, scenario func(c *cluster, n *clusterNode, owned []platform.Partition)) {
+	runCluster(t, 3, 0, func(c *cluster) {
+		c.start(anyNode)
+		c.awaitOwned(true)
 		time.Sleep(2 * time.Second)
-		held := c.heldBy(c.nodes[0])
-		require.NotEmpty(t, held)
-		play(c, c.nodes[0], held)
+		owned := c.partitionsOf(c.nodes[0])
+		require.NotEmpty(t, owned)
+		scenario(c, c.nodes[0], owned)
 	})
 }
 
 // Guards against an owner without the store that goes on for longer than its successor
 // reckons: both keep tasks running.
-func TestAuthorityEndsSoonAfterASuccessorBegins(t *testing.T) {
-	settled(t, func(c *cluster, n *clusterNode, held []platform.Partition) {
-		n.cut.Store(true)
-		for _, p := range held {
+func TestAuthorityEndsWithinATTLOfASuccessorsStart(t *testing.T) {
+	withRunningCluster(t, func(c *cluster, n *clusterNode, owned []platform.Partition) {
+		n.isCut.Store(true)
+		for _, p := range owned {
 			for c.ownerOf(p) == n {
 				time.Sleep(time.Millisecond)
 			}
@@ -60,47 +60,47 @@
 }
 
 // Guards against all tasks lapsing while the store is down for all: no successor can arise.
-func TestAuthorityLastsWhileTheStoreAnswersNobody(t *testing.T) {
-	settled(t, func(c *cluster, n *clusterNode, held []platform.Partition) {
+func TestAuthorityLastsWhileTheStoreIsDownForAll(t *testing.T) {
+	withRunningCluster(t, func(c *cluster, n *clusterNode, owned []platform.Partition) {
 		for _, other := range c.nodes {
-			other.cut.Store(true)
+			other.isCut.Store(true)
 		}
 		for range 1000 {
 			time.Sleep(10 * time.Millisecond)
-			require.True(t, hasAuthority(n, held[0]))
+			require.True(t, hasAuthority(n, owned[0]))
 		}
 	})
 }
 
 // Guards against an owner that takes the silence of a member for the store's: the member may
 // have become its successor.
-func TestAuthorityEndsWhereAMemberDoesNotTell(t *testing.T) {
-	settled(t, func(c *cluster, n *clusterNode, held []platform.Partition) {
+func TestAuthorityEndsWhenAMemberDoesNotAnswer(t *testing.T) {
+	withRunningCluster(t, func(c *cluster, n *clusterNode, owned []platform.Partition) {
 		for _, other := range c.nodes {
-			other.cut.Store(true)
+			other.isCut.Store(true)
 		}
 		time.Sleep(3 * time.Second)
-		require.True(t, hasAuthority(n, held[0]))
-		c.nodes[2].silent.Store(true)
-		time.Sleep(n.manager.TTL() + memberTimeout)
-		assert.False(t, hasAuthority(n, held[0]))
-		c.nodes[2].silent.Store(false)
-		time.Sleep(joinInterval + memberTimeout)
-		assert.True(t, hasAuthority(n, held[0]), "it has told since that it has not joined")
+		require.True(t, hasAuthority(n, owned[0]))
+		c.nodes[2].isSilent.Store(true)
+		time.Sleep(n.manager.TTL() + memberQueryTimeout)
+		assert.False(t, hasAuthority(n, owned[0]))
+		c.nodes[2].isSilent.Store(false)
+		time.Sleep(joinInterval + memberQueryTimeout)
+		assert.True(t, hasAuthority(n, owned[0]), "it has told since that it has not joined")
 	})
 }
 
 // Guards against an owner whose machine was suspended: its steady clock doesn't count that
 // time, in which its partitions have passed on.
 func TestSuspensionEndsAuthorityAndOwnership(t *testing.T) {
-	settled(t, func(c *cluster, n *clusterNode, held []platform.Partition) {
-		n.cut.Store(true)
-		n.suspended.Store(int64(5 * time.Second))
-		assert.False(t, hasAuthority(n, held[0]))
-		assert.False(t, time.Now().Before(n.manager.OwnedUntil(held[0])))
-		n.cut.Store(false)
+	withRunningCluster(t, func(c *cluster, n *clusterNode, owned []platform.Partition) {
+		n.isCut.Store(true)
+		n.suspendedNanos.Store(int64(5 * time.Second))
+		assert.False(t, hasAuthority(n, owned[0]))
+		assert.False(t, time.Now().Before(n.manager.OwnedUntil(owned[0])))
+		n.isCut.Store(false)
 		time.Sleep(joinInterval + 10*storeLatency)
-		for _, p := range c.heldBy(n) {
+		for _, p := range c.partitionsOf(n) {
 			assert.True(t, hasAuthority(n, p), "it has joined since")
 		}
 	})
@@ -112,19 +112,19 @@
 	gen    int64
 	parts  []platform.Partition
 	owners []platform.Owner
-	down   bool
+	isDown bool
 }
 
 func (s *scriptedStore) set(gen int64, down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gen, s.down = gen, down
+	s.gen, s.isDown = gen, down
 }
 
 func (s *scriptedStore) Join(context.Context, platform.Member) (platform.Assignment, platform.StoreStatus, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.down {
+	if s.isDown {
 		return platform.Assignment{}, platform.StoreUnknown, nil
 	}
 	return platform.Assignment{Generation: s.gen, Parts: s.parts}, platform.StoreOK, nil
@@ -148,7 +148,7 @@
 
 // Guards against an owner that goes on under its old epoch after another node has owned the
 // partition in between: workers that this one never reached would take its orders.
-func TestPartitionThatMayHavePassedOnIsTakenOverAnew(t *testing.T) {
+func TestPartitionThatMayHavePassedOnIsRestartedWithANewEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &scriptedStore{gen: 3, parts: []platform.Partition{{Topic: "jobs"}}}
 		var mu sync.Mutex
@@ -166,7 +166,7 @@
 			stopped++
 			return ctx.Err()
 		}
-		m := New(store, Config{Node: "node", Topics: []string{"jobs"}, Unique: func() string { return "1" }, Logger: hclog.NewNullLogger()}, run)
+		m := New(store, Config{Node: "node", Topics: []string{"jobs"}, UniqueID: func() string { return "1" }, Logger: hclog.NewNullLogger()}, run)
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() {
@@ -195,20 +195,20 @@
 // has reached the store again, and owns its partitions now.
 func TestAuthorityEndsWhenOneMemberReachesTheStoreAgain(t *testing.T) {
 	for which := 1; which <= 2; which++ {
-		settled(t, func(c *cluster, n *clusterNode, held []platform.Partition) {
+		withRunningCluster(t, func(c *cluster, n *clusterNode, owned []platform.Partition) {
 			for _, other := range c.nodes {
-				other.cut.Store(true)
+				other.isCut.Store(true)
 			}
 			time.Sleep(3 * time.Second)
-			c.nodes[which].cut.Store(false)
-			for _, p := range held {
+			c.nodes[which].isCut.Store(false)
+			for _, p := range owned {
 				for c.ownerOf(p) == n {
 					time.Sleep(time.Millisecond)
 				}
 			}
 			time.Sleep(n.manager.TTL())
 			for range 300 {
-				require.False(t, hasAuthority(n, held[0]))
+				require.False(t, hasAuthority(n, owned[0]))
 				time.Sleep(10 * time.Millisecond)
 			}
 		})
@@ -217,7 +217,7 @@
 
 // Guards against an owner that goes on beside the one that asked for its partition, and
 // against one that is started again by an answer of the group from before.
-func TestOwnerIsReleasedForALaterOne(t *testing.T) {
+func TestOwnerIsStoppedForALaterOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		part := platform.Partition{Topic: "jobs"}
 		store := &scriptedStore{gen: 3, parts: []platform.Partition{part}}
@@ -234,7 +234,7 @@
 			causes = append(causes, context.Cause(ctx))
 			return ctx.Err()
 		}
-		m := New(store, Config{Node: "node", Topics: []string{"jobs"}, Unique: func() string { return "1" }, Logger: hclog.NewNullLogger()}, run)
+		m := New(store, Config{Node: "node", Topics: []string{"jobs"}, UniqueID: func() string { return "1" }, Logger: hclog.NewNullLogger()}, run)
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() {
@@ -248,9 +248,9 @@
 			return epochs
 		}
 		require.Equal(t, []int64{3}, started())
-		m.Release(t.Context(), part, 3)
+		m.StopOwnerBelow(t.Context(), part, 3)
 		require.Empty(t, causes, "the one that asks is no later one")
-		m.Release(t.Context(), part, 5)
+		m.StopOwnerBelow(t.Context(), part, 5)
 		require.Equal(t, []error{ErrSuperseded}, causes)
 		assert.Equal(t, []int64{3}, started(), "the group's answers are older than the owner that asked")
 		store.set(6, false)
@@ -262,26 +262,26 @@
 
 // memberStub answers for the one other member, whose last join was answered at a time.
 type memberStub struct {
-	mu       sync.Mutex
-	answered time.Time
-	held     []platform.Partition
+	mu             sync.Mutex
+	joinAnsweredAt time.Time
+	owned          []platform.Partition
 }
 
 func (s *memberStub) set(answered time.Time, held ...platform.Partition) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answered, s.held = answered, held
+	s.joinAnsweredAt, s.owned = answered, held
 }
 
 func (s *memberStub) LastJoin(context.Context, string) (LastJoin, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return LastJoin{Age: time.Since(s.answered), Held: s.held}, nil
+	return LastJoin{Age: time.Since(s.joinAnsweredAt), Owned: s.owned}, nil
 }
 
 // Guards against an owner that goes on while the store is down for all, though the group had
 // dealt its partition to another member just before: that one has joined in time, too.
-func TestAuthorityEndsWhereAnotherMemberHoldsThePartition(t *testing.T) {
+func TestAuthorityEndsWhenAnotherMemberOwnsThePartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		part := platform.Partition{Topic: "jobs"}
 		store := &scriptedStore{gen: 3, parts: []platform.Partition{part}, owners: []platform.Owner{{Partition: platform.Partition{Topic: "jobs", Part: 1}, Member: "other|10.0.0.2:7061|1|0"}}}
@@ -291,7 +291,7 @@
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		m := New(store, Config{Node: "node", Address: "10.0.0.1:7061", Topics: []string{"jobs"}, Unique: func() string { return "1" }, Members: other, Logger: hclog.NewNullLogger()}, run)
+		m := New(store, Config{Node: "node", Address: "10.0.0.1:7061", Topics: []string{"jobs"}, UniqueID: func() string { return "1" }, MemberClient: other, Logger: hclog.NewNullLogger()}, run)
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() {
--- a/internal/ownership/cluster_test.go
+++ b/internal/ownership/cluster_test.go
@@ -15,39 +15,39 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// link is a node's way to the store. Nothing arrives from a node that was killed.
-type link struct {
+// storeLink is a node's way to the store. Nothing arrives from a node that was killed.
+type storeLink struct {
 	*stickyGroup
-	cut *atomic.Bool
+	isCut *atomic.Bool
 }
 
-func (l link) Join(ctx context.Context, m platform.Member) (platform.Assignment, platform.StoreStatus, error) {
-	if l.cut.Load() {
+func (l storeLink) Join(ctx context.Context, m platform.Member) (platform.Assignment, platform.StoreStatus, error) {
+	if l.isCut.Load() {
 		return platform.Assignment{}, platform.StoreUnknown, nil
 	}
 	return l.stickyGroup.Join(ctx, m)
 }
 
-func (l link) Leave(ctx context.Context, group, member string) (platform.StoreStatus, error) {
-	if l.cut.Load() {
+func (l storeLink) Leave(ctx context.Context, group, member string) (platform.StoreStatus, error) {
+	if l.isCut.Load() {
 		return platform.StoreUnknown, nil
 	}
 	return l.stickyGroup.Leave(ctx, group, member)
 }
 
-func (l link) Owners(ctx context.Context, group string) ([]platform.Owner, platform.StoreStatus, error) {
-	if l.cut.Load() {
+func (l storeLink) Owners(ctx context.Context, group string) ([]platform.Owner, platform.StoreStatus, error) {
+	if l.isCut.Load() {
 		return nil, platform.StoreUnknown, nil
 	}
 	return l.stickyGroup.Owners(ctx, group)
 }
 
-// memberLinks is a node's way to the others.
-type memberLinks struct{ c *cluster }
+// clusterMemberClient is a node's way to the others.
+type clusterMemberClient struct{ c *cluster }
 
-func (l memberLinks) LastJoin(ctx context.Context, address string) (LastJoin, error) {
+func (l clusterMemberClient) LastJoin(ctx context.Context, address string) (LastJoin, error) {
 	for _, n := range l.c.nodes {
-		if n.name+":1" == address && !n.silent.Load() {
+		if n.name+":1" == address && !n.isSilent.Load() {
 			time.Sleep(time.Millisecond)
 			return n.manager.LastJoin(), nil
 		}
@@ -59,13 +59,13 @@
 // Sizes of the fleets that are played. Fifteen of a hundred VMs are strong, as where an
 // operator adds small VMs to carry callers.
 const (
-	strongCores  = 800
-	weakCores    = 192
-	strongShare  = 0.15
-	partsOfTopic = 24
-	usedParts    = 6 // partitions in which work lies
-	startSpread  = 300 * time.Millisecond
-	powerGone    = 1600 * time.Millisecond
+	strongCores        = 800
+	weakCores          = 192
+	strongShare        = 0.15
+	partitionsPerTopic = 24
+	partitionsWithWork = 6 // partitions in which work lies
+	startSpread        = 300 * time.Millisecond
+	outageTime         = 1600 * time.Millisecond
 )
 
 // cluster is a fleet of nodes on one store.
@@ -74,30 +74,30 @@
 	group *stickyGroup
 	nodes []*clusterNode
 
-	mu     sync.Mutex
-	owner  map[platform.Partition]*clusterNode
-	starts map[platform.Partition]int // owners that began
-	weak   int                        // how often a weak VM began to own what is in use
+	mu               sync.Mutex
+	ownerByPartition map[platform.Partition]*clusterNode
+	ownerStarts      map[platform.Partition]int // owners that began
+	weakOwnerStarts  int                        // how often a weak VM began to own what is in use
 }
 
 type clusterNode struct {
-	name       string
-	milliCores int
-	lives      int
-	cancel     context.CancelFunc
-	manager    *Manager
-	cut        *atomic.Bool
-	silent     atomic.Bool  // it answers no other node
-	suspended  atomic.Int64 // nanoseconds for which its machine was suspended
-	ended      chan struct{}
+	name           string
+	milliCores     int
+	memberships    int
+	cancel         context.CancelFunc
+	manager        *Manager
+	isCut          *atomic.Bool
+	isSilent       atomic.Bool  // it answers no other node
+	suspendedNanos atomic.Int64 // nanoseconds for which its machine was suspended
+	ended          chan struct{}
 }
 
-func used(p platform.Partition) bool { return p.Topic == "jobs" && p.Part < usedParts }
+func hasWork(p platform.Partition) bool { return p.Topic == "jobs" && p.Part < partitionsWithWork }
 
-// playCluster plays a fleet with so many strong and weak VMs in a bubble.
-func playCluster(t *testing.T, strong, weak int, play func(c *cluster)) {
+// runCluster plays a fleet with so many strong and weak VMs in a bubble.
+func runCluster(t *testing.T, strong, weak int, scenario func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &cluster{t: t, group: newStickyGroup(partsOfTopic), owner: map[platform.Partition]*clusterNode{}, starts: map[platform.Partition]int{}}
+		c := &cluster{t: t, group: newStickyGroup(partitionsPerTopic), ownerByPartition: map[platform.Partition]*clusterNode{}, ownerStarts: map[platform.Partition]int{}}
 		for i := range strong + weak {
 			n := &clusterNode{name: fmt.Sprintf("node-%04d", i), milliCores: weakCores}
 			if i < strong {
@@ -105,12 +105,12 @@
 			}
 			c.nodes = append(c.nodes, n)
 		}
-		play(c)
+		scenario(c)
 		c.stop(func(*clusterNode) bool { return true })
 	})
 }
 
-func (c *cluster) strong(n *clusterNode) bool { return n.milliCores == strongCores }
+func (c *cluster) isStrong(n *clusterNode) bool { return n.milliCores == strongCores }
 
 // start starts nodes over startSpread, in an order that mixes the strong and the weak.
 func (c *cluster) start(which func(*clusterNode) bool) {
@@ -127,37 +127,37 @@
 }
 
 func (c *cluster) run(n *clusterNode) {
-	n.cut = new(atomic.Bool)
+	n.isCut = new(atomic.Bool)
 	n.ended = make(chan struct{})
 	ctx, cancel := context.WithCancel(c.t.Context())
 	n.cancel = cancel
 	own := func(ctx context.Context, p platform.Partition, _ int64) error {
 		c.mu.Lock()
-		c.owner[p] = n
-		if used(p) {
-			c.starts[p]++
-			if !c.strong(n) {
-				c.weak++
+		c.ownerByPartition[p] = n
+		if hasWork(p) {
+			c.ownerStarts[p]++
+			if !c.isStrong(n) {
+				c.weakOwnerStarts++
 			}
 		}
 		c.mu.Unlock()
 		<-ctx.Done()
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.owner[p] == n {
-			delete(c.owner, p)
+		if c.ownerByPartition[p] == n {
+			delete(c.ownerByPartition, p)
 		}
 		return ctx.Err()
 	}
-	m := New(link{c.group, n.cut}, Config{
+	m := New(storeLink{c.group, n.isCut}, Config{
 		Node: n.name, Address: n.name + ":1", MilliCores: n.milliCores,
-		Topics: []string{"jobs", "fleet"}, Partitions: partsOfTopic, InUse: used,
-		Members:   memberLinks{c},
-		Suspended: func() time.Duration { return time.Duration(n.suspended.Load()) },
-		Logger:    hclog.NewNullLogger(),
-		Unique: func() string {
-			n.lives++
-			return strconv.Itoa(n.lives)
+		Topics: []string{"jobs", "fleet"}, Partitions: partitionsPerTopic, HasWork: hasWork,
+		MemberClient: clusterMemberClient{c},
+		SuspendedFor: func() time.Duration { return time.Duration(n.suspendedNanos.Load()) },
+		Logger:       hclog.NewNullLogger(),
+		UniqueID: func() string {
+			n.memberships++
+			return strconv.Itoa(n.memberships)
 		},
 	}, own)
 	n.manager = m
@@ -171,7 +171,7 @@
 func (c *cluster) kill(which func(*clusterNode) bool) {
 	for _, n := range c.nodes {
 		if which(n) {
-			n.cut.Store(true)
+			n.isCut.Store(true)
 		}
 	}
 	c.stop(which)
@@ -195,41 +195,41 @@
 func (c *cluster) ownerOf(p platform.Partition) *clusterNode {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.owner[p]
+	return c.ownerByPartition[p]
 }
 
-// owned tells whether each partition in use is run, by a strong VM if that is asked for.
-func (c *cluster) owned(byStrong bool) bool {
+// isAllOwned tells whether each partition in use is run, by a strong VM if that is asked for.
+func (c *cluster) isAllOwned(byStrong bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for part := range usedParts {
-		n := c.owner[platform.Partition{Topic: "jobs", Part: part}]
-		if n == nil || byStrong && !c.strong(n) {
+	for part := range partitionsWithWork {
+		n := c.ownerByPartition[platform.Partition{Topic: "jobs", Part: part}]
+		if n == nil || byStrong && !c.isStrong(n) {
 			return false
 		}
 	}
 	return true
 }
 
-// until waits until all in use is owned, for some seconds at most.
-func (c *cluster) until(byStrong bool) time.Duration {
+// awaitOwned waits until all in use is owned, for some seconds at most.
+func (c *cluster) awaitOwned(byStrong bool) time.Duration {
 	began := time.Now()
-	for !c.owned(byStrong) && time.Since(began) < 20*time.Second {
+	for !c.isAllOwned(byStrong) && time.Since(began) < 20*time.Second {
 		time.Sleep(5 * time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-// changes counts owners that began since the last call: the most of any partition in use,
+// takeOwnerStarts counts owners that began since the last call: the most of any partition in use,
 // and the weak ones.
-func (c *cluster) changes() (most, weak int) {
+func (c *cluster) takeOwnerStarts() (most, weak int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, n := range c.starts {
+	for _, n := range c.ownerStarts {
 		most = max(most, n)
 	}
-	weak = c.weak
-	clear(c.starts)
-	c.weak = 0
+	weak = c.weakOwnerStarts
+	clear(c.ownerStarts)
+	c.weakOwnerStarts = 0
 	return most, weak
 }
--- a/internal/ownership/holdings.go
+++ b/internal/ownership/holdings.go
@@ -9,88 +9,88 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// holding is one owned partition.
-type holding struct {
-	epoch  int64
-	cancel context.CancelCauseFunc
-	done   chan struct{}
-	// confirmed is when the latest join was sent whose answer listed it.
-	confirmed instant
+// ownedPartition is one owned partition.
+type ownedPartition struct {
+	epoch   int64
+	cancel  context.CancelCauseFunc
+	stopped chan struct{}
+	// confirmingJoinSentAt is when the latest join was sent whose answer listed it.
+	confirmingJoinSentAt instant
 }
 
-// assign starts and stops owners by what the group said to a join sent at a time. changed
+// applyAssignment starts and stops owners by what the group said to a join sent at a time. changed
 // tells whether others have come or gone since the join before. The lock is held.
-func (m *Manager) assign(ctx context.Context, a platform.Assignment, sent instant, changed bool) {
-	if time.Now().Before(m.runFrom) {
-		m.released = m.generation
+func (m *Manager) applyAssignment(ctx context.Context, a platform.Assignment, sentAt instant, isNewGeneration bool) {
+	if time.Now().Before(m.ownersStartFrom) {
+		m.releasedGeneration = m.generation
 		return // others are about to come, and the next deal is another one
 	}
 	listed := map[platform.Partition]bool{}
 	for _, p := range a.Parts {
-		if isPresence(p) {
+		if isAnnouncement(p) {
 			continue
 		}
 		listed[p] = true
-		if h := m.held[p]; h != nil && changed && sent.at.After(m.lapse(h.confirmed)) {
-			m.giveUp(p, h, a.Generation, "another member may have owned it since")
+		if own := m.owned[p]; own != nil && isNewGeneration && sentAt.at.After(m.ttlExpiresAt(own.confirmingJoinSentAt)) {
+			m.handOver(p, own, a.Generation, "another member may have owned it since")
 		}
 		switch {
-		case m.retiring[p] != nil:
+		case m.stoppingOwners[p] != nil:
 			continue // it is started anew once the previous owner has left word of its runs
-		case a.Generation < m.superseded[p]:
+		case a.Generation < m.supersededBelow[p]:
 			continue // the answer is older than the owner that asked for it
 		}
-		if m.held[p] == nil {
-			m.held[p] = m.start(ctx, p, a.Generation)
+		if m.owned[p] == nil {
+			m.owned[p] = m.startOwner(ctx, p, a.Generation)
 		}
-		m.held[p].confirmed = sent
+		m.owned[p].confirmingJoinSentAt = sentAt
 	}
-	for p, h := range m.held {
+	for p, own := range m.owned {
 		if !listed[p] {
-			m.giveUp(p, h, a.Generation, "the group gave it to another member")
+			m.handOver(p, own, a.Generation, "the group gave it to another member")
 		}
 	}
-	if m.stopping == 0 {
-		m.released = m.generation
+	if m.stoppingCount == 0 {
+		m.releasedGeneration = m.generation
 	}
 }
 
-// giveUp stops the owner of a partition. The lock is held.
-func (m *Manager) giveUp(p platform.Partition, h *holding, generation int64, reason string) {
+// handOver stops the owner of a partition. The lock is held.
+func (m *Manager) handOver(p platform.Partition, own *ownedPartition, generation int64, reason string) {
 	m.logger.Info("partition handed over", "topic", p.Topic, "partition", p.Part, "generation", generation, "reason", reason)
-	m.retire(p, h, nil)
+	m.stopOwner(p, own, nil)
 }
 
-// retire stops the owner of a partition for a cause. The lock is held.
-func (m *Manager) retire(p platform.Partition, h *holding, cause error) {
-	h.cancel(cause)
-	delete(m.held, p)
-	m.retiring[p] = h
-	m.stopping++
-	go m.awaitStopped(p, h)
+// stopOwner stops the owner of a partition for a cause. The lock is held.
+func (m *Manager) stopOwner(p platform.Partition, own *ownedPartition, cause error) {
+	own.cancel(cause)
+	delete(m.owned, p)
+	m.stoppingOwners[p] = own
+	m.stoppingCount++
+	go m.releaseOnceStopped(p, own)
 }
 
-// awaitStopped tells the group at once when an owner has stopped whose partition passes
+// releaseOnceStopped tells the group at once when an owner has stopped whose partition passes
 // on. The group deals the partition out when it hears of a generation in which this
 // process has lost it. Heard earlier, the next owner would fence this one before it has
 // left word of its runs, and wait for their leases: seconds in place of some 60 ms.
-func (m *Manager) awaitStopped(p platform.Partition, h *holding) {
-	<-h.done
+func (m *Manager) releaseOnceStopped(p platform.Partition, own *ownedPartition) {
+	<-own.stopped
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.retiring, p)
-	m.stopping--
-	if m.stopping == 0 {
-		m.released = m.generation
-		m.Confirm()
+	delete(m.stoppingOwners, p)
+	m.stoppingCount--
+	if m.stoppingCount == 0 {
+		m.releasedGeneration = m.generation
+		m.RequestJoin()
 	}
 }
 
-func (m *Manager) start(ctx context.Context, p platform.Partition, epoch int64) *holding {
+func (m *Manager) startOwner(ctx context.Context, p platform.Partition, epoch int64) *ownedPartition {
 	ctx, cancel := context.WithCancelCause(ctx)
-	h := &holding{epoch: epoch, cancel: cancel, done: make(chan struct{})}
+	own := &ownedPartition{epoch: epoch, cancel: cancel, stopped: make(chan struct{})}
 	go func() {
-		defer close(h.done)
+		defer close(own.stopped)
 		err := m.run(ctx, p, epoch)
 		if ctx.Err() != nil {
 			return
@@ -98,49 +98,49 @@
 		m.logger.Warn("ownership ended", "topic", p.Topic, "partition", p.Part, "epoch", epoch, "error", err)
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.renew = true
+		m.mustRejoin = true
 	}()
-	return h
+	return own
 }
 
 // ErrSuperseded is the cause with which an owner is stopped that a later one has asked to.
 var ErrSuperseded = errors.New("a later owner has taken the partition over")
 
-// Release stops the owner of a partition here, if its epoch is lower than one, and waits until
+// StopOwnerBelow stops the owner of a partition here, if its epoch is lower than one, and waits until
 // it has stopped or ctx ends.
-func (m *Manager) Release(ctx context.Context, p platform.Partition, below int64) {
+func (m *Manager) StopOwnerBelow(ctx context.Context, p platform.Partition, epoch int64) {
 	m.mu.Lock()
-	m.superseded[p] = max(m.superseded[p], below)
-	h := m.held[p]
-	if h == nil {
-		h = m.retiring[p]
+	m.supersededBelow[p] = max(m.supersededBelow[p], epoch)
+	own := m.owned[p]
+	if own == nil {
+		own = m.stoppingOwners[p]
 	}
-	if h == nil || h.epoch >= below {
+	if own == nil || own.epoch >= epoch {
 		m.mu.Unlock()
 		return
 	}
-	if m.held[p] == h {
-		m.logger.Info("partition handed over", "topic", p.Topic, "partition", p.Part, "epoch", below, "reason", "its next owner asks for it")
-		m.retire(p, h, ErrSuperseded)
+	if m.owned[p] == own {
+		m.logger.Info("partition handed over", "topic", p.Topic, "partition", p.Part, "epoch", epoch, "reason", "its next owner asks for it")
+		m.stopOwner(p, own, ErrSuperseded)
 	}
 	m.mu.Unlock()
 	select {
-	case <-h.done:
+	case <-own.stopped:
 	case <-ctx.Done():
 	}
 }
 
-// stopAll stops all owners and waits until they have left word of their runs.
-func (m *Manager) stopAll() {
+// stopAllOwners stops all owners and waits until they have left word of their runs.
+func (m *Manager) stopAllOwners() {
 	m.mu.Lock()
-	var stopped []*holding
-	for p, h := range m.held {
-		h.cancel(nil)
-		stopped = append(stopped, h)
-		delete(m.held, p)
+	var stopped []*ownedPartition
+	for p, own := range m.owned {
+		own.cancel(nil)
+		stopped = append(stopped, own)
+		delete(m.owned, p)
 	}
 	m.mu.Unlock()
-	for _, h := range stopped {
-		<-h.done
+	for _, own := range stopped {
+		<-own.stopped
 	}
 }
--- a/internal/ownership/memory.go
+++ b/internal/ownership/memory.go
@@ -17,66 +17,66 @@
 // a hint: what is seen of the owners counts for more, so an old one costs a VM that
 // starts strongComeWithin at most.
 const (
-	memoryTopic = "keyed.members"
-	memoryKey   = "strength"
-	// forgetAfter is how long the owners must have been weaker than stored before
+	capacityTopic = "keyed.members"
+	capacityKey   = "strength"
+	// capacityDecreaseDelay is how long the owners must have been weaker than stored before
 	// that is stored: strong ones that are replaced or cut off are back sooner.
-	forgetAfter = 10 * time.Second
+	capacityDecreaseDelay = 10 * time.Second
 )
 
-// memoryRecord is the stored record.
-type memoryRecord struct {
+// capacityRecord is the stored record.
+type capacityRecord struct {
 	// MilliCores is the processor time, in thousandths of a core, that as many owners
 	// have as make weaker VMs stand back.
 	MilliCores int `json:"milli_cores"`
 }
 
-// memory is what this process knows of the record. It is not safe for concurrent use.
-type memory struct {
-	known  bool
-	stored int // thousandths of a core, 0 if there is no record
+// capacityHint is what this process knows of the record. It is not safe for concurrent use.
+type capacityHint struct {
+	isRead           bool
+	storedMilliCores int // thousandths of a core, 0 if there is no record
 	// weakerSince is since when the owners have been weaker than stored, zero if not.
 	weakerSince time.Time
 }
 
-// due tells whether the owners' strength, as seen now, is to be stored.
-func (m *memory) due(seen int, now time.Time) bool {
-	m.weakerSince = sinceWhen(seen < m.stored, m.weakerSince, now)
-	return m.known && (seen > m.stored || seen < m.stored && now.Sub(m.weakerSince) >= forgetAfter)
+// isStoreDue tells whether the owners' strength, as seen now, is to be stored.
+func (h *capacityHint) isStoreDue(milliCores int, now time.Time) bool {
+	h.weakerSince = conditionSince(milliCores < h.storedMilliCores, h.weakerSince, now)
+	return h.isRead && (milliCores > h.storedMilliCores || milliCores < h.storedMilliCores && now.Sub(h.weakerSince) >= capacityDecreaseDelay)
 }
 
-var memoryPartition = platform.Partition{Topic: memoryTopic, Part: 0}
+var capacityPartition = platform.Partition{Topic: capacityTopic, Part: 0}
 
-// recall reads the record, once.
-func (m *Manager) recall(ctx context.Context) {
+// readCapacityHint reads the record, once.
+func (m *Manager) readCapacityHint(ctx context.Context) {
 	m.mu.Lock()
-	known := m.memory.known
+	isRead := m.capacityHint.isRead
 	m.mu.Unlock()
-	if known || m.milliCores == 0 {
+	if isRead || m.milliCores == 0 {
 		return
 	}
-	batch, status, err := m.store.Newest(ctx, memoryPartition)
+	batch, status, err := m.store.Newest(ctx, capacityPartition)
 	if status != platform.StoreOK {
 		m.logger.Debug("how strong the last owners were can't be read yet", "status", status.String(), "error", err)
 		return
 	}
-	stored, err := decodeMemory(batch)
+	milliCores, err := decodeCapacity(batch)
 	if err != nil {
 		m.logger.Error("record of how strong the last owners were can't be read and is left out", "error", err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.memory.known = true
-	m.memory.stored = stored
-	m.reserve.learn(m.milliCores, stored)
+	m.capacityHint.isRead = true
+	m.capacityHint.storedMilliCores = milliCores
+	m.yieldPolicy.applyCapacityHint(m.milliCores, milliCores)
 }
 
-func decodeMemory(batch platform.Batch) (milliCores int, err error) {
+func decodeCapacity(batch platform.Batch) (milliCores int, err error) {
 	for _, r := range batch.Records {
-		if r.Key != memoryKey || len(r.Value) == 0 {
+		if r.Key != capacityKey || len(r.Value) == 0 {
 			continue
 		}
-		var record memoryRecord
+		var record capacityRecord
 		if err := json.Unmarshal(r.Value, &record); err != nil {
 			return 0, errors.Wrap(err, "strength of the owners")
 		}
@@ -85,42 +85,42 @@
 	return milliCores, nil
 }
 
-// remember stores how strong the owners are if that has changed. One member does it:
+// storeCapacityHint stores how strong the owners are if that has changed. One member does it:
 // the owner of the first partition.
-func (m *Manager) remember(ctx context.Context, now time.Time) {
+func (m *Manager) storeCapacityHint(ctx context.Context, now time.Time) {
 	m.mu.Lock()
-	seen := m.strength()
-	due := m.held[platform.Partition{Topic: m.topics[0], Part: 0}] != nil && m.memory.due(seen, now)
+	milliCores := m.ownersCapacity()
+	isStoreDue := m.owned[platform.Partition{Topic: m.joinTopics[0], Part: 0}] != nil && m.capacityHint.isStoreDue(milliCores, now)
 	m.mu.Unlock()
-	if !due {
+	if !isStoreDue {
 		return
 	}
-	value, err := json.Marshal(memoryRecord{MilliCores: seen})
+	value, err := json.Marshal(capacityRecord{MilliCores: milliCores})
 	if err != nil {
 		m.logger.Error("strength of the owners can't be encoded", "error", err)
 		return
 	}
-	status, err := m.store.Append(ctx, memoryPartition, nil, platform.KeyedRecord{Key: memoryKey, Value: value})
+	status, err := m.store.Append(ctx, capacityPartition, nil, platform.KeyedRecord{Key: capacityKey, Value: value})
 	if status != platform.StoreOK {
 		m.logger.Debug("strength of the owners can't be stored yet", "status", status.String(), "error", err)
 		return
 	}
-	m.logger.Info("strength of the owners stored", "milli_cores", seen)
+	m.logger.Info("strength of the owners stored", "milli_cores", milliCores)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.memory.stored = seen
+	m.capacityHint.storedMilliCores = milliCores
 }
 
-// strength is the processor time that enoughStrong owners have, 0 where there are fewer
+// ownersCapacity is the processor time that enoughStrong owners have, 0 where there are fewer
 // owners. The lock is held.
-func (m *Manager) strength() int {
-	var each []int
-	for _, o := range m.members() {
-		each = append(each, o.milliCores)
+func (m *Manager) ownersCapacity() int {
+	var milliCores []int
+	for _, o := range m.owningMembers() {
+		milliCores = append(milliCores, o.milliCores)
 	}
-	if len(each) < enoughStrong {
+	if len(milliCores) < minStrongerMembers {
 		return 0
 	}
-	slices.Sort(each)
-	return each[len(each)-enoughStrong]
+	slices.Sort(milliCores)
+	return milliCores[len(milliCores)-minStrongerMembers]
 }
--- a/internal/ownership/owners.go
+++ b/internal/ownership/owners.go
@@ -14,30 +14,30 @@
 	m.mu.Lock()
 	unknown := m.owners[p].address == ""
 	m.mu.Unlock()
-	age := ownersInterval
+	maxAge := maxOwnersAge
 	if refresh || unknown {
-		age = ownersRetry
+		maxAge = minOwnersReadInterval
 	}
-	m.readOwners(ctx, age)
+	m.readOwners(ctx, maxAge)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.owners[p].address
 }
 
-// KnownOwner returns the address of the node that owned a partition when that was
+// CachedOwner returns the address of the node that owned a partition when that was
 // last read, "" if none is known. It never waits: what is too old is read again
 // beside the caller.
-func (m *Manager) KnownOwner(p platform.Partition) string {
+func (m *Manager) CachedOwner(p platform.Partition) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if time.Since(m.ownersAt) > ownersInterval {
-		go m.readOwners(context.Background(), ownersInterval) // one at a time, with the call's own time-out
+	if time.Since(m.ownersReadSentAt) > maxOwnersAge {
+		go m.readOwners(context.Background(), maxOwnersAge) // one at a time, with the call's own time-out
 	}
 	return m.owners[p].address
 }
 
-// Addresses lists the nodes that owned something when that was last read.
-func (m *Manager) Addresses() []string {
+// OwnerAddresses lists the nodes that owned something when that was last read.
+func (m *Manager) OwnerAddresses() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var list []string
@@ -51,17 +51,17 @@
 
 // readOwners reads who owns what, unless that is known from a read that was sent
 // less than age ago. It tells whether it is.
-func (m *Manager) readOwners(ctx context.Context, age time.Duration) bool {
+func (m *Manager) readOwners(ctx context.Context, maxAge time.Duration) bool {
 	m.mu.Lock()
-	stale := time.Since(m.ownersAt) > age
-	if stale {
-		m.ownersAt = time.Now() // others go on with what is known meanwhile
+	isStale := time.Since(m.ownersReadSentAt) > maxAge
+	if isStale {
+		m.ownersReadSentAt = time.Now() // others go on with what is known meanwhile
 	}
 	m.mu.Unlock()
-	if !stale {
+	if !isStale {
 		return true
 	}
-	list, status, err := m.store.Owners(ctx, group)
+	list, status, err := m.store.Owners(ctx, groupName)
 	if status != platform.StoreOK {
 		m.logger.Debug("owners can't be read", "status", status.String(), "error", err)
 		return false
@@ -70,17 +70,17 @@
 	defer m.mu.Unlock()
 	clear(m.owners) // one that isn't listed any more has no owner either
 	for _, o := range list {
-		if who, ok := parseName(o.Member); ok {
-			m.owners[o.Partition] = who
+		if info, ok := parseMemberName(o.Member); ok {
+			m.owners[o.Partition] = info
 		}
 	}
 	return true
 }
 
-// members lists the members that own something, each once. The lock is held.
-func (m *Manager) members() []peer {
+// owningMembers lists the members that own something, each once. The lock is held.
+func (m *Manager) owningMembers() []memberInfo {
 	seen := map[string]bool{}
-	var list []peer
+	var list []memberInfo
 	for _, o := range m.owners {
 		if !seen[o.name] {
 			seen[o.name] = true
@@ -90,29 +90,29 @@
 	return list
 }
 
-// lastLook is what the latest look at the owners shows. The lock is held.
-func (m *Manager) lastLook() view {
-	var v view
-	for _, o := range m.members() {
-		if m.outranks(o) {
-			v.stronger++
+// snapshot is what the latest look at the owners shows. The lock is held.
+func (m *Manager) snapshot() ownershipSnapshot {
+	var s ownershipSnapshot
+	for _, o := range m.owningMembers() {
+		if m.isOutrankedBy(o) {
+			s.strongerMembers++
 		}
 	}
-	working := map[string]bool{}
+	workOwners := map[string]bool{}
 	for p, o := range m.owners {
-		if !isPresence(p) && o.name != m.member {
-			working[o.name] = true
+		if !isAnnouncement(p) && o.name != m.memberName {
+			workOwners[o.name] = true
 		}
 	}
-	v.full = m.partitions > 0 && len(working) >= len(m.worked)*m.partitions
-	for p := range m.held {
-		v.owns = true
-		v.busy = v.busy || m.inUse(p)
+	s.isSaturated = m.partitions > 0 && len(workOwners) >= len(m.workTopics)*m.partitions
+	for p := range m.owned {
+		s.ownsPartition = true
+		s.ownsWork = s.ownsWork || m.hasWork(p)
 	}
-	return v
+	return s
 }
 
-// outranks tells whether a member has far more processor time than this one.
-func (m *Manager) outranks(o peer) bool {
-	return m.milliCores > 0 && o.milliCores >= strongFactor*m.milliCores
+// isOutrankedBy tells whether a member has far more processor time than this one.
+func (m *Manager) isOutrankedBy(o memberInfo) bool {
+	return m.milliCores > 0 && o.milliCores >= strongerFactor*m.milliCores
 }
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -27,16 +27,16 @@
 	// takeover it must stay within a lease. Each 0.35 s less gave 0.02 of a day with
 	// faults in the mean of 20 plays.
 	memberTTL = 1150 * time.Millisecond
-	// ownersInterval is how old the known owners may be; a failed question reads
+	// maxOwnersAge is how old the known owners may be; a failed question reads
 	// them again at once, but not more often than ownersRetry.
-	ownersInterval = time.Second
-	ownersRetry    = 150 * time.Millisecond
+	maxOwnersAge          = time.Second
+	minOwnersReadInterval = 150 * time.Millisecond
 )
 
-const group = "yuccadrift"
+const groupName = "yuccadrift"
 
-// maxJoins bounds the joins under way; a time-out has room for as many.
-const maxJoins = 6
+// maxJoinsInFlight bounds the joins under way; a time-out has room for as many.
+const maxJoinsInFlight = 6
 
 // Store is what is needed of the platform's store.
 type Store interface {
@@ -53,44 +53,44 @@
 // Manager keeps this process a member and runs what it owns. It is safe for
 // concurrent use.
 type Manager struct {
-	store      Store
-	logger     hclog.Logger
-	run        Runner
-	worked     []string // topics that are worked on
-	topics     []string // all that members join
-	partitions int      // of each topic
-	inUse      func(platform.Partition) bool
-	name       func() string // a new member name
+	store         Store
+	logger        hclog.Logger
+	run           Runner
+	workTopics    []string // topics that are worked on
+	joinTopics    []string // all that members join
+	partitions    int      // of each topic
+	hasWork       func(platform.Partition) bool
+	newMemberName func() string // a new member name
 
-	address    string  // at which the node answers other nodes
-	peers      Members // nil if nobody can be asked
-	suspended  func() time.Duration
-	milliCores int     // of this process's VM
-	phase      float64 // from 0 to 1, another one for each node
-	ttl        time.Duration
+	address      string       // at which the node answers other nodes
+	memberClient MemberClient // nil if nobody can be asked
+	suspendedFor func() time.Duration
+	milliCores   int     // of this process's VM
+	checkJitter  float64 // from 0 to 1, another one for each node
+	ttl          time.Duration
 
-	joining chan struct{} // one entry for each join under way
-	early   chan struct{} // has an entry if a join is wanted before it is due
+	joinSlots     chan struct{} // one entry for each join under way
+	joinRequested chan struct{} // has an entry if a join is wanted before it is due
 
-	mu         sync.Mutex
-	member     string
-	generation int64                    // the latest one received
-	released   int64                    // the latest one whose losses are complete here
-	stopping   int                      // owners that were told to stop as their partition passes on
-	joined     instant                  // when the latest answered join was sent
-	answeredAt time.Time                // when it was answered
-	answers    map[string]*memberAnswer // of other members, by address
-	unopposed  instant                  // since which all of them have said that they are no successors
-	standing   standing                 // as last logged
-	held       map[platform.Partition]*holding
-	superseded map[platform.Partition]int64    // the epoch of the latest owner that asked for it
-	retiring   map[platform.Partition]*holding // whose owner here was told to stop and has not yet
-	owners     map[platform.Partition]peer
-	ownersAt   time.Time
-	renew      bool // the membership is to begin anew
-	reserve    reserve
-	memory     memory
-	runFrom    time.Time // nothing that was dealt is run before
+	mu                     sync.Mutex
+	memberName             string
+	generation             int64                    // the latest one received
+	releasedGeneration     int64                    // the latest one whose losses are complete here
+	stoppingCount          int                      // owners that were told to stop as their partition passes on
+	lastAnsweredJoinSentAt instant                  // when the latest answered join was sent
+	lastJoinAnsweredAt     time.Time                // when it was answered
+	memberAnswers          map[string]*memberAnswer // of other members, by address
+	noSuccessorAsOf        instant                  // since which all of them have said that they are no successors
+	loggedCertainty        ownershipCertainty       // as last logged
+	owned                  map[platform.Partition]*ownedPartition
+	supersededBelow        map[platform.Partition]int64           // the epoch of the latest owner that asked for it
+	stoppingOwners         map[platform.Partition]*ownedPartition // whose owner here was told to stop and has not yet
+	owners                 map[platform.Partition]memberInfo
+	ownersReadSentAt       time.Time
+	mustRejoin             bool // the membership is to begin anew
+	yieldPolicy            yieldPolicy
+	capacityHint           capacityHint
+	ownersStartFrom        time.Time // nothing that was dealt is run before
 }
 
 // Config of a Manager.
@@ -106,55 +106,55 @@
 	Topics []string
 	// Partitions is how many a topic has, 0 if it isn't known.
 	Partitions int
-	// InUse tells whether work lies in a partition; nil stands for all.
-	InUse func(platform.Partition) bool
-	// Unique must return another text at each call: a restarted process that took
+	// HasWork tells whether work lies in a partition; nil stands for all.
+	HasWork func(platform.Partition) bool
+	// UniqueID must return another text at each call: a restarted process that took
 	// up its old name would share the old one's epoch.
-	Unique func() string
-	// Members asks other members; nil if none can be asked.
-	Members Members
-	// Suspended is for how long the machine was suspended so far; nil if that is not known.
-	Suspended func() time.Duration
-	Logger    hclog.Logger
+	UniqueID func() string
+	// MemberClient asks other members; nil if none can be asked.
+	MemberClient MemberClient
+	// SuspendedFor is for how long the machine was suspended so far; nil if that is not known.
+	SuspendedFor func() time.Duration
+	Logger       hclog.Logger
 }
 
 // New returns a manager that runs what it owns with run.
 func New(store Store, c Config, run Runner) *Manager {
 	m := &Manager{
-		store:      store,
-		logger:     c.Logger,
-		run:        run,
-		worked:     c.Topics,
-		topics:     withPresence(c.Topics),
-		partitions: c.Partitions,
-		inUse:      c.InUse,
-		name:       func() string { return nameOf(c) },
-		address:    c.Address,
-		peers:      c.Members,
-		suspended:  c.Suspended,
-		milliCores: c.MilliCores,
-		phase:      phaseOf(c.Node),
-		ttl:        max(memberTTL, c.MinTTL),
-		joining:    make(chan struct{}, maxJoins),
-		early:      make(chan struct{}, 1),
-		held:       map[platform.Partition]*holding{},
-		retiring:   map[platform.Partition]*holding{},
-		superseded: map[platform.Partition]int64{},
-		owners:     map[platform.Partition]peer{},
-		answers:    map[string]*memberAnswer{},
+		store:           store,
+		logger:          c.Logger,
+		run:             run,
+		workTopics:      c.Topics,
+		joinTopics:      withAnnouncementTopic(c.Topics),
+		partitions:      c.Partitions,
+		hasWork:         c.HasWork,
+		newMemberName:   func() string { return encodeMemberName(c) },
+		address:         c.Address,
+		memberClient:    c.MemberClient,
+		suspendedFor:    c.SuspendedFor,
+		milliCores:      c.MilliCores,
+		checkJitter:     checkJitterOf(c.Node),
+		ttl:             max(memberTTL, c.MinTTL),
+		joinSlots:       make(chan struct{}, maxJoinsInFlight),
+		joinRequested:   make(chan struct{}, 1),
+		owned:           map[platform.Partition]*ownedPartition{},
+		stoppingOwners:  map[platform.Partition]*ownedPartition{},
+		supersededBelow: map[platform.Partition]int64{},
+		owners:          map[platform.Partition]memberInfo{},
+		memberAnswers:   map[string]*memberAnswer{},
 	}
-	if m.inUse == nil {
-		m.inUse = func(platform.Partition) bool { return true }
+	if m.hasWork == nil {
+		m.hasWork = func(platform.Partition) bool { return true }
 	}
-	if m.suspended == nil {
-		m.suspended = func() time.Duration { return 0 }
+	if m.suspendedFor == nil {
+		m.suspendedFor = func() time.Duration { return 0 }
 	}
-	m.member = m.name()
+	m.memberName = m.newMemberName()
 	return m
 }
 
-// phaseOf spreads nodes evenly from 0 to 1, by their names.
-func phaseOf(node string) float64 {
+// checkJitterOf spreads nodes evenly from 0 to 1, by their names.
+func checkJitterOf(node string) float64 {
 	h := fnv.New32a()
 	h.Write([]byte(node))
 	return float64(h.Sum32()) / math.MaxUint32
@@ -164,32 +164,32 @@
 func (m *Manager) Run(ctx context.Context) error {
 	tick := time.NewTicker(joinInterval)
 	defer tick.Stop()
-	m.firstLook(ctx)
-	var duties sync.WaitGroup
-	defer duties.Wait()
-	duties.Go(func() { m.watch(ctx) })
-	if m.peers != nil {
-		duties.Go(func() { m.askMembers(ctx) })
+	m.awaitFirstOwnersRead(ctx)
+	var background sync.WaitGroup
+	defer background.Wait()
+	background.Go(func() { m.watchOwners(ctx) })
+	if m.memberClient != nil {
+		background.Go(func() { m.queryMembers(ctx) })
 	}
-	member := false
+	isMember := false
 	for ctx.Err() == nil {
 		switch {
-		case !m.standsBack():
-			member = true
-			m.restart(ctx)
+		case !m.isYielding():
+			isMember = true
+			m.rejoinIfFenced(ctx)
 			m.startJoin(ctx)
-		case member:
+		case isMember:
 			m.withdraw()
-			member = false
+			isMember = false
 		}
 		select {
 		case <-tick.C:
-		case <-m.early:
+		case <-m.joinRequested:
 		case <-ctx.Done():
 		}
 	}
-	if member {
-		m.release()
+	if isMember {
+		m.leaveGroup()
 	}
 	return ctx.Err()
 }
@@ -197,12 +197,12 @@
 // startJoin joins beside the caller, unless as many joins as may be are under way.
 func (m *Manager) startJoin(ctx context.Context) {
 	select {
-	case m.joining <- struct{}{}:
+	case m.joinSlots <- struct{}{}:
 	default:
 		return
 	}
 	go func() {
-		defer func() { <-m.joining }()
+		defer func() { <-m.joinSlots }()
 		m.join(ctx)
 	}()
 }
@@ -211,9 +211,9 @@
 // up until its time-out, and by then the membership has lapsed.
 func (m *Manager) join(ctx context.Context) {
 	m.mu.Lock()
-	member := platform.Member{Group: group, Name: m.member, Topics: m.topics, TTL: m.ttl, Generation: m.released}
+	member := platform.Member{Group: groupName, Name: m.memberName, Topics: m.joinTopics, TTL: m.ttl, Generation: m.releasedGeneration}
 	m.mu.Unlock()
-	sent := m.instant()
+	sentAt := m.currentInstant()
 	a, status, err := m.store.Join(ctx, member)
 	if status != platform.StoreOK {
 		m.logger.Debug("group can't be joined", "status", status.String(), "error", err)
@@ -221,52 +221,52 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.answeredAt = time.Now()
-	if member.Name != m.member || sent.at.Before(m.joined.at) || ctx.Err() != nil {
+	m.lastJoinAnsweredAt = time.Now()
+	if member.Name != m.memberName || sentAt.at.Before(m.lastAnsweredJoinSentAt.at) || ctx.Err() != nil {
 		return // a later join was answered before, or the membership began anew
 	}
-	m.joined = sent
-	changed := a.Generation != m.generation
+	m.lastAnsweredJoinSentAt = sentAt
+	isNewGeneration := a.Generation != m.generation
 	m.generation = a.Generation
-	m.assign(ctx, a, sent, changed)
+	m.applyAssignment(ctx, a, sentAt, isNewGeneration)
 }
 
-// restart begins the membership anew if an owner found itself fenced: a later
+// rejoinIfFenced begins the membership anew if an owner found itself fenced: a later
 // generation gives it an epoch above the one that fenced it.
-func (m *Manager) restart(ctx context.Context) {
+func (m *Manager) rejoinIfFenced(ctx context.Context) {
 	m.mu.Lock()
-	renew := m.renew
-	m.renew = false
-	old := m.member
-	if renew {
-		m.member = m.name()
-		m.generation, m.released = 0, 0
+	mustRejoin := m.mustRejoin
+	m.mustRejoin = false
+	oldName := m.memberName
+	if mustRejoin {
+		m.memberName = m.newMemberName()
+		m.generation, m.releasedGeneration = 0, 0
 	}
 	m.mu.Unlock()
-	if !renew {
+	if !mustRejoin {
 		return
 	}
-	m.stopAll()
-	if _, err := m.store.Leave(ctx, group, old); err != nil {
-		m.logger.Debug("old membership can't be left, it lapses by itself", "member", old, "error", err)
+	m.stopAllOwners()
+	if _, err := m.store.Leave(ctx, groupName, oldName); err != nil {
+		m.logger.Debug("old membership can't be left, it lapses by itself", "member", oldName, "error", err)
 	}
 }
 
-// Confirm asks for a join at once: a VM that has just come waits for its answer.
-func (m *Manager) Confirm() {
+// RequestJoin asks for a join at once: a VM that has just come waits for its answer.
+func (m *Manager) RequestJoin() {
 	select {
-	case m.early <- struct{}{}:
+	case m.joinRequested <- struct{}{}:
 	default: // one is asked for already
 	}
 }
 
-// Confirmed is when the latest join was sent that confirmed a partition to this
+// ConfirmingJoinSentAt is when the latest join was sent that confirmed a partition to this
 // process: no other has taken it over before. Zero if it isn't held.
-func (m *Manager) Confirmed(p platform.Partition) time.Time {
+func (m *Manager) ConfirmingJoinSentAt(p platform.Partition) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if h := m.held[p]; h != nil {
-		return h.confirmed.at
+	if own := m.owned[p]; own != nil {
+		return own.confirmingJoinSentAt.at
 	}
 	return time.Time{}
 }
@@ -274,12 +274,12 @@
 // leaveTimeout bounds the last call of a process that stops.
 const leaveTimeout = 500 * time.Millisecond
 
-// release gives all up, so that others need not wait for the time to live.
-func (m *Manager) release() {
-	m.stopAll()
+// leaveGroup gives all up, so that others need not wait for the time to live.
+func (m *Manager) leaveGroup() {
+	m.stopAllOwners()
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	if status, err := m.store.Leave(ctx, group, m.member); status != platform.StoreOK {
+	if status, err := m.store.Leave(ctx, groupName, m.memberName); status != platform.StoreOK {
 		m.logger.Warn("group can't be left, the membership lapses by itself", "status", status.String(), "error", err)
 	}
 }
--- a/internal/ownership/presence.go
+++ b/internal/ownership/presence.go
@@ -15,12 +15,12 @@
 // nothing then leaves: so such members are soon at most as many. And members also join a
 // topic that has no records and no owner's work, whose partitions are there for those
 // that come later.
-const presenceTopic = "present.0"
+const announcementTopic = "present.0"
 
-// withPresence adds the topic by which members are seen.
-func withPresence(topics []string) []string {
-	return append(append([]string(nil), topics...), presenceTopic)
+// withAnnouncementTopic adds the topic by which members are seen.
+func withAnnouncementTopic(topics []string) []string {
+	return append(append([]string(nil), topics...), announcementTopic)
 }
 
-// isPresence tells whether a partition is there only for its owner to be seen.
-func isPresence(p platform.Partition) bool { return p.Topic == presenceTopic }
+// isAnnouncement tells whether a partition is there only for its owner to be seen.
+func isAnnouncement(p platform.Partition) bool { return p.Topic == announcementTopic }
--- a/internal/ownership/reserve_test.go
+++ b/internal/ownership/reserve_test.go
@@ -21,23 +21,23 @@
 // joins gets one more.
 type fakeGroup struct {
 	emptyStore
-	mu     sync.Mutex
-	others []string // members that own a partition
-	joins  map[string]int
-	left   map[string]bool
+	mu          sync.Mutex
+	others      []string // members that own a partition
+	joinsByName map[string]int
+	leftMembers map[string]bool
 }
 
 func (g *fakeGroup) Join(_ context.Context, m platform.Member) (platform.Assignment, platform.StoreStatus, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.joins[m.Name]++
+	g.joinsByName[m.Name]++
 	return platform.Assignment{Generation: 1, Parts: []platform.Partition{{Topic: "jobs", Part: 99}}}, platform.StoreOK, nil
 }
 
 func (g *fakeGroup) Leave(_ context.Context, _, member string) (platform.StoreStatus, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.left[member] = true
+	g.leftMembers[member] = true
 	return platform.StoreOK, nil
 }
 
@@ -62,23 +62,23 @@
 	return platform.Batch{}, platform.StoreOK, nil
 }
 
-func (g *fakeGroup) set(others ...string) {
+func (g *fakeGroup) setOthers(others ...string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.others = others
 }
 
-func (g *fakeGroup) joined() int {
+func (g *fakeGroup) membershipCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.joins)
+	return len(g.joinsByName)
 }
 
-// playMember runs a manager of a VM with 192 thousandths of a core in a bubble.
-func playMember(t *testing.T, others []string, play func(g *fakeGroup, owns func() bool)) {
+// runWeakMember runs a manager of a VM with 192 thousandths of a core in a bubble.
+func runWeakMember(t *testing.T, others []string, scenario func(g *fakeGroup, owns func() bool)) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &fakeGroup{joins: map[string]int{}, left: map[string]bool{}}
-		g.set(others...)
+		g := &fakeGroup{joinsByName: map[string]int{}, leftMembers: map[string]bool{}}
+		g.setOthers(others...)
 		var mu sync.Mutex
 		running := 0
 		run := func(ctx context.Context, _ platform.Partition, _ int64) error {
@@ -92,14 +92,14 @@
 			return ctx.Err()
 		}
 		names := 0
-		m := New(g, Config{Node: "weak", Address: "weak:1", MilliCores: 192, Topics: []string{"jobs"}, Logger: hclog.NewNullLogger(), Unique: func() string {
+		m := New(g, Config{Node: "weak", Address: "weak:1", MilliCores: 192, Topics: []string{"jobs"}, Logger: hclog.NewNullLogger(), UniqueID: func() string {
 			names++
 			return string(rune('a' + names))
 		}}, run)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- m.Run(ctx) }()
-		play(g, func() bool {
+		scenario(g, func() bool {
 			mu.Lock()
 			defer mu.Unlock()
 			return running > 0
@@ -109,14 +109,14 @@
 	})
 }
 
-func member(name, milliCores string) string { return name + "|" + name + ":1|x|" + milliCores }
+func encodedName(name, milliCores string) string { return name + "|" + name + ":1|x|" + milliCores }
 
 // A weak VM starts beside two strong ones. It never joins, so nothing passes on to
 // it that it could not bear, nor is anything dealt anew.
 func TestWeakVMDoesNotJoinBesideStrongOnes(t *testing.T) {
-	playMember(t, []string{member("s-1", "800"), member("s-2", "800")}, func(g *fakeGroup, owns func() bool) {
+	runWeakMember(t, []string{encodedName("s-1", "800"), encodedName("s-2", "800")}, func(g *fakeGroup, owns func() bool) {
 		time.Sleep(20 * time.Second)
-		assert.Zero(t, g.joined())
+		assert.Zero(t, g.membershipCount())
 		assert.False(t, owns())
 	})
 }
@@ -124,9 +124,9 @@
 // The strong VMs are lost. The weak one takes over within a second of their rows:
 // with their time to live that is within the lease of what they ran.
 func TestWeakVMTakesOverWhenStrongOnesAreLost(t *testing.T) {
-	playMember(t, []string{member("s-1", "800"), member("s-2", "800")}, func(g *fakeGroup, owns func() bool) {
+	runWeakMember(t, []string{encodedName("s-1", "800"), encodedName("s-2", "800")}, func(g *fakeGroup, owns func() bool) {
 		time.Sleep(5 * time.Second)
-		g.set("", member("s-2", "800"))
+		g.setOthers("", encodedName("s-2", "800"))
 		time.Sleep(time.Second)
 		assert.True(t, owns())
 	})
@@ -134,46 +134,46 @@
 
 // A weak VM was first. Strong ones come and stay: it leaves the group after two looks, in
 // good order, and stays out. Ones that are gone again by its next look change nothing.
-func TestWeakMemberLeavesOnceStrongOnesStay(t *testing.T) {
-	playMember(t, nil, func(g *fakeGroup, owns func() bool) {
+func TestWeakMemberYieldsOnceStrongOnesStay(t *testing.T) {
+	runWeakMember(t, nil, func(g *fakeGroup, owns func() bool) {
 		time.Sleep(3 * time.Second)
 		assert.True(t, owns())
 		for range 20 { // seen in one look at most
-			g.set(member("s-1", "800"), member("s-2", "800"))
+			g.setOthers(encodedName("s-1", "800"), encodedName("s-2", "800"))
 			time.Sleep(100 * time.Millisecond)
-			g.set("", "")
+			g.setOthers("", "")
 			time.Sleep(time.Second)
 			assert.True(t, owns(), "they may be gone in a moment")
 		}
-		assert.Equal(t, 1, g.joined())
-		g.set(member("s-1", "800"), member("s-2", "800"))
+		assert.Equal(t, 1, g.membershipCount())
+		g.setOthers(encodedName("s-1", "800"), encodedName("s-2", "800"))
 		time.Sleep(1500 * time.Millisecond)
 		assert.False(t, owns())
-		assert.Equal(t, 1, g.joined())
-		assert.Len(t, g.left, 1)
+		assert.Equal(t, 1, g.membershipCount())
+		assert.Len(t, g.leftMembers, 1)
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, 1, g.joined())
+		assert.Equal(t, 1, g.membershipCount())
 	})
 }
 
 // VMs of one size all join, also where one strong one is among them: it may be
 // lost, and a single owner would bear everything.
 func TestVMsOfOneSizeJoin(t *testing.T) {
-	playMember(t, []string{member("n-1", "192"), member("n-2", "192"), member("s-1", "800")}, func(g *fakeGroup, owns func() bool) {
+	runWeakMember(t, []string{encodedName("n-1", "192"), encodedName("n-2", "192"), encodedName("s-1", "800")}, func(g *fakeGroup, owns func() bool) {
 		time.Sleep(10 * time.Second)
 		assert.True(t, owns())
-		assert.Equal(t, 1, g.joined())
+		assert.Equal(t, 1, g.membershipCount())
 	})
 }
 
 // A member of another version has no processor time in its name: it is no reason
 // to stand back, and its address is not taken from a name that can't be read.
-func TestNamesThatCannotBeReadArePassedOver(t *testing.T) {
+func TestInvalidMemberNamesAreIgnored(t *testing.T) {
 	for _, name := range []string{"", "n|a:1|x", "n|a:1|x|many", "n|a:1|x|1|2"} {
-		_, ok := parseName(name)
+		_, ok := parseMemberName(name)
 		assert.False(t, ok, name)
 	}
-	p, ok := parseName(nameOf(Config{Node: "n", Address: "a:1", MilliCores: 400, Unique: func() string { return "x" }}))
+	p, ok := parseMemberName(encodeMemberName(Config{Node: "n", Address: "a:1", MilliCores: 400, UniqueID: func() string { return "x" }}))
 	assert.True(t, ok)
 	assert.Equal(t, "a:1", p.address)
 	assert.Equal(t, 400, p.milliCores)
@@ -183,11 +183,11 @@
 // of the members' names, and lists who owns them.
 type evenGroup struct {
 	emptyStore
-	mu      sync.Mutex
-	parts   int // of each topic
-	members map[string][]string
-	order   []string
-	gen     int64
+	mu                 sync.Mutex
+	partitionsPerTopic int // of each topic
+	members            map[string][]string
+	order              []string
+	gen                int64
 }
 
 func (g *evenGroup) Join(_ context.Context, m platform.Member) (platform.Assignment, platform.StoreStatus, error) {
@@ -200,7 +200,7 @@
 		g.gen++
 	}
 	a := platform.Assignment{Generation: g.gen}
-	for p, owner := range g.dealt() {
+	for p, owner := range g.assignment() {
 		if owner == m.Name {
 			a.Parts = append(a.Parts, p)
 		}
@@ -208,19 +208,19 @@
 	return a, platform.StoreOK, nil
 }
 
-func (g *evenGroup) dealt() map[platform.Partition]string {
-	dealt := map[platform.Partition]string{}
+func (g *evenGroup) assignment() map[platform.Partition]string {
+	owners := map[platform.Partition]string{}
 	if len(g.order) == 0 {
-		return dealt
+		return owners
 	}
 	n := 0
 	for _, topic := range g.members[g.order[0]] {
-		for i := range g.parts {
-			dealt[platform.Partition{Topic: topic, Part: i}] = g.order[n%len(g.order)]
+		for i := range g.partitionsPerTopic {
+			owners[platform.Partition{Topic: topic, Part: i}] = g.order[n%len(g.order)]
 			n++
 		}
 	}
-	return dealt
+	return owners
 }
 
 func (g *evenGroup) Leave(_ context.Context, _, member string) (platform.StoreStatus, error) {
@@ -236,7 +236,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var list []platform.Owner
-	for p, owner := range g.dealt() {
+	for p, owner := range g.assignment() {
 		list = append(list, platform.Owner{Partition: p, Member: owner})
 	}
 	return list, platform.StoreOK, nil
@@ -246,14 +246,14 @@
 // partitions: the strong ones get none, as it happens. The weak ones would own all services for the
 // whole day, at a quarter of the processor time that one in its busy hour needs, while
 // strong VMs idle. They must see the strong ones and leave.
-func TestWeakVMsLeaveToStrongOnesThatWereDealtNothing(t *testing.T) {
+func TestWeakVMsYieldToStrongOnesWithoutPartitions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const weak, strong = 38, 6
-		g := &evenGroup{parts: 12, members: map[string][]string{}}
+		g := &evenGroup{partitionsPerTopic: 12, members: map[string][]string{}}
 		var mu sync.Mutex
 		owners := map[string]int{} // partitions that are worked on, by node
 		ctx, cancel := context.WithCancel(t.Context())
-		var all sync.WaitGroup
+		var managers sync.WaitGroup
 		for i := range weak + strong {
 			name, milliCores := fmt.Sprintf("a-weak-%02d", i), 192
 			if i == weak {
@@ -273,11 +273,11 @@
 				return ctx.Err()
 			}
 			starts := 0
-			m := New(g, Config{Node: name, Address: name + ":1", MilliCores: milliCores, Topics: []string{"jobs", "fleet"}, Logger: hclog.NewNullLogger(), Unique: func() string {
+			m := New(g, Config{Node: name, Address: name + ":1", MilliCores: milliCores, Topics: []string{"jobs", "fleet"}, Logger: hclog.NewNullLogger(), UniqueID: func() string {
 				starts++
 				return strconv.Itoa(starts)
 			}}, run)
-			all.Go(func() { _ = m.Run(ctx) })
+			managers.Go(func() { _ = m.Run(ctx) })
 		}
 		time.Sleep(12 * time.Second)
 		mu.Lock()
@@ -289,6 +289,6 @@
 		assert.Positive(t, owners["b-strong-43"])
 		mu.Unlock()
 		cancel()
-		all.Wait()
+		managers.Wait()
 	})
 }
--- a/internal/ownership/scale_test.go
+++ b/internal/ownership/scale_test.go
@@ -11,17 +11,17 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-func all(*clusterNode) bool { return true }
+func anyNode(*clusterNode) bool { return true }
 
-// ownedWithin is the aim: so long after the nodes are up the strong own what is in use.
-const ownedWithin = 500 * time.Millisecond
+// maxTimeToOwned is the aim: so long after the nodes are up the strong own what is in use.
+const maxTimeToOwned = 500 * time.Millisecond
 
-func eachSize(t *testing.T, play func(t *testing.T, strong, weak int)) {
+func forEachFleetSize(t *testing.T, scenario func(t *testing.T, strong, weak int)) {
 	for _, size := range []int{30, 100, 300, 1000} {
 		t.Run(strconv.Itoa(size), func(t *testing.T) {
 			t.Parallel()
 			strong := int(strongShare * float64(size))
-			play(t, strong, size-strong)
+			scenario(t, strong, size-strong)
 		})
 	}
 }
@@ -33,25 +33,25 @@
 // notice stronger members after seconds. The strong must own what is in use from the
 // first deal on, each partition passing on once at most; also a second time, and
 // however many members there are.
-func TestStrongVMsOwnAfterALossOfAll(t *testing.T) {
-	eachSize(t, func(t *testing.T, strong, weak int) {
-		playCluster(t, strong, weak, func(c *cluster) {
-			c.start(all)
-			assert.LessOrEqual(t, c.until(true), ownedWithin, "first start")
+func TestStrongVMsOwnPartitionsAfterALossOfAllNodes(t *testing.T) {
+	forEachFleetSize(t, func(t *testing.T, strong, weak int) {
+		runCluster(t, strong, weak, func(c *cluster) {
+			c.start(anyNode)
+			assert.LessOrEqual(t, c.awaitOwned(true), maxTimeToOwned, "first start")
 			time.Sleep(5 * time.Second)
-			c.changes()
-			calls := c.group.calls
+			c.takeOwnerStarts()
+			calls := c.group.callWeight
 			time.Sleep(10 * time.Second)
-			perNode := (c.group.calls - calls) / float64(len(c.nodes)) / 10
+			perNode := (c.group.callWeight - calls) / float64(len(c.nodes)) / 10
 			assert.LessOrEqual(t, perNode, 3.0, "calls of a node in a second at rest")
 			for range 2 {
-				c.kill(all)
-				time.Sleep(powerGone)
-				c.start(all)
-				assert.LessOrEqual(t, c.until(true), ownedWithin)
+				c.kill(anyNode)
+				time.Sleep(outageTime)
+				c.start(anyNode)
+				assert.LessOrEqual(t, c.awaitOwned(true), maxTimeToOwned)
 				time.Sleep(5 * time.Second)
-				assert.True(t, c.owned(true))
-				changes, byWeak := c.changes()
+				assert.True(t, c.isAllOwned(true))
+				changes, byWeak := c.takeOwnerStarts()
 				assert.LessOrEqual(t, changes, 2, "owners of a partition")
 				assert.Zero(t, byWeak, "partitions that a weak VM owned")
 			}
@@ -61,12 +61,12 @@
 
 // The strong are restarted one after the other, as for a new version. Never may a weak
 // one own: two strong ones are there all the time.
-func TestWeakVMsStandBackWhileTheStrongAreRestartedInTurn(t *testing.T) {
-	eachSize(t, func(t *testing.T, strong, weak int) {
-		playCluster(t, strong, weak, func(c *cluster) {
-			c.start(all)
+func TestWeakVMsYieldDuringARollingRestartOfStrongOnes(t *testing.T) {
+	forEachFleetSize(t, func(t *testing.T, strong, weak int) {
+		runCluster(t, strong, weak, func(c *cluster) {
+			c.start(anyNode)
 			time.Sleep(5 * time.Second)
-			c.changes()
+			c.takeOwnerStarts()
 			for _, n := range c.nodes[:min(strong, 20)] {
 				this := func(x *clusterNode) bool { return x == n }
 				c.stop(this)
@@ -74,8 +74,8 @@
 				c.start(this)
 			}
 			time.Sleep(time.Second)
-			assert.True(t, c.owned(true))
-			_, byWeak := c.changes()
+			assert.True(t, c.isAllOwned(true))
+			_, byWeak := c.takeOwnerStarts()
 			assert.Zero(t, byWeak, "partitions that a weak VM owned")
 		})
 	})
@@ -87,67 +87,67 @@
 // partitions.
 func TestWeakVMsOwnOnlyWhileTheStrongAreLost(t *testing.T) {
 	const lease = 3500 * time.Millisecond
-	eachSize(t, func(t *testing.T, strong, weak int) {
-		playCluster(t, strong, weak, func(c *cluster) {
-			c.start(all)
+	forEachFleetSize(t, func(t *testing.T, strong, weak int) {
+		runCluster(t, strong, weak, func(c *cluster) {
+			c.start(anyNode)
 			time.Sleep(5 * time.Second)
-			lost := func(n *clusterNode) bool { return c.strong(n) && n != c.nodes[0] }
+			lost := func(n *clusterNode) bool { return c.isStrong(n) && n != c.nodes[0] }
 			c.kill(lost)
-			assert.LessOrEqual(t, c.until(false), lease)
+			assert.LessOrEqual(t, c.awaitOwned(false), lease)
 			time.Sleep(6 * time.Second)
-			assert.True(t, c.owned(false))
-			c.changes()
+			assert.True(t, c.isAllOwned(false))
+			c.takeOwnerStarts()
 			c.start(lost)
-			assert.LessOrEqual(t, c.until(true), memberTTL+reserveCheck)
+			assert.LessOrEqual(t, c.awaitOwned(true), memberTTL+yieldingCheckInterval)
 			time.Sleep(3 * time.Second)
-			assert.True(t, c.owned(true))
-			changes, _ := c.changes()
+			assert.True(t, c.isAllOwned(true))
+			changes, _ := c.takeOwnerStarts()
 			assert.LessOrEqual(t, changes, 4, "owners of a partition")
 		})
 	})
 }
 
 // In a fleet of VMs of one size nobody waits for stronger ones after a loss of all.
-func TestVMsOfOneSizeOwnAtOnceAfterALossOfAll(t *testing.T) {
-	eachSize(t, func(t *testing.T, strong, weak int) {
-		playCluster(t, 0, strong+weak, func(c *cluster) {
-			c.start(all)
-			assert.LessOrEqual(t, c.until(false), longestWait, "first start")
+func TestVMsOfOneSizeOwnAtOnceAfterALossOfAllNodes(t *testing.T) {
+	forEachFleetSize(t, func(t *testing.T, strong, weak int) {
+		runCluster(t, 0, strong+weak, func(c *cluster) {
+			c.start(anyNode)
+			assert.LessOrEqual(t, c.awaitOwned(false), maxInitialWait, "first start")
 			time.Sleep(5 * time.Second)
-			c.kill(all)
-			time.Sleep(powerGone)
-			c.start(all)
-			assert.LessOrEqual(t, c.until(false), ownedWithin)
+			c.kill(anyNode)
+			time.Sleep(outageTime)
+			c.start(anyNode)
+			assert.LessOrEqual(t, c.awaitOwned(false), maxTimeToOwned)
 		})
 	})
 }
 
 // A node is cut off from the store. By the time another one is dealt what it owned, it
 // must know that this may be so: until then it answers questions about its jobs.
-func TestMembershipIsKnownToHaveLapsedBeforeAnotherOwns(t *testing.T) {
-	playCluster(t, 2, 0, func(c *cluster) {
-		c.start(all)
-		c.until(true)
+func TestOwnedUntilEndsBeforeAnotherMemberOwns(t *testing.T) {
+	runCluster(t, 2, 0, func(c *cluster) {
+		c.start(anyNode)
+		c.awaitOwned(true)
 		time.Sleep(2 * time.Second)
 		cutOff, other := c.nodes[0], c.nodes[1]
-		var held []platform.Partition
+		var owned []platform.Partition
 		c.mu.Lock()
-		for p, n := range c.owner {
+		for p, n := range c.ownerByPartition {
 			if n == cutOff {
-				held = append(held, p)
+				owned = append(owned, p)
 			}
 		}
 		c.mu.Unlock()
-		require.NotEmpty(t, held)
-		cutOff.cut.Store(true)
-		assert.True(t, cutOff.manager.OwnedUntil(held[0]).After(time.Now()), "while it is only just cut off")
-		for passed := 0; passed < len(held); time.Sleep(time.Millisecond) {
+		require.NotEmpty(t, owned)
+		cutOff.isCut.Store(true)
+		assert.True(t, cutOff.manager.OwnedUntil(owned[0]).After(time.Now()), "while it is only just cut off")
+		for passed := 0; passed < len(owned); time.Sleep(time.Millisecond) {
 			passed = 0
-			for _, p := range held {
+			for _, p := range owned {
 				c.mu.Lock()
-				taken := c.owner[p] == other
+				hasPassed := c.ownerByPartition[p] == other
 				c.mu.Unlock()
-				if taken {
+				if hasPassed {
 					passed++
 					require.False(t, cutOff.manager.OwnedUntil(p).After(time.Now()), "partition %v has passed on", p)
 				}
