--- a/internal/ownership/stickygroup_test.go
+++ b/internal/ownership/stickygroup_test.go
@@ -12,154 +12,154 @@
 // as that allows; one that a live member holds passes on when that member has heard of it.
 // Members that have lapsed are not listed as owners.
 type stickyGroup struct {
-	mu      sync.Mutex
-	parts   int // of each topic
-	topics  []string
-	members map[string]time.Time // when they lapse
-	order   []string
-	gen     int64
-	holder  map[platform.Partition]string
-	wanted  map[platform.Partition]string
-	moved   map[platform.Partition]int64 // the generation that took it from its holder
-	records []platform.KeyedRecord
-	calls   float64
+	mu                 sync.Mutex
+	partitionsPerTopic int // of each topic
+	topics             []string
+	expiresAt          map[string]time.Time // when they lapse
+	order              []string
+	gen                int64
+	owner              map[platform.Partition]string
+	target             map[platform.Partition]string
+	revokedIn          map[platform.Partition]int64 // the generation that took it from its holder
+	records            []platform.KeyedRecord
+	callWeight         float64
 }
 
 const storeLatency = 4 * time.Millisecond
 
 func newStickyGroup(parts int) *stickyGroup {
-	return &stickyGroup{parts: parts, members: map[string]time.Time{}, holder: map[platform.Partition]string{}, wanted: map[platform.Partition]string{}, moved: map[platform.Partition]int64{}}
+	return &stickyGroup{partitionsPerTopic: parts, expiresAt: map[string]time.Time{}, owner: map[platform.Partition]string{}, target: map[platform.Partition]string{}, revokedIn: map[platform.Partition]int64{}}
 }
 
-// enter begins a call that counts for so much.
-func (g *stickyGroup) enter(weight float64) {
+// beginCall begins a call that counts for so much.
+func (g *stickyGroup) beginCall(weight float64) {
 	time.Sleep(storeLatency)
 	g.mu.Lock()
-	g.calls += weight
+	g.callWeight += weight
 	now := time.Now()
 	lapsed := 0
-	for name, at := range g.members {
+	for name, at := range g.expiresAt {
 		if now.After(at) {
-			delete(g.members, name)
+			delete(g.expiresAt, name)
 			lapsed++
 		}
 	}
 	if lapsed > 0 {
-		g.deal()
+		g.rebalance()
 	}
 }
 
-func (g *stickyGroup) all(do func(p platform.Partition)) {
+func (g *stickyGroup) forEachPartition(do func(p platform.Partition)) {
 	for _, topic := range g.topics {
-		for part := range g.parts {
+		for part := range g.partitionsPerTopic {
 			do(platform.Partition{Topic: topic, Part: part})
 		}
 	}
 }
 
-// deal chooses who is to hold what.
-func (g *stickyGroup) deal() {
+// rebalance chooses who is to hold what.
+func (g *stickyGroup) rebalance() {
 	g.gen++
 	var order []string
 	for _, name := range g.order {
-		if _, lives := g.members[name]; lives {
+		if _, lives := g.expiresAt[name]; lives {
 			order = append(order, name)
 		}
 	}
 	g.order = order
 	least, extra := 0, 0 // so many have one partition more than the least
-	if total := len(g.topics) * g.parts; len(order) > 0 {
+	if total := len(g.topics) * g.partitionsPerTopic; len(order) > 0 {
 		least, extra = total/len(order), total%len(order)
 	}
-	held := map[string]int{}
-	var open []platform.Partition
-	g.all(func(p platform.Partition) {
-		who := g.wanted[p]
-		_, lives := g.members[who]
+	owned := map[string]int{}
+	var unassigned []platform.Partition
+	g.forEachPartition(func(p platform.Partition) {
+		name := g.target[p]
+		_, lives := g.expiresAt[name]
 		switch {
-		case lives && held[who] < least:
-		case lives && held[who] == least && extra > 0:
+		case lives && owned[name] < least:
+		case lives && owned[name] == least && extra > 0:
 			extra--
 		default:
-			open = append(open, p)
+			unassigned = append(unassigned, p)
 			return
 		}
-		held[who]++
+		owned[name]++
 	})
 	for _, share := range []int{least, least + 1} {
 		for _, name := range order {
-			for len(open) > 0 && held[name] < share {
-				g.wanted[open[0]] = name
-				held[name]++
-				open = open[1:]
+			for len(unassigned) > 0 && owned[name] < share {
+				g.target[unassigned[0]] = name
+				owned[name]++
+				unassigned = unassigned[1:]
 			}
 		}
 	}
-	for _, p := range open {
-		delete(g.wanted, p)
+	for _, p := range unassigned {
+		delete(g.target, p)
 	}
-	g.all(func(p platform.Partition) {
-		if _, lives := g.members[g.holder[p]]; !lives {
-			g.holder[p] = g.wanted[p]
+	g.forEachPartition(func(p platform.Partition) {
+		if _, lives := g.expiresAt[g.owner[p]]; !lives {
+			g.owner[p] = g.target[p]
 		}
 		switch {
-		case g.holder[p] == g.wanted[p]:
-			g.moved[p] = 0
-		case g.moved[p] == 0:
-			g.moved[p] = g.gen
+		case g.owner[p] == g.target[p]:
+			g.revokedIn[p] = 0
+		case g.revokedIn[p] == 0:
+			g.revokedIn[p] = g.gen
 		}
 	})
 }
 
 func (g *stickyGroup) Join(_ context.Context, m platform.Member) (platform.Assignment, platform.StoreStatus, error) {
-	g.enter(0.1)
+	g.beginCall(0.1)
 	defer g.mu.Unlock()
 	g.topics = m.Topics
-	_, known := g.members[m.Name]
-	g.members[m.Name] = time.Now().Add(m.TTL)
+	_, known := g.expiresAt[m.Name]
+	g.expiresAt[m.Name] = time.Now().Add(m.TTL)
 	if !known {
 		g.order = append(g.order, m.Name)
-		g.deal()
+		g.rebalance()
 	}
 	a := platform.Assignment{Generation: g.gen}
-	g.all(func(p platform.Partition) {
-		if g.holder[p] != m.Name {
+	g.forEachPartition(func(p platform.Partition) {
+		if g.owner[p] != m.Name {
 			return
 		}
-		if g.wanted[p] == m.Name {
+		if g.target[p] == m.Name {
 			a.Parts = append(a.Parts, p)
-		} else if m.Generation >= g.moved[p] {
-			g.holder[p], g.moved[p] = g.wanted[p], 0
+		} else if m.Generation >= g.revokedIn[p] {
+			g.owner[p], g.revokedIn[p] = g.target[p], 0
 		}
 	})
 	return a, platform.StoreOK, nil
 }
 
 func (g *stickyGroup) Leave(_ context.Context, _, member string) (platform.StoreStatus, error) {
-	g.enter(1)
+	g.beginCall(1)
 	defer g.mu.Unlock()
-	delete(g.members, member)
-	g.deal()
+	delete(g.expiresAt, member)
+	g.rebalance()
 	return platform.StoreOK, nil
 }
 
 func (g *stickyGroup) Owners(context.Context, string) ([]platform.Owner, platform.StoreStatus, error) {
-	g.enter(1)
+	g.beginCall(1)
 	defer g.mu.Unlock()
 	var list []platform.Owner
-	g.all(func(p platform.Partition) { list = append(list, platform.Owner{Partition: p, Member: g.holder[p]}) })
+	g.forEachPartition(func(p platform.Partition) { list = append(list, platform.Owner{Partition: p, Member: g.owner[p]}) })
 	return list, platform.StoreOK, nil
 }
 
 func (g *stickyGroup) Append(_ context.Context, _ platform.Partition, _ *platform.Producer, records ...platform.KeyedRecord) (platform.StoreStatus, error) {
-	g.enter(1)
+	g.beginCall(1)
 	defer g.mu.Unlock()
 	g.records = append(g.records, records...)
 	return platform.StoreOK, nil
 }
 
 func (g *stickyGroup) Newest(context.Context, platform.Partition) (platform.Batch, platform.StoreStatus, error) {
-	g.enter(1)
+	g.beginCall(1)
 	defer g.mu.Unlock()
 	return platform.Batch{Records: g.records}, platform.StoreOK, nil
 }
