--- a/internal/scheduler/authority_test.go
+++ b/internal/scheduler/authority_test.go
@@ -11,71 +11,71 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// playFor steps for a while and answers each poll of a worker with its running tasks.
-func (r *rig) playFor(d time.Duration, worker string, running ...workload.RunState) scheduler.Orders {
-	var all scheduler.Orders
+// stepReporting steps for a while and answers each poll of a worker with its running tasks.
+func (r *rig) stepReporting(d time.Duration, worker string, running ...workload.RunState) scheduler.Orders {
+	var collected scheduler.Orders
 	for until := r.now.Add(d); r.now.Before(until); {
 		orders := r.step(50 * time.Millisecond)
-		all.Starts = append(all.Starts, orders.Starts...)
-		all.Stops = append(all.Stops, orders.Stops...)
-		all.Holds = append(all.Holds, orders.Holds...)
-		r.held(worker, r.now, workload.Held{Running: running})
+		collected.Starts = append(collected.Starts, orders.Starts...)
+		collected.Stops = append(collected.Stops, orders.Stops...)
+		collected.Holds = append(collected.Holds, orders.Holds...)
+		r.answerPoll(worker, r.now, workload.Held{Running: running})
 	}
-	return all
+	return collected
 }
 
 // Guards against an owner that may have a successor keeping tasks alive there, where the
 // successor can't reach the worker: it starts nothing, renews no lease and moves no task
 // until it is confirmed again.
-func TestOwnerWithoutAuthorityGrantsNothing(t *testing.T) {
+func TestOwnerWithoutAuthorityNeitherStartsNorRenews(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	lasting := workload.Step{Count: 1, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true}
-	s := r.begin("0000000000000001", lasting)[0]
+	r.syncWorkers("w-1")
+	longRunning := workload.Step{Count: 1, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true}
+	s := r.startJob("0000000000000001", longRunning)[0]
 	running := workload.RunState{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}
 	r.core.SetAuthority(r.now.Add(500 * time.Millisecond))
-	renewed := func(orders scheduler.Orders) (n int) {
-		for _, h := range orders.Holds {
-			if h.Hold.LeaseUntil > 0 {
+	countRenewals := func(orders scheduler.Orders) (n int) {
+		for _, poll := range orders.Holds {
+			if poll.Hold.LeaseUntil > 0 {
 				n++
 			}
 		}
 		return n
 	}
-	require.NotZero(t, renewed(r.playFor(400*time.Millisecond, "w-1", running)))
+	require.NotZero(t, countRenewals(r.stepReporting(400*time.Millisecond, "w-1", running)))
 
 	r.step(100 * time.Millisecond)
-	r.submit("0000000000000002", batch(1, 1000))
+	r.submit("0000000000000002", batchStep(1, 1000))
 	r.core.Evacuate("w-1", r.now)
-	orders := r.playFor(time.Second, "w-1", running)
+	orders := r.stepReporting(time.Second, "w-1", running)
 	assert.NotEmpty(t, orders.Holds, "its workers are polled: one of them may tell of the successor")
-	assert.Zero(t, renewed(orders))
+	assert.Zero(t, countRenewals(orders))
 	assert.Empty(t, orders.Starts)
 	assert.Empty(t, orders.Stops)
 
 	r.core.SetAuthority(r.now.Add(10 * time.Second))
-	orders = r.playFor(3*time.Second, "w-1", running)
-	assert.NotZero(t, renewed(orders))
+	orders = r.stepReporting(3*time.Second, "w-1", running)
+	assert.NotZero(t, countRenewals(orders))
 	assert.NotEmpty(t, orders.Starts)
 }
 
 // Guards against a successor that reckons an earlier owner's last lease from its own
 // beginning: that one may go on for Overlap.
-func TestTakeoverWaitsForLeasesGivenAfterItBegan(t *testing.T) {
+func TestTakeoverWaitsForLeasesRenewedAfterItBegan(t *testing.T) {
 	settings := testSettings(3)
-	settings.Overlap = memberTTL
-	r := &rig{t: t, now: epochStart, epoch: 3}
+	settings.Overlap = membershipTTL
+	r := &rig{t: t, now: historyStart, epoch: 3}
 	r.core = scheduler.New(settings, r.now, []string{"w-1", "w-2"}, false)
 	r.core.SetConfig(testConfig)
-	r.workers("w-1", "w-2")
-	r.submit("0000000000000001", batch(1, 1000))
+	r.setWorkers("w-1", "w-2")
+	r.submit("0000000000000001", batchStep(1, 1000))
 	r.step(0)
-	r.held("w-1", r.now, workload.Held{})
-	for r.now.Sub(epochStart) < memberTTL+testLease*100/98 {
-		require.Empty(t, r.step(50*time.Millisecond).Starts, "after %s", r.now.Sub(epochStart))
-		r.held("w-1", r.now, workload.Held{})
+	r.answerPoll("w-1", r.now, workload.Held{})
+	for r.now.Sub(historyStart) < membershipTTL+testLease*100/98 {
+		require.Empty(t, r.step(50*time.Millisecond).Starts, "after %s", r.now.Sub(historyStart))
+		r.answerPoll("w-1", r.now, workload.Held{})
 	}
-	assert.NotEmpty(t, r.play(500*time.Millisecond).Starts)
+	assert.NotEmpty(t, r.stepFor(500*time.Millisecond).Starts)
 }
 
 // Guards against a run of an earlier owner that was listed once being given up before the
@@ -83,18 +83,18 @@
 // tells how long it may last.
 func TestAdoptedRunIsKeptForTheEarlierOwnersLease(t *testing.T) {
 	r := newRig(t, "w-1")
-	r.workers("w-1", "w-2")
-	job := r.submit("0000000000000001", batch(1, 1000))
+	r.setWorkers("w-1", "w-2")
+	job := r.submit("0000000000000001", batchStep(1, 1000))
 	r.core.SetAuthority(r.now)
 	r.step(0)
-	r.held("w-1", r.now, workload.Held{Running: []workload.RunState{{Task: workload.TaskKey{Job: job}, Run: 65537, Percent: 100}}})
-	r.held("w-2", r.now, workload.Held{})
+	r.answerPoll("w-1", r.now, workload.Held{Running: []workload.RunState{{Task: workload.TaskKey{Job: job}, Run: 65537, Percent: 100}}})
+	r.answerPoll("w-2", r.now, workload.Held{})
 	r.step(50 * time.Millisecond)
-	r.workers("w-2")
+	r.setWorkers("w-2")
 	r.core.SetAuthority(r.now.Add(time.Minute))
-	r.unanswered("w-1")
-	for r.now.Sub(epochStart) < testLease {
-		require.Empty(t, r.refusedFor("w-1", 100*time.Millisecond).Starts, "after %s", r.now.Sub(epochStart))
-		r.held("w-2", r.now, workload.Held{})
+	r.timeOutPoll("w-1")
+	for r.now.Sub(historyStart) < testLease {
+		require.Empty(t, r.refusePollsFor("w-1", 100*time.Millisecond).Starts, "after %s", r.now.Sub(historyStart))
+		r.answerPoll("w-2", r.now, workload.Held{})
 	}
 }
--- a/internal/scheduler/core_test.go
+++ b/internal/scheduler/core_test.go
@@ -14,30 +14,30 @@
 // The caller's job takes one poll more to begin. A worker may run what an earlier
 // owner started there: nothing is started anywhere before each one has answered
 // under the new token, as the same task could run on the one that has not.
-func TestNothingStartsBeforeAllSuspectsAnswered(t *testing.T) {
+func TestNothingStartsBeforeEveryUnresolvedWorkerAnswers(t *testing.T) {
 	r := newRig(t, "w-1", "w-2")
-	r.workers("w-1", "w-2")
-	r.submit("0000000000000001", batch(1, 1000))
+	r.setWorkers("w-1", "w-2")
+	r.submit("0000000000000001", batchStep(1, 1000))
 	r.step(0)
-	r.held("w-1", r.now, workload.Held{})
+	r.answerPoll("w-1", r.now, workload.Held{})
 	assert.Empty(t, r.step(50*time.Millisecond).Starts)
-	r.held("w-2", r.now, workload.Held{})
+	r.answerPoll("w-2", r.now, workload.Held{})
 	assert.Len(t, r.step(50*time.Millisecond).Starts, 1)
 }
 
 // A worker stays silent at a takeover. What it runs has ended when the last
 // lease that the earlier owner can have given has lapsed, also on a clock that
 // is 2% slow; before that nothing is started.
-func TestSilentSuspectIsWaitedForUntilItsLeaseIsOver(t *testing.T) {
+func TestTakeoverWaitsForTheLeaseOfASilentWorker(t *testing.T) {
 	r := newRig(t, "w-1", "w-2")
-	r.workers("w-1", "w-2")
-	r.submit("0000000000000001", batch(1, 1000))
+	r.setWorkers("w-1", "w-2")
+	r.submit("0000000000000001", batchStep(1, 1000))
 	r.step(0)
-	r.held("w-1", r.now, workload.Held{})
-	slowest := testLease * 100 / 98
-	for r.now.Sub(epochStart) < slowest {
-		require.Empty(t, r.step(100*time.Millisecond).Starts, "after %s", r.now.Sub(epochStart))
-		r.held("w-1", r.now, workload.Held{})
+	r.answerPoll("w-1", r.now, workload.Held{})
+	leaseOnSlowClock := testLease * 100 / 98
+	for r.now.Sub(historyStart) < leaseOnSlowClock {
+		require.Empty(t, r.step(100*time.Millisecond).Starts, "after %s", r.now.Sub(historyStart))
+		r.answerPoll("w-1", r.now, workload.Held{})
 	}
 	started := false
 	for range 10 {
@@ -50,13 +50,13 @@
 // a second time, and its end counts.
 func TestRunOfAnEarlierOwnerIsAdopted(t *testing.T) {
 	r := newRig(t, "w-1")
-	r.workers("w-1")
-	job := r.submit("0000000000000001", batch(1, 1000))
+	r.setWorkers("w-1")
+	job := r.submit("0000000000000001", batchStep(1, 1000))
 	r.step(0)
 	key := workload.TaskKey{Job: job}
-	r.held("w-1", r.now, workload.Held{Running: []workload.RunState{{Task: key, Run: 65537, Percent: 100}}})
+	r.answerPoll("w-1", r.now, workload.Held{Running: []workload.RunState{{Task: key, Run: 65537, Percent: 100}}})
 	assert.Empty(t, r.step(50*time.Millisecond).Starts)
-	r.held("w-1", r.now, workload.Held{Finished: []workload.RunEnd{{Number: 1, Task: key, Run: 65537, How: workload.EndDone}}})
+	r.answerPoll("w-1", r.now, workload.Held{Finished: []workload.RunEnd{{Number: 1, Task: key, Run: 65537, How: workload.EndDone}}})
 	r.step(50 * time.Millisecond)
 	state, _ := r.core.State(job)
 	assert.Equal(t, workload.Completed, state)
@@ -65,67 +65,67 @@
 // A start has no answer and is carried out late. The worker's list does not have
 // it at first, so it is stopped; the stop's answer keeps the late start out. Only
 // a poll after that frees the task for another worker.
-func TestStartWithoutAnAnswerIsStoppedBeforeItIsTriedElsewhere(t *testing.T) {
+func TestUnansweredStartIsStoppedBeforeTheTaskStartsElsewhere(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1", "w-2")
-	r.submit("0000000000000001", batch(1, 1000))
+	r.syncWorkers("w-1", "w-2")
+	r.submit("0000000000000001", batchStep(1, 1000))
 	start := r.step(20 * time.Millisecond).Starts[0]
-	r.started(start, workload.WorkerUnknown)
-	sent := r.now.Add(time.Millisecond)
+	r.answerStart(start, workload.WorkerUnknown)
+	sentAt := r.now.Add(time.Millisecond)
 	assert.Empty(t, r.step(20*time.Millisecond).Starts)
-	r.held(start.Worker.ID, sent, workload.Held{})
+	r.answerPoll(start.Worker.ID, sentAt, workload.Held{})
 	orders := r.step(20 * time.Millisecond)
 	require.Len(t, orders.Stops, 1)
 	assert.Equal(t, start.Start.Run, orders.Stops[0].Run)
 	assert.Empty(t, orders.Starts)
 	r.core.Stopped(scheduler.OrderResult{Worker: start.Worker.ID, Task: start.Start.Task, Run: start.Start.Run, Token: start.Start.Token, Answer: workload.WorkerAnswer{Clock: 1000}}, r.now)
-	before := r.now.Add(-time.Millisecond)
-	r.held(start.Worker.ID, before, workload.Held{})
+	sentBeforeStopAnswer := r.now.Add(-time.Millisecond)
+	r.answerPoll(start.Worker.ID, sentBeforeStopAnswer, workload.Held{})
 	assert.Empty(t, r.step(20*time.Millisecond).Starts, "that poll was sent before the stop was answered")
-	r.held(start.Worker.ID, r.now, workload.Held{})
-	again := r.step(20 * time.Millisecond).Starts
-	require.Len(t, again, 1)
-	assert.Greater(t, again[0].Start.Run, start.Start.Run)
+	r.answerPoll(start.Worker.ID, r.now, workload.Held{})
+	restarts := r.step(20 * time.Millisecond).Starts
+	require.Len(t, restarts, 1)
+	assert.Greater(t, restarts[0].Start.Run, start.Start.Run)
 }
 
 // An end is acknowledged to the worker, and shown to the caller, only once it is
 // stored: the worker's list is all that a new owner would have of it.
-func TestEndIsStoredBeforeItIsAcknowledged(t *testing.T) {
+func TestExitIsStoredBeforeItIsAcknowledged(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	job := r.submit("0000000000000001", batch(1, 1000))
+	r.syncWorkers("w-1")
+	job := r.submit("0000000000000001", batchStep(1, 1000))
 	start := r.step(20 * time.Millisecond).Starts[0]
-	r.started(start, workload.WorkerOK)
-	r.held("w-1", r.now, end(1, start, workload.EndDone))
+	r.answerStart(start, workload.WorkerOK)
+	r.answerPoll("w-1", r.now, exitReport(1, start, workload.EndDone))
 	r.now = r.now.Add(500 * time.Millisecond)
 	orders := r.core.Step(r.now)
 	require.NotNil(t, orders.Write)
-	for _, h := range orders.Holds {
-		assert.Zero(t, h.Hold.Acked)
+	for _, poll := range orders.Holds {
+		assert.Zero(t, poll.Hold.Acked)
 	}
 	state, _ := r.core.State(job)
 	assert.Equal(t, workload.Running, state)
 	r.core.Written()
 	state, _ = r.core.State(job)
 	assert.Equal(t, workload.Completed, state)
-	holds := r.core.Step(r.now.Add(time.Second)).Holds
-	for _, h := range holds {
-		assert.Equal(t, int64(1), h.Hold.Acked)
+	polls := r.core.Step(r.now.Add(time.Second)).Holds
+	for _, poll := range polls {
+		assert.Equal(t, int64(1), poll.Hold.Acked)
 	}
 }
 
 // A caller cancels its job and then a record of the job comes again, as when two
 // nodes took the same request. The first one counts.
-func TestSameIDTwiceIsOneJob(t *testing.T) {
+func TestRepeatedSubmissionIsIgnored(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	job := r.submit("0000000000000001", batch(1, 1000))
+	r.syncWorkers("w-1")
+	job := r.submit("0000000000000001", batchStep(1, 1000))
 	require.Len(t, r.step(20*time.Millisecond).Starts, 1)
-	r.submit("0000000000000001", batch(3, 1000))
+	r.submit("0000000000000001", batchStep(3, 1000))
 	assert.Empty(t, r.step(20*time.Millisecond).Starts)
 	r.core.CancelRequested(job, r.now)
 	r.step(20 * time.Millisecond)
-	r.submit("0000000000000001", batch(3, 1000))
+	r.submit("0000000000000001", batchStep(3, 1000))
 	assert.Empty(t, r.step(20*time.Millisecond).Starts)
 	state, _ := r.core.State(job)
 	assert.Equal(t, workload.Cancelled, state)
@@ -135,123 +135,123 @@
 // It is stopped.
 func TestCancelledJobWithALateStartIsStopped(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	job := r.submit("0000000000000001", batch(1, 1000))
+	r.syncWorkers("w-1")
+	job := r.submit("0000000000000001", batchStep(1, 1000))
 	start := r.step(20 * time.Millisecond).Starts[0]
 	r.core.CancelRequested(job, r.now)
 	r.step(20 * time.Millisecond)
-	r.started(start, workload.WorkerUnknown)
+	r.answerStart(start, workload.WorkerUnknown)
 	r.core.Stopped(scheduler.OrderResult{Worker: "w-1", Task: start.Start.Task, Run: start.Start.Run, Token: start.Start.Token, Answer: workload.WorkerAnswer{Status: workload.WorkerUnknown}}, r.now)
 	r.step(20 * time.Millisecond)
 	r.step(400 * time.Millisecond)
-	r.held("w-1", r.now, workload.Held{Running: []workload.RunState{{Task: start.Start.Task, Run: start.Start.Run, Percent: 100}}})
+	r.answerPoll("w-1", r.now, workload.Held{Running: []workload.RunState{{Task: start.Start.Task, Run: start.Start.Run, Percent: 100}}})
 	assert.NotEmpty(t, r.step(20*time.Millisecond).Stops)
 }
 
 // A worker refuses a connection while nothing runs on it. It gets no work until
 // it answers, and it is asked, so that it does not stay aside for ever.
-func TestIdleWorkerThatWasSilentIsAskedAgain(t *testing.T) {
+func TestIdleWorkerIsPolledAfterAnUndeliveredStart(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	r.submit("0000000000000001", batch(1, 1000))
+	r.syncWorkers("w-1")
+	r.submit("0000000000000001", batchStep(1, 1000))
 	start := r.step(20 * time.Millisecond).Starts[0]
-	r.started(start, workload.WorkerNotSent)
+	r.answerStart(start, workload.WorkerNotSent)
 	orders := r.step(400 * time.Millisecond)
 	assert.Empty(t, orders.Starts)
 	require.Len(t, orders.Holds, 1)
-	r.held("w-1", r.now, workload.Held{})
+	r.answerPoll("w-1", r.now, workload.Held{})
 	assert.Len(t, r.step(400*time.Millisecond).Starts, 1)
 }
 
 // A worker fails all that it starts. After a few failures of several jobs it is
 // set aside, and the jobs are run elsewhere.
-func TestWorkerThatFailsAllIsSetAside(t *testing.T) {
+func TestWorkerThatFailsTasksOfSeveralJobsGetsNoNewOnes(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
+	r.syncWorkers("w-1")
 	for i := range 6 {
-		r.submit("000000000000000"+string(rune('1'+i)), batch(1, 1000))
+		r.submit("000000000000000"+string(rune('1'+i)), batchStep(1, 1000))
 	}
 	starts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, starts, 6)
 	for i, s := range starts[:3] {
-		r.started(s, workload.WorkerOK)
-		r.held("w-1", r.now, end(int64(i+1), s, workload.EndFailed))
+		r.answerStart(s, workload.WorkerOK)
+		r.answerPoll("w-1", r.now, exitReport(int64(i+1), s, workload.EndFailed))
 	}
 	assert.Empty(t, r.step(1100*time.Millisecond).Starts, "nothing new goes to it")
-	for _, s := range r.ready("w-1", "w-2") {
+	for _, s := range r.syncWorkers("w-1", "w-2") {
 		assert.Equal(t, "w-2", s.Worker.ID)
 	}
 }
 
 // An owner hands over while a worker does not answer. The next one knows what it
 // may run: other tasks start at once, that one when the lease is over.
-func TestHandoverKeepsOnlyWhatMayRunWaiting(t *testing.T) {
+func TestHandoverDelaysOnlyTasksThatMayStillRun(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	first := r.submit("0000000000000001", batch(1, 1000))
+	r.syncWorkers("w-1")
+	first := r.submit("0000000000000001", batchStep(1, 1000))
 	start := r.step(20 * time.Millisecond).Starts[0]
-	r.started(start, workload.WorkerOK)
-	var left *workload.Handover
+	r.answerStart(start, workload.WorkerOK)
+	var handover *workload.Handover
 	for _, record := range r.core.Handover(r.now) {
 		if record.Handover != nil {
-			left = record.Handover
+			handover = record.Handover
 		}
 	}
-	require.NotNil(t, left)
-	require.Len(t, left.Runs, 1)
+	require.NotNil(t, handover)
+	require.Len(t, handover.Runs, 1)
 
 	next := &rig{t: t, now: r.now, epoch: 4}
 	next.core = scheduler.New(testSettings(4), next.now, nil, false)
 	next.core.SetConfig(testConfig)
-	next.submit(string(first), batch(1, 1000))
-	second := next.submit("0000000000000002", batch(1, 1000))
-	next.core.Inherit(left, next.now)
-	next.workers("w-1", "w-2")
+	next.submit(string(first), batchStep(1, 1000))
+	second := next.submit("0000000000000002", batchStep(1, 1000))
+	next.core.Inherit(handover, next.now)
+	next.setWorkers("w-1", "w-2")
 	next.step(0)
 	next.core.Held(scheduler.HoldResult{Worker: "w-1", Token: 4 << 10, SentAt: next.now, Answer: workload.WorkerAnswer{Status: workload.WorkerUnknown}}, next.now)
 	next.core.Held(scheduler.HoldResult{Worker: "w-2", Token: 4 << 10, SentAt: next.now, Answer: workload.WorkerAnswer{Clock: 1000}}, next.now)
 	var started []workload.JobID
-	play := func(steps int) {
+	stepTimes := func(steps int) {
 		for range steps {
 			orders := next.step(100 * time.Millisecond)
 			for _, s := range orders.Starts {
 				started = append(started, s.Start.Task.Job)
 			}
-			for _, h := range orders.Holds {
-				if h.Worker.ID != "w-1" {
+			for _, poll := range orders.Holds {
+				if poll.Worker.ID != "w-1" {
 					continue // it waits for an end
 				}
-				next.core.Held(scheduler.HoldResult{Worker: h.Worker.ID, Token: h.Hold.Token, SentAt: next.now, Answer: workload.WorkerAnswer{Status: workload.WorkerUnknown}}, next.now)
+				next.core.Held(scheduler.HoldResult{Worker: poll.Worker.ID, Token: poll.Hold.Token, SentAt: next.now, Answer: workload.WorkerAnswer{Status: workload.WorkerUnknown}}, next.now)
 			}
 		}
 	}
-	play(30)
+	stepTimes(30)
 	assert.Equal(t, []workload.JobID{second}, started)
-	play(12)
+	stepTimes(12)
 	assert.Contains(t, started, first)
 }
 
 // The owner's process stands still while a worker answers it, and wakes to calls
 // that have timed out. It asks once more before it gives the worker's tasks up:
 // the answer lists one as done, and the caller's task runs once.
-func TestTasksAreNotGivenUpWhileThisProcessHardlyGetsOn(t *testing.T) {
+func TestStalledOwnerPollsAgainBeforeItGivesUpRuns(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1", "w-2")
-	job := r.submit("0000000000000001", batch(1, 1000))
+	r.syncWorkers("w-1", "w-2")
+	job := r.submit("0000000000000001", batchStep(1, 1000))
 	start := r.step(20 * time.Millisecond).Starts[0]
-	r.started(start, workload.WorkerOK)
-	sent := r.now
+	r.answerStart(start, workload.WorkerOK)
+	sentAt := r.now
 	r.step(20 * time.Millisecond)
 	r.now = r.now.Add(6 * time.Second)
-	r.core.Held(scheduler.HoldResult{Worker: start.Worker.ID, Token: 3 << 10, SentAt: sent, Answer: workload.WorkerAnswer{Status: workload.WorkerUnknown}}, r.now)
-	var holds []scheduler.HoldOrder
+	r.core.Held(scheduler.HoldResult{Worker: start.Worker.ID, Token: 3 << 10, SentAt: sentAt, Answer: workload.WorkerAnswer{Status: workload.WorkerUnknown}}, r.now)
+	var polls []scheduler.HoldOrder
 	for range 4 {
 		orders := r.step(100 * time.Millisecond)
 		require.Empty(t, orders.Starts)
-		holds = append(holds, orders.Holds...)
+		polls = append(polls, orders.Holds...)
 	}
-	require.NotEmpty(t, holds)
-	r.held(start.Worker.ID, r.now, end(1, start, workload.EndDone))
+	require.NotEmpty(t, polls)
+	r.answerPoll(start.Worker.ID, r.now, exitReport(1, start, workload.EndDone))
 	r.step(100 * time.Millisecond)
 	state, _ := r.core.State(job)
 	assert.Equal(t, workload.Completed, state)
@@ -265,16 +265,16 @@
 	for i := range 30 {
 		ids = append(ids, "w-"+string(rune('a'+i)))
 	}
-	r.ready(ids...)
+	r.syncWorkers(ids...)
 	for i := range 30 {
-		r.submit("00000000000001"+string(rune('0'+i/10))+string(rune('0'+i%10)), batch(8, 1000))
+		r.submit("00000000000001"+string(rune('0'+i/10))+string(rune('0'+i%10)), batchStep(8, 1000))
 	}
 	first := r.step(20 * time.Millisecond).Starts
 	require.NotEmpty(t, first)
 	require.LessOrEqual(t, len(first), 64)
 	assert.Empty(t, r.step(20*time.Millisecond).Starts, "none was answered yet")
 	for _, s := range first {
-		r.started(s, workload.WorkerOK)
+		r.answerStart(s, workload.WorkerOK)
 	}
 	assert.NotEmpty(t, r.step(20*time.Millisecond).Starts)
 }
@@ -282,26 +282,26 @@
 // A task ends while another runs on the worker. Until its end is stored the worker
 // is left alone, as it would answer each poll at once; then it is polled without
 // a pause. Otherwise every end costs the next one on that worker 400 ms.
-func TestPollFollowsAStoredEndAtOnce(t *testing.T) {
+func TestPollFollowsAStoredExitAtOnce(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	r.submit("0000000000000001", batch(2, 1000))
+	r.syncWorkers("w-1")
+	r.submit("0000000000000001", batchStep(2, 1000))
 	starts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, starts, 2)
 	for _, s := range starts {
-		r.started(s, workload.WorkerOK)
+		r.answerStart(s, workload.WorkerOK)
 	}
-	held := end(1, starts[0], workload.EndDone)
-	held.Running = []workload.RunState{{Task: starts[1].Start.Task, Run: starts[1].Start.Run, Percent: 100}}
-	r.held("w-1", r.now.Add(time.Millisecond), held)
+	report := exitReport(1, starts[0], workload.EndDone)
+	report.Running = []workload.RunState{{Task: starts[1].Start.Task, Run: starts[1].Start.Run, Percent: 100}}
+	r.answerPoll("w-1", r.now.Add(time.Millisecond), report)
 	r.now = r.now.Add(20 * time.Millisecond)
 	orders := r.core.Step(r.now)
 	require.NotNil(t, orders.Write)
 	assert.Empty(t, orders.Holds)
 	r.core.Written()
-	holds := r.core.Step(r.now.Add(5 * time.Millisecond)).Holds
-	require.Len(t, holds, 1)
-	assert.Equal(t, int64(1), holds[0].Hold.Acked)
+	polls := r.core.Step(r.now.Add(5 * time.Millisecond)).Holds
+	require.Len(t, polls, 1)
+	assert.Equal(t, int64(1), polls[0].Hold.Acked)
 }
 
 // A caller cancels its job, and the owner hands over before its stop has reached the
@@ -309,31 +309,31 @@
 // it is stopped. Without that a lasting task runs on for ever.
 func TestRunOfACancelledJobIsStoppedAfterAHandover(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	lasting := workload.Step{Count: 1, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true}
-	job := r.submit("0000000000000001", lasting)
+	r.syncWorkers("w-1")
+	longRunning := workload.Step{Count: 1, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true}
+	job := r.submit("0000000000000001", longRunning)
 	start := r.step(20 * time.Millisecond).Starts[0]
-	r.started(start, workload.WorkerOK)
+	r.answerStart(start, workload.WorkerOK)
 	r.core.CancelRequested(job, r.now)
 	require.Len(t, r.step(20*time.Millisecond).Stops, 1) // it is lost
-	var left *workload.Handover
+	var handover *workload.Handover
 	for _, record := range r.core.Handover(r.now) {
 		if record.Handover != nil {
-			left = record.Handover
+			handover = record.Handover
 		}
 	}
-	require.Len(t, left.Runs, 1)
+	require.Len(t, handover.Runs, 1)
 
 	next := &rig{t: t, now: r.now, epoch: 4}
 	next.core = scheduler.New(testSettings(4), next.now, nil, false)
 	next.core.SetConfig(testConfig)
 	next.core.CancelRequested(job, next.now)
-	next.submit(string(job), lasting)
-	next.core.Inherit(left, next.now)
-	next.workers("w-1")
+	next.submit(string(job), longRunning)
+	next.core.Inherit(handover, next.now)
+	next.setWorkers("w-1")
 	next.step(0)
-	listed := workload.Held{Running: []workload.RunState{{Task: start.Start.Task, Run: start.Start.Run, Percent: 100}}}
-	next.core.Held(scheduler.HoldResult{Worker: "w-1", Token: 4 << 10, SentAt: next.now, Held: listed, Answer: workload.WorkerAnswer{Clock: 1000}}, next.now)
+	report := workload.Held{Running: []workload.RunState{{Task: start.Start.Task, Run: start.Start.Run, Percent: 100}}}
+	next.core.Held(scheduler.HoldResult{Worker: "w-1", Token: 4 << 10, SentAt: next.now, Held: report, Answer: workload.WorkerAnswer{Clock: 1000}}, next.now)
 	stops := next.step(20 * time.Millisecond).Stops
 	require.Len(t, stops, 1)
 	assert.Equal(t, start.Start.Run, stops[0].Run)
@@ -342,16 +342,16 @@
 // A worker's room shrinks below what a caller's job needs and grows again. Nothing is
 // started there meanwhile, what runs goes on, the service is said to lack a worker for
 // the job for as long only, and the job is run in the end.
-func TestRoomThatShrinksAndGrowsIsFollowed(t *testing.T) {
+func TestPlacementFollowsChangesOfWorkerCapacity(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	has := func(room workload.Resources) {
-		r.core.SetWorkers([]workload.Worker{{ID: "w-1", Service: "service", Address: "w-1", Labels: []string{"a", "rack"}, Capacity: room}}, r.now)
+	r.syncWorkers("w-1")
+	setCapacity := func(capacity workload.Resources) {
+		r.core.SetWorkers([]workload.Worker{{ID: "w-1", Service: "service", Address: "w-1", Labels: []string{"a", "rack"}, Capacity: capacity}}, r.now)
 	}
-	r.begin("0000000000000001", batch(1, 3000))
-	has(workload.Resources{CPU: 2000, MemoryMB: 4000})
-	job := r.submit("0000000000000002", batch(1, 3000))
-	orders := r.play(30 * time.Second)
+	r.startJob("0000000000000001", batchStep(1, 3000))
+	setCapacity(workload.Resources{CPU: 2000, MemoryMB: 4000})
+	job := r.submit("0000000000000002", batchStep(1, 3000))
+	orders := r.stepFor(30 * time.Second)
 	assert.Empty(t, orders.Starts)
 	assert.Empty(t, orders.Stops)
 	load := r.core.Loads(r.now)[0]
@@ -361,36 +361,36 @@
 	state, _ := r.core.State(job)
 	assert.Equal(t, workload.Pending, state)
 
-	has(workload.Resources{CPU: 8000, MemoryMB: 16000})
+	setCapacity(workload.Resources{CPU: 8000, MemoryMB: 16000})
 	load = r.core.Loads(r.now)[0]
 	assert.Empty(t, load.Lacks)
 	assert.Nil(t, load.Workers["w-1"].Shrunk)
-	assert.Len(t, r.play(200*time.Millisecond).Starts, 1)
+	assert.Len(t, r.stepFor(200*time.Millisecond).Starts, 1)
 }
 
 // The worker that keeps its room for a large job shrinks below what that one needs.
 // Another one keeps it from then on; the job would else wait beside it for ever.
-func TestRoomIsKeptWhereItIsLargeEnoughNow(t *testing.T) {
+func TestReservationMovesWhenItsWorkerShrinks(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1", "w-2")
-	lasting := batch(1, 7000)
-	lasting.Lasting = true
-	first := r.begin("0000000000000001", batch(1, 5000))[0].Worker.ID
-	second := r.begin("0000000000000002", batch(1, 6000))[0].Worker.ID
-	require.NotEqual(t, first, second)
-	r.submit("0000000000000003", lasting)
+	r.syncWorkers("w-1", "w-2")
+	longRunning := batchStep(1, 7000)
+	longRunning.Lasting = true
+	shrunkWorker := r.startJob("0000000000000001", batchStep(1, 5000))[0].Worker.ID
+	otherWorker := r.startJob("0000000000000002", batchStep(1, 6000))[0].Worker.ID
+	require.NotEqual(t, shrunkWorker, otherWorker)
+	r.submit("0000000000000003", longRunning)
 	r.step(30 * time.Millisecond)
 	var list []workload.Worker
 	for _, id := range []string{"w-1", "w-2"} {
-		room := workload.Resources{CPU: 8000, MemoryMB: 16000}
-		if id == first {
-			room.CPU = 6000
+		capacity := workload.Resources{CPU: 8000, MemoryMB: 16000}
+		if id == shrunkWorker {
+			capacity.CPU = 6000
 		}
-		list = append(list, workload.Worker{ID: id, Service: "service", Address: id, Labels: []string{"a", "rack"}, Capacity: room})
+		list = append(list, workload.Worker{ID: id, Service: "service", Address: id, Labels: []string{"a", "rack"}, Capacity: capacity})
 	}
 	r.core.SetWorkers(list, r.now)
-	r.submit("0000000000000004", batch(1, 1000))
+	r.submit("0000000000000004", batchStep(1, 1000))
 	starts := r.step(30 * time.Millisecond).Starts
 	require.Len(t, starts, 1)
-	assert.Equal(t, first, starts[0].Worker.ID)
+	assert.Equal(t, shrunkWorker, starts[0].Worker.ID)
 }
--- a/internal/scheduler/crash_test.go
+++ b/internal/scheduler/crash_test.go
@@ -20,18 +20,18 @@
 // given up, and its job shown as failed, before a third start after three crashes.
 func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	r := newRig(t)
-	job := r.submit("0000000000000001", batch(1, 1000))
+	job := r.submit("0000000000000001", batchStep(1, 1000))
 	starts := 0
 	for n := range 40 {
 		id := "w-" + strconv.Itoa(n)
-		list := r.ready(id)
+		pendingStarts := r.syncWorkers(id)
 		for range 5 {
-			for _, s := range list {
+			for _, s := range pendingStarts {
 				starts++
-				r.started(s, workload.WorkerOK)
-				r.replaced(id)
+				r.answerStart(s, workload.WorkerOK)
+				r.answerPollReplaced(id)
 			}
-			list = r.step(100 * time.Millisecond).Starts
+			pendingStarts = r.step(100 * time.Millisecond).Starts
 		}
 	}
 	assert.LessOrEqual(t, starts, 5)
@@ -39,9 +39,9 @@
 	assert.Equal(t, workload.Failed, state)
 }
 
-// crashSpec draws a job of which one task crashes its workers: of any kind that
+// randomCrashingSpec draws a job of which one task crashes its workers: of any kind that
 // there is.
-func (w *world) crashSpec() workload.Spec {
+func (w *world) randomCrashingSpec() workload.Spec {
 	s := workload.Step{
 		Count:      1 + w.rng.IntN(4),
 		Need:       workload.Resources{CPU: 500 + w.rng.IntN(4000), MemoryMB: 500 + w.rng.IntN(8000)},
@@ -66,32 +66,32 @@
 	return spec
 }
 
-// crashHistory plays two minutes of jobs of which a few crash their workers, on 16
+// playCrashHistory plays two minutes of jobs of which a few crash their workers, on 16
 // workers whose room shrinks and grows and which refuse connections at times, in every second history under owners that are
 // killed, replaced and hand over while the store comes and goes, in every third one
 // on workers that don't guard their room. With restarts, workers that crash come back under
 // their ID, and some restart of themselves.
-func crashHistory(seed uint64) (w *world, crashing []*fakeJob) {
-	return newWorld(seed, crashFaults).playCrashes(seed)
+func playCrashHistory(seed uint64) (w *world, crashingJobs []*fakeJob) {
+	return newWorld(seed, crashFaults).playCrashScenario(seed)
 }
 
-func restartingCrashHistory(seed uint64) (w *world, crashing []*fakeJob) {
+func playCrashRestartHistory(seed uint64) (w *world, crashingJobs []*fakeJob) {
 	w = newWorld(seed, crashFaults)
-	w.restarts = true
-	return w.playCrashes(seed)
+	w.crashedWorkersRestart = true
+	return w.playCrashScenario(seed)
 }
 
-// silentCrashHistory is crashHistory with workers that crash and take their VMs with them,
+// playVMLossHistory is crashHistory with workers that crash and take their VMs with them,
 // under one owner: what an owner that dies has seen of a silence is lost with it.
-func silentCrashHistory(seed uint64) (w *world, crashing []*fakeJob) {
+func playVMLossHistory(seed uint64) (w *world, crashingJobs []*fakeJob) {
 	w = newWorld(seed, crashFaults)
-	w.silentCrashes = true
-	return w.playCrashes(2 * seed)
+	w.crashesLoseVM = true
+	return w.playCrashScenario(2 * seed)
 }
 
-var crashFaults = faults{lostAnswer: 0.01, storeLost: 0.02, lateOrder: 0.002}
+var crashFaults = faults{lostAnswer: 0.01, lostWriteAnswer: 0.02, lateOrder: 0.002}
 
-func (w *world) playCrashes(seed uint64) (_ *world, crashing []*fakeJob) {
+func (w *world) playCrashScenario(seed uint64) (_ *world, crashingJobs []*fakeJob) {
 	if seed%3 == 0 {
 		w.unguarded = true
 		w.faults.lateOrder = 0 // nobody can know what has shrunk by then
@@ -100,81 +100,81 @@
 		w.addWorker("worker-"+strconv.Itoa(i), workload.Resources{CPU: 32000, MemoryMB: 64000})
 	}
 	w.takeOver()
-	for at := time.Duration(0); at < 90*time.Second; at += w.between(20*time.Millisecond, 400*time.Millisecond) {
-		w.after(at, func() { w.submit(w.randomSpec(), "quick") })
+	for at := time.Duration(0); at < 90*time.Second; at += w.durationBetween(20*time.Millisecond, 400*time.Millisecond) {
+		w.after(at, func() { w.submit(w.randomJobSpec(), "quick") })
 	}
 	for range 1 + w.rng.IntN(4) {
-		w.after(w.between(time.Second, 60*time.Second), func() {
-			j := w.submit(w.crashSpec(), "quick")
-			crashing = append(crashing, j)
-			w.crashers[string(j.id)+".0.0.0"] = true
+		w.after(w.durationBetween(time.Second, 60*time.Second), func() {
+			j := w.submit(w.randomCrashingSpec(), "quick")
+			crashingJobs = append(crashingJobs, j)
+			w.crashingTasks[string(j.id)+".0.0.0"] = true
 		})
 	}
 	if seed%2 == 1 {
 		for range 12 {
-			w.after(w.between(time.Second, 90*time.Second), w.ownerTrouble)
+			w.after(w.durationBetween(time.Second, 90*time.Second), w.injectOwnerFault)
 		}
 	}
 	for range 10 {
-		w.after(w.between(time.Second, 80*time.Second), w.shrinkOne)
-		w.after(w.between(time.Second, 80*time.Second), w.refuseOne)
+		w.after(w.durationBetween(time.Second, 80*time.Second), w.shrinkRandomWorker)
+		w.after(w.durationBetween(time.Second, 80*time.Second), w.refuseConnectionsAtRandomWorker)
 	}
-	if w.restarts {
+	if w.crashedWorkersRestart {
 		for range 10 {
-			w.after(w.between(time.Second, 80*time.Second), w.restartOne)
+			w.after(w.durationBetween(time.Second, 80*time.Second), w.restartRandomWorker)
 		}
 	}
 	w.after(92*time.Second, func() {
-		w.quiet = true
-		w.store.down = false
+		w.faultsStopped = true
+		w.store.unavailable = false
 	})
-	span := 2 * time.Minute
-	if w.silentCrashes {
-		span = 3 * time.Minute // each loss shows only when its leases are over
+	duration := 2 * time.Minute
+	if w.crashesLoseVM {
+		duration = 3 * time.Minute // each loss shows only when its leases are over
 	}
-	w.run(span)
-	return w, crashing
+	w.runUntil(duration)
+	return w, crashingJobs
 }
 
-// shrinkOne lets a worker's room shrink for some seconds, to nothing at times.
-func (w *world) shrinkOne() {
-	f := w.workers[w.listed[w.rng.IntN(len(w.listed))].ID]
-	if f.gone || f.info.Capacity.CPU < 32000 {
+// shrinkRandomWorker lets a worker's room shrink for some seconds, to nothing at times.
+func (w *world) shrinkRandomWorker() {
+	f := w.workers[w.registry[w.rng.IntN(len(w.registry))].ID]
+	if f.terminated || f.info.Capacity.CPU < 32000 {
 		return
 	}
-	share := max(0, w.rng.Float64()-0.2)
-	f.resize(share, w.between(2*time.Second, 10*time.Second))
+	fraction := max(0, w.rng.Float64()-0.2)
+	f.reduceCapacity(fraction, w.durationBetween(2*time.Second, 10*time.Second))
 }
 
-// refuseOne lets a worker refuse connections for some seconds while it runs on.
-func (w *world) refuseOne() {
-	f := w.workers[w.listed[w.rng.IntN(len(w.listed))].ID]
-	f.refuses = true
-	w.after(w.between(300*time.Millisecond, 6*time.Second), func() { f.refuses = false })
+// refuseConnectionsAtRandomWorker lets a worker refuse connections for some seconds while it runs on.
+func (w *world) refuseConnectionsAtRandomWorker() {
+	f := w.workers[w.registry[w.rng.IntN(len(w.registry))].ID]
+	f.refusesConnections = true
+	w.after(w.durationBetween(300*time.Millisecond, 6*time.Second), func() { f.refusesConnections = false })
 }
 
-// ownerTrouble draws one thing that goes wrong with the owner or the store.
-func (w *world) ownerTrouble() {
+// injectOwnerFault draws one thing that goes wrong with the owner or the store.
+func (w *world) injectOwnerFault() {
 	if w.owner.dead {
 		return
 	}
 	switch w.rng.IntN(5) {
 	case 0, 1:
-		w.kill(w.between(300*time.Millisecond, 4*time.Second))
+		w.killOwner(w.durationBetween(300*time.Millisecond, 4*time.Second))
 	case 2:
-		w.handOver(w.between(20*time.Millisecond, 600*time.Millisecond))
+		w.handOverOwner(w.durationBetween(20*time.Millisecond, 600*time.Millisecond))
 	case 3:
 		w.takeOver()
 	case 4:
-		w.store.down = true
-		w.after(w.between(time.Second, 6*time.Second), func() { w.store.down = false })
+		w.store.unavailable = true
+		w.after(w.durationBetween(time.Second, 6*time.Second), func() { w.store.unavailable = false })
 	}
 }
 
-// crashSeeds are the first n, and those that have shown a fault beyond them: three owners
+// crashSeedsToPlay are the first n, and those that have shown a fault beyond them: three owners
 // in a row were lost before the crash that they saw was stored or cleared up (47, 81, 223), or
 // three starts in a row had no answer before their workers crashed (212, with restarts).
-func crashSeeds(n uint64) []uint64 {
+func crashSeedsToPlay(n uint64) []uint64 {
 	var list []uint64
 	for seed := range n {
 		list = append(list, seed)
@@ -189,61 +189,61 @@
 // shown as failed after few crashes; no job of others is, and all of these end. No
 // start brings a worker over the room that it has left at the time.
 func TestTasksThatCrashWorkersInRandomHistories(t *testing.T) {
-	playCrashHistories(t, crashHistory)
+	checkCrashHistories(t, playCrashHistory)
 }
 
 // Guards against a crash that shows only in another start of the same worker: the same
 // histories, with workers that come back under their ID.
 func TestTasksThatCrashRestartingWorkersInRandomHistories(t *testing.T) {
-	playCrashHistories(t, restartingCrashHistory)
+	checkCrashHistories(t, playCrashRestartHistory)
 }
 
-// mostSilent is how many VMs a task may take with it that loses its VM each time: some are
+// maxSilentVMLosses is how many VMs a task may take with it that loses its VM each time: some are
 // lost before it is suspected, and each loss by itself proves less than a crash.
-const mostSilent = 12
+const maxSilentVMLosses = 12
 
 // Guards against a task that takes its worker's VM with it each time being started without
 // end: nothing refuses calls then and nothing comes back at the address, so that each loss
 // looks like that of a worker that was cut off.
-func TestTasksThatSilenceTheirWorkersInRandomHistories(t *testing.T) {
-	playCrashHistories(t, silentCrashHistory)
+func TestTasksThatLoseTheirVMsInRandomHistories(t *testing.T) {
+	checkCrashHistories(t, playVMLossHistory)
 }
 
-func playCrashHistories(t *testing.T, play func(seed uint64) (w *world, crashing []*fakeJob)) {
-	crashes, most, lost := 0, 0, 0
-	for _, seed := range crashSeeds(histories(t) / 5) {
-		w, crashing := play(seed)
-		require.Empty(t, w.broken, "seed %d", seed)
-		own := map[workload.JobID]bool{}
-		for _, j := range crashing {
-			own[j.id] = true
-			state, _ := w.owner.core.State(j.id)
-			assert.Equal(t, workload.Failed, state, "seed %d: job %s with a task that crashes workers", seed, j.id)
-			for name := range w.crashers {
-				crashes += j.crashes[name]
-				most = max(most, j.crashes[name])
+func checkCrashHistories(t *testing.T, play func(seed uint64) (w *world, crashingJobs []*fakeJob)) {
+	crashes, maxCrashes, bystanderRunsLost := 0, 0, 0
+	for _, seed := range crashSeedsToPlay(historyCount(t) / 5) {
+		w, crashingJobs := play(seed)
+		require.Empty(t, w.violations, "seed %d", seed)
+		isCrashingJob := map[workload.JobID]bool{}
+		for _, job := range crashingJobs {
+			isCrashingJob[job.id] = true
+			state, _ := w.owner.core.State(job.id)
+			assert.Equal(t, workload.Failed, state, "seed %d: job %s with a task that crashes workers", seed, job.id)
+			for taskName := range w.crashingTasks {
+				crashes += job.workerCrashes[taskName]
+				maxCrashes = max(maxCrashes, job.workerCrashes[taskName])
 			}
 		}
-		lost += w.lostRuns
-		for _, j := range w.jobs {
-			state, known := w.owner.core.State(j.id)
-			require.True(t, known, "seed %d: job %s is not known", seed, j.id)
+		bystanderRunsLost += w.bystanderRunsLost
+		for _, job := range w.jobs {
+			state, known := w.owner.core.State(job.id)
+			require.True(t, known, "seed %d: job %s is not known", seed, job.id)
 			switch {
-			case own[j.id]:
-			case j.sub.Spec.Steps[0].Lasting:
-				assert.Equal(t, workload.Running, state, "seed %d: job %s", seed, j.id)
-				missing := w.running(j.id) < j.sub.Spec.Steps[0].Count
-				assert.False(t, missing && w.hasRoom(j), "seed %d: lasting tasks of %s", seed, j.id)
-			case w.lastingShare() > 0.8:
+			case isCrashingJob[job.id]:
+			case job.submission.Spec.Steps[0].Lasting:
+				assert.Equal(t, workload.Running, state, "seed %d: job %s", seed, job.id)
+				missing := w.runningCount(job.id) < job.submission.Spec.Steps[0].Count
+				assert.False(t, missing && w.hasFreeCapacity(job), "seed %d: lasting tasks of %s", seed, job.id)
+			case w.longRunningMemoryShare() > 0.8:
 			default:
-				assert.Equal(t, workload.Completed, state, "seed %d: job %s of another caller", seed, j.id)
+				assert.Equal(t, workload.Completed, state, "seed %d: job %s of another caller", seed, job.id)
 			}
 		}
 		if t.Failed() {
 			return
 		}
 	}
-	t.Log(fmt.Sprint(crashes, " crashes, at most ", most, " under one task, ", lost, " runs of others lost"))
+	t.Log(fmt.Sprint(crashes, " crashes, at most ", maxCrashes, " under one task, ", bystanderRunsLost, " runs of others lost"))
 }
 
 // Callers' lasting tasks lie on the three workers of a small service, and half a dozen
@@ -251,42 +251,42 @@
 // so that each became a suspect and was tried for ten seconds, one after the other: some
 // were away for a minute. They are to be back soon after the last crash, as tasks whose
 // worker has been lost; what crashes of a cause that is proved said about others is void.
-func TestLastingTasksAreBackSoonBesideJobsThatCrashWorkers(t *testing.T) {
-	for seed := range histories(t) / 10 {
+func TestLongRunningTasksRecoverSoonBesideJobsThatCrashWorkers(t *testing.T) {
+	for seed := range historyCount(t) / 10 {
 		w := newWorld(seed, faults{})
 		for i := range 3 {
 			w.addWorker("worker-"+strconv.Itoa(i), workload.Resources{CPU: 32000, MemoryMB: 64000})
 		}
 		w.takeOver()
-		var lasting []*fakeJob
+		var longRunningJobs []*fakeJob
 		w.after(100*time.Millisecond, func() {
 			for range 8 {
-				lasting = append(lasting, w.submit(workload.Spec{Steps: []workload.Step{{Count: 3, Need: workload.Resources{CPU: 500, MemoryMB: 500}, Lasting: true, MayMiss: 1, MaxPerWorker: 2}}}, "quick"))
+				longRunningJobs = append(longRunningJobs, w.submit(workload.Spec{Steps: []workload.Step{{Count: 3, Need: workload.Resources{CPU: 500, MemoryMB: 500}, Lasting: true, MayMiss: 1, MaxPerWorker: 2}}}, "quick"))
 			}
 		})
 		for range 6 {
-			w.after(w.between(3*time.Second, 8*time.Second), func() {
-				j := w.submit(workload.Spec{Steps: []workload.Step{batch(1, 500)}}, "quick")
-				w.crashers[string(j.id)+".0.0.0"] = true
+			w.after(w.durationBetween(3*time.Second, 8*time.Second), func() {
+				j := w.submit(workload.Spec{Steps: []workload.Step{batchStep(1, 500)}}, "quick")
+				w.crashingTasks[string(j.id)+".0.0.0"] = true
 			})
 		}
-		crashed := func() (n int) {
+		crashCount := func() (n int) {
 			for _, j := range w.jobs {
-				n += j.crashes[string(j.id)+".0.0.0"]
+				n += j.workerCrashes[string(j.id)+".0.0.0"]
 			}
 			return n
 		}
-		w.run(8 * time.Second)
-		calm := 0
-		for before := -1; calm < 8 && w.now.Before(epochStart.Add(2*time.Minute)); calm++ {
-			if n := crashed(); n != before {
-				before, calm = n, 0
+		w.runUntil(8 * time.Second)
+		secondsWithoutCrash := 0
+		for lastCount := -1; secondsWithoutCrash < 8 && w.now.Before(historyStart.Add(2*time.Minute)); secondsWithoutCrash++ {
+			if n := crashCount(); n != lastCount {
+				lastCount, secondsWithoutCrash = n, 0
 			}
-			w.run(w.now.Sub(epochStart) + time.Second)
+			w.runUntil(w.now.Sub(historyStart) + time.Second)
 		}
-		require.Empty(t, w.broken, "seed %d", seed)
-		for _, j := range lasting {
-			assert.Equal(t, 3, w.running(j.id), "seed %d: job %s, %s after the beginning", seed, j.id, w.now.Sub(epochStart))
+		require.Empty(t, w.violations, "seed %d", seed)
+		for _, j := range longRunningJobs {
+			assert.Equal(t, 3, w.runningCount(j.id), "seed %d: job %s, %s after the beginning", seed, j.id, w.now.Sub(historyStart))
 		}
 		if t.Failed() {
 			return
--- a/internal/scheduler/evacuate_test.go
+++ b/internal/scheduler/evacuate_test.go
@@ -13,7 +13,7 @@
 // Guards against tasks being cut by an order for a VM right after a change of owners: the new
 // owner said that a worker is empty before it had read its first list of workers, and started
 // tasks there as soon as the list came.
-func TestWorkerThatIsCalledEmptyBeforeItIsListedStaysClosed(t *testing.T) {
+func TestWorkerReportedDrainedBeforeItIsListedGetsNoTasks(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		prepare func(r *rig)
@@ -22,69 +22,69 @@
 			r.core.Inherit(&workload.Handover{Epoch: r.epoch - 1}, r.now)
 		}},
 		{"forgotten", func(r *rig) {
-			r.ready("w-1")
-			r.workers()
-			r.play(3 * time.Second)
+			r.syncWorkers("w-1")
+			r.setWorkers()
+			r.stepFor(3 * time.Second)
 		}},
 	} {
 		r := newRig(t)
 		c.prepare(r)
 		require.Equal(t, workload.VacantUnseen, r.core.Evacuate("w-1", r.now), "%s: nothing can run there", c.name)
-		r.submit("0000000000000001", batch(1, 1000))
-		clear(r.polls)
-		r.workers("w-1")
-		answers := func() {
-			h, _ := r.poll("w-1")
-			r.answer(h, firstBorn, workload.Held{})
+		r.submit("0000000000000001", batchStep(1, 1000))
+		clear(r.latestPolls)
+		r.setWorkers("w-1")
+		answerNextPoll := func() {
+			poll, _ := r.awaitPoll("w-1")
+			r.answerPollAs(poll, firstIncarnation, workload.Held{})
 		}
-		answers()
-		assert.Empty(t, r.play(time.Second).Starts, "%s: the order for the VM is on its way", c.name)
-		r.play(time.Second)
-		answers()
-		assert.Len(t, r.play(100*time.Millisecond).Starts, 1, "%s: nobody wants it empty any more", c.name)
+		answerNextPoll()
+		assert.Empty(t, r.stepFor(time.Second).Starts, "%s: the order for the VM is on its way", c.name)
+		r.stepFor(time.Second)
+		answerNextPoll()
+		assert.Len(t, r.stepFor(100*time.Millisecond).Starts, 1, "%s: nobody wants it empty any more", c.name)
 	}
 }
 
 // Guards against a VM that is never maintained: its worker has ended, and the list of VMs
 // still names it.
-func TestWorkerThatIsOnNoListIsCalledEmptyAgainAndAgain(t *testing.T) {
+func TestUnlistedWorkerIsReportedDrainedEachTime(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-2")
+	r.syncWorkers("w-2")
 	for range 20 {
 		require.Equal(t, workload.VacantUnseen, r.core.Evacuate("w-1", r.now))
-		r.play(200 * time.Millisecond)
+		r.stepFor(200 * time.Millisecond)
 	}
 	assert.NotContains(t, r.core.Loads(r.now)[0].Workers, "w-1")
 }
 
 // Guards against a worker being called empty that may run what an earlier owner started.
-func TestWorkerOfALostOwnerIsNotCalledEmptyBeforeItHasAnswered(t *testing.T) {
+func TestUnresolvedWorkerIsNotReportedDrainedBeforeItAnswers(t *testing.T) {
 	r := newRig(t, "w-1")
 	for range 3 {
 		require.Equal(t, workload.Occupied, r.core.Evacuate("w-1", r.now))
 		r.step(50 * time.Millisecond)
 	}
-	r.workers("w-1")
+	r.setWorkers("w-1")
 	r.step(0)
 	require.Equal(t, workload.Occupied, r.core.Evacuate("w-1", r.now), "it is listed and hasn't answered")
-	r.held("w-1", r.now, workload.Held{})
+	r.answerPoll("w-1", r.now, workload.Held{})
 	assert.Equal(t, workload.Vacant, r.core.Evacuate("w-1", r.now))
 }
 
 // Guards against a VM's tasks being cut as the process of its idle worker had ended and
 // another one was there: nobody had asked the idle one for long.
-func TestIdleWorkerIsVacantOnlyOnceItHasAnswered(t *testing.T) {
+func TestIdleWorkerIsConfirmedDrainedOnlyOnceItAnswers(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	r.play(5 * time.Second)
-	clear(r.polls)
+	r.syncWorkers("w-1")
+	r.stepFor(5 * time.Second)
+	clear(r.latestPolls)
 	require.Equal(t, workload.VacantUnseen, r.core.Evacuate("w-1", r.now))
-	h, _ := r.poll("w-1")
-	r.answer(h, firstBorn, workload.Held{})
+	poll, _ := r.awaitPoll("w-1")
+	r.answerPollAs(poll, firstIncarnation, workload.Held{})
 	require.Equal(t, workload.Vacant, r.core.Evacuate("w-1", r.now))
-	h, _ = r.poll("w-1")
-	r.unanswered(h.Worker.ID)
+	poll, _ = r.awaitPoll("w-1")
+	r.timeOutPoll(poll.Worker.ID)
 	assert.Equal(t, workload.VacantUnseen, r.core.Evacuate("w-1", r.now), "it doesn't answer any more")
-	r.play(400 * time.Millisecond)
+	r.stepFor(400 * time.Millisecond)
 	assert.Equal(t, workload.VacantUnseen, r.core.Evacuate("w-1", r.now))
 }
--- a/internal/scheduler/fakeowner_test.go
+++ b/internal/scheduler/fakeowner_test.go
@@ -9,45 +9,45 @@
 
 // fakeOwner runs a Core as an owner's process does.
 type fakeOwner struct {
-	w       *world
-	core    *scheduler.Core
-	epoch   int64
-	loaded  bool
-	dead    bool // killed, or gone: it sends nothing any more
-	killed  bool
-	pending *scheduler.WriteOrder
+	world        *world
+	core         *scheduler.Core
+	epoch        int64
+	coreStarted  bool
+	dead         bool // killed, or gone: it sends nothing any more
+	killed       bool
+	pendingWrite *scheduler.WriteOrder
 	// slowUntil is until when the process hardly gets on: what is told to it waits,
 	// in order, and its steps are far apart.
-	slowUntil time.Time
-	told      time.Time // when the latest of what waits is taken up
+	slowUntil      time.Time
+	lastDeliveryAt time.Time // when the latest of what waits is taken up
 	// links are those to workers that don't work, by worker. noStore is set while it is cut
 	// off from the store.
-	links   map[string]linkFault
-	noStore bool
-	// confirmed is when the group last confirmed that the partition is its own.
-	confirmed time.Time
+	links            map[string]linkFault
+	storeUnreachable bool
+	// confirmedAt is when the group last confirmed that the partition is its own.
+	confirmedAt time.Time
 	// processor is what the owner's work is done on, nil where that takes no time.
 	processor *processor
 }
 
-// tell hands something to the owner's process, which takes it up in order.
-func (o *fakeOwner) tell(do func()) {
-	w := o.w
+// deliver hands something to the owner's process, which takes it up in order.
+func (o *fakeOwner) deliver(action func()) {
+	w := o.world
 	if o.processor != nil {
-		o.processor.tell(o, do)
+		o.processor.deliverAnswer(o, action)
 		return
 	}
-	at := w.now
+	deliverAt := w.now
 	if w.now.Before(o.slowUntil) {
-		at = w.now.Add(w.between(0, 1500*time.Millisecond))
+		deliverAt = w.now.Add(w.durationBetween(0, 1500*time.Millisecond))
 	}
-	if at.Before(o.told) {
-		at = o.told
+	if deliverAt.Before(o.lastDeliveryAt) {
+		deliverAt = o.lastDeliveryAt
 	}
-	o.told = at
-	w.after(at.Sub(w.now), func() {
+	o.lastDeliveryAt = deliverAt
+	w.after(deliverAt.Sub(w.now), func() {
 		if !o.dead {
-			do()
+			action()
 			o.step()
 		}
 	})
@@ -65,154 +65,154 @@
 // takeOver starts a new owner, as the owner package does: fence, then read.
 func (w *world) takeOver() {
 	w.epoch++
-	o := &fakeOwner{w: w, epoch: w.epoch}
+	o := &fakeOwner{world: w, epoch: w.epoch}
 	w.owner = o
 	w.owners = append(w.owners, o)
 	o.fence()
 }
 
 func (o *fakeOwner) fence() {
-	w := o.w
+	w := o.world
 	if o.dead {
 		return
 	}
-	if o.noStore || !w.store.fence(o.epoch) {
+	if o.storeUnreachable || !w.store.fence(o.epoch) {
 		w.after(100*time.Millisecond, o.fence)
 		return
 	}
-	w.after(w.between(5*time.Millisecond, 30*time.Millisecond), o.load)
+	w.after(w.durationBetween(5*time.Millisecond, 30*time.Millisecond), o.load)
 }
 
 func (o *fakeOwner) load() {
-	w := o.w
+	w := o.world
 	if o.dead {
 		return
 	}
 	records := w.store.records()
-	if left, last := leftIn(records); left == nil && last > 0 && w.reached > 0 {
-		w.after(w.between(2*time.Millisecond, 40*time.Millisecond), func() { o.begin(records) })
+	if handover, lastEpoch := lastHandover(records); handover == nil && lastEpoch > 0 && w.previousOwnerReachable > 0 {
+		w.after(w.durationBetween(2*time.Millisecond, 40*time.Millisecond), func() { o.startCore(records) })
 		return
 	}
-	o.begin(records)
+	o.startCore(records)
 }
 
-// begin starts the machine on the records that were read.
-func (o *fakeOwner) begin(records []workload.Record) {
-	w := o.w
+// startCore starts the machine on the records that were read.
+func (o *fakeOwner) startCore(records []workload.Record) {
+	w := o.world
 	if o.dead {
 		return
 	}
-	left, last := leftIn(records)
-	var told []workload.Record
-	if left == nil {
-		if told = w.askPrevious(last); told != nil {
-			left, _ = leftIn(append([]workload.Record{{Takeover: &workload.Takeover{Epoch: last}}}, told...))
+	handover, lastEpoch := lastHandover(records)
+	var fromPrevious []workload.Record
+	if handover == nil {
+		if fromPrevious = w.requestHandover(lastEpoch); fromPrevious != nil {
+			handover, _ = lastHandover(append([]workload.Record{{Takeover: &workload.Takeover{Epoch: lastEpoch}}}, fromPrevious...))
 			records = w.store.records()
 		}
 	}
-	var suspects []string
-	if left == nil {
-		for _, info := range w.listed {
-			suspects = append(suspects, info.ID)
+	var unresolvedWorkers []string
+	if handover == nil {
+		for _, info := range w.registry {
+			unresolvedWorkers = append(unresolvedWorkers, info.ID)
 		}
 	}
 	settings := testSettings(o.epoch)
-	settings.Overlap = memberTTL
-	o.core = scheduler.New(settings, w.now, suspects, false)
-	o.confirm()
+	settings.Overlap = membershipTTL
+	o.core = scheduler.New(settings, w.now, unresolvedWorkers, false)
+	o.confirmOwnership()
 	o.core.SetConfig(testConfig)
 	for _, r := range records {
-		o.apply(r)
+		o.applyRecord(r)
 	}
-	news := map[workload.JobID]*workload.Progress{}
-	for _, r := range told {
+	newerProgress := map[workload.JobID]*workload.Progress{}
+	for _, r := range fromPrevious {
 		if r.Progress != nil {
-			news[r.Job] = r.Progress
+			newerProgress[r.Job] = r.Progress
 		}
 	}
 	for _, r := range records {
-		if r.Progress != nil && news[r.Job] == nil {
+		if r.Progress != nil && newerProgress[r.Job] == nil {
 			o.core.Recalled(r.Job, r.Progress)
 		}
 	}
-	for _, r := range told {
+	for _, r := range fromPrevious {
 		if r.Progress != nil {
 			o.core.RecallUnstored(r.Job, r.Progress)
 		}
 	}
-	if left != nil {
-		o.core.Inherit(left, w.now)
+	if handover != nil {
+		o.core.Inherit(handover, w.now)
 	}
 	for _, r := range w.store.records() {
-		o.apply(r) // what was stored since the read; it follows the log
+		o.applyRecord(r) // what was stored since the read; it follows the log
 	}
-	o.loaded = true
+	o.coreStarted = true
 	o.processor = w.processor
 	o.tick()
 }
 
-// leftIn returns the report of the last owner, nil if it left none, and that owner's epoch.
-func leftIn(records []workload.Record) (left *workload.Handover, last int64) {
+// lastHandover returns the report of the last owner, nil if it left none, and that owner's epoch.
+func lastHandover(records []workload.Record) (handover *workload.Handover, lastEpoch int64) {
 	for _, r := range records {
 		if r.Handover != nil {
-			left = r.Handover
+			handover = r.Handover
 		}
 		if r.Takeover != nil {
-			last = r.Takeover.Epoch
+			lastEpoch = r.Takeover.Epoch
 		}
 	}
-	if left != nil && left.Epoch != last {
-		left = nil
+	if handover != nil && handover.Epoch != lastEpoch {
+		handover = nil
 	}
-	return left, last
+	return handover, lastEpoch
 }
 
-// askPrevious has the owner of an epoch stop and tell what it leaves, where nodes reach each
+// requestHandover has the owner of an epoch stop and tell what it leaves, where nodes reach each
 // other; nil if nothing is known.
-func (w *world) askPrevious(epoch int64) []workload.Record {
-	if w.reached == 0 || !w.chance(w.reached) {
+func (w *world) requestHandover(epoch int64) []workload.Record {
+	if w.previousOwnerReachable == 0 || !w.chance(w.previousOwnerReachable) {
 		return nil
 	}
-	for _, before := range w.owners {
-		if before.epoch != epoch || before.killed || !before.loaded {
+	for _, previous := range w.owners {
+		if previous.epoch != epoch || previous.killed || !previous.coreStarted {
 			continue
 		}
-		before.dead = true
-		records := before.core.Report(w.now)
-		if left, _ := leftIn(append([]workload.Record{{Takeover: &workload.Takeover{Epoch: epoch}}}, records...)); left != nil {
-			w.told++
+		previous.dead = true
+		records := previous.core.Report(w.now)
+		if handover, _ := lastHandover(append([]workload.Record{{Takeover: &workload.Takeover{Epoch: epoch}}}, records...)); handover != nil {
+			w.directHandovers++
 			return records
 		}
 	}
 	return nil
 }
 
-func (o *fakeOwner) apply(r workload.Record) {
+func (o *fakeOwner) applyRecord(r workload.Record) {
 	switch {
 	case r.Submission != nil:
 		o.core.Submitted(r.Job, r.Submission)
 	case r.Cancel:
-		o.core.CancelRequested(r.Job, o.w.now)
+		o.core.CancelRequested(r.Job, o.world.now)
 	}
 }
 
-// confirm has the group confirm the partition. While the store is down for all, other nodes
+// confirmOwnership has the group confirm the partition. While the store is down for all, other nodes
 // tell that none of them has become its owner.
-func (o *fakeOwner) confirm() {
-	if o.w.owner == o && (!o.noStore || o.w.store.down) {
-		o.confirmed = o.w.now
+func (o *fakeOwner) confirmOwnership() {
+	if o.world.owner == o && (!o.storeUnreachable || o.world.store.unavailable) {
+		o.confirmedAt = o.world.now
 	}
-	o.core.SetAuthority(o.confirmed.Add(memberTTL))
+	o.core.SetAuthority(o.confirmedAt.Add(membershipTTL))
 }
 
-// follow takes a record that is in the store, once the owner reaches it.
-func (o *fakeOwner) follow(r workload.Record) {
+// receiveRecord takes a record that is in the store, once the owner reaches it.
+func (o *fakeOwner) receiveRecord(r workload.Record) {
 	switch {
-	case !o.loaded || o.dead:
-	case o.noStore:
-		o.w.after(100*time.Millisecond, func() { o.follow(r) })
+	case !o.coreStarted || o.dead:
+	case o.storeUnreachable:
+		o.world.after(100*time.Millisecond, func() { o.receiveRecord(r) })
 	default:
-		o.apply(r)
+		o.applyRecord(r)
 	}
 }
 
@@ -223,32 +223,32 @@
 	if o.dead {
 		return
 	}
-	if o.w.joins && !o.noStore && !o.w.store.down && o.w.owner != o {
+	if o.world.replacedOwnersStop && !o.storeUnreachable && !o.world.store.unavailable && o.world.owner != o {
 		o.dead = true // its join tells it that the partition is another one's
 		return
 	}
-	o.confirm()
-	list := func() {
-		if o.w.owner == o {
+	o.confirmOwnership()
+	updateWorkers := func() {
+		if o.world.owner == o {
 			// An owner hears of new workers only while the group confirms it.
-			o.core.SetWorkers(o.w.listed, o.w.now)
+			o.core.SetWorkers(o.world.registry, o.world.now)
 		}
 	}
-	o.now(list)
-	pause := 50 * time.Millisecond
-	if o.w.now.Before(o.slowUntil) {
-		pause = o.w.between(200*time.Millisecond, 1200*time.Millisecond)
+	o.deliverNow(updateWorkers)
+	interval := 50 * time.Millisecond
+	if o.world.now.Before(o.slowUntil) {
+		interval = o.world.durationBetween(200*time.Millisecond, 1200*time.Millisecond)
 	}
-	o.w.after(pause, o.tick)
+	o.world.after(interval, o.tick)
 }
 
-// now hands something over and steps, or leaves it to the processor's next turn.
-func (o *fakeOwner) now(do func()) {
+// deliverNow hands something over and steps, or leaves it to the processor's next turn.
+func (o *fakeOwner) deliverNow(action func()) {
 	if o.processor != nil {
-		o.processor.post(o, 0, do)
+		o.processor.deliverAfter(o, 0, action)
 		return
 	}
-	do()
+	action()
 	o.step()
 }
 
@@ -257,7 +257,7 @@
 	if o.dead {
 		return
 	}
-	w := o.w
+	w := o.world
 	orders := o.core.Step(w.now)
 	for _, d := range orders.Decisions {
 		if d.Verb == "given-up" {
@@ -267,171 +267,171 @@
 	if o.core.Lost() != "" {
 		o.dead = true
 		if w.owner == o {
-			w.after(w.between(100*time.Millisecond, time.Second), w.takeOver)
+			w.after(w.durationBetween(100*time.Millisecond, time.Second), w.takeOver)
 		}
 		return
 	}
-	for _, h := range orders.Holds {
-		o.hold(h)
+	for _, p := range orders.Holds {
+		o.sendPoll(p)
 	}
 	for _, s := range orders.Stops {
-		o.order(s.Worker.ID, func(f *fakeWorker) workload.WorkerAnswer { return f.stop(s) }, func(a workload.WorkerAnswer) {
+		o.sendOrder(s.Worker.ID, func(f *fakeWorker) workload.WorkerAnswer { return f.stop(s) }, func(a workload.WorkerAnswer) {
 			o.core.Stopped(scheduler.OrderResult{Worker: s.Worker.ID, Task: s.Task, Run: s.Run, Token: s.Token, Answer: a}, w.now)
 		})
 	}
 	for _, s := range orders.Starts {
-		o.order(s.Worker.ID, func(f *fakeWorker) workload.WorkerAnswer { return f.start(s.Start) }, func(a workload.WorkerAnswer) {
+		o.sendOrder(s.Worker.ID, func(f *fakeWorker) workload.WorkerAnswer { return f.start(s.Start) }, func(a workload.WorkerAnswer) {
 			o.core.Started(scheduler.OrderResult{Worker: s.Worker.ID, Task: s.Start.Task, Run: s.Start.Run, Token: s.Start.Token, Answer: a}, w.now)
 		})
 	}
 	if orders.Write != nil {
-		o.pending = orders.Write
+		o.pendingWrite = orders.Write
 		o.write()
 	}
 }
 
 // write stores until the outcome is known.
 func (o *fakeOwner) write() {
-	w := o.w
-	w.after(w.between(4*time.Millisecond, 12*time.Millisecond), func() {
+	w := o.world
+	w.after(w.durationBetween(4*time.Millisecond, 12*time.Millisecond), func() {
 		if o.dead {
 			return
 		}
-		if !o.noStore && o.epoch < w.store.epoch {
+		if !o.storeUnreachable && o.epoch < w.store.epoch {
 			o.core.GiveUp("fenced")
 			o.step()
 			return
 		}
-		if w.store.down || o.noStore {
+		if w.store.unavailable || o.storeUnreachable {
 			w.after(100*time.Millisecond, o.write)
 			return
 		}
-		if o.pending.Sequence > w.store.last {
-			w.store.last = o.pending.Sequence
-			for _, r := range o.pending.Records {
+		if o.pendingWrite.Sequence > w.store.lastSequence {
+			w.store.lastSequence = o.pendingWrite.Sequence
+			for _, r := range o.pendingWrite.Records {
 				w.store.put(r)
 			}
 		}
-		if w.chance(w.faults.storeLost) {
+		if w.chance(w.faults.lostWriteAnswer) {
 			w.after(time.Second, o.write)
 			return
 		}
-		o.now(func() {
-			o.pending = nil
+		o.deliverNow(func() {
+			o.pendingWrite = nil
 			o.core.Written()
-			w.look()
+			w.checkShownStates()
 		})
 	})
 }
 
-// order sends one order on its way, with the faults of the history.
-func (o *fakeOwner) order(worker string, carryOut func(f *fakeWorker) workload.WorkerAnswer, told func(workload.WorkerAnswer)) {
-	w := o.w
-	answer := func(a workload.WorkerAnswer, after time.Duration) {
-		w.after(after, func() { o.tell(func() { told(a) }) })
+// sendOrder sends one order on its way, with the faults of the history.
+func (o *fakeOwner) sendOrder(worker string, order func(f *fakeWorker) workload.WorkerAnswer, handleAnswer func(workload.WorkerAnswer)) {
+	w := o.world
+	deliverAnswer := func(a workload.WorkerAnswer, delay time.Duration) {
+		w.after(delay, func() { o.deliver(func() { handleAnswer(a) }) })
 	}
 	f := w.workers[worker]
-	way := w.between(500*time.Microsecond, 3*time.Millisecond)
-	unknown := workload.WorkerAnswer{Status: workload.WorkerUnknown}
+	latency := w.durationBetween(500*time.Microsecond, 3*time.Millisecond)
+	unanswered := workload.WorkerAnswer{Status: workload.WorkerUnknown}
 	switch {
 	case w.chance(w.faults.lateOrder):
-		sentTo := f.incarnations
-		w.after(w.between(2*time.Second, 12*time.Second), func() { f.receiveLate(sentTo, carryOut) })
-		answer(unknown, time.Second)
+		restartCountWhenSent := f.restartCount
+		w.after(w.durationBetween(2*time.Second, 12*time.Second), func() { f.executeLate(restartCountWhenSent, order) })
+		deliverAnswer(unanswered, time.Second)
 	case w.chance(w.faults.lostAnswer):
-		w.after(way, func() { f.receive(carryOut) })
-		answer(unknown, time.Second)
-	case f.crashed || f.refuses:
-		answer(f.refusal(), 2*way)
-	case f.dark || f.gone || o.links[worker] == linkCut:
-		answer(unknown, time.Second)
-	case o.links[worker] == linkDeaf:
-		w.after(way, func() { f.receive(carryOut) })
-		answer(unknown, time.Second)
+		w.after(latency, func() { f.execute(order) })
+		deliverAnswer(unanswered, time.Second)
+	case f.processCrashed || f.refusesConnections:
+		deliverAnswer(f.refusalAnswer(), 2*latency)
+	case f.cutOff || f.terminated || o.links[worker] == linkDown:
+		deliverAnswer(unanswered, time.Second)
+	case o.links[worker] == linkAnswersLost:
+		w.after(latency, func() { f.execute(order) })
+		deliverAnswer(unanswered, time.Second)
 	default:
-		w.after(way, func() {
-			a, ok := f.receive(carryOut)
-			if f.crashed {
-				answer(unknown, way)
+		w.after(latency, func() {
+			a, ok := f.execute(order)
+			if f.processCrashed {
+				deliverAnswer(unanswered, latency)
 				return
 			}
 			if !ok {
-				answer(unknown, time.Second)
+				deliverAnswer(unanswered, time.Second)
 				return
 			}
-			answer(a, way)
+			deliverAnswer(a, latency)
 		})
 	}
 }
 
-// hold sends a poll; its answer waits for an end.
-func (o *fakeOwner) hold(h scheduler.HoldOrder) {
-	w := o.w
-	sent := w.now
-	f := w.workers[h.Worker.ID]
-	told := func(held workload.Held, a workload.WorkerAnswer) {
-		o.tell(func() {
-			o.core.Held(scheduler.HoldResult{Worker: h.Worker.ID, Token: h.Hold.Token, SentAt: sent, Extra: h.Extra, Held: held, Answer: a}, w.now)
+// sendPoll sends a poll; its answer waits for an end.
+func (o *fakeOwner) sendPoll(order scheduler.HoldOrder) {
+	w := o.world
+	sentAt := w.now
+	f := w.workers[order.Worker.ID]
+	deliverReport := func(report workload.Held, a workload.WorkerAnswer) {
+		o.deliver(func() {
+			o.core.Held(scheduler.HoldResult{Worker: order.Worker.ID, Token: order.Hold.Token, SentAt: sentAt, Extra: order.Extra, Held: report, Answer: a}, w.now)
 		})
 	}
-	unknown := workload.WorkerAnswer{Status: workload.WorkerUnknown}
+	unanswered := workload.WorkerAnswer{Status: workload.WorkerUnknown}
 	timeout := time.Second
-	if h.Extra {
+	if order.Extra {
 		timeout = 400 * time.Millisecond
 	}
-	way := w.between(500*time.Microsecond, 3*time.Millisecond)
-	if f.crashed || f.refuses {
-		w.after(2*way, func() { told(workload.Held{}, f.refusal()) })
+	latency := w.durationBetween(500*time.Microsecond, 3*time.Millisecond)
+	if f.processCrashed || f.refusesConnections {
+		w.after(2*latency, func() { deliverReport(workload.Held{}, f.refusalAnswer()) })
 		return
 	}
-	link := o.links[h.Worker.ID]
-	if f.dark || f.gone || link != linkUp || w.chance(w.faults.lostAnswer) {
-		if !f.dark && !f.gone && link != linkCut {
-			w.after(way, func() { f.receive(func(f *fakeWorker) workload.WorkerAnswer { return f.hold(h.Hold) }) })
+	link := o.links[order.Worker.ID]
+	if f.cutOff || f.terminated || link != linkHealthy || w.chance(w.faults.lostAnswer) {
+		if !f.cutOff && !f.terminated && link != linkDown {
+			w.after(latency, func() { f.execute(func(f *fakeWorker) workload.WorkerAnswer { return f.poll(order.Hold) }) })
 		}
-		w.after(timeout, func() { told(workload.Held{}, unknown) })
+		w.after(timeout, func() { deliverReport(workload.Held{}, unanswered) })
 		return
 	}
-	w.after(way, func() {
-		a, ok := f.receive(func(f *fakeWorker) workload.WorkerAnswer { return f.hold(h.Hold) })
-		if f.crashed {
-			w.after(way, func() { told(workload.Held{}, unknown) })
+	w.after(latency, func() {
+		a, ok := f.execute(func(f *fakeWorker) workload.WorkerAnswer { return f.poll(order.Hold) })
+		if f.processCrashed {
+			w.after(latency, func() { deliverReport(workload.Held{}, unanswered) })
 			return
 		}
 		if !ok {
-			w.after(timeout, func() { told(workload.Held{}, unknown) })
+			w.after(timeout, func() { deliverReport(workload.Held{}, unanswered) })
 			return
 		}
-		f.whenEnded(h.Hold.Wait, func() {
-			if f.crashed {
-				w.after(way, func() { told(workload.Held{}, unknown) })
+		f.respondOnExit(order.Hold.Wait, func() {
+			if f.processCrashed {
+				w.after(latency, func() { deliverReport(workload.Held{}, unanswered) })
 				return
 			}
-			if f.dark || f.gone {
-				w.after(timeout, func() { told(workload.Held{}, unknown) })
+			if f.cutOff || f.terminated {
+				w.after(timeout, func() { deliverReport(workload.Held{}, unanswered) })
 				return
 			}
-			held := f.list()
-			a.Clock = f.clock()
-			w.after(way, func() { told(held, a) })
+			report := f.pollReport()
+			a.Clock = f.clockMillis()
+			w.after(latency, func() { deliverReport(report, a) })
 		})
 	})
 }
 
-// kill ends the owner without a word, and another one follows.
-func (w *world) kill(after time.Duration) {
+// killOwner ends the owner without a word, and another one follows.
+func (w *world) killOwner(takeoverDelay time.Duration) {
 	w.owner.dead = true
 	w.owner.killed = true
-	w.after(after, w.takeOver)
+	w.after(takeoverDelay, w.takeOver)
 }
 
-// handOver ends the owner in good order.
-func (w *world) handOver(after time.Duration) {
+// handOverOwner ends the owner in good order.
+func (w *world) handOverOwner(takeoverDelay time.Duration) {
 	o := w.owner
 	o.dead = true
-	if o.loaded && !w.store.down && o.epoch == w.store.epoch {
-		if o.pending != nil && o.pending.Sequence > w.store.last {
-			for _, r := range o.pending.Records {
+	if o.coreStarted && !w.store.unavailable && o.epoch == w.store.epoch {
+		if o.pendingWrite != nil && o.pendingWrite.Sequence > w.store.lastSequence {
+			for _, r := range o.pendingWrite.Records {
 				w.store.put(r)
 			}
 		}
@@ -439,5 +439,5 @@
 			w.store.put(r)
 		}
 	}
-	w.after(after, w.takeOver)
+	w.after(takeoverDelay, w.takeOver)
 }
--- a/internal/scheduler/fakeworker_test.go
+++ b/internal/scheduler/fakeworker_test.go
@@ -10,295 +10,295 @@
 
 // fakeWorker is a worker with the platform's semantics.
 type fakeWorker struct {
-	w     *world
-	info  workload.Worker
-	speed float64   // of its clock, 0.98 to 1
-	born  time.Time // of its clock
-	// incarnations counts its processes: a restarted one has the same ID.
-	incarnations int
-	dark         bool // cut off, runs on
-	// refuses is set while connections to it are refused; it runs on.
-	refuses bool
-	gone    bool // has ended
-	// crashed is set if its process has ended and its VM lives: calls are refused at
+	world          *world
+	info           workload.Worker
+	clockRate      float64   // of its clock, 0.98 to 1
+	clockStartedAt time.Time // of its clock
+	// restartCount counts its processes: a restarted one has the same ID.
+	restartCount int
+	cutOff       bool // cut off, runs on
+	// refusesConnections is set while connections to it are refused; it runs on.
+	refusesConnections bool
+	terminated         bool // has ended
+	// processCrashed is set if its process has ended and its VM lives: calls are refused at
 	// once, and once its successor is there are answered by that one.
-	crashed   bool
-	succeeded bool
-	shrunkAt  time.Time // when its room shrank last
+	processCrashed    bool
+	hasSuccessor      bool
+	capacityReducedAt time.Time // when its room shrank last
 
-	token    int64
-	leaseEnd int64 // on its clock, milliseconds
-	runs     []*fakeRun
-	ends     []workload.RunEnd
-	acked    int64 // ends up to this number are forgotten, also those that come later
-	number   int64
-	highest  map[string]int64 // of runs that stopped or ended, by task
-	lapsed   int64            // ends up to this number were listed when the lease lapsed
-	waiting  []func()
+	highestToken     int64
+	leaseExpiresAt   int64 // on its clock, milliseconds
+	runs             []*fakeRun
+	unackedExits     []workload.RunEnd
+	ackedUpTo        int64 // ends up to this number are forgotten, also those that come later
+	lastExitNumber   int64
+	highestRunByTask map[string]int64 // of runs that stopped or ended, by task
+	lastExitAtLapse  int64            // ends up to this number were listed when the lease lapsed
+	waitingPolls     []func()
 }
 
 type fakeRun struct {
-	lasting bool
-	begun   time.Time
-	task    workload.TaskKey
-	number  int64
-	need    workload.Resources
-	ended   bool
-	stopped bool
+	longRunning   bool
+	startedAt     time.Time
+	task          workload.TaskKey
+	runNumber     int64
+	reserved      workload.Resources
+	exited        bool
+	stopRequested bool
 }
 
 // maxLease is the longest lease that a worker gives, whatever it is asked for.
 const maxLease = 10 * time.Second
 
-// stopTime is what a stop takes.
-const stopTime = 400 * time.Millisecond
+// stopDuration is what a stop takes.
+const stopDuration = 400 * time.Millisecond
 
 func (w *world) addWorker(id string, capacity workload.Resources) *fakeWorker {
 	f := &fakeWorker{
-		w:       w,
-		info:    workload.Worker{ID: id, Born: w.now.UnixMilli(), Service: "service", Address: id, Capacity: capacity, Labels: []string{"a", "rack"}},
-		speed:   0.98 + 0.02*w.rng.Float64(),
-		born:    w.now.Add(-time.Hour),
-		highest: map[string]int64{},
+		world:            w,
+		info:             workload.Worker{ID: id, Born: w.now.UnixMilli(), Service: "service", Address: id, Capacity: capacity, Labels: []string{"a", "rack"}},
+		clockRate:        0.98 + 0.02*w.rng.Float64(),
+		clockStartedAt:   w.now.Add(-time.Hour),
+		highestRunByTask: map[string]int64{},
 	}
 	w.workers[id] = f
-	w.listed = append(w.listed, f.info)
+	w.registry = append(w.registry, f.info)
 	return f
 }
 
-func (f *fakeWorker) clock() int64 {
-	return int64(float64(f.w.now.Sub(f.born).Milliseconds()) * f.speed)
+func (f *fakeWorker) clockMillis() int64 {
+	return int64(float64(f.world.now.Sub(f.clockStartedAt).Milliseconds()) * f.clockRate)
 }
 
-// receive carries an order out unless the worker has ended; ok is false where no
+// execute carries an order out unless the worker has ended; ok is false where no
 // answer can come.
-func (f *fakeWorker) receive(order func(f *fakeWorker) workload.WorkerAnswer) (workload.WorkerAnswer, bool) {
-	if f.gone {
+func (f *fakeWorker) execute(order func(f *fakeWorker) workload.WorkerAnswer) (workload.WorkerAnswer, bool) {
+	if f.terminated {
 		return workload.WorkerAnswer{}, false
 	}
 	a := order(f)
-	a.Clock = f.clock()
-	return a, !f.dark
+	a.Clock = f.clockMillis()
+	return a, !f.cutOff
 }
 
-// receiveLate carries an order out seconds after it was sent. One that had reached a
+// executeLate carries an order out seconds after it was sent. One that had reached a
 // process which has ended since is lost with it.
-func (f *fakeWorker) receiveLate(sentTo int, order func(f *fakeWorker) workload.WorkerAnswer) {
-	if f.incarnations == sentTo {
-		f.receive(order)
+func (f *fakeWorker) executeLate(restartCountWhenSent int, order func(f *fakeWorker) workload.WorkerAnswer) {
+	if f.restartCount == restartCountWhenSent {
+		f.execute(order)
 	}
 }
 
-func (f *fakeWorker) fenced(token int64) bool {
-	if token < f.token {
+func (f *fakeWorker) rejectsToken(token int64) bool {
+	if token < f.highestToken {
 		return true
 	}
-	f.token = token
+	f.highestToken = token
 	return false
 }
 
-func (f *fakeWorker) lease(until int64) {
-	if until > f.leaseEnd {
-		f.leaseEnd = min(until, f.clock()+maxLease.Milliseconds())
-		real := time.Duration(float64(f.leaseEnd-f.clock())/f.speed) * time.Millisecond
-		f.w.after(real+2*time.Millisecond, f.lapse) // past the rounding of the clock
+func (f *fakeWorker) extendLease(expiresAt int64) {
+	if expiresAt > f.leaseExpiresAt {
+		f.leaseExpiresAt = min(expiresAt, f.clockMillis()+maxLease.Milliseconds())
+		untilExpiry := time.Duration(float64(f.leaseExpiresAt-f.clockMillis())/f.clockRate) * time.Millisecond
+		f.world.after(untilExpiry+2*time.Millisecond, f.expireLease) // past the rounding of the clock
 	}
 }
 
-func (f *fakeWorker) lapse() {
-	if f.gone || f.leaseEnd == 0 || f.clock() < f.leaseEnd {
+func (f *fakeWorker) expireLease() {
+	if f.terminated || f.leaseExpiresAt == 0 || f.clockMillis() < f.leaseExpiresAt {
 		return
 	}
-	f.lapsed = f.number
+	f.lastExitAtLapse = f.lastExitNumber
 	for _, r := range slices.Clone(f.runs) {
-		f.end(r, workload.EndLapsed)
+		f.endRun(r, workload.EndLapsed)
 	}
 }
 
-func (f *fakeWorker) used() workload.Resources {
-	var sum workload.Resources
+func (f *fakeWorker) usedCapacity() workload.Resources {
+	var used workload.Resources
 	for _, r := range f.runs {
-		sum = sum.Add(r.need)
+		used = used.Add(r.reserved)
 	}
-	return sum
+	return used
 }
 
 func (f *fakeWorker) start(s workload.Start) workload.WorkerAnswer {
-	if f.fenced(s.Token) {
+	if f.rejectsToken(s.Token) {
 		return workload.WorkerAnswer{Status: workload.WorkerFenced}
 	}
-	name := s.Task.String()
+	taskName := s.Task.String()
 	for _, r := range f.runs {
-		if r.task == s.Task && r.number == s.Run {
+		if r.task == s.Task && r.runNumber == s.Run {
 			return workload.WorkerAnswer{}
 		}
 	}
-	if s.Run <= f.highest[name] {
-		f.lease(s.LeaseUntil)
+	if s.Run <= f.highestRunByTask[taskName] {
+		f.extendLease(s.LeaseUntil)
 		return workload.WorkerAnswer{Status: workload.WorkerOld}
 	}
-	if s.LeaseUntil <= f.clock() {
+	if s.LeaseUntil <= f.clockMillis() {
 		return workload.WorkerAnswer{Status: workload.WorkerLate}
 	}
-	f.lease(s.LeaseUntil)
-	j := f.w.jobs[s.Task.Job]
-	spec := &j.sub.Spec.Steps[s.Task.Step]
-	if !spec.Reserve().Fits(f.info.Capacity.Sub(f.used())) {
-		if !f.w.unguarded {
+	f.extendLease(s.LeaseUntil)
+	job := f.world.jobs[s.Task.Job]
+	spec := &job.submission.Spec.Steps[s.Task.Step]
+	if !spec.Reserve().Fits(f.info.Capacity.Sub(f.usedCapacity())) {
+		if !f.world.unguarded {
 			return workload.WorkerAnswer{Status: workload.WorkerFull}
 		}
-		f.w.checkRoom(f, name)
+		f.world.checkCapacity(f, taskName)
 	}
-	f.w.checkStart(j, spec, s, f)
-	r := &fakeRun{task: s.Task, number: s.Run, need: spec.Reserve(), lasting: spec.Lasting, begun: f.w.now}
-	delete(j.ordered, name)
-	j.lastSeen[name] = f.w.now
+	f.world.checkStart(job, spec, s, f)
+	r := &fakeRun{task: s.Task, runNumber: s.Run, reserved: spec.Reserve(), longRunning: spec.Lasting, startedAt: f.world.now}
+	delete(job.stoppedNotRestarted, taskName)
+	job.lastRunningAt[taskName] = f.world.now
 	f.runs = append(f.runs, r)
-	f.w.starts++
-	if f.w.crashers[name] {
-		f.w.after(crashAfter, func() {
-			if !r.ended {
-				f.crashUnder(r)
+	f.world.starts++
+	if f.world.crashingTasks[taskName] {
+		f.world.after(crashDelay, func() {
+			if !r.exited {
+				f.crashFromRun(r)
 			}
 		})
 	}
 	if spec.Gang {
-		f.w.workTogether(r, spec)
+		f.world.startGangWork(r, spec)
 		return workload.WorkerAnswer{}
 	}
 	if !spec.Lasting {
-		took := time.Duration(float64(spec.EstimateMS)*(0.7+0.6*f.w.rng.Float64())) * time.Millisecond
-		how := workload.EndDone
-		if f.w.chance(f.w.faults.failedTask) {
-			how = workload.EndFailed
+		duration := time.Duration(float64(spec.EstimateMS)*(0.7+0.6*f.world.rng.Float64())) * time.Millisecond
+		reason := workload.EndDone
+		if f.world.chance(f.world.faults.failedTask) {
+			reason = workload.EndFailed
 		}
-		f.w.after(took, func() { f.end(r, how) })
+		f.world.after(duration, func() { f.endRun(r, reason) })
 	}
 	return workload.WorkerAnswer{}
 }
 
-// end lists a run's end.
-func (f *fakeWorker) end(r *fakeRun, how workload.How) {
-	if r.ended || f.gone {
+// endRun lists a run's end.
+func (f *fakeWorker) endRun(r *fakeRun, reason workload.How) {
+	if r.exited || f.terminated {
 		return
 	}
-	r.ended = true
-	f.w.jobs[r.task.Job].lastSeen[r.task.String()] = f.w.now
+	r.exited = true
+	f.world.jobs[r.task.Job].lastRunningAt[r.task.String()] = f.world.now
 	f.runs = slices.DeleteFunc(f.runs, func(x *fakeRun) bool { return x == r })
-	f.number++
-	name := r.task.String()
-	f.highest[name] = max(f.highest[name], r.number)
-	e := workload.RunEnd{Number: f.number, Task: r.task, Run: r.number, How: how}
-	if how == workload.EndDone {
-		j := f.w.jobs[r.task.Job]
-		j.done[name] = true
-		j.doneRuns[name] = append(j.doneRuns[name], r.number)
+	f.lastExitNumber++
+	taskName := r.task.String()
+	f.highestRunByTask[taskName] = max(f.highestRunByTask[taskName], r.runNumber)
+	exit := workload.RunEnd{Number: f.lastExitNumber, Task: r.task, Run: r.runNumber, How: reason}
+	if reason == workload.EndDone {
+		job := f.world.jobs[r.task.Job]
+		job.done[taskName] = true
+		job.doneRuns[taskName] = append(job.doneRuns[taskName], r.runNumber)
 	}
-	if f.number <= f.acked {
-		f.noted(e) // nobody will read it
+	if f.lastExitNumber <= f.ackedUpTo {
+		f.recordAck(exit) // nobody will read it
 	} else {
-		f.ends = append(f.ends, e)
+		f.unackedExits = append(f.unackedExits, exit)
 	}
-	waiting := f.waiting
-	f.waiting = nil
-	for _, tell := range waiting {
-		tell()
+	waitingPolls := f.waitingPolls
+	f.waitingPolls = nil
+	for _, respond := range waitingPolls {
+		respond()
 	}
 }
 
-// whenEnded calls tell once ends are listed, or after wait.
-func (f *fakeWorker) whenEnded(wait time.Duration, tell func()) {
-	if wait == 0 || len(f.ends) > 0 {
-		tell()
+// respondOnExit calls tell once ends are listed, or after wait.
+func (f *fakeWorker) respondOnExit(wait time.Duration, respond func()) {
+	if wait == 0 || len(f.unackedExits) > 0 {
+		respond()
 		return
 	}
-	told := false
-	once := func() {
-		if !told {
-			told = true
-			tell()
+	responded := false
+	respondOnce := func() {
+		if !responded {
+			responded = true
+			respond()
 		}
 	}
-	f.waiting = append(f.waiting, once)
-	f.w.after(wait, once)
+	f.waitingPolls = append(f.waitingPolls, respondOnce)
+	f.world.after(wait, respondOnce)
 }
 
 func (f *fakeWorker) stop(s scheduler.StopOrder) workload.WorkerAnswer {
-	if f.fenced(s.Token) {
+	if f.rejectsToken(s.Token) {
 		return workload.WorkerAnswer{Status: workload.WorkerFenced}
 	}
-	name := s.Task.String()
-	f.highest[name] = max(f.highest[name], s.Run)
+	taskName := s.Task.String()
+	f.highestRunByTask[taskName] = max(f.highestRunByTask[taskName], s.Run)
 	for _, r := range f.runs {
-		if r.task == s.Task && r.number <= s.Run && !r.stopped {
-			f.w.checkStop(r)
-			r.stopped = true
-			f.w.after(stopTime, func() { f.end(r, workload.EndStopped) })
+		if r.task == s.Task && r.runNumber <= s.Run && !r.stopRequested {
+			f.world.checkMaxUnavailable(r)
+			r.stopRequested = true
+			f.world.after(stopDuration, func() { f.endRun(r, workload.EndStopped) })
 		}
 	}
 	return workload.WorkerAnswer{}
 }
 
-func (f *fakeWorker) hold(h workload.Hold) workload.WorkerAnswer {
-	if f.fenced(h.Token) {
+func (f *fakeWorker) poll(p workload.Hold) workload.WorkerAnswer {
+	if f.rejectsToken(p.Token) {
 		return workload.WorkerAnswer{Status: workload.WorkerFenced}
 	}
-	if h.LeaseUntil > 0 {
-		f.lease(h.LeaseUntil)
+	if p.LeaseUntil > 0 {
+		f.extendLease(p.LeaseUntil)
 	}
-	f.acked = max(f.acked, h.Acked)
-	f.ends = slices.DeleteFunc(f.ends, func(e workload.RunEnd) bool {
-		if e.Number > f.acked {
+	f.ackedUpTo = max(f.ackedUpTo, p.Acked)
+	f.unackedExits = slices.DeleteFunc(f.unackedExits, func(e workload.RunEnd) bool {
+		if e.Number > f.ackedUpTo {
 			return false
 		}
-		f.noted(e)
+		f.recordAck(e)
 		return true
 	})
 	return workload.WorkerAnswer{}
 }
 
-// noted takes that an end was acknowledged.
-func (f *fakeWorker) noted(e workload.RunEnd) {
-	j := f.w.jobs[e.Task.Job]
-	switch e.How {
+// recordAck takes that an end was acknowledged.
+func (f *fakeWorker) recordAck(exit workload.RunEnd) {
+	job := f.world.jobs[exit.Task.Job]
+	switch exit.How {
 	case workload.EndDone:
-		name := e.Task.String()
-		if e.Number <= f.lapsed {
+		taskName := exit.Task.String()
+		if exit.Number <= f.lastExitAtLapse {
 			return // nobody could know of it in time
 		}
-		j.noted[name] = true
-		if j.again[runName(name, e.Run)] {
-			f.w.breaks("TWICE", name+" was started again before its end was acknowledged")
+		job.acknowledged[taskName] = true
+		if job.supersededDoneRuns[runKey(taskName, exit.Run)] {
+			f.world.recordViolation("TWICE", taskName+" was started again before its end was acknowledged")
 		}
 	case workload.EndFailed:
-		j.failed[e.Task.String()]++
+		job.failures[exit.Task.String()]++
 	}
 }
 
-func (f *fakeWorker) list() workload.Held {
-	held := workload.Held{Born: f.info.Born}
+func (f *fakeWorker) pollReport() workload.Held {
+	report := workload.Held{Born: f.info.Born}
 	for _, r := range f.runs {
-		held.Running = append(held.Running, workload.RunState{Task: r.task, Run: r.number, Percent: 100})
+		report.Running = append(report.Running, workload.RunState{Task: r.task, Run: r.runNumber, Percent: 100})
 	}
-	held.Finished = slices.Clone(f.ends)
-	return held
+	report.Finished = slices.Clone(f.unackedExits)
+	return report
 }
 
-// entryLapse is how long after a worker's last heartbeat its entry goes.
-const entryLapse = 4500 * time.Millisecond
+// registryEntryTTL is how long after a worker's last heartbeat its entry goes.
+const registryEntryTTL = 4500 * time.Millisecond
 
-// crash ends the worker; its entry goes after three heartbeats, and another
+// loseVM ends the worker; its entry goes after three heartbeats, and another
 // incarnation comes.
-func (f *fakeWorker) crash() {
-	f.gone = true
+func (f *fakeWorker) loseVM() {
+	f.terminated = true
 	for _, r := range f.runs {
-		f.w.jobs[r.task.Job].lastSeen[r.task.String()] = f.w.now
+		f.world.jobs[r.task.Job].lastRunningAt[r.task.String()] = f.world.now
 	}
 	f.runs = nil
-	f.w.after(entryLapse, func() { f.unregister() })
-	f.w.after(5*time.Second, func() { f.w.addWorker(f.info.ID+"'", f.info.Capacity) })
+	f.world.after(registryEntryTTL, func() { f.unregister() })
+	f.world.after(5*time.Second, func() { f.world.addWorker(f.info.ID+"'", f.info.Capacity) })
 }
 
 func (f *fakeWorker) unregister() {
-	f.w.listed = slices.DeleteFunc(f.w.listed, func(i workload.Worker) bool { return i.ID == f.info.ID })
+	f.world.registry = slices.DeleteFunc(f.world.registry, func(i workload.Worker) bool { return i.ID == f.info.ID })
 }
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -11,10 +11,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// gangOf is a step of three tasks, of which a test worker holds two.
-func gangOf(r *rig) []scheduler.StartOrder {
-	r.ready("w-1", "w-2")
-	gang := batch(3, 3000)
+// submitGang is a step of three tasks, of which a test worker holds two.
+func submitGang(r *rig) []scheduler.StartOrder {
+	r.syncWorkers("w-1", "w-2")
+	gang := batchStep(3, 3000)
 	gang.Gang = true
 	r.submit("0000000000000001", gang)
 	starts := r.step(20 * time.Millisecond).Starts
@@ -22,53 +22,53 @@
 	return starts
 }
 
-// play steps for a while. Workers answer polls and list nothing.
-func (r *rig) play(d time.Duration) scheduler.Orders {
-	var all scheduler.Orders
+// stepFor steps for a while. Workers answer polls and list nothing.
+func (r *rig) stepFor(d time.Duration) scheduler.Orders {
+	var collected scheduler.Orders
 	for until := r.now.Add(d); r.now.Before(until); {
 		orders := r.step(50 * time.Millisecond)
-		all.Starts = append(all.Starts, orders.Starts...)
-		all.Stops = append(all.Stops, orders.Stops...)
+		collected.Starts = append(collected.Starts, orders.Starts...)
+		collected.Stops = append(collected.Stops, orders.Stops...)
 	}
-	return all
+	return collected
 }
 
 // One member of a gang meets a worker that has just left; the others begin and
 // wait for it. They are stopped at once, as they get nothing done and hold their
 // room, and the gang starts anew under a higher number: the caller's job takes
 // half a second longer, and no member ends for want of the others.
-func TestGangWithARefusedMemberIsStoppedAndStartsAnew(t *testing.T) {
+func TestGangWithARefusedMemberIsStoppedAndRestarted(t *testing.T) {
 	r := newRig(t)
-	starts := gangOf(r)
-	r.started(starts[0], workload.WorkerOK)
-	r.started(starts[1], workload.WorkerOK)
-	r.started(starts[2], workload.WorkerFull)
+	starts := submitGang(r)
+	r.answerStart(starts[0], workload.WorkerOK)
+	r.answerStart(starts[1], workload.WorkerOK)
+	r.answerStart(starts[2], workload.WorkerFull)
 	stops := r.step(20 * time.Millisecond).Stops
 	require.Len(t, stops, 2)
-	ends := map[string]int64{}
+	lastExitNumber := map[string]int64{}
 	for _, s := range stops {
-		ends[s.Worker.ID]++
+		lastExitNumber[s.Worker.ID]++
 		r.core.Stopped(scheduler.OrderResult{Worker: s.Worker.ID, Task: s.Task, Run: s.Run, Token: s.Token, Answer: workload.WorkerAnswer{Clock: 1000}}, r.now)
-		r.held(s.Worker.ID, r.now.Add(time.Millisecond), workload.Held{Finished: []workload.RunEnd{{Number: ends[s.Worker.ID], Task: s.Task, Run: s.Run, How: workload.EndStopped}}})
+		r.answerPoll(s.Worker.ID, r.now.Add(time.Millisecond), workload.Held{Finished: []workload.RunEnd{{Number: lastExitNumber[s.Worker.ID], Task: s.Task, Run: s.Run, How: workload.EndStopped}}})
 	}
-	again := r.play(time.Second).Starts
-	require.Len(t, again, 3)
-	for _, s := range again {
+	restarts := r.stepFor(time.Second).Starts
+	require.Len(t, restarts, 3)
+	for _, s := range restarts {
 		assert.Equal(t, starts[0].Start.Run+1, s.Start.Run)
 	}
 }
 
 // The start of one member gets no answer, and its worker is silent. The others
 // would wait for it until they end without work done; they are stopped before.
-func TestGangWithAnUncertainMemberIsStoppedBeforeItGivesUp(t *testing.T) {
+func TestGangWithAnUncertainMemberIsStoppedBeforeTheGangTimeout(t *testing.T) {
 	r := newRig(t)
-	starts := gangOf(r)
-	r.started(starts[0], workload.WorkerOK)
-	r.started(starts[1], workload.WorkerOK)
+	starts := submitGang(r)
+	r.answerStart(starts[0], workload.WorkerOK)
+	r.answerStart(starts[1], workload.WorkerOK)
 	r.now = r.now.Add(time.Second)
-	r.started(starts[2], workload.WorkerUnknown)
+	r.answerStart(starts[2], workload.WorkerUnknown)
 	stopped := map[workload.TaskKey]bool{}
-	for _, s := range r.play(gangTimeout - 1500*time.Millisecond).Stops {
+	for _, s := range r.stepFor(gangTimeout - 1500*time.Millisecond).Stops {
 		stopped[s.Task] = true
 	}
 	assert.True(t, stopped[starts[0].Start.Task])
@@ -76,24 +76,24 @@
 }
 
 // All members are there: the gang is left alone, however long it works.
-func TestCompleteGangIsLeftAlone(t *testing.T) {
+func TestCompleteGangIsNotStopped(t *testing.T) {
 	r := newRig(t)
-	for _, s := range gangOf(r) {
-		r.started(s, workload.WorkerOK)
+	for _, s := range submitGang(r) {
+		r.answerStart(s, workload.WorkerOK)
 	}
-	assert.Empty(t, r.play(2*gangTimeout).Stops)
+	assert.Empty(t, r.stepFor(2*gangTimeout).Stops)
 }
 
 // A VM was emptied, and its worker goes with it to another pool. The list names it
 // for seconds yet. It gets no task before it has answered a poll again: a start
 // there would be refused and cost its task 0.3 s.
-func TestEmptiedWorkerGetsNoTaskBeforeItHasAnswered(t *testing.T) {
+func TestDrainedWorkerGetsNoTaskBeforeItAnswersAPoll(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
+	r.syncWorkers("w-1")
 	require.Equal(t, workload.Vacant, r.core.Evacuate("w-1", r.now))
-	r.play(3 * time.Second)
-	r.submit("0000000000000001", batch(1, 1000))
+	r.stepFor(3 * time.Second)
+	r.submit("0000000000000001", batchStep(1, 1000))
 	require.Empty(t, r.step(20*time.Millisecond).Starts)
-	r.held("w-1", r.now, workload.Held{})
+	r.answerPoll("w-1", r.now, workload.Held{})
 	assert.Len(t, r.step(20*time.Millisecond).Starts, 1)
 }
--- a/internal/scheduler/held_test.go
+++ b/internal/scheduler/held_test.go
@@ -13,20 +13,20 @@
 // Guards against a run that has ended being brought back by a list that was made before its
 // end and comes after it, by a poll that was sent later: the task would count as running, and
 // its room as taken.
-func TestListThatWasMadeEarlierSaysNothingMore(t *testing.T) {
+func TestOlderPollReportIsIgnored(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	s := r.begin("0000000000000001", batch(1, 1000))[0]
-	list := func(sent time.Time, clock int64, held workload.Held) {
-		r.core.Held(scheduler.HoldResult{Worker: "w-1", Token: r.token(), SentAt: sent, Held: held, Answer: workload.WorkerAnswer{Clock: clock}}, r.now)
+	r.syncWorkers("w-1")
+	s := r.startJob("0000000000000001", batchStep(1, 1000))[0]
+	answerPoll := func(sentAt time.Time, clock int64, report workload.Held) {
+		r.core.Held(scheduler.HoldResult{Worker: "w-1", Token: r.token(), SentAt: sentAt, Held: report, Answer: workload.WorkerAnswer{Clock: clock}}, r.now)
 	}
-	sent := r.now
+	sentAt := r.now
 	r.step(300 * time.Millisecond)
-	list(sent, 2000, end(1, s, workload.EndDone))
+	answerPoll(sentAt, 2000, exitReport(1, s, workload.EndDone))
 	running := workload.Held{Running: []workload.RunState{{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}}}
-	list(sent.Add(100*time.Millisecond), 1990, running)
+	answerPoll(sentAt.Add(100*time.Millisecond), 1990, running)
 	assert.Empty(t, r.step(50*time.Millisecond).Stops, "the run has ended")
 
-	list(sent.Add(200*time.Millisecond), 2100, workload.Held{})
+	answerPoll(sentAt.Add(200*time.Millisecond), 2100, workload.Held{})
 	assert.Empty(t, r.step(50*time.Millisecond).Stops)
 }
--- a/internal/scheduler/incarnation_test.go
+++ b/internal/scheduler/incarnation_test.go
@@ -13,85 +13,85 @@
 
 // Starts of the worker of these tests, in Unix milliseconds.
 var (
-	firstBorn = epochStart.Add(-time.Hour).UnixMilli()
-	nextBorn  = epochStart.Add(-time.Second).UnixMilli()
+	firstIncarnation = historyStart.Add(-time.Hour).UnixMilli()
+	nextIncarnation  = historyStart.Add(-time.Second).UnixMilli()
 )
 
-// run starts the task of a job of one on the worker and has it end as done, as its end n.
+// completeJob starts the task of a job of one on the worker and has it end as done, as its end n.
 // It returns the poll that carries the acknowledgement.
-func (r *rig) run(id string, n int64) scheduler.HoldOrder {
-	s := r.begin(id, batch(1, 1000))[0]
-	h, _ := r.poll("w-1")
-	r.answer(h, firstBorn, end(n, s, workload.EndDone))
-	h, _ = r.poll("w-1")
-	return h
+func (r *rig) completeJob(id string, exitNumber int64) scheduler.HoldOrder {
+	s := r.startJob(id, batchStep(1, 1000))[0]
+	poll, _ := r.awaitPoll("w-1")
+	r.answerPollAs(poll, firstIncarnation, exitReport(exitNumber, s, workload.EndDone))
+	poll, _ = r.awaitPoll("w-1")
+	return poll
 }
 
 // Guards against an acknowledgement reaching a process that has listed nothing, which
 // takes it for its own first ends: after any pause in which the worker can have restarted
 // a poll goes without it first.
-func TestAcknowledgementTravelsOnlyJustAfterAList(t *testing.T) {
+func TestAcknowledgementIsSentOnlyRightAfterAPollReport(t *testing.T) {
 	r := newIncarnationRig(t)
-	h := r.run("0000000000000001", 1)
-	require.Equal(t, int64(1), h.Hold.Acked)
-	r.unanswered("w-1")
-	h, _ = r.poll("w-1")
-	assert.Zero(t, h.Hold.Acked, "the worker was silent")
-	r.answer(h, firstBorn, workload.Held{})
-	h, _ = r.poll("w-1")
-	assert.Equal(t, int64(1), h.Hold.Acked)
-	r.answer(h, firstBorn, workload.Held{})
+	poll := r.completeJob("0000000000000001", 1)
+	require.Equal(t, int64(1), poll.Hold.Acked)
+	r.timeOutPoll("w-1")
+	poll, _ = r.awaitPoll("w-1")
+	assert.Zero(t, poll.Hold.Acked, "the worker was silent")
+	r.answerPollAs(poll, firstIncarnation, workload.Held{})
+	poll, _ = r.awaitPoll("w-1")
+	assert.Equal(t, int64(1), poll.Hold.Acked)
+	r.answerPollAs(poll, firstIncarnation, workload.Held{})
 
-	s := r.begin("0000000000000002", batch(1, 1000))[0]
-	h, _ = r.poll("w-1")
-	assert.Zero(t, h.Hold.Acked, "it has been answered")
+	s := r.startJob("0000000000000002", batchStep(1, 1000))[0]
+	poll, _ = r.awaitPoll("w-1")
+	assert.Zero(t, poll.Hold.Acked, "it has been answered")
 	r.now = r.now.Add(300 * time.Millisecond)
-	r.answer(h, firstBorn, end(2, s, workload.EndDone))
+	r.answerPollAs(poll, firstIncarnation, exitReport(2, s, workload.EndDone))
 	r.now = r.now.Add(300 * time.Millisecond) // as a slow store takes
-	h, _ = r.poll("w-1")
-	assert.Zero(t, h.Hold.Acked, "the list is old")
-	r.answer(h, firstBorn, end(2, s, workload.EndDone))
-	h, _ = r.poll("w-1")
-	assert.Equal(t, int64(2), h.Hold.Acked)
+	poll, _ = r.awaitPoll("w-1")
+	assert.Zero(t, poll.Hold.Acked, "the list is old")
+	r.answerPollAs(poll, firstIncarnation, exitReport(2, s, workload.EndDone))
+	poll, _ = r.awaitPoll("w-1")
+	assert.Equal(t, int64(2), poll.Hold.Acked)
 }
 
 // Guards against an acknowledgement that stays here for want of another task on the
 // worker: it would travel with the first poll after a restart.
 func TestAcknowledgementIsDeliveredToAnIdleWorker(t *testing.T) {
 	r := newIncarnationRig(t)
-	h := r.run("0000000000000001", 1)
-	assert.Equal(t, int64(1), h.Hold.Acked)
-	assert.Zero(t, h.Hold.Wait)
-	r.answer(h, firstBorn, workload.Held{})
+	poll := r.completeJob("0000000000000001", 1)
+	assert.Equal(t, int64(1), poll.Hold.Acked)
+	assert.Zero(t, poll.Hold.Wait)
+	r.answerPollAs(poll, firstIncarnation, workload.Held{})
 	assert.Empty(t, r.step(time.Second).Holds)
 }
 
 // Guards against the ends of a new process being left out as known, and against the
 // acknowledgement of what was read of the one before, also where that is stored only now.
-func TestNumbersOfEndsBeginAnew(t *testing.T) {
+func TestExitNumbersStartOverWithANewIncarnation(t *testing.T) {
 	r := newIncarnationRig(t)
-	r.answer(r.run("0000000000000001", 57), firstBorn, workload.Held{})
-	s := r.begin("0000000000000002", batch(1, 1000))[0]
-	h, _ := r.poll("w-1")
-	r.answer(h, firstBorn, end(58, s, workload.EndDone))
+	r.answerPollAs(r.completeJob("0000000000000001", 57), firstIncarnation, workload.Held{})
+	s := r.startJob("0000000000000002", batchStep(1, 1000))[0]
+	poll, _ := r.awaitPoll("w-1")
+	r.answerPollAs(poll, firstIncarnation, exitReport(58, s, workload.EndDone))
 	r.now = r.now.Add(30 * time.Millisecond)
-	written := r.core.Step(r.now)
-	require.NotNil(t, written.Write)
-	r.note(written)
-	h, _ = r.poll("w-1")
-	r.answer(h, nextBorn, workload.Held{})
+	orders := r.core.Step(r.now)
+	require.NotNil(t, orders.Write)
+	r.recordPolls(orders)
+	poll, _ = r.awaitPoll("w-1")
+	r.answerPollAs(poll, nextIncarnation, workload.Held{})
 	r.core.Written()
-	r.entry("w-1", nextBorn)
-	h, _ = r.poll("w-1")
-	r.answer(h, nextBorn, workload.Held{})
+	r.registerWorker("w-1", nextIncarnation)
+	poll, _ = r.awaitPoll("w-1")
+	r.answerPollAs(poll, nextIncarnation, workload.Held{})
 	require.Empty(t, r.step(20*time.Millisecond).Holds, "nothing is to be acknowledged")
 
-	s = r.begin("0000000000000003", batch(1, 1000))[0]
-	h, _ = r.poll("w-1")
-	assert.Zero(t, h.Hold.Acked)
-	r.answer(h, nextBorn, end(1, s, workload.EndDone))
-	h, _ = r.poll("w-1")
-	assert.Equal(t, int64(1), h.Hold.Acked)
+	s = r.startJob("0000000000000003", batchStep(1, 1000))[0]
+	poll, _ = r.awaitPoll("w-1")
+	assert.Zero(t, poll.Hold.Acked)
+	r.answerPollAs(poll, nextIncarnation, exitReport(1, s, workload.EndDone))
+	poll, _ = r.awaitPoll("w-1")
+	assert.Equal(t, int64(1), poll.Hold.Acked)
 	state, _ := r.core.State(s.Start.Task.Job)
 	assert.Equal(t, workload.Completed, state)
 }
@@ -101,131 +101,131 @@
 // before that poll is answered.
 func TestEachIncarnationIsFenced(t *testing.T) {
 	r := newIncarnationRig(t)
-	s := r.begin("0000000000000001", batch(1, 1000))[0]
-	h, _ := r.poll("w-1")
-	r.entry("w-1", nextBorn)
-	r.answer(h, nextBorn, workload.Held{})
-	r.submit("0000000000000002", batch(1, 1000))
-	fence, starts := r.poll("w-1")
+	s := r.startJob("0000000000000001", batchStep(1, 1000))[0]
+	poll, _ := r.awaitPoll("w-1")
+	r.registerWorker("w-1", nextIncarnation)
+	r.answerPollAs(poll, nextIncarnation, workload.Held{})
+	r.submit("0000000000000002", batchStep(1, 1000))
+	fencingPoll, starts := r.awaitPoll("w-1")
 	assert.Empty(t, starts)
-	assert.Greater(t, fence.Hold.Token, s.Start.Token)
-	assert.Zero(t, fence.Hold.LeaseUntil)
-	assert.Zero(t, fence.Hold.Acked)
-	r.answer(fence, nextBorn, workload.Held{})
+	assert.Greater(t, fencingPoll.Hold.Token, s.Start.Token)
+	assert.Zero(t, fencingPoll.Hold.LeaseUntil)
+	assert.Zero(t, fencingPoll.Hold.Acked)
+	r.answerPollAs(fencingPoll, nextIncarnation, workload.Held{})
 	assert.Equal(t, 1, r.core.Counts.RunsLost)
-	starts = r.play(100 * time.Millisecond).Starts
+	starts = r.stepFor(100 * time.Millisecond).Starts
 	require.NotEmpty(t, starts)
-	assert.Equal(t, fence.Hold.Token, starts[0].Start.Token)
+	assert.Equal(t, fencingPoll.Hold.Token, starts[0].Start.Token)
 	assert.Empty(t, r.core.Lost())
 }
 
 // Guards against a refusal of an order of before a restart being taken for the word of a
 // later owner.
-func TestOrderThatIsFencedByAnIncarnationEndsNoOwnership(t *testing.T) {
+func TestOrderFencedByANewIncarnationDoesNotEndOwnership(t *testing.T) {
 	r := newIncarnationRig(t)
-	s := r.begin("0000000000000001", batch(1, 1000))[0]
-	h, _ := r.poll("w-1")
-	r.answer(h, nextBorn, workload.Held{})
-	r.started(s, workload.WorkerFenced)
+	s := r.startJob("0000000000000001", batchStep(1, 1000))[0]
+	poll, _ := r.awaitPoll("w-1")
+	r.answerPollAs(poll, nextIncarnation, workload.Held{})
+	r.answerStart(s, workload.WorkerFenced)
 	assert.Empty(t, r.core.Lost())
 }
 
 // Guards against a start that reached the new process being taken for lost with the old
 // one: its task would run twice. It is listed there, or its end is.
-func TestStartThatReachedTheNewProcessGoesOn(t *testing.T) {
-	for _, ended := range []bool{false, true} {
+func TestStartThatReachedTheNewIncarnationIsKept(t *testing.T) {
+	for _, exited := range []bool{false, true} {
 		r := newIncarnationRig(t)
-		r.submit("0000000000000001", batch(1, 1000))
-		s := r.play(100 * time.Millisecond).Starts[0]
-		r.started(s, workload.WorkerUnknown)
-		h, _ := r.poll("w-1")
-		r.entry("w-1", nextBorn)
-		r.answer(h, nextBorn, workload.Held{})
-		fence, _ := r.poll("w-1")
-		list := workload.Held{Running: []workload.RunState{{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}}}
-		if ended {
-			list = end(1, s, workload.EndDone)
+		r.submit("0000000000000001", batchStep(1, 1000))
+		s := r.stepFor(100 * time.Millisecond).Starts[0]
+		r.answerStart(s, workload.WorkerUnknown)
+		poll, _ := r.awaitPoll("w-1")
+		r.registerWorker("w-1", nextIncarnation)
+		r.answerPollAs(poll, nextIncarnation, workload.Held{})
+		fencingPoll, _ := r.awaitPoll("w-1")
+		report := workload.Held{Running: []workload.RunState{{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}}}
+		if exited {
+			report = exitReport(1, s, workload.EndDone)
 		}
-		r.answer(fence, nextBorn, list)
-		assert.Empty(t, r.play(500*time.Millisecond).Starts)
+		r.answerPollAs(fencingPoll, nextIncarnation, report)
+		assert.Empty(t, r.stepFor(500*time.Millisecond).Starts)
 		state, _ := r.core.State(s.Start.Task.Job)
-		assert.Equal(t, ended, state == workload.Completed)
+		assert.Equal(t, exited, state == workload.Completed)
 	}
 }
 
 // Guards against leases by the clock of the process before: the new one would give the
 // longest there is, and its runs outlive the lease that its owner counts with.
-func TestClockAndLeaseOfANewProcess(t *testing.T) {
+func TestLeasesFollowTheClockOfTheNewIncarnation(t *testing.T) {
 	r := newIncarnationRig(t)
-	s := r.begin("0000000000000001", batch(1, 1000))[0]
-	h, _ := r.poll("w-1")
-	r.entry("w-1", nextBorn)
-	r.answer(h, nextBorn, workload.Held{})
-	fence, _ := r.poll("w-1")
-	r.answer(fence, nextBorn, workload.Held{Running: []workload.RunState{{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}}})
+	s := r.startJob("0000000000000001", batchStep(1, 1000))[0]
+	poll, _ := r.awaitPoll("w-1")
+	r.registerWorker("w-1", nextIncarnation)
+	r.answerPollAs(poll, nextIncarnation, workload.Held{})
+	fencingPoll, _ := r.awaitPoll("w-1")
+	r.answerPollAs(fencingPoll, nextIncarnation, workload.Held{Running: []workload.RunState{{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}}})
 	// An answer of the process before that comes now says nothing of this one's clock.
-	r.core.Stopped(scheduler.OrderResult{Worker: "w-1", Task: s.Start.Task, Run: s.Start.Run, Token: s.Start.Token, Answer: workload.WorkerAnswer{Clock: r.now.UnixMilli() - firstBorn}}, r.now)
-	h, _ = r.poll("w-1")
-	assert.InDelta(t, r.now.UnixMilli()-nextBorn+testLease.Milliseconds(), h.Hold.LeaseUntil, 50)
+	r.core.Stopped(scheduler.OrderResult{Worker: "w-1", Task: s.Start.Task, Run: s.Start.Run, Token: s.Start.Token, Answer: workload.WorkerAnswer{Clock: r.now.UnixMilli() - firstIncarnation}}, r.now)
+	poll, _ = r.awaitPoll("w-1")
+	assert.InDelta(t, r.now.UnixMilli()-nextIncarnation+testLease.Milliseconds(), poll.Hold.LeaseUntil, 50)
 
 	// It is cut off now, and no longer registered. The run counts as there for as long as
 	// the longest lease.
 	r.core.SetWorkers(nil, r.now)
-	silent := func(d time.Duration) (starts []scheduler.StartOrder) {
+	stepUnanswered := func(d time.Duration) (starts []scheduler.StartOrder) {
 		for until := r.now.Add(d); r.now.Before(until); {
-			o := r.step(50 * time.Millisecond)
-			starts = append(starts, o.Starts...)
-			if len(o.Holds) > 0 {
-				r.core.Held(scheduler.HoldResult{Worker: "w-1", Token: o.Holds[0].Hold.Token, SentAt: r.now, Extra: o.Holds[0].Extra, Answer: workload.WorkerAnswer{Status: workload.WorkerUnknown}}, r.now)
+			orders := r.step(50 * time.Millisecond)
+			starts = append(starts, orders.Starts...)
+			if len(orders.Holds) > 0 {
+				r.core.Held(scheduler.HoldResult{Worker: "w-1", Token: orders.Holds[0].Hold.Token, SentAt: r.now, Extra: orders.Holds[0].Extra, Answer: workload.WorkerAnswer{Status: workload.WorkerUnknown}}, r.now)
 			}
 		}
 		return starts
 	}
-	silent(9 * time.Second)
+	stepUnanswered(9 * time.Second)
 	assert.Zero(t, r.core.Counts.Lapsed)
-	silent(3 * time.Second)
+	stepUnanswered(3 * time.Second)
 	assert.Equal(t, 1, r.core.Counts.Lapsed)
 }
 
 // Guards against the entry and the lists of a worker being weighed as if they came in
 // order: each may be ahead of the other, and neither alone lets tasks start.
-func TestEntryAndListsMayComeInEitherOrder(t *testing.T) {
+func TestRegistryEntryAndPollReportsMayArriveInEitherOrder(t *testing.T) {
 	r := newIncarnationRig(t)
-	r.entry("w-1", nextBorn) // the entry is ahead
-	r.submit("0000000000000001", batch(1, 1000))
-	h, starts := r.poll("w-1")
+	r.registerWorker("w-1", nextIncarnation) // the entry is ahead
+	r.submit("0000000000000001", batchStep(1, 1000))
+	poll, starts := r.awaitPoll("w-1")
 	assert.Empty(t, starts)
-	r.answer(h, nextBorn, workload.Held{})
-	fence, starts := r.poll("w-1")
+	r.answerPollAs(poll, nextIncarnation, workload.Held{})
+	fencingPoll, starts := r.awaitPoll("w-1")
 	assert.Empty(t, starts)
-	r.answer(fence, nextBorn, workload.Held{})
-	assert.Len(t, r.play(100*time.Millisecond).Starts, 1)
+	r.answerPollAs(fencingPoll, nextIncarnation, workload.Held{})
+	assert.Len(t, r.stepFor(100*time.Millisecond).Starts, 1)
 
 	r = newIncarnationRig(t)
-	r.begin("0000000000000001", batch(1, 1000))
-	h, _ = r.poll("w-1") // the list is ahead
-	r.answer(h, nextBorn, workload.Held{})
-	fence, _ = r.poll("w-1")
-	r.answer(fence, nextBorn, workload.Held{})
-	r.entry("w-1", firstBorn)
-	assert.Empty(t, r.play(500*time.Millisecond).Starts, "the ownership may have passed on since")
-	r.entry("w-1", nextBorn)
-	assert.Len(t, r.play(800*time.Millisecond).Starts, 1)
+	r.startJob("0000000000000001", batchStep(1, 1000))
+	poll, _ = r.awaitPoll("w-1") // the list is ahead
+	r.answerPollAs(poll, nextIncarnation, workload.Held{})
+	fencingPoll, _ = r.awaitPoll("w-1")
+	r.answerPollAs(fencingPoll, nextIncarnation, workload.Held{})
+	r.registerWorker("w-1", firstIncarnation)
+	assert.Empty(t, r.stepFor(500*time.Millisecond).Starts, "the ownership may have passed on since")
+	r.registerWorker("w-1", nextIncarnation)
+	assert.Len(t, r.stepFor(800*time.Millisecond).Starts, 1)
 }
 
 // Guards against an entry of another writer ending what runs: the worker itself is asked.
-func TestEntryWithAnotherStartEndsNothing(t *testing.T) {
+func TestRegistryEntryOfAnotherIncarnationLosesNoRun(t *testing.T) {
 	r := newIncarnationRig(t)
-	s := r.begin("0000000000000001", batch(1, 1000))[0]
-	listed := workload.Held{Running: []workload.RunState{{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}}}
-	for _, born := range []int64{nextBorn, 1, 9e15} {
-		r.entry("w-1", born)
-		h, starts := r.poll("w-1")
+	s := r.startJob("0000000000000001", batchStep(1, 1000))[0]
+	report := workload.Held{Running: []workload.RunState{{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}}}
+	for _, incarnation := range []int64{nextIncarnation, 1, 9e15} {
+		r.registerWorker("w-1", incarnation)
+		poll, starts := r.awaitPoll("w-1")
 		assert.Empty(t, starts)
-		r.answer(h, firstBorn, listed)
-		h, _ = r.poll("w-1")
-		assert.NotZero(t, h.Hold.LeaseUntil, "its lease is renewed")
-		r.answer(h, firstBorn, listed)
+		r.answerPollAs(poll, firstIncarnation, report)
+		poll, _ = r.awaitPoll("w-1")
+		assert.NotZero(t, poll.Hold.LeaseUntil, "its lease is renewed")
+		r.answerPollAs(poll, firstIncarnation, report)
 	}
 	assert.Zero(t, r.core.Counts.Restarts)
 	assert.Zero(t, r.core.Counts.RunsLost)
@@ -233,70 +233,70 @@
 
 // Guards against a start that is missing, can't be read or goes back breaking anything.
 // The first two leave it at what is known, told once; the last is another process.
-func TestStartThatIsMissingOrGoesBack(t *testing.T) {
+func TestMissingInvalidOrDecreasingIncarnation(t *testing.T) {
 	r := newIncarnationRig(t)
-	s := r.begin("0000000000000001", batch(1, 1000))[0]
-	listed := workload.Held{Running: []workload.RunState{{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}}}
-	told := 0
-	clock := r.now.UnixMilli() - firstBorn
-	for _, problem := range []error{nil, assert.AnError, nil} {
-		h, _ := r.poll("w-1")
-		listed.BornErr = problem
-		r.core.Held(scheduler.HoldResult{Worker: "w-1", Token: h.Hold.Token, SentAt: r.now, Held: listed, Answer: workload.WorkerAnswer{Clock: clock}}, r.now)
+	s := r.startJob("0000000000000001", batchStep(1, 1000))[0]
+	report := workload.Held{Running: []workload.RunState{{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}}}
+	logged := 0
+	clock := r.now.UnixMilli() - firstIncarnation
+	for _, incarnationErr := range []error{nil, assert.AnError, nil} {
+		poll, _ := r.awaitPoll("w-1")
+		report.BornErr = incarnationErr
+		r.core.Held(scheduler.HoldResult{Worker: "w-1", Token: poll.Hold.Token, SentAt: r.now, Held: report, Answer: workload.WorkerAnswer{Clock: clock}}, r.now)
 		for _, d := range r.step(0).Decisions {
 			if d.Verb == "worker-start-unknown" {
-				told++
+				logged++
 			}
 		}
 	}
-	assert.Equal(t, 1, told)
+	assert.Equal(t, 1, logged)
 	assert.Zero(t, r.core.Counts.Restarts)
 
-	h, _ := r.poll("w-1")
-	r.answer(h, firstBorn-1000, workload.Held{})
+	poll, _ := r.awaitPoll("w-1")
+	r.answerPollAs(poll, firstIncarnation-1000, workload.Held{})
 	assert.Equal(t, 1, r.core.Counts.Restarts)
-	h, _ = r.poll("w-1")
-	r.answer(h, firstBorn-1000, workload.Held{})
+	poll, _ = r.awaitPoll("w-1")
+	r.answerPollAs(poll, firstIncarnation-1000, workload.Held{})
 	assert.Equal(t, 1, r.core.Counts.RunsLost)
 }
 
 // Guards against a restart that stays unseen where lists don't tell the start: the
 // worker's clock begins anew.
-func TestRestartShowsInTheClockWhereNoStartIsTold(t *testing.T) {
+func TestRestartIsDetectedByTheClockWithoutIncarnations(t *testing.T) {
 	r := newRig(t)
-	r.workers("w-1")
-	h, _ := r.poll("w-1")
-	poll := func(clock int64) {
-		r.core.Held(scheduler.HoldResult{Worker: "w-1", Token: h.Hold.Token, SentAt: r.now, Answer: workload.WorkerAnswer{Clock: clock}}, r.now)
+	r.setWorkers("w-1")
+	order, _ := r.awaitPoll("w-1")
+	answerPoll := func(clock int64) {
+		r.core.Held(scheduler.HoldResult{Worker: "w-1", Token: order.Hold.Token, SentAt: r.now, Answer: workload.WorkerAnswer{Clock: clock}}, r.now)
 	}
-	poll(60_000)
-	r.submit("0000000000000001", batch(1, 1000))
+	answerPoll(60_000)
+	r.submit("0000000000000001", batchStep(1, 1000))
 	r.step(30 * time.Millisecond)
-	h, _ = r.poll("w-1")
-	poll(500)
+	order, _ = r.awaitPoll("w-1")
+	answerPoll(500)
 	assert.Equal(t, 1, r.core.Counts.Restarts)
 }
 
 // Guards against a crash going uncounted as the worker keeps its ID: tasks that crash
 // their workers are suspects, and given up, as where the successor has another one.
-func TestRestartUnderTheSameIDIsACrash(t *testing.T) {
+func TestRestartUnderTheSameIDCountsAsACrash(t *testing.T) {
 	r := newIncarnationRig(t)
-	job := r.submit("0000000000000001", batch(1, 1000))
+	job := r.submit("0000000000000001", batchStep(1, 1000))
 	starts := 0
-	born := firstBorn
-	list := r.play(100 * time.Millisecond).Starts
+	incarnation := firstIncarnation
+	pendingStarts := r.stepFor(100 * time.Millisecond).Starts
 	for range 20 {
-		if len(list) > 0 {
+		if len(pendingStarts) > 0 {
 			starts++
-			r.started(list[0], workload.WorkerOK)
-			born += 1000
-			h, _ := r.poll("w-1")
-			r.answer(h, born, workload.Held{})
-			r.entry("w-1", born)
-			h, _ = r.poll("w-1")
-			r.answer(h, born, workload.Held{})
+			r.answerStart(pendingStarts[0], workload.WorkerOK)
+			incarnation += 1000
+			poll, _ := r.awaitPoll("w-1")
+			r.answerPollAs(poll, incarnation, workload.Held{})
+			r.registerWorker("w-1", incarnation)
+			poll, _ = r.awaitPoll("w-1")
+			r.answerPollAs(poll, incarnation, workload.Held{})
 		}
-		list = r.play(300 * time.Millisecond).Starts
+		pendingStarts = r.stepFor(300 * time.Millisecond).Starts
 	}
 	state, _ := r.core.State(job)
 	assert.Equal(t, workload.Failed, state)
@@ -306,94 +306,94 @@
 
 // Guards against blame for a planned restart: the incarnation had said that it leaves, and
 // the entry is that of the next one by the time its list comes.
-func TestRestartAfterDrainingIsNoCrash(t *testing.T) {
+func TestRestartOfALeavingWorkerIsNotACrash(t *testing.T) {
 	r := newIncarnationRig(t)
-	r.begin("0000000000000001", batch(1, 1000))
-	r.core.SetWorkers([]workload.Worker{{ID: "w-1", Born: firstBorn, Service: "service", Address: "w-1", Draining: true}}, r.now)
-	r.entry("w-1", nextBorn)
-	h, _ := r.poll("w-1")
-	r.answer(h, nextBorn, workload.Held{})
-	h, _ = r.poll("w-1")
-	r.answer(h, nextBorn, workload.Held{})
+	r.startJob("0000000000000001", batchStep(1, 1000))
+	r.core.SetWorkers([]workload.Worker{{ID: "w-1", Born: firstIncarnation, Service: "service", Address: "w-1", Draining: true}}, r.now)
+	r.registerWorker("w-1", nextIncarnation)
+	poll, _ := r.awaitPoll("w-1")
+	r.answerPollAs(poll, nextIncarnation, workload.Held{})
+	poll, _ = r.awaitPoll("w-1")
+	r.answerPollAs(poll, nextIncarnation, workload.Held{})
 	assert.Equal(t, 1, r.core.Counts.RunsLost)
 	assert.Zero(t, r.core.Counts.Crashes)
 }
 
 // Guards against a worker staying unused for ever once another one had its address: it may
 // start again under its ID elsewhere.
-func TestWorkerWhoseAddressWasTakenComesBack(t *testing.T) {
+func TestReplacedWorkerIsUsedAgainAfterARestart(t *testing.T) {
 	r := newIncarnationRig(t)
-	r.replaced("w-1")
-	r.play(time.Second)
-	r.entry("w-1", nextBorn)
-	h, _ := r.poll("w-1")
-	assert.Greater(t, h.Hold.Token, r.token())
-	r.answer(h, nextBorn, workload.Held{})
-	r.begin("0000000000000001", batch(1, 1000))
+	r.answerPollReplaced("w-1")
+	r.stepFor(time.Second)
+	r.registerWorker("w-1", nextIncarnation)
+	poll, _ := r.awaitPoll("w-1")
+	assert.Greater(t, poll.Hold.Token, r.token())
+	r.answerPollAs(poll, nextIncarnation, workload.Held{})
+	r.startJob("0000000000000001", batchStep(1, 1000))
 }
 
 // Guards against orders of before outranking those of now at a worker that was forgotten
 // and comes back under its ID.
-func TestTokenOfAForgottenWorkerRisesOn(t *testing.T) {
+func TestTokensOfAForgottenWorkerKeepRising(t *testing.T) {
 	r := newIncarnationRig(t)
-	h, _ := r.firstPollAfterRestart()
+	poll, _ := r.restartWorker()
 	r.core.SetWorkers(nil, r.now)
 	r.step(10 * time.Millisecond)
-	r.entry("w-1", nextBorn+1000)
-	next, _ := r.poll("w-1")
-	assert.Greater(t, next.Hold.Token, h.Hold.Token)
+	r.registerWorker("w-1", nextIncarnation+1000)
+	nextPoll, _ := r.awaitPoll("w-1")
+	assert.Greater(t, nextPoll.Hold.Token, poll.Hold.Token)
 }
 
-// firstPollAfterRestart has the worker restart and answers the poll that fences it.
-func (r *rig) firstPollAfterRestart() (scheduler.HoldOrder, []scheduler.StartOrder) {
-	r.entry("w-1", nextBorn)
-	h, _ := r.poll("w-1")
-	r.answer(h, nextBorn, workload.Held{})
-	fence, starts := r.poll("w-1")
-	r.answer(fence, nextBorn, workload.Held{})
-	return fence, starts
+// restartWorker has the worker restart and answers the poll that fences it.
+func (r *rig) restartWorker() (scheduler.HoldOrder, []scheduler.StartOrder) {
+	r.registerWorker("w-1", nextIncarnation)
+	poll, _ := r.awaitPoll("w-1")
+	r.answerPollAs(poll, nextIncarnation, workload.Held{})
+	fencingPoll, starts := r.awaitPoll("w-1")
+	r.answerPollAs(fencingPoll, nextIncarnation, workload.Held{})
+	return fencingPoll, starts
 }
 
 // Guards against tickets outliving the worker that they were given for, also those that
 // were asked for before it restarted.
-func TestTicketsEndWithTheIncarnation(t *testing.T) {
+func TestTicketsAreDroppedWithTheIncarnation(t *testing.T) {
 	r := newRig(t)
 	config := *testConfig
 	config.Version = 2
 	config.Queues = append([]workload.Queue{}, config.Queues...)
 	config.Queues[0].Advice = &workload.Advice{Decision: time.Millisecond, Valid: time.Minute}
 	r.core.SetConfig(&config)
-	r.entry("w-1", firstBorn)
-	h, _ := r.poll("w-1")
-	r.answer(h, firstBorn, workload.Held{})
-	r.submit("0000000000000001", batch(1, 1000))
-	asked := r.step(30 * time.Millisecond).Advise
-	require.Len(t, asked, 1)
-	sent := r.now
-	r.firstPollAfterRestart()
-	r.core.Advised(scheduler.AdviceResult{Order: asked[0], SentAt: sent, OK: true, Valid: time.Minute, Tickets: map[string]string{"w-1": "ticket"}}, r.now)
-	again := 0
+	r.registerWorker("w-1", firstIncarnation)
+	poll, _ := r.awaitPoll("w-1")
+	r.answerPollAs(poll, firstIncarnation, workload.Held{})
+	r.submit("0000000000000001", batchStep(1, 1000))
+	requests := r.step(30 * time.Millisecond).Advise
+	require.Len(t, requests, 1)
+	sentAt := r.now
+	r.restartWorker()
+	r.core.Advised(scheduler.AdviceResult{Order: requests[0], SentAt: sentAt, OK: true, Valid: time.Minute, Tickets: map[string]string{"w-1": "ticket"}}, r.now)
+	repeatedRequests := 0
 	for range 10 {
-		o := r.step(50 * time.Millisecond)
-		assert.Empty(t, o.Starts)
-		again += len(o.Advise)
+		orders := r.step(50 * time.Millisecond)
+		assert.Empty(t, orders.Starts)
+		repeatedRequests += len(orders.Advise)
 	}
-	assert.Equal(t, 1, again)
+	assert.Equal(t, 1, repeatedRequests)
 }
 
 // Guards against what a worker has failed being held against its next process.
-func TestTrustBeginsAnew(t *testing.T) {
+func TestFailuresOfAnEarlierIncarnationDoNotCountForTheNext(t *testing.T) {
 	r := newIncarnationRig(t)
 	for n, id := range []string{"0000000000000001", "0000000000000002", "0000000000000003"} {
-		s := r.begin(id, batch(1, 1000))[0]
-		h, _ := r.poll("w-1")
-		r.answer(h, firstBorn, end(int64(n+1), s, workload.EndFailed))
+		s := r.startJob(id, batchStep(1, 1000))[0]
+		poll, _ := r.awaitPoll("w-1")
+		r.answerPollAs(poll, firstIncarnation, exitReport(int64(n+1), s, workload.EndFailed))
 		r.core.CancelRequested(s.Start.Task.Job, r.now)
-		h, _ = r.poll("w-1")
-		r.answer(h, firstBorn, workload.Held{})
+		poll, _ = r.awaitPoll("w-1")
+		r.answerPollAs(poll, firstIncarnation, workload.Held{})
 	}
-	r.submit("0000000000000004", batch(1, 1000))
-	require.Empty(t, r.play(500*time.Millisecond).Starts, "it is set aside")
-	_, starts := r.firstPollAfterRestart()
-	assert.Len(t, append(starts, r.play(200*time.Millisecond).Starts...), 1)
+	r.submit("0000000000000004", batchStep(1, 1000))
+	require.Empty(t, r.stepFor(500*time.Millisecond).Starts, "it is set aside")
+	_, starts := r.restartWorker()
+	assert.Len(t, append(starts, r.stepFor(200*time.Millisecond).Starts...), 1)
 }
--- a/internal/scheduler/inflight_test.go
+++ b/internal/scheduler/inflight_test.go
@@ -18,55 +18,55 @@
 // they are given up after a second. With every sixth one lost, 384 starts take all
 // places, and nothing else starts until then. A start without an answer is to hold up
 // itself alone: all that has room is ordered within some round trips.
-func TestStartsWithoutAnswersHoldUpNothingElse(t *testing.T) {
+func TestUnansweredStartsDoNotBlockOthers(t *testing.T) {
 	const (
-		workers   = 120
-		tasks     = 8 // that a worker has room for
-		roundTrip = 5 * time.Millisecond
-		lostOf    = 6
+		workers        = 120
+		tasksPerWorker = 8 // that a worker has room for
+		roundTrip      = 5 * time.Millisecond
+		lossInterval   = 6
 	)
 	r := newRig(t)
 	var ids []string
 	for i := range workers {
 		ids = append(ids, fmt.Sprintf("worker-%03d", i))
 	}
-	r.ready(ids...)
+	r.syncWorkers(ids...)
 	for i := range workers {
-		r.submit(fmt.Sprintf("%016d", i+1), batch(tasks, 1000))
+		r.submit(fmt.Sprintf("%016d", i+1), batchStep(tasksPerWorker, 1000))
 	}
 	ordered := 0
 	for range 40 {
 		starts := r.step(roundTrip).Starts
 		for _, s := range starts {
 			ordered++
-			if ordered%lostOf != 0 {
-				r.started(s, workload.WorkerOK)
+			if ordered%lossInterval != 0 {
+				r.answerStart(s, workload.WorkerOK)
 			}
 		}
 	}
-	assert.Equal(t, workers*tasks, ordered, "starts ordered within %s", 40*roundTrip)
+	assert.Equal(t, workers*tasksPerWorker, ordered, "starts ordered within %s", 40*roundTrip)
 }
 
 // On a node that is behind, answers come late. They are no sign of loss: sending more
 // would only delay them further.
 func TestStartsInFlightAreBoundedWhileAllAnswersAreLate(t *testing.T) {
-	const most = 64 // starts in flight
+	const maxInFlight = 64 // starts in flight
 	r := newRig(t)
 	var ids []string
 	for i := range 40 {
 		ids = append(ids, fmt.Sprintf("worker-%03d", i))
 	}
-	r.ready(ids...)
+	r.syncWorkers(ids...)
 	for i := range 40 {
-		r.submit(fmt.Sprintf("%016d", i+1), batch(8, 1000))
+		r.submit(fmt.Sprintf("%016d", i+1), batchStep(8, 1000))
 	}
-	var waiting []scheduler.StartOrder
+	var unanswered []scheduler.StartOrder
 	for range 100 {
-		waiting = append(waiting, r.step(5*time.Millisecond).Starts...)
-		assert.LessOrEqual(t, len(waiting), most)
-		if len(waiting) > 0 { // one answer a step, in order
-			r.started(waiting[0], workload.WorkerOK)
-			waiting = waiting[1:]
+		unanswered = append(unanswered, r.step(5*time.Millisecond).Starts...)
+		assert.LessOrEqual(t, len(unanswered), maxInFlight)
+		if len(unanswered) > 0 { // one answer a step, in order
+			r.answerStart(unanswered[0], workload.WorkerOK)
+			unanswered = unanswered[1:]
 		}
 	}
 }
--- a/internal/scheduler/lasting_test.go
+++ b/internal/scheduler/lasting_test.go
@@ -13,23 +13,23 @@
 
 // Lasting tasks fail by themselves now and then, and such failures say nothing of
 // their worker: however many there were, it goes on getting them.
-func TestLastingTasksAreStartedAgainWhereverTheyFailed(t *testing.T) {
+func TestFailedLongRunningTasksAreRestartedOnTheSameWorker(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	lasting := workload.Step{Count: 1, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true}
-	r.submit("0000000000000001", lasting)
-	r.submit("0000000000000002", lasting)
-	n := int64(0)
+	r.syncWorkers("w-1")
+	longRunning := workload.Step{Count: 1, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true}
+	r.submit("0000000000000001", longRunning)
+	r.submit("0000000000000002", longRunning)
+	exitNumber := int64(0)
 	for range 8 {
 		starts := r.step(400 * time.Millisecond).Starts
 		require.NotEmpty(t, starts)
 		for _, s := range starts {
-			r.started(s, workload.WorkerOK)
+			r.answerStart(s, workload.WorkerOK)
 		}
 		r.step(3 * time.Second)
 		for _, s := range starts {
-			n++
-			r.held("w-1", r.now, end(n, s, workload.EndFailed))
+			exitNumber++
+			r.answerPoll("w-1", r.now, exitReport(exitNumber, s, workload.EndFailed))
 		}
 	}
 }
@@ -37,112 +37,112 @@
 // A VM is to be emptied, and one of two lasting tasks may be missing. They leave
 // one after the other: the second one goes only when the first is fully at work
 // elsewhere.
-func TestEmptyingKeepsTheBudgetOfLastingTasks(t *testing.T) {
+func TestDrainingRespectsMaxUnavailable(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1", "w-2")
+	r.syncWorkers("w-1", "w-2")
 	r.submit("0000000000000001", workload.Step{Count: 2, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true, MayMiss: 1})
 	starts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, starts, 2)
-	home := starts[0].Worker.ID
-	require.Equal(t, home, starts[1].Worker.ID, "lasting tasks lie together")
-	running := func(s scheduler.StartOrder, percent int) workload.RunState {
+	drainedWorker := starts[0].Worker.ID
+	require.Equal(t, drainedWorker, starts[1].Worker.ID, "lasting tasks lie together")
+	runState := func(s scheduler.StartOrder, percent int) workload.RunState {
 		return workload.RunState{Task: s.Start.Task, Run: s.Start.Run, Percent: percent}
 	}
 	for _, s := range starts {
-		r.started(s, workload.WorkerOK)
+		r.answerStart(s, workload.WorkerOK)
 	}
-	r.held(home, r.now.Add(time.Millisecond), workload.Held{Running: []workload.RunState{running(starts[0], 100), running(starts[1], 100)}})
-	assert.Equal(t, workload.Occupied, r.core.Evacuate(home, r.now))
+	r.answerPoll(drainedWorker, r.now.Add(time.Millisecond), workload.Held{Running: []workload.RunState{runState(starts[0], 100), runState(starts[1], 100)}})
+	assert.Equal(t, workload.Occupied, r.core.Evacuate(drainedWorker, r.now))
 	stops := r.step(20 * time.Millisecond).Stops
 	require.Len(t, stops, 1)
-	stopped, left := starts[0], starts[1]
+	stopped, remaining := starts[0], starts[1]
 	if stops[0].Task == starts[1].Start.Task {
-		stopped, left = left, stopped
+		stopped, remaining = remaining, stopped
 	}
-	ended := end(1, stopped, workload.EndStopped)
-	ended.Running = []workload.RunState{running(left, 100)}
-	r.held(home, r.now.Add(time.Millisecond), ended)
-	r.core.Evacuate(home, r.now)
-	moved := r.step(20 * time.Millisecond)
-	require.Len(t, moved.Starts, 1)
-	require.NotEqual(t, home, moved.Starts[0].Worker.ID)
-	r.started(moved.Starts[0], workload.WorkerOK)
-	r.core.Evacuate(home, r.now)
+	report := exitReport(1, stopped, workload.EndStopped)
+	report.Running = []workload.RunState{runState(remaining, 100)}
+	r.answerPoll(drainedWorker, r.now.Add(time.Millisecond), report)
+	r.core.Evacuate(drainedWorker, r.now)
+	orders := r.step(20 * time.Millisecond)
+	require.Len(t, orders.Starts, 1)
+	require.NotEqual(t, drainedWorker, orders.Starts[0].Worker.ID)
+	r.answerStart(orders.Starts[0], workload.WorkerOK)
+	r.core.Evacuate(drainedWorker, r.now)
 	assert.Empty(t, r.step(20*time.Millisecond).Stops, "the first is not at work yet")
-	r.held(moved.Starts[0].Worker.ID, r.now.Add(time.Millisecond), workload.Held{Running: []workload.RunState{running(moved.Starts[0], 100)}})
-	r.core.Evacuate(home, r.now)
+	r.answerPoll(orders.Starts[0].Worker.ID, r.now.Add(time.Millisecond), workload.Held{Running: []workload.RunState{runState(orders.Starts[0], 100)}})
+	r.core.Evacuate(drainedWorker, r.now)
 	assert.Len(t, r.step(20*time.Millisecond).Stops, 1)
 }
 
 // A serving task is over its target because of a filling one beside it. The
 // filling one is slowed down, and let go again once the tail is well below.
-func TestFillingTasksAreSlowedBesideServingOnes(t *testing.T) {
+func TestBestEffortTasksAreThrottledBesideServingTasks(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	serve := workload.Step{Count: 1, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true, TargetMS: 100}
-	fill := workload.Step{Count: 1, Need: workload.Resources{CPU: 4000, MemoryMB: 100}, Lasting: true, Fills: true}
-	r.submit("0000000000000001", serve, fill)
+	r.syncWorkers("w-1")
+	serving := workload.Step{Count: 1, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true, TargetMS: 100}
+	bestEffort := workload.Step{Count: 1, Need: workload.Resources{CPU: 4000, MemoryMB: 100}, Lasting: true, Fills: true}
+	r.submit("0000000000000001", serving, bestEffort)
 	starts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, starts, 2)
 	for _, s := range starts {
-		r.started(s, workload.WorkerOK)
+		r.answerStart(s, workload.WorkerOK)
 	}
-	poll := func(tail float64) []scheduler.PaceOrder {
+	reportTail := func(tailMS float64) []scheduler.PaceOrder {
 		var rows []workload.RunState
 		for _, s := range starts {
 			row := workload.RunState{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}
 			if s.Start.Task.Step == 0 {
-				row.Load = tail
+				row.Load = tailMS
 			}
 			rows = append(rows, row)
 		}
-		r.held("w-1", r.now.Add(time.Millisecond), workload.Held{Running: rows})
-		paces := r.step(600 * time.Millisecond).Paces
-		for _, p := range paces {
+		r.answerPoll("w-1", r.now.Add(time.Millisecond), workload.Held{Running: rows})
+		throttles := r.step(600 * time.Millisecond).Paces
+		for _, p := range throttles {
 			r.core.Paced(scheduler.OrderResult{Worker: "w-1", Task: p.Task, Run: p.Run, Token: p.Token, Answer: workload.WorkerAnswer{Clock: 1000}}, r.now)
 		}
-		return paces
+		return throttles
 	}
-	paces := poll(150)
-	require.Len(t, paces, 1)
-	assert.Equal(t, 50, paces[0].Percent)
-	assert.Equal(t, 1, paces[0].Task.Step)
-	paces = poll(120)
-	require.Len(t, paces, 1)
-	assert.Equal(t, 25, paces[0].Percent)
-	paces = poll(30)
-	require.Len(t, paces, 1)
-	assert.Equal(t, 40, paces[0].Percent)
+	throttles := reportTail(150)
+	require.Len(t, throttles, 1)
+	assert.Equal(t, 50, throttles[0].Percent)
+	assert.Equal(t, 1, throttles[0].Task.Step)
+	throttles = reportTail(120)
+	require.Len(t, throttles, 1)
+	assert.Equal(t, 25, throttles[0].Percent)
+	throttles = reportTail(30)
+	require.Len(t, throttles, 1)
+	assert.Equal(t, 40, throttles[0].Percent)
 }
 
 // A service is full of short tasks, and a large lasting one has to start again.
 // Each bit of room that comes free would go to short ones for ever: room is kept
 // for it on one worker until it fits.
-func TestLargeLastingTaskGetsRoomOnAFullService(t *testing.T) {
+func TestLargeLongRunningTaskIsPlacedOnAFullService(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1", "w-2")
-	n := 0
-	fill := func() {
-		n++
-		r.submit("00000000000001"+string(rune('0'+n/10))+string(rune('0'+n%10)), batch(8, 1000))
+	r.syncWorkers("w-1", "w-2")
+	jobNumber := 0
+	submitShortJob := func() {
+		jobNumber++
+		r.submit("00000000000001"+string(rune('0'+jobNumber/10))+string(rune('0'+jobNumber%10)), batchStep(8, 1000))
 	}
 	running := map[string][]scheduler.StartOrder{}
-	number := map[string]int64{}
-	step := func() (lasting bool) {
+	lastExitNumber := map[string]int64{}
+	stepAndStart := func() (longRunningStarted bool) {
 		for _, s := range r.step(100 * time.Millisecond).Starts {
-			r.started(s, workload.WorkerOK)
-			lasting = lasting || s.Start.Task.Job == "0000000000000999"
+			r.answerStart(s, workload.WorkerOK)
+			longRunningStarted = longRunningStarted || s.Start.Task.Job == "0000000000000999"
 			running[s.Worker.ID] = append(running[s.Worker.ID], s)
 		}
-		return lasting
+		return longRunningStarted
 	}
-	fill()
-	fill()
-	fill()
-	step()
+	submitShortJob()
+	submitShortJob()
+	submitShortJob()
+	stepAndStart()
 	r.submit("0000000000000999", workload.Step{Count: 1, Need: workload.Resources{CPU: 6000, MemoryMB: 100}, Lasting: true})
 	for round := range 40 {
-		if step() {
+		if stepAndStart() {
 			return
 		}
 		// One task ends on each worker in turn, and more jobs come.
@@ -152,15 +152,15 @@
 		}
 		done := running[worker][0]
 		running[worker] = running[worker][1:]
-		number[worker]++
-		var held workload.Held
+		lastExitNumber[worker]++
+		var report workload.Held
 		for _, s := range running[worker] {
-			held.Running = append(held.Running, workload.RunState{Task: s.Start.Task, Run: s.Start.Run, Percent: 100})
+			report.Running = append(report.Running, workload.RunState{Task: s.Start.Task, Run: s.Start.Run, Percent: 100})
 		}
-		held.Finished = end(number[worker], done, workload.EndDone).Finished
-		r.held(worker, r.now.Add(time.Millisecond), held)
+		report.Finished = exitReport(lastExitNumber[worker], done, workload.EndDone).Finished
+		r.answerPoll(worker, r.now.Add(time.Millisecond), report)
 		if round%3 == 0 {
-			fill()
+			submitShortJob()
 		}
 	}
 	t.Fatal("the lasting task never got room")
@@ -170,33 +170,33 @@
 // the same wave a moment before: the task moves twice, and a step bears only one move
 // after the other. Lasting tasks lie together, but not on a worker that is about to leave,
 // unless it is the only one; and not for longer than the word of it is repeated.
-func TestLastingTasksAvoidWorkersThatAreAboutToLeave(t *testing.T) {
+func TestLongRunningTasksAvoidWorkersDueForMaintenance(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1", "w-2")
-	lasting := workload.Step{Count: 1, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true, MayMiss: 1}
+	r.syncWorkers("w-1", "w-2")
+	longRunning := workload.Step{Count: 1, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true, MayMiss: 1}
 	running := map[string][]workload.RunState{}
 	place := func(id string) string {
 		for _, w := range []string{"w-1", "w-2"} {
-			r.held(w, r.now, workload.Held{Running: running[w]})
+			r.answerPoll(w, r.now, workload.Held{Running: running[w]})
 		}
-		r.submit(id, lasting)
+		r.submit(id, longRunning)
 		starts := r.step(20 * time.Millisecond).Starts
 		require.Len(t, starts, 1)
 		s := starts[0]
-		r.started(s, workload.WorkerOK)
+		r.answerStart(s, workload.WorkerOK)
 		running[s.Worker.ID] = append(running[s.Worker.ID], workload.RunState{Task: s.Start.Task, Run: s.Start.Run, Percent: 100})
 		return s.Worker.ID
 	}
-	home := place("0000000000000001")
-	r.core.SetLeaving("service", []string{home}, r.now)
-	other := place("0000000000000002")
-	assert.NotEqual(t, home, other)
-	r.core.SetLeaving("service", []string{home, other}, r.now)
+	first := place("0000000000000001")
+	r.core.SetLeaving("service", []string{first}, r.now)
+	second := place("0000000000000002")
+	assert.NotEqual(t, first, second)
+	r.core.SetLeaving("service", []string{first, second}, r.now)
 	place("0000000000000003")
-	r.core.SetLeaving("another", []string{other}, r.now)
+	r.core.SetLeaving("another", []string{second}, r.now)
 	r.now = r.now.Add(2 * time.Second)
-	r.core.SetLeaving("service", []string{other}, r.now)
-	assert.Equal(t, home, place("0000000000000004"))
+	r.core.SetLeaving("service", []string{second}, r.now)
+	assert.Equal(t, first, place("0000000000000004"))
 }
 
 // A caller's step misses two of its lasting tasks at once, though it may miss one.
@@ -205,19 +205,19 @@
 // of another task of the step leaves, which nothing can put off. The stop is sent again
 // once its time-out is over: the worker lists the task as running. It must wait until the
 // other task is back at work elsewhere.
-func TestStopThatWasLostIsNotSentAgainWhileAnotherTaskIsAway(t *testing.T) {
+func TestLostStopIsNotResentWhileAnotherTaskIsUnavailable(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1", "w-2", "w-3")
+	r.syncWorkers("w-1", "w-2", "w-3")
 	r.submit("0000000000000001", workload.Step{Count: 2, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true, MayMiss: 1, MaxPerWorker: 1})
 	starts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, starts, 2)
 	first, second := starts[0], starts[1]
-	works := func(s scheduler.StartOrder) workload.Held {
+	runningReport := func(s scheduler.StartOrder) workload.Held {
 		return workload.Held{Running: []workload.RunState{{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}}}
 	}
 	for _, s := range starts {
-		r.started(s, workload.WorkerOK)
-		r.held(s.Worker.ID, r.now.Add(time.Millisecond), works(s))
+		r.answerStart(s, workload.WorkerOK)
+		r.answerPoll(s.Worker.ID, r.now.Add(time.Millisecond), runningReport(s))
 	}
 	r.core.Evacuate(first.Worker.ID, r.now)
 	stops := r.step(20 * time.Millisecond).Stops
@@ -234,9 +234,9 @@
 	require.Len(t, r.step(20*time.Millisecond).Stops, 1, "the other worker leaves")
 	r.core.Stopped(scheduler.OrderResult{Worker: first.Worker.ID, Task: stops[0].Task, Run: stops[0].Run, Token: stops[0].Token, Answer: workload.WorkerAnswer{Status: workload.WorkerUnknown}}, r.now)
 	r.now = r.now.Add(time.Second)
-	again := func() int {
+	resentStops := func() int {
 		r.core.Evacuate(first.Worker.ID, r.now)
-		r.held(first.Worker.ID, r.now, works(first))
+		r.answerPoll(first.Worker.ID, r.now, runningReport(first))
 		n := 0
 		for _, s := range r.step(20 * time.Millisecond).Stops {
 			if s.Task == first.Start.Task {
@@ -245,13 +245,13 @@
 		}
 		return n
 	}
-	assert.Zero(t, again(), "the other one is away")
+	assert.Zero(t, resentStops(), "the other one is away")
 
-	r.held(second.Worker.ID, r.now.Add(time.Millisecond), end(1, second, workload.EndStopped))
-	moved := r.step(20 * time.Millisecond).Starts
-	require.Len(t, moved, 1)
-	r.started(moved[0], workload.WorkerOK)
-	assert.Zero(t, again(), "the other one is not at work yet")
-	r.held(moved[0].Worker.ID, r.now.Add(time.Millisecond), works(moved[0]))
-	assert.Equal(t, 1, again())
+	r.answerPoll(second.Worker.ID, r.now.Add(time.Millisecond), exitReport(1, second, workload.EndStopped))
+	restarts := r.step(20 * time.Millisecond).Starts
+	require.Len(t, restarts, 1)
+	r.answerStart(restarts[0], workload.WorkerOK)
+	assert.Zero(t, resentStops(), "the other one is not at work yet")
+	r.answerPoll(restarts[0].Worker.ID, r.now.Add(time.Millisecond), runningReport(restarts[0]))
+	assert.Equal(t, 1, resentStops())
 }
--- a/internal/scheduler/peak_test.go
+++ b/internal/scheduler/peak_test.go
@@ -15,20 +15,20 @@
 // The load of a queue whose demand comes by turns: for some seconds several times its
 // mean, then a twentieth of that. A lookup is one or two steps of a few tasks of 0.64 s.
 const (
-	peakLookups  = 180.0 // jobs a second
-	quietLookups = 4.0
-	peakTurn     = 4 * time.Second
-	quietTurn    = 4 * time.Second
-	lookupMS     = 640
+	peakLookupsPerSecond  = 180.0 // jobs a second
+	quietLookupsPerSecond = 4.0
+	peakDuration          = 4 * time.Second
+	quietDuration         = 4 * time.Second
+	lookupEstimateMS      = 640
 )
 
-// lookup draws a quick job. Jobs differ in the number of tasks and their size, so that the
+// randomLookupSpec draws a quick job. Jobs differ in the number of tasks and their size, so that the
 // largest tenth has some three times the mean's work.
-func (w *world) lookup() workload.Spec {
+func (w *world) randomLookupSpec() workload.Spec {
 	step := workload.Step{
 		Count:      2 + w.rng.IntN(6) + w.rng.IntN(6),
 		Need:       workload.Resources{CPU: 2000 + w.rng.IntN(5000), MemoryMB: 500},
-		EstimateMS: lookupMS,
+		EstimateMS: lookupEstimateMS,
 	}
 	if w.rng.IntN(10) == 0 {
 		step.Count *= 2
@@ -41,56 +41,56 @@
 	return spec
 }
 
-// playTurns plays two peaks of lookups on a pool.
-func playTurns(seed uint64, workers int, p *processor, f faults) *world {
+// playPeaks plays two peaks of lookups on a pool.
+func playPeaks(seed uint64, workers int, ownerProcessor *processor, f faults) *world {
 	w := newWorld(seed, f)
-	w.processor = p
+	w.processor = ownerProcessor
 	for i := range workers {
 		w.addWorker("worker-"+strconv.Itoa(1000+i), workload.Resources{CPU: 32000, MemoryMB: 64000})
 	}
 	w.takeOver()
-	const length = 2 * (peakTurn + quietTurn)
+	const length = 2 * (peakDuration + quietDuration)
 	const tick = time.Millisecond
 	for at := 2 * time.Second; at < length; at += tick {
-		rate := quietLookups
-		if (at-2*time.Second)%(peakTurn+quietTurn) < peakTurn {
-			rate = peakLookups
+		rate := quietLookupsPerSecond
+		if (at-2*time.Second)%(peakDuration+quietDuration) < peakDuration {
+			rate = peakLookupsPerSecond
 		}
 		if w.rng.Float64() < rate*tick.Seconds() {
-			w.after(at, func() { w.submit(w.lookup(), "quick") })
+			w.after(at, func() { w.submit(w.randomLookupSpec(), "quick") })
 		}
 	}
-	w.run(length + 10*time.Second)
+	w.runUntil(length + 10*time.Second)
 	return w
 }
 
-// inTime is the share of some jobs that are completed within their objective.
-func inTime(jobs []*fakeJob) float64 {
+// shareInTime is the share of some jobs that are completed within their objective.
+func shareInTime(jobs []*fakeJob) float64 {
 	n := 0
 	for _, j := range jobs {
-		chain := time.Duration(len(j.sub.Spec.Steps)) * lookupMS * time.Millisecond
-		aim := testConfig.Queues[0].Objective + time.Duration(testConfig.Queues[0].Stretch*float64(chain))
-		if j.shown == workload.Completed && j.shownAt.Sub(time.UnixMilli(j.sub.AcceptedMS)) <= aim {
+		criticalPath := time.Duration(len(j.submission.Spec.Steps)) * lookupEstimateMS * time.Millisecond
+		deadline := testConfig.Queues[0].Objective + time.Duration(testConfig.Queues[0].Stretch*float64(criticalPath))
+		if j.shownState == workload.Completed && j.shownStateChangedAt.Sub(time.UnixMilli(j.submission.AcceptedMS)) <= deadline {
 			n++
 		}
 	}
 	return float64(n) / float64(len(jobs))
 }
 
-// bySize lists the jobs, those with the most work first.
-func (w *world) bySize() []*fakeJob {
+// jobsBySize lists the jobs, those with the most work first.
+func (w *world) jobsBySize() []*fakeJob {
 	var list []*fakeJob
 	for _, j := range w.jobs {
 		list = append(list, j)
 	}
 	slices.SortFunc(list, func(a, b *fakeJob) int {
-		return cmp.Or(cmp.Compare(workOf(b.sub), workOf(a.sub)), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(coreMilliseconds(b.submission), coreMilliseconds(a.submission)), cmp.Compare(a.id, b.id))
 	})
 	return list
 }
 
-// workOf is a job's work in core-milliseconds.
-func workOf(s *workload.Submission) int64 {
+// coreMilliseconds is a job's work in core-milliseconds.
+func coreMilliseconds(s *workload.Submission) int64 {
 	work := int64(0)
 	for _, step := range s.Spec.Steps {
 		work += int64(step.Count) * int64(step.Need.CPU) * step.EstimateMS
@@ -109,12 +109,12 @@
 // to 300 a second, and by plans made 30 ms apart, which ended it.
 func TestOwnerKeepsUpWithAPeakOnASmallVM(t *testing.T) {
 	for seed := range uint64(2) {
-		w := playTurns(seed, 220, &processor{}, faults{})
-		jobs := w.bySize()
-		all, tenth := inTime(jobs), inTime(jobs[:len(jobs)/10])
-		assert.Empty(t, w.broken)
+		w := playPeaks(seed, 220, &processor{}, faults{})
+		jobs := w.jobsBySize()
+		all, largestTenth := shareInTime(jobs), shareInTime(jobs[:len(jobs)/10])
+		assert.Empty(t, w.violations)
 		assert.GreaterOrEqual(t, all, 0.75, "seed %d: share of %d jobs in time", seed, len(jobs))
-		assert.GreaterOrEqual(t, tenth, all/2, "seed %d: share of the largest tenth in time", seed)
+		assert.GreaterOrEqual(t, largestTenth, all/2, "seed %d: share of the largest tenth in time", seed)
 	}
 }
 
@@ -127,14 +127,14 @@
 // asked for here is half of what all are served, as the users ask.
 func TestLargestJobsAreServedByAFullService(t *testing.T) {
 	for seed := range uint64(3) {
-		w := playTurns(seed, 105, nil, faults{})
-		jobs := w.bySize()
-		all, tenth, fifth := inTime(jobs), inTime(jobs[:len(jobs)/10]), inTime(jobs[len(jobs)/10:3*len(jobs)/10])
-		assert.Empty(t, w.broken)
+		w := playPeaks(seed, 105, nil, faults{})
+		jobs := w.jobsBySize()
+		all, largestTenth, nextFifth := shareInTime(jobs), shareInTime(jobs[:len(jobs)/10]), shareInTime(jobs[len(jobs)/10:3*len(jobs)/10])
+		assert.Empty(t, w.violations)
 		assert.GreaterOrEqual(t, all, 0.6, "seed %d: share of %d jobs in time", seed, len(jobs))
-		assert.GreaterOrEqual(t, tenth, all/2, "seed %d: share of the largest tenth in time", seed)
-		assert.GreaterOrEqual(t, fifth, all/2, "seed %d: share of the next fifth in time", seed)
-		t.Logf("seed %d: in time %.3f, largest tenth %.3f, next fifth %.3f", seed, all, tenth, fifth)
+		assert.GreaterOrEqual(t, largestTenth, all/2, "seed %d: share of the largest tenth in time", seed)
+		assert.GreaterOrEqual(t, nextFifth, all/2, "seed %d: share of the next fifth in time", seed)
+		t.Logf("seed %d: in time %.3f, largest tenth %.3f, next fifth %.3f", seed, all, largestTenth, nextFifth)
 	}
 }
 
@@ -147,18 +147,18 @@
 // answer of seven cost most of what the workers could do. What is asked for is nine
 // tenths of what is served without any loss.
 func TestPeakIsServedWhileAnswersAreLost(t *testing.T) {
-	served := func(f faults) float64 {
-		w := playTurns(1, 220, nil, f)
-		assert.Empty(t, w.broken)
-		return inTime(w.bySize())
+	servedShare := func(f faults) float64 {
+		w := playPeaks(1, 220, nil, f)
+		assert.Empty(t, w.violations)
+		return shareInTime(w.jobsBySize())
 	}
-	sound := served(faults{})
+	shareWithoutFaults := servedShare(faults{})
 	for name, f := range map[string]faults{
 		"answers are lost": {lostAnswer: 0.15},
 		"orders are late":  {lateOrder: 0.055},
 	} {
-		share := served(f)
-		assert.GreaterOrEqual(t, share, 0.9*sound, "%s", name)
-		t.Logf("%s: %.3f in time, %.3f without", name, share, sound)
+		share := servedShare(f)
+		assert.GreaterOrEqual(t, share, 0.9*shareWithoutFaults, "%s", name)
+		t.Logf("%s: %.3f in time, %.3f without", name, share, shareWithoutFaults)
 	}
 }
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -12,27 +12,27 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// fullOf fills the only worker, which holds eight cores, with a step of a queue of
+// fillWorker fills the only worker, which holds eight cores, with a step of a queue of
 // less urgent work.
-func fullOf(r *rig, step workload.Step) []scheduler.StartOrder {
-	r.ready("w-1")
-	r.submitTo("slow", "0000000000000001", step)
+func fillWorker(r *rig, step workload.Step) []scheduler.StartOrder {
+	r.syncWorkers("w-1")
+	r.submitToQueue("slow", "0000000000000001", step)
 	starts := r.step(20 * time.Millisecond).Starts
 	for _, s := range starts {
-		r.started(s, workload.WorkerOK)
+		r.answerStart(s, workload.WorkerOK)
 	}
 	return starts
 }
 
-// submitTo submits a job to a queue.
-func (r *rig) submitTo(queue, id string, steps ...workload.Step) workload.JobID {
+// submitToQueue submits a job to a queue.
+func (r *rig) submitToQueue(queue, id string, steps ...workload.Step) workload.JobID {
 	job := workload.JobID(id)
 	r.core.Submitted(job, &workload.Submission{Queue: queue, Service: "service", AcceptedMS: r.now.UnixMilli(), Spec: workload.Spec{Payload: "work", Steps: steps}})
 	return job
 }
 
-func checkpointing(count, cpu int) workload.Step {
-	s := batch(count, cpu)
+func checkpointedStep(count, cpu int) workload.Step {
+	s := batchStep(count, cpu)
 	s.EstimateMS = 10_000
 	s.Checkpoints = true
 	return s
@@ -41,93 +41,93 @@
 // Long tasks of a less urgent queue fill the service when an urgent job comes. As
 // many of them as it takes are stopped, those that have least to lose; the urgent
 // job starts once they have ended, and they go on from their checkpoint later.
-func TestUrgentJobTakesTheRoomOfLessUrgentRuns(t *testing.T) {
+func TestUrgentJobPreemptsLessUrgentRuns(t *testing.T) {
 	r := newRig(t)
-	starts := fullOf(r, checkpointing(4, 2000))
+	starts := fillWorker(r, checkpointedStep(4, 2000))
 	require.Len(t, starts, 4)
-	urgent := r.submit("0000000000000002", batch(1, 3000))
+	urgent := r.submit("0000000000000002", batchStep(1, 3000))
 	assert.Empty(t, r.step(50*time.Millisecond).Stops, "room may come by itself")
 	var stops []scheduler.StopOrder
 	for range 5 {
 		stops = append(stops, r.step(100*time.Millisecond).Stops...)
 	}
 	require.Len(t, stops, 2, "two make room, and no more are stopped while they end")
-	var ends []workload.RunEnd
+	var exits []workload.RunEnd
 	for i, s := range stops {
-		ends = append(ends, workload.RunEnd{Number: int64(i + 1), Task: s.Task, Run: s.Run, How: workload.EndStopped, Checkpoint: "half"})
+		exits = append(exits, workload.RunEnd{Number: int64(i + 1), Task: s.Task, Run: s.Run, How: workload.EndStopped, Checkpoint: "half"})
 	}
-	r.held("w-1", r.now.Add(time.Millisecond), workload.Held{Finished: ends})
-	next := r.step(20 * time.Millisecond).Starts
-	require.NotEmpty(t, next)
-	assert.Equal(t, urgent, next[0].Start.Task.Job)
+	r.answerPoll("w-1", r.now.Add(time.Millisecond), workload.Held{Finished: exits})
+	nextStarts := r.step(20 * time.Millisecond).Starts
+	require.NotEmpty(t, nextStarts)
+	assert.Equal(t, urgent, nextStarts[0].Start.Task.Job)
 }
 
 // What is as urgent, lasts, works together or has much to lose is not stopped.
-func TestOnlyLessUrgentRunsThatLoseLittleGiveWay(t *testing.T) {
-	lasting := batch(4, 2000)
-	lasting.Lasting = true
-	gang := checkpointing(4, 2000)
+func TestOnlyLessUrgentRunsThatLoseLittleArePreempted(t *testing.T) {
+	longRunning := batchStep(4, 2000)
+	longRunning.Lasting = true
+	gang := checkpointedStep(4, 2000)
 	gang.Gang = true
-	costly := checkpointing(4, 2000)
+	costly := checkpointedStep(4, 2000)
 	costly.Checkpoints = false
-	for name, s := range map[string]workload.Step{"lasting": lasting, "gang": gang, "costly": costly} {
+	for name, s := range map[string]workload.Step{"lasting": longRunning, "gang": gang, "costly": costly} {
 		r := newRig(t)
-		require.Len(t, fullOf(r, s), 4, name)
+		require.Len(t, fillWorker(r, s), 4, name)
 		r.now = r.now.Add(5 * time.Second)
-		r.submit("0000000000000002", batch(1, 2000))
-		assert.Empty(t, r.play(time.Second).Stops, name)
+		r.submit("0000000000000002", batchStep(1, 2000))
+		assert.Empty(t, r.stepFor(time.Second).Stops, name)
 	}
 	r := newRig(t)
-	r.ready("w-1")
-	r.submit("0000000000000001", checkpointing(4, 2000))
+	r.syncWorkers("w-1")
+	r.submit("0000000000000001", checkpointedStep(4, 2000))
 	for _, s := range r.step(20 * time.Millisecond).Starts {
-		r.started(s, workload.WorkerOK)
+		r.answerStart(s, workload.WorkerOK)
 	}
-	r.submit("0000000000000002", batch(1, 2000))
-	assert.Empty(t, r.play(time.Second).Stops, "of one queue")
+	r.submit("0000000000000002", batchStep(1, 2000))
+	assert.Empty(t, r.stepFor(time.Second).Stops, "of one queue")
 }
 
 // A lasting task of an urgent queue has to start again while less urgent work fills
 // the service. It gets room after a second, also from a run without a checkpoint
 // that loses little.
-func TestLastingTaskTakesRoomFromRunsWithoutCheckpoint(t *testing.T) {
+func TestLongRunningTaskPreemptsRunsWithoutCheckpoint(t *testing.T) {
 	r := newRig(t)
-	plain := batch(4, 2000)
+	plain := batchStep(4, 2000)
 	plain.EstimateMS = 10_000
-	require.Len(t, fullOf(r, plain), 4)
+	require.Len(t, fillWorker(r, plain), 4)
 	r.now = r.now.Add(3 * time.Second)
 	r.submit("0000000000000002", workload.Step{Count: 1, Need: workload.Resources{CPU: 2000, MemoryMB: 100}, Lasting: true})
-	assert.Len(t, r.play(2*time.Second).Stops, 1)
+	assert.Len(t, r.stepFor(2*time.Second).Stops, 1)
 }
 
 // TestPreemptionInRandomHistories plays histories of an urgent and a less urgent
 // queue on a service that is too small, with the usual troubles. Callers see each
 // job end as it should, and nothing runs that must not.
 func TestPreemptionInRandomHistories(t *testing.T) {
-	for seed := range histories(t) / 3 {
-		w := newWorld(seed, faults{lostAnswer: 0.01, lateOrder: 0.01, failedTask: 0.01, storeLost: 0.02})
+	for seed := range historyCount(t) / 3 {
+		w := newWorld(seed, faults{lostAnswer: 0.01, lateOrder: 0.01, failedTask: 0.01, lostWriteAnswer: 0.02})
 		for i := range 4 {
 			w.addWorker("worker-"+strconv.Itoa(i), workload.Resources{CPU: 8000, MemoryMB: 32000})
 		}
 		w.takeOver()
-		for at := time.Duration(0); at < 15*time.Second; at += w.between(100*time.Millisecond, 700*time.Millisecond) {
+		for at := time.Duration(0); at < 15*time.Second; at += w.durationBetween(100*time.Millisecond, 700*time.Millisecond) {
 			w.after(at, func() {
 				queue := []string{"quick", "slow"}[w.rng.IntN(2)]
-				w.submit(w.randomSpec(), queue)
+				w.submit(w.randomJobSpec(), queue)
 			})
 		}
 		for range 4 {
-			w.after(w.between(time.Second, 15*time.Second), w.trouble)
+			w.after(w.durationBetween(time.Second, 15*time.Second), w.injectRandomFault)
 		}
 		w.after(16*time.Second, func() {
-			w.quiet = true
-			w.store.down = false
+			w.faultsStopped = true
+			w.store.unavailable = false
 			for _, f := range w.workers {
-				f.dark = false
+				f.cutOff = false
 			}
 		})
-		w.run(80 * time.Second)
-		require.Empty(t, w.broken, "seed %d", seed)
+		w.runUntil(80 * time.Second)
+		require.Empty(t, w.violations, "seed %d", seed)
 	}
 }
 
@@ -135,22 +135,22 @@
 // helped: no worker has their label. One behind them could start in the place of less
 // urgent work. If the same ones used up the searches of each plan, it would wait as
 // long as that work lasts.
-func TestStepIsSearchedForBehindOthersThatCannotBeHelped(t *testing.T) {
-	for _, lasting := range []bool{true, false} {
+func TestUnplaceableStepsDoNotUseUpAllPreemptionSearches(t *testing.T) {
+	for _, longRunning := range []bool{true, false} {
 		r := newRig(t)
-		require.Len(t, fullOf(r, checkpointing(4, 2000)), 4)
+		require.Len(t, fillWorker(r, checkpointedStep(4, 2000)), 4)
 		for i := range 6 {
-			hopeless := batch(1, 1000)
-			hopeless.Lasting, hopeless.Label = lasting, "none has it"
-			r.submit("00000000000001"+strconv.Itoa(10+i), hopeless)
+			unplaceable := batchStep(1, 1000)
+			unplaceable.Lasting, unplaceable.Label = longRunning, "none has it"
+			r.submit("00000000000001"+strconv.Itoa(10+i), unplaceable)
 		}
-		helped := batch(1, 2000)
-		helped.Lasting = lasting
-		r.submit("0000000000000200", helped)
+		placeable := batchStep(1, 2000)
+		placeable.Lasting = longRunning
+		r.submit("0000000000000200", placeable)
 		var stops []scheduler.StopOrder
 		for range 15 {
 			stops = append(stops, r.step(100*time.Millisecond).Stops...)
 		}
-		assert.Len(t, stops, 1, "one of the less urgent runs gives way, lasting %t", lasting)
+		assert.Len(t, stops, 1, "one of the less urgent runs gives way, lasting %t", longRunning)
 	}
 }
--- a/internal/scheduler/rig_test.go
+++ b/internal/scheduler/rig_test.go
@@ -17,8 +17,8 @@
 	now  time.Time
 	// epoch is the core's.
 	epoch int64
-	// polls are the latest that were sent, by worker.
-	polls map[string]scheduler.HoldOrder
+	// latestPolls are the latest that were sent, by worker.
+	latestPolls map[string]scheduler.HoldOrder
 }
 
 // token is the fencing token of the core's first orders to a worker.
@@ -34,19 +34,19 @@
 		MaxLease:     maxLease,
 		StateKept:    time.Hour,
 		RemoteFactor: 2,
-		Stop:         stopTime,
+		Stop:         stopDuration,
 		GangTimeout:  gangTimeout,
 	}
 }
 
-func newRig(t testing.TB, suspects ...string) *rig {
-	r := &rig{t: t, now: epochStart, epoch: 3}
-	r.core = scheduler.New(testSettings(r.epoch), r.now, suspects, false)
+func newRig(t testing.TB, unresolvedWorkers ...string) *rig {
+	r := &rig{t: t, now: historyStart, epoch: 3}
+	r.core = scheduler.New(testSettings(r.epoch), r.now, unresolvedWorkers, false)
 	r.core.SetConfig(testConfig)
 	return r
 }
 
-func (r *rig) workers(ids ...string) {
+func (r *rig) setWorkers(ids ...string) {
 	var list []workload.Worker
 	for _, id := range ids {
 		list = append(list, workload.Worker{
@@ -63,38 +63,38 @@
 	orders := r.core.Step(r.now)
 	if orders.Write != nil {
 		r.core.Written()
-		more := r.core.Step(r.now)
-		orders.Starts = append(orders.Starts, more.Starts...)
-		orders.Stops = append(orders.Stops, more.Stops...)
-		orders.Holds = append(orders.Holds, more.Holds...)
+		afterWrite := r.core.Step(r.now)
+		orders.Starts = append(orders.Starts, afterWrite.Starts...)
+		orders.Stops = append(orders.Stops, afterWrite.Stops...)
+		orders.Holds = append(orders.Holds, afterWrite.Holds...)
 	}
-	r.note(orders)
+	r.recordPolls(orders)
 	return orders
 }
 
-// note keeps the polls among orders for tests that answer them.
-func (r *rig) note(orders scheduler.Orders) {
-	if r.polls == nil {
-		r.polls = map[string]scheduler.HoldOrder{}
+// recordPolls keeps the polls among orders for tests that answer them.
+func (r *rig) recordPolls(orders scheduler.Orders) {
+	if r.latestPolls == nil {
+		r.latestPolls = map[string]scheduler.HoldOrder{}
 	}
-	for _, h := range orders.Holds {
-		if !h.Extra {
-			r.polls[h.Worker.ID] = h
+	for _, p := range orders.Holds {
+		if !p.Extra {
+			r.latestPolls[p.Worker.ID] = p
 		}
 	}
 }
 
-// held answers a poll.
-func (r *rig) held(worker string, sent time.Time, held workload.Held) {
-	r.core.Held(scheduler.HoldResult{Worker: worker, Token: r.token(), SentAt: sent, Held: held, Answer: workload.WorkerAnswer{Clock: 1000}}, r.now)
+// answerPoll answers a poll.
+func (r *rig) answerPoll(worker string, sentAt time.Time, report workload.Held) {
+	r.core.Held(scheduler.HoldResult{Worker: worker, Token: r.token(), SentAt: sentAt, Held: report, Answer: workload.WorkerAnswer{Clock: 1000}}, r.now)
 }
 
-// replaced answers a poll of a worker as its successor at the same address does.
-func (r *rig) replaced(worker string) {
+// answerPollReplaced answers a poll of a worker as its successor at the same address does.
+func (r *rig) answerPollReplaced(worker string) {
 	r.core.Held(scheduler.HoldResult{Worker: worker, Token: r.token(), SentAt: r.now, Answer: workload.WorkerAnswer{Status: workload.WorkerReplaced}}, r.now)
 }
 
-func (r *rig) started(s scheduler.StartOrder, status workload.WorkerStatus) {
+func (r *rig) answerStart(s scheduler.StartOrder, status workload.WorkerStatus) {
 	r.core.Started(scheduler.OrderResult{
 		Worker: s.Worker.ID, Task: s.Start.Task, Run: s.Start.Run, Token: s.Start.Token,
 		Answer: workload.WorkerAnswer{Status: status, Clock: 1000},
@@ -102,105 +102,105 @@
 }
 
 func (r *rig) submit(id string, steps ...workload.Step) workload.JobID {
-	job := workload.JobID(id)
-	r.core.Submitted(job, &workload.Submission{Queue: "quick", Service: "service", AcceptedMS: r.now.UnixMilli(), Spec: workload.Spec{Payload: "work", Steps: steps}})
-	return job
+	jobID := workload.JobID(id)
+	r.core.Submitted(jobID, &workload.Submission{Queue: "quick", Service: "service", AcceptedMS: r.now.UnixMilli(), Spec: workload.Spec{Payload: "work", Steps: steps}})
+	return jobID
 }
 
-func batch(count, cpu int) workload.Step {
+func batchStep(count, cpu int) workload.Step {
 	return workload.Step{Count: count, Need: workload.Resources{CPU: cpu, MemoryMB: 100}, EstimateMS: 500}
 }
 
-// ready syncs workers and returns the starts that follow.
-func (r *rig) ready(ids ...string) []scheduler.StartOrder {
-	r.workers(ids...)
+// syncWorkers syncs workers and returns the starts that follow.
+func (r *rig) syncWorkers(ids ...string) []scheduler.StartOrder {
+	r.setWorkers(ids...)
 	r.step(0)
 	for _, id := range ids {
-		r.held(id, r.now, workload.Held{})
+		r.answerPoll(id, r.now, workload.Held{})
 	}
 	return r.step(10 * time.Millisecond).Starts
 }
 
-func end(n int64, s scheduler.StartOrder, how workload.How) workload.Held {
-	return workload.Held{Finished: []workload.RunEnd{{Number: n, Task: s.Start.Task, Run: s.Start.Run, How: how}}}
+func exitReport(exitNumber int64, s scheduler.StartOrder, reason workload.How) workload.Held {
+	return workload.Held{Finished: []workload.RunEnd{{Number: exitNumber, Task: s.Start.Task, Run: s.Start.Run, How: reason}}}
 }
 
-// answer answers a poll as the incarnation does that started at born.
-func (r *rig) answer(h scheduler.HoldOrder, born int64, held workload.Held) {
-	held.Born = born
-	r.core.Held(scheduler.HoldResult{Worker: h.Worker.ID, Token: h.Hold.Token, SentAt: r.now, Extra: h.Extra, Held: held, Answer: workload.WorkerAnswer{Clock: r.now.UnixMilli() - born}}, r.now)
+// answerPollAs answers a poll as the incarnation does that started at born.
+func (r *rig) answerPollAs(poll scheduler.HoldOrder, incarnation int64, report workload.Held) {
+	report.Born = incarnation
+	r.core.Held(scheduler.HoldResult{Worker: poll.Worker.ID, Token: poll.Hold.Token, SentAt: r.now, Extra: poll.Extra, Held: report, Answer: workload.WorkerAnswer{Clock: r.now.UnixMilli() - incarnation}}, r.now)
 }
 
-// entry registers one worker, as started at born.
-func (r *rig) entry(id string, born int64) {
-	r.core.SetWorkers([]workload.Worker{{ID: id, Born: born, Service: "service", Address: id, Labels: []string{"a", "rack"}, Capacity: workload.Resources{CPU: 8000, MemoryMB: 16000}}}, r.now)
+// registerWorker registers one worker, as started at born.
+func (r *rig) registerWorker(id string, incarnation int64) {
+	r.core.SetWorkers([]workload.Worker{{ID: id, Born: incarnation, Service: "service", Address: id, Labels: []string{"a", "rack"}, Capacity: workload.Resources{CPU: 8000, MemoryMB: 16000}}}, r.now)
 }
 
-// poll returns the poll of a worker that waits for its answer, after steps until there is
+// awaitPoll returns the poll of a worker that waits for its answer, after steps until there is
 // one, and the starts meanwhile.
-func (r *rig) poll(id string) (h scheduler.HoldOrder, starts []scheduler.StartOrder) {
+func (r *rig) awaitPoll(id string) (poll scheduler.HoldOrder, starts []scheduler.StartOrder) {
 	for range 100 {
-		if h, ok := r.polls[id]; ok {
-			delete(r.polls, id)
-			return h, starts
+		if poll, ok := r.latestPolls[id]; ok {
+			delete(r.latestPolls, id)
+			return poll, starts
 		}
 		starts = append(starts, r.step(10*time.Millisecond).Starts...)
 	}
 	require.FailNow(r.t, "no poll of "+id)
-	return h, starts
+	return poll, starts
 }
 
-// refused answers a poll as the address of a process that has ended does.
-func (r *rig) refused(worker string) {
+// answerPollRefused answers a poll as the address of a process that has ended does.
+func (r *rig) answerPollRefused(worker string) {
 	r.core.Held(scheduler.HoldResult{Worker: worker, Token: r.token(), SentAt: r.now, Answer: workload.WorkerAnswer{Status: workload.WorkerDown}}, r.now)
 }
 
-// unanswered answers a poll with silence.
-func (r *rig) unanswered(worker string) {
+// timeOutPoll answers a poll with silence.
+func (r *rig) timeOutPoll(worker string) {
 	r.core.Held(scheduler.HoldResult{Worker: worker, Token: r.token(), SentAt: r.now, Answer: workload.WorkerAnswer{Status: workload.WorkerUnknown}}, r.now)
 }
 
-// crash ends a worker's process: polls are refused, and then its successor answers.
-func (r *rig) crash(worker string) {
-	r.refused(worker)
+// crashWorker ends a worker's process: polls are refused, and then its successor answers.
+func (r *rig) crashWorker(worker string) {
+	r.answerPollRefused(worker)
 	r.now = r.now.Add(100 * time.Millisecond)
-	r.refused(worker)
+	r.answerPollRefused(worker)
 	r.now = r.now.Add(100 * time.Millisecond)
-	r.replaced(worker)
+	r.answerPollReplaced(worker)
 }
 
-// refusedFor steps while each poll of a worker is refused.
-func (r *rig) refusedFor(worker string, d time.Duration) scheduler.Orders {
-	var all scheduler.Orders
+// refusePollsFor steps while each poll of a worker is refused.
+func (r *rig) refusePollsFor(worker string, d time.Duration) scheduler.Orders {
+	var collected scheduler.Orders
 	for until := r.now.Add(d); r.now.Before(until); {
 		orders := r.step(50 * time.Millisecond)
-		all.Starts = append(all.Starts, orders.Starts...)
-		for _, h := range orders.Holds {
-			if h.Worker.ID == worker {
-				r.refused(worker)
+		collected.Starts = append(collected.Starts, orders.Starts...)
+		for _, poll := range orders.Holds {
+			if poll.Worker.ID == worker {
+				r.answerPollRefused(worker)
 			}
 		}
 	}
-	return all
+	return collected
 }
 
-// crashBefore ends a worker's process, and others take its place.
-func (r *rig) crashBefore(worker string, others ...string) {
-	r.crash(worker)
-	r.workers(others...)
+// crashAndReplace ends a worker's process, and others take its place.
+func (r *rig) crashAndReplace(worker string, successors ...string) {
+	r.crashWorker(worker)
+	r.setWorkers(successors...)
 	r.step(0)
-	for _, id := range others {
-		r.held(id, r.now, workload.Held{})
+	for _, id := range successors {
+		r.answerPoll(id, r.now, workload.Held{})
 	}
 }
 
-// begin submits a job and answers its starts, which must be as many as it has tasks.
-func (r *rig) begin(id string, spec workload.Step) []scheduler.StartOrder {
+// startJob submits a job and answers its starts, which must be as many as it has tasks.
+func (r *rig) startJob(id string, spec workload.Step) []scheduler.StartOrder {
 	r.submit(id, spec)
 	starts := r.step(30 * time.Millisecond).Starts
 	require.Len(r.t, starts, spec.Count)
 	for _, s := range starts {
-		r.started(s, workload.WorkerOK)
+		r.answerStart(s, workload.WorkerOK)
 	}
 	return starts
 }
@@ -209,8 +209,8 @@
 // firstBorn.
 func newIncarnationRig(t *testing.T) *rig {
 	r := newRig(t)
-	r.entry("w-1", firstBorn)
-	h, _ := r.poll("w-1")
-	r.answer(h, firstBorn, workload.Held{})
+	r.registerWorker("w-1", firstIncarnation)
+	poll, _ := r.awaitPoll("w-1")
+	r.answerPollAs(poll, firstIncarnation, workload.Held{})
 	return r
 }
--- a/internal/scheduler/silence_test.go
+++ b/internal/scheduler/silence_test.go
@@ -12,16 +12,16 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// silence has a worker answer nothing until its leases are over and it isn't registered any
+// silenceWorker has a worker answer nothing until its leases are over and it isn't registered any
 // more, beside another one that answers. It returns the starts there.
-func (r *rig) silence(id, other string) (starts []scheduler.StartOrder) {
-	r.workers(other)
+func (r *rig) silenceWorker(id, answering string) (starts []scheduler.StartOrder) {
+	r.setWorkers(answering)
 	for range 200 {
-		if _, ok := r.polls[other]; ok {
-			r.held(other, r.now, workload.Held{})
+		if _, ok := r.latestPolls[answering]; ok {
+			r.answerPoll(answering, r.now, workload.Held{})
 		}
-		if _, ok := r.polls[id]; ok {
-			r.unanswered(id)
+		if _, ok := r.latestPolls[id]; ok {
+			r.timeOutPoll(id)
 		}
 		if starts = append(starts, r.step(50*time.Millisecond).Starts...); len(starts) > 0 {
 			return starts
@@ -33,14 +33,14 @@
 // Guards against tasks being tried one by one, and their jobs given up, after a zone was cut
 // off: hundreds of tasks lose their worker at once, some of them soon after their start, and
 // some do so twice.
-func TestTasksWhoseWorkersFallSilentTwiceAreNoSuspects(t *testing.T) {
+func TestTasksWhoseWorkersFallSilentTwiceAreNotSuspects(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-0")
-	starts := r.begin("0000000000000001", batch(1, 1000))
+	r.syncWorkers("w-0")
+	starts := r.startJob("0000000000000001", batchStep(1, 1000))
 	for n := range 2 {
-		starts = r.silence("w-"+strconv.Itoa(n), "w-"+strconv.Itoa(n+1))
+		starts = r.silenceWorker("w-"+strconv.Itoa(n), "w-"+strconv.Itoa(n+1))
 		require.Len(t, starts, 1)
-		r.started(starts[0], workload.WorkerOK)
+		r.answerStart(starts[0], workload.WorkerOK)
 	}
 	assert.Equal(t, "w-2", starts[0].Worker.ID)
 	assert.Zero(t, r.core.Counts.Trials)
@@ -49,19 +49,19 @@
 
 // Guards against a job being given up as its workers are cut off for longer than their
 // leases: one that answers again takes back what its silence said.
-func TestWorkerThatAnswersAgainTakesBackItsSilence(t *testing.T) {
+func TestSilenceDoesNotCountOnceTheWorkerAnswersAgain(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-0")
-	job := r.begin("0000000000000001", batch(1, 1000))[0].Start.Task.Job
+	r.syncWorkers("w-0")
+	job := r.startJob("0000000000000001", batchStep(1, 1000))[0].Start.Task.Job
 	for n := range 12 {
 		id, next := "w-"+strconv.Itoa(n), "w-"+strconv.Itoa(n+1)
-		starts := r.silence(id, next)
+		starts := r.silenceWorker(id, next)
 		require.Len(t, starts, 1, "%s has lapsed", id)
-		r.started(starts[0], workload.WorkerOK)
-		r.workers(id, next)
-		delete(r.polls, id)
-		h, _ := r.poll(id)
-		r.answer(h, 0, workload.Held{})
+		r.answerStart(starts[0], workload.WorkerOK)
+		r.setWorkers(id, next)
+		delete(r.latestPolls, id)
+		poll, _ := r.awaitPoll(id)
+		r.answerPollAs(poll, 0, workload.Held{})
 	}
 	state, _ := r.core.State(job)
 	assert.Equal(t, workload.Running, state)
@@ -71,7 +71,7 @@
 // Guards against a job of no fault being given up by trials of which nobody knows how long
 // they had got on: the owner that planned them was lost, and the worker has never answered
 // the next one. The trial may have run for as long as that.
-func TestTrialThatMayHaveRunForLongProvesNothingBySilence(t *testing.T) {
+func TestSilenceAfterAPossiblyLongIsolatedRunProvesNothing(t *testing.T) {
 	const job = workload.JobID("0000000000000001")
 	for _, c := range []struct {
 		planned time.Duration // before the takeover
@@ -85,10 +85,10 @@
 		for n := range 6 {
 			crashes = append(crashes, workload.Crash{Worker: "w-" + strconv.Itoa(n), Run: int64(3<<16 + n), AtMS: first.now.UnixMilli() - 60_000, Sole: n >= 3, Silent: true})
 		}
-		planned := workload.Crash{Worker: "w-9", Address: "w-9", Run: 3<<16 + 9, AtMS: first.now.Add(-c.planned).UnixMilli(), Pending: true}
-		next := first.succeed(job, &workload.Progress{Begun: true, Crashes: map[string][]workload.Crash{"0.0.0": append(crashes, planned)}})
+		plannedCrash := workload.Crash{Worker: "w-9", Address: "w-9", Run: 3<<16 + 9, AtMS: first.now.Add(-c.planned).UnixMilli(), Pending: true}
+		next := first.newSuccessor(job, &workload.Progress{Begun: true, Crashes: map[string][]workload.Crash{"0.0.0": append(crashes, plannedCrash)}})
 		for range 200 {
-			next.unanswered("w-9")
+			next.timeOutPoll("w-9")
 			next.step(50 * time.Millisecond)
 		}
 		state, _ := next.core.State(job)
--- a/internal/scheduler/step_test.go
+++ b/internal/scheduler/step_test.go
@@ -12,71 +12,71 @@
 )
 
 // A step waits for all tasks of the step that it depends on.
-func TestStepsFollowTheirDependencies(t *testing.T) {
+func TestStepsWaitForTheirDependencies(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	second := batch(1, 1000)
+	r.syncWorkers("w-1")
+	second := batchStep(1, 1000)
 	second.DependsOn = []int{0}
-	r.submit("0000000000000001", batch(2, 1000), second)
+	r.submit("0000000000000001", batchStep(2, 1000), second)
 	starts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, starts, 2)
 	for _, s := range starts {
-		r.started(s, workload.WorkerOK)
+		r.answerStart(s, workload.WorkerOK)
 	}
-	first := end(1, starts[0], workload.EndDone)
-	first.Running = []workload.RunState{{Task: starts[1].Start.Task, Run: starts[1].Start.Run, Percent: 100}}
-	r.held("w-1", r.now, first)
+	firstExited := exitReport(1, starts[0], workload.EndDone)
+	firstExited.Running = []workload.RunState{{Task: starts[1].Start.Task, Run: starts[1].Start.Run, Percent: 100}}
+	r.answerPoll("w-1", r.now, firstExited)
 	assert.Empty(t, r.step(100*time.Millisecond).Starts)
-	r.held("w-1", r.now, end(2, starts[1], workload.EndDone))
-	after := r.step(100 * time.Millisecond).Starts
-	require.Len(t, after, 1)
-	assert.Equal(t, 1, after[0].Start.Task.Step)
+	r.answerPoll("w-1", r.now, exitReport(2, starts[1], workload.EndDone))
+	dependentStarts := r.step(100 * time.Millisecond).Starts
+	require.Len(t, dependentStarts, 1)
+	assert.Equal(t, 1, dependentStarts[0].Start.Task.Step)
 }
 
 // A gang starts with all its members, under one run number, or not at all.
 func TestGangStartsWholeOrNotAtAll(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	gang := batch(3, 3000)
+	r.syncWorkers("w-1")
+	gang := batchStep(3, 3000)
 	gang.Gang = true
 	r.submit("0000000000000001", gang)
 	assert.Empty(t, r.step(20*time.Millisecond).Starts, "two fit, three don't")
-	starts := r.ready("w-1", "w-2")
+	starts := r.syncWorkers("w-1", "w-2")
 	require.Len(t, starts, 3)
 	assert.Equal(t, starts[0].Start.Run, starts[1].Start.Run)
 	assert.Equal(t, starts[0].Start.Run, starts[2].Start.Run)
 }
 
 // An occurrence does not begin before it is due.
-func TestOccurrencesWaitForTheirTime(t *testing.T) {
+func TestOccurrencesDoNotStartBeforeTheyAreDue(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
+	r.syncWorkers("w-1")
 	due := r.now.Add(2 * time.Second)
 	r.core.Submitted("0000000000000001", &workload.Submission{Queue: "quick", Service: "service", AcceptedMS: r.now.UnixMilli(), Spec: workload.Spec{
-		Steps: []workload.Step{batch(1, 1000)}, Repeat: 2, StartAtMS: due.UnixMilli(), IntervalMS: 1000,
+		Steps: []workload.Step{batchStep(1, 1000)}, Repeat: 2, StartAtMS: due.UnixMilli(), IntervalMS: 1000,
 	}})
-	var at []time.Time
+	var startedAt []time.Time
 	for r.now.Before(due.Add(3 * time.Second)) {
 		for range r.step(100 * time.Millisecond).Starts {
-			at = append(at, r.now)
+			startedAt = append(startedAt, r.now)
 		}
-		r.held("w-1", r.now, workload.Held{})
+		r.answerPoll("w-1", r.now, workload.Held{})
 	}
-	require.Len(t, at, 2)
-	assert.False(t, at[0].Before(due))
-	assert.False(t, at[1].Before(due.Add(time.Second)))
+	require.Len(t, startedAt, 2)
+	assert.False(t, startedAt[0].Before(due))
+	assert.False(t, startedAt[1].Before(due.Add(time.Second)))
 }
 
 // A queue whose steps only some workers may run is asked about first; a start
 // carries the ticket, and goes to no worker without one.
-func TestAdviceIsAskedBeforeAStart(t *testing.T) {
+func TestAdviceIsRequestedBeforeAStart(t *testing.T) {
 	r := newRig(t)
 	config := *testConfig
 	config.Version = 2
 	config.Queues = []workload.Queue{{Name: "quick", Service: "service", MaxAttempts: 2, Stretch: 2, Objective: time.Second, Advice: &workload.Advice{Valid: 3 * time.Second}}}
 	r.core.SetConfig(&config)
-	r.ready("w-1", "w-2")
-	r.submit("0000000000000001", batch(2, 1000))
+	r.syncWorkers("w-1", "w-2")
+	r.submit("0000000000000001", batchStep(2, 1000))
 	orders := r.step(20 * time.Millisecond)
 	assert.Empty(t, orders.Starts)
 	require.Len(t, orders.Advise, 1)
@@ -93,10 +93,10 @@
 // A job with many occurrences asks for one after the other. Its service is shown
 // what is due now or within seconds: all of them together would draw every VM to
 // its pool.
-func TestOccurrencesAreAskedForOneAfterTheOther(t *testing.T) {
+func TestOnlyOccurrencesDueSoonCountAsDemand(t *testing.T) {
 	r := newRig(t)
 	r.core.Submitted("0000000000000001", &workload.Submission{Queue: "quick", Service: "service", AcceptedMS: r.now.UnixMilli(), Spec: workload.Spec{
-		Steps: []workload.Step{batch(2, 1000)}, Repeat: 8, StartAtMS: r.now.UnixMilli(), IntervalMS: 2000,
+		Steps: []workload.Step{batchStep(2, 1000)}, Repeat: 8, StartAtMS: r.now.UnixMilli(), IntervalMS: 2000,
 	}})
 	loads := r.core.Loads(r.now)
 	require.Len(t, loads, 1)
@@ -107,13 +107,13 @@
 
 // An occurrence is long past its time, and a caller's job came just now. There is
 // room for one task: the job gets it, as the occurrence can win nothing any more.
-func TestOverdueOccurrenceStandsBackForAJobThatIsOnTime(t *testing.T) {
+func TestJobOnTimeStartsBeforeAnOverdueOccurrence(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
+	r.syncWorkers("w-1")
 	r.core.Submitted("0000000000000001", &workload.Submission{Queue: "quick", Service: "service", AcceptedMS: r.now.UnixMilli(), Spec: workload.Spec{
-		Steps: []workload.Step{batch(1, 8000)}, Repeat: 1, StartAtMS: r.now.Add(-15 * time.Second).UnixMilli(), IntervalMS: 1000,
+		Steps: []workload.Step{batchStep(1, 8000)}, Repeat: 1, StartAtMS: r.now.Add(-15 * time.Second).UnixMilli(), IntervalMS: 1000,
 	}})
-	job := r.submit("0000000000000002", batch(1, 8000))
+	job := r.submit("0000000000000002", batchStep(1, 8000))
 	starts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, starts, 1)
 	assert.Equal(t, job, starts[0].Start.Task.Job)
@@ -121,17 +121,17 @@
 
 // A task needs a label that no worker of its service has, or more room than any has.
 // The fleet's owner is told what to bring; what only waits for room is not named.
-func TestTasksThatNoWorkerCanRunAreTold(t *testing.T) {
+func TestUnmetRequirementsAreReported(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	special := batch(2, 1000)
-	special.Label = "b"
-	r.submit("0000000000000001", special)
-	r.submit("0000000000000002", batch(1, 9000))
-	r.submit("0000000000000003", batch(9, 3000))
-	near := batch(2, 8000)
-	near.Rack = "rack-7"
-	r.submit("0000000000000004", near)
+	r.syncWorkers("w-1")
+	labelled := batchStep(2, 1000)
+	labelled.Label = "b"
+	r.submit("0000000000000001", labelled)
+	r.submit("0000000000000002", batchStep(1, 9000))
+	r.submit("0000000000000003", batchStep(9, 3000))
+	rackBound := batchStep(2, 8000)
+	rackBound.Rack = "rack-7"
+	r.submit("0000000000000004", rackBound)
 	r.step(20 * time.Millisecond)
 	loads := r.core.Loads(r.now)
 	require.Len(t, loads, 1)
@@ -145,10 +145,10 @@
 
 // An owner has just taken over, and no worker has answered yet. Nothing is said to be
 // missing: VMs would be moved for nothing.
-func TestNothingIsLackedBeforeWorkersAnswer(t *testing.T) {
+func TestNoUnmetRequirementsBeforeWorkersAnswer(t *testing.T) {
 	r := newRig(t)
-	r.workers("w-1")
-	r.submit("0000000000000001", batch(1, 1000))
+	r.setWorkers("w-1")
+	r.submit("0000000000000001", batchStep(1, 1000))
 	loads := r.core.Loads(r.now)
 	require.Len(t, loads, 1)
 	assert.Empty(t, loads[0].Lacks)
@@ -163,36 +163,36 @@
 		{ID: "w-2", Service: "service", Address: "w-2", Labels: []string{"a", "rack-2"}, Capacity: workload.Resources{CPU: 8000, MemoryMB: 16000}},
 	}, r.now)
 	r.step(0)
-	r.held("w-1", r.now, workload.Held{})
-	r.held("w-2", r.now, workload.Held{})
-	near := batch(3, 3000)
-	near.Rack = "rack-2"
-	r.submit("0000000000000001", near)
-	at := map[string]int{}
+	r.answerPoll("w-1", r.now, workload.Held{})
+	r.answerPoll("w-2", r.now, workload.Held{})
+	preferringRack := batchStep(3, 3000)
+	preferringRack.Rack = "rack-2"
+	r.submit("0000000000000001", preferringRack)
+	startsByWorker := map[string]int{}
 	for _, s := range r.step(20 * time.Millisecond).Starts {
-		at[s.Worker.ID]++
+		startsByWorker[s.Worker.ID]++
 	}
-	assert.Equal(t, map[string]int{"w-1": 1, "w-2": 2}, at)
+	assert.Equal(t, map[string]int{"w-1": 1, "w-2": 2}, startsByWorker)
 }
 
 // Some jobs of a service need one kind of VM. Tasks that may run anywhere leave that
 // kind free while others have room: the next job that needs it starts at once.
-func TestTasksThatMayRunAnywhereLeaveRequiredKindsFree(t *testing.T) {
+func TestUnconstrainedTasksLeaveLabelledWorkersFree(t *testing.T) {
 	r := newRig(t)
 	r.core.SetWorkers([]workload.Worker{
 		{ID: "w-1", Service: "service", Address: "w-1", Labels: []string{"a", "rack-1"}, Capacity: workload.Resources{CPU: 8000, MemoryMB: 16000}},
 		{ID: "w-2", Service: "service", Address: "w-2", Labels: []string{"b", "rack-1"}, Capacity: workload.Resources{CPU: 8000, MemoryMB: 16000}},
 	}, r.now)
 	r.step(0)
-	r.held("w-1", r.now, workload.Held{})
-	r.held("w-2", r.now, workload.Held{})
-	special := batch(1, 1000)
-	special.Label = "a"
-	first := r.submit("0000000000000001", special)
-	anywhere := batch(3, 2000)
-	r.submit("0000000000000002", anywhere)
+	r.answerPoll("w-1", r.now, workload.Held{})
+	r.answerPoll("w-2", r.now, workload.Held{})
+	labelled := batchStep(1, 1000)
+	labelled.Label = "a"
+	labelledJob := r.submit("0000000000000001", labelled)
+	unconstrained := batchStep(3, 2000)
+	r.submit("0000000000000002", unconstrained)
 	for _, s := range r.step(20 * time.Millisecond).Starts {
-		if s.Start.Task.Job == first {
+		if s.Start.Task.Job == labelledJob {
 			assert.Equal(t, "w-1", s.Worker.ID)
 		} else {
 			assert.Equal(t, "w-2", s.Worker.ID)
@@ -203,16 +203,16 @@
 // Two jobs have waited for half a minute for more room than any worker has free. One
 // worker is kept free for the first of them; on the other a caller's small task
 // starts. Were each to keep one, the service would stand still beside free room.
-func TestJobsThatWaitedLongDoNotCloseAllWorkers(t *testing.T) {
+func TestJobsThatWaitedLongDoNotReserveAllWorkers(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1", "w-2")
-	r.submit("0000000000000001", batch(2, 7000))
+	r.syncWorkers("w-1", "w-2")
+	r.submit("0000000000000001", batchStep(2, 7000))
 	require.Len(t, r.step(20*time.Millisecond).Starts, 2)
 	for _, id := range []string{"0000000000000002", "0000000000000003"} {
-		r.core.Submitted(workload.JobID(id), &workload.Submission{Queue: "quick", Service: "service", AcceptedMS: r.now.Add(-40 * time.Second).UnixMilli(), Spec: workload.Spec{Steps: []workload.Step{batch(1, 5000)}}})
+		r.core.Submitted(workload.JobID(id), &workload.Submission{Queue: "quick", Service: "service", AcceptedMS: r.now.Add(-40 * time.Second).UnixMilli(), Spec: workload.Spec{Steps: []workload.Step{batchStep(1, 5000)}}})
 	}
 	assert.Empty(t, r.step(20*time.Millisecond).Starts)
-	small := r.submit("0000000000000004", batch(1, 500))
+	small := r.submit("0000000000000004", batchStep(1, 500))
 	starts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, starts, 1)
 	assert.Equal(t, small, starts[0].Start.Task.Job)
@@ -221,14 +221,14 @@
 // Jobs have waited long, and smaller ones keep joining them. The oldest goes first,
 // however large it is: else it would wait for ever. The others that can win nothing
 // any more do not pass a job that can.
-func TestOldestOfTheJobsThatWaitedLongGoesFirst(t *testing.T) {
+func TestOldestOverdueJobStartsFirst(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
+	r.syncWorkers("w-1")
 	for i, cpu := range []int{1000, 7000, 2000} {
 		age := []time.Duration{40, 60, 50}[i] * time.Second
-		r.core.Submitted(workload.JobID("000000000000000"+string(rune('1'+i))), &workload.Submission{Queue: "quick", Service: "service", AcceptedMS: r.now.Add(-age).UnixMilli(), Spec: workload.Spec{Steps: []workload.Step{batch(1, cpu)}}})
+		r.core.Submitted(workload.JobID("000000000000000"+string(rune('1'+i))), &workload.Submission{Queue: "quick", Service: "service", AcceptedMS: r.now.Add(-age).UnixMilli(), Spec: workload.Spec{Steps: []workload.Step{batchStep(1, cpu)}}})
 	}
-	onTime := r.submit("0000000000000004", batch(1, 1000))
+	onTime := r.submit("0000000000000004", batchStep(1, 1000))
 	starts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, starts, 2)
 	assert.Equal(t, workload.JobID("0000000000000002"), starts[0].Start.Task.Job)
--- a/internal/scheduler/suspect_test.go
+++ b/internal/scheduler/suspect_test.go
@@ -16,73 +16,73 @@
 // A worker's process ends under a job. Whether it crashed decides whether the job's
 // task is started alone on a worker that others could use, and whether it may be
 // given up: for workers that leave, are emptied or cut off nobody's task is to blame.
-func TestCrashIsToldFromOtherEnds(t *testing.T) {
-	listed := func(id, service string, draining bool) workload.Worker {
-		return workload.Worker{ID: id, Service: service, Address: "w-1", Draining: draining, Labels: []string{"a", "rack"}, Capacity: workload.Resources{CPU: 8000, MemoryMB: 16000}}
+func TestCrashIsDistinguishedFromOtherExits(t *testing.T) {
+	newWorker := func(id, service string, leaving bool) workload.Worker {
+		return workload.Worker{ID: id, Service: service, Address: "w-1", Draining: leaving, Labels: []string{"a", "rack"}, Capacity: workload.Resources{CPU: 8000, MemoryMB: 16000}}
 	}
 	for name, c := range map[string]struct {
 		ends    func(r *rig)
 		crashes int
 	}{
 		"refused once, then answered": {func(r *rig) {
-			r.refused("w-1")
-			r.held("w-1", r.now.Add(time.Millisecond), workload.Held{})
+			r.answerPollRefused("w-1")
+			r.answerPoll("w-1", r.now.Add(time.Millisecond), workload.Held{})
 		}, 0},
-		"refused, and the list shows no successor": {func(r *rig) { r.refusedFor("w-1", 6*time.Second) }, 0},
+		"refused, and the list shows no successor": {func(r *rig) { r.refusePollsFor("w-1", 6*time.Second) }, 0},
 		"refused, then answered by the same one": {func(r *rig) {
-			r.refusedFor("w-1", 6*time.Second)
-			r.held("w-1", r.now, workload.Held{})
+			r.refusePollsFor("w-1", 6*time.Second)
+			r.answerPoll("w-1", r.now, workload.Held{})
 		}, 0},
-		"refused and then replaced": {func(r *rig) { r.crash("w-1") }, 1},
+		"refused and then replaced": {func(r *rig) { r.crashWorker("w-1") }, 1},
 		"refused until its lease was over, then replaced": {func(r *rig) {
-			r.refusedFor("w-1", 6*time.Second)
-			r.replaced("w-1")
+			r.refusePollsFor("w-1", 6*time.Second)
+			r.answerPollReplaced("w-1")
 		}, 1},
 		"refused until its lease was over, then a successor is listed": {func(r *rig) {
-			r.core.SetWorkers([]workload.Worker{listed("w-2", "service", false)}, r.now)
-			r.refusedFor("w-1", 6*time.Second)
-			r.held("w-2", r.now, workload.Held{})
-			r.core.SetWorkers([]workload.Worker{listed("w-2", "service", false)}, r.now)
+			r.core.SetWorkers([]workload.Worker{newWorker("w-2", "service", false)}, r.now)
+			r.refusePollsFor("w-1", 6*time.Second)
+			r.answerPoll("w-2", r.now, workload.Held{})
+			r.core.SetWorkers([]workload.Worker{newWorker("w-2", "service", false)}, r.now)
 		}, 1},
 		"refused, then no longer registered, then answered by the same one": {func(r *rig) {
-			r.workers()
-			r.refusedFor("w-1", 6*time.Second)
-			r.workers("w-1")
-			r.held("w-1", r.now, workload.Held{})
+			r.setWorkers()
+			r.refusePollsFor("w-1", 6*time.Second)
+			r.setWorkers("w-1")
+			r.answerPoll("w-1", r.now, workload.Held{})
 		}, 0},
-		"replaced at once": {func(r *rig) { r.replaced("w-1") }, 1},
+		"replaced at once": {func(r *rig) { r.answerPollReplaced("w-1") }, 1},
 		"cut off until its lease was over, then replaced": {func(r *rig) {
-			r.unanswered("w-1")
+			r.timeOutPoll("w-1")
 			r.now = r.now.Add(4 * time.Second)
-			r.replaced("w-1")
+			r.answerPollReplaced("w-1")
 		}, 0},
 		"cut off and no longer registered": {func(r *rig) {
-			r.unanswered("w-1")
-			r.workers()
+			r.timeOutPoll("w-1")
+			r.setWorkers()
 			r.now = r.now.Add(4 * time.Second)
-			r.unanswered("w-1")
+			r.timeOutPoll("w-1")
 			r.step(50 * time.Millisecond)
 		}, 0},
 		"leaving": {func(r *rig) {
-			r.core.SetWorkers([]workload.Worker{listed("w-1", "service", true)}, r.now)
-			r.crash("w-1")
+			r.core.SetWorkers([]workload.Worker{newWorker("w-1", "service", true)}, r.now)
+			r.crashWorker("w-1")
 		}, 0},
 		"emptied for its VM": {func(r *rig) {
 			r.core.Evacuate("w-1", r.now)
-			r.crash("w-1")
+			r.crashWorker("w-1")
 		}, 0},
 		"its address at another service of the partition": {func(r *rig) {
-			r.core.SetWorkers([]workload.Worker{listed("w-1", "service", false), listed("w-2", "other", false)}, r.now)
-			r.replaced("w-1")
+			r.core.SetWorkers([]workload.Worker{newWorker("w-1", "service", false), newWorker("w-2", "other", false)}, r.now)
+			r.answerPollReplaced("w-1")
 		}, 0},
 		"its address at another service elsewhere": {func(r *rig) {
 			r.core.SetElsewhere([]string{"w-1"})
-			r.replaced("w-1")
+			r.answerPollReplaced("w-1")
 		}, 0},
 	} {
 		r := newRig(t)
-		r.ready("w-1")
-		r.begin("0000000000000001", batch(1, 1000))
+		r.syncWorkers("w-1")
+		r.startJob("0000000000000001", batchStep(1, 1000))
 		c.ends(r)
 		assert.Equal(t, c.crashes, r.core.Counts.Crashes, name)
 	}
@@ -93,23 +93,23 @@
 // is over; no refusal tells that the process has ended.
 func TestTaskOfAWorkerThatRefusesConnectionsIsNotStartedTwice(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1", "w-2")
-	s := r.begin("0000000000000001", batch(1, 1000))[0]
-	assert.Empty(t, r.refusedFor(s.Worker.ID, testLease).Starts)
-	r.held(s.Worker.ID, r.now, workload.Held{Running: []workload.RunState{{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}}})
+	r.syncWorkers("w-1", "w-2")
+	s := r.startJob("0000000000000001", batchStep(1, 1000))[0]
+	assert.Empty(t, r.refusePollsFor(s.Worker.ID, testLease).Starts)
+	r.answerPoll(s.Worker.ID, r.now, workload.Held{Running: []workload.RunState{{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}}})
 	assert.Empty(t, r.step(30*time.Millisecond).Starts)
 }
 
 // The list of workers lags: that a worker was leaving, or that its address is another
 // service's, is known only after its end looked like a crash. What was held against
 // its task is taken back, and the task is started like any other.
-func TestTaskIsExoneratedWhereTheListExplainsTheEnd(t *testing.T) {
+func TestTaskIsClearedWhenTheRegistryExplainsTheExit(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1", "w-2")
-	beside := r.begin("0000000000000001", batch(1, 1000))[0]
-	r.crash(beside.Worker.ID)
-	r.core.SetElsewhere([]string{beside.Worker.ID})
-	r.workers("w-1", "w-2")
+	r.syncWorkers("w-1", "w-2")
+	start := r.startJob("0000000000000001", batchStep(1, 1000))[0]
+	r.crashWorker(start.Worker.ID)
+	r.core.SetElsewhere([]string{start.Worker.ID})
+	r.setWorkers("w-1", "w-2")
 	starts := r.step(30 * time.Millisecond).Starts
 	require.Len(t, starts, 1)
 	assert.Zero(t, r.core.Counts.Trials)
@@ -119,26 +119,26 @@
 // started where nothing else has just begun; the one that gets on is done as if
 // nothing had happened, and the next worker that crashes under the other one takes no
 // task of anybody else.
-func TestSuspectsAreStartedOneByOne(t *testing.T) {
+func TestSuspectsRunOnWorkersOfTheirOwn(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	r.begin("0000000000000001", batch(1, 1000))
-	r.begin("0000000000000002", batch(1, 1000))
-	r.crashBefore("w-1", "w-2", "w-3", "w-4", "w-5", "w-6", "w-7", "w-8", "w-9")
-	all, suspects := map[string]int{}, map[string]int{}
-	r.submit("0000000000000003", batch(4, 1000))
+	r.syncWorkers("w-1")
+	r.startJob("0000000000000001", batchStep(1, 1000))
+	r.startJob("0000000000000002", batchStep(1, 1000))
+	r.crashAndReplace("w-1", "w-2", "w-3", "w-4", "w-5", "w-6", "w-7", "w-8", "w-9")
+	startsByWorker, suspectStartsByWorker := map[string]int{}, map[string]int{}
+	r.submit("0000000000000003", batchStep(4, 1000))
 	for range 5 {
 		for _, s := range r.step(30 * time.Millisecond).Starts {
-			r.started(s, workload.WorkerOK)
-			all[s.Worker.ID]++
+			r.answerStart(s, workload.WorkerOK)
+			startsByWorker[s.Worker.ID]++
 			if s.Start.Task.Job != "0000000000000003" {
-				suspects[s.Worker.ID]++
+				suspectStartsByWorker[s.Worker.ID]++
 			}
 		}
 	}
-	assert.Len(t, suspects, 2)
-	for id := range suspects {
-		assert.Equal(t, 1, all[id], id)
+	assert.Len(t, suspectStartsByWorker, 2)
+	for id := range suspectStartsByWorker {
+		assert.Equal(t, 1, startsByWorker[id], id)
 	}
 	assert.Equal(t, 2, r.core.Counts.Trials)
 }
@@ -147,17 +147,17 @@
 // got on, however much room there is. Its crash would else prove nothing.
 func TestSuspectsShareNoWorker(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	r.begin("0000000000000001", batch(1, 1000))
-	r.begin("0000000000000002", batch(1, 1000))
-	r.crashBefore("w-1", "w-2")
-	first := r.play(400 * time.Millisecond).Starts
+	r.syncWorkers("w-1")
+	r.startJob("0000000000000001", batchStep(1, 1000))
+	r.startJob("0000000000000002", batchStep(1, 1000))
+	r.crashAndReplace("w-1", "w-2")
+	first := r.stepFor(400 * time.Millisecond).Starts
 	require.Len(t, first, 1)
-	r.started(first[0], workload.WorkerOK)
+	r.answerStart(first[0], workload.WorkerOK)
 	r.now = r.now.Add(400 * time.Millisecond)
-	r.held("w-2", r.now, workload.Held{Running: []workload.RunState{{Task: first[0].Start.Task, Run: first[0].Start.Run, Percent: 100}}})
+	r.answerPoll("w-2", r.now, workload.Held{Running: []workload.RunState{{Task: first[0].Start.Task, Run: first[0].Start.Run, Percent: 100}}})
 	require.Equal(t, 1, r.core.Counts.Cleared)
-	assert.Len(t, r.play(150*time.Millisecond).Starts, 1)
+	assert.Len(t, r.stepFor(150*time.Millisecond).Starts, 1)
 }
 
 // The worker that is kept for suspects lacks the label that the next one must have. That
@@ -165,7 +165,7 @@
 // one idle.
 func TestSuspectWithALabelGetsAWorkerThatHasIt(t *testing.T) {
 	r := newRig(t)
-	kinds := func(labels map[string]string) {
+	setLabelledWorkers := func(labels map[string]string) {
 		var list []workload.Worker
 		for _, id := range slices.Sorted(maps.Keys(labels)) {
 			list = append(list, workload.Worker{ID: id, Service: "service", Address: id, Labels: []string{labels[id], "rack"}, Capacity: workload.Resources{CPU: 8000, MemoryMB: 16000}})
@@ -173,121 +173,121 @@
 		r.core.SetWorkers(list, r.now)
 		r.step(0)
 		for id := range labels {
-			r.held(id, r.now, workload.Held{})
+			r.answerPoll(id, r.now, workload.Held{})
 		}
 	}
-	kinds(map[string]string{"w-1": "b"})
-	r.begin("0000000000000001", batch(1, 1000))
-	labelled := batch(1, 1000)
+	setLabelledWorkers(map[string]string{"w-1": "b"})
+	r.startJob("0000000000000001", batchStep(1, 1000))
+	labelled := batchStep(1, 1000)
 	labelled.Label = "b"
-	r.begin("0000000000000002", labelled)
-	r.crash("w-1")
-	kinds(map[string]string{"w-2": "a", "w-3": "b"})
-	on := map[workload.JobID]string{}
+	r.startJob("0000000000000002", labelled)
+	r.crashWorker("w-1")
+	setLabelledWorkers(map[string]string{"w-2": "a", "w-3": "b"})
+	workerByJob := map[workload.JobID]string{}
 	for range 20 {
 		for _, s := range r.step(50 * time.Millisecond).Starts {
-			on[s.Start.Task.Job] = s.Worker.ID
+			workerByJob[s.Start.Task.Job] = s.Worker.ID
 		}
 	}
-	assert.Equal(t, "w-3", on["0000000000000002"])
+	assert.Equal(t, "w-3", workerByJob["0000000000000002"])
 }
 
 // A long task lay beside one that crashed its worker. It gets on afterwards for
 // longer than it had at the crash: it is cleared, its worker takes other tasks again,
 // and a crash much later is its first.
-func TestTaskThatGetsOnIsCleared(t *testing.T) {
+func TestSuspectThatMakesProgressIsCleared(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	long := batch(1, 1000)
+	r.syncWorkers("w-1")
+	long := batchStep(1, 1000)
 	long.EstimateMS = 60_000
-	r.begin("0000000000000001", long)
-	r.crashBefore("w-1", "w-2")
-	starts := r.play(300 * time.Millisecond).Starts
+	r.startJob("0000000000000001", long)
+	r.crashAndReplace("w-1", "w-2")
+	starts := r.stepFor(300 * time.Millisecond).Starts
 	require.Len(t, starts, 1)
-	r.started(starts[0], workload.WorkerOK)
-	r.submit("0000000000000002", batch(1, 1000))
+	r.answerStart(starts[0], workload.WorkerOK)
+	r.submit("0000000000000002", batchStep(1, 1000))
 	assert.Empty(t, r.step(30*time.Millisecond).Starts, "the worker is its own for now")
 	r.now = r.now.Add(time.Second)
-	r.held("w-2", r.now, workload.Held{Running: []workload.RunState{{Task: starts[0].Start.Task, Run: starts[0].Start.Run, Percent: 100}}})
+	r.answerPoll("w-2", r.now, workload.Held{Running: []workload.RunState{{Task: starts[0].Start.Task, Run: starts[0].Start.Run, Percent: 100}}})
 	assert.Equal(t, 1, r.core.Counts.Cleared)
-	assert.Len(t, r.play(100*time.Millisecond).Starts, 1)
+	assert.Len(t, r.stepFor(100*time.Millisecond).Starts, 1)
 }
 
 // A worker is silent as it has crashed, and it isn't known yet. The task there may be
 // copied; a copy of what crashes workers would crash a second one.
-func TestTaskOfAWorkerThatMayHaveCrashedIsNotCopied(t *testing.T) {
+func TestTaskOfAWorkerThatMayHaveCrashedGetsNoSpeculativeCopy(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1", "w-2")
-	copied := batch(1, 1000)
-	copied.Speculative = true
-	s := r.begin("0000000000000001", copied)[0]
+	r.syncWorkers("w-1", "w-2")
+	speculative := batchStep(1, 1000)
+	speculative.Speculative = true
+	s := r.startJob("0000000000000001", speculative)[0]
 	r.now = r.now.Add(950 * time.Millisecond)
-	r.unanswered(s.Worker.ID)
-	assert.Empty(t, r.play(900*time.Millisecond).Starts)
-	assert.NotEmpty(t, r.play(300*time.Millisecond).Starts, "it is cut off")
+	r.timeOutPoll(s.Worker.ID)
+	assert.Empty(t, r.stepFor(900*time.Millisecond).Starts)
+	assert.NotEmpty(t, r.stepFor(300*time.Millisecond).Starts, "it is cut off")
 
 	r = newRig(t)
-	r.ready("w-1", "w-2")
-	s = r.begin("0000000000000001", copied)[0]
+	r.syncWorkers("w-1", "w-2")
+	s = r.startJob("0000000000000001", speculative)[0]
 	r.now = r.now.Add(950 * time.Millisecond)
-	assert.Empty(t, r.refusedFor(s.Worker.ID, 2500*time.Millisecond).Starts, "it refuses connections")
+	assert.Empty(t, r.refusePollsFor(s.Worker.ID, 2500*time.Millisecond).Starts, "it refuses connections")
 }
 
 // A job whose task crashes workers waits for a worker of its own, not for room. The
 // service is given no VMs for it.
-func TestSuspectsAskForNoVMs(t *testing.T) {
+func TestSuspectsRequestNoVMs(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	r.begin("0000000000000001", batch(2, 3000))
-	waits := func() workload.Resources { return r.core.Loads(r.now)[0].Waiting }
-	r.crash("w-1")
-	assert.Zero(t, waits())
-	r.submit("0000000000000002", batch(1, 3000))
-	assert.Equal(t, 3000, waits().CPU)
+	r.syncWorkers("w-1")
+	r.startJob("0000000000000001", batchStep(2, 3000))
+	waitingDemand := func() workload.Resources { return r.core.Loads(r.now)[0].Waiting }
+	r.crashWorker("w-1")
+	assert.Zero(t, waitingDemand())
+	r.submit("0000000000000002", batchStep(1, 3000))
+	assert.Equal(t, 3000, waitingDemand().CPU)
 }
 
 // The caller whose job was given up hands it in again: it is a new job, and nothing
 // is held against it.
-func TestReplayOfAJobThatWasGivenUpIsANewJob(t *testing.T) {
+func TestResubmissionOfAGivenUpJobIsANewJob(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-1")
-	first := r.begin("0000000000000001", batch(1, 1000))[0]
-	r.crash("w-1")
+	r.syncWorkers("w-1")
+	first := r.startJob("0000000000000001", batchStep(1, 1000))[0]
+	r.crashWorker("w-1")
 	for n := range 3 {
 		id := []string{"w-2", "w-3", "w-4"}[n]
-		r.workers(id)
+		r.setWorkers(id)
 		r.step(0)
-		r.held(id, r.now, workload.Held{})
-		for _, s := range r.play(400 * time.Millisecond).Starts {
-			r.started(s, workload.WorkerOK)
-			r.crash(id)
+		r.answerPoll(id, r.now, workload.Held{})
+		for _, s := range r.stepFor(400 * time.Millisecond).Starts {
+			r.answerStart(s, workload.WorkerOK)
+			r.crashWorker(id)
 		}
 	}
 	r.step(30 * time.Millisecond)
 	state, _ := r.core.State(first.Start.Task.Job)
 	require.Equal(t, workload.Failed, state)
-	r.ready("w-5")
-	r.begin("0000000000000002", batch(1, 1000))
+	r.syncWorkers("w-5")
+	r.startJob("0000000000000002", batchStep(1, 1000))
 	assert.Equal(t, 1, r.core.Counts.GivenUp)
 }
 
 // Guards against a task crashing worker after worker as the answers to its starts are
 // lost: a crash after a start without an answer says something, too.
-func TestCrashAfterAStartWithoutAnAnswerCounts(t *testing.T) {
+func TestCrashAfterAnUnansweredStartCounts(t *testing.T) {
 	r := newRig(t)
-	r.ready("w-0")
-	job := r.begin("0000000000000001", batch(1, 1000))[0].Start.Task.Job
-	r.crash("w-0")
+	r.syncWorkers("w-0")
+	job := r.startJob("0000000000000001", batchStep(1, 1000))[0].Start.Task.Job
+	r.crashWorker("w-0")
 	starts := 1
 	for n := range 8 {
 		id := "w-" + strconv.Itoa(n+1)
-		r.workers(id)
+		r.setWorkers(id)
 		r.step(0)
-		r.held(id, r.now, workload.Held{})
-		for _, s := range r.play(600 * time.Millisecond).Starts {
+		r.answerPoll(id, r.now, workload.Held{})
+		for _, s := range r.stepFor(600 * time.Millisecond).Starts {
 			starts++
-			r.crash(id)
-			r.started(s, workload.WorkerUnknown)
+			r.crashWorker(id)
+			r.answerStart(s, workload.WorkerUnknown)
 		}
 	}
 	state, _ := r.core.State(job)
