--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -10,35 +10,35 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// epochStart is when each history begins.
-var epochStart = time.UnixMilli(1_700_000_000_000)
+// historyStart is when each history begins.
+var historyStart = time.UnixMilli(1_700_000_000_000)
 
 // event is something that happens at a time of a history.
 type event struct {
-	at  time.Time
-	seq int
-	do  func()
+	at     time.Time
+	seq    int
+	action func()
 }
 
-type events []event
+type eventHeap []event
 
-func (e events) Len() int { return len(e) }
+func (h eventHeap) Len() int { return len(h) }
 
-func (e events) Less(i, j int) bool {
-	if e[i].at.Equal(e[j].at) {
-		return e[i].seq < e[j].seq
+func (h eventHeap) Less(i, j int) bool {
+	if h[i].at.Equal(h[j].at) {
+		return h[i].seq < h[j].seq
 	}
-	return e[i].at.Before(e[j].at)
+	return h[i].at.Before(h[j].at)
 }
 
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
 
-func (e *events) Pop() any {
-	old := *e
+func (h *eventHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
-	*e = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return last
 }
 
@@ -46,81 +46,81 @@
 // another, and faults. It checks the promises from what workers and the store
 // see, never from what an owner believes.
 type world struct {
-	now    time.Time
-	rng    *rand.Rand
-	queue  events
-	seq    int
-	faults faults
-	quiet  bool // no more faults
+	now           time.Time
+	rng           *rand.Rand
+	pendingEvents eventHeap
+	lastEventSeq  int
+	faults        faults
+	faultsStopped bool // no more faults
 
-	store   *fakeStore
-	workers map[string]*fakeWorker
-	listed  []workload.Worker // the registry
-	owner   *fakeOwner
-	owners  []*fakeOwner // all that there were
-	epoch   int64
-	jobs    map[workload.JobID]*fakeJob
-	broken  []string
-	nextID  int
-	starts  int
+	store         *fakeStore
+	workers       map[string]*fakeWorker
+	registry      []workload.Worker // the registry
+	owner         *fakeOwner
+	owners        []*fakeOwner // all that there were
+	epoch         int64
+	jobs          map[workload.JobID]*fakeJob
+	violations    []string
+	lastJobNumber int
+	starts        int
 	// unguarded is set where workers start what exceeds their room.
 	unguarded bool
-	// crashers are the tasks that crash each worker that starts them, by name.
-	crashers map[string]bool
-	// restarts is set where a worker that crashes under a task comes back under its ID, and
+	// crashingTasks are the tasks that crash each worker that starts them, by name.
+	crashingTasks map[string]bool
+	// crashedWorkersRestart is set where a worker that crashes under a task comes back under its ID, and
 	// silentCrashes where its VM is lost with it.
-	restarts, silentCrashes bool
-	// lostRuns counts the runs of others that were lost in such crashes.
-	lostRuns int
-	// joins is set where an owner that was replaced learns so from the group.
-	joins bool
-	// reached is the chance that an owner reaches the node of the one before, and told how
+	crashedWorkersRestart, crashesLoseVM bool
+	// bystanderRunsLost counts the runs of others that were lost in such crashes.
+	bystanderRunsLost int
+	// replacedOwnersStop is set where an owner that was replaced learns so from the group.
+	replacedOwnersStop bool
+	// previousOwnerReachable is the chance that an owner reaches the node of the one before, and told how
 	// often one has told what it left.
-	reached float64
-	told    int
+	previousOwnerReachable float64
+	directHandovers        int
 	// processor is that of each owner's node, nil where it costs no time.
 	processor *processor
 }
 
 // faults are the chances of what goes wrong, each between 0 and 1.
 type faults struct {
-	lostAnswer float64 // an order is carried out and its answer is lost
-	lateOrder  float64 // an order has no answer and is carried out seconds later
-	failedTask float64
-	storeLost  float64 // a write is done and its answer is lost
+	lostAnswer      float64 // an order is carried out and its answer is lost
+	lateOrder       float64 // an order has no answer and is carried out seconds later
+	failedTask      float64
+	lostWriteAnswer float64 // a write is done and its answer is lost
 }
 
 // fakeJob is what the caller knows.
 type fakeJob struct {
-	id          workload.JobID
-	sub         *workload.Submission
-	cancelled   time.Time // when the cancel was stored
-	done        map[string]bool
-	noted       map[string]bool // ends that were acknowledged
-	doneRuns    map[string][]int64
-	again       map[string]bool // runs that ended as done before another start
-	failed      map[string]int
-	crashes     map[string]int       // of workers under a task
-	died        map[string]int       // workers under a task, for whatever cause
-	early       map[string]int       // those that died soon after its start
-	startsAfter map[string]int       // starts after three of these
-	ordered     map[string]bool      // lasting tasks that were stopped and are not back
-	lastSeen    map[string]time.Time // when a lasting task was last known to run
-	givenUp     bool                 // by an owner, as its task crashes workers
-	shown       workload.State
-	shownAt     time.Time // when that changed last
+	id                      workload.JobID
+	submission              *workload.Submission
+	cancelledAt             time.Time // when the cancel was stored
+	done                    map[string]bool
+	acknowledged            map[string]bool // ends that were acknowledged
+	doneRuns                map[string][]int64
+	supersededDoneRuns      map[string]bool // runs that ended as done before another start
+	failures                map[string]int
+	workerCrashes           map[string]int       // of workers under a task
+	workerExits             map[string]int       // workers under a task, for whatever cause
+	earlyWorkerExits        map[string]int       // those that died soon after its start
+	startsAfterThreeCrashes map[string]int       // starts after three of these
+	stoppedNotRestarted     map[string]bool      // lasting tasks that were stopped and are not back
+	lastRunningAt           map[string]time.Time // when a lasting task was last known to run
+	givenUp                 bool                 // by an owner, as its task crashes workers
+	shownState              workload.State
+	shownStateChangedAt     time.Time // when that changed last
 }
 
 func newWorld(seed uint64, f faults) *world {
 	return &world{
-		now:     epochStart,
+		now:     historyStart,
 		rng:     rand.New(rand.NewPCG(seed, 7)),
 		faults:  f,
 		store:   &fakeStore{values: map[string][]byte{}},
 		workers: map[string]*fakeWorker{},
 		jobs:    map[workload.JobID]*fakeJob{},
 
-		crashers: map[string]bool{},
+		crashingTasks: map[string]bool{},
 	}
 }
 
@@ -129,41 +129,41 @@
 	return slices.Sorted(maps.Keys(w.workers))
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.queue, event{at: w.now.Add(d), seq: w.seq, do: do})
+func (w *world) after(d time.Duration, action func()) {
+	w.lastEventSeq++
+	heap.Push(&w.pendingEvents, event{at: w.now.Add(d), seq: w.lastEventSeq, action: action})
 }
 
-// run plays until a time.
-func (w *world) run(until time.Duration) {
-	end := epochStart.Add(until)
-	for len(w.queue) > 0 && !w.queue[0].at.After(end) {
-		e := heap.Pop(&w.queue).(event)
+// runUntil plays until a time.
+func (w *world) runUntil(offset time.Duration) {
+	stopAt := historyStart.Add(offset)
+	for len(w.pendingEvents) > 0 && !w.pendingEvents[0].at.After(stopAt) {
+		e := heap.Pop(&w.pendingEvents).(event)
 		w.now = e.at
-		e.do()
+		e.action()
 	}
-	w.now = end
+	w.now = stopAt
 }
 
-func (w *world) chance(p float64) bool { return !w.quiet && w.rng.Float64() < p }
+func (w *world) chance(p float64) bool { return !w.faultsStopped && w.rng.Float64() < p }
 
-// between draws a duration.
-func (w *world) between(low, high time.Duration) time.Duration {
+// durationBetween draws a duration.
+func (w *world) durationBetween(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.rng.Int64N(int64(high-low)+1))
 }
 
-func (w *world) breaks(rule, what string) {
-	w.broken = append(w.broken, rule+" at "+w.now.Sub(epochStart).String()+": "+what)
+func (w *world) recordViolation(rule, detail string) {
+	w.violations = append(w.violations, rule+" at "+w.now.Sub(historyStart).String()+": "+detail)
 }
 
 // fakeStore keeps the newest record of each key and refuses fenced writers.
 type fakeStore struct {
-	keys   []string // in the order of their first record
-	values map[string][]byte
-	log    []string // keys of all records, in order
-	epoch  int64
-	last   int64 // sequence of the epoch's last write
-	down   bool
+	keys         []string // in the order of their first record
+	values       map[string][]byte
+	log          []string // keys of all records, in order
+	epoch        int64
+	lastSequence int64 // sequence of the epoch's last write
+	unavailable  bool
 }
 
 func (s *fakeStore) put(r workload.Record) {
@@ -180,10 +180,10 @@
 
 // fence puts an epoch in force.
 func (s *fakeStore) fence(epoch int64) bool {
-	if s.down || epoch < s.epoch {
+	if s.unavailable || epoch < s.epoch {
 		return false
 	}
-	s.epoch, s.last = epoch, 0
+	s.epoch, s.lastSequence = epoch, 0
 	return true
 }
 
@@ -203,64 +203,64 @@
 
 // submit stores a job, as a node does before it tells the caller.
 func (w *world) submit(spec workload.Spec, queue string) *fakeJob {
-	w.nextID++
+	w.lastJobNumber++
 	id := workload.JobID([]byte("0000000000000000"))
 	digits := []byte(id)
-	for i, n := 15, w.nextID; n > 0; i, n = i-1, n/10 {
+	for i, n := 15, w.lastJobNumber; n > 0; i, n = i-1, n/10 {
 		digits[i] = byte('0' + n%10)
 	}
 	id = workload.JobID(digits)
-	sub := &workload.Submission{Queue: queue, Service: "service", AcceptedMS: w.now.UnixMilli(), Spec: spec}
-	j := &fakeJob{id: id, sub: sub, done: map[string]bool{}, noted: map[string]bool{}, doneRuns: map[string][]int64{}, again: map[string]bool{}, failed: map[string]int{}, crashes: map[string]int{}, died: map[string]int{}, early: map[string]int{}, startsAfter: map[string]int{}, ordered: map[string]bool{}, lastSeen: map[string]time.Time{}}
-	w.jobs[id] = j
-	w.stored(workload.Record{Job: id, Submission: sub})
-	return j
+	submission := &workload.Submission{Queue: queue, Service: "service", AcceptedMS: w.now.UnixMilli(), Spec: spec}
+	job := &fakeJob{id: id, submission: submission, done: map[string]bool{}, acknowledged: map[string]bool{}, doneRuns: map[string][]int64{}, supersededDoneRuns: map[string]bool{}, failures: map[string]int{}, workerCrashes: map[string]int{}, workerExits: map[string]int{}, earlyWorkerExits: map[string]int{}, startsAfterThreeCrashes: map[string]int{}, stoppedNotRestarted: map[string]bool{}, lastRunningAt: map[string]time.Time{}}
+	w.jobs[id] = job
+	w.appendRecord(workload.Record{Job: id, Submission: submission})
+	return job
 }
 
-func (w *world) cancel(j *fakeJob) {
-	if j.cancelled.IsZero() {
-		j.cancelled = w.now
-		w.stored(workload.Record{Job: j.id, Cancel: true})
+func (w *world) cancelJob(job *fakeJob) {
+	if job.cancelledAt.IsZero() {
+		job.cancelledAt = w.now
+		w.appendRecord(workload.Record{Job: job.id, Cancel: true})
 	}
 }
 
-// stored stores a record of a caller's and tells all owners that live, as each
+// appendRecord stores a record of a caller's and tells all owners that live, as each
 // follows the log.
-func (w *world) stored(r workload.Record) {
+func (w *world) appendRecord(r workload.Record) {
 	w.store.put(r)
 	for _, o := range w.owners {
-		w.after(w.between(time.Millisecond, 20*time.Millisecond), func() { o.follow(r) })
+		w.after(w.durationBetween(time.Millisecond, 20*time.Millisecond), func() { o.receiveRecord(r) })
 	}
 }
 
-// look reads what callers are shown.
-func (w *world) look() {
-	if w.owner == nil || !w.owner.loaded {
+// checkShownStates reads what callers are shown.
+func (w *world) checkShownStates() {
+	if w.owner == nil || !w.owner.coreStarted {
 		return
 	}
-	for _, j := range w.jobs {
-		state, known := w.owner.core.State(j.id)
+	for _, job := range w.jobs {
+		state, known := w.owner.core.State(job.id)
 		if !known {
 			continue
 		}
-		if state == workload.Completed && j.shown != workload.Completed {
-			for o := range j.sub.Spec.Occurrences() {
-				for s := range j.sub.Spec.Steps {
-					for i := range j.sub.Spec.Steps[s].Count {
-						key := workload.TaskKey{Job: j.id, Occurrence: o, Step: s, Index: i}.String()
-						if !j.done[key] {
-							w.breaks("MIXED", key+" is not done, its job is shown as completed")
+		if state == workload.Completed && job.shownState != workload.Completed {
+			for occurrence := range job.submission.Spec.Occurrences() {
+				for step := range job.submission.Spec.Steps {
+					for index := range job.submission.Spec.Steps[step].Count {
+						key := workload.TaskKey{Job: job.id, Occurrence: occurrence, Step: step, Index: index}.String()
+						if !job.done[key] {
+							w.recordViolation("MIXED", key+" is not done, its job is shown as completed")
 						}
 					}
 				}
 			}
 		}
-		if j.shown.Ended() && state != j.shown {
-			w.breaks("MIXED", string(j.id)+" was "+string(j.shown)+" and is "+string(state))
+		if job.shownState.Ended() && state != job.shownState {
+			w.recordViolation("MIXED", string(job.id)+" was "+string(job.shownState)+" and is "+string(state))
 		}
-		if state != j.shown {
-			j.shownAt = w.now
+		if state != job.shownState {
+			job.shownStateChangedAt = w.now
 		}
-		j.shown = state
+		job.shownState = state
 	}
 }
