--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -68,7 +68,7 @@
 	retryAt        time.Time
 	// drainState is what the worker's owner said in answer to a question of askedAt, and to
 	// each one since saidSince.
-	drainState                         workload.Vacancy
+	drainState                         workload.DrainState
 	drainStateAskedAt, drainStateSince time.Time
 	moveExpiresAt                      time.Time // a move is dropped after this
 	// hasBeenListedAway is set once a list has shown the VM as away after its order: it may come back
@@ -278,7 +278,7 @@
 		default:
 			if op.worker != vm.Worker {
 				op.worker = vm.Worker
-				op.drainState = workload.Occupied
+				op.drainState = workload.NotDrained
 			}
 			c.actions = append(c.actions, Action{Verb: DrainWorker, VM: id, Pool: op.sourcePool, Worker: vm.Worker})
 		}
@@ -292,8 +292,8 @@
 	if now.Sub(op.drainStateAskedAt) >= drainStateValidity {
 		return false
 	}
-	return op.drainState == workload.Vacant ||
-		op.drainState == workload.VacantUnseen && c.vmListRequestedAt.After(op.drainStateSince) && now.Sub(c.vmListRequestedAt) < maxVMListAge
+	return op.drainState == workload.Drained ||
+		op.drainState == workload.DrainedUnconfirmed && c.vmListRequestedAt.After(op.drainStateSince) && now.Sub(c.vmListRequestedAt) < maxVMListAge
 }
 
 // maxVMListAge is how old the list may be to name the worker that is there: one takes
@@ -311,7 +311,7 @@
 	if op.wave != 0 {
 		a = Action{Verb: MaintainVM, VM: op.vm, Wave: op.wave, Reason: "emptied for maintenance"}
 	}
-	if op.drainState != workload.Occupied {
+	if op.drainState != workload.NotDrained {
 		a.ValidUntil = op.drainStateAskedAt.Add(drainStateValidity)
 	}
 	c.actions = append(c.actions, a)
@@ -320,7 +320,7 @@
 // HandleDrainResult takes the answer to an Empty that was asked at a time. The answer counts
 // from then: a process that stood still since would take it for a fresh one, while
 // the worker is open again and runs tasks.
-func (c *Core) HandleDrainResult(vm, worker string, state workload.Vacancy, askedAt time.Time) {
+func (c *Core) HandleDrainResult(vm, worker string, state workload.DrainState, askedAt time.Time) {
 	op := c.operations[vm]
 	if op == nil || op.phase != phaseDraining || op.worker != worker {
 		return
@@ -360,7 +360,7 @@
 	case OrderRefused, OrderOutcomeUnknown:
 		// Ordering again what was carried out is answered as taken.
 		op.phase = phaseDraining
-		op.drainState = workload.Occupied
+		op.drainState = workload.NotDrained
 		op.retryAt = now.Add(orderRetryInterval)
 	case OrderInvalid:
 		if s := c.waves[op.wave]; s != nil {
--- a/internal/fleet/core_test.go
+++ b/internal/fleet/core_test.go
@@ -42,7 +42,7 @@
 }
 
 func newWave(n int64, limit int, vms ...string) workload.Wave {
-	return workload.Wave{Number: n, VMs: vms, Duration: 20 * time.Second, Cap: limit}
+	return workload.Wave{Number: n, VMs: vms, Window: 20 * time.Second, MaxConcurrent: limit}
 }
 
 // A VM is ordered only once its worker's owner has said that it is empty, and
@@ -56,14 +56,14 @@
 	require.Len(t, actionsWithVerb(actions, fleet.DrainWorker), 1)
 	assert.Empty(t, actionsWithVerb(actions, fleet.MaintainVM))
 
-	c.HandleDrainResult("vm-1", "w-1", workload.Occupied, startTime.Add(100*time.Millisecond))
+	c.HandleDrainResult("vm-1", "w-1", workload.NotDrained, startTime.Add(100*time.Millisecond))
 	assert.Empty(t, actionsWithVerb(c.Step(startTime.Add(200*time.Millisecond)), fleet.MaintainVM))
 
-	c.HandleDrainResult("vm-1", "w-1", workload.Vacant, startTime.Add(300*time.Millisecond))
+	c.HandleDrainResult("vm-1", "w-1", workload.Drained, startTime.Add(300*time.Millisecond))
 	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-2")}, startTime.Add(300*time.Millisecond))
 	assert.Empty(t, actionsWithVerb(c.Step(startTime.Add(400*time.Millisecond)), fleet.MaintainVM), "another worker is there")
 
-	c.HandleDrainResult("vm-1", "w-2", workload.Vacant, startTime.Add(500*time.Millisecond))
+	c.HandleDrainResult("vm-1", "w-2", workload.Drained, startTime.Add(500*time.Millisecond))
 	orders := actionsWithVerb(c.Step(startTime.Add(600*time.Millisecond)), fleet.MaintainVM)
 	require.Len(t, orders, 1)
 	assert.Equal(t, startTime.Add(1500*time.Millisecond), orders[0].ValidUntil, "the word holds for a second")
@@ -95,7 +95,7 @@
 func TestWaveNeverExceedsItsCap(t *testing.T) {
 	c := newCore()
 	ids := []string{"vm-1", "vm-2", "vm-3", "vm-4", "vm-5"}
-	c.SetWaves([]workload.Wave{{Number: 1, VMs: ids, Duration: time.Second, Cap: 2}}, startTime)
+	c.SetWaves([]workload.Wave{{Number: 1, VMs: ids, Window: time.Second, MaxConcurrent: 2}}, startTime)
 	list := func(worker string) []workload.VM {
 		var vms []workload.VM
 		for _, id := range ids {
@@ -110,7 +110,7 @@
 		for _, a := range c.Step(now) {
 			switch a.Verb {
 			case fleet.DrainWorker:
-				c.HandleDrainResult(a.VM, a.Worker, workload.Vacant, now)
+				c.HandleDrainResult(a.VM, a.Worker, workload.Drained, now)
 			case fleet.MaintainVM:
 				away[a.VM] = true
 				c.HandleOrderResult(a.VM, fleet.OrderAccepted, now)
@@ -133,7 +133,7 @@
 	stored := actionsWithVerb(c.Step(startTime), fleet.StoreWave)
 	require.Len(t, stored, 1)
 	assert.Equal(t, workload.WaveRunning, stored[0].State)
-	c.HandleDrainResult("vm-1", "w-1", workload.Vacant, startTime)
+	c.HandleDrainResult("vm-1", "w-1", workload.Drained, startTime)
 	require.Len(t, actionsWithVerb(c.Step(startTime.Add(100*time.Millisecond)), fleet.MaintainVM), 1)
 	assert.Empty(t, actionsWithVerb(c.Step(startTime.Add(200*time.Millisecond)), fleet.StoreWave), "the order is on its way")
 	c.HandleOrderResult("vm-1", fleet.OrderAccepted, startTime.Add(300*time.Millisecond))
@@ -150,12 +150,12 @@
 	c.SetWaves([]workload.Wave{newWave(1, 1, "vm-1")}, startTime)
 	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-1")}, startTime)
 	c.Step(startTime)
-	c.HandleDrainResult("vm-1", "w-1", workload.Vacant, startTime)
+	c.HandleDrainResult("vm-1", "w-1", workload.Drained, startTime)
 	require.Len(t, actionsWithVerb(c.Step(startTime), fleet.MaintainVM), 1)
 	c.HandleOrderResult("vm-1", fleet.OrderOutcomeUnknown, startTime.Add(time.Second))
 	later := startTime.Add(2 * time.Second)
 	require.Len(t, actionsWithVerb(c.Step(later), fleet.DrainWorker), 1)
-	c.HandleDrainResult("vm-1", "w-1", workload.Vacant, later)
+	c.HandleDrainResult("vm-1", "w-1", workload.Drained, later)
 	assert.Len(t, actionsWithVerb(c.Step(later), fleet.MaintainVM), 1)
 }
 
@@ -194,11 +194,11 @@
 
 func newLoad(service string, used, waiting int, arrivedCoreMS int64, workers map[string]workload.WorkerLoad) workload.ServiceLoad {
 	return workload.ServiceLoad{
-		Service: service,
-		Used:    workload.Resources{CPU: used},
-		Waiting: workload.Resources{CPU: waiting},
-		Arrived: workload.Work{CoreMS: arrivedCoreMS},
-		Workers: workers,
+		Service:       service,
+		Reserved:      workload.Resources{CPU: used},
+		PendingDemand: workload.Resources{CPU: waiting},
+		ArrivedWork:   workload.Work{CoreMS: arrivedCoreMS},
+		Workers:       workers,
 	}
 }
 
@@ -211,7 +211,7 @@
 		upVM("vm-3", "returns", "w-3"), upVM("vm-4", "returns", "w-4"), upVM("vm-5", "returns", "w-5"),
 		upVM("vm-6", "spare", ""),
 	}, startTime)
-	c.SetLoad(newLoad("returns", 0, 0, 0, map[string]workload.WorkerLoad{"w-3": {Usable: true, Runs: 1, Lasting: 1}, "w-4": {Usable: true}, "w-5": {Usable: true}}), startTime)
+	c.SetLoad(newLoad("returns", 0, 0, 0, map[string]workload.WorkerLoad{"w-3": {Usable: true, Runs: 1, LongRunningRuns: 1}, "w-4": {Usable: true}, "w-5": {Usable: true}}), startTime)
 	c.SetLoad(newLoad("booking", 64000, 64000, 0, map[string]workload.WorkerLoad{"w-1": {Usable: true, Runs: 9}, "w-2": {Usable: true, Runs: 9}}), startTime)
 	actions := c.Step(startTime)
 	moves := actionsWithVerb(actions, fleet.MoveVM)
@@ -235,7 +235,7 @@
 		vm := upVM("vm-"+name, pool, "")
 		if pool != "spare" {
 			vm.Worker = "w-" + name
-			workers[pool][vm.Worker] = workload.WorkerLoad{Usable: true, Runs: 5, Used: vmSize}
+			workers[pool][vm.Worker] = workload.WorkerLoad{Usable: true, Runs: 5, Reserved: vmSize}
 		}
 		vms = append(vms, vm)
 	}
@@ -291,7 +291,7 @@
 func TestNewOwnerCountsVMsUnderMaintenanceTowardTheCap(t *testing.T) {
 	c := newCore()
 	c.RecordEarlierOrder("vm-2", 1, startTime.Add(-50*time.Millisecond))
-	c.SetWaves([]workload.Wave{{Number: 1, VMs: []string{"vm-1", "vm-2", "vm-3", "vm-4"}, Duration: time.Second, Cap: 2}}, startTime)
+	c.SetWaves([]workload.Wave{{Number: 1, VMs: []string{"vm-1", "vm-2", "vm-3", "vm-4"}, Window: time.Second, MaxConcurrent: 2}}, startTime)
 	away := upVM("vm-1", "booking", "")
 	away.State = workload.VMMaintenance
 	c.SetVMs([]workload.VM{away, upVM("vm-2", "booking", "w-2"), upVM("vm-3", "booking", "w-3"), upVM("vm-4", "booking", "w-4")}, startTime)
@@ -306,7 +306,7 @@
 func TestPoolGetsAnotherVMWhenOneCannotBeDrained(t *testing.T) {
 	c := newCore()
 	vms := []workload.VM{upVM("vm-1", "booking", "w-1"), upVM("vm-2", "booking", "w-2"), upVM("vm-3", "spare", "")}
-	workers := map[string]workload.WorkerLoad{"w-1": {Usable: true, Runs: 1, Lasting: 1}, "w-2": {Usable: true, Runs: 1, Lasting: 1}}
+	workers := map[string]workload.WorkerLoad{"w-1": {Usable: true, Runs: 1, LongRunningRuns: 1}, "w-2": {Usable: true, Runs: 1, LongRunningRuns: 1}}
 	c.SetWaves([]workload.Wave{newWave(1, 1, "vm-1")}, startTime)
 	var moved []fleet.Action
 	for at := time.Duration(0); at < 5*time.Second; at += 200 * time.Millisecond {
@@ -316,7 +316,7 @@
 		for _, a := range c.Step(now) {
 			switch a.Verb {
 			case fleet.DrainWorker:
-				c.HandleDrainResult(a.VM, a.Worker, workload.Occupied, now)
+				c.HandleDrainResult(a.VM, a.Worker, workload.NotDrained, now)
 			case fleet.MoveVM:
 				moved = append(moved, a)
 			}
@@ -338,11 +338,11 @@
 		workers := map[string]workload.WorkerLoad{}
 		for _, n := range []string{"1", "2", "3", "4"} {
 			vms = append(vms, upVM("vm-"+n, "booking", "w-"+n))
-			workers["w-"+n] = workload.WorkerLoad{Usable: true, Runs: 1, Used: half, Shrunk: shrunk}
+			workers["w-"+n] = workload.WorkerLoad{Usable: true, Runs: 1, Reserved: half, ReducedCapacity: shrunk}
 		}
 		c.SetVMs(vms, startTime)
 		l := newLoad("booking", 4*half.CPU, 0, 0, workers)
-		l.Size = size
+		l.MeanWorkerCapacity = size
 		c.SetLoad(l, startTime)
 		return len(actionsWithVerb(c.Step(startTime), fleet.MoveVM))
 	}
@@ -358,12 +358,12 @@
 	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-1"), upVM("vm-2", "returns", "w-2"), upVM("vm-3", "returns", "w-3"), upVM("vm-4", "returns", "w-4"), upVM("vm-5", "returns", "w-5")}, startTime)
 	shrunk := map[string]workload.WorkerLoad{}
 	for _, id := range []string{"w-2", "w-3", "w-4"} {
-		shrunk[id] = workload.WorkerLoad{Usable: true, Shrunk: &half}
+		shrunk[id] = workload.WorkerLoad{Usable: true, ReducedCapacity: &half}
 	}
-	shrunk["w-5"] = workload.WorkerLoad{Usable: true, Runs: 3, Used: half}
+	shrunk["w-5"] = workload.WorkerLoad{Usable: true, Runs: 3, Reserved: half}
 	c.SetLoad(newLoad("returns", half.CPU, 0, 0, shrunk), startTime)
-	l := newLoad("booking", 0, 0, 0, map[string]workload.WorkerLoad{"w-1": {Usable: true, Shrunk: &half}})
-	l.Lacks = []workload.Lack{{Need: workload.Resources{CPU: vmSize.CPU, MemoryMB: 1000}, Never: true}}
+	l := newLoad("booking", 0, 0, 0, map[string]workload.WorkerLoad{"w-1": {Usable: true, ReducedCapacity: &half}})
+	l.UnmetRequirements = []workload.UnmetRequirement{{Resources: workload.Resources{CPU: vmSize.CPU, MemoryMB: 1000}, NoFeasibleWorker: true}}
 	c.SetLoad(l, startTime)
 	for _, a := range actionsWithVerb(c.Step(startTime), fleet.DrainWorker) {
 		if a.VM != "vm-1" {
--- a/internal/fleet/emptied_test.go
+++ b/internal/fleet/emptied_test.go
@@ -22,10 +22,10 @@
 	c.SetLoad(newLoad("booking", 0, 0, 0, map[string]workload.WorkerLoad{"w-2": {Usable: true}}), startTime)
 	require.Len(t, actionsWithVerb(c.Step(startTime), fleet.DrainWorker), 1)
 
-	c.HandleDrainResult("vm-1", "w-1", workload.VacantUnseen, startTime.Add(100*time.Millisecond))
+	c.HandleDrainResult("vm-1", "w-1", workload.DrainedUnconfirmed, startTime.Add(100*time.Millisecond))
 	assert.Empty(t, actionsWithVerb(c.Step(startTime.Add(200*time.Millisecond)), fleet.MaintainVM))
 	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-1")}, startTime.Add(250*time.Millisecond))
-	c.HandleDrainResult("vm-1", "w-1", workload.VacantUnseen, startTime.Add(300*time.Millisecond))
+	c.HandleDrainResult("vm-1", "w-1", workload.DrainedUnconfirmed, startTime.Add(300*time.Millisecond))
 	assert.Len(t, actionsWithVerb(c.Step(startTime.Add(400*time.Millisecond)), fleet.MaintainVM), 1)
 }
 
@@ -37,7 +37,7 @@
 	c.SetLoad(newLoad("booking", 0, 0, 0, map[string]workload.WorkerLoad{"w-2": {Usable: true}}), startTime)
 	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-1")}, startTime)
 	require.Len(t, actionsWithVerb(c.Step(startTime), fleet.DrainWorker), 1)
-	c.HandleDrainResult("vm-1", "w-1", workload.Vacant, startTime.Add(100*time.Millisecond))
+	c.HandleDrainResult("vm-1", "w-1", workload.Drained, startTime.Add(100*time.Millisecond))
 	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-2")}, startTime.Add(200*time.Millisecond))
 	for _, at := range []time.Duration{200, 300, 400} {
 		assert.Empty(t, actionsWithVerb(c.Step(startTime.Add(at*time.Millisecond)), fleet.MaintainVM), "its owner hasn't answered for w-2")
@@ -53,7 +53,7 @@
 	later := startTime.Add(2 * time.Second)
 	c.SetLoad(newLoad("booking", 0, 0, 0, map[string]workload.WorkerLoad{"w-1": {Usable: true}}), later.Add(-150*time.Millisecond))
 	require.Len(t, actionsWithVerb(c.Step(later), fleet.DrainWorker), 1)
-	c.HandleDrainResult("vm-1", "w-1", workload.VacantUnseen, later)
+	c.HandleDrainResult("vm-1", "w-1", workload.DrainedUnconfirmed, later)
 	assert.Empty(t, actionsWithVerb(c.Step(later.Add(100*time.Millisecond)), fleet.MaintainVM))
 	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-1")}, later.Add(150*time.Millisecond))
 	assert.Len(t, actionsWithVerb(c.Step(later.Add(200*time.Millisecond)), fleet.MaintainVM), 1, "a later list names it")
@@ -66,7 +66,7 @@
 	c.SetWaves([]workload.Wave{newWave(1, 1, "vm-1", "vm-2")}, startTime)
 	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-1"), upVM("vm-2", "booking", "w-2")}, startTime)
 	require.Len(t, actionsWithVerb(c.Step(startTime), fleet.DrainWorker), 1)
-	c.HandleDrainResult("vm-1", "w-1", workload.Vacant, startTime)
+	c.HandleDrainResult("vm-1", "w-1", workload.Drained, startTime)
 	require.Len(t, actionsWithVerb(c.Step(startTime), fleet.MaintainVM), 1)
 	c.HandleOrderResult("vm-1", fleet.OrderAccepted, startTime)
 
--- a/internal/fleet/labels.go
+++ b/internal/fleet/labels.go
@@ -17,7 +17,7 @@
 	for i := range balances {
 		b := &balances[i]
 		l := c.poolLoads[b.pool]
-		for _, requirement := range l.load.Lacks {
+		for _, requirement := range l.load.UnmetRequirements {
 			for n := c.vmsRequired(b.pool, requirement) - c.vmsInTransit(b.pool, requirement, now); n > 0 && started < limit; n-- {
 				vm, ok := c.findCapableVM(b.pool, requirement, balances, now)
 				if !ok {
@@ -33,17 +33,17 @@
 }
 
 // vmsRequired is how many VMs of a kind a pool is to get.
-func (c *Core) vmsRequired(pool string, requirement workload.Lack) int {
-	if requirement.Never {
+func (c *Core) vmsRequired(pool string, requirement workload.UnmetRequirement) int {
+	if requirement.NoFeasibleWorker {
 		return 1
 	}
-	demanded, size := c.poolLoads[pool].load.Wants[requirement.Label], c.meanCapacity(pool)
+	demanded, size := c.poolLoads[pool].load.DemandByLabel[requirement.Label], c.meanCapacity(pool)
 	return max(1, int(math.Ceil(shareOf(demanded, size))))
 }
 
 // vmsInTransit is how many VMs that may run what a pool lacks are on their way to it, or
 // have come just now.
-func (c *Core) vmsInTransit(pool string, requirement workload.Lack, now time.Time) int {
+func (c *Core) vmsInTransit(pool string, requirement workload.UnmetRequirement, now time.Time) int {
 	n := 0
 	for _, vm := range c.vms {
 		if !vm.CanRun(requirement, c.effectiveCapacity(vm)) {
@@ -62,7 +62,7 @@
 // findCapableVM finds a VM elsewhere that may run what a pool lacks: a spare one, else the
 // one with the least in use. Where the pool has some such VMs, others give theirs
 // only if they have more than they need, or nothing runs there.
-func (c *Core) findCapableVM(pool string, requirement workload.Lack, balances []poolBalance, now time.Time) (workload.VM, bool) {
+func (c *Core) findCapableVM(pool string, requirement workload.UnmetRequirement, balances []poolBalance, now time.Time) (workload.VM, bool) {
 	for _, vm := range c.vms {
 		if c.isAvailableSpare(vm, now) && vm.CanRun(requirement, c.effectiveCapacity(vm)) {
 			return vm, true
@@ -73,7 +73,7 @@
 	leastUse := 0.0
 	for _, b := range balances {
 		l := c.poolLoads[b.pool]
-		if b.pool == pool || requirement.Label != "" && l.load.Wants[requirement.Label].CPU > 0 {
+		if b.pool == pool || requirement.Label != "" && l.load.DemandByLabel[requirement.Label].CPU > 0 {
 			continue // it would take the VM back at once, and each move costs seconds
 		}
 		for _, vm := range c.vms {
@@ -81,7 +81,7 @@
 				continue
 			}
 			use := l.utilization(vm)
-			if !requirement.Never && b.vms <= b.keepFromPools && use > 0 {
+			if !requirement.NoFeasibleWorker && b.vms <= b.keepFromPools && use > 0 {
 				continue
 			}
 			if !found || use < leastUse {
@@ -118,7 +118,7 @@
 	}
 	sum := 0
 	for _, label := range vm.Labels {
-		sum += l.load.Wants[label].CPU
+		sum += l.load.DemandByLabel[label].CPU
 	}
 	return sum
 }
--- a/internal/fleet/labels_test.go
+++ b/internal/fleet/labels_test.go
@@ -35,10 +35,10 @@
 		withLabels(upVM("vm-5", "spare", ""), "a", "rack-2"),
 	}, startTime)
 	booking := newLoad("booking", 0, 0, 0, idleWorkers("w-1", "w-2"))
-	booking.Lacks = []workload.Lack{{Label: "b", Need: workload.Resources{CPU: 1000}, Never: true}}
+	booking.UnmetRequirements = []workload.UnmetRequirement{{Label: "b", Resources: workload.Resources{CPU: 1000}, NoFeasibleWorker: true}}
 	returns := newLoad("returns", 9000, 0, 0, idleWorkers("w-3", "w-4"))
 	busy := returns.Workers["w-3"]
-	busy.Used = workload.Resources{CPU: 9000}
+	busy.Reserved = workload.Resources{CPU: 9000}
 	returns.Workers["w-3"] = busy
 	c.SetLoad(booking, startTime)
 	c.SetLoad(returns, startTime)
@@ -46,7 +46,7 @@
 	require.Len(t, empties, 1)
 	assert.Equal(t, "vm-4", empties[0].VM)
 	assert.Empty(t, actionsWithVerb(c.Step(startTime), fleet.MoveVM))
-	c.HandleDrainResult("vm-4", "w-4", workload.Vacant, startTime)
+	c.HandleDrainResult("vm-4", "w-4", workload.Drained, startTime)
 	moves := actionsWithVerb(c.Step(startTime), fleet.MoveVM)
 	require.Len(t, moves, 1)
 	assert.Equal(t, "booking", moves[0].Pool)
@@ -61,7 +61,7 @@
 		withLabels(upVM("vm-3", "spare", ""), "a", "rack-2"), withLabels(upVM("vm-4", "spare", ""), "a", "rack-3"),
 	}, startTime)
 	booking := newLoad("booking", 64000, 20000, 0, idleWorkers("w-1", "w-2"))
-	booking.Wants = map[string]workload.Resources{"rack-3": {CPU: 12000}, "rack-2": {CPU: 1000}}
+	booking.DemandByLabel = map[string]workload.Resources{"rack-3": {CPU: 12000}, "rack-2": {CPU: 1000}}
 	c.SetLoad(booking, startTime)
 	moves := actionsWithVerb(c.Step(startTime), fleet.MoveVM)
 	require.NotEmpty(t, moves)
@@ -82,8 +82,8 @@
 	c.SetVMs(vms, startTime.Add(-time.Minute))
 	c.SetVMs(vms, startTime)
 	booking := newLoad("booking", 32000, 60000, 0, idleWorkers("w-1", "w-2", "w-3"))
-	booking.Wants = map[string]workload.Resources{"a": {CPU: 60000}}
-	booking.Lacks = []workload.Lack{{Label: "a", Need: workload.Resources{CPU: 2000}}}
+	booking.DemandByLabel = map[string]workload.Resources{"a": {CPU: 60000}}
+	booking.UnmetRequirements = []workload.UnmetRequirement{{Label: "a", Resources: workload.Resources{CPU: 2000}}}
 	c.SetLoad(booking, startTime)
 	c.SetLoad(newLoad("returns", 0, 0, 0, idleWorkers("w-4", "w-5", "w-6", "w-7")), startTime)
 	var drained []string
--- a/internal/fleet/moves.go
+++ b/internal/fleet/moves.go
@@ -67,17 +67,17 @@
 // utilization is the share of a VM that is in use.
 func (l *poolLoad) utilization(vm workload.VM) float64 {
 	w := l.load.Workers[vm.Worker]
-	if w.Shrunk != nil {
-		return shareOf(w.Used, *w.Shrunk)
+	if w.ReducedCapacity != nil {
+		return shareOf(w.Reserved, *w.ReducedCapacity)
 	}
-	return shareOf(w.Used, vm.Capacity)
+	return shareOf(w.Reserved, vm.Capacity)
 }
 
 // effectiveCapacity is what a VM has in all: what its worker says, which may have shrunk for a
 // while, else what the list of VMs says.
 func (c *Core) effectiveCapacity(vm workload.VM) workload.Resources {
-	if l := c.poolLoads[vm.Pool]; l != nil && l.load.Workers[vm.Worker].Shrunk != nil {
-		return *l.load.Workers[vm.Worker].Shrunk
+	if l := c.poolLoads[vm.Pool]; l != nil && l.load.Workers[vm.Worker].ReducedCapacity != nil {
+		return *l.load.Workers[vm.Worker].ReducedCapacity
 	}
 	return vm.Capacity
 }
@@ -100,7 +100,7 @@
 	l.load = load
 	l.receivedAt = now
 	size := c.meanCapacity(load.Service)
-	if l.demand.observe(load.Arrived, now) {
+	if l.demand.observe(load.ArrivedWork, now) {
 		l.needHistory = nil // what was needed until now is of no more interest
 	}
 	l.needHistory = append(l.needHistory, needSample{at: now, vms: l.vmsNeeded(l.demand.rate, size)})
@@ -112,9 +112,9 @@
 // what waits, and what will wait by the time at which VMs that are ordered now are
 // there.
 func (l *poolLoad) vmsNeeded(rate float64, size workload.Resources) int {
-	currentVMs := shareOf(l.load.Used.Add(l.load.Waiting).Add(l.load.Coming), size)
+	currentVMs := shareOf(l.load.Reserved.Add(l.load.PendingDemand).Add(l.load.UpcomingDemand), size)
 	arrivingVMs := l.demand.vmsForRate(rate, size)
-	backlogVMs := shareOf(l.load.Waiting, size) + max(0, arrivingVMs-l.usableWorkers())*moveLeadTime.Seconds()
+	backlogVMs := shareOf(l.load.PendingDemand, size) + max(0, arrivingVMs-l.usableWorkers())*moveLeadTime.Seconds()
 	n := int(math.Ceil(headroomFactor * max(currentVMs, arrivingVMs+backlogVMs/backlogTargetTime.Seconds())))
 	return max(n, l.minVMs())
 }
@@ -132,16 +132,16 @@
 
 // minVMs is how many VMs a service needs for its lasting tasks alone.
 func (l *poolLoad) minVMs() int {
-	if l.load.Spread == 0 {
+	if l.load.MinWorkers == 0 {
 		return minPoolVMs
 	}
-	return max(minPoolVMs, l.load.Spread+spreadReserveVMs)
+	return max(minPoolVMs, l.load.MinWorkers+spreadReserveVMs)
 }
 
 // meanCapacity is the mean capacity of a pool's workers; where it has none, of its VMs or all.
 func (c *Core) meanCapacity(pool string) workload.Resources {
-	if l := c.poolLoads[pool]; l != nil && l.load.Size != (workload.Resources{}) {
-		return l.load.Size
+	if l := c.poolLoads[pool]; l != nil && l.load.MeanWorkerCapacity != (workload.Resources{}) {
+		return l.load.MeanWorkerCapacity
 	}
 	var poolTotal, total workload.Resources
 	poolVMs := 0
@@ -342,7 +342,7 @@
 		return false
 	}
 	load, known := l.load.Workers[vm.Worker]
-	return known && load.Usable && load.Lasting == 0
+	return known && load.Usable && load.LongRunningRuns == 0
 }
 
 // leastUsedVM finds the VM of a pool that is emptied soonest: the one with the least
--- a/internal/fleet/waves.go
+++ b/internal/fleet/waves.go
@@ -34,7 +34,7 @@
 
 func (c *Core) startMaintenance(s *waveProgress, vm workload.VM, now time.Time) {
 	l := c.poolLoads[vm.Pool]
-	hasLongRunning := l != nil && l.load.Workers[vm.Worker].Lasting > 0
+	hasLongRunning := l != nil && l.load.Workers[vm.Worker].LongRunningRuns > 0
 	c.operations[vm.ID] = &operation{vm: vm.ID, sourcePool: vm.Pool, worker: vm.Worker, wave: s.wave.Number, hadLongRunning: hasLongRunning, phaseSince: now}
 }
 
@@ -52,7 +52,7 @@
 	startedByPool := map[string]int{}
 	for _, vm := range pending {
 		l := c.poolLoads[vm.Pool]
-		if l == nil || l.load.Workers[vm.Worker].Lasting == 0 {
+		if l == nil || l.load.Workers[vm.Worker].LongRunningRuns == 0 {
 			continue
 		}
 		if op := c.operations[vm.ID]; op != nil {
@@ -61,7 +61,7 @@
 		}
 		pendingByPool[vm.Pool] = append(pendingByPool[vm.Pool], vm)
 	}
-	capLeft := s.wave.Cap - c.vmsUnderMaintenance(s, now)
+	capLeft := s.wave.MaxConcurrent - c.vmsUnderMaintenance(s, now)
 	for _, pool := range slices.Sorted(maps.Keys(pendingByPool)) {
 		for ; capLeft > 0 && startedByPool[pool] < maxLongRunningDrainsPerPool; startedByPool[pool]++ {
 			vm, ok := c.cheapestVM(pendingByPool[pool], now)
@@ -106,7 +106,7 @@
 // targetConcurrency is how many VMs of a wave are to be under way at once: enough to be done
 // in its share of the time, and no more, as each takes room from its pool.
 func (c *Core) targetConcurrency(s *waveProgress, vmsLeft int, now time.Time) int {
-	targetTime := time.Duration(float64(s.wave.Duration) * waveTargetShare)
+	targetTime := time.Duration(float64(s.wave.Window) * waveTargetShare)
 	timeLeft := max(time.Second, targetTime-now.Sub(s.firstSeenAt))
 	timePerVM := c.settings.MaintenanceTime + drainAndReturnTime
 	n := int(math.Ceil(float64(vmsLeft) * float64(timePerVM) / float64(timeLeft)))
@@ -116,7 +116,7 @@
 			slowDrains++ // it waits for others' tasks; another VM goes on meanwhile
 		}
 	}
-	return min(n+slowDrains, max(1, s.wave.Cap))
+	return min(n+slowDrains, max(1, s.wave.MaxConcurrent))
 }
 
 // vmsUnderMaintenance is how many VMs of a wave are away or about to be. An earlier owner's
@@ -168,7 +168,7 @@
 	cost := 0.1
 	if l := c.poolLoads[vm.Pool]; l != nil {
 		cost += l.utilization(vm)
-		cost += float64(l.load.Workers[vm.Worker].Lasting)
+		cost += float64(l.load.Workers[vm.Worker].LongRunningRuns)
 	}
 	for _, op := range c.operations {
 		if op.sourcePool == vm.Pool {
--- a/internal/fleet/waves_test.go
+++ b/internal/fleet/waves_test.go
@@ -30,7 +30,7 @@
 			c.RecordEarlierOrder(id, 0, startTime.Add(-time.Duration(i)*50*time.Millisecond))
 		}
 	}
-	c.SetWaves([]workload.Wave{{Number: 1, VMs: ids, Duration: 24 * time.Second, Cap: 30}}, startTime)
+	c.SetWaves([]workload.Wave{{Number: 1, VMs: ids, Window: 24 * time.Second, MaxConcurrent: 30}}, startTime)
 	c.SetVMs(list, startTime)
 	assert.NotEmpty(t, actionsWithVerb(c.Step(startTime.Add(100*time.Millisecond)), fleet.DrainWorker))
 }
@@ -40,7 +40,7 @@
 func TestEarlierOrderOfUnknownWaveCountsTowardTheCap(t *testing.T) {
 	c := newCore()
 	c.RecordEarlierOrder("vm-1", fleet.UnknownWave, startTime.Add(-50*time.Millisecond))
-	c.SetWaves([]workload.Wave{{Number: 1, VMs: []string{"vm-1", "vm-2"}, Duration: time.Second, Cap: 1}}, startTime)
+	c.SetWaves([]workload.Wave{{Number: 1, VMs: []string{"vm-1", "vm-2"}, Window: time.Second, MaxConcurrent: 1}}, startTime)
 	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-1"), upVM("vm-2", "booking", "w-2")}, startTime)
 	assert.Empty(t, actionsWithVerb(c.Step(startTime.Add(100*time.Millisecond)), fleet.DrainWorker))
 }
@@ -67,13 +67,13 @@
 		id := fmt.Sprintf("vm-%03d", i)
 		ids = append(ids, id)
 		list = append(list, upVM(id, "booking", "w-"+id))
-		w := workload.WorkerLoad{Usable: true, Runs: 1, Used: workload.Resources{CPU: 8000, MemoryMB: 1000}}
+		w := workload.WorkerLoad{Usable: true, Runs: 1, Reserved: workload.Resources{CPU: 8000, MemoryMB: 1000}}
 		if i < longRunningVMs {
-			w.Lasting = 3
+			w.LongRunningRuns = 3
 		}
 		workers["w-"+id] = w
 	}
-	c.SetWaves([]workload.Wave{{Number: 1, VMs: ids, Duration: duration, Cap: 40}}, startTime)
+	c.SetWaves([]workload.Wave{{Number: 1, VMs: ids, Window: duration, MaxConcurrent: 40}}, startTime)
 	ordered := map[string]bool{}
 	var movingWorker string // the VM whose lasting tasks move
 	var movedAt time.Time
@@ -85,17 +85,17 @@
 			switch a.Verb {
 			case fleet.DrainWorker:
 				w := workers[a.Worker]
-				if w.Lasting > 0 && movingWorker == "" {
+				if w.LongRunningRuns > 0 && movingWorker == "" {
 					movingWorker, movedAt = a.Worker, now.Add(moveTime)
 				}
 				if a.Worker == movingWorker && !now.Before(movedAt) {
-					w.Lasting = 0
+					w.LongRunningRuns = 0
 					workers[a.Worker] = w
 					movingWorker = ""
 				}
-				state := workload.Vacant
-				if w.Lasting > 0 {
-					state = workload.Occupied
+				state := workload.Drained
+				if w.LongRunningRuns > 0 {
+					state = workload.NotDrained
 				}
 				c.HandleDrainResult(a.VM, a.Worker, state, now)
 			case fleet.MaintainVM:
@@ -128,7 +128,7 @@
 		list = append(list, upVM(id, "booking", "w-"+id))
 		w := workload.WorkerLoad{Usable: true}
 		if i < spread {
-			w.Runs, w.Lasting = 1, 1
+			w.Runs, w.LongRunningRuns = 1, 1
 		}
 		workers["w-"+id] = w
 	}
@@ -141,7 +141,7 @@
 		now := startTime.Add(at)
 		c.SetVMs(list, now)
 		l := newLoad("booking", 1000, 0, 0, workers)
-		l.Spread = spread
+		l.MinWorkers = spread
 		c.SetLoad(l, now)
 		for _, a := range c.Step(now) {
 			if a.Verb == fleet.MoveVM {
--- a/internal/fleetowner/acts.go
+++ b/internal/fleetowner/acts.go
@@ -38,7 +38,7 @@
 // lately: the next step would be late for a pool that waits for the VM.
 func (o *Owner) drainWorker(ctx context.Context, a fleet.Action) {
 	state, askedAt := o.requestDrain(ctx, a)
-	if state == workload.VacantUnseen {
+	if state == workload.DrainedUnconfirmed {
 		wait.Pause(ctx, unconfirmedDrainRetryDelay)
 		state, askedAt = o.requestDrain(ctx, a)
 	}
@@ -49,11 +49,11 @@
 }
 
 // requestDrain asks a worker's owner, and returns what it said and when it was asked.
-func (o *Owner) requestDrain(ctx context.Context, a fleet.Action) (state workload.Vacancy, askedAt time.Time) {
+func (o *Owner) requestDrain(ctx context.Context, a fleet.Action) (state workload.DrainState, askedAt time.Time) {
 	askedAt = time.Now()
 	state, ok := o.deps.Services.RequestDrain(ctx, a.Pool, a.Worker)
 	if !ok {
-		return workload.Occupied, askedAt
+		return workload.NotDrained, askedAt
 	}
 	return state, askedAt
 }
--- a/internal/fleetowner/acts_test.go
+++ b/internal/fleetowner/acts_test.go
@@ -110,9 +110,9 @@
 // slowService says that a worker is empty, and its answer arrives a while later.
 type slowService struct{ latency time.Duration }
 
-func (s slowService) RequestDrain(context.Context, string, string) (workload.Vacancy, bool) {
+func (s slowService) RequestDrain(context.Context, string, string) (workload.DrainState, bool) {
 	time.Sleep(s.latency)
-	return workload.Vacant, true
+	return workload.Drained, true
 }
 
 func (slowService) LoadsOf(context.Context, string, []string) ([]workload.ServiceLoad, bool) {
@@ -127,7 +127,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			o := New(Deps{Services: slowService{latency: latency}, Logger: hclog.NewNullLogger()}, 0, 7)
 			core := fleet.New(fleet.Settings{}, time.Now())
-			core.SetWaves([]workload.Wave{{Number: 1, VMs: []string{"vm-1"}, Duration: 20 * time.Second, Cap: 1}}, time.Now())
+			core.SetWaves([]workload.Wave{{Number: 1, VMs: []string{"vm-1"}, Window: 20 * time.Second, MaxConcurrent: 1}}, time.Now())
 			core.SetVMs([]workload.VM{{ID: "vm-1", Pool: "booking", State: workload.VMUp, Worker: "w-1"}}, time.Now())
 			orders := 0
 			for _, a := range core.Step(time.Now()) {
@@ -163,14 +163,14 @@
 	answersFrom *time.Time
 }
 
-func (s idleService) RequestDrain(context.Context, string, string) (workload.Vacancy, bool) {
+func (s idleService) RequestDrain(context.Context, string, string) (workload.DrainState, bool) {
 	if s.answersFrom.IsZero() {
 		*s.answersFrom = time.Now().Add(10 * time.Millisecond)
 	}
 	if time.Now().Before(*s.answersFrom) {
-		return workload.VacantUnseen, true
+		return workload.DrainedUnconfirmed, true
 	}
-	return workload.Vacant, true
+	return workload.Drained, true
 }
 
 // Guards against a pool waiting a step longer for each VM whose worker is idle: its owner
@@ -179,7 +179,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		o := New(Deps{Services: idleService{answersFrom: &time.Time{}}, Logger: hclog.NewNullLogger()}, 0, 7)
 		core := fleet.New(fleet.Settings{}, time.Now())
-		core.SetWaves([]workload.Wave{{Number: 1, VMs: []string{"vm-1"}, Duration: 20 * time.Second, Cap: 1}}, time.Now())
+		core.SetWaves([]workload.Wave{{Number: 1, VMs: []string{"vm-1"}, Window: 20 * time.Second, MaxConcurrent: 1}}, time.Now())
 		core.SetVMs([]workload.VM{{ID: "vm-1", Pool: "booking", State: workload.VMUp, Worker: "w-1"}}, time.Now())
 		began := time.Now()
 		for _, a := range core.Step(began) {
--- a/internal/fleetowner/fleetowner.go
+++ b/internal/fleetowner/fleetowner.go
@@ -48,7 +48,7 @@
 
 // Services are the owners of the services' jobs.
 type Services interface {
-	RequestDrain(ctx context.Context, service, worker string) (v workload.Vacancy, ok bool)
+	RequestDrain(ctx context.Context, service, worker string) (v workload.DrainState, ok bool)
 	LoadsOf(ctx context.Context, service string, leaving []string) ([]workload.ServiceLoad, bool)
 }
 
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -44,7 +44,7 @@
 
 // Owners answers questions about jobs. ok is false where no owner could be asked.
 type Owners interface {
-	State(ctx context.Context, service string, id workload.JobID) (state workload.State, known, ok bool)
+	State(ctx context.Context, service string, id workload.JobID) (state workload.JobState, known, ok bool)
 	Waiting(ctx context.Context, service, queue string) (n int, ok bool)
 }
 
@@ -109,7 +109,7 @@
 	if req.queue == nil {
 		return failure(http.StatusNotFound, "no queue has this host and path")
 	}
-	req.rest = strings.TrimPrefix(req.http.URL.Path, req.queue.Prefix)
+	req.rest = strings.TrimPrefix(req.http.URL.Path, req.queue.PathPrefix)
 	timeout := platform.CallerTimeout(req.http, defaultTimeout)
 	ctx, cancel := context.WithTimeout(req.http.Context(), max(answerMargin, timeout-answerMargin))
 	defer cancel()
@@ -161,7 +161,7 @@
 }
 
 func (h *Handler) submit(ctx context.Context, req *request, id workload.JobID, config *workload.Config) result {
-	most := config.Limits.MaxBody
+	most := config.Limits.MaxBodyBytes
 	if most <= 0 {
 		most = defaultMaxBody
 	}
@@ -177,10 +177,10 @@
 		return failure(http.StatusBadRequest, err.Error())
 	}
 	sub := &workload.Submission{
-		Queue:      req.queue.Name,
-		Service:    req.queue.Service,
-		AcceptedMS: req.began.UnixMilli(),
-		Spec:       spec,
+		Queue:        req.queue.Name,
+		Service:      req.queue.Service,
+		AcceptedAtMS: req.began.UnixMilli(),
+		Spec:         spec,
 	}
 	return h.store(ctx, req, workload.Record{Job: id, Submission: sub})
 }
--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -82,7 +82,7 @@
 		out = append(out, platform.KeyedRecord{Key: key, Value: value})
 	}
 	for _, id := range deleted {
-		for _, key := range workload.Keys(id) {
+		for _, key := range workload.JobKeys(id) {
 			out = append(out, platform.KeyedRecord{Key: key})
 		}
 	}
--- a/internal/load/jobs.go
+++ b/internal/load/jobs.go
@@ -48,8 +48,8 @@
 
 // spec is a job of two steps.
 func (p JobPlan) spec(width int) workload.Spec {
-	first := workload.Step{Count: width, Need: workload.Resources{CPU: 1000, MemoryMB: 500}, EstimateMS: p.Takes.Milliseconds()}
-	second := workload.Step{Count: 1, Need: workload.Resources{CPU: 2000, MemoryMB: 500}, EstimateMS: p.Takes.Milliseconds(), DependsOn: []int{0}}
+	first := workload.Step{Count: width, Resources: workload.Resources{CPU: 1000, MemoryMB: 500}, EstimateMS: p.Takes.Milliseconds()}
+	second := workload.Step{Count: 1, Resources: workload.Resources{CPU: 2000, MemoryMB: 500}, EstimateMS: p.Takes.Milliseconds(), DependsOn: []int{0}}
 	return workload.Spec{Payload: p.Takes.String(), Steps: []workload.Step{first, second}}
 }
 
--- a/internal/node/owners.go
+++ b/internal/node/owners.go
@@ -85,7 +85,7 @@
 }
 
 // State asks for a job's state.
-func (o *owners) State(ctx context.Context, service string, id workload.JobID) (state workload.State, known, ok bool) {
+func (o *owners) State(ctx context.Context, service string, id workload.JobID) (state workload.JobState, known, ok bool) {
 	a, ok := o.ask(ctx, nodepeer.JobState, nodepeer.Ask{Partition: o.partitionOf(service), Job: id})
 	return a.State, a.Known, ok
 }
@@ -98,17 +98,17 @@
 
 // RequestDrain asks the owner of a service to empty a worker, once. It tells whether the
 // worker is vacant.
-func (o *owners) RequestDrain(ctx context.Context, service, worker string) (workload.Vacancy, bool) {
+func (o *owners) RequestDrain(ctx context.Context, service, worker string) (workload.DrainState, bool) {
 	a, ok := o.askOnce(ctx, nodepeer.Evacuate, nodepeer.Ask{Partition: o.partitionOf(service), Worker: worker}, false)
 	switch {
 	case !ok || !a.Owner:
-		return workload.Occupied, false
+		return workload.NotDrained, false
 	case !a.Vacant:
-		return workload.Occupied, true
+		return workload.NotDrained, true
 	case !a.Seen:
-		return workload.VacantUnseen, true
+		return workload.DrainedUnconfirmed, true
 	}
-	return workload.Vacant, true
+	return workload.Drained, true
 }
 
 // LoadsOf asks the owner of a service, once, what the services of its partition
@@ -162,7 +162,7 @@
 		return nodepeer.Answer{}, nil
 	}
 	v, ok := own.Evacuate(ctx, a.Worker)
-	return nodepeer.Answer{Owner: ok, Vacant: v != workload.Occupied, Seen: v == workload.Vacant}, nil
+	return nodepeer.Answer{Owner: ok, Vacant: v != workload.NotDrained, Seen: v == workload.Drained}, nil
 }
 
 // Loads answers another node.
--- a/internal/nodepeer/nodepeer.go
+++ b/internal/nodepeer/nodepeer.go
@@ -56,10 +56,10 @@
 
 // Answer is what the owner says.
 type Answer struct {
-	Owner   bool           `json:"o"` // the node owns the partition and has read it
-	Known   bool           `json:"k,omitempty"`
-	State   workload.State `json:"s,omitempty"`
-	Waiting int            `json:"w,omitempty"`
+	Owner   bool              `json:"o"` // the node owns the partition and has read it
+	Known   bool              `json:"k,omitempty"`
+	State   workload.JobState `json:"s,omitempty"`
+	Waiting int               `json:"w,omitempty"`
 	// Vacant tells that a worker runs nothing, and Seen that its process has just answered,
 	// which nodes of earlier versions leave out.
 	Vacant bool                   `json:"e,omitempty"`
--- a/internal/owner/ask.go
+++ b/internal/owner/ask.go
@@ -28,7 +28,7 @@
 
 // JobState is what an owner knows of a job.
 type JobState struct {
-	State workload.State
+	State workload.JobState
 	Known bool // false if there is no such job
 	// Stale is set if the job isn't known and may have been taken lately.
 	Stale bool
@@ -50,21 +50,21 @@
 // been taken. It is so for a job that goes on while another owner may have ended it.
 func (o *Owner) State(ctx context.Context, id workload.JobID) (JobState, bool) {
 	s, ok := ask(ctx, o, func(c *scheduler.Core, now time.Time) JobState {
-		state, known := c.State(id)
+		state, known := c.JobState(id)
 		return JobState{State: state, Known: known, Stale: !known && now.Sub(o.readAt) > staleAfter}
 	})
-	return s, ok && !s.Stale && (s.State.Ended() || !o.mayBeReplaced())
+	return s, ok && !s.Stale && (s.State.IsTerminal() || !o.mayBeReplaced())
 }
 
 // Waiting returns how many jobs of a queue have not begun.
 func (o *Owner) Waiting(ctx context.Context, queue string) (int, bool) {
-	return ask(ctx, o, func(c *scheduler.Core, _ time.Time) int { return c.Waiting(queue) })
+	return ask(ctx, o, func(c *scheduler.Core, _ time.Time) int { return c.WaitingJobs(queue) })
 }
 
 // Evacuate empties a worker and tells whether it is vacant. ok is false if the owner can't
 // tell, as while another one may have started tasks there.
-func (o *Owner) Evacuate(ctx context.Context, worker string) (v workload.Vacancy, ok bool) {
-	v, ok = ask(ctx, o, func(c *scheduler.Core, now time.Time) workload.Vacancy { return c.Evacuate(worker, now) })
+func (o *Owner) Evacuate(ctx context.Context, worker string) (v workload.DrainState, ok bool) {
+	v, ok = ask(ctx, o, func(c *scheduler.Core, now time.Time) workload.DrainState { return c.DrainWorker(worker, now) })
 	return v, ok && !o.mayBeReplaced()
 }
 
@@ -72,7 +72,7 @@
 // of them are about to leave.
 func (o *Owner) Loads(ctx context.Context, service string, leaving []string) ([]workload.ServiceLoad, bool) {
 	return ask(ctx, o, func(c *scheduler.Core, now time.Time) []workload.ServiceLoad {
-		c.SetLeaving(service, leaving, now)
-		return c.Loads(now)
+		c.SetDueForMaintenance(service, leaving, now)
+		return c.ServiceLoads(now)
 	})
 }
--- a/internal/owner/ask_test.go
+++ b/internal/owner/ask_test.go
@@ -26,11 +26,11 @@
 	o.deps.OwnedUntil = func(int) time.Time { return *ownedUntil }
 	o.readAt = time.Now()
 	close(o.loaded)
-	core := scheduler.New(scheduler.Settings{Epoch: 1, StateKept: time.Minute}, time.Now(), nil, false)
+	core := scheduler.New(scheduler.Settings{Epoch: 1, JobRetention: time.Minute}, time.Now(), nil, false)
 	sub := &workload.Submission{Service: "booking", Queue: "queue", Spec: workload.Spec{Steps: []workload.Step{{Count: 1}}}}
-	core.Submitted(waitingJob, sub)
-	core.Submitted(endedJob, sub)
-	core.Recalled(endedJob, &workload.Progress{Final: workload.Completed})
+	core.AddJob(waitingJob, sub)
+	core.AddJob(endedJob, sub)
+	core.RestoreProgress(endedJob, &workload.Progress{FinalState: workload.Completed})
 	ctx, cancel := context.WithCancel(t.Context())
 	stopped := make(chan struct{})
 	t.Cleanup(func() {
@@ -92,7 +92,7 @@
 		ownedUntil := time.Now().Add(time.Second)
 		o := answering(t, &ownedUntil)
 		vacancy, ok := o.Evacuate(t.Context(), "w-1")
-		assert.True(t, ok && vacancy != workload.Occupied, "a worker that nobody knows")
+		assert.True(t, ok && vacancy != workload.NotDrained, "a worker that nobody knows")
 		time.Sleep(time.Second)
 		_, ok = o.Evacuate(t.Context(), "w-1")
 		assert.False(t, ok)
--- a/internal/owner/handover.go
+++ b/internal/owner/handover.go
@@ -39,10 +39,10 @@
 // leave leaves word of what runs, in the store or for a successor that asks.
 func (o *Owner) leave(ctx context.Context, core *scheduler.Core) {
 	superseded := errors.Is(context.Cause(ctx), ownership.ErrSuperseded)
-	if core.Lost() == "" && !superseded && o.handOver(core) {
+	if core.StepDownReason() == "" && !superseded && o.handOver(core) {
 		return
 	}
-	records := core.Report(time.Now())
+	records := core.UnstoredHandoverRecords(time.Now())
 	if handoverIn(records) != nil {
 		o.report = &Report{Epoch: o.epoch, Records: records}
 		o.logger.Info("partition left, its runs are reported to a successor that asks", "records", len(records))
@@ -55,10 +55,10 @@
 func (o *Owner) handOver(core *scheduler.Core) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
-	if !core.Recorded() && !o.finishWrite(ctx) {
+	if !core.NoWriteInFlight() && !o.finishWrite(ctx) {
 		return false
 	}
-	left := core.Handover(time.Now())
+	left := core.HandoverRecords(time.Now())
 	if len(left) == 0 {
 		return true
 	}
@@ -67,7 +67,7 @@
 		o.logger.Error("handover can't be encoded", "error", err)
 		return false
 	}
-	status, err := o.log.Write(ctx, o.epoch, core.NextSequence(), records)
+	status, err := o.log.Write(ctx, o.epoch, core.NextWriteSequence(), records)
 	o.logger.Info("partition left", "records", len(records), "status", status.String(), "error", err)
 	return status == platform.StoreOK
 }
@@ -82,10 +82,10 @@
 // apply hands it to the machine, once that knows the jobs.
 func (l inheritance) apply(core *scheduler.Core, now time.Time) {
 	for id, p := range l.unstored {
-		core.RecallUnstored(id, p)
+		core.RestoreUnstoredProgress(id, p)
 	}
 	if l.handover != nil {
-		core.Inherit(l.handover, now)
+		core.RestoreHandover(l.handover, now)
 	}
 }
 
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -64,8 +64,8 @@
 	o := taking(t, func(store *memoryStore) ([]workload.Record, error) {
 		store.put(t, workload.Record{Job: waitingJob, Submission: sub})
 		return []workload.Record{
-			{Job: endedJob, Progress: &workload.Progress{Begun: true}},
-			{Handover: &workload.Handover{Epoch: 7, Runs: []workload.LeftRun{{Worker: "w-1", Task: string(waitingJob) + ".0.0.0", Run: 1}}}},
+			{Job: endedJob, Progress: &workload.Progress{Started: true}},
+			{Handover: &workload.Handover{Epoch: 7, Runs: []workload.HandoverRun{{Worker: "w-1", Task: string(waitingJob) + ".0.0.0", Run: 1}}}},
 		}, nil
 	})
 	batch, left, err := o.read(t.Context())
--- a/internal/owner/lag.go
+++ b/internal/owner/lag.go
@@ -53,7 +53,7 @@
 	}
 	l := o.lag
 	l.plans = core.Counts.Plans - o.planned.Plans
-	l.cutShort = core.Counts.CutShort - o.planned.CutShort
+	l.cutShort = core.Counts.TruncatedPlans - o.planned.TruncatedPlans
 	o.planned = core.Counts
 	o.lag = l.next(now)
 	o.deps.Metrics.lagging(l)
@@ -67,8 +67,8 @@
 	}
 	b := core.Backlog(now)
 	o.logger.Warn(verb, "delay_ms", l.delay.Milliseconds(), "step_us", l.step.Microseconds(),
-		"plans", l.plans, "cut_short", l.cutShort, "active", b.Active, "waiting", b.Waiting,
-		"oldest_ms", b.Oldest.Milliseconds(), "unused_cores", b.Unused/coreUnits, "cores", b.Capacity/coreUnits)
+		"plans", l.plans, "cut_short", l.cutShort, "active", b.ActiveJobs, "waiting", b.WaitingJobs,
+		"oldest_ms", b.OldestWait.Milliseconds(), "unused_cores", b.FreeMilliCores/coreUnits, "cores", b.CapacityMilliCores/coreUnits)
 }
 
 // coreUnits is one core in the unit of processors that jobs ask for.
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -16,7 +16,7 @@
 	for _, d := range orders.Decisions {
 		o.logDecision(d)
 	}
-	for _, h := range orders.Holds {
+	for _, h := range orders.Polls {
 		o.calls.do(ctx, func() { o.hold(ctx, h) })
 	}
 	for _, s := range orders.Stops {
@@ -25,10 +25,10 @@
 	for _, s := range orders.Starts {
 		o.calls.do(ctx, func() { o.start(ctx, s) })
 	}
-	for _, p := range orders.Paces {
+	for _, p := range orders.Throttles {
 		o.calls.do(ctx, func() { o.pace(ctx, p) })
 	}
-	for _, a := range orders.Advise {
+	for _, a := range orders.AdviceRequests {
 		o.calls.do(ctx, func() { o.advise(ctx, a) })
 	}
 	if orders.Write != nil {
@@ -37,14 +37,14 @@
 	}
 }
 
-func (o *Owner) hold(ctx context.Context, h scheduler.HoldOrder) {
+func (o *Owner) hold(ctx context.Context, h scheduler.PollOrder) {
 	sent := time.Now()
-	held, answer := o.deps.Workers.Hold(ctx, h.Worker, h.Hold)
-	if h.Hold.Wait == 0 {
+	held, answer := o.deps.Workers.Hold(ctx, h.Worker, h.Poll)
+	if h.Poll.MaxWait == 0 {
 		o.deps.Metrics.order("hold", answer, sent)
 	}
-	result := scheduler.HoldResult{Worker: h.Worker.ID, Token: h.Hold.Token, SentAt: sent, Extra: h.Extra, Held: held, Answer: answer}
-	o.send(ctx, func(c *scheduler.Core, now time.Time) { c.Held(result, now) })
+	result := scheduler.PollResult{Worker: h.Worker.ID, Token: h.Poll.Token, SentAt: sent, Extra: h.Extra, Report: held, Answer: answer}
+	o.send(ctx, func(c *scheduler.Core, now time.Time) { c.HandlePollResult(result, now) })
 }
 
 func (o *Owner) start(ctx context.Context, s scheduler.StartOrder) {
@@ -52,7 +52,7 @@
 	answer := o.deps.Workers.Start(ctx, s.Worker, s.Start)
 	o.deps.Metrics.order("start", answer, sent)
 	result := scheduler.OrderResult{Worker: s.Worker.ID, Task: s.Start.Task, Run: s.Start.Run, Token: s.Start.Token, Answer: answer}
-	o.send(ctx, func(c *scheduler.Core, now time.Time) { c.Started(result, now) })
+	o.send(ctx, func(c *scheduler.Core, now time.Time) { c.HandleStartResult(result, now) })
 }
 
 func (o *Owner) stop(ctx context.Context, s scheduler.StopOrder) {
@@ -60,49 +60,49 @@
 	answer := o.deps.Workers.Stop(ctx, s.Worker, s.Task, s.Run, s.Token)
 	o.deps.Metrics.order("stop", answer, sent)
 	result := scheduler.OrderResult{Worker: s.Worker.ID, Task: s.Task, Run: s.Run, Token: s.Token, Answer: answer}
-	o.send(ctx, func(c *scheduler.Core, now time.Time) { c.Stopped(result, now) })
+	o.send(ctx, func(c *scheduler.Core, now time.Time) { c.HandleStopResult(result, now) })
 }
 
-func (o *Owner) pace(ctx context.Context, p scheduler.PaceOrder) {
+func (o *Owner) pace(ctx context.Context, p scheduler.ThrottleOrder) {
 	sent := time.Now()
-	answer := o.deps.Workers.Pace(ctx, p.Worker, p.Task, p.Run, p.Percent, p.Token)
+	answer := o.deps.Workers.Pace(ctx, p.Worker, p.Task, p.Run, p.SpeedPercent, p.Token)
 	o.deps.Metrics.order("pace", answer, sent)
 	result := scheduler.OrderResult{Worker: p.Worker.ID, Task: p.Task, Run: p.Run, Token: p.Token, Answer: answer}
-	o.send(ctx, func(c *scheduler.Core, now time.Time) { c.Paced(result, now) })
+	o.send(ctx, func(c *scheduler.Core, now time.Time) { c.HandleThrottleResult(result, now) })
 }
 
-func (o *Owner) advise(ctx context.Context, a scheduler.AdviseOrder) {
+func (o *Owner) advise(ctx context.Context, a scheduler.AdviceOrder) {
 	sent := time.Now()
 	tickets, valid, err := o.deps.Adviser.Ask(ctx, a.Step, a.Workers)
-	result := scheduler.AdviceResult{Order: a, SentAt: sent, OK: err == nil, Valid: valid, Tickets: map[string]string{}}
+	result := scheduler.AdviceResult{Order: a, SentAt: sent, OK: err == nil, ValidFor: valid, Tickets: map[string]string{}}
 	if err != nil {
 		o.logger.Warn("no advice", "step", a.Step.StepName(), "error", err)
 	}
 	for _, t := range tickets {
 		result.Tickets[t.Worker] = t.Text
 	}
-	o.send(ctx, func(c *scheduler.Core, now time.Time) { c.Advised(result, now) })
+	o.send(ctx, func(c *scheduler.Core, now time.Time) { c.HandleAdviceResult(result, now) })
 }
 
 // write stores records, and tries until it is known whether they are: a write
 // whose answer was lost is sent again under its sequence, which has no second
 // effect.
 func (o *Owner) write(ctx context.Context, w scheduler.WriteOrder) {
-	records, err := joblog.Encode(w.Records, w.Delete)
+	records, err := joblog.Encode(w.Records, w.DeleteJobs)
 	if err != nil {
 		o.logger.Error("records can't be encoded", "error", err)
-		o.send(ctx, func(c *scheduler.Core, _ time.Time) { c.GiveUp("records can't be encoded") })
+		o.send(ctx, func(c *scheduler.Core, _ time.Time) { c.StepDown("records can't be encoded") })
 		return
 	}
 	for ctx.Err() == nil {
 		status, err := o.log.Write(ctx, o.epoch, w.Sequence, records)
 		switch status {
 		case platform.StoreOK:
-			o.send(ctx, func(c *scheduler.Core, _ time.Time) { c.Written() })
+			o.send(ctx, func(c *scheduler.Core, _ time.Time) { c.HandleWriteResult() })
 			return
 		case platform.StoreFenced, platform.StoreSequence, platform.StoreInvalid:
 			reason := "write " + status.String() + ": " + err.Error()
-			o.send(ctx, func(c *scheduler.Core, _ time.Time) { c.GiveUp(reason) })
+			o.send(ctx, func(c *scheduler.Core, _ time.Time) { c.StepDown(reason) })
 			return
 		}
 		o.logger.Debug("ends can't be stored yet", "sequence", w.Sequence, "status", status.String(), "error", err)
@@ -113,7 +113,7 @@
 // finishWrite stores the write that was under way when the owner was stopped, as
 // the next one must follow its sequence. Storing it twice has no second effect.
 func (o *Owner) finishWrite(ctx context.Context) bool {
-	records, err := joblog.Encode(o.unfinished.Records, o.unfinished.Delete)
+	records, err := joblog.Encode(o.unfinished.Records, o.unfinished.DeleteJobs)
 	if err != nil {
 		o.logger.Error("records can't be encoded", "error", err)
 		return false
@@ -145,7 +145,7 @@
 		args = append(args, "worker", d.Worker)
 	}
 	switch {
-	case d.Critical:
+	case d.AlwaysLogged:
 		o.logger.Warn(d.Verb, args...)
 	case d.Verb == "placed":
 		o.logger.Debug(d.Verb, args...)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -51,7 +51,7 @@
 	Start(ctx context.Context, w workload.Worker, s workload.Start) workload.WorkerAnswer
 	Stop(ctx context.Context, w workload.Worker, task workload.TaskKey, run, token int64) workload.WorkerAnswer
 	Pace(ctx context.Context, w workload.Worker, task workload.TaskKey, run int64, percent int, token int64) workload.WorkerAnswer
-	Hold(ctx context.Context, w workload.Worker, h workload.Hold) (workload.Held, workload.WorkerAnswer)
+	Hold(ctx context.Context, w workload.Worker, h workload.Poll) (workload.PollReport, workload.WorkerAnswer)
 }
 
 // Adviser asks which workers may run a step.
@@ -218,15 +218,15 @@
 // owner started: those registered, and those that the list of VMs names.
 func (o *Owner) takeOver(ctx context.Context, fenced time.Time, told bool) *scheduler.Core {
 	cfg := scheduler.Settings{
-		Address:      o.deps.Address,
-		Epoch:        o.epoch,
-		Lease:        o.deps.Lease,
-		Overlap:      o.deps.Overlap,
-		MaxLease:     o.deps.Bounds.MaxLease,
-		StateKept:    o.deps.Bounds.StateKept,
-		RemoteFactor: o.deps.Bounds.RemoteFactor,
-		Stop:         o.deps.Bounds.Stop,
-		GangTimeout:  o.deps.Bounds.GangTimeout,
+		Address:            o.deps.Address,
+		Epoch:              o.epoch,
+		LeaseDuration:      o.deps.Lease,
+		MaxOwnerOverlap:    o.deps.Overlap,
+		MaxLeaseDuration:   o.deps.Bounds.MaxLease,
+		JobRetention:       o.deps.Bounds.StateKept,
+		RemoteDataSlowdown: o.deps.Bounds.RemoteFactor,
+		MaxStopDuration:    o.deps.Bounds.Stop,
+		GangTimeout:        o.deps.Bounds.GangTimeout,
 	}
 	if told {
 		return scheduler.New(cfg, fenced, nil, false)
@@ -306,7 +306,7 @@
 		began := time.Now()
 		orders := core.Step(began)
 		o.lag.stepped(time.Since(began))
-		if reason := core.Lost(); reason != "" {
+		if reason := core.StepDownReason(); reason != "" {
 			return errors.Wrap(ErrLost, reason)
 		}
 		o.carryOut(ctx, orders)
@@ -338,7 +338,7 @@
 	read := func() registry.Snapshot { return o.deps.Registry.Snapshot(now) }
 	if list, ok := o.workers.next(read, o.deps.Confirmed(o.partition)); ok {
 		own, elsewhere := o.split(list)
-		core.SetElsewhere(elsewhere)
+		core.SetForeignAddresses(elsewhere)
 		core.SetWorkers(own, now)
 	}
 	if o.workers.wants() {
--- a/internal/owner/tail.go
+++ b/internal/owner/tail.go
@@ -25,9 +25,9 @@
 	for _, r := range records {
 		switch {
 		case r.Submission != nil:
-			core.Submitted(r.Job, r.Submission)
+			core.AddJob(r.Job, r.Submission)
 		case r.Cancel:
-			core.CancelRequested(r.Job, now)
+			core.CancelJob(r.Job, now)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 	records, _ := joblog.Decode(batch) // unreadable ones were logged by apply
 	for _, r := range records {
 		if r.Progress != nil && reported[r.Job] == nil {
-			core.Recalled(r.Job, r.Progress)
+			core.RestoreProgress(r.Job, r.Progress)
 		}
 	}
 }
--- a/internal/proof/platformjobs_test.go
+++ b/internal/proof/platformjobs_test.go
@@ -74,7 +74,7 @@
 	c := testkit.StartJobs(t, jobOptions(), 2)
 	jobs := submitMany(c, 8, 200*time.Millisecond)
 	id := c.NewID()
-	c.Submit("booking", id, workload.Spec{Payload: standin.CrashPayload, Steps: []workload.Step{{Count: 1, Need: workload.Resources{CPU: 500, MemoryMB: 500}, EstimateMS: 100}}})
+	c.Submit("booking", id, workload.Spec{Payload: standin.CrashPayload, Steps: []workload.Step{{Count: 1, Resources: workload.Resources{CPU: 500, MemoryMB: 500}, EstimateMS: 100}}})
 	for other, service := range submitMany(c, 8, 200*time.Millisecond) {
 		jobs[other] = service
 	}
@@ -270,7 +270,7 @@
 	c := testkit.StartJobs(t, jobOptions(), 2)
 	id := c.NewID()
 	c.Submit("booking", id, workload.Spec{Payload: standin.Payload(0), Steps: []workload.Step{{
-		Count: 3, Need: workload.Resources{CPU: 1000, MemoryMB: 500}, Lasting: true, MayMiss: 1, MaxPerWorker: 1,
+		Count: 3, Resources: workload.Resources{CPU: 1000, MemoryMB: 500}, LongRunning: true, MaxUnavailable: 1, MaxPerWorker: 1,
 	}}})
 	c.Until("all tasks run", func() bool { return c.Platform.Running(id) == 3 })
 	for _, vm := range c.Platform.VMs() {
--- a/internal/proof/soak_test.go
+++ b/internal/proof/soak_test.go
@@ -200,12 +200,12 @@
 	if rng.IntN(12) == 0 {
 		j.lasting = true
 		spec = workload.Spec{Payload: standin.Payload(0), Steps: []workload.Step{{
-			Count: 3, Need: workload.Resources{CPU: 500, MemoryMB: 500}, Lasting: true, MayMiss: 1, MaxPerWorker: 2,
+			Count: 3, Resources: workload.Resources{CPU: 500, MemoryMB: 500}, LongRunning: true, MaxUnavailable: 1, MaxPerWorker: 2,
 		}}}
 	}
 	if j.crashes {
 		j.lasting = false
-		spec = workload.Spec{Payload: standin.CrashPayload, Steps: []workload.Step{{Count: 1, Need: workload.Resources{CPU: 500, MemoryMB: 500}, EstimateMS: 100}}}
+		spec = workload.Spec{Payload: standin.CrashPayload, Steps: []workload.Step{{Count: 1, Resources: workload.Resources{CPU: 500, MemoryMB: 500}, EstimateMS: 100}}}
 	}
 	for _, step := range spec.Steps {
 		j.tasks += step.Count
@@ -253,7 +253,7 @@
 	}
 }
 
-func stateBody(state workload.State) string { return `{"state":"` + string(state) + `"}` }
+func stateBody(state workload.JobState) string { return `{"state":"` + string(state) + `"}` }
 
 // cancel cancels a job and tells whether that was answered. The caller repeats a
 // cancel without an answer, as its job may run on.
--- a/internal/proof/twoowners_test.go
+++ b/internal/proof/twoowners_test.go
@@ -20,7 +20,7 @@
 	c := testkit.StartLinkedJobs(t, jobOptions(), 3)
 	id := c.NewID()
 	c.Submit("booking", id, workload.Spec{Payload: standin.Payload(0), Steps: []workload.Step{{
-		Count: 2, Need: workload.Resources{CPU: 500, MemoryMB: 500}, Lasting: true, MaxPerWorker: 1,
+		Count: 2, Resources: workload.Resources{CPU: 500, MemoryMB: 500}, LongRunning: true, MaxPerWorker: 1,
 	}}})
 	c.Until("both tasks run", func() bool { return c.Platform.Running(id) == 2 })
 	task := workload.TaskKey{Job: id}.String()
--- a/internal/published/published.go
+++ b/internal/published/published.go
@@ -117,7 +117,7 @@
 		case !ok:
 		case p.Wave != nil:
 			f.waves[p.Wave.Number] = *p.Wave
-			f.logger.Info("wave asked for", "wave", p.Wave.Number, "vms", len(p.Wave.VMs), "cap", p.Wave.Cap, "within", p.Wave.Duration.String())
+			f.logger.Info("wave asked for", "wave", p.Wave.Number, "vms", len(p.Wave.VMs), "cap", p.Wave.MaxConcurrent, "within", p.Wave.Window.String())
 		case f.config == nil || p.Config.Version > f.config.Version:
 			f.config = p.Config
 			f.logger.Info("configuration in force", "version", p.Config.Version, "queues", len(p.Config.Queues), "services", len(p.Config.Services))
--- a/internal/scheduler/authority.go
+++ b/internal/scheduler/authority.go
@@ -16,14 +16,16 @@
 // SetAuthority sets until when the owner may start tasks and renew leases. Without a call
 // there is no bound.
 func (c *Core) SetAuthority(until time.Time) {
-	c.authority = until
-	c.bounded = true
+	c.authorityUntil = until
+	c.authorityBounded = true
 }
 
 // hasAuthority tells whether the owner may start tasks and renew leases.
-func (c *Core) hasAuthority(now time.Time) bool { return !c.bounded || now.Before(c.authority) }
+func (c *Core) hasAuthority(now time.Time) bool {
+	return !c.authorityBounded || now.Before(c.authorityUntil)
+}
 
-// earlierLeases is until when leases of earlier owners may last, for an owner that begins now.
-func earlierLeases(cfg Settings, now time.Time) time.Time {
-	return now.Add(cfg.Overlap + lapse(cfg.Lease))
+// earlierLeaseExpiry is until when leases of earlier owners may last, for an owner that begins now.
+func earlierLeaseExpiry(settings Settings, now time.Time) time.Time {
+	return now.Add(settings.MaxOwnerOverlap + leaseExpiryDelay(settings.LeaseDuration))
 }
--- a/internal/scheduler/authority_test.go
+++ b/internal/scheduler/authority_test.go
@@ -12,14 +12,14 @@
 )
 
 // stepReporting steps for a while and answers each poll of a worker with its running tasks.
-func (r *rig) stepReporting(d time.Duration, worker string, running ...workload.RunState) scheduler.Orders {
+func (r *rig) stepReporting(d time.Duration, worker string, running ...workload.ListedRun) scheduler.Orders {
 	var collected scheduler.Orders
 	for until := r.now.Add(d); r.now.Before(until); {
 		orders := r.step(50 * time.Millisecond)
 		collected.Starts = append(collected.Starts, orders.Starts...)
 		collected.Stops = append(collected.Stops, orders.Stops...)
-		collected.Holds = append(collected.Holds, orders.Holds...)
-		r.answerPoll(worker, r.now, workload.Held{Running: running})
+		collected.Polls = append(collected.Polls, orders.Polls...)
+		r.answerPoll(worker, r.now, workload.PollReport{Running: running})
 	}
 	return collected
 }
@@ -30,13 +30,13 @@
 func TestOwnerWithoutAuthorityNeitherStartsNorRenews(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
-	longRunning := workload.Step{Count: 1, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true}
+	longRunning := workload.Step{Count: 1, Resources: workload.Resources{CPU: 1000, MemoryMB: 100}, LongRunning: true}
 	s := r.startJob("0000000000000001", longRunning)[0]
-	running := workload.RunState{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}
+	running := workload.ListedRun{Task: s.Start.Task, Run: s.Start.Run, SpeedPercent: 100}
 	r.core.SetAuthority(r.now.Add(500 * time.Millisecond))
 	countRenewals := func(orders scheduler.Orders) (n int) {
-		for _, poll := range orders.Holds {
-			if poll.Hold.LeaseUntil > 0 {
+		for _, poll := range orders.Polls {
+			if poll.Poll.LeaseExpiresAtMS > 0 {
 				n++
 			}
 		}
@@ -46,9 +46,9 @@
 
 	r.step(100 * time.Millisecond)
 	r.submit("0000000000000002", batchStep(1, 1000))
-	r.core.Evacuate("w-1", r.now)
+	r.core.DrainWorker("w-1", r.now)
 	orders := r.stepReporting(time.Second, "w-1", running)
-	assert.NotEmpty(t, orders.Holds, "its workers are polled: one of them may tell of the successor")
+	assert.NotEmpty(t, orders.Polls, "its workers are polled: one of them may tell of the successor")
 	assert.Zero(t, countRenewals(orders))
 	assert.Empty(t, orders.Starts)
 	assert.Empty(t, orders.Stops)
@@ -63,17 +63,17 @@
 // beginning: that one may go on for Overlap.
 func TestTakeoverWaitsForLeasesRenewedAfterItBegan(t *testing.T) {
 	settings := testSettings(3)
-	settings.Overlap = membershipTTL
+	settings.MaxOwnerOverlap = membershipTTL
 	r := &rig{t: t, now: historyStart, epoch: 3}
 	r.core = scheduler.New(settings, r.now, []string{"w-1", "w-2"}, false)
 	r.core.SetConfig(testConfig)
 	r.setWorkers("w-1", "w-2")
 	r.submit("0000000000000001", batchStep(1, 1000))
 	r.step(0)
-	r.answerPoll("w-1", r.now, workload.Held{})
+	r.answerPoll("w-1", r.now, workload.PollReport{})
 	for r.now.Sub(historyStart) < membershipTTL+testLease*100/98 {
 		require.Empty(t, r.step(50*time.Millisecond).Starts, "after %s", r.now.Sub(historyStart))
-		r.answerPoll("w-1", r.now, workload.Held{})
+		r.answerPoll("w-1", r.now, workload.PollReport{})
 	}
 	assert.NotEmpty(t, r.stepFor(500*time.Millisecond).Starts)
 }
@@ -87,14 +87,14 @@
 	job := r.submit("0000000000000001", batchStep(1, 1000))
 	r.core.SetAuthority(r.now)
 	r.step(0)
-	r.answerPoll("w-1", r.now, workload.Held{Running: []workload.RunState{{Task: workload.TaskKey{Job: job}, Run: 65537, Percent: 100}}})
-	r.answerPoll("w-2", r.now, workload.Held{})
+	r.answerPoll("w-1", r.now, workload.PollReport{Running: []workload.ListedRun{{Task: workload.TaskKey{Job: job}, Run: 65537, SpeedPercent: 100}}})
+	r.answerPoll("w-2", r.now, workload.PollReport{})
 	r.step(50 * time.Millisecond)
 	r.setWorkers("w-2")
 	r.core.SetAuthority(r.now.Add(time.Minute))
 	r.timeOutPoll("w-1")
 	for r.now.Sub(historyStart) < testLease {
 		require.Empty(t, r.refusePollsFor("w-1", 100*time.Millisecond).Starts, "after %s", r.now.Sub(historyStart))
-		r.answerPoll("w-2", r.now, workload.Held{})
+		r.answerPoll("w-2", r.now, workload.PollReport{})
 	}
 }
--- a/internal/scheduler/backlog.go
+++ b/internal/scheduler/backlog.go
@@ -4,28 +4,28 @@
 
 // Backlog is what waits at an owner, and what its workers have room for.
 type Backlog struct {
-	Active  int           // jobs that have not ended
-	Waiting int           // of these, jobs that no task of has been started
-	Oldest  time.Duration // the longest that one of these waits
-	// Unused and Capacity are of the processors of the workers that take starts, in
+	ActiveJobs  int           // jobs that have not ended
+	WaitingJobs int           // of these, jobs that no task of has been started
+	OldestWait  time.Duration // the longest that one of these waits
+	// FreeMilliCores and Capacity are of the processors of the workers that take starts, in
 	// thousandths of a core.
-	Unused, Capacity int
+	FreeMilliCores, CapacityMilliCores int
 }
 
 // Backlog tells a service that is full from an owner that doesn't keep up.
 func (c *Core) Backlog(now time.Time) Backlog {
-	b := Backlog{Active: len(c.active)}
-	for _, j := range c.active {
-		if j.begun || j.final.Ended() || now.Before(j.since(0)) {
+	b := Backlog{ActiveJobs: len(c.activeJobs)}
+	for _, j := range c.activeJobs {
+		if j.started || j.finalState.IsTerminal() || now.Before(j.objectiveStart(0)) {
 			continue
 		}
-		b.Waiting++
-		b.Oldest = max(b.Oldest, now.Sub(j.since(0)))
+		b.WaitingJobs++
+		b.OldestWait = max(b.OldestWait, now.Sub(j.objectiveStart(0)))
 	}
-	for _, w := range c.order {
-		if w.takes(now) {
-			b.Capacity += w.info.Capacity.CPU
-			b.Unused += w.free().CPU
+	for _, w := range c.sortedWorkers {
+		if w.canAcceptStarts(now) {
+			b.CapacityMilliCores += w.info.Capacity.CPU
+			b.FreeMilliCores += w.free().CPU
 		}
 	}
 	return b
--- a/internal/scheduler/backlog_test.go
+++ b/internal/scheduler/backlog_test.go
@@ -57,10 +57,10 @@
 	f.running = f.running[1:]
 	workerID := oldest.Worker.ID
 	f.lastExitNumber[workerID]++
-	report := exitReport(f.lastExitNumber[workerID], oldest, workload.EndDone)
+	report := exitReport(f.lastExitNumber[workerID], oldest, workload.ExitDone)
 	for _, s := range f.running {
 		if s.Worker.ID == workerID {
-			report.Running = append(report.Running, workload.RunState{Task: s.Start.Task, Run: s.Start.Run, Percent: 100})
+			report.Running = append(report.Running, workload.ListedRun{Task: s.Start.Task, Run: s.Start.Run, SpeedPercent: 100})
 		}
 	}
 	f.answerPoll(workerID, f.now, report)
@@ -68,7 +68,9 @@
 }
 
 // planWork is what planning has cost so far.
-func (f *saturatedService) planWork() int { return f.core.Counts.Ranked + f.core.Counts.Looks }
+func (f *saturatedService) planWork() int {
+	return f.core.Counts.RankedJobs + f.core.Counts.PlacementChecks
+}
 
 // Callers see starts slow down the more jobs wait, beside workers that come free.
 //
@@ -110,7 +112,7 @@
 	r := newRig(t)
 	r.syncWorkers("w-1")
 	unplaceable := batchStep(1, 1000)
-	unplaceable.Label = "none has it"
+	unplaceable.RequiredLabel = "none has it"
 	for i := range 100 {
 		r.submit(fmt.Sprintf("%016d", i), unplaceable)
 	}
--- a/internal/scheduler/checks_test.go
+++ b/internal/scheduler/checks_test.go
@@ -29,7 +29,7 @@
 	job := w.jobs[r.task.Job]
 	spec := &job.submission.Spec.Steps[r.task.Step]
 	taskName := r.task.String()
-	if !spec.Lasting || spec.MayMiss == 0 || !job.cancelledAt.IsZero() || job.givenUp {
+	if !spec.LongRunning || spec.MaxUnavailable == 0 || !job.cancelledAt.IsZero() || job.givenUp {
 		return
 	}
 	unavailable := 0
@@ -42,7 +42,7 @@
 			unavailable++
 		}
 	}
-	if unavailable >= spec.MayMiss {
+	if unavailable >= spec.MaxUnavailable {
 		w.recordViolation("AVAIL", fmt.Sprintf("%s is stopped while %d others are away", taskName, unavailable))
 	}
 	job.stoppedNotRestarted[taskName] = true
@@ -101,7 +101,7 @@
 	if !job.cancelledAt.IsZero() && w.now.Sub(job.cancelledAt) > 3*time.Second {
 		w.recordViolation("UNASKED", taskName+" starts "+w.now.Sub(job.cancelledAt).String()+" after its job was cancelled")
 	}
-	if job.failures[taskName] >= testConfig.Queues[0].MaxAttempts && !spec.Lasting {
+	if job.failures[taskName] >= testConfig.Queues[0].MaxAttempts && !spec.LongRunning {
 		w.recordViolation("BUDGET", taskName+" starts after all its attempts have failed")
 	}
 	if spec.MaxPerWorker > 0 {
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -31,168 +31,168 @@
 	Epoch int64
 	// Address is where the owner's node answers others.
 	Address string
-	// Lease is how long a run lives without renewal.
-	Lease time.Duration
-	// Overlap is for how long an owner may go on after its successor has begun.
-	Overlap time.Duration
-	// MaxLease is the longest lease that a worker gives, whatever it is asked for.
-	MaxLease time.Duration
-	// StateKept is for how long an ended job is known.
-	StateKept time.Duration
-	// Stop is what a stop takes at most.
-	Stop time.Duration
+	// LeaseDuration is how long a run lives without renewal.
+	LeaseDuration time.Duration
+	// MaxOwnerOverlap is for how long an owner may go on after its successor has begun.
+	MaxOwnerOverlap time.Duration
+	// MaxLeaseDuration is the longest lease that a worker gives, whatever it is asked for.
+	MaxLeaseDuration time.Duration
+	// JobRetention is for how long an ended job is known.
+	JobRetention time.Duration
+	// MaxStopDuration is what a stop takes at most.
+	MaxStopDuration time.Duration
 	// GangTimeout is how long a member of a gang waits for the others; 0 is the
 	// default.
 	GangTimeout time.Duration
-	// RemoteFactor is how many times as long a task takes away from its data.
-	RemoteFactor float64
+	// RemoteDataSlowdown is how many times as long a task takes away from its data.
+	RemoteDataSlowdown float64
 }
 
 // Times that decisions rest on.
 const (
-	// clockMargin is what a worker's clock may be slow, as a share of a lease;
+	// maxClockDrift is what a worker's clock may be slow, as a share of a lease;
 	// the platform says 2%.
-	clockMargin = 0.03
-	// lapseSlack is added to a lease before it counts as lapsed: the way of the
+	maxClockDrift = 0.03
+	// leaseExpirySlack is added to a lease before it counts as lapsed: the way of the
 	// order and the turn of timers at both ends.
-	lapseSlack = 150 * time.Millisecond
-	// tokenStep leaves room below the epoch for raising the token at one worker.
-	tokenStep = 1 << 10
-	// runStep leaves room below the epoch for the runs of one step, so that a new
+	leaseExpirySlack = 150 * time.Millisecond
+	// tokensPerEpoch leaves room below the epoch for raising the token at one worker.
+	tokensPerEpoch = 1 << 10
+	// runNumbersPerEpoch leaves room below the epoch for the runs of one step, so that a new
 	// owner needs to know nothing of earlier runs to number higher.
-	runStep = 1 << 16
-	// sweepInterval is the pause between looks for jobs to be forgotten.
-	sweepInterval = 5 * time.Second
+	runNumbersPerEpoch = 1 << 16
+	// jobSweepInterval is the pause between looks for jobs to be forgotten.
+	jobSweepInterval = 5 * time.Second
 )
 
 // Core holds the jobs and workers of one partition. It is not safe for
 // concurrent use.
 type Core struct {
-	cfg    Settings
-	config *workload.Config
+	settings Settings
+	config   *workload.Config
 
-	jobs    map[workload.JobID]*job
-	active  []*job // not ended, in the order of their acceptance here
-	ranking ranking
-	shares  map[string]*queueShares // by queue
-	workers map[string]*worker
-	order   []*worker // sorted by ID
-	// lastTokens are the tokens that were in use at workers that are forgotten, by ID: one
+	jobs          map[workload.JobID]*job
+	activeJobs    []*job // not ended, in the order of their acceptance here
+	ranking       ranking
+	shares        map[string]*queueShares // by queue
+	workers       map[string]*worker
+	sortedWorkers []*worker // sorted by ID
+	// forgottenWorkerTokens are the tokens that were in use at workers that are forgotten, by ID: one
 	// of that ID may come back.
-	lastTokens map[string]int64
+	forgottenWorkerTokens map[string]int64
 
-	// authority is until when tasks may be started and leases renewed, if that is bounded.
-	authority time.Time
-	bounded   bool
-	// blockedUntil is when the last lease of an earlier owner has lapsed. Until
+	// authorityUntil is until when tasks may be started and leases renewed, if that is bounded.
+	authorityUntil   time.Time
+	authorityBounded bool
+	// earlierLeasesExpireAt is when the last lease of an earlier owner has lapsed. Until
 	// then a worker that has not answered may run any task.
-	blockedUntil time.Time
-	// unheld are the workers that may run what an earlier owner started. There
+	earlierLeasesExpireAt time.Time
+	// unresolvedWorkers are the workers that may run what an earlier owner started. There
 	// are none where that owner has left a report of its runs.
-	unheld map[string]bool
-	// doubtful is set while the list of workers may lack some that run tasks.
-	doubtful bool
+	unresolvedWorkers map[string]bool
+	// workerListIncomplete is set while the list of workers may lack some that run tasks.
+	workerListIncomplete bool
 
 	// What is to be stored, and is being stored.
-	dirty     map[workload.JobID]*job
-	expired   []workload.JobID // to be deleted
-	writing   *write           // nil if none is under way
-	writeSeq  int64
-	storedSeq int64 // of the latest write that is stored
-	opened    bool  // this owner has stored that it took over
+	dirtyJobs      map[workload.JobID]*job
+	jobsToDelete   []workload.JobID // to be deleted
+	pendingWrite   *pendingWrite    // nil if none is under way
+	lastWriteSeq   int64
+	storedWriteSeq int64 // of the latest write that is stored
+	takeoverStored bool  // this owner has stored that it took over
 
-	// elsewhere are the addresses at which workers of other partitions' services are
+	// foreignAddresses are the addresses at which workers of other partitions' services are
 	// registered.
-	elsewhere map[string]bool
+	foreignAddresses map[string]bool
 
-	arrived map[string]workload.Work // by service
-	// required are the labels that a service's jobs have asked for so far.
-	required map[string][]string
-	starting inFlight
-	// extraPolls is how many are under way.
-	extraPolls int
-	forming    []forming
-	// crashedSteps are those under whose tasks workers have crashed.
-	crashedSteps []*step
-	// busyUntil is until when a service counts as busy with tasks that are no suspects.
-	busyUntil map[string]time.Time
-	// suspectsWait is set while what is known of some suspects is being stored.
-	suspectsWait bool
-	// dirtyPlan is set when something has changed that a plan rests on.
-	dirtyPlan bool
+	arrivedWork map[string]workload.Work // by service
+	// requiredLabels are the labels that a service's jobs have asked for so far.
+	requiredLabels map[string][]string
+	startsInFlight startTracker
+	// extraPollsInFlight is how many are under way.
+	extraPollsInFlight int
+	formingGangs       []formingGang
+	// stepsWithCrashes are those under whose tasks workers have crashed.
+	stepsWithCrashes []*step
+	// serviceBusyUntil is until when a service counts as busy with tasks that are no suspects.
+	serviceBusyUntil map[string]time.Time
+	// suspectWritePending is set while what is known of some suspects is being stored.
+	suspectWritePending bool
+	// planStale is set when something has changed that a plan rests on.
+	planStale bool
 	// stalledUntil is until when the process counts as stalled: it hardly gets on.
-	stalledUntil time.Time
-	unblocked    bool // nothing waits for an earlier owner's runs any more
+	stalledUntil     time.Time
+	takeoverComplete bool // nothing waits for an earlier owner's runs any more
 
 	// When things were done last.
-	startedAt, steppedAt, sweptAt, plannedAt, copiedAt, wroteAt, suspectsNotedAt time.Time
+	tookOverAt, lastStepAt, lastJobSweepAt, lastPlanAt, lastSpeculationAt, lastWriteAt, suspectsLoggedAt time.Time
 
-	lost   string // why the ownership is lost, "" while it is not
-	out    Orders // of the present step
-	Counts Counts
+	stepDownReason string // why the ownership is lost, "" while it is not
+	orders         Orders // of the present step
+	Counts         Counts
 }
 
 // Counts are totals for metrics.
 type Counts struct {
-	Started, Done, FailedRuns, Lapsed, Refused, Uncertain int
-	Completed, Failed, Cancelled                          int
-	// Crashes is how many workers crashed, and RunsLost how many runs with them.
-	Crashes, RunsLost int
-	// Restarts is how many workers came back under their ID, and EndsUnread how many runs
+	StartedRuns, DoneTasks, FailedRuns, ExpiredRuns, RefusedStarts, UnansweredStarts int
+	CompletedJobs, FailedJobs, CancelledJobs                                         int
+	// WorkerCrashes is how many workers crashed, and RunsLost how many runs with them.
+	WorkerCrashes, LostRuns int
+	// WorkerRestarts is how many workers came back under their ID, and EndsUnread how many runs
 	// vanished from a worker that listed no end of them.
-	Restarts, EndsUnread int
-	// SecondRuns is how many runs were found beside another run of their task.
-	SecondRuns int
-	// Trials is how many starts were of suspects, Cleared how many of these got on, and
+	WorkerRestarts, UnreadExits int
+	// DuplicateRuns is how many runs were found beside another run of their task.
+	DuplicateRuns int
+	// IsolatedRuns is how many starts were of suspects, Cleared how many of these got on, and
 	// GivenUp how many jobs failed as one of their tasks crashes workers.
-	Trials, Cleared, GivenUp int
-	// PolledAgain is how many polls of workers were sent beside one whose answer was late.
-	PolledAgain int
-	// Ranked is how many jobs were ranked, and Looks how many workers and runs were
+	IsolatedRuns, ClearedSuspects, CrashingJobs int
+	// ExtraPolls is how many polls of workers were sent beside one whose answer was late.
+	ExtraPolls int
+	// RankedJobs is how many jobs were ranked, and Looks how many workers and runs were
 	// looked at, to decide on starts: what planning costs.
-	Ranked, Looks int
+	RankedJobs, PlacementChecks int
 	// Plans is how many plans were made, and CutShort how many of them ended before
 	// all that has room was started, as too many starts had no answer yet.
-	Plans, CutShort int
+	Plans, TruncatedPlans int
 }
 
 // New returns a core that takes over at now. unheld are the workers that an
 // earlier owner may have given work to; doubtful says that there may be more.
-func New(cfg Settings, now time.Time, unheld []string, doubtful bool) *Core {
-	if cfg.GangTimeout == 0 {
-		cfg.GangTimeout = defaultGangTimeout
+func New(settings Settings, now time.Time, unresolved []string, listIncomplete bool) *Core {
+	if settings.GangTimeout == 0 {
+		settings.GangTimeout = defaultGangTimeout
 	}
-	cfg.MaxLease = max(cfg.MaxLease, cfg.Lease)
+	settings.MaxLeaseDuration = max(settings.MaxLeaseDuration, settings.LeaseDuration)
 	c := &Core{
-		cfg:          cfg,
-		config:       &workload.Config{},
-		jobs:         map[workload.JobID]*job{},
-		workers:      map[string]*worker{},
-		lastTokens:   map[string]int64{},
-		busyUntil:    map[string]time.Time{},
-		dirty:        map[workload.JobID]*job{},
-		unheld:       map[string]bool{},
-		elsewhere:    map[string]bool{},
-		arrived:      map[string]workload.Work{},
-		required:     map[string][]string{},
-		shares:       map[string]*queueShares{},
-		blockedUntil: earlierLeases(cfg, now),
-		doubtful:     doubtful,
-		startedAt:    now,
+		settings:              settings,
+		config:                &workload.Config{},
+		jobs:                  map[workload.JobID]*job{},
+		workers:               map[string]*worker{},
+		forgottenWorkerTokens: map[string]int64{},
+		serviceBusyUntil:      map[string]time.Time{},
+		dirtyJobs:             map[workload.JobID]*job{},
+		unresolvedWorkers:     map[string]bool{},
+		foreignAddresses:      map[string]bool{},
+		arrivedWork:           map[string]workload.Work{},
+		requiredLabels:        map[string][]string{},
+		shares:                map[string]*queueShares{},
+		earlierLeasesExpireAt: earlierLeaseExpiry(settings, now),
+		workerListIncomplete:  listIncomplete,
+		tookOverAt:            now,
 	}
-	for _, id := range unheld {
-		c.unheld[id] = true
+	for _, id := range unresolved {
+		c.unresolvedWorkers[id] = true
 	}
 	return c
 }
 
-// lapse is the time after which a lease given now is over on every clock.
-func lapse(lease time.Duration) time.Duration {
-	return lease + time.Duration(float64(lease)*clockMargin) + lapseSlack
+// leaseExpiryDelay is the time after which a lease given now is over on every clock.
+func leaseExpiryDelay(lease time.Duration) time.Duration {
+	return lease + time.Duration(float64(lease)*maxClockDrift) + leaseExpirySlack
 }
 
-// Lost tells why the ownership is lost, "" while it is not.
-func (c *Core) Lost() string { return c.lost }
+// StepDownReason tells why the ownership is lost, "" while it is not.
+func (c *Core) StepDownReason() string { return c.stepDownReason }
 
 // SetConfig puts a configuration in force.
 func (c *Core) SetConfig(config *workload.Config) {
@@ -200,99 +200,99 @@
 		return
 	}
 	c.config = config
-	for _, j := range c.active {
-		j.queue = config.Queue(j.sub.Queue)
+	for _, j := range c.activeJobs {
+		j.queue = config.Queue(j.submission.Queue)
 	}
 	c.ranking.stale = true
-	c.dirtyPlan = true
+	c.planStale = true
 }
 
-// Submitted takes a stored job. The first record of an ID counts.
-func (c *Core) Submitted(id workload.JobID, s *workload.Submission) {
-	j := c.job(id)
-	if j.sub != nil {
+// AddJob takes a stored job. The first record of an ID counts.
+func (c *Core) AddJob(id workload.JobID, submission *workload.Submission) {
+	j := c.ensureJob(id)
+	if j.submission != nil {
 		return
 	}
-	j.open(s)
-	j.queue = c.config.Queue(s.Queue)
-	if j.progress != nil {
-		c.restore(j)
+	j.createSteps(submission)
+	j.queue = c.config.Queue(submission.Queue)
+	if j.restoredProgress != nil {
+		c.applyStoredProgress(j)
 	}
-	c.settle(j)
-	c.countArrival(j)
-	c.noteLabels(s)
-	c.active = append(c.active, j)
+	c.applyEarlyCancel(j)
+	c.recordArrivedWork(j)
+	c.recordRequiredLabels(submission)
+	c.activeJobs = append(c.activeJobs, j)
 	if len(j.steps) > 0 {
-		c.rerank(j.steps[0])
+		c.requestRerank(j.steps[0])
 	}
-	c.dirtyPlan = true
+	c.planStale = true
 }
 
-// noteLabels notes which labels the jobs of a service ask for.
-func (c *Core) noteLabels(s *workload.Submission) {
-	for i := range s.Spec.Steps {
-		label := s.Spec.Steps[i].Label
-		if label != "" && !slices.Contains(c.required[s.Service], label) {
-			c.required[s.Service] = append(c.required[s.Service], label)
+// recordRequiredLabels notes which labels the jobs of a service ask for.
+func (c *Core) recordRequiredLabels(submission *workload.Submission) {
+	for i := range submission.Spec.Steps {
+		label := submission.Spec.Steps[i].RequiredLabel
+		if label != "" && !slices.Contains(c.requiredLabels[submission.Service], label) {
+			c.requiredLabels[submission.Service] = append(c.requiredLabels[submission.Service], label)
 		}
 	}
 }
 
-// CancelRequested takes a stored cancel, also one that is read before its job.
-func (c *Core) CancelRequested(id workload.JobID, now time.Time) {
-	j := c.job(id)
-	if j.final.Ended() || j.cancelled {
+// CancelJob takes a stored cancel, also one that is read before its job.
+func (c *Core) CancelJob(id workload.JobID, now time.Time) {
+	j := c.ensureJob(id)
+	if j.finalState.IsTerminal() || j.cancelRequested {
 		return
 	}
-	j.cancelled = true
-	if j.sub == nil {
+	j.cancelRequested = true
+	if j.submission == nil {
 		return
 	}
-	c.end(j, workload.Cancelled, now)
+	c.completeJob(j, workload.Cancelled, now)
 }
 
-// Recalled takes what an earlier owner stored of a job.
-func (c *Core) Recalled(id workload.JobID, p *workload.Progress) {
-	j := c.job(id)
-	j.progress = p
-	if j.sub != nil {
-		c.restore(j)
-		c.settle(j)
+// RestoreProgress takes what an earlier owner stored of a job.
+func (c *Core) RestoreProgress(id workload.JobID, progress *workload.Progress) {
+	j := c.ensureJob(id)
+	j.restoredProgress = progress
+	if j.submission != nil {
+		c.applyStoredProgress(j)
+		c.applyEarlyCancel(j)
 	}
 }
 
-// job returns the job of an ID, made if need be.
-func (c *Core) job(id workload.JobID) *job {
+// ensureJob returns the job of an ID, made if need be.
+func (c *Core) ensureJob(id workload.JobID) *job {
 	j, ok := c.jobs[id]
 	if !ok {
-		j = &job{id: id, shown: workload.Pending}
+		j = &job{id: id, storedState: workload.Pending}
 		c.jobs[id] = j
 	}
 	return j
 }
 
-// State returns a job's state as callers may be told it. ok is false if there
+// JobState returns a job's state as callers may be told it. ok is false if there
 // is no such job. An end is shown only once it is stored: an owner that shows
 // it and is lost would otherwise be followed by one that runs the job again.
-func (c *Core) State(id workload.JobID) (s workload.State, ok bool) {
+func (c *Core) JobState(id workload.JobID) (s workload.JobState, ok bool) {
 	j, ok := c.jobs[id]
-	if !ok || j.sub == nil {
+	if !ok || j.submission == nil {
 		return "", false
 	}
-	if j.shown.Ended() {
-		return j.shown, true
+	if j.storedState.IsTerminal() {
+		return j.storedState, true
 	}
-	if j.begun {
+	if j.started {
 		return workload.Running, true
 	}
 	return workload.Pending, true
 }
 
-// Waiting is how many accepted jobs of a queue have not begun.
-func (c *Core) Waiting(queue string) int {
+// WaitingJobs is how many accepted jobs of a queue have not begun.
+func (c *Core) WaitingJobs(queue string) int {
 	n := 0
-	for _, j := range c.active {
-		if j.sub.Queue == queue && !j.begun && !j.final.Ended() {
+	for _, j := range c.activeJobs {
+		if j.submission.Queue == queue && !j.started && !j.finalState.IsTerminal() {
 			n++
 		}
 	}
@@ -304,92 +304,92 @@
 	present := map[string]bool{}
 	for _, info := range list {
 		present[info.ID] = true
-		w := c.worker(info.ID, now)
-		c.takeEntry(w, info, now)
-		w.missing = false
+		w := c.ensureWorker(info.ID, now)
+		c.updateEntry(w, info, now)
+		w.unregistered = false
 	}
-	for _, w := range c.order {
+	for _, w := range c.sortedWorkers {
 		if !present[w.info.ID] {
-			w.missing = true
+			w.unregistered = true
 		}
-		c.clarify(w, now)
+		c.resolvePossibleCrash(w, now)
 	}
-	c.dirtyPlan = true
+	c.planStale = true
 }
 
-// SetElsewhere takes the addresses at which workers of services that other owners run
+// SetForeignAddresses takes the addresses at which workers of services that other owners run
 // are registered. An address may pass from one service to another.
-func (c *Core) SetElsewhere(addresses []string) {
-	clear(c.elsewhere)
+func (c *Core) SetForeignAddresses(addresses []string) {
+	clear(c.foreignAddresses)
 	for _, a := range addresses {
-		c.elsewhere[a] = true
+		c.foreignAddresses[a] = true
 	}
 }
 
-// worker returns the worker of an ID, made if need be.
-func (c *Core) worker(id string, now time.Time) *worker {
+// ensureWorker returns the worker of an ID, made if need be.
+func (c *Core) ensureWorker(id string, now time.Time) *worker {
 	if w, ok := c.workers[id]; ok {
 		return w
 	}
-	w := &worker{info: workload.Worker{ID: id}, token: c.cfg.Epoch * tokenStep, pace: fullPace, since: now, unreachable: true, missing: true, unsettled: true}
-	if last, ok := c.lastTokens[id]; ok {
+	w := &worker{info: workload.Worker{ID: id}, token: c.settings.Epoch * tokensPerEpoch, bestEffortSpeedPercent: fullSpeedPercent, incarnationFirstSeenAt: now, unreachable: true, unregistered: true, incarnationUnresolved: true}
+	if last, ok := c.forgottenWorkerTokens[id]; ok {
 		w.token = last
 		c.raiseToken(w)
 	}
 	c.workers[id] = w
-	c.order = append(c.order, w)
-	slices.SortFunc(c.order, func(a, b *worker) int { return strings.Compare(a.info.ID, b.info.ID) })
+	c.sortedWorkers = append(c.sortedWorkers, w)
+	slices.SortFunc(c.sortedWorkers, func(a, b *worker) int { return strings.Compare(a.info.ID, b.info.ID) })
 	return w
 }
 
 // Step returns what is due.
 func (c *Core) Step(now time.Time) Orders {
-	c.noteStall(now)
+	c.detectStall(now)
 	c.expireRuns(now)
-	c.doubtStarts(now)
-	c.forgetWorkers(now)
-	c.holdWorkers(now)
-	c.evacuate(now)
-	c.watchGangs(now)
-	c.place(now)
-	c.copyStragglers(now)
-	c.forgetJobs(now)
-	c.write(now)
-	out := c.out
-	c.out = Orders{}
-	return out
+	c.pollOvertakenStarts(now)
+	c.removeGoneWorkers(now)
+	c.pollWorkers(now)
+	c.evictRuns(now)
+	c.stopIncompleteGangs(now)
+	c.placeTasks(now)
+	c.startSpeculativeCopies(now)
+	c.sweepJobs(now)
+	c.orderWrite(now)
+	orders := c.orders
+	c.orders = Orders{}
+	return orders
 }
 
-// forgetWorkers drops workers that are gone and run nothing any more. One that is
+// removeGoneWorkers drops workers that are gone and run nothing any more. One that is
 // closed is kept: it may be on no list yet, and open when it comes.
-func (c *Core) forgetWorkers(now time.Time) {
-	c.order = slices.DeleteFunc(c.order, func(w *worker) bool {
-		if !w.missing || len(w.runs) > 0 || now.Before(w.evacuateUntil) || now.Before(w.unclearUntil) {
+func (c *Core) removeGoneWorkers(now time.Time) {
+	c.sortedWorkers = slices.DeleteFunc(c.sortedWorkers, func(w *worker) bool {
+		if !w.unregistered || len(w.runs) > 0 || now.Before(w.drainUntil) || now.Before(w.crashUnconfirmedUntil) {
 			return false
 		}
-		if c.unheld[w.info.ID] && now.Before(c.blockedUntil) {
+		if c.unresolvedWorkers[w.info.ID] && now.Before(c.earlierLeasesExpireAt) {
 			return false // it may be cut off from the store and run what an earlier owner started
 		}
 		delete(c.workers, w.info.ID)
-		delete(c.unheld, w.info.ID)
-		c.lastTokens[w.info.ID] = w.token
+		delete(c.unresolvedWorkers, w.info.ID)
+		c.forgottenWorkerTokens[w.info.ID] = w.token
 		return true
 	})
 }
 
-// forgetJobs drops jobs that ended long ago, here and in the store.
-func (c *Core) forgetJobs(now time.Time) {
-	c.noteUnblocked(now)
-	c.active = slices.DeleteFunc(c.active, func(j *job) bool { return j.shown.Ended() && j.live == 0 })
-	if now.Before(c.sweptAt.Add(sweepInterval)) {
+// sweepJobs drops jobs that ended long ago, here and in the store.
+func (c *Core) sweepJobs(now time.Time) {
+	c.logTakeoverComplete(now)
+	c.activeJobs = slices.DeleteFunc(c.activeJobs, func(j *job) bool { return j.storedState.IsTerminal() && j.liveRuns == 0 })
+	if now.Before(c.lastJobSweepAt.Add(jobSweepInterval)) {
 		return
 	}
 	for id, j := range c.jobs {
-		if j.shown.Ended() && j.live == 0 && now.UnixMilli()-j.endedMS > (2*c.cfg.StateKept).Milliseconds() {
-			c.expired = append(c.expired, id)
+		if j.storedState.IsTerminal() && j.liveRuns == 0 && now.UnixMilli()-j.completedAtMS > (2*c.settings.JobRetention).Milliseconds() {
+			c.jobsToDelete = append(c.jobsToDelete, id)
 			delete(c.jobs, id)
 		}
 	}
-	slices.Sort(c.expired)
-	c.sweptAt = now
+	slices.Sort(c.jobsToDelete)
+	c.lastJobSweepAt = now
 }
--- a/internal/scheduler/core_test.go
+++ b/internal/scheduler/core_test.go
@@ -19,9 +19,9 @@
 	r.setWorkers("w-1", "w-2")
 	r.submit("0000000000000001", batchStep(1, 1000))
 	r.step(0)
-	r.answerPoll("w-1", r.now, workload.Held{})
+	r.answerPoll("w-1", r.now, workload.PollReport{})
 	assert.Empty(t, r.step(50*time.Millisecond).Starts)
-	r.answerPoll("w-2", r.now, workload.Held{})
+	r.answerPoll("w-2", r.now, workload.PollReport{})
 	assert.Len(t, r.step(50*time.Millisecond).Starts, 1)
 }
 
@@ -33,11 +33,11 @@
 	r.setWorkers("w-1", "w-2")
 	r.submit("0000000000000001", batchStep(1, 1000))
 	r.step(0)
-	r.answerPoll("w-1", r.now, workload.Held{})
+	r.answerPoll("w-1", r.now, workload.PollReport{})
 	leaseOnSlowClock := testLease * 100 / 98
 	for r.now.Sub(historyStart) < leaseOnSlowClock {
 		require.Empty(t, r.step(100*time.Millisecond).Starts, "after %s", r.now.Sub(historyStart))
-		r.answerPoll("w-1", r.now, workload.Held{})
+		r.answerPoll("w-1", r.now, workload.PollReport{})
 	}
 	started := false
 	for range 10 {
@@ -54,11 +54,11 @@
 	job := r.submit("0000000000000001", batchStep(1, 1000))
 	r.step(0)
 	key := workload.TaskKey{Job: job}
-	r.answerPoll("w-1", r.now, workload.Held{Running: []workload.RunState{{Task: key, Run: 65537, Percent: 100}}})
+	r.answerPoll("w-1", r.now, workload.PollReport{Running: []workload.ListedRun{{Task: key, Run: 65537, SpeedPercent: 100}}})
 	assert.Empty(t, r.step(50*time.Millisecond).Starts)
-	r.answerPoll("w-1", r.now, workload.Held{Finished: []workload.RunEnd{{Number: 1, Task: key, Run: 65537, How: workload.EndDone}}})
+	r.answerPoll("w-1", r.now, workload.PollReport{Exited: []workload.RunExit{{Sequence: 1, Task: key, Run: 65537, Reason: workload.ExitDone}}})
 	r.step(50 * time.Millisecond)
-	state, _ := r.core.State(job)
+	state, _ := r.core.JobState(job)
 	assert.Equal(t, workload.Completed, state)
 }
 
@@ -70,19 +70,19 @@
 	r.syncWorkers("w-1", "w-2")
 	r.submit("0000000000000001", batchStep(1, 1000))
 	start := r.step(20 * time.Millisecond).Starts[0]
-	r.answerStart(start, workload.WorkerUnknown)
+	r.answerStart(start, workload.WorkerOutcomeUnknown)
 	sentAt := r.now.Add(time.Millisecond)
 	assert.Empty(t, r.step(20*time.Millisecond).Starts)
-	r.answerPoll(start.Worker.ID, sentAt, workload.Held{})
+	r.answerPoll(start.Worker.ID, sentAt, workload.PollReport{})
 	orders := r.step(20 * time.Millisecond)
 	require.Len(t, orders.Stops, 1)
 	assert.Equal(t, start.Start.Run, orders.Stops[0].Run)
 	assert.Empty(t, orders.Starts)
-	r.core.Stopped(scheduler.OrderResult{Worker: start.Worker.ID, Task: start.Start.Task, Run: start.Start.Run, Token: start.Start.Token, Answer: workload.WorkerAnswer{Clock: 1000}}, r.now)
+	r.core.HandleStopResult(scheduler.OrderResult{Worker: start.Worker.ID, Task: start.Start.Task, Run: start.Start.Run, Token: start.Start.Token, Answer: workload.WorkerAnswer{ClockMS: 1000}}, r.now)
 	sentBeforeStopAnswer := r.now.Add(-time.Millisecond)
-	r.answerPoll(start.Worker.ID, sentBeforeStopAnswer, workload.Held{})
+	r.answerPoll(start.Worker.ID, sentBeforeStopAnswer, workload.PollReport{})
 	assert.Empty(t, r.step(20*time.Millisecond).Starts, "that poll was sent before the stop was answered")
-	r.answerPoll(start.Worker.ID, r.now, workload.Held{})
+	r.answerPoll(start.Worker.ID, r.now, workload.PollReport{})
 	restarts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, restarts, 1)
 	assert.Greater(t, restarts[0].Start.Run, start.Start.Run)
@@ -96,21 +96,21 @@
 	job := r.submit("0000000000000001", batchStep(1, 1000))
 	start := r.step(20 * time.Millisecond).Starts[0]
 	r.answerStart(start, workload.WorkerOK)
-	r.answerPoll("w-1", r.now, exitReport(1, start, workload.EndDone))
+	r.answerPoll("w-1", r.now, exitReport(1, start, workload.ExitDone))
 	r.now = r.now.Add(500 * time.Millisecond)
 	orders := r.core.Step(r.now)
 	require.NotNil(t, orders.Write)
-	for _, poll := range orders.Holds {
-		assert.Zero(t, poll.Hold.Acked)
+	for _, poll := range orders.Polls {
+		assert.Zero(t, poll.Poll.AckedUpTo)
 	}
-	state, _ := r.core.State(job)
+	state, _ := r.core.JobState(job)
 	assert.Equal(t, workload.Running, state)
-	r.core.Written()
-	state, _ = r.core.State(job)
+	r.core.HandleWriteResult()
+	state, _ = r.core.JobState(job)
 	assert.Equal(t, workload.Completed, state)
-	polls := r.core.Step(r.now.Add(time.Second)).Holds
+	polls := r.core.Step(r.now.Add(time.Second)).Polls
 	for _, poll := range polls {
-		assert.Equal(t, int64(1), poll.Hold.Acked)
+		assert.Equal(t, int64(1), poll.Poll.AckedUpTo)
 	}
 }
 
@@ -123,11 +123,11 @@
 	require.Len(t, r.step(20*time.Millisecond).Starts, 1)
 	r.submit("0000000000000001", batchStep(3, 1000))
 	assert.Empty(t, r.step(20*time.Millisecond).Starts)
-	r.core.CancelRequested(job, r.now)
+	r.core.CancelJob(job, r.now)
 	r.step(20 * time.Millisecond)
 	r.submit("0000000000000001", batchStep(3, 1000))
 	assert.Empty(t, r.step(20*time.Millisecond).Starts)
-	state, _ := r.core.State(job)
+	state, _ := r.core.JobState(job)
 	assert.Equal(t, workload.Cancelled, state)
 }
 
@@ -138,13 +138,13 @@
 	r.syncWorkers("w-1")
 	job := r.submit("0000000000000001", batchStep(1, 1000))
 	start := r.step(20 * time.Millisecond).Starts[0]
-	r.core.CancelRequested(job, r.now)
+	r.core.CancelJob(job, r.now)
 	r.step(20 * time.Millisecond)
-	r.answerStart(start, workload.WorkerUnknown)
-	r.core.Stopped(scheduler.OrderResult{Worker: "w-1", Task: start.Start.Task, Run: start.Start.Run, Token: start.Start.Token, Answer: workload.WorkerAnswer{Status: workload.WorkerUnknown}}, r.now)
+	r.answerStart(start, workload.WorkerOutcomeUnknown)
+	r.core.HandleStopResult(scheduler.OrderResult{Worker: "w-1", Task: start.Start.Task, Run: start.Start.Run, Token: start.Start.Token, Answer: workload.WorkerAnswer{Status: workload.WorkerOutcomeUnknown}}, r.now)
 	r.step(20 * time.Millisecond)
 	r.step(400 * time.Millisecond)
-	r.answerPoll("w-1", r.now, workload.Held{Running: []workload.RunState{{Task: start.Start.Task, Run: start.Start.Run, Percent: 100}}})
+	r.answerPoll("w-1", r.now, workload.PollReport{Running: []workload.ListedRun{{Task: start.Start.Task, Run: start.Start.Run, SpeedPercent: 100}}})
 	assert.NotEmpty(t, r.step(20*time.Millisecond).Stops)
 }
 
@@ -158,8 +158,8 @@
 	r.answerStart(start, workload.WorkerNotSent)
 	orders := r.step(400 * time.Millisecond)
 	assert.Empty(t, orders.Starts)
-	require.Len(t, orders.Holds, 1)
-	r.answerPoll("w-1", r.now, workload.Held{})
+	require.Len(t, orders.Polls, 1)
+	r.answerPoll("w-1", r.now, workload.PollReport{})
 	assert.Len(t, r.step(400*time.Millisecond).Starts, 1)
 }
 
@@ -175,7 +175,7 @@
 	require.Len(t, starts, 6)
 	for i, s := range starts[:3] {
 		r.answerStart(s, workload.WorkerOK)
-		r.answerPoll("w-1", r.now, exitReport(int64(i+1), s, workload.EndFailed))
+		r.answerPoll("w-1", r.now, exitReport(int64(i+1), s, workload.ExitFailed))
 	}
 	assert.Empty(t, r.step(1100*time.Millisecond).Starts, "nothing new goes to it")
 	for _, s := range r.syncWorkers("w-1", "w-2") {
@@ -192,7 +192,7 @@
 	start := r.step(20 * time.Millisecond).Starts[0]
 	r.answerStart(start, workload.WorkerOK)
 	var handover *workload.Handover
-	for _, record := range r.core.Handover(r.now) {
+	for _, record := range r.core.HandoverRecords(r.now) {
 		if record.Handover != nil {
 			handover = record.Handover
 		}
@@ -205,11 +205,11 @@
 	next.core.SetConfig(testConfig)
 	next.submit(string(first), batchStep(1, 1000))
 	second := next.submit("0000000000000002", batchStep(1, 1000))
-	next.core.Inherit(handover, next.now)
+	next.core.RestoreHandover(handover, next.now)
 	next.setWorkers("w-1", "w-2")
 	next.step(0)
-	next.core.Held(scheduler.HoldResult{Worker: "w-1", Token: 4 << 10, SentAt: next.now, Answer: workload.WorkerAnswer{Status: workload.WorkerUnknown}}, next.now)
-	next.core.Held(scheduler.HoldResult{Worker: "w-2", Token: 4 << 10, SentAt: next.now, Answer: workload.WorkerAnswer{Clock: 1000}}, next.now)
+	next.core.HandlePollResult(scheduler.PollResult{Worker: "w-1", Token: 4 << 10, SentAt: next.now, Answer: workload.WorkerAnswer{Status: workload.WorkerOutcomeUnknown}}, next.now)
+	next.core.HandlePollResult(scheduler.PollResult{Worker: "w-2", Token: 4 << 10, SentAt: next.now, Answer: workload.WorkerAnswer{ClockMS: 1000}}, next.now)
 	var started []workload.JobID
 	stepTimes := func(steps int) {
 		for range steps {
@@ -217,11 +217,11 @@
 			for _, s := range orders.Starts {
 				started = append(started, s.Start.Task.Job)
 			}
-			for _, poll := range orders.Holds {
+			for _, poll := range orders.Polls {
 				if poll.Worker.ID != "w-1" {
 					continue // it waits for an end
 				}
-				next.core.Held(scheduler.HoldResult{Worker: poll.Worker.ID, Token: poll.Hold.Token, SentAt: next.now, Answer: workload.WorkerAnswer{Status: workload.WorkerUnknown}}, next.now)
+				next.core.HandlePollResult(scheduler.PollResult{Worker: poll.Worker.ID, Token: poll.Poll.Token, SentAt: next.now, Answer: workload.WorkerAnswer{Status: workload.WorkerOutcomeUnknown}}, next.now)
 			}
 		}
 	}
@@ -243,17 +243,17 @@
 	sentAt := r.now
 	r.step(20 * time.Millisecond)
 	r.now = r.now.Add(6 * time.Second)
-	r.core.Held(scheduler.HoldResult{Worker: start.Worker.ID, Token: 3 << 10, SentAt: sentAt, Answer: workload.WorkerAnswer{Status: workload.WorkerUnknown}}, r.now)
-	var polls []scheduler.HoldOrder
+	r.core.HandlePollResult(scheduler.PollResult{Worker: start.Worker.ID, Token: 3 << 10, SentAt: sentAt, Answer: workload.WorkerAnswer{Status: workload.WorkerOutcomeUnknown}}, r.now)
+	var polls []scheduler.PollOrder
 	for range 4 {
 		orders := r.step(100 * time.Millisecond)
 		require.Empty(t, orders.Starts)
-		polls = append(polls, orders.Holds...)
+		polls = append(polls, orders.Polls...)
 	}
 	require.NotEmpty(t, polls)
-	r.answerPoll(start.Worker.ID, r.now, exitReport(1, start, workload.EndDone))
+	r.answerPoll(start.Worker.ID, r.now, exitReport(1, start, workload.ExitDone))
 	r.step(100 * time.Millisecond)
-	state, _ := r.core.State(job)
+	state, _ := r.core.JobState(job)
 	assert.Equal(t, workload.Completed, state)
 }
 
@@ -291,17 +291,17 @@
 	for _, s := range starts {
 		r.answerStart(s, workload.WorkerOK)
 	}
-	report := exitReport(1, starts[0], workload.EndDone)
-	report.Running = []workload.RunState{{Task: starts[1].Start.Task, Run: starts[1].Start.Run, Percent: 100}}
+	report := exitReport(1, starts[0], workload.ExitDone)
+	report.Running = []workload.ListedRun{{Task: starts[1].Start.Task, Run: starts[1].Start.Run, SpeedPercent: 100}}
 	r.answerPoll("w-1", r.now.Add(time.Millisecond), report)
 	r.now = r.now.Add(20 * time.Millisecond)
 	orders := r.core.Step(r.now)
 	require.NotNil(t, orders.Write)
-	assert.Empty(t, orders.Holds)
-	r.core.Written()
-	polls := r.core.Step(r.now.Add(5 * time.Millisecond)).Holds
+	assert.Empty(t, orders.Polls)
+	r.core.HandleWriteResult()
+	polls := r.core.Step(r.now.Add(5 * time.Millisecond)).Polls
 	require.Len(t, polls, 1)
-	assert.Equal(t, int64(1), polls[0].Hold.Acked)
+	assert.Equal(t, int64(1), polls[0].Poll.AckedUpTo)
 }
 
 // A caller cancels its job, and the owner hands over before its stop has reached the
@@ -310,14 +310,14 @@
 func TestRunOfACancelledJobIsStoppedAfterAHandover(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
-	longRunning := workload.Step{Count: 1, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true}
+	longRunning := workload.Step{Count: 1, Resources: workload.Resources{CPU: 1000, MemoryMB: 100}, LongRunning: true}
 	job := r.submit("0000000000000001", longRunning)
 	start := r.step(20 * time.Millisecond).Starts[0]
 	r.answerStart(start, workload.WorkerOK)
-	r.core.CancelRequested(job, r.now)
+	r.core.CancelJob(job, r.now)
 	require.Len(t, r.step(20*time.Millisecond).Stops, 1) // it is lost
 	var handover *workload.Handover
-	for _, record := range r.core.Handover(r.now) {
+	for _, record := range r.core.HandoverRecords(r.now) {
 		if record.Handover != nil {
 			handover = record.Handover
 		}
@@ -327,13 +327,13 @@
 	next := &rig{t: t, now: r.now, epoch: 4}
 	next.core = scheduler.New(testSettings(4), next.now, nil, false)
 	next.core.SetConfig(testConfig)
-	next.core.CancelRequested(job, next.now)
+	next.core.CancelJob(job, next.now)
 	next.submit(string(job), longRunning)
-	next.core.Inherit(handover, next.now)
+	next.core.RestoreHandover(handover, next.now)
 	next.setWorkers("w-1")
 	next.step(0)
-	report := workload.Held{Running: []workload.RunState{{Task: start.Start.Task, Run: start.Start.Run, Percent: 100}}}
-	next.core.Held(scheduler.HoldResult{Worker: "w-1", Token: 4 << 10, SentAt: next.now, Held: report, Answer: workload.WorkerAnswer{Clock: 1000}}, next.now)
+	report := workload.PollReport{Running: []workload.ListedRun{{Task: start.Start.Task, Run: start.Start.Run, SpeedPercent: 100}}}
+	next.core.HandlePollResult(scheduler.PollResult{Worker: "w-1", Token: 4 << 10, SentAt: next.now, Report: report, Answer: workload.WorkerAnswer{ClockMS: 1000}}, next.now)
 	stops := next.step(20 * time.Millisecond).Stops
 	require.Len(t, stops, 1)
 	assert.Equal(t, start.Start.Run, stops[0].Run)
@@ -354,17 +354,17 @@
 	orders := r.stepFor(30 * time.Second)
 	assert.Empty(t, orders.Starts)
 	assert.Empty(t, orders.Stops)
-	load := r.core.Loads(r.now)[0]
-	assert.Len(t, load.Lacks, 1)
-	assert.Equal(t, workload.Resources{CPU: 2000, MemoryMB: 4000}, load.Size)
-	assert.NotNil(t, load.Workers["w-1"].Shrunk)
-	state, _ := r.core.State(job)
+	load := r.core.ServiceLoads(r.now)[0]
+	assert.Len(t, load.UnmetRequirements, 1)
+	assert.Equal(t, workload.Resources{CPU: 2000, MemoryMB: 4000}, load.MeanWorkerCapacity)
+	assert.NotNil(t, load.Workers["w-1"].ReducedCapacity)
+	state, _ := r.core.JobState(job)
 	assert.Equal(t, workload.Pending, state)
 
 	setCapacity(workload.Resources{CPU: 8000, MemoryMB: 16000})
-	load = r.core.Loads(r.now)[0]
-	assert.Empty(t, load.Lacks)
-	assert.Nil(t, load.Workers["w-1"].Shrunk)
+	load = r.core.ServiceLoads(r.now)[0]
+	assert.Empty(t, load.UnmetRequirements)
+	assert.Nil(t, load.Workers["w-1"].ReducedCapacity)
 	assert.Len(t, r.stepFor(200*time.Millisecond).Starts, 1)
 }
 
@@ -374,7 +374,7 @@
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
 	longRunning := batchStep(1, 7000)
-	longRunning.Lasting = true
+	longRunning.LongRunning = true
 	shrunkWorker := r.startJob("0000000000000001", batchStep(1, 5000))[0].Worker.ID
 	otherWorker := r.startJob("0000000000000002", batchStep(1, 6000))[0].Worker.ID
 	require.NotEqual(t, shrunkWorker, otherWorker)
--- a/internal/scheduler/crash_test.go
+++ b/internal/scheduler/crash_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	assert.LessOrEqual(t, starts, 5)
-	state, _ := r.core.State(job)
+	state, _ := r.core.JobState(job)
 	assert.Equal(t, workload.Failed, state)
 }
 
@@ -44,7 +44,7 @@
 func (w *world) randomCrashingSpec() workload.Spec {
 	s := workload.Step{
 		Count:      1 + w.rng.IntN(4),
-		Need:       workload.Resources{CPU: 500 + w.rng.IntN(4000), MemoryMB: 500 + w.rng.IntN(8000)},
+		Resources:  workload.Resources{CPU: 500 + w.rng.IntN(4000), MemoryMB: 500 + w.rng.IntN(8000)},
 		EstimateMS: 100 + w.rng.Int64N(2500),
 	}
 	spec := workload.Spec{Payload: "crash"}
@@ -54,13 +54,13 @@
 	case 1:
 		s.Speculative = true
 	case 2:
-		s.Lasting, s.MaxPerWorker, s.MayMiss = true, 2, 1
+		s.LongRunning, s.MaxPerWorker, s.MaxUnavailable = true, 2, 1
 	case 3:
 		s.Checkpoints = true
 	case 4:
 		spec.Repeat, spec.StartAtMS, spec.IntervalMS = 2, w.now.Add(time.Second).UnixMilli(), 2000
 	case 5:
-		s.Label = "a"
+		s.RequiredLabel = "a"
 	}
 	spec.Steps = []workload.Step{s}
 	return spec
@@ -217,7 +217,7 @@
 		isCrashingJob := map[workload.JobID]bool{}
 		for _, job := range crashingJobs {
 			isCrashingJob[job.id] = true
-			state, _ := w.owner.core.State(job.id)
+			state, _ := w.owner.core.JobState(job.id)
 			assert.Equal(t, workload.Failed, state, "seed %d: job %s with a task that crashes workers", seed, job.id)
 			for taskName := range w.crashingTasks {
 				crashes += job.workerCrashes[taskName]
@@ -226,11 +226,11 @@
 		}
 		bystanderRunsLost += w.bystanderRunsLost
 		for _, job := range w.jobs {
-			state, known := w.owner.core.State(job.id)
+			state, known := w.owner.core.JobState(job.id)
 			require.True(t, known, "seed %d: job %s is not known", seed, job.id)
 			switch {
 			case isCrashingJob[job.id]:
-			case job.submission.Spec.Steps[0].Lasting:
+			case job.submission.Spec.Steps[0].LongRunning:
 				assert.Equal(t, workload.Running, state, "seed %d: job %s", seed, job.id)
 				missing := w.runningCount(job.id) < job.submission.Spec.Steps[0].Count
 				assert.False(t, missing && w.hasFreeCapacity(job), "seed %d: lasting tasks of %s", seed, job.id)
@@ -261,7 +261,7 @@
 		var longRunningJobs []*fakeJob
 		w.after(100*time.Millisecond, func() {
 			for range 8 {
-				longRunningJobs = append(longRunningJobs, w.submit(workload.Spec{Steps: []workload.Step{{Count: 3, Need: workload.Resources{CPU: 500, MemoryMB: 500}, Lasting: true, MayMiss: 1, MaxPerWorker: 2}}}, "quick"))
+				longRunningJobs = append(longRunningJobs, w.submit(workload.Spec{Steps: []workload.Step{{Count: 3, Resources: workload.Resources{CPU: 500, MemoryMB: 500}, LongRunning: true, MaxUnavailable: 1, MaxPerWorker: 2}}}, "quick"))
 			}
 		})
 		for range 6 {
--- a/internal/scheduler/evacuate_test.go
+++ b/internal/scheduler/evacuate_test.go
@@ -19,7 +19,7 @@
 		prepare func(r *rig)
 	}{
 		{"all is handed over", func(r *rig) {
-			r.core.Inherit(&workload.Handover{Epoch: r.epoch - 1}, r.now)
+			r.core.RestoreHandover(&workload.Handover{Epoch: r.epoch - 1}, r.now)
 		}},
 		{"forgotten", func(r *rig) {
 			r.syncWorkers("w-1")
@@ -29,13 +29,13 @@
 	} {
 		r := newRig(t)
 		c.prepare(r)
-		require.Equal(t, workload.VacantUnseen, r.core.Evacuate("w-1", r.now), "%s: nothing can run there", c.name)
+		require.Equal(t, workload.DrainedUnconfirmed, r.core.DrainWorker("w-1", r.now), "%s: nothing can run there", c.name)
 		r.submit("0000000000000001", batchStep(1, 1000))
 		clear(r.latestPolls)
 		r.setWorkers("w-1")
 		answerNextPoll := func() {
 			poll, _ := r.awaitPoll("w-1")
-			r.answerPollAs(poll, firstIncarnation, workload.Held{})
+			r.answerPollAs(poll, firstIncarnation, workload.PollReport{})
 		}
 		answerNextPoll()
 		assert.Empty(t, r.stepFor(time.Second).Starts, "%s: the order for the VM is on its way", c.name)
@@ -51,24 +51,24 @@
 	r := newRig(t)
 	r.syncWorkers("w-2")
 	for range 20 {
-		require.Equal(t, workload.VacantUnseen, r.core.Evacuate("w-1", r.now))
+		require.Equal(t, workload.DrainedUnconfirmed, r.core.DrainWorker("w-1", r.now))
 		r.stepFor(200 * time.Millisecond)
 	}
-	assert.NotContains(t, r.core.Loads(r.now)[0].Workers, "w-1")
+	assert.NotContains(t, r.core.ServiceLoads(r.now)[0].Workers, "w-1")
 }
 
 // Guards against a worker being called empty that may run what an earlier owner started.
 func TestUnresolvedWorkerIsNotReportedDrainedBeforeItAnswers(t *testing.T) {
 	r := newRig(t, "w-1")
 	for range 3 {
-		require.Equal(t, workload.Occupied, r.core.Evacuate("w-1", r.now))
+		require.Equal(t, workload.NotDrained, r.core.DrainWorker("w-1", r.now))
 		r.step(50 * time.Millisecond)
 	}
 	r.setWorkers("w-1")
 	r.step(0)
-	require.Equal(t, workload.Occupied, r.core.Evacuate("w-1", r.now), "it is listed and hasn't answered")
-	r.answerPoll("w-1", r.now, workload.Held{})
-	assert.Equal(t, workload.Vacant, r.core.Evacuate("w-1", r.now))
+	require.Equal(t, workload.NotDrained, r.core.DrainWorker("w-1", r.now), "it is listed and hasn't answered")
+	r.answerPoll("w-1", r.now, workload.PollReport{})
+	assert.Equal(t, workload.Drained, r.core.DrainWorker("w-1", r.now))
 }
 
 // Guards against a VM's tasks being cut as the process of its idle worker had ended and
@@ -78,13 +78,13 @@
 	r.syncWorkers("w-1")
 	r.stepFor(5 * time.Second)
 	clear(r.latestPolls)
-	require.Equal(t, workload.VacantUnseen, r.core.Evacuate("w-1", r.now))
+	require.Equal(t, workload.DrainedUnconfirmed, r.core.DrainWorker("w-1", r.now))
 	poll, _ := r.awaitPoll("w-1")
-	r.answerPollAs(poll, firstIncarnation, workload.Held{})
-	require.Equal(t, workload.Vacant, r.core.Evacuate("w-1", r.now))
+	r.answerPollAs(poll, firstIncarnation, workload.PollReport{})
+	require.Equal(t, workload.Drained, r.core.DrainWorker("w-1", r.now))
 	poll, _ = r.awaitPoll("w-1")
 	r.timeOutPoll(poll.Worker.ID)
-	assert.Equal(t, workload.VacantUnseen, r.core.Evacuate("w-1", r.now), "it doesn't answer any more")
+	assert.Equal(t, workload.DrainedUnconfirmed, r.core.DrainWorker("w-1", r.now), "it doesn't answer any more")
 	r.stepFor(400 * time.Millisecond)
-	assert.Equal(t, workload.VacantUnseen, r.core.Evacuate("w-1", r.now))
+	assert.Equal(t, workload.DrainedUnconfirmed, r.core.DrainWorker("w-1", r.now))
 }
--- a/internal/scheduler/fakecrash_test.go
+++ b/internal/scheduler/fakecrash_test.go
@@ -103,7 +103,7 @@
 	f.highestToken, f.leaseExpiresAt, f.lastExitNumber, f.ackedUpTo, f.lastExitAtLapse = 0, 0, 0, 0, 0
 	f.unackedExits = nil
 	f.highestRunByTask = map[string]int64{}
-	f.info.Born = f.world.now.UnixMilli()
+	f.info.Incarnation = f.world.now.UnixMilli()
 	f.world.after(f.world.durationBetween(0, 600*time.Millisecond), f.register)
 }
 
@@ -121,5 +121,5 @@
 	if f.hasSuccessor {
 		return workload.WorkerAnswer{Status: workload.WorkerReplaced}
 	}
-	return workload.WorkerAnswer{Status: workload.WorkerDown}
+	return workload.WorkerAnswer{Status: workload.WorkerConnRefused}
 }
--- a/internal/scheduler/fakegang_test.go
+++ b/internal/scheduler/fakegang_test.go
@@ -18,7 +18,7 @@
 			return
 		}
 		for _, m := range members {
-			m.worker.endRun(m.run, workload.EndDone)
+			m.worker.endRun(m.run, workload.ExitDone)
 		}
 	})
 }
@@ -46,6 +46,6 @@
 // breakGang ends the other members of a gang.
 func (w *world) breakGang(lost *fakeRun) {
 	for _, m := range w.gangMembers(lost) {
-		m.worker.endRun(m.run, workload.EndBroken)
+		m.worker.endRun(m.run, workload.ExitGangBroken)
 	}
 }
--- a/internal/scheduler/fakeowner_test.go
+++ b/internal/scheduler/fakeowner_test.go
@@ -59,7 +59,7 @@
 		{Name: "quick", Service: "service", MaxAttempts: 3, Stretch: 1.6, Objective: 600 * time.Millisecond},
 		{Name: "slow", Service: "service", Priority: 1, MaxAttempts: 3, Stretch: 1.6, Objective: 600 * time.Millisecond},
 	},
-	Services: []workload.Service{{Name: "service", Guarded: true}},
+	Services: []workload.Service{{Name: "service", EnforcesCapacity: true}},
 }
 
 // takeOver starts a new owner, as the owner package does: fence, then read.
@@ -117,7 +117,7 @@
 		}
 	}
 	settings := testSettings(o.epoch)
-	settings.Overlap = membershipTTL
+	settings.MaxOwnerOverlap = membershipTTL
 	o.core = scheduler.New(settings, w.now, unresolvedWorkers, false)
 	o.confirmOwnership()
 	o.core.SetConfig(testConfig)
@@ -132,16 +132,16 @@
 	}
 	for _, r := range records {
 		if r.Progress != nil && newerProgress[r.Job] == nil {
-			o.core.Recalled(r.Job, r.Progress)
+			o.core.RestoreProgress(r.Job, r.Progress)
 		}
 	}
 	for _, r := range fromPrevious {
 		if r.Progress != nil {
-			o.core.RecallUnstored(r.Job, r.Progress)
+			o.core.RestoreUnstoredProgress(r.Job, r.Progress)
 		}
 	}
 	if handover != nil {
-		o.core.Inherit(handover, w.now)
+		o.core.RestoreHandover(handover, w.now)
 	}
 	for _, r := range w.store.records() {
 		o.applyRecord(r) // what was stored since the read; it follows the log
@@ -178,7 +178,7 @@
 			continue
 		}
 		previous.dead = true
-		records := previous.core.Report(w.now)
+		records := previous.core.UnstoredHandoverRecords(w.now)
 		if handover, _ := lastHandover(append([]workload.Record{{Takeover: &workload.Takeover{Epoch: epoch}}}, records...)); handover != nil {
 			w.directHandovers++
 			return records
@@ -190,9 +190,9 @@
 func (o *fakeOwner) applyRecord(r workload.Record) {
 	switch {
 	case r.Submission != nil:
-		o.core.Submitted(r.Job, r.Submission)
+		o.core.AddJob(r.Job, r.Submission)
 	case r.Cancel:
-		o.core.CancelRequested(r.Job, o.world.now)
+		o.core.CancelJob(r.Job, o.world.now)
 	}
 }
 
@@ -264,24 +264,24 @@
 			w.jobs[d.Job].givenUp = true
 		}
 	}
-	if o.core.Lost() != "" {
+	if o.core.StepDownReason() != "" {
 		o.dead = true
 		if w.owner == o {
 			w.after(w.durationBetween(100*time.Millisecond, time.Second), w.takeOver)
 		}
 		return
 	}
-	for _, p := range orders.Holds {
+	for _, p := range orders.Polls {
 		o.sendPoll(p)
 	}
 	for _, s := range orders.Stops {
 		o.sendOrder(s.Worker.ID, func(f *fakeWorker) workload.WorkerAnswer { return f.stop(s) }, func(a workload.WorkerAnswer) {
-			o.core.Stopped(scheduler.OrderResult{Worker: s.Worker.ID, Task: s.Task, Run: s.Run, Token: s.Token, Answer: a}, w.now)
+			o.core.HandleStopResult(scheduler.OrderResult{Worker: s.Worker.ID, Task: s.Task, Run: s.Run, Token: s.Token, Answer: a}, w.now)
 		})
 	}
 	for _, s := range orders.Starts {
 		o.sendOrder(s.Worker.ID, func(f *fakeWorker) workload.WorkerAnswer { return f.start(s.Start) }, func(a workload.WorkerAnswer) {
-			o.core.Started(scheduler.OrderResult{Worker: s.Worker.ID, Task: s.Start.Task, Run: s.Start.Run, Token: s.Start.Token, Answer: a}, w.now)
+			o.core.HandleStartResult(scheduler.OrderResult{Worker: s.Worker.ID, Task: s.Start.Task, Run: s.Start.Run, Token: s.Start.Token, Answer: a}, w.now)
 		})
 	}
 	if orders.Write != nil {
@@ -298,7 +298,7 @@
 			return
 		}
 		if !o.storeUnreachable && o.epoch < w.store.epoch {
-			o.core.GiveUp("fenced")
+			o.core.StepDown("fenced")
 			o.step()
 			return
 		}
@@ -318,7 +318,7 @@
 		}
 		o.deliverNow(func() {
 			o.pendingWrite = nil
-			o.core.Written()
+			o.core.HandleWriteResult()
 			w.checkShownStates()
 		})
 	})
@@ -332,7 +332,7 @@
 	}
 	f := w.workers[worker]
 	latency := w.durationBetween(500*time.Microsecond, 3*time.Millisecond)
-	unanswered := workload.WorkerAnswer{Status: workload.WorkerUnknown}
+	unanswered := workload.WorkerAnswer{Status: workload.WorkerOutcomeUnknown}
 	switch {
 	case w.chance(w.faults.lateOrder):
 		restartCountWhenSent := f.restartCount
@@ -365,54 +365,54 @@
 }
 
 // sendPoll sends a poll; its answer waits for an end.
-func (o *fakeOwner) sendPoll(order scheduler.HoldOrder) {
+func (o *fakeOwner) sendPoll(order scheduler.PollOrder) {
 	w := o.world
 	sentAt := w.now
 	f := w.workers[order.Worker.ID]
-	deliverReport := func(report workload.Held, a workload.WorkerAnswer) {
+	deliverReport := func(report workload.PollReport, a workload.WorkerAnswer) {
 		o.deliver(func() {
-			o.core.Held(scheduler.HoldResult{Worker: order.Worker.ID, Token: order.Hold.Token, SentAt: sentAt, Extra: order.Extra, Held: report, Answer: a}, w.now)
+			o.core.HandlePollResult(scheduler.PollResult{Worker: order.Worker.ID, Token: order.Poll.Token, SentAt: sentAt, Extra: order.Extra, Report: report, Answer: a}, w.now)
 		})
 	}
-	unanswered := workload.WorkerAnswer{Status: workload.WorkerUnknown}
+	unanswered := workload.WorkerAnswer{Status: workload.WorkerOutcomeUnknown}
 	timeout := time.Second
 	if order.Extra {
 		timeout = 400 * time.Millisecond
 	}
 	latency := w.durationBetween(500*time.Microsecond, 3*time.Millisecond)
 	if f.processCrashed || f.refusesConnections {
-		w.after(2*latency, func() { deliverReport(workload.Held{}, f.refusalAnswer()) })
+		w.after(2*latency, func() { deliverReport(workload.PollReport{}, f.refusalAnswer()) })
 		return
 	}
 	link := o.links[order.Worker.ID]
 	if f.cutOff || f.terminated || link != linkHealthy || w.chance(w.faults.lostAnswer) {
 		if !f.cutOff && !f.terminated && link != linkDown {
-			w.after(latency, func() { f.execute(func(f *fakeWorker) workload.WorkerAnswer { return f.poll(order.Hold) }) })
+			w.after(latency, func() { f.execute(func(f *fakeWorker) workload.WorkerAnswer { return f.poll(order.Poll) }) })
 		}
-		w.after(timeout, func() { deliverReport(workload.Held{}, unanswered) })
+		w.after(timeout, func() { deliverReport(workload.PollReport{}, unanswered) })
 		return
 	}
 	w.after(latency, func() {
-		a, ok := f.execute(func(f *fakeWorker) workload.WorkerAnswer { return f.poll(order.Hold) })
+		a, ok := f.execute(func(f *fakeWorker) workload.WorkerAnswer { return f.poll(order.Poll) })
 		if f.processCrashed {
-			w.after(latency, func() { deliverReport(workload.Held{}, unanswered) })
+			w.after(latency, func() { deliverReport(workload.PollReport{}, unanswered) })
 			return
 		}
 		if !ok {
-			w.after(timeout, func() { deliverReport(workload.Held{}, unanswered) })
+			w.after(timeout, func() { deliverReport(workload.PollReport{}, unanswered) })
 			return
 		}
-		f.respondOnExit(order.Hold.Wait, func() {
+		f.respondOnExit(order.Poll.MaxWait, func() {
 			if f.processCrashed {
-				w.after(latency, func() { deliverReport(workload.Held{}, unanswered) })
+				w.after(latency, func() { deliverReport(workload.PollReport{}, unanswered) })
 				return
 			}
 			if f.cutOff || f.terminated {
-				w.after(timeout, func() { deliverReport(workload.Held{}, unanswered) })
+				w.after(timeout, func() { deliverReport(workload.PollReport{}, unanswered) })
 				return
 			}
 			report := f.pollReport()
-			a.Clock = f.clockMillis()
+			a.ClockMS = f.clockMillis()
 			w.after(latency, func() { deliverReport(report, a) })
 		})
 	})
@@ -435,7 +435,7 @@
 				w.store.put(r)
 			}
 		}
-		for _, r := range o.core.Handover(w.now) {
+		for _, r := range o.core.HandoverRecords(w.now) {
 			w.store.put(r)
 		}
 	}
--- a/internal/scheduler/fakeworker_test.go
+++ b/internal/scheduler/fakeworker_test.go
@@ -29,7 +29,7 @@
 	highestToken     int64
 	leaseExpiresAt   int64 // on its clock, milliseconds
 	runs             []*fakeRun
-	unackedExits     []workload.RunEnd
+	unackedExits     []workload.RunExit
 	ackedUpTo        int64 // ends up to this number are forgotten, also those that come later
 	lastExitNumber   int64
 	highestRunByTask map[string]int64 // of runs that stopped or ended, by task
@@ -56,7 +56,7 @@
 func (w *world) addWorker(id string, capacity workload.Resources) *fakeWorker {
 	f := &fakeWorker{
 		world:            w,
-		info:             workload.Worker{ID: id, Born: w.now.UnixMilli(), Service: "service", Address: id, Capacity: capacity, Labels: []string{"a", "rack"}},
+		info:             workload.Worker{ID: id, Incarnation: w.now.UnixMilli(), Service: "service", Address: id, Capacity: capacity, Labels: []string{"a", "rack"}},
 		clockRate:        0.98 + 0.02*w.rng.Float64(),
 		clockStartedAt:   w.now.Add(-time.Hour),
 		highestRunByTask: map[string]int64{},
@@ -77,7 +77,7 @@
 		return workload.WorkerAnswer{}, false
 	}
 	a := order(f)
-	a.Clock = f.clockMillis()
+	a.ClockMS = f.clockMillis()
 	return a, !f.cutOff
 }
 
@@ -111,7 +111,7 @@
 	}
 	f.lastExitAtLapse = f.lastExitNumber
 	for _, r := range slices.Clone(f.runs) {
-		f.endRun(r, workload.EndLapsed)
+		f.endRun(r, workload.ExitLeaseExpired)
 	}
 }
 
@@ -134,23 +134,23 @@
 		}
 	}
 	if s.Run <= f.highestRunByTask[taskName] {
-		f.extendLease(s.LeaseUntil)
-		return workload.WorkerAnswer{Status: workload.WorkerOld}
+		f.extendLease(s.LeaseExpiresAtMS)
+		return workload.WorkerAnswer{Status: workload.WorkerStaleRun}
 	}
-	if s.LeaseUntil <= f.clockMillis() {
-		return workload.WorkerAnswer{Status: workload.WorkerLate}
+	if s.LeaseExpiresAtMS <= f.clockMillis() {
+		return workload.WorkerAnswer{Status: workload.WorkerLeaseExpired}
 	}
-	f.extendLease(s.LeaseUntil)
+	f.extendLease(s.LeaseExpiresAtMS)
 	job := f.world.jobs[s.Task.Job]
 	spec := &job.submission.Spec.Steps[s.Task.Step]
-	if !spec.Reserve().Fits(f.info.Capacity.Sub(f.usedCapacity())) {
+	if !spec.Reservation().FitsIn(f.info.Capacity.Sub(f.usedCapacity())) {
 		if !f.world.unguarded {
 			return workload.WorkerAnswer{Status: workload.WorkerFull}
 		}
 		f.world.checkCapacity(f, taskName)
 	}
 	f.world.checkStart(job, spec, s, f)
-	r := &fakeRun{task: s.Task, runNumber: s.Run, reserved: spec.Reserve(), longRunning: spec.Lasting, startedAt: f.world.now}
+	r := &fakeRun{task: s.Task, runNumber: s.Run, reserved: spec.Reservation(), longRunning: spec.LongRunning, startedAt: f.world.now}
 	delete(job.stoppedNotRestarted, taskName)
 	job.lastRunningAt[taskName] = f.world.now
 	f.runs = append(f.runs, r)
@@ -166,11 +166,11 @@
 		f.world.startGangWork(r, spec)
 		return workload.WorkerAnswer{}
 	}
-	if !spec.Lasting {
+	if !spec.LongRunning {
 		duration := time.Duration(float64(spec.EstimateMS)*(0.7+0.6*f.world.rng.Float64())) * time.Millisecond
-		reason := workload.EndDone
+		reason := workload.ExitDone
 		if f.world.chance(f.world.faults.failedTask) {
-			reason = workload.EndFailed
+			reason = workload.ExitFailed
 		}
 		f.world.after(duration, func() { f.endRun(r, reason) })
 	}
@@ -178,7 +178,7 @@
 }
 
 // endRun lists a run's end.
-func (f *fakeWorker) endRun(r *fakeRun, reason workload.How) {
+func (f *fakeWorker) endRun(r *fakeRun, reason workload.ExitReason) {
 	if r.exited || f.terminated {
 		return
 	}
@@ -188,8 +188,8 @@
 	f.lastExitNumber++
 	taskName := r.task.String()
 	f.highestRunByTask[taskName] = max(f.highestRunByTask[taskName], r.runNumber)
-	exit := workload.RunEnd{Number: f.lastExitNumber, Task: r.task, Run: r.runNumber, How: reason}
-	if reason == workload.EndDone {
+	exit := workload.RunExit{Sequence: f.lastExitNumber, Task: r.task, Run: r.runNumber, Reason: reason}
+	if reason == workload.ExitDone {
 		job := f.world.jobs[r.task.Job]
 		job.done[taskName] = true
 		job.doneRuns[taskName] = append(job.doneRuns[taskName], r.runNumber)
@@ -233,22 +233,22 @@
 		if r.task == s.Task && r.runNumber <= s.Run && !r.stopRequested {
 			f.world.checkMaxUnavailable(r)
 			r.stopRequested = true
-			f.world.after(stopDuration, func() { f.endRun(r, workload.EndStopped) })
+			f.world.after(stopDuration, func() { f.endRun(r, workload.ExitStopped) })
 		}
 	}
 	return workload.WorkerAnswer{}
 }
 
-func (f *fakeWorker) poll(p workload.Hold) workload.WorkerAnswer {
+func (f *fakeWorker) poll(p workload.Poll) workload.WorkerAnswer {
 	if f.rejectsToken(p.Token) {
 		return workload.WorkerAnswer{Status: workload.WorkerFenced}
 	}
-	if p.LeaseUntil > 0 {
-		f.extendLease(p.LeaseUntil)
+	if p.LeaseExpiresAtMS > 0 {
+		f.extendLease(p.LeaseExpiresAtMS)
 	}
-	f.ackedUpTo = max(f.ackedUpTo, p.Acked)
-	f.unackedExits = slices.DeleteFunc(f.unackedExits, func(e workload.RunEnd) bool {
-		if e.Number > f.ackedUpTo {
+	f.ackedUpTo = max(f.ackedUpTo, p.AckedUpTo)
+	f.unackedExits = slices.DeleteFunc(f.unackedExits, func(e workload.RunExit) bool {
+		if e.Sequence > f.ackedUpTo {
 			return false
 		}
 		f.recordAck(e)
@@ -258,29 +258,29 @@
 }
 
 // recordAck takes that an end was acknowledged.
-func (f *fakeWorker) recordAck(exit workload.RunEnd) {
+func (f *fakeWorker) recordAck(exit workload.RunExit) {
 	job := f.world.jobs[exit.Task.Job]
-	switch exit.How {
-	case workload.EndDone:
+	switch exit.Reason {
+	case workload.ExitDone:
 		taskName := exit.Task.String()
-		if exit.Number <= f.lastExitAtLapse {
+		if exit.Sequence <= f.lastExitAtLapse {
 			return // nobody could know of it in time
 		}
 		job.acknowledged[taskName] = true
 		if job.supersededDoneRuns[runKey(taskName, exit.Run)] {
 			f.world.recordViolation("TWICE", taskName+" was started again before its end was acknowledged")
 		}
-	case workload.EndFailed:
+	case workload.ExitFailed:
 		job.failures[exit.Task.String()]++
 	}
 }
 
-func (f *fakeWorker) pollReport() workload.Held {
-	report := workload.Held{Born: f.info.Born}
+func (f *fakeWorker) pollReport() workload.PollReport {
+	report := workload.PollReport{Incarnation: f.info.Incarnation}
 	for _, r := range f.runs {
-		report.Running = append(report.Running, workload.RunState{Task: r.task, Run: r.runNumber, Percent: 100})
+		report.Running = append(report.Running, workload.ListedRun{Task: r.task, Run: r.runNumber, SpeedPercent: 100})
 	}
-	report.Finished = slices.Clone(f.unackedExits)
+	report.Exited = slices.Clone(f.unackedExits)
 	return report
 }
 
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -17,52 +17,52 @@
 			return
 		}
 	}
-	seats := s.seatInOneRack(p, now)
-	if seats == nil {
-		seats = s.seat(p.workers, len(s.tasks), now)
+	assigned := s.assignInOneRack(p, now)
+	if assigned == nil {
+		assigned = s.assignWorkers(p.workers, len(s.tasks), now)
 	}
-	if seats == nil {
+	if assigned == nil {
 		return
 	}
-	number := s.nextRun(c.cfg.Epoch)
-	for i, w := range seats {
-		c.start(w, s, i, number, s.checkpoint, now)
+	runNumber := s.nextRunNumber(c.settings.Epoch)
+	for i, w := range assigned {
+		c.startRun(w, s, i, runNumber, s.checkpoint, now)
 	}
-	c.forming = append(c.forming, forming{step: s, run: number, since: now})
-	p.measure()
+	c.formingGangs = append(c.formingGangs, formingGang{step: s, runNumber: runNumber, orderedAt: now})
+	p.updateMaxFree()
 }
 
 // defaultGangTimeout is taken where the platform does not tell its own; it is what
 // the known deployments have.
 const defaultGangTimeout = 3 * time.Second
 
-// forming is a gang whose members have been ordered and are not all known to be
+// formingGang is a gang whose members have been ordered and are not all known to be
 // there.
-type forming struct {
-	step  *step
-	run   int64 // of all members
-	since time.Time
+type formingGang struct {
+	step      *step
+	runNumber int64 // of all members
+	orderedAt time.Time
 }
 
-// watchGangs stops gangs that will not be complete in time. A member that is
+// stopIncompleteGangs stops gangs that will not be complete in time. A member that is
 // refused, as by a worker that has just left, or whose start gets no answer,
 // leaves the others waiting: they hold their room, get nothing done and are ended
 // when the platform's time for it is over. Stopped at once, they cost what a stop
 // takes, and the gang starts anew.
-func (c *Core) watchGangs(now time.Time) {
-	c.forming = slices.DeleteFunc(c.forming, func(g forming) bool {
-		switch g.step.presence(g.run) {
+func (c *Core) stopIncompleteGangs(now time.Time) {
+	c.formingGangs = slices.DeleteFunc(c.formingGangs, func(g formingGang) bool {
+		switch g.step.gangStatus(g.runNumber) {
 		case gangComplete:
 			return true
 		case gangPartial:
-			if now.Before(g.since.Add(c.cfg.GangTimeout / 2)) {
+			if now.Before(g.orderedAt.Add(c.settings.GangTimeout / 2)) {
 				return false
 			}
 		}
 		for i := range g.step.tasks {
 			for _, r := range g.step.tasks[i].runs {
-				if r.number == g.run {
-					c.stop(r, "its gang is not complete")
+				if r.number == g.runNumber {
+					c.stopRun(r, "its gang is not complete")
 				}
 			}
 		}
@@ -70,39 +70,39 @@
 	})
 }
 
-// presence is how much of a gang is there.
-type presence int
+// gangStatus is how much of a gang is there.
+type gangStatus int
 
 const (
-	gangComplete presence = iota
-	gangPartial           // some members are not known to be there yet
-	gangBroken            // a member is not there and won't be
+	gangComplete gangStatus = iota
+	gangPartial             // some members are not known to be there yet
+	gangBroken              // a member is not there and won't be
 )
 
-// presence tells how much of a run of a gang is there. Of one that has ended as
+// gangStatus tells how much of a run of a gang is there. Of one that has ended as
 // done nothing is waited for.
-func (s *step) presence(number int64) presence {
-	found := gangComplete
+func (s *step) gangStatus(runNumber int64) gangStatus {
+	status := gangComplete
 	for i := range s.tasks {
 		t := &s.tasks[i]
 		if t.done {
 			return gangComplete
 		}
-		k := slices.IndexFunc(t.runs, func(r *run) bool { return r.number == number })
+		k := slices.IndexFunc(t.runs, func(r *run) bool { return r.number == runNumber })
 		if k < 0 {
 			return gangBroken
 		}
-		if !t.runs[k].confirmed {
-			found = gangPartial
+		if !t.runs[k].startConfirmed {
+			status = gangPartial
 		}
 	}
-	return found
+	return status
 }
 
-// seatInOneRack finds workers in one rack, first in that of the data. A gang
+// assignInOneRack finds workers in one rack, first in that of the data. A gang
 // that doesn't ask for one rack may lie anywhere.
-func (s *step) seatInOneRack(p *pool, now time.Time) []*worker {
-	if !s.spec.SameRack && s.spec.Rack == "" {
+func (s *step) assignInOneRack(p *pool, now time.Time) []*worker {
+	if !s.spec.SameRack && s.spec.DataRack == "" {
 		return nil
 	}
 	racks := []string{}
@@ -112,18 +112,18 @@
 		}
 	}
 	slices.SortStableFunc(racks, func(a, b string) int {
-		if (a == s.spec.Rack) == (b == s.spec.Rack) {
+		if (a == s.spec.DataRack) == (b == s.spec.DataRack) {
 			return 0
 		}
-		if a == s.spec.Rack {
+		if a == s.spec.DataRack {
 			return -1
 		}
 		return 1
 	})
 	for _, rack := range racks {
 		members := slices.DeleteFunc(slices.Clone(p.workers), func(w *worker) bool { return w.info.Rack() != rack })
-		if seats := s.seat(members, len(s.tasks), now); seats != nil {
-			return seats
+		if assigned := s.assignWorkers(members, len(s.tasks), now); assigned != nil {
+			return assigned
 		}
 		if !s.spec.SameRack {
 			return nil
@@ -132,21 +132,21 @@
 	return nil
 }
 
-// seat finds a worker for each of a number of tasks at once, nil if not all fit.
-func (s *step) seat(workers []*worker, tasks int, now time.Time) []*worker {
+// assignWorkers finds a worker for each of a number of tasks at once, nil if not all fit.
+func (s *step) assignWorkers(workers []*worker, tasks int, now time.Time) []*worker {
 	free := map[*worker]workload.Resources{}
-	taken := map[*worker]int{}
+	assignedCount := map[*worker]int{}
 	for _, w := range workers {
 		free[w] = w.free()
 	}
-	seats := make([]*worker, 0, tasks)
+	assigned := make([]*worker, 0, tasks)
 	for range tasks {
 		var best *worker
 		for _, w := range workers {
-			if !s.fits(w, now) || !s.spec.Reserve().Fits(free[w]) || w.orders+taken[w] >= maxOrders {
+			if !s.fitsOn(w, now) || !s.spec.Reservation().FitsIn(free[w]) || w.ordersInFlight+assignedCount[w] >= maxOrdersPerWorker {
 				continue
 			}
-			if s.spec.MaxPerWorker > 0 && s.perWorker[w.info.ID]+taken[w] >= s.spec.MaxPerWorker {
+			if s.spec.MaxPerWorker > 0 && s.liveRunsByWorker[w.info.ID]+assignedCount[w] >= s.spec.MaxPerWorker {
 				continue
 			}
 			if best == nil || free[w].CPU < free[best].CPU {
@@ -156,9 +156,9 @@
 		if best == nil {
 			return nil
 		}
-		free[best] = free[best].Sub(s.spec.Reserve())
-		taken[best]++
-		seats = append(seats, best)
+		free[best] = free[best].Sub(s.spec.Reservation())
+		assignedCount[best]++
+		assigned = append(assigned, best)
 	}
-	return seats
+	return assigned
 }
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -48,8 +48,8 @@
 	lastExitNumber := map[string]int64{}
 	for _, s := range stops {
 		lastExitNumber[s.Worker.ID]++
-		r.core.Stopped(scheduler.OrderResult{Worker: s.Worker.ID, Task: s.Task, Run: s.Run, Token: s.Token, Answer: workload.WorkerAnswer{Clock: 1000}}, r.now)
-		r.answerPoll(s.Worker.ID, r.now.Add(time.Millisecond), workload.Held{Finished: []workload.RunEnd{{Number: lastExitNumber[s.Worker.ID], Task: s.Task, Run: s.Run, How: workload.EndStopped}}})
+		r.core.HandleStopResult(scheduler.OrderResult{Worker: s.Worker.ID, Task: s.Task, Run: s.Run, Token: s.Token, Answer: workload.WorkerAnswer{ClockMS: 1000}}, r.now)
+		r.answerPoll(s.Worker.ID, r.now.Add(time.Millisecond), workload.PollReport{Exited: []workload.RunExit{{Sequence: lastExitNumber[s.Worker.ID], Task: s.Task, Run: s.Run, Reason: workload.ExitStopped}}})
 	}
 	restarts := r.stepFor(time.Second).Starts
 	require.Len(t, restarts, 3)
@@ -66,7 +66,7 @@
 	r.answerStart(starts[0], workload.WorkerOK)
 	r.answerStart(starts[1], workload.WorkerOK)
 	r.now = r.now.Add(time.Second)
-	r.answerStart(starts[2], workload.WorkerUnknown)
+	r.answerStart(starts[2], workload.WorkerOutcomeUnknown)
 	stopped := map[workload.TaskKey]bool{}
 	for _, s := range r.stepFor(gangTimeout - 1500*time.Millisecond).Stops {
 		stopped[s.Task] = true
@@ -90,10 +90,10 @@
 func TestDrainedWorkerGetsNoTaskBeforeItAnswersAPoll(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
-	require.Equal(t, workload.Vacant, r.core.Evacuate("w-1", r.now))
+	require.Equal(t, workload.Drained, r.core.DrainWorker("w-1", r.now))
 	r.stepFor(3 * time.Second)
 	r.submit("0000000000000001", batchStep(1, 1000))
 	require.Empty(t, r.step(20*time.Millisecond).Starts)
-	r.answerPoll("w-1", r.now, workload.Held{})
+	r.answerPoll("w-1", r.now, workload.PollReport{})
 	assert.Len(t, r.step(20*time.Millisecond).Starts, 1)
 }
--- a/internal/scheduler/held.go
+++ b/internal/scheduler/held.go
@@ -8,24 +8,24 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// maxListedEnds is how many ends one answer lists at most; more follow once
+// maxListedExits is how many ends one answer lists at most; more follow once
 // these are acknowledged.
-const maxListedEnds = 500
+const maxListedExits = 500
 
-// HoldResult is the outcome of a HoldOrder.
-type HoldResult struct {
+// PollResult is the outcome of a HoldOrder.
+type PollResult struct {
 	Worker string
 	Token  int64
 	SentAt time.Time
 	Extra  bool // as ordered
-	Held   workload.Held
+	Report workload.PollReport
 	Answer workload.WorkerAnswer
 }
 
-// Held takes the outcome of a poll.
-func (c *Core) Held(r HoldResult, now time.Time) {
+// HandlePollResult takes the outcome of a poll.
+func (c *Core) HandlePollResult(r PollResult, now time.Time) {
 	if r.Extra {
-		c.extraPolls--
+		c.extraPollsInFlight--
 	}
 	w := c.workers[r.Worker]
 	if w == nil {
@@ -34,297 +34,297 @@
 	// An answer that a later one has overtaken says nothing any more: what it lists as
 	// running may have ended. Its end, if it lists one, is listed again. Nor does one that
 	// was asked for before a restart of the worker was known.
-	overtaken := r.SentAt.Before(w.toldAt) || r.Token < w.token
+	stale := r.SentAt.Before(w.lastAnsweredPollSentAt) || r.Token < w.token
 	if r.Extra {
-		w.extraPolls--
-	} else if !overtaken {
-		w.holding = false
-	}
-	overtaken = overtaken || w.isOutdated(r)
-	if !overtaken && r.Answer.Status == workload.WorkerOK && w.isOther(r) {
-		w.toldAt = r.SentAt
-		c.restarted(w, r.Held.Born, restartReason(w.born, r.Held.Born), now)
+		w.extraPollsInFlight--
+	} else if !stale {
+		w.pollInFlight = false
+	}
+	stale = stale || w.isStaleReport(r)
+	if !stale && r.Answer.Status == workload.WorkerOK && w.isOtherIncarnation(r) {
+		w.lastAnsweredPollSentAt = r.SentAt
+		c.handleRestart(w, r.Report.Incarnation, restartReason(w.incarnation, r.Report.Incarnation), now)
 		return
 	}
 	if r.Token >= w.token {
-		w.heard(r.Answer.Clock, now)
+		w.recordClock(r.Answer.ClockMS, now)
 	}
 	switch {
 	case r.Answer.Status == workload.WorkerFenced:
-		c.fenced(w, r.Token)
+		c.handleFenced(w, r.Token)
 	case r.Answer.Status == workload.WorkerReplaced && r.Token >= w.token:
-		c.replaced(w, now)
-	case overtaken:
+		c.handleReplaced(w, now)
+	case stale:
 	case r.Answer.Status == workload.WorkerOK:
-		w.toldAt = r.SentAt
-		w.listedAt = r.Answer.Clock
-		w.holding = false // the answer of a poll that was sent earlier will be overtaken
-		c.heldOK(w, r, now)
+		w.lastAnsweredPollSentAt = r.SentAt
+		w.lastReportClockMS = r.Answer.ClockMS
+		w.pollInFlight = false // the answer of a poll that was sent earlier will be overtaken
+		c.handlePollReport(w, r, now)
 	default:
-		c.pollFailed(w, r, now)
+		c.handlePollFailure(w, r, now)
 	}
 }
 
-// isOutdated tells whether a list was made before the one that was taken last: a poll that
+// isStaleReport tells whether a list was made before the one that was taken last: a poll that
 // was sent earlier may have waited longer for its answer.
-func (w *worker) isOutdated(r HoldResult) bool {
-	return r.Answer.Status == workload.WorkerOK && r.Answer.Clock < w.listedAt && !w.isOther(r)
+func (w *worker) isStaleReport(r PollResult) bool {
+	return r.Answer.Status == workload.WorkerOK && r.Answer.ClockMS < w.lastReportClockMS && !w.isOtherIncarnation(r)
 }
 
-// pollFailed takes a poll that got no answer, or none that says anything.
-func (c *Core) pollFailed(w *worker, r HoldResult, now time.Time) {
-	w.unanswered = r.SentAt
-	w.holdAfter = now.Add(holdRetry)
+// handlePollFailure takes a poll that got no answer, or none that says anything.
+func (c *Core) handlePollFailure(w *worker, r PollResult, now time.Time) {
+	w.lastUnansweredPollSentAt = r.SentAt
+	w.nextPollAt = now.Add(pollRetryInterval)
 	if !w.unreachable {
-		if !w.isVacated(now) {
-			c.note(Decision{Verb: "worker-silent", Worker: w.info.ID, Reason: reasonOf(r.Answer), Age: now.Sub(w.answered), Critical: true})
+		if !w.isDrainingAndIdle(now) {
+			c.recordDecision(Decision{Verb: "worker-silent", Worker: w.info.ID, Reason: answerReason(r.Answer), Age: now.Sub(w.lastPollAnsweredAt), AlwaysLogged: true})
 		}
 		w.markUnreachable(now)
-		w.holdAfter = now.Add(crashRetry)
+		w.nextPollAt = now.Add(firstPollRetryInterval)
 	}
-	w.refuses = r.Answer.Status == workload.WorkerDown
-	if w.refuses {
-		c.mayHaveCrashed(w, now)
+	w.connectionRefused = r.Answer.Status == workload.WorkerConnRefused
+	if w.connectionRefused {
+		c.recordPossibleCrash(w, now)
 	}
 }
 
-// fenced gives up if a later owner has ordered the worker. An order that was
+// handleFenced gives up if a later owner has ordered the worker. An order that was
 // overtaken by a raise of this owner's own token is simply void.
-func (c *Core) fenced(w *worker, token int64) {
+func (c *Core) handleFenced(w *worker, token int64) {
 	if token >= w.token {
-		c.GiveUp("worker " + w.info.ID + " has seen a higher fencing token")
+		c.StepDown("worker " + w.info.ID + " has seen a higher fencing token")
 	}
 }
 
-// replaced takes that another incarnation answers at a worker's address: its process
+// handleReplaced takes that another incarnation answers at a worker's address: its process
 // has ended, and all that it ran. It is not asked again while it is still listed.
-func (c *Core) replaced(w *worker, now time.Time) {
-	if w.ended {
+func (c *Core) handleReplaced(w *worker, now time.Time) {
+	if w.replaced {
 		return
 	}
-	w.ended = true
-	c.processEnded(w, w.runs, now)
+	w.replaced = true
+	c.handleProcessExit(w, w.runs, now)
 }
 
-func (c *Core) heldOK(w *worker, r HoldResult, now time.Time) {
-	c.takeBorn(w, r.Held)
-	if w.unsettled {
-		c.settleIncarnation(w, r.Held, now)
+func (c *Core) handlePollReport(w *worker, r PollResult, now time.Time) {
+	c.recordIncarnation(w, r.Report)
+	if w.incarnationUnresolved {
+		c.resolveIncarnation(w, r.Report, now)
 	}
 	if !r.Extra {
-		w.ackTaken = max(w.ackTaken, w.ackSent)
+		w.ackConfirmed = max(w.ackConfirmed, w.ackSent)
 	}
-	w.answered = now
+	w.lastPollAnsweredAt = now
 	w.unreachable = false
-	w.refuses = false
-	w.inDoubt = false
-	c.wasCutOff(w)
-	w.holdAfter = now.Add(holdPause + time.Duration(len(c.order))*holdPauseEach)
-	for _, e := range r.Held.Finished {
-		if e.Number > w.seen {
-			w.seen = e.Number
-			c.ended(w, e, now)
+	w.connectionRefused = false
+	w.entryMismatch = false
+	c.retractPossibleCrash(w)
+	w.nextPollAt = now.Add(minPollInterval + time.Duration(len(c.sortedWorkers))*pollIntervalPerWorker)
+	for _, e := range r.Report.Exited {
+		if e.Sequence > w.lastExitSeen {
+			w.lastExitSeen = e.Sequence
+			c.handleExit(w, e, now)
 		}
 	}
 	switch {
-	case w.ackOwed() && w.seen == w.acked:
-		w.holdAfter = now
-	case len(r.Held.Finished) > 0:
-		w.holdAfter = now.Add(ackPause)
+	case w.hasPendingAck() && w.lastExitSeen == w.ackAllowed:
+		w.nextPollAt = now
+	case len(r.Report.Exited) > 0:
+		w.nextPollAt = now.Add(unackedPollInterval)
 	}
-	for _, row := range r.Held.Running {
-		c.listed(w, row, r.SentAt, now)
+	for _, listed := range r.Report.Running {
+		c.handleListedRun(w, listed, r.SentAt, now)
 	}
-	if len(r.Held.Finished) < maxListedEnds {
-		c.missed(w, r, now)
+	if len(r.Report.Exited) < maxListedExits {
+		c.handleMissingRuns(w, r, now)
 	}
 	if !w.synced {
 		w.synced = true
-		delete(c.unheld, w.info.ID)
-		c.answersAgain(w)
-		c.note(Decision{Verb: "worker-synced", Worker: w.info.ID, Reason: "answered under the owner's token", Age: now.Sub(w.since)})
+		delete(c.unresolvedWorkers, w.info.ID)
+		c.withdrawSilentLosses(w)
+		c.recordDecision(Decision{Verb: "worker-synced", Worker: w.info.ID, Reason: "answered under the owner's token", Age: now.Sub(w.incarnationFirstSeenAt)})
 	}
-	c.balancePace(w, now)
-	c.dirtyPlan = true
+	c.throttleBestEffort(w, now)
+	c.planStale = true
 }
 
-// listed takes a run that a worker lists in answer to a poll sent at a time.
-func (c *Core) listed(w *worker, row workload.RunState, sent, now time.Time) {
-	r := w.find(row.Task, row.Run)
+// handleListedRun takes a run that a worker lists in answer to a poll sent at a time.
+func (c *Core) handleListedRun(w *worker, listed workload.ListedRun, sentAt, now time.Time) {
+	r := w.findRun(listed.Task, listed.Run)
 	if r == nil {
-		r = c.adopt(w, row, now)
+		r = c.adoptRun(w, listed, now)
 		if r == nil {
 			return
 		}
 	}
-	if r.state == runStarting || r.state == runUncertain {
+	if r.state == runStarting || r.state == runUnanswered {
 		r.state = runRunning
-		r.since = now
-	}
-	r.confirmed = true
-	r.sure = !sent.Before(r.doubtUntil)
-	r.percent = row.Percent
-	r.load = row.Load
-	r.checkpoint = row.Checkpoint
-	if row.Checkpoint != "" {
-		r.task().checkpoint = row.Checkpoint
-		r.step.checkpoint = row.Checkpoint
-	}
-	c.getsOn(r, sent)
-	if r.state == runStopping && c.mayStopAgain(r, now) {
+		r.stateChangedAt = now
+	}
+	r.startConfirmed = true
+	r.confirmedRunning = !sentAt.Before(r.mayBeStoppingUntil)
+	r.speedPercent = listed.SpeedPercent
+	r.load = listed.Load
+	r.checkpoint = listed.Checkpoint
+	if listed.Checkpoint != "" {
+		r.task().checkpoint = listed.Checkpoint
+		r.step.checkpoint = listed.Checkpoint
+	}
+	c.recordRunProgress(r, sentAt)
+	if r.state == runStopping && c.canRetryStop(r, now) {
 		c.sendStop(r, now)
 	}
 }
 
-// adopt takes over a run that an earlier owner started. One that is not wanted
+// adoptRun takes over a run that an earlier owner started. One that is not wanted
 // is stopped.
-func (c *Core) adopt(w *worker, row workload.RunState, now time.Time) *run {
-	s, t := c.find(row.Task)
+func (c *Core) adoptRun(w *worker, listed workload.ListedRun, now time.Time) *run {
+	s, t := c.findTask(listed.Task)
 	if s == nil {
-		c.out.Stops = append(c.out.Stops, StopOrder{Worker: w.info, Task: row.Task, Run: row.Run, Token: w.token})
+		c.orders.Stops = append(c.orders.Stops, StopOrder{Worker: w.info, Task: listed.Task, Run: listed.Run, Token: w.token})
 		return nil
 	}
-	r := &run{step: s, index: row.Task.Index, number: row.Run, worker: w, born: w.born, state: runRunning, since: now, orderedAt: now, paced: fullPace, inherited: true, adopted: true, doubtUntil: now.Add(c.cfg.Stop + stopSlack)}
+	r := &run{step: s, index: listed.Task.Index, number: listed.Run, worker: w, incarnation: w.incarnation, state: runRunning, stateChangedAt: now, orderedAt: now, orderedSpeedPercent: fullSpeedPercent, inherited: true, adopted: true, mayBeStoppingUntil: now.Add(c.settings.MaxStopDuration + stopSlack)}
 	if !s.spec.Speculative {
-		c.dropEarlier(t, row.Run)
+		c.dropEarlierRuns(t, listed.Run)
 	}
 	others := len(t.runs)
-	w.extendLease(now.Add(lapse(c.cfg.Lease))) // the earlier owner's latest one
-	w.add(r)
+	w.extendLease(now.Add(leaseExpiryDelay(c.settings.LeaseDuration))) // the earlier owner's latest one
+	w.addRun(r)
 	switch {
-	case s.job.final.Ended() || t.done:
-		c.stop(r, "no longer wanted")
+	case s.job.finalState.IsTerminal() || t.done:
+		c.stopRun(r, "no longer wanted")
 	case others > 0 && !s.spec.Speculative:
-		c.Counts.SecondRuns++
-		c.note(Decision{Verb: "second-run", Job: s.job.id, Task: r.key().String(), Worker: w.info.ID, Run: r.number, Reason: fmt.Sprintf("run %d of the task is on %s", t.runs[0].number, t.runs[0].worker.info.ID), Age: now.Sub(c.startedAt), Critical: true})
-		c.stop(r, "runs elsewhere")
+		c.Counts.DuplicateRuns++
+		c.recordDecision(Decision{Verb: "second-run", Job: s.job.id, Task: r.taskKey().String(), Worker: w.info.ID, Run: r.number, Reason: fmt.Sprintf("run %d of the task is on %s", t.runs[0].number, t.runs[0].worker.info.ID), Age: now.Sub(c.tookOverAt), AlwaysLogged: true})
+		c.stopRun(r, "runs elsewhere")
 	}
 	return r
 }
 
-// dropEarlier forgets runs of a task that earlier owners left and that nobody has listed, as
+// dropEarlierRuns forgets runs of a task that earlier owners left and that nobody has listed, as
 // one with a higher number is listed: a task is started anew only once its run before is known
 // to be over, though the owner that knew may not have lived to store it.
-func (c *Core) dropEarlier(t *task, number int64) {
+func (c *Core) dropEarlierRuns(t *task, number int64) {
 	for _, r := range slices.Clone(t.runs) {
-		if r.number < number && r.state == runUncertain && (r.inherited || r.restored) {
-			c.note(Decision{Verb: "run-over", Job: r.step.job.id, Task: r.key().String(), Worker: r.worker.info.ID, Run: r.number, Reason: "a later run of the task is listed"})
-			c.remove(r)
+		if r.number < number && r.state == runUnanswered && (r.inherited || r.restored) {
+			c.recordDecision(Decision{Verb: "run-over", Job: r.step.job.id, Task: r.taskKey().String(), Worker: r.worker.info.ID, Run: r.number, Reason: "a later run of the task is listed"})
+			c.removeRun(r)
 		}
 	}
 }
 
-// missed looks for runs that the worker no longer lists.
-func (c *Core) missed(w *worker, res HoldResult, now time.Time) {
+// handleMissingRuns looks for runs that the worker no longer lists.
+func (c *Core) handleMissingRuns(w *worker, result PollResult, now time.Time) {
 	for _, r := range slices.Clone(w.runs) {
-		if r.since.After(res.SentAt) || r.state == runStarting || isListed(res.Held.Running, r) {
+		if r.stateChangedAt.After(result.SentAt) || r.state == runStarting || isListed(result.Report.Running, r) {
 			continue
 		}
 		switch {
-		case r.state == runUncertain:
+		case r.state == runUnanswered:
 			// The start was not carried out so far. A stop that is answered
 			// keeps it from being carried out later.
-			c.stop(r, "start without an answer")
+			c.stopRun(r, "start without an answer")
 			c.sendStop(r, now)
-		case r.state == runStopping && !r.stopped:
+		case r.state == runStopping && !r.stopConfirmed:
 			c.sendStop(r, now)
-		case r.confirmed && !r.adopted:
-			c.endUnread(r, now)
+		case r.startConfirmed && !r.adopted:
+			c.handleUnreadExit(r, now)
 		default:
-			c.remove(r)
+			c.removeRun(r)
 		}
 	}
 }
 
-func isListed(rows []workload.RunState, r *run) bool {
-	return slices.ContainsFunc(rows, func(row workload.RunState) bool { return row.Run == r.number && row.Task == r.key() })
+func isListed(running []workload.ListedRun, r *run) bool {
+	return slices.ContainsFunc(running, func(listed workload.ListedRun) bool { return listed.Run == r.number && listed.Task == r.taskKey() })
 }
 
-// ended takes the end of a run.
-func (c *Core) ended(w *worker, e workload.RunEnd, now time.Time) {
-	took := time.Duration(0)
-	if r := w.find(e.Task, e.Run); r != nil {
-		took = now.Sub(r.orderedAt)
-		c.remove(r)
-	}
-	s, t := c.find(e.Task)
-	if s == nil || s.job.sub == nil {
+// handleExit takes the end of a run.
+func (c *Core) handleExit(w *worker, exit workload.RunExit, now time.Time) {
+	runDuration := time.Duration(0)
+	if r := w.findRun(exit.Task, exit.Run); r != nil {
+		runDuration = now.Sub(r.orderedAt)
+		c.removeRun(r)
+	}
+	s, t := c.findTask(exit.Task)
+	if s == nil || s.job.submission == nil {
 		return
 	}
-	if e.Checkpoint != "" {
-		t.checkpoint = e.Checkpoint
-		s.checkpoint = e.Checkpoint
+	if exit.Checkpoint != "" {
+		t.checkpoint = exit.Checkpoint
+		s.checkpoint = exit.Checkpoint
 	}
-	w.trust.count(e.How, s, took, now)
+	w.trust.recordExit(exit.Reason, s, runDuration, now)
 	switch {
-	case s.job.final.Ended() || t.done:
-	case e.How == workload.EndDone && !s.spec.Lasting:
-		c.done(s, t, now)
-	case e.How == workload.EndFailed:
-		c.failed(w, s, t, e, now)
-	case e.How == workload.EndLapsed:
-		c.Counts.Lapsed++
-	}
-	c.dirtyPlan = true
+	case s.job.finalState.IsTerminal() || t.done:
+	case exit.Reason == workload.ExitDone && !s.spec.LongRunning:
+		c.completeTask(s, t, now)
+	case exit.Reason == workload.ExitFailed:
+		c.recordFailedRun(w, s, t, exit, now)
+	case exit.Reason == workload.ExitLeaseExpired:
+		c.Counts.ExpiredRuns++
+	}
+	c.planStale = true
 }
 
-// done marks a task done; of a gang one end stands for all.
-func (c *Core) done(s *step, t *task, now time.Time) {
-	c.Counts.Done++
+// completeTask marks a task done; of a gang one end stands for all.
+func (c *Core) completeTask(s *step, t *task, now time.Time) {
+	c.Counts.DoneTasks++
 	if s.spec.Gang {
 		for i := range s.tasks {
-			s.finish(&s.tasks[i])
+			s.markDone(&s.tasks[i])
 		}
 	} else {
-		s.finish(t)
+		s.markDone(t)
 	}
 	for _, r := range t.runs {
-		c.stop(r, "another copy is done")
+		c.stopRun(r, "another copy is done")
 	}
-	c.dirty[s.job.id] = s.job
-	if s.done == len(s.tasks) {
-		c.rerank(s) // the next step's turn has come, and less work is left
+	c.dirtyJobs[s.job.id] = s.job
+	if s.doneCount == len(s.tasks) {
+		c.requestRerank(s) // the next step's turn has come, and less work is left
 	}
-	if s.job.remaining == 0 {
-		c.end(s.job, workload.Completed, now)
+	if s.job.remainingTasks == 0 {
+		c.completeJob(s.job, workload.Completed, now)
 	}
 }
 
-// failed counts an attempt that failed by its own fault.
-func (c *Core) failed(w *worker, s *step, t *task, e workload.RunEnd, now time.Time) {
+// recordFailedRun counts an attempt that failed by its own fault.
+func (c *Core) recordFailedRun(w *worker, s *step, t *task, exit workload.RunExit, now time.Time) {
 	c.Counts.FailedRuns++
-	t.avoid = w.info.ID
-	t.avoidUntil = now.Add(avoidFor)
-	if s.spec.Lasting {
+	t.avoidWorker = w.info.ID
+	t.avoidUntil = now.Add(avoidWorkerDuration)
+	if s.spec.LongRunning {
 		return // these have no limit of attempts
 	}
-	if slices.Contains(t.failed, e.Run) {
+	if slices.Contains(t.failedRuns, exit.Run) {
 		return
 	}
-	t.failed = append(t.failed, e.Run)
-	c.dirty[s.job.id] = s.job
+	t.failedRuns = append(t.failedRuns, exit.Run)
+	c.dirtyJobs[s.job.id] = s.job
 	q := s.job.queue
-	attempts := defaultAttempts
+	maxAttempts := defaultMaxAttempts
 	if q != nil && q.MaxAttempts > 0 {
-		attempts = q.MaxAttempts
+		maxAttempts = q.MaxAttempts
 	}
-	if s.failures() >= attempts && s.spec.Gang || len(t.failed) >= attempts {
-		c.end(s.job, workload.Failed, now)
+	if s.failedRunCount() >= maxAttempts && s.spec.Gang || len(t.failedRuns) >= maxAttempts {
+		c.completeJob(s.job, workload.Failed, now)
 	}
 }
 
-// avoidFor is how long a task that failed on a worker waits for room on others.
+// avoidWorkerDuration is how long a task that failed on a worker waits for room on others.
 // After that it may run there again: its failure may be its own.
-const avoidFor = time.Second
+const avoidWorkerDuration = time.Second
 
-// defaultAttempts is taken where the queue was removed while its jobs run.
-const defaultAttempts = 2
+// defaultMaxAttempts is taken where the queue was removed while its jobs run.
+const defaultMaxAttempts = 2
 
-// failures counts the runs of a gang that failed, each once.
-func (s *step) failures() int {
+// failedRunCount counts the runs of a gang that failed, each once.
+func (s *step) failedRunCount() int {
 	seen := map[int64]bool{}
 	for i := range s.tasks {
-		for _, n := range s.tasks[i].failed {
+		for _, n := range s.tasks[i].failedRuns {
 			seen[n] = true
 		}
 	}
--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -44,7 +44,7 @@
 	for i := range 1 + w.rng.IntN(3) {
 		s := workload.Step{
 			Count:       1 + w.rng.IntN(6),
-			Need:        workload.Resources{CPU: 500 + w.rng.IntN(4000), MemoryMB: 500 + w.rng.IntN(8000)},
+			Resources:   workload.Resources{CPU: 500 + w.rng.IntN(4000), MemoryMB: 500 + w.rng.IntN(8000)},
 			EstimateMS:  100 + w.rng.Int64N(2500),
 			Checkpoints: w.rng.IntN(3) == 0,
 		}
@@ -57,7 +57,7 @@
 		spec.Steps = append(spec.Steps, s)
 	}
 	if w.rng.IntN(10) == 0 {
-		spec.Steps = []workload.Step{{Count: 4, Need: workload.Resources{CPU: 2000, MemoryMB: 4000}, Lasting: true, MayMiss: 1, MaxPerWorker: 2}}
+		spec.Steps = []workload.Step{{Count: 4, Resources: workload.Resources{CPU: 2000, MemoryMB: 4000}, LongRunning: true, MaxUnavailable: 1, MaxPerWorker: 2}}
 	}
 	return spec
 }
@@ -136,20 +136,20 @@
 		starts += w.starts
 		require.Empty(t, w.violations, "seed %d", seed)
 		for _, job := range w.jobs {
-			state, known := w.owner.core.State(job.id)
+			state, known := w.owner.core.JobState(job.id)
 			require.True(t, known, "seed %d: job %s is not known", seed, job.id)
 			switch {
 			case !job.cancelledAt.IsZero():
-				assert.True(t, state.Ended(), "seed %d: cancelled job %s is %s", seed, job.id, state)
+				assert.True(t, state.IsTerminal(), "seed %d: cancelled job %s is %s", seed, job.id, state)
 				assert.Zero(t, w.runningCount(job.id), "seed %d: cancelled job %s runs on", seed, job.id)
-			case job.submission.Spec.Steps[0].Lasting:
+			case job.submission.Spec.Steps[0].LongRunning:
 				assert.Equal(t, workload.Running, state, "seed %d: job %s", seed, job.id)
 				missing := w.runningCount(job.id) < job.submission.Spec.Steps[0].Count
 				assert.False(t, missing && w.hasFreeCapacity(job), "seed %d: lasting tasks of %s", seed, job.id)
 			case w.longRunningMemoryShare() > 0.8:
 				// Lasting tasks fill the workers: others may wait for ever.
 			default:
-				assert.Contains(t, []workload.State{workload.Completed, workload.Failed}, state, "seed %d: job %s", seed, job.id)
+				assert.Contains(t, []workload.JobState{workload.Completed, workload.Failed}, state, "seed %d: job %s", seed, job.id)
 			}
 		}
 		if t.Failed() {
@@ -182,8 +182,8 @@
 		w.runUntil(60 * time.Second)
 		require.Empty(t, w.violations, "seed %d", seed)
 		for _, job := range w.jobs {
-			state, _ := w.owner.core.State(job.id)
-			require.True(t, state == workload.Completed || job.submission.Spec.Steps[0].Lasting, "seed %d: job %s is %s", seed, job.id, state)
+			state, _ := w.owner.core.JobState(job.id)
+			require.True(t, state == workload.Completed || job.submission.Spec.Steps[0].LongRunning, "seed %d: job %s is %s", seed, job.id, state)
 		}
 	}
 }
@@ -217,7 +217,7 @@
 			}
 		}
 		atMaxPerWorker := spec.MaxPerWorker > 0 && tasksOfJob >= spec.MaxPerWorker
-		if !f.terminated && !atMaxPerWorker && spec.Reserve().Fits(f.info.Capacity.Sub(f.usedCapacity())) {
+		if !f.terminated && !atMaxPerWorker && spec.Reservation().FitsIn(f.info.Capacity.Sub(f.usedCapacity())) {
 			return true
 		}
 	}
@@ -237,7 +237,7 @@
 		w.takeOver()
 		for range 6 {
 			w.after(w.durationBetween(0, 2*time.Second), func() {
-				w.submit(workload.Spec{Steps: []workload.Step{{Count: 3 + w.rng.IntN(4), Need: workload.Resources{CPU: 2000, MemoryMB: 4000}, Lasting: true, MayMiss: 1, MaxPerWorker: 2}}}, "quick")
+				w.submit(workload.Spec{Steps: []workload.Step{{Count: 3 + w.rng.IntN(4), Resources: workload.Resources{CPU: 2000, MemoryMB: 4000}, LongRunning: true, MaxUnavailable: 1, MaxPerWorker: 2}}}, "quick")
 			})
 		}
 		for at := time.Duration(0); at < 25*time.Second; at += w.durationBetween(100*time.Millisecond, 600*time.Millisecond) {
@@ -291,7 +291,7 @@
 		if f == nil || f.terminated || w.now.After(deadline) {
 			return
 		}
-		if !w.owner.dead && w.owner.coreStarted && w.owner.core.Evacuate(id, w.now) != workload.Occupied {
+		if !w.owner.dead && w.owner.coreStarted && w.owner.core.DrainWorker(id, w.now) != workload.NotDrained {
 			if len(f.runs) > 0 {
 				w.recordViolation("CUT", id+" is said to be empty and runs tasks")
 			}
@@ -346,7 +346,7 @@
 		if f == nil || f.terminated || w.now.After(deadline) {
 			return
 		}
-		if w.owner.dead || !w.owner.coreStarted || w.owner.core.Evacuate(id, w.now) == workload.Occupied {
+		if w.owner.dead || !w.owner.coreStarted || w.owner.core.DrainWorker(id, w.now) == workload.NotDrained {
 			w.after(150*time.Millisecond, attempt)
 			return
 		}
--- a/internal/scheduler/inherited_test.go
+++ b/internal/scheduler/inherited_test.go
@@ -23,26 +23,26 @@
 		tell func(next *rig) // how the new owner hears of the run
 	}{
 		{"handed over", func(next *rig) {
-			leftRun := workload.LeftRun{Worker: "w-1", Task: key.String(), Run: inheritedRun, Born: firstIncarnation, Confirmed: true}
-			next.core.Inherit(&workload.Handover{Epoch: next.epoch - 1, Runs: []workload.LeftRun{leftRun}}, next.now)
+			leftRun := workload.HandoverRun{Worker: "w-1", Task: key.String(), Run: inheritedRun, Incarnation: firstIncarnation, StartConfirmed: true}
+			next.core.RestoreHandover(&workload.Handover{Epoch: next.epoch - 1, Runs: []workload.HandoverRun{leftRun}}, next.now)
 			next.registerWorker("w-1", firstIncarnation)
 		}},
 		{"listed", func(next *rig) {
 			next.registerWorker("w-1", firstIncarnation)
 			poll, _ := next.awaitPoll("w-1")
-			next.answerPollAs(poll, firstIncarnation, workload.Held{Running: []workload.RunState{{Task: key, Run: inheritedRun}}})
+			next.answerPollAs(poll, firstIncarnation, workload.PollReport{Running: []workload.ListedRun{{Task: key, Run: inheritedRun}}})
 		}},
 	} {
-		earlierCrash := workload.Crash{Worker: "w-0", Address: "w-0", Run: inheritedRun - 1, AtMS: historyStart.UnixMilli() - 1000, AgeMS: 100, Likely: true, Sole: true}
-		next := newIncarnationRig(t).newSuccessor(job, &workload.Progress{Begun: true, Crashes: map[string][]workload.Crash{"0.0.0": {earlierCrash}}})
+		earlierCrash := workload.Crash{Worker: "w-0", Address: "w-0", Run: inheritedRun - 1, DetectedAtMS: historyStart.UnixMilli() - 1000, RunAgeMS: 100, LikelyCause: true, SoleCause: true}
+		next := newIncarnationRig(t).newSuccessor(job, &workload.Progress{Started: true, Crashes: map[string][]workload.Crash{"0.0.0": {earlierCrash}}})
 		c.tell(next)
-		for next.core.Counts.Crashes == 0 {
+		for next.core.Counts.WorkerCrashes == 0 {
 			poll, _ := next.awaitPoll("w-1")
-			next.answerPollAs(poll, nextIncarnation, workload.Held{})
+			next.answerPollAs(poll, nextIncarnation, workload.PollReport{})
 		}
 		next.step(30 * time.Millisecond)
-		require.Equal(t, 1, next.core.Counts.Crashes, c.name)
-		state, _ := next.core.State(job)
+		require.Equal(t, 1, next.core.Counts.WorkerCrashes, c.name)
+		state, _ := next.core.JobState(job)
 		assert.Equal(t, workload.Running, state, c.name)
 	}
 }
@@ -54,12 +54,12 @@
 func TestLaterRunProvesThatEarlierRunsHaveEnded(t *testing.T) {
 	const job = workload.JobID("0000000000000001")
 	const isolatedRun = int64(3<<16 + 2)
-	planned := workload.Crash{Worker: "w-1", Address: "w-1", Run: isolatedRun, AtMS: historyStart.UnixMilli() - 5000, Pending: true}
-	next := newRig(t).newSuccessor(job, &workload.Progress{Begun: true, Crashes: map[string][]workload.Crash{"0.0.0": {planned}}})
+	planned := workload.Crash{Worker: "w-1", Address: "w-1", Run: isolatedRun, DetectedAtMS: historyStart.UnixMilli() - 5000, IsolatedRunPending: true}
+	next := newRig(t).newSuccessor(job, &workload.Progress{Started: true, Crashes: map[string][]workload.Crash{"0.0.0": {planned}}})
 	next.setWorkers("w-1", "w-2")
 	poll, _ := next.awaitPoll("w-2")
-	row := workload.RunState{Task: workload.TaskKey{Job: job}, Run: isolatedRun + 3, Percent: 100}
-	next.answerPollAs(poll, 0, workload.Held{Running: []workload.RunState{row}})
+	row := workload.ListedRun{Task: workload.TaskKey{Job: job}, Run: isolatedRun + 3, SpeedPercent: 100}
+	next.answerPollAs(poll, 0, workload.PollReport{Running: []workload.ListedRun{row}})
 	for range 20 {
 		assert.Empty(t, next.step(20*time.Millisecond).Stops)
 	}
@@ -69,12 +69,12 @@
 func TestEarlierRunIsStoppedWhenALaterOneIsKnown(t *testing.T) {
 	const job = workload.JobID("0000000000000001")
 	const run = int64(3<<16 + 2)
-	next := newRig(t).newSuccessor(job, &workload.Progress{Begun: true})
-	leftRun := workload.LeftRun{Worker: "w-1", Task: workload.TaskKey{Job: job}.String(), Run: run, Confirmed: true}
-	next.core.Inherit(&workload.Handover{Epoch: next.epoch - 1, Runs: []workload.LeftRun{leftRun}}, next.now)
+	next := newRig(t).newSuccessor(job, &workload.Progress{Started: true})
+	leftRun := workload.HandoverRun{Worker: "w-1", Task: workload.TaskKey{Job: job}.String(), Run: run, StartConfirmed: true}
+	next.core.RestoreHandover(&workload.Handover{Epoch: next.epoch - 1, Runs: []workload.HandoverRun{leftRun}}, next.now)
 	next.setWorkers("w-1", "w-2")
 	poll, _ := next.awaitPoll("w-2")
-	next.answerPollAs(poll, 0, workload.Held{Running: []workload.RunState{{Task: workload.TaskKey{Job: job}, Run: run - 1}}})
+	next.answerPollAs(poll, 0, workload.PollReport{Running: []workload.ListedRun{{Task: workload.TaskKey{Job: job}, Run: run - 1}}})
 	stops := next.step(20 * time.Millisecond).Stops
 	require.Len(t, stops, 1)
 	assert.Equal(t, run-1, stops[0].Run)
@@ -87,27 +87,27 @@
 		r := newIncarnationRig(t)
 		s := r.startJob("0000000000000001", batchStep(1, 1000))[0]
 		var handover *workload.Handover
-		for _, record := range r.core.Handover(r.now) {
+		for _, record := range r.core.HandoverRecords(r.now) {
 			if record.Handover != nil {
 				handover = record.Handover
 			}
 		}
 		require.Len(t, handover.Runs, 1)
-		require.Equal(t, firstIncarnation, handover.Runs[0].Born)
+		require.Equal(t, firstIncarnation, handover.Runs[0].Incarnation)
 		if !named {
-			handover.Runs[0].Born = 0
+			handover.Runs[0].Incarnation = 0
 		}
-		next := r.newSuccessor(s.Start.Task.Job, &workload.Progress{Begun: true})
-		next.core.Inherit(handover, next.now)
+		next := r.newSuccessor(s.Start.Task.Job, &workload.Progress{Started: true})
+		next.core.RestoreHandover(handover, next.now)
 		next.registerWorker("w-1", nextIncarnation)
 		poll, _ := next.awaitPoll("w-1")
-		next.answerPollAs(poll, nextIncarnation, workload.Held{})
+		next.answerPollAs(poll, nextIncarnation, workload.PollReport{})
 		if named {
-			assert.Equal(t, 1, next.core.Counts.Crashes)
+			assert.Equal(t, 1, next.core.Counts.WorkerCrashes)
 			assert.Len(t, next.stepFor(500*time.Millisecond).Starts, 1)
 			continue
 		}
-		assert.Zero(t, next.core.Counts.Crashes)
+		assert.Zero(t, next.core.Counts.WorkerCrashes)
 		assert.Len(t, next.step(20*time.Millisecond).Stops, 1, "whether it may yet begin isn't known")
 	}
 }
@@ -117,17 +117,17 @@
 func TestIsolatedRunOnARestartedWorkerSurvivesATakeover(t *testing.T) {
 	for _, named := range []bool{true, false} {
 		r := newIncarnationRig(t)
-		pendingCrash := workload.Crash{Worker: "w-1", Born: firstIncarnation, Address: "w-1", Run: 3<<16 + 2, AtMS: r.now.UnixMilli(), Pending: true}
-		earlierCrash := workload.Crash{Worker: "w-0", Address: "w-0", Run: 3<<16 + 1, AtMS: r.now.UnixMilli() - 1000, Likely: true, Sole: true}
+		pendingCrash := workload.Crash{Worker: "w-1", Incarnation: firstIncarnation, Address: "w-1", Run: 3<<16 + 2, DetectedAtMS: r.now.UnixMilli(), IsolatedRunPending: true}
+		earlierCrash := workload.Crash{Worker: "w-0", Address: "w-0", Run: 3<<16 + 1, DetectedAtMS: r.now.UnixMilli() - 1000, LikelyCause: true, SoleCause: true}
 		if !named {
-			pendingCrash.Born = 0
+			pendingCrash.Incarnation = 0
 		}
-		next := r.newSuccessor("0000000000000001", &workload.Progress{Begun: true, Crashes: map[string][]workload.Crash{"0.0.0": {earlierCrash, pendingCrash}}})
+		next := r.newSuccessor("0000000000000001", &workload.Progress{Started: true, Crashes: map[string][]workload.Crash{"0.0.0": {earlierCrash, pendingCrash}}})
 		next.registerWorker("w-1", nextIncarnation)
 		poll, _ := next.awaitPoll("w-1")
-		next.answerPollAs(poll, nextIncarnation, workload.Held{})
+		next.answerPollAs(poll, nextIncarnation, workload.PollReport{})
 		next.step(30 * time.Millisecond)
-		state, _ := next.core.State("0000000000000001")
+		state, _ := next.core.JobState("0000000000000001")
 		assert.Equal(t, named, state == workload.Failed)
 	}
 }
@@ -138,7 +138,7 @@
 	r := newIncarnationRig(t)
 	r.startJob("0000000000000001", batchStep(1, 1000))
 	r.restartWorker()
-	require.Equal(t, 1, r.core.Counts.Crashes)
+	require.Equal(t, 1, r.core.Counts.WorkerCrashes)
 	_, stored := r.stepAndStore(400 * time.Millisecond)
 	allStarts := r.stepFor(time.Second).Starts
 	for range 20 {
@@ -153,7 +153,7 @@
 	r.answerPollRefused("w-1")
 	r.stepAndStore(30 * time.Millisecond)
 	poll, _ := r.awaitPoll("w-1")
-	r.answerPollAs(poll, nextIncarnation, workload.Held{Running: []workload.RunState{{Task: allStarts[0].Start.Task, Run: allStarts[0].Start.Run, Percent: 100}}})
+	r.answerPollAs(poll, nextIncarnation, workload.PollReport{Running: []workload.ListedRun{{Task: allStarts[0].Start.Task, Run: allStarts[0].Start.Run, SpeedPercent: 100}}})
 	for range 5 {
 		if _, progress := r.stepAndStore(30 * time.Millisecond); progress != nil {
 			stored = progress
@@ -162,7 +162,7 @@
 	require.NotNil(t, stored)
 	crashes := stored.Crashes["0.0.0"]
 	require.NotEmpty(t, crashes)
-	assert.Equal(t, firstIncarnation, crashes[0].Born)
+	assert.Equal(t, firstIncarnation, crashes[0].Incarnation)
 }
 
 // What crashed is known to one process until it is stored. The owner may be lost the
@@ -177,7 +177,7 @@
 		r.now = r.now.Add(50 * time.Millisecond)
 		require.Empty(t, r.core.Step(r.now).Starts)
 	}
-	r.core.Written()
+	r.core.HandleWriteResult()
 	assert.NotEmpty(t, r.stepFor(200*time.Millisecond).Starts)
 }
 
@@ -195,7 +195,7 @@
 				progress = record.Progress
 			}
 		}
-		r.core.Written()
+		r.core.HandleWriteResult()
 		orders = r.core.Step(r.now)
 	}
 }
@@ -205,8 +205,8 @@
 	next := &rig{t: r.t, now: r.now, epoch: r.epoch + 1}
 	next.core = scheduler.New(testSettings(next.epoch), next.now, nil, false)
 	next.core.SetConfig(testConfig)
-	next.core.Submitted(job, &workload.Submission{Queue: "quick", Service: "service", AcceptedMS: next.now.UnixMilli(), Spec: workload.Spec{Payload: "work", Steps: []workload.Step{batchStep(1, 1000)}}})
-	next.core.Recalled(job, stored)
+	next.core.AddJob(job, &workload.Submission{Queue: "quick", Service: "service", AcceptedAtMS: next.now.UnixMilli(), Spec: workload.Spec{Payload: "work", Steps: []workload.Step{batchStep(1, 1000)}}})
+	next.core.RestoreProgress(job, stored)
 	next.step(0)
 	return next
 }
@@ -221,7 +221,7 @@
 	r.crashWorker("w-1")
 	r.setWorkers("w-2")
 	_, stored := r.stepAndStore(0)
-	r.answerPoll("w-2", r.now, workload.Held{})
+	r.answerPoll("w-2", r.now, workload.PollReport{})
 	started := false
 	for range 10 {
 		starts, progress := r.stepAndStore(30 * time.Millisecond)
@@ -235,9 +235,9 @@
 	next := r.newSuccessor(job, stored)
 	next.setWorkers("w-2")
 	next.crashWorker("w-2")
-	assert.Equal(t, 1, next.core.Counts.Crashes)
+	assert.Equal(t, 1, next.core.Counts.WorkerCrashes)
 	next.step(30 * time.Millisecond)
-	state, _ := next.core.State(job)
+	state, _ := next.core.JobState(job)
 	assert.Equal(t, workload.Failed, state)
 }
 
@@ -252,7 +252,7 @@
 	r.crashWorker("w-1")
 	r.setWorkers("w-2")
 	r.stepAndStore(0)
-	r.answerPoll("w-2", r.now, workload.Held{})
+	r.answerPoll("w-2", r.now, workload.PollReport{})
 	for range 10 {
 		starts, _ := r.stepAndStore(30 * time.Millisecond)
 		for _, s := range starts {
@@ -266,7 +266,7 @@
 	next := r.newSuccessor(job, stored)
 	next.answerPollReplaced("w-2")
 	next.step(30 * time.Millisecond)
-	assert.Equal(t, 1, next.core.Counts.Crashes)
-	state, _ := next.core.State(job)
+	assert.Equal(t, 1, next.core.Counts.WorkerCrashes)
+	state, _ := next.core.JobState(job)
 	assert.Equal(t, workload.Failed, state)
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -9,42 +9,42 @@
 
 // job is one accepted job.
 type job struct {
-	id  workload.JobID
-	sub *workload.Submission // nil where only a cancel or progress was read yet
+	id         workload.JobID
+	submission *workload.Submission // nil where only a cancel or progress was read yet
 	// queue is that of the configuration in force, nil if it has none of that name.
 	queue *workload.Queue
 	// steps has one entry for each occurrence and step, occurrences first.
-	steps     []*step
-	remaining int // tasks that are not done, lasting ones included
-	live      int // runs that are not known to have ended
-	begun     bool
-	cancelled bool
-	final     workload.State // "" until the job ends
-	endedMS   int64
-	shown     workload.State // what is stored of final
-	progress  *workload.Progress
+	steps            []*step
+	remainingTasks   int // tasks that are not done, lasting ones included
+	liveRuns         int // runs that are not known to have ended
+	started          bool
+	cancelRequested  bool
+	finalState       workload.JobState // "" until the job ends
+	completedAtMS    int64
+	storedState      workload.JobState // what is stored of final
+	restoredProgress *workload.Progress
 }
 
 // step is one step of one occurrence.
 type step struct {
-	job        *job
-	spec       *workload.Step
-	occurrence int
-	number     int
-	tasks      []task
-	done       int
-	idle       int       // tasks that are neither done nor have a run
-	crashed    bool      // workers have crashed under its tasks
-	waits      time.Time // since when idle tasks find no room, zero if none do
-	// trialWaits is since when it waits as a gang with suspects.
-	trialWaits time.Time
-	// searchAfter is when runs that give way to its tasks are looked for again.
-	searchAfter time.Time
-	lastRun     int64
-	perWorker   map[string]int // live runs by worker
-	checkpoint  string         // of a gang
-	tickets     *tickets
-	ranked      bool // of the first step: the occurrence is in the ranking
+	job                     *job
+	spec                    *workload.Step
+	occurrence              int
+	number                  int
+	tasks                   []task
+	doneCount               int
+	idleCount               int       // tasks that are neither done nor have a run
+	hasCrashes              bool      // workers have crashed under its tasks
+	waitingForCapacitySince time.Time // since when idle tasks find no room, zero if none do
+	// waitingForIsolationSince is since when it waits as a gang with suspects.
+	waitingForIsolationSince time.Time
+	// nextPreemptionSearchAt is when runs that give way to its tasks are looked for again.
+	nextPreemptionSearchAt time.Time
+	lastRunSeq             int64
+	liveRunsByWorker       map[string]int // live runs by worker
+	checkpoint             string         // of a gang
+	tickets                *adviceState
+	occurrenceRanked       bool // of the first step: the occurrence is in the ranking
 	// share is that of the occurrence's size, nil before it is ranked and for lasting
 	// tasks.
 	share *sizeShare
@@ -52,59 +52,59 @@
 
 // task is one task of a step.
 type task struct {
-	done   bool
-	runs   []*run  // live
-	failed []int64 // run numbers that ended by the task's own fault
-	gotOn  bool    // a run of it was at work for a while
+	done         bool
+	runs         []*run  // live
+	failedRuns   []int64 // run numbers that ended by the task's own fault
+	madeProgress bool    // a run of it was at work for a while
 	// crashes are those of workers that ran it, the latest last. storedIn is the
 	// sequence of the write that stores them.
-	crashes  []workload.Crash
-	storedIn int64
-	// planned is its trial that begins once it is stored, nil if there is none.
-	planned    *plannedTrial
-	checkpoint string
-	avoid      string    // worker where it failed last
-	avoidUntil time.Time // until then it isn't tried there again
-	notBefore  time.Time // the next run
+	crashes              []workload.Crash
+	crashesStoredInWrite int64
+	// plannedIsolatedRun is its trial that begins once it is stored, nil if there is none.
+	plannedIsolatedRun *plannedIsolatedRun
+	checkpoint         string
+	avoidWorker        string    // worker where it failed last
+	avoidUntil         time.Time // until then it isn't tried there again
+	notBefore          time.Time // the next run
 }
 
-// open builds the steps of a stored job.
-func (j *job) open(s *workload.Submission) {
-	j.sub = s
-	for o := range s.Spec.Occurrences() {
-		for i := range s.Spec.Steps {
-			spec := &s.Spec.Steps[i]
-			st := &step{
-				job:        j,
-				spec:       spec,
-				occurrence: o,
-				number:     i,
-				tasks:      make([]task, spec.Count),
-				idle:       spec.Count,
-				perWorker:  map[string]int{},
+// createSteps builds the steps of a stored job.
+func (j *job) createSteps(submission *workload.Submission) {
+	j.submission = submission
+	for o := range submission.Spec.Occurrences() {
+		for i := range submission.Spec.Steps {
+			spec := &submission.Spec.Steps[i]
+			newStep := &step{
+				job:              j,
+				spec:             spec,
+				occurrence:       o,
+				number:           i,
+				tasks:            make([]task, spec.Count),
+				idleCount:        spec.Count,
+				liveRunsByWorker: map[string]int{},
 			}
-			j.steps = append(j.steps, st)
-			j.remaining += spec.Count
+			j.steps = append(j.steps, newStep)
+			j.remainingTasks += spec.Count
 		}
 	}
 }
 
-// occurrence returns the steps of one occurrence.
-func (j *job) occurrence(o int) []*step {
-	n := len(j.sub.Spec.Steps)
+// occurrenceSteps returns the steps of one occurrence.
+func (j *job) occurrenceSteps(o int) []*step {
+	n := len(j.submission.Spec.Steps)
 	return j.steps[o*n : (o+1)*n]
 }
 
 // step returns a step by occurrence and number, nil if there is none.
 func (j *job) step(occurrence, number int) *step {
-	if j.sub == nil || number >= len(j.sub.Spec.Steps) || occurrence >= j.sub.Spec.Occurrences() {
+	if j.submission == nil || number >= len(j.submission.Spec.Steps) || occurrence >= j.submission.Spec.Occurrences() {
 		return nil
 	}
-	return j.steps[occurrence*len(j.sub.Spec.Steps)+number]
+	return j.steps[occurrence*len(j.submission.Spec.Steps)+number]
 }
 
-// find returns the step and task of a key, nil if there is none.
-func (c *Core) find(k workload.TaskKey) (*step, *task) {
+// findTask returns the step and task of a key, nil if there is none.
+func (c *Core) findTask(k workload.TaskKey) (*step, *task) {
 	j, ok := c.jobs[k.Job]
 	if !ok {
 		return nil, nil
@@ -116,171 +116,171 @@
 	return s, &s.tasks[k.Index]
 }
 
-func (s *step) key(index int) workload.TaskKey {
+func (s *step) taskKey(index int) workload.TaskKey {
 	return workload.TaskKey{Job: s.job.id, Occurrence: s.occurrence, Step: s.number, Index: index}
 }
 
-// ready tells whether the step's tasks may run: its time has come and all that
+// isReady tells whether the step's tasks may run: its time has come and all that
 // it depends on is done.
-func (s *step) ready(now time.Time) bool {
-	if due := s.job.sub.Spec.Due(s.occurrence); !due.IsZero() && now.UnixMilli() < due.UnixMilli() {
+func (s *step) isReady(now time.Time) bool {
+	if due := s.job.submission.Spec.DueAt(s.occurrence); !due.IsZero() && now.UnixMilli() < due.UnixMilli() {
 		return false
 	}
 	for _, d := range s.spec.DependsOn {
-		before := s.job.step(s.occurrence, d)
-		if before.done < len(before.tasks) {
+		dependency := s.job.step(s.occurrence, d)
+		if dependency.doneCount < len(dependency.tasks) {
 			return false
 		}
 	}
 	return true
 }
 
-// attach adds a live run to its task.
-func (s *step) attach(t *task, r *run) {
+// addRun adds a live run to its task.
+func (s *step) addRun(t *task, r *run) {
 	if len(t.runs) == 0 && !t.done {
-		s.idle--
+		s.idleCount--
 	}
-	if s.idle == 0 {
-		s.waits = time.Time{}
+	if s.idleCount == 0 {
+		s.waitingForCapacitySince = time.Time{}
 	}
 	t.runs = append(t.runs, r)
-	s.perWorker[r.worker.info.ID]++
-	s.job.live++
-	s.job.begun = true
+	s.liveRunsByWorker[r.worker.info.ID]++
+	s.job.liveRuns++
+	s.job.started = true
 }
 
-// detach takes a run that has ended off its task.
-func (s *step) detach(t *task, r *run) {
+// removeRun takes a run that has ended off its task.
+func (s *step) removeRun(t *task, r *run) {
 	i := slices.Index(t.runs, r)
 	if i < 0 {
 		return
 	}
 	t.runs = slices.Delete(t.runs, i, i+1)
 	if len(t.runs) == 0 && !t.done {
-		s.idle++
+		s.idleCount++
 	}
-	s.job.live--
-	if s.perWorker[r.worker.info.ID]--; s.perWorker[r.worker.info.ID] == 0 {
-		delete(s.perWorker, r.worker.info.ID)
+	s.job.liveRuns--
+	if s.liveRunsByWorker[r.worker.info.ID]--; s.liveRunsByWorker[r.worker.info.ID] == 0 {
+		delete(s.liveRunsByWorker, r.worker.info.ID)
 	}
 }
 
-// finish marks a task done.
-func (s *step) finish(t *task) {
+// markDone marks a task done.
+func (s *step) markDone(t *task) {
 	if t.done {
 		return
 	}
 	t.done = true
 	if len(t.runs) == 0 {
-		s.idle--
+		s.idleCount--
 	}
-	s.done++
-	s.job.remaining--
+	s.doneCount++
+	s.job.remainingTasks--
 }
 
-// restore applies what is stored of a job to it.
-func (c *Core) restore(j *job) {
-	p := j.progress
+// applyStoredProgress applies what is stored of a job to it.
+func (c *Core) applyStoredProgress(j *job) {
+	progress := j.restoredProgress
 	for i, s := range j.steps {
-		if i >= len(p.Done) {
+		if i >= len(progress.DoneBitmaps) {
 			break
 		}
 		for k := range s.tasks {
-			if k/8 < len(p.Done[i]) && p.Done[i][k/8]&(1<<(k%8)) != 0 {
-				s.finish(&s.tasks[k])
+			if k/8 < len(progress.DoneBitmaps[i]) && progress.DoneBitmaps[i][k/8]&(1<<(k%8)) != 0 {
+				s.markDone(&s.tasks[k])
 			}
 		}
 	}
-	for name, runs := range p.FailedRuns {
-		if s, i := c.storedTask(j, name); s != nil {
-			s.tasks[i].failed = runs
+	for name, runs := range progress.FailedRuns {
+		if s, i := c.findStoredTask(j, name); s != nil {
+			s.tasks[i].failedRuns = runs
 		}
 	}
-	for name, crashes := range p.Crashes {
-		if s, i := c.storedTask(j, name); s != nil {
-			c.recallCrashes(s, i, crashes)
+	for name, crashes := range progress.Crashes {
+		if s, i := c.findStoredTask(j, name); s != nil {
+			c.restoreCrashes(s, i, crashes)
 		}
 	}
-	j.begun = j.begun || p.Begun
-	if p.Final.Ended() {
-		j.final = p.Final
-		j.shown = p.Final
-		j.endedMS = p.EndedMS
+	j.started = j.started || progress.Started
+	if progress.FinalState.IsTerminal() {
+		j.finalState = progress.FinalState
+		j.storedState = progress.FinalState
+		j.completedAtMS = progress.CompletedAtMS
 	}
 }
 
-// recallCrashes takes what is stored of the crashes under a task.
-func (c *Core) recallCrashes(s *step, index int, crashes []workload.Crash) {
-	c.markCrashed(s)
+// restoreCrashes takes what is stored of the crashes under a task.
+func (c *Core) restoreCrashes(s *step, index int, crashes []workload.Crash) {
+	c.addCrashedStep(s)
 	s.tasks[index].crashes = crashes
 	for _, crash := range crashes {
-		if (crash.Pending || crash.Unclear) && !s.job.progress.Final.Ended() {
-			c.resume(s, index, crash)
+		if (crash.IsolatedRunPending || crash.Unconfirmed) && !s.job.restoredProgress.FinalState.IsTerminal() {
+			c.restoreOpenCrash(s, index, crash)
 		}
 	}
 }
 
-// storedTask returns the step and index of a task by its name in what is stored of a
+// findStoredTask returns the step and index of a task by its name in what is stored of a
 // job, a nil step if there is none.
-func (c *Core) storedTask(j *job, name string) (*step, int) {
+func (c *Core) findStoredTask(j *job, name string) (*step, int) {
 	key, err := workload.ParseTaskKey(string(j.id) + "." + name)
 	if err != nil {
-		c.note(Decision{Verb: "ignored", Job: j.id, Reason: "stored progress: " + err.Error()})
+		c.recordDecision(Decision{Verb: "ignored", Job: j.id, Reason: "stored progress: " + err.Error()})
 		return nil, 0
 	}
-	s, _ := c.find(key)
+	s, _ := c.findTask(key)
 	return s, key.Index
 }
 
-// settle ends a job that was cancelled before it was read.
-func (c *Core) settle(j *job) {
-	if j.cancelled && !j.final.Ended() {
-		j.final = workload.Cancelled
-		j.endedMS = j.sub.AcceptedMS
-		c.dirty[j.id] = j
+// applyEarlyCancel ends a job that was cancelled before it was read.
+func (c *Core) applyEarlyCancel(j *job) {
+	if j.cancelRequested && !j.finalState.IsTerminal() {
+		j.finalState = workload.Cancelled
+		j.completedAtMS = j.submission.AcceptedAtMS
+		c.dirtyJobs[j.id] = j
 	}
 }
 
-// end gives a job its final state and stops what it runs.
-func (c *Core) end(j *job, final workload.State, now time.Time) {
-	if j.final.Ended() {
+// completeJob gives a job its final state and stops what it runs.
+func (c *Core) completeJob(j *job, final workload.JobState, now time.Time) {
+	if j.finalState.IsTerminal() {
 		return
 	}
-	j.final = final
-	j.endedMS = now.UnixMilli()
-	c.dirty[j.id] = j
-	c.count(final)
-	c.note(Decision{Verb: "ended", Job: j.id, Queue: j.sub.Queue, Reason: string(final), Age: now.Sub(time.UnixMilli(j.sub.AcceptedMS))})
+	j.finalState = final
+	j.completedAtMS = now.UnixMilli()
+	c.dirtyJobs[j.id] = j
+	c.countFinalState(final)
+	c.recordDecision(Decision{Verb: "ended", Job: j.id, Queue: j.submission.Queue, Reason: string(final), Age: now.Sub(time.UnixMilli(j.submission.AcceptedAtMS))})
 	for _, s := range j.steps {
 		for i := range s.tasks {
 			for _, r := range s.tasks[i].runs {
-				c.stop(r, "job "+string(final))
+				c.stopRun(r, "job "+string(final))
 			}
 		}
 	}
-	c.dirtyPlan = true
+	c.planStale = true
 }
 
-func (c *Core) count(final workload.State) {
+func (c *Core) countFinalState(final workload.JobState) {
 	switch final {
 	case workload.Completed:
-		c.Counts.Completed++
+		c.Counts.CompletedJobs++
 	case workload.Failed:
-		c.Counts.Failed++
+		c.Counts.FailedJobs++
 	case workload.Cancelled:
-		c.Counts.Cancelled++
+		c.Counts.CancelledJobs++
 	}
 }
 
-// storedProgress is what is to be stored of a job now.
-func (j *job) storedProgress() *workload.Progress {
-	p := &workload.Progress{Final: j.final, EndedMS: j.endedMS, Begun: j.begun}
-	if j.final.Ended() {
-		return p // the tasks of an ended job are of no more use
+// progressToStore is what is to be stored of a job now.
+func (j *job) progressToStore() *workload.Progress {
+	progress := &workload.Progress{FinalState: j.finalState, CompletedAtMS: j.completedAtMS, Started: j.started}
+	if j.finalState.IsTerminal() {
+		return progress // the tasks of an ended job are of no more use
 	}
 	for _, s := range j.steps {
 		bits := []byte{}
-		if s.done > 0 {
+		if s.doneCount > 0 {
 			bits = make([]byte, (len(s.tasks)+7)/8)
 		}
 		for i := range s.tasks {
@@ -288,21 +288,21 @@
 			if t.done {
 				bits[i/8] |= 1 << (i % 8)
 			}
-			name := s.key(i).String()[len(j.id)+1:]
-			if len(t.failed) > 0 {
-				if p.FailedRuns == nil {
-					p.FailedRuns = map[string][]int64{}
+			name := s.taskKey(i).String()[len(j.id)+1:]
+			if len(t.failedRuns) > 0 {
+				if progress.FailedRuns == nil {
+					progress.FailedRuns = map[string][]int64{}
 				}
-				p.FailedRuns[name] = slices.Clone(t.failed)
+				progress.FailedRuns[name] = slices.Clone(t.failedRuns)
 			}
 			if len(t.crashes) > 0 && !t.done {
-				if p.Crashes == nil {
-					p.Crashes = map[string][]workload.Crash{}
+				if progress.Crashes == nil {
+					progress.Crashes = map[string][]workload.Crash{}
 				}
-				p.Crashes[name] = slices.Clone(t.crashes)
+				progress.Crashes[name] = slices.Clone(t.crashes)
 			}
 		}
-		p.Done = append(p.Done, bits)
+		progress.DoneBitmaps = append(progress.DoneBitmaps, bits)
 	}
-	return p
+	return progress
 }
--- a/internal/scheduler/lasting_test.go
+++ b/internal/scheduler/lasting_test.go
@@ -16,7 +16,7 @@
 func TestFailedLongRunningTasksAreRestartedOnTheSameWorker(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
-	longRunning := workload.Step{Count: 1, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true}
+	longRunning := workload.Step{Count: 1, Resources: workload.Resources{CPU: 1000, MemoryMB: 100}, LongRunning: true}
 	r.submit("0000000000000001", longRunning)
 	r.submit("0000000000000002", longRunning)
 	exitNumber := int64(0)
@@ -29,7 +29,7 @@
 		r.step(3 * time.Second)
 		for _, s := range starts {
 			exitNumber++
-			r.answerPoll("w-1", r.now, exitReport(exitNumber, s, workload.EndFailed))
+			r.answerPoll("w-1", r.now, exitReport(exitNumber, s, workload.ExitFailed))
 		}
 	}
 }
@@ -40,37 +40,37 @@
 func TestDrainingRespectsMaxUnavailable(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
-	r.submit("0000000000000001", workload.Step{Count: 2, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true, MayMiss: 1})
+	r.submit("0000000000000001", workload.Step{Count: 2, Resources: workload.Resources{CPU: 1000, MemoryMB: 100}, LongRunning: true, MaxUnavailable: 1})
 	starts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, starts, 2)
 	drainedWorker := starts[0].Worker.ID
 	require.Equal(t, drainedWorker, starts[1].Worker.ID, "lasting tasks lie together")
-	runState := func(s scheduler.StartOrder, percent int) workload.RunState {
-		return workload.RunState{Task: s.Start.Task, Run: s.Start.Run, Percent: percent}
+	runState := func(s scheduler.StartOrder, percent int) workload.ListedRun {
+		return workload.ListedRun{Task: s.Start.Task, Run: s.Start.Run, SpeedPercent: percent}
 	}
 	for _, s := range starts {
 		r.answerStart(s, workload.WorkerOK)
 	}
-	r.answerPoll(drainedWorker, r.now.Add(time.Millisecond), workload.Held{Running: []workload.RunState{runState(starts[0], 100), runState(starts[1], 100)}})
-	assert.Equal(t, workload.Occupied, r.core.Evacuate(drainedWorker, r.now))
+	r.answerPoll(drainedWorker, r.now.Add(time.Millisecond), workload.PollReport{Running: []workload.ListedRun{runState(starts[0], 100), runState(starts[1], 100)}})
+	assert.Equal(t, workload.NotDrained, r.core.DrainWorker(drainedWorker, r.now))
 	stops := r.step(20 * time.Millisecond).Stops
 	require.Len(t, stops, 1)
 	stopped, remaining := starts[0], starts[1]
 	if stops[0].Task == starts[1].Start.Task {
 		stopped, remaining = remaining, stopped
 	}
-	report := exitReport(1, stopped, workload.EndStopped)
-	report.Running = []workload.RunState{runState(remaining, 100)}
+	report := exitReport(1, stopped, workload.ExitStopped)
+	report.Running = []workload.ListedRun{runState(remaining, 100)}
 	r.answerPoll(drainedWorker, r.now.Add(time.Millisecond), report)
-	r.core.Evacuate(drainedWorker, r.now)
+	r.core.DrainWorker(drainedWorker, r.now)
 	orders := r.step(20 * time.Millisecond)
 	require.Len(t, orders.Starts, 1)
 	require.NotEqual(t, drainedWorker, orders.Starts[0].Worker.ID)
 	r.answerStart(orders.Starts[0], workload.WorkerOK)
-	r.core.Evacuate(drainedWorker, r.now)
+	r.core.DrainWorker(drainedWorker, r.now)
 	assert.Empty(t, r.step(20*time.Millisecond).Stops, "the first is not at work yet")
-	r.answerPoll(orders.Starts[0].Worker.ID, r.now.Add(time.Millisecond), workload.Held{Running: []workload.RunState{runState(orders.Starts[0], 100)}})
-	r.core.Evacuate(drainedWorker, r.now)
+	r.answerPoll(orders.Starts[0].Worker.ID, r.now.Add(time.Millisecond), workload.PollReport{Running: []workload.ListedRun{runState(orders.Starts[0], 100)}})
+	r.core.DrainWorker(drainedWorker, r.now)
 	assert.Len(t, r.step(20*time.Millisecond).Stops, 1)
 }
 
@@ -79,40 +79,40 @@
 func TestBestEffortTasksAreThrottledBesideServingTasks(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
-	serving := workload.Step{Count: 1, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true, TargetMS: 100}
-	bestEffort := workload.Step{Count: 1, Need: workload.Resources{CPU: 4000, MemoryMB: 100}, Lasting: true, Fills: true}
+	serving := workload.Step{Count: 1, Resources: workload.Resources{CPU: 1000, MemoryMB: 100}, LongRunning: true, LatencyTargetMS: 100}
+	bestEffort := workload.Step{Count: 1, Resources: workload.Resources{CPU: 4000, MemoryMB: 100}, LongRunning: true, BestEffortCPU: true}
 	r.submit("0000000000000001", serving, bestEffort)
 	starts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, starts, 2)
 	for _, s := range starts {
 		r.answerStart(s, workload.WorkerOK)
 	}
-	reportTail := func(tailMS float64) []scheduler.PaceOrder {
-		var rows []workload.RunState
+	reportTail := func(tailMS float64) []scheduler.ThrottleOrder {
+		var rows []workload.ListedRun
 		for _, s := range starts {
-			row := workload.RunState{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}
+			row := workload.ListedRun{Task: s.Start.Task, Run: s.Start.Run, SpeedPercent: 100}
 			if s.Start.Task.Step == 0 {
 				row.Load = tailMS
 			}
 			rows = append(rows, row)
 		}
-		r.answerPoll("w-1", r.now.Add(time.Millisecond), workload.Held{Running: rows})
-		throttles := r.step(600 * time.Millisecond).Paces
+		r.answerPoll("w-1", r.now.Add(time.Millisecond), workload.PollReport{Running: rows})
+		throttles := r.step(600 * time.Millisecond).Throttles
 		for _, p := range throttles {
-			r.core.Paced(scheduler.OrderResult{Worker: "w-1", Task: p.Task, Run: p.Run, Token: p.Token, Answer: workload.WorkerAnswer{Clock: 1000}}, r.now)
+			r.core.HandleThrottleResult(scheduler.OrderResult{Worker: "w-1", Task: p.Task, Run: p.Run, Token: p.Token, Answer: workload.WorkerAnswer{ClockMS: 1000}}, r.now)
 		}
 		return throttles
 	}
 	throttles := reportTail(150)
 	require.Len(t, throttles, 1)
-	assert.Equal(t, 50, throttles[0].Percent)
+	assert.Equal(t, 50, throttles[0].SpeedPercent)
 	assert.Equal(t, 1, throttles[0].Task.Step)
 	throttles = reportTail(120)
 	require.Len(t, throttles, 1)
-	assert.Equal(t, 25, throttles[0].Percent)
+	assert.Equal(t, 25, throttles[0].SpeedPercent)
 	throttles = reportTail(30)
 	require.Len(t, throttles, 1)
-	assert.Equal(t, 40, throttles[0].Percent)
+	assert.Equal(t, 40, throttles[0].SpeedPercent)
 }
 
 // A service is full of short tasks, and a large lasting one has to start again.
@@ -140,7 +140,7 @@
 	submitShortJob()
 	submitShortJob()
 	stepAndStart()
-	r.submit("0000000000000999", workload.Step{Count: 1, Need: workload.Resources{CPU: 6000, MemoryMB: 100}, Lasting: true})
+	r.submit("0000000000000999", workload.Step{Count: 1, Resources: workload.Resources{CPU: 6000, MemoryMB: 100}, LongRunning: true})
 	for round := range 40 {
 		if stepAndStart() {
 			return
@@ -153,11 +153,11 @@
 		done := running[worker][0]
 		running[worker] = running[worker][1:]
 		lastExitNumber[worker]++
-		var report workload.Held
+		var report workload.PollReport
 		for _, s := range running[worker] {
-			report.Running = append(report.Running, workload.RunState{Task: s.Start.Task, Run: s.Start.Run, Percent: 100})
+			report.Running = append(report.Running, workload.ListedRun{Task: s.Start.Task, Run: s.Start.Run, SpeedPercent: 100})
 		}
-		report.Finished = exitReport(lastExitNumber[worker], done, workload.EndDone).Finished
+		report.Exited = exitReport(lastExitNumber[worker], done, workload.ExitDone).Exited
 		r.answerPoll(worker, r.now.Add(time.Millisecond), report)
 		if round%3 == 0 {
 			submitShortJob()
@@ -173,29 +173,29 @@
 func TestLongRunningTasksAvoidWorkersDueForMaintenance(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
-	longRunning := workload.Step{Count: 1, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true, MayMiss: 1}
-	running := map[string][]workload.RunState{}
+	longRunning := workload.Step{Count: 1, Resources: workload.Resources{CPU: 1000, MemoryMB: 100}, LongRunning: true, MaxUnavailable: 1}
+	running := map[string][]workload.ListedRun{}
 	place := func(id string) string {
 		for _, w := range []string{"w-1", "w-2"} {
-			r.answerPoll(w, r.now, workload.Held{Running: running[w]})
+			r.answerPoll(w, r.now, workload.PollReport{Running: running[w]})
 		}
 		r.submit(id, longRunning)
 		starts := r.step(20 * time.Millisecond).Starts
 		require.Len(t, starts, 1)
 		s := starts[0]
 		r.answerStart(s, workload.WorkerOK)
-		running[s.Worker.ID] = append(running[s.Worker.ID], workload.RunState{Task: s.Start.Task, Run: s.Start.Run, Percent: 100})
+		running[s.Worker.ID] = append(running[s.Worker.ID], workload.ListedRun{Task: s.Start.Task, Run: s.Start.Run, SpeedPercent: 100})
 		return s.Worker.ID
 	}
 	first := place("0000000000000001")
-	r.core.SetLeaving("service", []string{first}, r.now)
+	r.core.SetDueForMaintenance("service", []string{first}, r.now)
 	second := place("0000000000000002")
 	assert.NotEqual(t, first, second)
-	r.core.SetLeaving("service", []string{first, second}, r.now)
+	r.core.SetDueForMaintenance("service", []string{first, second}, r.now)
 	place("0000000000000003")
-	r.core.SetLeaving("another", []string{second}, r.now)
+	r.core.SetDueForMaintenance("another", []string{second}, r.now)
 	r.now = r.now.Add(2 * time.Second)
-	r.core.SetLeaving("service", []string{second}, r.now)
+	r.core.SetDueForMaintenance("service", []string{second}, r.now)
 	assert.Equal(t, first, place("0000000000000004"))
 }
 
@@ -208,23 +208,23 @@
 func TestLostStopIsNotResentWhileAnotherTaskIsUnavailable(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2", "w-3")
-	r.submit("0000000000000001", workload.Step{Count: 2, Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Lasting: true, MayMiss: 1, MaxPerWorker: 1})
+	r.submit("0000000000000001", workload.Step{Count: 2, Resources: workload.Resources{CPU: 1000, MemoryMB: 100}, LongRunning: true, MaxUnavailable: 1, MaxPerWorker: 1})
 	starts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, starts, 2)
 	first, second := starts[0], starts[1]
-	runningReport := func(s scheduler.StartOrder) workload.Held {
-		return workload.Held{Running: []workload.RunState{{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}}}
+	runningReport := func(s scheduler.StartOrder) workload.PollReport {
+		return workload.PollReport{Running: []workload.ListedRun{{Task: s.Start.Task, Run: s.Start.Run, SpeedPercent: 100}}}
 	}
 	for _, s := range starts {
 		r.answerStart(s, workload.WorkerOK)
 		r.answerPoll(s.Worker.ID, r.now.Add(time.Millisecond), runningReport(s))
 	}
-	r.core.Evacuate(first.Worker.ID, r.now)
+	r.core.DrainWorker(first.Worker.ID, r.now)
 	stops := r.step(20 * time.Millisecond).Stops
 	require.Len(t, stops, 1)
 
 	list := []workload.Worker{first.Worker, second.Worker}
-	list[1].Draining = true
+	list[1].Leaving = true
 	for _, id := range []string{"w-1", "w-2", "w-3"} {
 		if id != first.Worker.ID && id != second.Worker.ID {
 			list = append(list, workload.Worker{ID: id, Service: "service", Address: id, Labels: first.Worker.Labels, Capacity: first.Worker.Capacity})
@@ -232,10 +232,10 @@
 	}
 	r.core.SetWorkers(list, r.now)
 	require.Len(t, r.step(20*time.Millisecond).Stops, 1, "the other worker leaves")
-	r.core.Stopped(scheduler.OrderResult{Worker: first.Worker.ID, Task: stops[0].Task, Run: stops[0].Run, Token: stops[0].Token, Answer: workload.WorkerAnswer{Status: workload.WorkerUnknown}}, r.now)
+	r.core.HandleStopResult(scheduler.OrderResult{Worker: first.Worker.ID, Task: stops[0].Task, Run: stops[0].Run, Token: stops[0].Token, Answer: workload.WorkerAnswer{Status: workload.WorkerOutcomeUnknown}}, r.now)
 	r.now = r.now.Add(time.Second)
 	resentStops := func() int {
-		r.core.Evacuate(first.Worker.ID, r.now)
+		r.core.DrainWorker(first.Worker.ID, r.now)
 		r.answerPoll(first.Worker.ID, r.now, runningReport(first))
 		n := 0
 		for _, s := range r.step(20 * time.Millisecond).Stops {
@@ -247,7 +247,7 @@
 	}
 	assert.Zero(t, resentStops(), "the other one is away")
 
-	r.answerPoll(second.Worker.ID, r.now.Add(time.Millisecond), exitReport(1, second, workload.EndStopped))
+	r.answerPoll(second.Worker.ID, r.now.Add(time.Millisecond), exitReport(1, second, workload.ExitStopped))
 	restarts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, restarts, 1)
 	r.answerStart(restarts[0], workload.WorkerOK)
--- a/internal/scheduler/lease_test.go
+++ b/internal/scheduler/lease_test.go
@@ -21,7 +21,7 @@
 	idle.clockRate = 0.98
 	w.takeOver()
 	w.after(idleTime, func() {
-		w.submit(workload.Spec{Steps: []workload.Step{{Count: 1, Need: workload.Resources{CPU: 1000, MemoryMB: 1000}, Lasting: true}}}, "quick")
+		w.submit(workload.Spec{Steps: []workload.Step{{Count: 1, Resources: workload.Resources{CPU: 1000, MemoryMB: 1000}, LongRunning: true}}}, "quick")
 	})
 	w.runUntil(idleTime + 200*time.Millisecond)
 	require.Len(t, idle.runs, 1)
@@ -40,9 +40,9 @@
 	r.syncWorkers("w-1")
 	polls := 0
 	for range 250 {
-		for range r.step(100 * time.Millisecond).Holds {
+		for range r.step(100 * time.Millisecond).Polls {
 			polls++
-			r.answerPoll("w-1", r.now, workload.Held{})
+			r.answerPoll("w-1", r.now, workload.PollReport{})
 		}
 	}
 	require.Equal(t, 2, polls, "in 25 s")
@@ -54,7 +54,7 @@
 	r := newRig(t, "w-1", "w-2")
 	r.setWorkers("w-1", "w-2")
 	r.step(0)
-	r.answerPoll("w-2", r.now, workload.Held{})
+	r.answerPoll("w-2", r.now, workload.PollReport{})
 	r.submit("0000000000000001", batchStep(1, 1000))
 	r.setWorkers("w-2")
 	beganAt := r.now
@@ -62,7 +62,7 @@
 	for len(starts) == 0 && r.now.Sub(beganAt) < 10*time.Second {
 		orders := r.step(50 * time.Millisecond)
 		starts = orders.Starts
-		for _, poll := range orders.Holds {
+		for _, poll := range orders.Polls {
 			if poll.Worker.ID == "w-1" {
 				r.timeOutPoll("w-1")
 			}
--- a/internal/scheduler/links_test.go
+++ b/internal/scheduler/links_test.go
@@ -103,8 +103,8 @@
 			if w.longRunningMemoryShare() > 0.8 {
 				break // lasting tasks fill the workers: others may wait for ever
 			}
-			state, _ := w.owner.core.State(j.id)
-			require.True(t, state == workload.Completed || j.submission.Spec.Steps[0].Lasting, "seed %d: job %s is %s", seed, j.id, state)
+			state, _ := w.owner.core.JobState(j.id)
+			require.True(t, state == workload.Completed || j.submission.Spec.Steps[0].LongRunning, "seed %d: job %s is %s", seed, j.id, state)
 		}
 	}
 }
@@ -132,8 +132,8 @@
 			if w.longRunningMemoryShare() > 0.8 {
 				break // lasting tasks fill the workers: others may wait for ever
 			}
-			state, known := w.owner.core.State(j.id)
-			require.True(t, known && (state.Ended() || j.submission.Spec.Steps[0].Lasting), "seed %d: job %s is %s", seed, j.id, state)
+			state, known := w.owner.core.JobState(j.id)
+			require.True(t, known && (state.IsTerminal() || j.submission.Spec.Steps[0].LongRunning), "seed %d: job %s is %s", seed, j.id, state)
 		}
 	}
 	require.NotZero(t, directHandovers)
