--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -7,10 +7,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Loads tells, for each service, what its workers carry and what waits.
-func (c *Core) Loads(now time.Time) []workload.ServiceLoad {
+// ServiceLoads tells, for each service, what its workers carry and what waits.
+func (c *Core) ServiceLoads(now time.Time) []workload.ServiceLoad {
 	byService := map[string]*workload.ServiceLoad{}
-	get := func(service string) *workload.ServiceLoad {
+	loadOf := func(service string) *workload.ServiceLoad {
 		l := byService[service]
 		if l == nil {
 			l = &workload.ServiceLoad{Service: service, Workers: map[string]workload.WorkerLoad{}}
@@ -18,39 +18,39 @@
 		}
 		return l
 	}
-	for _, w := range c.order {
-		if w.missing {
+	for _, w := range c.sortedWorkers {
+		if w.unregistered {
 			continue
 		}
-		l := get(w.info.Service)
-		l.Used = l.Used.Add(w.used)
-		l.Workers[w.info.ID] = w.loadNow(now)
-		l.Size = l.Size.Add(w.info.Capacity)
+		l := loadOf(w.info.Service)
+		l.Reserved = l.Reserved.Add(w.reserved)
+		l.Workers[w.info.ID] = w.loadReport(now)
+		l.MeanWorkerCapacity = l.MeanWorkerCapacity.Add(w.info.Capacity)
 	}
 	for _, l := range byService {
-		l.Size = l.Size.DividedBy(len(l.Workers))
+		l.MeanWorkerCapacity = l.MeanWorkerCapacity.DividedBy(len(l.Workers))
 	}
-	for service, work := range c.arrived {
-		get(service).Arrived = work
+	for service, work := range c.arrivedWork {
+		loadOf(service).ArrivedWork = work
 	}
-	for _, j := range c.active {
-		if j.final.Ended() {
+	for _, j := range c.activeJobs {
+		if j.finalState.IsTerminal() {
 			continue
 		}
-		l := get(j.sub.Service)
-		for o := range j.sub.Spec.Occurrences() {
-			if now.Add(foresight).Before(j.sub.Spec.Due(o)) {
+		l := loadOf(j.submission.Service)
+		for o := range j.submission.Spec.Occurrences() {
+			if now.Add(upcomingWindow).Before(j.submission.Spec.DueAt(o)) {
 				break // later ones are due later
 			}
-			rank := c.rank(j, o, now)
-			for _, s := range rank.steps {
-				addStep(l, s, rank.class, now)
-				c.addLack(l, s, now)
+			cand := c.rankOccurrence(j, o, now)
+			for _, s := range cand.steps {
+				addStepDemand(l, s, cand.class, now)
+				c.addUnmetRequirement(l, s, now)
 			}
 		}
 	}
 	for service, n := range c.waitingSuspects() {
-		addSuspects(get(service), n)
+		addSuspectDemand(loadOf(service), n)
 	}
 	list := make([]workload.ServiceLoad, 0, len(byService))
 	for _, l := range byService {
@@ -64,127 +64,129 @@
 // seconds, and on the workers of a small service a long queue takes minutes.
 const suspectsPerVM = 5
 
-// addSuspects adds what suspects that wait ask for.
-func addSuspects(l *workload.ServiceLoad, waiting int) {
+// addSuspectDemand adds what suspects that wait ask for.
+func addSuspectDemand(l *workload.ServiceLoad, waiting int) {
 	vms := min(waiting/suspectsPerVM, len(l.Workers))
-	l.Waiting = l.Waiting.Add(l.Size.Times(vms))
+	l.PendingDemand = l.PendingDemand.Add(l.MeanWorkerCapacity.Times(vms))
 }
 
 // waitingSuspects counts the suspects that wait for a trial, by service.
 func (c *Core) waitingSuspects() map[string]int {
 	waiting := map[string]int{}
-	for _, s := range c.crashedSteps {
-		if !s.job.final.Ended() {
-			waiting[s.job.sub.Service] += s.idleSuspects()
+	for _, s := range c.stepsWithCrashes {
+		if !s.job.finalState.IsTerminal() {
+			waiting[s.job.submission.Service] += s.idleSuspectCount()
 		}
 	}
 	return waiting
 }
 
-// usable tells whether the worker answers and may get starts now or soon.
-func (w *worker) usable(now time.Time) bool {
-	return w.synced && !w.unreachable && !w.info.Draining && !now.Before(w.trust.suspendUntil)
+// isUsable tells whether the worker answers and may get starts now or soon.
+func (w *worker) isUsable(now time.Time) bool {
+	return w.synced && !w.unreachable && !w.info.Leaving && !now.Before(w.trust.suspendedUntil)
 }
 
-// loadNow is what a worker carries, by how hard it is to move.
-func (w *worker) loadNow(now time.Time) workload.WorkerLoad {
-	l := workload.WorkerLoad{Usable: w.usable(now), Runs: len(w.runs), Used: w.used}
-	if room := w.info.Capacity; room != w.most {
-		l.Shrunk = &room
+// loadReport is what a worker carries, by how hard it is to move.
+func (w *worker) loadReport(now time.Time) workload.WorkerLoad {
+	l := workload.WorkerLoad{Usable: w.isUsable(now), Runs: len(w.runs), Reserved: w.reserved}
+	if capacity := w.info.Capacity; capacity != w.maxCapacity {
+		l.ReducedCapacity = &capacity
 	}
 	for _, r := range w.runs {
-		if r.step.spec.Lasting {
-			l.Lasting++
+		if r.step.spec.LongRunning {
+			l.LongRunningRuns++
 		}
 	}
 	return l
 }
 
-// foresight is how long before it is due an occurrence counts as coming: a VM
+// upcomingWindow is how long before it is due an occurrence counts as coming: a VM
 // takes about as long to another pool.
-const foresight = 3 * time.Second
+const upcomingWindow = 3 * time.Second
 
-// addStep adds what a step waits for, or will.
-func addStep(l *workload.ServiceLoad, s *step, rank class, now time.Time) {
-	if s.spec.Lasting && s.spec.MaxPerWorker > 0 {
-		l.Spread = max(l.Spread, (len(s.tasks)+s.spec.MaxPerWorker-1)/s.spec.MaxPerWorker)
+// addStepDemand adds what a step waits for, or will.
+func addStepDemand(l *workload.ServiceLoad, s *step, jobClass rankClass, now time.Time) {
+	if s.spec.LongRunning && s.spec.MaxPerWorker > 0 {
+		l.MinWorkers = max(l.MinWorkers, (len(s.tasks)+s.spec.MaxPerWorker-1)/s.spec.MaxPerWorker)
 	}
-	waits := s.idle - s.idleSuspects()
-	if waits == 0 || rank > classOnTime {
+	waiting := s.idleCount - s.idleSuspectCount()
+	if waiting == 0 || jobClass > classOnTime {
 		return
 	}
-	need := s.spec.Reserve().Times(waits)
+	need := s.spec.Reservation().Times(waiting)
 	switch {
-	case s.ready(now):
-		l.Waiting = l.Waiting.Add(need)
-		addWants(l, s.spec.Label, need)
-		addWants(l, s.spec.Rack, need)
+	case s.isReady(now):
+		l.PendingDemand = l.PendingDemand.Add(need)
+		addLabelDemand(l, s.spec.RequiredLabel, need)
+		addLabelDemand(l, s.spec.DataRack, need)
 	case len(s.spec.DependsOn) == 0:
-		l.Coming = l.Coming.Add(need)
+		l.UpcomingDemand = l.UpcomingDemand.Add(need)
 	}
 }
 
-func addWants(l *workload.ServiceLoad, label string, need workload.Resources) {
+func addLabelDemand(l *workload.ServiceLoad, label string, need workload.Resources) {
 	if label == "" {
 		return
 	}
-	if l.Wants == nil {
-		l.Wants = map[string]workload.Resources{}
+	if l.DemandByLabel == nil {
+		l.DemandByLabel = map[string]workload.Resources{}
 	}
-	l.Wants[label] = l.Wants[label].Add(need)
+	l.DemandByLabel[label] = l.DemandByLabel[label].Add(need)
 }
 
-// addLack adds a step whose tasks wait for want of workers that may run them: none
+// addUnmetRequirement adds a step whose tasks wait for want of workers that may run them: none
 // is large enough or has their label, or those that have it are full.
-func (c *Core) addLack(l *workload.ServiceLoad, s *step, now time.Time) {
-	if s.idle == s.idleSuspects() || !s.ready(now) || len(l.Lacks) >= maxLacks {
+func (c *Core) addUnmetRequirement(l *workload.ServiceLoad, s *step, now time.Time) {
+	if s.idleCount == s.idleSuspectCount() || !s.isReady(now) || len(l.UnmetRequirements) >= maxUnmetRequirements {
 		return
 	}
-	lack := workload.Lack{Label: s.spec.Label, Need: s.spec.Reserve(), Never: true}
-	if slices.ContainsFunc(l.Lacks, func(told workload.Lack) bool { return told.Label == lack.Label && lack.Need.Fits(told.Need) }) {
+	unmet := workload.UnmetRequirement{Label: s.spec.RequiredLabel, Resources: s.spec.Reservation(), NoFeasibleWorker: true}
+	if slices.ContainsFunc(l.UnmetRequirements, func(reported workload.UnmetRequirement) bool {
+		return reported.Label == unmet.Label && unmet.Resources.FitsIn(reported.Resources)
+	}) {
 		return // what is brought for the other one serves
 	}
-	known := false // as long as no worker has answered, none is known to be missing
-	for _, w := range c.order {
-		if w.info.Service != s.job.sub.Service || !w.usable(now) {
+	hasUsableWorker := false // as long as no worker has answered, none is known to be missing
+	for _, w := range c.sortedWorkers {
+		if w.info.Service != s.job.submission.Service || !w.isUsable(now) {
 			continue
 		}
-		known = true
-		if !w.info.HasLabel(lack.Label) {
+		hasUsableWorker = true
+		if !w.info.HasLabel(unmet.Label) {
 			continue
 		}
-		able := lack.Need.Fits(w.info.Capacity.Sub(w.lastingUse()))
-		if lack.Need.Fits(w.free()) || able && lack.Label == "" {
+		feasible := unmet.Resources.FitsIn(w.info.Capacity.Sub(w.reservedByLongRunning()))
+		if unmet.Resources.FitsIn(w.free()) || feasible && unmet.Label == "" {
 			return
 		}
-		if able {
-			lack.Never = false
+		if feasible {
+			unmet.NoFeasibleWorker = false
 		}
 	}
-	if known && (lack.Never || lack.Label != "") {
-		l.Lacks = append(l.Lacks, lack)
+	if hasUsableWorker && (unmet.NoFeasibleWorker || unmet.Label != "") {
+		l.UnmetRequirements = append(l.UnmetRequirements, unmet)
 	}
 }
 
-// maxLacks bounds what is told at once; the rest follows when these are met.
-const maxLacks = 8
+// maxUnmetRequirements bounds what is told at once; the rest follows when these are met.
+const maxUnmetRequirements = 8
 
-// countArrival adds a job that was accepted just now to what its service is
+// recordArrivedWork adds a job that was accepted just now to what its service is
 // asked for. Lasting tasks are seen in what is used, occurrences in what is
 // coming and waits: a job with many asks for them one after the other.
-func (c *Core) countArrival(j *job) {
-	if j.sub.Spec.Repeat > 0 {
+func (c *Core) recordArrivedWork(j *job) {
+	if j.submission.Spec.Repeat > 0 {
 		return
 	}
-	work := c.arrived[j.sub.Service]
+	work := c.arrivedWork[j.submission.Service]
 	work.Jobs++
 	for _, s := range j.steps {
-		if s.spec.Lasting {
+		if s.spec.LongRunning {
 			continue
 		}
 		ms := int64(len(s.tasks)) * estimate(s.spec).Milliseconds()
-		work.CoreMS += ms * int64(s.spec.Need.CPU) / 1000
-		work.MBMS += ms * int64(s.spec.Need.MemoryMB)
+		work.CoreMS += ms * int64(s.spec.Resources.CPU) / 1000
+		work.MBMS += ms * int64(s.spec.Resources.MemoryMB)
 	}
-	c.arrived[j.sub.Service] = work
+	c.arrivedWork[j.submission.Service] = work
 }
--- a/internal/scheduler/orders.go
+++ b/internal/scheduler/orders.go
@@ -8,19 +8,19 @@
 
 // Orders are what is due, all to be carried out by the owner's process.
 type Orders struct {
-	Holds     []HoldOrder
-	Starts    []StartOrder
-	Stops     []StopOrder
-	Paces     []PaceOrder
-	Advise    []AdviseOrder
-	Write     *WriteOrder // nil if nothing is to be stored
-	Decisions []Decision
+	Polls          []PollOrder
+	Starts         []StartOrder
+	Stops          []StopOrder
+	Throttles      []ThrottleOrder
+	AdviceRequests []AdviceOrder
+	Write          *WriteOrder // nil if nothing is to be stored
+	Decisions      []Decision
 }
 
-// HoldOrder renews the leases of a worker and polls it. Its outcome goes to Held.
-type HoldOrder struct {
+// PollOrder renews the leases of a worker and polls it. Its outcome goes to Held.
+type PollOrder struct {
 	Worker workload.Worker
-	Hold   workload.Hold
+	Poll   workload.Poll
 	// Extra is set for a poll beside one whose answer is overdue.
 	Extra bool
 }
@@ -39,18 +39,18 @@
 	Token  int64
 }
 
-// PaceOrder slows a run down or lets it go.
-type PaceOrder struct {
-	Worker  workload.Worker
-	Task    workload.TaskKey
-	Run     int64
-	Percent int
-	Token   int64
+// ThrottleOrder slows a run down or lets it go.
+type ThrottleOrder struct {
+	Worker       workload.Worker
+	Task         workload.TaskKey
+	Run          int64
+	SpeedPercent int
+	Token        int64
 }
 
-// AdviseOrder asks which of the workers may run a step. Its outcome goes to
+// AdviceOrder asks which of the workers may run a step. Its outcome goes to
 // Advised.
-type AdviseOrder struct {
+type AdviceOrder struct {
 	Step    workload.TaskKey // Index is of no meaning
 	Workers []string
 }
@@ -58,124 +58,124 @@
 // WriteOrder stores records. It is to be tried until its outcome is known, and
 // then reported to Written; no other write is ordered meanwhile.
 type WriteOrder struct {
-	Sequence int64 // from 1, without gaps
-	Records  []workload.Record
-	Delete   []workload.JobID
+	Sequence   int64 // from 1, without gaps
+	Records    []workload.Record
+	DeleteJobs []workload.JobID
 }
 
 // Decision is one line of the log: what was decided, on what.
 type Decision struct {
-	Verb     string // "placed", "ended", "stopped", ...
-	Job      workload.JobID
-	Task     string
-	Queue    string
-	Worker   string
-	Run      int64
-	Reason   string
-	Age      time.Duration // of what was decided on
-	Critical bool          // to be logged also where lines are left out
+	Verb         string // "placed", "ended", "stopped", ...
+	Job          workload.JobID
+	Task         string
+	Queue        string
+	Worker       string
+	Run          int64
+	Reason       string
+	Age          time.Duration // of what was decided on
+	AlwaysLogged bool          // to be logged also where lines are left out
 }
 
-func (c *Core) note(d Decision) { c.out.Decisions = append(c.out.Decisions, d) }
+func (c *Core) recordDecision(d Decision) { c.orders.Decisions = append(c.orders.Decisions, d) }
 
-// write is one that is under way, with what it makes true.
-type write struct {
-	jobs map[workload.JobID]workload.State
-	ends []readEnds
+// pendingWrite is one that is under way, with what it makes true.
+type pendingWrite struct {
+	finalStates map[workload.JobID]workload.JobState
+	exitMarks   []exitMark
 }
 
-// readEnds is how far the ends of one incarnation of a worker were read.
-type readEnds struct {
-	worker *worker
-	token  int64 // at that incarnation
-	number int64
+// exitMark is how far the ends of one incarnation of a worker were read.
+type exitMark struct {
+	worker       *worker
+	token        int64 // at that incarnation
+	lastExitSeen int64
 }
 
-// writePause is the shortest time between two writes. The ends of tasks come by
+// minWriteInterval is the shortest time between two writes. The ends of tasks come by
 // the hundred a second, and a worker is not polled again within holdPause
 // anyway; a job that has ended is stored at once, as its caller waits for it.
-const writePause = 20 * time.Millisecond
+const minWriteInterval = 20 * time.Millisecond
 
-// write orders the storing of what has changed, one write at a time. Ends that
+// orderWrite orders the storing of what has changed, one write at a time. Ends that
 // come meanwhile go together into the next, which bounds the calls.
-func (c *Core) write(now time.Time) {
-	if c.writing != nil {
+func (c *Core) orderWrite(now time.Time) {
+	if c.pendingWrite != nil {
 		return
 	}
-	if now.Before(c.wroteAt.Add(writePause)) && !c.endedJob() {
+	if now.Before(c.lastWriteAt.Add(minWriteInterval)) && !c.hasUnstoredCompletion() {
 		return
 	}
-	if len(c.dirty) == 0 && len(c.expired) == 0 && c.writeSeq > 0 {
+	if len(c.dirtyJobs) == 0 && len(c.jobsToDelete) == 0 && c.lastWriteSeq > 0 {
 		// What ended without changing a job needs no record.
-		for _, w := range c.order {
-			w.noted(w.seen)
+		for _, w := range c.sortedWorkers {
+			w.allowAck(w.lastExitSeen)
 		}
 		return
 	}
-	c.writeSeq++
-	c.wroteAt = now
-	c.writing = &write{jobs: map[workload.JobID]workload.State{}}
-	order := &WriteOrder{Sequence: c.writeSeq, Delete: c.expired}
-	if c.writeSeq == 1 {
+	c.lastWriteSeq++
+	c.lastWriteAt = now
+	c.pendingWrite = &pendingWrite{finalStates: map[workload.JobID]workload.JobState{}}
+	order := &WriteOrder{Sequence: c.lastWriteSeq, DeleteJobs: c.jobsToDelete}
+	if c.lastWriteSeq == 1 {
 		// From here on the handover of the owner before says too little.
-		order.Records = append(order.Records, workload.Record{Takeover: &workload.Takeover{Epoch: c.cfg.Epoch, Address: c.cfg.Address}})
+		order.Records = append(order.Records, workload.Record{Takeover: &workload.Takeover{Epoch: c.settings.Epoch, Address: c.settings.Address}})
 	}
-	order.Records = append(order.Records, c.dirtyRecords()...)
-	for id, j := range c.dirty {
-		c.writing.jobs[id] = j.final
+	order.Records = append(order.Records, c.unstoredProgressRecords()...)
+	for id, j := range c.dirtyJobs {
+		c.pendingWrite.finalStates[id] = j.finalState
 	}
-	for _, w := range c.order {
-		c.writing.ends = append(c.writing.ends, readEnds{worker: w, token: w.token, number: w.seen})
+	for _, w := range c.sortedWorkers {
+		c.pendingWrite.exitMarks = append(c.pendingWrite.exitMarks, exitMark{worker: w, token: w.token, lastExitSeen: w.lastExitSeen})
 	}
-	clear(c.dirty)
-	c.expired = nil
-	c.out.Write = order
+	clear(c.dirtyJobs)
+	c.jobsToDelete = nil
+	c.orders.Write = order
 }
 
-// endedJob tells whether the end of a job waits to be stored.
-func (c *Core) endedJob() bool {
-	for _, j := range c.dirty {
-		if j.final.Ended() {
+// hasUnstoredCompletion tells whether the end of a job waits to be stored.
+func (c *Core) hasUnstoredCompletion() bool {
+	for _, j := range c.dirtyJobs {
+		if j.finalState.IsTerminal() {
 			return true
 		}
 	}
 	return false
 }
 
-// Recorded tells whether no write is under way.
-func (c *Core) Recorded() bool { return c.writing == nil }
+// NoWriteInFlight tells whether no write is under way.
+func (c *Core) NoWriteInFlight() bool { return c.pendingWrite == nil }
 
-// NextSequence is the sequence of the write that would follow.
-func (c *Core) NextSequence() int64 { return c.writeSeq + 1 }
+// NextWriteSequence is the sequence of the write that would follow.
+func (c *Core) NextWriteSequence() int64 { return c.lastWriteSeq + 1 }
 
-// Written reports that the write under way is stored.
-func (c *Core) Written() {
-	if c.writing == nil {
+// HandleWriteResult reports that the write under way is stored.
+func (c *Core) HandleWriteResult() {
+	if c.pendingWrite == nil {
 		return
 	}
-	for id, final := range c.writing.jobs {
-		if j := c.jobs[id]; j != nil && final.Ended() {
-			j.shown = final
+	for id, final := range c.pendingWrite.finalStates {
+		if j := c.jobs[id]; j != nil && final.IsTerminal() {
+			j.storedState = final
 		}
 	}
-	for _, read := range c.writing.ends {
-		if read.worker.token == read.token {
-			read.worker.noted(read.number)
+	for _, mark := range c.pendingWrite.exitMarks {
+		if mark.worker.token == mark.token {
+			mark.worker.allowAck(mark.lastExitSeen)
 		}
 	}
-	c.writing = nil
-	c.storedSeq = c.writeSeq
-	if c.suspectsWait {
-		c.suspectsWait = false
-		c.dirtyPlan = true
-		c.ranking.whole = true // also where their service has no room for others
+	c.pendingWrite = nil
+	c.storedWriteSeq = c.lastWriteSeq
+	if c.suspectWritePending {
+		c.suspectWritePending = false
+		c.planStale = true
+		c.ranking.tryAll = true // also where their service has no room for others
 	}
-	c.opened = true
+	c.takeoverStored = true
 }
 
-// GiveUp ends the ownership: a later owner has fenced this one.
-func (c *Core) GiveUp(reason string) {
-	if c.lost == "" {
-		c.lost = reason
+// StepDown ends the ownership: a later owner has fenced this one.
+func (c *Core) StepDown(reason string) {
+	if c.stepDownReason == "" {
+		c.stepDownReason = reason
 	}
 }
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -6,54 +6,54 @@
 // must stay under its target: it is brought down at once and up again slowly,
 // as an overshoot harms users and a lower pace costs only spare work.
 const (
-	highRatio    = 0.85 // of tail to target, at which pace is cut
-	lowRatio     = 0.6  // below which it is raised
-	cutFactor    = 0.5
-	raiseStep    = 15                     // percent
-	paceInterval = 500 * time.Millisecond // the tail that workers report covers half a second
-	minPace      = 5                      // percent; below it a task is halted
+	highTailRatio     = 0.85 // of tail to target, at which pace is cut
+	lowTailRatio      = 0.6  // below which it is raised
+	speedCutFactor    = 0.5
+	speedRaisePercent = 15                     // percent
+	throttleInterval  = 500 * time.Millisecond // the tail that workers report covers half a second
+	minSpeedPercent   = 5                      // percent; below it a task is halted
 )
 
-// balancePace sets the pace of a worker's filling tasks by the tails of its
+// throttleBestEffort sets the pace of a worker's filling tasks by the tails of its
 // serving ones.
-func (c *Core) balancePace(w *worker, now time.Time) {
-	worst, filling := 0.0, false
+func (c *Core) throttleBestEffort(w *worker, now time.Time) {
+	worstTailRatio, hasBestEffort := 0.0, false
 	for _, r := range w.runs {
-		if r.step.spec.TargetMS > 0 {
-			worst = max(worst, r.load/float64(r.step.spec.TargetMS))
+		if r.step.spec.LatencyTargetMS > 0 {
+			worstTailRatio = max(worstTailRatio, r.load/float64(r.step.spec.LatencyTargetMS))
 		}
-		filling = filling || r.step.spec.Fills
+		hasBestEffort = hasBestEffort || r.step.spec.BestEffortCPU
 	}
-	if !filling {
-		w.pace = fullPace
+	if !hasBestEffort {
+		w.bestEffortSpeedPercent = fullSpeedPercent
 		return
 	}
-	if now.Sub(w.pacedAt) >= paceInterval {
-		w.adjustPace(worst, now)
+	if now.Sub(w.speedChangedAt) >= throttleInterval {
+		w.adjustSpeed(worstTailRatio, now)
 	}
 	for _, r := range w.runs {
-		if !r.step.spec.Fills || r.state != runRunning || r.pacing || r.paced == w.pace || w.orders >= maxOrders {
+		if !r.step.spec.BestEffortCPU || r.state != runRunning || r.throttleInFlight || r.orderedSpeedPercent == w.bestEffortSpeedPercent || w.ordersInFlight >= maxOrdersPerWorker {
 			continue
 		}
-		r.pacing = true
-		r.paced = w.pace
-		w.orders++
-		c.out.Paces = append(c.out.Paces, PaceOrder{Worker: w.info, Task: r.key(), Run: r.number, Percent: w.pace, Token: w.token})
+		r.throttleInFlight = true
+		r.orderedSpeedPercent = w.bestEffortSpeedPercent
+		w.ordersInFlight++
+		c.orders.Throttles = append(c.orders.Throttles, ThrottleOrder{Worker: w.info, Task: r.taskKey(), Run: r.number, SpeedPercent: w.bestEffortSpeedPercent, Token: w.token})
 	}
 }
 
-func (w *worker) adjustPace(worst float64, now time.Time) {
-	before := w.pace
+func (w *worker) adjustSpeed(worstTailRatio float64, now time.Time) {
+	before := w.bestEffortSpeedPercent
 	switch {
-	case worst > highRatio:
-		w.pace = int(float64(w.pace) * cutFactor)
-		if w.pace < minPace {
-			w.pace = 0
+	case worstTailRatio > highTailRatio:
+		w.bestEffortSpeedPercent = int(float64(w.bestEffortSpeedPercent) * speedCutFactor)
+		if w.bestEffortSpeedPercent < minSpeedPercent {
+			w.bestEffortSpeedPercent = 0
 		}
-	case worst < lowRatio:
-		w.pace = min(fullPace, w.pace+raiseStep)
+	case worstTailRatio < lowTailRatio:
+		w.bestEffortSpeedPercent = min(fullSpeedPercent, w.bestEffortSpeedPercent+speedRaisePercent)
 	}
-	if w.pace != before {
-		w.pacedAt = now
+	if w.bestEffortSpeedPercent != before {
+		w.speedChangedAt = now
 	}
 }
--- a/internal/scheduler/peak_test.go
+++ b/internal/scheduler/peak_test.go
@@ -27,7 +27,7 @@
 func (w *world) randomLookupSpec() workload.Spec {
 	step := workload.Step{
 		Count:      2 + w.rng.IntN(6) + w.rng.IntN(6),
-		Need:       workload.Resources{CPU: 2000 + w.rng.IntN(5000), MemoryMB: 500},
+		Resources:  workload.Resources{CPU: 2000 + w.rng.IntN(5000), MemoryMB: 500},
 		EstimateMS: lookupEstimateMS,
 	}
 	if w.rng.IntN(10) == 0 {
@@ -70,7 +70,7 @@
 	for _, j := range jobs {
 		criticalPath := time.Duration(len(j.submission.Spec.Steps)) * lookupEstimateMS * time.Millisecond
 		deadline := testConfig.Queues[0].Objective + time.Duration(testConfig.Queues[0].Stretch*float64(criticalPath))
-		if j.shownState == workload.Completed && j.shownStateChangedAt.Sub(time.UnixMilli(j.submission.AcceptedMS)) <= deadline {
+		if j.shownState == workload.Completed && j.shownStateChangedAt.Sub(time.UnixMilli(j.submission.AcceptedAtMS)) <= deadline {
 			n++
 		}
 	}
@@ -93,7 +93,7 @@
 func coreMilliseconds(s *workload.Submission) int64 {
 	work := int64(0)
 	for _, step := range s.Spec.Steps {
-		work += int64(step.Count) * int64(step.Need.CPU) * step.EstimateMS
+		work += int64(step.Count) * int64(step.Resources.CPU) * step.EstimateMS
 	}
 	return work
 }
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -6,81 +6,81 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// place orders starts: feasible, rank, limit, over the room that is known now.
-func (c *Core) place(now time.Time) {
-	if !c.dirtyPlan && now.Before(c.plannedAt.Add(planInterval)) || c.blocked(now) || !c.hasAuthority(now) {
+// placeTasks orders starts: feasible, rank, limit, over the room that is known now.
+func (c *Core) placeTasks(now time.Time) {
+	if !c.planStale && now.Before(c.lastPlanAt.Add(maxPlanInterval)) || c.isPlacementBlocked(now) || !c.hasAuthority(now) {
 		return
 	}
-	c.dirtyPlan = false
-	c.plannedAt = now
+	c.planStale = false
+	c.lastPlanAt = now
 	c.Counts.Plans++
 	c.refreshRanking(now)
 	r := &c.ranking
-	pools := c.pools(now)
-	r.begin(pools)
-	c.placeTrials(pools, now)
-	for _, cand := range r.list {
-		if cand.class > classStarved && !r.open(cand.waiting) || cand.waiting.pool == nil || cand.job.final.Ended() {
+	pools := c.poolsByService(now)
+	r.beginPlan(pools)
+	c.placeSuspects(pools, now)
+	for _, cand := range r.candidates {
+		if cand.class > classStarved && !r.canPlaceMore(cand.servicePlan) || cand.servicePlan.pool == nil || cand.job.finalState.IsTerminal() {
 			continue
 		}
 		c.placeCandidate(cand, now)
-		if c.starting.full() {
-			c.dirtyPlan = true // the rest waits for answers
-			c.Counts.CutShort++
+		if c.startsInFlight.isFull() {
+			c.planStale = true // the rest waits for answers
+			c.Counts.TruncatedPlans++
 			return
 		}
 	}
-	r.whole = false
+	r.tryAll = false
 }
 
 // placeCandidate places what it can of an occurrence.
 func (c *Core) placeCandidate(cand candidate, now time.Time) {
-	pool := cand.waiting.pool
+	pool := cand.servicePlan.pool
 	for _, s := range cand.steps {
-		if s.idle == 0 || !s.ready(now) {
+		if s.idleCount == 0 || !s.isReady(now) {
 			continue
 		}
-		c.Counts.Looks++
-		idle := s.idle
+		c.Counts.PlacementChecks++
+		idleBefore := s.idleCount
 		c.placeStep(pool, s, now)
-		lacksRoom := s.idle > s.idleSuspects()
-		if lacksRoom || s.idle < idle {
-			c.busyUntil[s.job.sub.Service] = now.Add(busyFor)
+		lacksCapacity := s.idleCount > s.idleSuspectCount()
+		if lacksCapacity || s.idleCount < idleBefore {
+			c.serviceBusyUntil[s.job.submission.Service] = now.Add(serviceBusyDuration)
 		}
-		if lacksRoom {
+		if lacksCapacity {
 			c.preempt(pool, cand, s, now)
 		}
 		if cand.class <= classStarved {
-			if lacksRoom && (s.spec.Lasting || !pool.kept) {
-				pool.keepRoom(s)
+			if lacksCapacity && (s.spec.LongRunning || !pool.hasTaskReservation) {
+				pool.reserveWorkerFor(s)
 			}
 			continue
 		}
-		cand.waiting.misses++
-		if s.idle < idle {
-			cand.waiting.misses = 0
-			cand.started(s, idle-s.idle)
+		cand.servicePlan.consecutiveMisses++
+		if s.idleCount < idleBefore {
+			cand.servicePlan.consecutiveMisses = 0
+			cand.recordStarted(s, idleBefore-s.idleCount)
 		}
 	}
 }
 
-// planInterval is the longest pause between two plans while nothing changes:
+// maxPlanInterval is the longest pause between two plans while nothing changes:
 // due times and pauses run out without a message.
-const planInterval = 100 * time.Millisecond
+const maxPlanInterval = 100 * time.Millisecond
 
-// blocked tells whether an earlier owner's runs may still be unknown. Starting a
+// isPlacementBlocked tells whether an earlier owner's runs may still be unknown. Starting a
 // task then could run it twice.
-func (c *Core) blocked(now time.Time) bool {
-	if !c.opened {
+func (c *Core) isPlacementBlocked(now time.Time) bool {
+	if !c.takeoverStored {
 		return true // a later owner must not take an earlier one's word for the last
 	}
-	if !now.Before(c.blockedUntil) {
+	if !now.Before(c.earlierLeasesExpireAt) {
 		return false
 	}
-	if c.doubtful {
+	if c.workerListIncomplete {
 		return true
 	}
-	for id := range c.unheld {
+	for id := range c.unresolvedWorkers {
 		if w := c.workers[id]; w == nil || !w.synced {
 			return true
 		}
@@ -90,15 +90,15 @@
 
 // placeStep starts the idle tasks of a step as far as there is room.
 func (c *Core) placeStep(p *pool, s *step, now time.Time) {
-	suspects := s.idleSuspects() > 0
-	if !suspects && !s.spec.Reserve().Fits(p.roomiest) {
+	hasSuspects := s.idleSuspectCount() > 0
+	if !hasSuspects && !s.spec.Reservation().FitsIn(p.maxFree) {
 		return
 	}
-	if !c.advised(p, s, now) {
+	if !c.ensureAdvice(p, s, now) {
 		return
 	}
-	if suspects && s.spec.Gang {
-		c.placeGangTrial(p, s, now)
+	if hasSuspects && s.spec.Gang {
+		c.placeGangWithSuspects(p, s, now)
 		return
 	}
 	if s.spec.Gang {
@@ -107,55 +107,55 @@
 	}
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		if t.done || len(t.runs) > 0 || now.Before(t.notBefore) || t.suspect() {
+		if t.done || len(t.runs) > 0 || now.Before(t.notBefore) || t.isSuspect() {
 			continue
 		}
-		if c.starting.full() {
+		if c.startsInFlight.isFull() {
 			return
 		}
-		c.Counts.Looks += len(p.workers)
-		w := p.best(s, t, now)
+		c.Counts.PlacementChecks += len(p.workers)
+		w := p.bestWorker(s, t, now)
 		if w == nil {
-			if t.avoid != "" {
+			if t.avoidWorker != "" {
 				continue // another task of the step may have more choice
 			}
 			return
 		}
-		c.start(w, s, i, s.nextRun(c.cfg.Epoch), t.checkpoint, now)
-		p.measure()
+		c.startRun(w, s, i, s.nextRunNumber(c.settings.Epoch), t.checkpoint, now)
+		p.updateMaxFree()
 	}
 }
 
-// nextRun numbers a run above all earlier ones of the step: those of earlier
+// nextRunNumber numbers a run above all earlier ones of the step: those of earlier
 // owners have lower epochs.
-func (s *step) nextRun(epoch int64) int64 {
-	s.lastRun++
-	return epoch*runStep + s.lastRun
+func (s *step) nextRunNumber(epoch int64) int64 {
+	s.lastRunSeq++
+	return epoch*runNumbersPerEpoch + s.lastRunSeq
 }
 
-// start orders a run.
-func (c *Core) start(w *worker, s *step, index int, number int64, checkpoint string, now time.Time) *run {
-	r := &run{step: s, index: index, number: number, worker: w, born: w.born, state: runStarting, since: now, orderedAt: now, paced: fullPace, checkpoint: checkpoint}
-	begun := s.job.begun
-	w.add(r)
-	w.orders++
-	c.starting.add(r)
+// startRun orders a run.
+func (c *Core) startRun(w *worker, s *step, index int, runNumber int64, checkpoint string, now time.Time) *run {
+	r := &run{step: s, index: index, number: runNumber, worker: w, incarnation: w.incarnation, state: runStarting, stateChangedAt: now, orderedAt: now, orderedSpeedPercent: fullSpeedPercent, checkpoint: checkpoint}
+	jobHadBegun := s.job.started
+	w.addRun(r)
+	w.ordersInFlight++
+	c.startsInFlight.add(r)
 	order := workload.Start{
-		Task:       r.key(),
-		Run:        number,
-		Payload:    s.job.sub.Spec.Payload,
-		LeaseUntil: c.grant(w, now),
-		Token:      w.token,
-		Checkpoint: checkpoint,
+		Task:             r.taskKey(),
+		Run:              runNumber,
+		Payload:          s.job.submission.Spec.Payload,
+		LeaseExpiresAtMS: c.grantLease(w, now),
+		Token:            w.token,
+		Checkpoint:       checkpoint,
 	}
-	if t := s.ticketFor(w.info.ID, now); t != nil {
-		order.Ticket = t.Text
+	if t := s.validTicket(w.info.ID, now); t != nil {
+		order.Ticket = t.text
 	}
-	c.out.Starts = append(c.out.Starts, StartOrder{Worker: w.info, Start: order})
+	c.orders.Starts = append(c.orders.Starts, StartOrder{Worker: w.info, Start: order})
 	verb := "placed"
-	if !begun {
+	if !jobHadBegun {
 		verb = "first-placed"
 	}
-	c.note(Decision{Verb: verb, Job: s.job.id, Task: r.key().String(), Queue: s.job.sub.Queue, Worker: w.info.ID, Run: number, Age: now.Sub(time.UnixMilli(s.job.sub.AcceptedMS))})
+	c.recordDecision(Decision{Verb: verb, Job: s.job.id, Task: r.taskKey().String(), Queue: s.job.submission.Queue, Worker: w.info.ID, Run: runNumber, Age: now.Sub(time.UnixMilli(s.job.submission.AcceptedAtMS))})
 	return r
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -10,27 +10,27 @@
 
 // Rules of preemption.
 const (
-	// preemptAfter is how long an urgent task waits for room before other runs are
+	// preemptionDelay is how long an urgent task waits for room before other runs are
 	// stopped for it: most room comes free by itself sooner, and a stop takes as
 	// long again.
-	preemptAfter = 250 * time.Millisecond
-	// lastingAfter is the same for a lasting task: it earns by the second, so that
+	preemptionDelay = 250 * time.Millisecond
+	// longRunningPreemptionDelay is the same for a lasting task: it earns by the second, so that
 	// a short wait costs little.
-	lastingAfter = time.Second
-	// preemptWorth is how much work a preemption may throw away, as a share of the
+	longRunningPreemptionDelay = time.Second
+	// maxLossRatio is how much work a preemption may throw away, as a share of the
 	// work that it makes room for.
-	preemptWorth = 0.5
-	// lastingLoss is how many core-seconds it may throw away for a lasting task:
+	maxLossRatio = 0.5
+	// maxLossForLongRunning is how many core-seconds it may throw away for a lasting task:
 	// about what one does in four seconds.
-	lastingLoss = 20.0
-	// maxSearches is how many steps a plan looks for runs for that give way, in each
+	maxLossForLongRunning = 20.0
+	// maxPreemptionSearches is how many steps a plan looks for runs for that give way, in each
 	// service. A search looks at all runs of the service; without a bound a plan costs
 	// as much as steps wait, and an owner with a hundred of them does little else.
 	// Lasting steps are few and owed within seconds, and are searched for beside it.
-	maxSearches = 4
-	// searchPause is how long a step waits after a search that found nothing: as long
+	maxPreemptionSearches = 4
+	// preemptionSearchInterval is how long a step waits after a search that found nothing: as long
 	// as its patience, so that the searches of a plan reach all steps in turn.
-	searchPause = preemptAfter
+	preemptionSearchInterval = preemptionDelay
 	// unknownPriority is that of a pool that wasn't looked at yet.
 	unknownPriority = -1
 )
@@ -39,102 +39,102 @@
 // Without it a lasting task that has to start again, or an urgent job, waits on a
 // full service until what is less urgent has ended.
 func (c *Core) preempt(p *pool, cand candidate, s *step, now time.Time) {
-	if s.waits.IsZero() {
-		s.waits = now
+	if s.waitingForCapacitySince.IsZero() {
+		s.waitingForCapacitySince = now
 	}
-	patience := preemptAfter
-	if s.spec.Lasting {
-		patience = lastingAfter
+	delay := preemptionDelay
+	if s.spec.LongRunning {
+		delay = longRunningPreemptionDelay
 	}
-	if cand.class > classOnTime || s.spec.Gang || s.spec.Fills || now.Before(s.waits.Add(patience)) || now.Before(s.searchAfter) {
+	if cand.class > classOnTime || s.spec.Gang || s.spec.BestEffortCPU || now.Before(s.waitingForCapacitySince.Add(delay)) || now.Before(s.nextPreemptionSearchAt) {
 		return
 	}
-	if c.lowestPriority(p) <= cand.priority || !s.spec.Lasting && p.searches >= maxSearches {
+	if c.lowestPreemptiblePriority(p) <= cand.priority || !s.spec.LongRunning && p.preemptionSearches >= maxPreemptionSearches {
 		return
 	}
-	if !s.spec.Lasting {
-		p.searches++
+	if !s.spec.LongRunning {
+		p.preemptionSearches++
 	}
-	c.Counts.Looks += len(p.workers)
-	if p.comingSeats(s) >= s.idle {
+	c.Counts.PlacementChecks += len(p.workers)
+	if p.tasksFittingAfterStops(s) >= s.idleCount {
 		return // room is being made
 	}
-	var best []*run
-	bestLoss := preemptWorth * coreSeconds(s.spec, estimate(s.spec))
-	if s.spec.Lasting {
-		bestLoss = lastingLoss
+	var bestVictims []*run
+	bestLoss := maxLossRatio * coreSeconds(s.spec, estimate(s.spec))
+	if s.spec.LongRunning {
+		bestLoss = maxLossForLongRunning
 	}
 	for _, w := range p.workers {
-		victims, loss := c.victims(w, s, cand.priority, now)
+		victims, loss := c.preemptionVictims(w, s, cand.priority, now)
 		if victims != nil && loss < bestLoss {
-			best, bestLoss = victims, loss
+			bestVictims, bestLoss = victims, loss
 		}
 	}
-	if best == nil {
-		s.searchAfter = now.Add(searchPause)
+	if bestVictims == nil {
+		s.nextPreemptionSearchAt = now.Add(preemptionSearchInterval)
 	}
-	for _, r := range best {
-		c.stop(r, "gives way to "+s.key(0).StepName()+", which is more urgent")
+	for _, r := range bestVictims {
+		c.stopRun(r, "gives way to "+s.taskKey(0).StepName()+", which is more urgent")
 	}
 }
 
-// lowestPriority is the priority of the least urgent runs of a pool that may give way,
+// lowestPreemptiblePriority is the priority of the least urgent runs of a pool that may give way,
 // the highest number.
-func (c *Core) lowestPriority(p *pool) int {
-	if p.lowest != unknownPriority {
-		return p.lowest
+func (c *Core) lowestPreemptiblePriority(p *pool) int {
+	if p.lowestPreemptiblePriority != unknownPriority {
+		return p.lowestPreemptiblePriority
 	}
-	p.lowest = 0
+	p.lowestPreemptiblePriority = 0
 	for _, w := range p.workers {
-		c.Counts.Looks += len(w.runs)
+		c.Counts.PlacementChecks += len(w.runs)
 		for _, r := range w.runs {
-			if c.givesWay(r, p.lowest) {
-				p.lowest = r.step.job.queue.Priority
+			if c.isPreemptible(r, p.lowestPreemptiblePriority) {
+				p.lowestPreemptiblePriority = r.step.job.queue.Priority
 			}
 		}
 	}
-	return p.lowest
+	return p.lowestPreemptiblePriority
 }
 
-// victims are the runs to stop on a worker so that a task of the step fits, and
+// preemptionVictims are the runs to stop on a worker so that a task of the step fits, and
 // the core-seconds of work that this throws away; nil if it can't be made to fit.
-func (c *Core) victims(w *worker, s *step, priority int, now time.Time) ([]*run, float64) {
-	if s.seatsLeft(w) == 0 {
+func (c *Core) preemptionVictims(w *worker, s *step, priority int, now time.Time) ([]*run, float64) {
+	if s.placementLimit(w) == 0 {
 		return nil, 0
 	}
-	c.Counts.Looks += len(w.runs)
-	var list []*run
+	c.Counts.PlacementChecks += len(w.runs)
+	var preemptible []*run
 	for _, r := range w.runs {
-		if c.givesWay(r, priority) {
-			list = append(list, r)
+		if c.isPreemptible(r, priority) {
+			preemptible = append(preemptible, r)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b *run) int { return cmp.Compare(a.unsaved(now), b.unsaved(now)) })
+	slices.SortStableFunc(preemptible, func(a, b *run) int { return cmp.Compare(a.unsavedWork(now), b.unsavedWork(now)) })
 	free, loss := w.free(), 0.0
-	for i, r := range list {
-		free = free.Add(r.step.spec.Reserve())
-		loss += r.unsaved(now)
-		if s.spec.Reserve().Fits(free) {
-			return list[:i+1], loss
+	for i, r := range preemptible {
+		free = free.Add(r.step.spec.Reservation())
+		loss += r.unsavedWork(now)
+		if s.spec.Reservation().FitsIn(free) {
+			return preemptible[:i+1], loss
 		}
 	}
 	return nil, 0
 }
 
-// givesWay tells whether a run may be stopped for a task of a priority. Lasting
+// isPreemptible tells whether a run may be stopped for a task of a priority. Lasting
 // tasks have a budget of their own, members of a gang would end the others.
-func (c *Core) givesWay(r *run, priority int) bool {
+func (c *Core) isPreemptible(r *run, priority int) bool {
 	spec := r.step.spec
-	if r.state != runRunning || spec.Lasting || spec.Gang || spec.Speculative {
+	if r.state != runRunning || spec.LongRunning || spec.Gang || spec.Speculative {
 		return false
 	}
 	q := r.step.job.queue
 	return q != nil && q.Priority > priority
 }
 
-// unsaved is the work in core-seconds that is lost if the run is stopped now. A
+// unsavedWork is the work in core-seconds that is lost if the run is stopped now. A
 // stop leaves a checkpoint where the task makes them.
-func (r *run) unsaved(now time.Time) float64 {
+func (r *run) unsavedWork(now time.Time) float64 {
 	if r.step.spec.Checkpoints {
 		return 0
 	}
@@ -142,36 +142,36 @@
 }
 
 func coreSeconds(s *workload.Step, d time.Duration) float64 {
-	return d.Seconds() * float64(s.Need.CPU) / 1000
+	return d.Seconds() * float64(s.Resources.CPU) / 1000
 }
 
-// comingSeats is how many tasks of the step fit once the runs that are being
+// tasksFittingAfterStops is how many tasks of the step fit once the runs that are being
 // stopped have ended.
-func (p *pool) comingSeats(s *step) int {
-	seats := 0
+func (p *pool) tasksFittingAfterStops(s *step) int {
+	fitting := 0
 	for _, w := range p.workers {
 		free := w.free()
 		for _, r := range w.runs {
 			if r.state == runStopping {
-				free = free.Add(r.step.spec.Reserve())
+				free = free.Add(r.step.spec.Reservation())
 			}
 		}
-		for n := 0; n < s.seatsLeft(w) && s.spec.Reserve().Fits(free); n++ {
-			free = free.Sub(s.spec.Reserve())
-			seats++
+		for n := 0; n < s.placementLimit(w) && s.spec.Reservation().FitsIn(free); n++ {
+			free = free.Sub(s.spec.Reservation())
+			fitting++
 		}
 	}
-	return seats
+	return fitting
 }
 
-// seatsLeft is how many of the step's idle tasks a worker may get, however much
+// placementLimit is how many of the step's idle tasks a worker may get, however much
 // room it has.
-func (s *step) seatsLeft(w *worker) int {
-	if !w.info.HasLabel(s.spec.Label) {
+func (s *step) placementLimit(w *worker) int {
+	if !w.info.HasLabel(s.spec.RequiredLabel) {
 		return 0
 	}
 	if s.spec.MaxPerWorker == 0 {
-		return s.idle
+		return s.idleCount
 	}
-	return max(0, min(s.idle, s.spec.MaxPerWorker-s.perWorker[w.info.ID]))
+	return max(0, min(s.idleCount, s.spec.MaxPerWorker-s.liveRunsByWorker[w.info.ID]))
 }
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -27,7 +27,7 @@
 // submitToQueue submits a job to a queue.
 func (r *rig) submitToQueue(queue, id string, steps ...workload.Step) workload.JobID {
 	job := workload.JobID(id)
-	r.core.Submitted(job, &workload.Submission{Queue: queue, Service: "service", AcceptedMS: r.now.UnixMilli(), Spec: workload.Spec{Payload: "work", Steps: steps}})
+	r.core.AddJob(job, &workload.Submission{Queue: queue, Service: "service", AcceptedAtMS: r.now.UnixMilli(), Spec: workload.Spec{Payload: "work", Steps: steps}})
 	return job
 }
 
@@ -52,11 +52,11 @@
 		stops = append(stops, r.step(100*time.Millisecond).Stops...)
 	}
 	require.Len(t, stops, 2, "two make room, and no more are stopped while they end")
-	var exits []workload.RunEnd
+	var exits []workload.RunExit
 	for i, s := range stops {
-		exits = append(exits, workload.RunEnd{Number: int64(i + 1), Task: s.Task, Run: s.Run, How: workload.EndStopped, Checkpoint: "half"})
+		exits = append(exits, workload.RunExit{Sequence: int64(i + 1), Task: s.Task, Run: s.Run, Reason: workload.ExitStopped, Checkpoint: "half"})
 	}
-	r.answerPoll("w-1", r.now.Add(time.Millisecond), workload.Held{Finished: exits})
+	r.answerPoll("w-1", r.now.Add(time.Millisecond), workload.PollReport{Exited: exits})
 	nextStarts := r.step(20 * time.Millisecond).Starts
 	require.NotEmpty(t, nextStarts)
 	assert.Equal(t, urgent, nextStarts[0].Start.Task.Job)
@@ -65,7 +65,7 @@
 // What is as urgent, lasts, works together or has much to lose is not stopped.
 func TestOnlyLessUrgentRunsThatLoseLittleArePreempted(t *testing.T) {
 	longRunning := batchStep(4, 2000)
-	longRunning.Lasting = true
+	longRunning.LongRunning = true
 	gang := checkpointedStep(4, 2000)
 	gang.Gang = true
 	costly := checkpointedStep(4, 2000)
@@ -96,7 +96,7 @@
 	plain.EstimateMS = 10_000
 	require.Len(t, fillWorker(r, plain), 4)
 	r.now = r.now.Add(3 * time.Second)
-	r.submit("0000000000000002", workload.Step{Count: 1, Need: workload.Resources{CPU: 2000, MemoryMB: 100}, Lasting: true})
+	r.submit("0000000000000002", workload.Step{Count: 1, Resources: workload.Resources{CPU: 2000, MemoryMB: 100}, LongRunning: true})
 	assert.Len(t, r.stepFor(2*time.Second).Stops, 1)
 }
 
@@ -141,11 +141,11 @@
 		require.Len(t, fillWorker(r, checkpointedStep(4, 2000)), 4)
 		for i := range 6 {
 			unplaceable := batchStep(1, 1000)
-			unplaceable.Lasting, unplaceable.Label = longRunning, "none has it"
+			unplaceable.LongRunning, unplaceable.RequiredLabel = longRunning, "none has it"
 			r.submit("00000000000001"+strconv.Itoa(10+i), unplaceable)
 		}
 		placeable := batchStep(1, 2000)
-		placeable.Lasting = longRunning
+		placeable.LongRunning = longRunning
 		r.submit("0000000000000200", placeable)
 		var stops []scheduler.StopOrder
 		for range 15 {
--- a/internal/scheduler/processor_test.go
+++ b/internal/scheduler/processor_test.go
@@ -70,7 +70,7 @@
 	}
 	o.step()
 	counts := o.core.Counts
-	cost := time.Duration(counts.Ranked-p.lastCounts.Ranked)*rankCost + time.Duration(counts.Looks-p.lastCounts.Looks)*checkCost
+	cost := time.Duration(counts.RankedJobs-p.lastCounts.RankedJobs)*rankCost + time.Duration(counts.PlacementChecks-p.lastCounts.PlacementChecks)*checkCost
 	p.lastCounts = counts
 	p.occupy(o.world.now, cost)
 	p.lastStepEndedAt = o.world.now.Add(cost)
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -31,7 +31,7 @@
 	w := playOneRestart(faults{})
 	require.Empty(t, w.violations)
 	for _, j := range w.jobs {
-		state, _ := w.owner.core.State(j.id)
+		state, _ := w.owner.core.JobState(j.id)
 		assert.Equal(t, workload.Completed, state, "job %s", j.id)
 	}
 }
@@ -41,8 +41,8 @@
 	w := playOneRestart(faults{failedTask: 0.6})
 	require.Empty(t, w.violations)
 	for _, j := range w.jobs {
-		state, _ := w.owner.core.State(j.id)
-		assert.True(t, state.Ended(), "job %s is %s", j.id, state)
+		state, _ := w.owner.core.JobState(j.id)
+		assert.True(t, state.IsTerminal(), "job %s is %s", j.id, state)
 	}
 }
 
@@ -129,14 +129,14 @@
 // tasks fail by their own fault, or where one of its tasks looks guilty by chance.
 func checkJobOutcomes(t *testing.T, w *world, seed uint64) {
 	for _, job := range w.jobs {
-		state, known := w.owner.core.State(job.id)
+		state, known := w.owner.core.JobState(job.id)
 		require.True(t, known, "seed %d: job %s is not known", seed, job.id)
 		switch {
 		case !job.cancelledAt.IsZero():
-			assert.True(t, state.Ended(), "seed %d: cancelled job %s is %s", seed, job.id, state)
+			assert.True(t, state.IsTerminal(), "seed %d: cancelled job %s is %s", seed, job.id, state)
 			assert.Zero(t, w.runningCount(job.id), "seed %d: cancelled job %s runs on", seed, job.id)
 		case state == workload.Failed && job.isLikelyCulprit():
-		case job.submission.Spec.Steps[0].Lasting:
+		case job.submission.Spec.Steps[0].LongRunning:
 			assert.Equal(t, workload.Running, state, "seed %d: job %s", seed, job.id)
 			missing := w.runningCount(job.id) < job.submission.Spec.Steps[0].Count
 			assert.False(t, missing && w.hasFreeCapacity(job), "seed %d: lasting tasks of %s", seed, job.id)
@@ -155,7 +155,7 @@
 	count := 0
 	for _, o := range w.owners {
 		if o.core != nil {
-			count += o.core.Counts.EndsUnread
+			count += o.core.Counts.UnreadExits
 		}
 	}
 	return count
@@ -209,14 +209,14 @@
 		r.now = r.now.Add(1500 * time.Millisecond)
 		poll, _ := r.awaitPoll("w-1")
 		incarnation += 5000
-		r.answerPollAs(poll, incarnation, workload.Held{})
+		r.answerPollAs(poll, incarnation, workload.PollReport{})
 		r.registerWorker("w-1", incarnation)
 		poll, _ = r.awaitPoll("w-1")
-		r.answerPollAs(poll, incarnation, workload.Held{})
+		r.answerPollAs(poll, incarnation, workload.PollReport{})
 	}
-	state, _ := r.core.State(job)
+	state, _ := r.core.JobState(job)
 	assert.Equal(t, workload.Running, state)
-	assert.Equal(t, 4, r.core.Counts.Crashes)
+	assert.Equal(t, 4, r.core.Counts.WorkerCrashes)
 }
 
 // Guards against a lasting job of no fault being given up, and its tasks stopped, as two of
@@ -251,7 +251,7 @@
 	w.runUntil(20 * time.Second)
 	require.Empty(t, w.violations)
 	for i, j := range jobs {
-		state, _ := w.owner.core.State(j.id)
+		state, _ := w.owner.core.JobState(j.id)
 		want := workload.Completed
 		if i < 3 {
 			want = workload.Failed
@@ -268,7 +268,7 @@
 	cutOff := w.addWorker("same", workload.Resources{CPU: 8000, MemoryMB: 16000})
 	restarted := w.addWorker("other", workload.Resources{CPU: 8000, MemoryMB: 16000})
 	w.takeOver()
-	long := workload.Step{Count: 8, Need: workload.Resources{CPU: 1000, MemoryMB: 1000}, EstimateMS: 6000, MaxPerWorker: 4}
+	long := workload.Step{Count: 8, Resources: workload.Resources{CPU: 1000, MemoryMB: 1000}, EstimateMS: 6000, MaxPerWorker: 4}
 	var job *fakeJob
 	w.after(time.Second, func() { job = w.submit(workload.Spec{Steps: []workload.Step{long}}, "quick") })
 	w.after(2*time.Second, func() {
@@ -278,8 +278,8 @@
 	w.after(4500*time.Millisecond, func() { cutOff.cutOff, restarted.cutOff = false, false })
 	w.runUntil(30 * time.Second)
 	require.Empty(t, w.violations)
-	state, _ := w.owner.core.State(job.id)
+	state, _ := w.owner.core.JobState(job.id)
 	assert.Equal(t, workload.Completed, state)
-	assert.Equal(t, 1, w.owner.core.Counts.Restarts)
-	assert.Equal(t, 4, w.owner.core.Counts.RunsLost)
+	assert.Equal(t, 1, w.owner.core.Counts.WorkerRestarts)
+	assert.Equal(t, 4, w.owner.core.Counts.LostRuns)
 }
--- a/internal/scheduler/rig_test.go
+++ b/internal/scheduler/rig_test.go
@@ -18,7 +18,7 @@
 	// epoch is the core's.
 	epoch int64
 	// latestPolls are the latest that were sent, by worker.
-	latestPolls map[string]scheduler.HoldOrder
+	latestPolls map[string]scheduler.PollOrder
 }
 
 // token is the fencing token of the core's first orders to a worker.
@@ -29,13 +29,13 @@
 
 func testSettings(epoch int64) scheduler.Settings {
 	return scheduler.Settings{
-		Epoch:        epoch,
-		Lease:        testLease,
-		MaxLease:     maxLease,
-		StateKept:    time.Hour,
-		RemoteFactor: 2,
-		Stop:         stopDuration,
-		GangTimeout:  gangTimeout,
+		Epoch:              epoch,
+		LeaseDuration:      testLease,
+		MaxLeaseDuration:   maxLease,
+		JobRetention:       time.Hour,
+		RemoteDataSlowdown: 2,
+		MaxStopDuration:    stopDuration,
+		GangTimeout:        gangTimeout,
 	}
 }
 
@@ -62,11 +62,11 @@
 	r.now = r.now.Add(d)
 	orders := r.core.Step(r.now)
 	if orders.Write != nil {
-		r.core.Written()
+		r.core.HandleWriteResult()
 		afterWrite := r.core.Step(r.now)
 		orders.Starts = append(orders.Starts, afterWrite.Starts...)
 		orders.Stops = append(orders.Stops, afterWrite.Stops...)
-		orders.Holds = append(orders.Holds, afterWrite.Holds...)
+		orders.Polls = append(orders.Polls, afterWrite.Polls...)
 	}
 	r.recordPolls(orders)
 	return orders
@@ -75,9 +75,9 @@
 // recordPolls keeps the polls among orders for tests that answer them.
 func (r *rig) recordPolls(orders scheduler.Orders) {
 	if r.latestPolls == nil {
-		r.latestPolls = map[string]scheduler.HoldOrder{}
+		r.latestPolls = map[string]scheduler.PollOrder{}
 	}
-	for _, p := range orders.Holds {
+	for _, p := range orders.Polls {
 		if !p.Extra {
 			r.latestPolls[p.Worker.ID] = p
 		}
@@ -85,30 +85,30 @@
 }
 
 // answerPoll answers a poll.
-func (r *rig) answerPoll(worker string, sentAt time.Time, report workload.Held) {
-	r.core.Held(scheduler.HoldResult{Worker: worker, Token: r.token(), SentAt: sentAt, Held: report, Answer: workload.WorkerAnswer{Clock: 1000}}, r.now)
+func (r *rig) answerPoll(worker string, sentAt time.Time, report workload.PollReport) {
+	r.core.HandlePollResult(scheduler.PollResult{Worker: worker, Token: r.token(), SentAt: sentAt, Report: report, Answer: workload.WorkerAnswer{ClockMS: 1000}}, r.now)
 }
 
 // answerPollReplaced answers a poll of a worker as its successor at the same address does.
 func (r *rig) answerPollReplaced(worker string) {
-	r.core.Held(scheduler.HoldResult{Worker: worker, Token: r.token(), SentAt: r.now, Answer: workload.WorkerAnswer{Status: workload.WorkerReplaced}}, r.now)
+	r.core.HandlePollResult(scheduler.PollResult{Worker: worker, Token: r.token(), SentAt: r.now, Answer: workload.WorkerAnswer{Status: workload.WorkerReplaced}}, r.now)
 }
 
 func (r *rig) answerStart(s scheduler.StartOrder, status workload.WorkerStatus) {
-	r.core.Started(scheduler.OrderResult{
+	r.core.HandleStartResult(scheduler.OrderResult{
 		Worker: s.Worker.ID, Task: s.Start.Task, Run: s.Start.Run, Token: s.Start.Token,
-		Answer: workload.WorkerAnswer{Status: status, Clock: 1000},
+		Answer: workload.WorkerAnswer{Status: status, ClockMS: 1000},
 	}, r.now)
 }
 
 func (r *rig) submit(id string, steps ...workload.Step) workload.JobID {
 	jobID := workload.JobID(id)
-	r.core.Submitted(jobID, &workload.Submission{Queue: "quick", Service: "service", AcceptedMS: r.now.UnixMilli(), Spec: workload.Spec{Payload: "work", Steps: steps}})
+	r.core.AddJob(jobID, &workload.Submission{Queue: "quick", Service: "service", AcceptedAtMS: r.now.UnixMilli(), Spec: workload.Spec{Payload: "work", Steps: steps}})
 	return jobID
 }
 
 func batchStep(count, cpu int) workload.Step {
-	return workload.Step{Count: count, Need: workload.Resources{CPU: cpu, MemoryMB: 100}, EstimateMS: 500}
+	return workload.Step{Count: count, Resources: workload.Resources{CPU: cpu, MemoryMB: 100}, EstimateMS: 500}
 }
 
 // syncWorkers syncs workers and returns the starts that follow.
@@ -116,29 +116,29 @@
 	r.setWorkers(ids...)
 	r.step(0)
 	for _, id := range ids {
-		r.answerPoll(id, r.now, workload.Held{})
+		r.answerPoll(id, r.now, workload.PollReport{})
 	}
 	return r.step(10 * time.Millisecond).Starts
 }
 
-func exitReport(exitNumber int64, s scheduler.StartOrder, reason workload.How) workload.Held {
-	return workload.Held{Finished: []workload.RunEnd{{Number: exitNumber, Task: s.Start.Task, Run: s.Start.Run, How: reason}}}
+func exitReport(exitNumber int64, s scheduler.StartOrder, reason workload.ExitReason) workload.PollReport {
+	return workload.PollReport{Exited: []workload.RunExit{{Sequence: exitNumber, Task: s.Start.Task, Run: s.Start.Run, Reason: reason}}}
 }
 
 // answerPollAs answers a poll as the incarnation does that started at born.
-func (r *rig) answerPollAs(poll scheduler.HoldOrder, incarnation int64, report workload.Held) {
-	report.Born = incarnation
-	r.core.Held(scheduler.HoldResult{Worker: poll.Worker.ID, Token: poll.Hold.Token, SentAt: r.now, Extra: poll.Extra, Held: report, Answer: workload.WorkerAnswer{Clock: r.now.UnixMilli() - incarnation}}, r.now)
+func (r *rig) answerPollAs(poll scheduler.PollOrder, incarnation int64, report workload.PollReport) {
+	report.Incarnation = incarnation
+	r.core.HandlePollResult(scheduler.PollResult{Worker: poll.Worker.ID, Token: poll.Poll.Token, SentAt: r.now, Extra: poll.Extra, Report: report, Answer: workload.WorkerAnswer{ClockMS: r.now.UnixMilli() - incarnation}}, r.now)
 }
 
 // registerWorker registers one worker, as started at born.
 func (r *rig) registerWorker(id string, incarnation int64) {
-	r.core.SetWorkers([]workload.Worker{{ID: id, Born: incarnation, Service: "service", Address: id, Labels: []string{"a", "rack"}, Capacity: workload.Resources{CPU: 8000, MemoryMB: 16000}}}, r.now)
+	r.core.SetWorkers([]workload.Worker{{ID: id, Incarnation: incarnation, Service: "service", Address: id, Labels: []string{"a", "rack"}, Capacity: workload.Resources{CPU: 8000, MemoryMB: 16000}}}, r.now)
 }
 
 // awaitPoll returns the poll of a worker that waits for its answer, after steps until there is
 // one, and the starts meanwhile.
-func (r *rig) awaitPoll(id string) (poll scheduler.HoldOrder, starts []scheduler.StartOrder) {
+func (r *rig) awaitPoll(id string) (poll scheduler.PollOrder, starts []scheduler.StartOrder) {
 	for range 100 {
 		if poll, ok := r.latestPolls[id]; ok {
 			delete(r.latestPolls, id)
@@ -152,12 +152,12 @@
 
 // answerPollRefused answers a poll as the address of a process that has ended does.
 func (r *rig) answerPollRefused(worker string) {
-	r.core.Held(scheduler.HoldResult{Worker: worker, Token: r.token(), SentAt: r.now, Answer: workload.WorkerAnswer{Status: workload.WorkerDown}}, r.now)
+	r.core.HandlePollResult(scheduler.PollResult{Worker: worker, Token: r.token(), SentAt: r.now, Answer: workload.WorkerAnswer{Status: workload.WorkerConnRefused}}, r.now)
 }
 
 // timeOutPoll answers a poll with silence.
 func (r *rig) timeOutPoll(worker string) {
-	r.core.Held(scheduler.HoldResult{Worker: worker, Token: r.token(), SentAt: r.now, Answer: workload.WorkerAnswer{Status: workload.WorkerUnknown}}, r.now)
+	r.core.HandlePollResult(scheduler.PollResult{Worker: worker, Token: r.token(), SentAt: r.now, Answer: workload.WorkerAnswer{Status: workload.WorkerOutcomeUnknown}}, r.now)
 }
 
 // crashWorker ends a worker's process: polls are refused, and then its successor answers.
@@ -175,7 +175,7 @@
 	for until := r.now.Add(d); r.now.Before(until); {
 		orders := r.step(50 * time.Millisecond)
 		collected.Starts = append(collected.Starts, orders.Starts...)
-		for _, poll := range orders.Holds {
+		for _, poll := range orders.Polls {
 			if poll.Worker.ID == worker {
 				r.answerPollRefused(worker)
 			}
@@ -190,7 +190,7 @@
 	r.setWorkers(successors...)
 	r.step(0)
 	for _, id := range successors {
-		r.answerPoll(id, r.now, workload.Held{})
+		r.answerPoll(id, r.now, workload.PollReport{})
 	}
 }
 
@@ -211,6 +211,6 @@
 	r := newRig(t)
 	r.registerWorker("w-1", firstIncarnation)
 	poll, _ := r.awaitPoll("w-1")
-	r.answerPollAs(poll, firstIncarnation, workload.Held{})
+	r.answerPollAs(poll, firstIncarnation, workload.PollReport{})
 	return r
 }
--- a/internal/scheduler/share.go
+++ b/internal/scheduler/share.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// shareMemory is how long what arrived and was started counts, as the time in which
+	// shareDecayTime is how long what arrived and was started counts, as the time in which
 	// it falls to a third: longer than a peak of some seconds, and short enough
 	// that the next one is shared by itself.
-	shareMemory = 10 * time.Second
-	// meanJobs is over how many jobs a queue's mean is taken: some seconds of a quiet
+	shareDecayTime = 10 * time.Second
+	// meanWindowJobs is over how many jobs a queue's mean is taken: some seconds of a quiet
 	// queue, half a second of its peak. Chosen, not measured against other lengths.
-	meanJobs = 50
+	meanWindowJobs = 50
 )
 
-// size is a job's work against the mean of its queue's jobs.
-type size int
+// jobSize is a job's work against the mean of its queue's jobs.
+type jobSize int
 
 const (
-	sizeSmall   size = iota // under half the mean
-	sizeUsual               // under the mean
-	sizeLarge               // under twice the mean
-	sizeLargest             // more
+	sizeSmall   jobSize = iota // under half the mean
+	sizeMedium                 // under the mean
+	sizeLarge                  // under twice the mean
+	sizeLargest                // more
 	sizeCount
 )
 
@@ -36,57 +36,57 @@
 // and brings the worst served size or kind from 0.45 to 0.56 of its credit, the mean of 25
 // plays.
 type queueShares struct {
-	mean  float64 // core-seconds of a job
-	sizes [sizeCount]sizeShare
+	meanWork float64 // core-seconds of a job
+	sizes    [sizeCount]sizeShare
 }
 
 // sizeShare is the work of one size lately, in core-seconds.
 type sizeShare struct {
-	arrived, started float64
-	ahead            float64 // of jobs that wait, those that were ranked so far
+	arrivedWork, startedWork float64
+	rankedAhead              float64 // of jobs that wait, those that were ranked so far
 }
 
-// arrive takes a job that waits for its first start, and returns its size's share.
-func (q *queueShares) arrive(work float64) *sizeShare {
-	if q.mean == 0 {
-		q.mean = work
+// addArrival takes a job that waits for its first start, and returns its size's share.
+func (q *queueShares) addArrival(work float64) *sizeShare {
+	if q.meanWork == 0 {
+		q.meanWork = work
 	}
-	q.mean += (work - q.mean) / meanJobs
+	q.meanWork += (work - q.meanWork) / meanWindowJobs
 	share := &q.sizes[q.sizeOf(work)]
-	share.arrived += work
+	share.arrivedWork += work
 	return share
 }
 
-func (q *queueShares) sizeOf(work float64) size {
+func (q *queueShares) sizeOf(work float64) jobSize {
 	switch {
-	case work < q.mean/2:
+	case work < q.meanWork/2:
 		return sizeSmall
-	case work < q.mean:
-		return sizeUsual
-	case work < 2*q.mean:
+	case work < q.meanWork:
+		return sizeMedium
+	case work < 2*q.meanWork:
 		return sizeLarge
 	default:
 		return sizeLargest
 	}
 }
 
-// age lets what is past count less, and begins a ranking.
-func (q *queueShares) age(passed time.Duration) {
-	kept := math.Exp(-passed.Seconds() / shareMemory.Seconds())
+// decay lets what is past count less, and begins a ranking.
+func (q *queueShares) decay(passed time.Duration) {
+	factor := math.Exp(-passed.Seconds() / shareDecayTime.Seconds())
 	for i := range q.sizes {
-		q.sizes[i].arrived *= kept
-		q.sizes[i].started *= kept
-		q.sizes[i].ahead = 0
+		q.sizes[i].arrivedWork *= factor
+		q.sizes[i].startedWork *= factor
+		q.sizes[i].rankedAhead = 0
 	}
 }
 
-// leastArrived keeps the share of a size defined of which nothing arrived lately.
-const leastArrived = 0.001
+// minArrivedWork keeps the share of a size defined of which nothing arrived lately.
+const minArrivedWork = 0.001
 
-// turn is the share of its size's work that will have been started when a job's turn
+// nextServedShare is the share of its size's work that will have been started when a job's turn
 // comes: the lower, the sooner. Jobs are to be given in their order within the size.
-func (s *sizeShare) turn(work float64) float64 {
-	turn := (s.started + s.ahead) / max(s.arrived, leastArrived)
-	s.ahead += work
-	return turn
+func (s *sizeShare) nextServedShare(work float64) float64 {
+	servedShare := (s.startedWork + s.rankedAhead) / max(s.arrivedWork, minArrivedWork)
+	s.rankedAhead += work
+	return servedShare
 }
--- a/internal/scheduler/silence_test.go
+++ b/internal/scheduler/silence_test.go
@@ -18,7 +18,7 @@
 	r.setWorkers(answering)
 	for range 200 {
 		if _, ok := r.latestPolls[answering]; ok {
-			r.answerPoll(answering, r.now, workload.Held{})
+			r.answerPoll(answering, r.now, workload.PollReport{})
 		}
 		if _, ok := r.latestPolls[id]; ok {
 			r.timeOutPoll(id)
@@ -43,8 +43,8 @@
 		r.answerStart(starts[0], workload.WorkerOK)
 	}
 	assert.Equal(t, "w-2", starts[0].Worker.ID)
-	assert.Zero(t, r.core.Counts.Trials)
-	assert.Equal(t, 2, r.core.Counts.Lapsed)
+	assert.Zero(t, r.core.Counts.IsolatedRuns)
+	assert.Equal(t, 2, r.core.Counts.ExpiredRuns)
 }
 
 // Guards against a job being given up as its workers are cut off for longer than their
@@ -61,11 +61,11 @@
 		r.setWorkers(id, next)
 		delete(r.latestPolls, id)
 		poll, _ := r.awaitPoll(id)
-		r.answerPollAs(poll, 0, workload.Held{})
+		r.answerPollAs(poll, 0, workload.PollReport{})
 	}
-	state, _ := r.core.State(job)
+	state, _ := r.core.JobState(job)
 	assert.Equal(t, workload.Running, state)
-	assert.Zero(t, r.core.Counts.Trials)
+	assert.Zero(t, r.core.Counts.IsolatedRuns)
 }
 
 // Guards against a job of no fault being given up by trials of which nobody knows how long
@@ -75,7 +75,7 @@
 	const job = workload.JobID("0000000000000001")
 	for _, c := range []struct {
 		planned time.Duration // before the takeover
-		state   workload.State
+		state   workload.JobState
 	}{
 		{100 * time.Millisecond, workload.Failed},
 		{3 * time.Second, workload.Running},
@@ -83,15 +83,15 @@
 		first := newRig(t)
 		var crashes []workload.Crash
 		for n := range 6 {
-			crashes = append(crashes, workload.Crash{Worker: "w-" + strconv.Itoa(n), Run: int64(3<<16 + n), AtMS: first.now.UnixMilli() - 60_000, Sole: n >= 3, Silent: true})
+			crashes = append(crashes, workload.Crash{Worker: "w-" + strconv.Itoa(n), Run: int64(3<<16 + n), DetectedAtMS: first.now.UnixMilli() - 60_000, SoleCause: n >= 3, WorkerWentSilent: true})
 		}
-		plannedCrash := workload.Crash{Worker: "w-9", Address: "w-9", Run: 3<<16 + 9, AtMS: first.now.Add(-c.planned).UnixMilli(), Pending: true}
-		next := first.newSuccessor(job, &workload.Progress{Begun: true, Crashes: map[string][]workload.Crash{"0.0.0": append(crashes, plannedCrash)}})
+		plannedCrash := workload.Crash{Worker: "w-9", Address: "w-9", Run: 3<<16 + 9, DetectedAtMS: first.now.Add(-c.planned).UnixMilli(), IsolatedRunPending: true}
+		next := first.newSuccessor(job, &workload.Progress{Started: true, Crashes: map[string][]workload.Crash{"0.0.0": append(crashes, plannedCrash)}})
 		for range 200 {
 			next.timeOutPoll("w-9")
 			next.step(50 * time.Millisecond)
 		}
-		state, _ := next.core.State(job)
+		state, _ := next.core.JobState(job)
 		assert.Equal(t, c.state, state, c.planned)
 	}
 }
--- a/internal/scheduler/started.go
+++ b/internal/scheduler/started.go
@@ -8,9 +8,9 @@
 
 // Pauses after an order that was refused.
 const (
-	fullPause      = 150 * time.Millisecond // a worker said that it is full
-	unhealthyPause = 500 * time.Millisecond // a worker said that it is unhealthy
-	refusedPause   = 300 * time.Millisecond // a task whose start was refused
+	fullBackoff        = 150 * time.Millisecond // a worker said that it is full
+	unhealthyBackoff   = 500 * time.Millisecond // a worker said that it is unhealthy
+	refusedTaskBackoff = 300 * time.Millisecond // a task whose start was refused
 )
 
 // OrderResult is the outcome of a StartOrder, StopOrder or PaceOrder.
@@ -22,89 +22,89 @@
 	Answer workload.WorkerAnswer
 }
 
-// answered looks up what an outcome is about, and takes what it says of the
+// applyAnswer looks up what an outcome is about, and takes what it says of the
 // worker itself. The run is nil if it is no longer known there. stale is set for an
 // order that was sent before a restart of the worker was known: either incarnation may
 // have answered it.
-func (c *Core) answered(o OrderResult, now time.Time) (r *run, stale bool) {
-	w := c.workers[o.Worker]
+func (c *Core) applyAnswer(result OrderResult, now time.Time) (r *run, stale bool) {
+	w := c.workers[result.Worker]
 	if w == nil {
 		return nil, false
 	}
-	w.orders--
-	if o.Token < w.token {
-		return w.find(o.Task, o.Run), true
+	w.ordersInFlight--
+	if result.Token < w.token {
+		return w.findRun(result.Task, result.Run), true
 	}
-	w.heard(o.Answer.Clock, now)
-	switch o.Answer.Status {
+	w.recordClock(result.Answer.ClockMS, now)
+	switch result.Answer.Status {
 	case workload.WorkerFenced:
-		c.fenced(w, o.Token)
+		c.handleFenced(w, result.Token)
 	case workload.WorkerReplaced:
-		c.replaced(w, now)
+		c.handleReplaced(w, now)
 	}
-	return w.find(o.Task, o.Run), false
+	return w.findRun(result.Task, result.Run), false
 }
 
-// Started takes the outcome of a start.
-func (c *Core) Started(o OrderResult, now time.Time) {
-	c.starting.done(startID{o.Task, o.Run}, o.Answer.Status != workload.WorkerUnknown)
-	r, stale := c.answered(o, now)
+// HandleStartResult takes the outcome of a start.
+func (c *Core) HandleStartResult(result OrderResult, now time.Time) {
+	c.startsInFlight.resolve(startID{result.Task, result.Run}, result.Answer.Status != workload.WorkerOutcomeUnknown)
+	r, stale := c.applyAnswer(result, now)
 	if r == nil || r.state == runRunning {
 		return // a poll has told already
 	}
-	if stale && (o.Answer.Status == workload.WorkerOK || o.Answer.Status == workload.WorkerUnknown) {
+	if stale && (result.Answer.Status == workload.WorkerOK || result.Answer.Status == workload.WorkerOutcomeUnknown) {
 		return // the first list of the new incarnation tells
 	}
-	switch o.Answer.Status {
+	switch result.Answer.Status {
 	case workload.WorkerOK:
-		c.Counts.Started++
-		r.confirmed = true
+		c.Counts.StartedRuns++
+		r.startConfirmed = true
 		if r.state != runStopping {
 			r.state = runRunning
 		}
-		r.since = now
-	case workload.WorkerUnknown:
+		r.stateChangedAt = now
+	case workload.WorkerOutcomeUnknown:
 		switch r.state {
 		case runStarting:
-			c.doubt(r, reasonOf(o.Answer), now)
+			c.markStartUnanswered(r, answerReason(result.Answer), now)
 		case runStopping:
-			r.since = now
-			r.worker.holdAfter = now
+			r.stateChangedAt = now
+			r.worker.nextPollAt = now
 		}
 	default:
-		c.refused(r.worker, r, o, now)
+		c.handleRefusedStart(r.worker, r, result, now)
 	}
 }
 
-// refused takes a start that certainly did nothing.
-func (c *Core) refused(w *worker, r *run, o OrderResult, now time.Time) {
-	c.Counts.Refused++
-	c.note(Decision{Verb: "refused", Job: o.Task.Job, Task: o.Task.String(), Worker: w.info.ID, Run: o.Run, Reason: reasonOf(o.Answer)})
+// handleRefusedStart takes a start that certainly did nothing.
+func (c *Core) handleRefusedStart(w *worker, r *run, result OrderResult, now time.Time) {
+	c.Counts.RefusedStarts++
+	c.recordDecision(Decision{Verb: "refused", Job: result.Task.Job, Task: result.Task.String(), Worker: w.info.ID, Run: result.Run, Reason: answerReason(result.Answer)})
 	t := r.task()
-	t.notBefore = now.Add(refusedPause)
-	c.remove(r)
-	switch o.Answer.Status {
+	t.notBefore = now.Add(refusedTaskBackoff)
+	c.removeRun(r)
+	switch result.Answer.Status {
 	case workload.WorkerFull:
-		w.fullUntil = now.Add(fullPause)
+		w.startBackoffUntil = now.Add(fullBackoff)
 	case workload.WorkerUnhealthy:
-		w.fullUntil = now.Add(unhealthyPause)
-	case workload.WorkerNotSent, workload.WorkerDown:
-		w.fullUntil = now.Add(unhealthyPause)
-		if !w.holding {
+		w.startBackoffUntil = now.Add(unhealthyBackoff)
+	case workload.WorkerNotSent, workload.WorkerConnRefused:
+		w.startBackoffUntil = now.Add(unhealthyBackoff)
+		if !w.pollInFlight {
 			w.markUnreachable(now)
 		}
-	case workload.WorkerTicket:
+	case workload.WorkerInvalidTicket:
 		r.step.dropTicket(w.info.ID)
 	}
 }
 
-// stop wants a run to end. The order goes out at once where the run is known to
+// stopRun wants a run to end. The order goes out at once where the run is known to
 // be there; else once the start has been answered.
-func (c *Core) stop(r *run, reason string) {
+func (c *Core) stopRun(r *run, reason string) {
 	if r.state == runStopping {
 		return
 	}
-	c.note(Decision{Verb: "stopping", Job: r.step.job.id, Task: r.key().String(), Worker: r.worker.info.ID, Run: r.number, Reason: reason})
+	c.recordDecision(Decision{Verb: "stopping", Job: r.step.job.id, Task: r.taskKey().String(), Worker: r.worker.info.ID, Run: r.number, Reason: reason})
 	r.state = runStopping
 	c.sendStop(r, time.Time{})
 }
@@ -112,45 +112,45 @@
 // sendStop sends the stop unless one is in flight, was answered or was sent
 // just now. A zero time sends at once.
 func (c *Core) sendStop(r *run, now time.Time) {
-	if r.stopping || r.stopped || !now.IsZero() && now.Before(r.stopSentAt.Add(stopRetry)) {
+	if r.stopInFlight || r.stopConfirmed || !now.IsZero() && now.Before(r.lastStopAt.Add(stopRetryInterval)) {
 		return
 	}
-	r.stopping = true
-	r.stopSentAt = now
-	r.worker.orders++
-	c.out.Stops = append(c.out.Stops, StopOrder{Worker: r.worker.info, Task: r.key(), Run: r.number, Token: r.worker.token})
+	r.stopInFlight = true
+	r.lastStopAt = now
+	r.worker.ordersInFlight++
+	c.orders.Stops = append(c.orders.Stops, StopOrder{Worker: r.worker.info, Task: r.taskKey(), Run: r.number, Token: r.worker.token})
 }
 
-// Stopped takes the outcome of a stop.
-func (c *Core) Stopped(o OrderResult, now time.Time) {
-	r, stale := c.answered(o, now)
+// HandleStopResult takes the outcome of a stop.
+func (c *Core) HandleStopResult(result OrderResult, now time.Time) {
+	r, stale := c.applyAnswer(result, now)
 	if r == nil || stale {
 		return
 	}
-	r.stopping = false
-	r.stopSentAt = now
-	if o.Answer.Status == workload.WorkerOK {
-		r.stopped = true
-		r.since = now
-		r.worker.holdAfter = now
+	r.stopInFlight = false
+	r.lastStopAt = now
+	if result.Answer.Status == workload.WorkerOK {
+		r.stopConfirmed = true
+		r.stateChangedAt = now
+		r.worker.nextPollAt = now
 	}
 }
 
-// Paced takes the outcome of a pace. One that was not taken is ordered again
+// HandleThrottleResult takes the outcome of a pace. One that was not taken is ordered again
 // when the worker next lists the run.
-func (c *Core) Paced(o OrderResult, now time.Time) {
-	r, stale := c.answered(o, now)
+func (c *Core) HandleThrottleResult(result OrderResult, now time.Time) {
+	r, stale := c.applyAnswer(result, now)
 	if r == nil {
 		return
 	}
-	r.pacing = false
-	if stale || o.Answer.Status != workload.WorkerOK {
-		r.paced = -1
+	r.throttleInFlight = false
+	if stale || result.Answer.Status != workload.WorkerOK {
+		r.orderedSpeedPercent = -1
 	}
 }
 
-// reasonOf says how a worker answered, for the log.
-func reasonOf(a workload.WorkerAnswer) string {
+// answerReason says how a worker answered, for the log.
+func answerReason(a workload.WorkerAnswer) string {
 	if a.Err == nil {
 		return a.Status.String()
 	}
--- a/internal/scheduler/step_test.go
+++ b/internal/scheduler/step_test.go
@@ -23,11 +23,11 @@
 	for _, s := range starts {
 		r.answerStart(s, workload.WorkerOK)
 	}
-	firstExited := exitReport(1, starts[0], workload.EndDone)
-	firstExited.Running = []workload.RunState{{Task: starts[1].Start.Task, Run: starts[1].Start.Run, Percent: 100}}
+	firstExited := exitReport(1, starts[0], workload.ExitDone)
+	firstExited.Running = []workload.ListedRun{{Task: starts[1].Start.Task, Run: starts[1].Start.Run, SpeedPercent: 100}}
 	r.answerPoll("w-1", r.now, firstExited)
 	assert.Empty(t, r.step(100*time.Millisecond).Starts)
-	r.answerPoll("w-1", r.now, exitReport(2, starts[1], workload.EndDone))
+	r.answerPoll("w-1", r.now, exitReport(2, starts[1], workload.ExitDone))
 	dependentStarts := r.step(100 * time.Millisecond).Starts
 	require.Len(t, dependentStarts, 1)
 	assert.Equal(t, 1, dependentStarts[0].Start.Task.Step)
@@ -52,7 +52,7 @@
 	r := newRig(t)
 	r.syncWorkers("w-1")
 	due := r.now.Add(2 * time.Second)
-	r.core.Submitted("0000000000000001", &workload.Submission{Queue: "quick", Service: "service", AcceptedMS: r.now.UnixMilli(), Spec: workload.Spec{
+	r.core.AddJob("0000000000000001", &workload.Submission{Queue: "quick", Service: "service", AcceptedAtMS: r.now.UnixMilli(), Spec: workload.Spec{
 		Steps: []workload.Step{batchStep(1, 1000)}, Repeat: 2, StartAtMS: due.UnixMilli(), IntervalMS: 1000,
 	}})
 	var startedAt []time.Time
@@ -60,7 +60,7 @@
 		for range r.step(100 * time.Millisecond).Starts {
 			startedAt = append(startedAt, r.now)
 		}
-		r.answerPoll("w-1", r.now, workload.Held{})
+		r.answerPoll("w-1", r.now, workload.PollReport{})
 	}
 	require.Len(t, startedAt, 2)
 	assert.False(t, startedAt[0].Before(due))
@@ -73,15 +73,15 @@
 	r := newRig(t)
 	config := *testConfig
 	config.Version = 2
-	config.Queues = []workload.Queue{{Name: "quick", Service: "service", MaxAttempts: 2, Stretch: 2, Objective: time.Second, Advice: &workload.Advice{Valid: 3 * time.Second}}}
+	config.Queues = []workload.Queue{{Name: "quick", Service: "service", MaxAttempts: 2, Stretch: 2, Objective: time.Second, Advice: &workload.Advice{TicketValidity: 3 * time.Second}}}
 	r.core.SetConfig(&config)
 	r.syncWorkers("w-1", "w-2")
 	r.submit("0000000000000001", batchStep(2, 1000))
 	orders := r.step(20 * time.Millisecond)
 	assert.Empty(t, orders.Starts)
-	require.Len(t, orders.Advise, 1)
-	assert.Empty(t, r.step(20*time.Millisecond).Advise, "one question at a time")
-	r.core.Advised(scheduler.AdviceResult{Order: orders.Advise[0], SentAt: r.now, OK: true, Valid: 3 * time.Second, Tickets: map[string]string{"w-2": "ticket"}}, r.now)
+	require.Len(t, orders.AdviceRequests, 1)
+	assert.Empty(t, r.step(20*time.Millisecond).AdviceRequests, "one question at a time")
+	r.core.HandleAdviceResult(scheduler.AdviceResult{Order: orders.AdviceRequests[0], SentAt: r.now, OK: true, ValidFor: 3 * time.Second, Tickets: map[string]string{"w-2": "ticket"}}, r.now)
 	starts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, starts, 2)
 	for _, s := range starts {
@@ -95,14 +95,14 @@
 // its pool.
 func TestOnlyOccurrencesDueSoonCountAsDemand(t *testing.T) {
 	r := newRig(t)
-	r.core.Submitted("0000000000000001", &workload.Submission{Queue: "quick", Service: "service", AcceptedMS: r.now.UnixMilli(), Spec: workload.Spec{
+	r.core.AddJob("0000000000000001", &workload.Submission{Queue: "quick", Service: "service", AcceptedAtMS: r.now.UnixMilli(), Spec: workload.Spec{
 		Steps: []workload.Step{batchStep(2, 1000)}, Repeat: 8, StartAtMS: r.now.UnixMilli(), IntervalMS: 2000,
 	}})
-	loads := r.core.Loads(r.now)
+	loads := r.core.ServiceLoads(r.now)
 	require.Len(t, loads, 1)
-	assert.Zero(t, loads[0].Arrived.CoreMS)
-	assert.Equal(t, 2000, loads[0].Waiting.CPU)
-	assert.Equal(t, 2000, loads[0].Coming.CPU)
+	assert.Zero(t, loads[0].ArrivedWork.CoreMS)
+	assert.Equal(t, 2000, loads[0].PendingDemand.CPU)
+	assert.Equal(t, 2000, loads[0].UpcomingDemand.CPU)
 }
 
 // An occurrence is long past its time, and a caller's job came just now. There is
@@ -110,7 +110,7 @@
 func TestJobOnTimeStartsBeforeAnOverdueOccurrence(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
-	r.core.Submitted("0000000000000001", &workload.Submission{Queue: "quick", Service: "service", AcceptedMS: r.now.UnixMilli(), Spec: workload.Spec{
+	r.core.AddJob("0000000000000001", &workload.Submission{Queue: "quick", Service: "service", AcceptedAtMS: r.now.UnixMilli(), Spec: workload.Spec{
 		Steps: []workload.Step{batchStep(1, 8000)}, Repeat: 1, StartAtMS: r.now.Add(-15 * time.Second).UnixMilli(), IntervalMS: 1000,
 	}})
 	job := r.submit("0000000000000002", batchStep(1, 8000))
@@ -125,22 +125,22 @@
 	r := newRig(t)
 	r.syncWorkers("w-1")
 	labelled := batchStep(2, 1000)
-	labelled.Label = "b"
+	labelled.RequiredLabel = "b"
 	r.submit("0000000000000001", labelled)
 	r.submit("0000000000000002", batchStep(1, 9000))
 	r.submit("0000000000000003", batchStep(9, 3000))
 	rackBound := batchStep(2, 8000)
-	rackBound.Rack = "rack-7"
+	rackBound.DataRack = "rack-7"
 	r.submit("0000000000000004", rackBound)
 	r.step(20 * time.Millisecond)
-	loads := r.core.Loads(r.now)
+	loads := r.core.ServiceLoads(r.now)
 	require.Len(t, loads, 1)
-	assert.Equal(t, []workload.Lack{
-		{Label: "b", Need: workload.Resources{CPU: 1000, MemoryMB: 100}, Never: true},
-		{Need: workload.Resources{CPU: 9000, MemoryMB: 100}, Never: true},
-	}, loads[0].Lacks)
-	assert.Equal(t, 2000, loads[0].Wants["b"].CPU)
-	assert.Equal(t, 8000, loads[0].Wants["rack-7"].CPU)
+	assert.Equal(t, []workload.UnmetRequirement{
+		{Label: "b", Resources: workload.Resources{CPU: 1000, MemoryMB: 100}, NoFeasibleWorker: true},
+		{Resources: workload.Resources{CPU: 9000, MemoryMB: 100}, NoFeasibleWorker: true},
+	}, loads[0].UnmetRequirements)
+	assert.Equal(t, 2000, loads[0].DemandByLabel["b"].CPU)
+	assert.Equal(t, 8000, loads[0].DemandByLabel["rack-7"].CPU)
 }
 
 // An owner has just taken over, and no worker has answered yet. Nothing is said to be
@@ -149,9 +149,9 @@
 	r := newRig(t)
 	r.setWorkers("w-1")
 	r.submit("0000000000000001", batchStep(1, 1000))
-	loads := r.core.Loads(r.now)
+	loads := r.core.ServiceLoads(r.now)
 	require.Len(t, loads, 1)
-	assert.Empty(t, loads[0].Lacks)
+	assert.Empty(t, loads[0].UnmetRequirements)
 }
 
 // Data lies in one rack. Tasks run there while it has room, and elsewhere rather
@@ -163,10 +163,10 @@
 		{ID: "w-2", Service: "service", Address: "w-2", Labels: []string{"a", "rack-2"}, Capacity: workload.Resources{CPU: 8000, MemoryMB: 16000}},
 	}, r.now)
 	r.step(0)
-	r.answerPoll("w-1", r.now, workload.Held{})
-	r.answerPoll("w-2", r.now, workload.Held{})
+	r.answerPoll("w-1", r.now, workload.PollReport{})
+	r.answerPoll("w-2", r.now, workload.PollReport{})
 	preferringRack := batchStep(3, 3000)
-	preferringRack.Rack = "rack-2"
+	preferringRack.DataRack = "rack-2"
 	r.submit("0000000000000001", preferringRack)
 	startsByWorker := map[string]int{}
 	for _, s := range r.step(20 * time.Millisecond).Starts {
@@ -184,10 +184,10 @@
 		{ID: "w-2", Service: "service", Address: "w-2", Labels: []string{"b", "rack-1"}, Capacity: workload.Resources{CPU: 8000, MemoryMB: 16000}},
 	}, r.now)
 	r.step(0)
-	r.answerPoll("w-1", r.now, workload.Held{})
-	r.answerPoll("w-2", r.now, workload.Held{})
+	r.answerPoll("w-1", r.now, workload.PollReport{})
+	r.answerPoll("w-2", r.now, workload.PollReport{})
 	labelled := batchStep(1, 1000)
-	labelled.Label = "a"
+	labelled.RequiredLabel = "a"
 	labelledJob := r.submit("0000000000000001", labelled)
 	unconstrained := batchStep(3, 2000)
 	r.submit("0000000000000002", unconstrained)
@@ -209,7 +209,7 @@
 	r.submit("0000000000000001", batchStep(2, 7000))
 	require.Len(t, r.step(20*time.Millisecond).Starts, 2)
 	for _, id := range []string{"0000000000000002", "0000000000000003"} {
-		r.core.Submitted(workload.JobID(id), &workload.Submission{Queue: "quick", Service: "service", AcceptedMS: r.now.Add(-40 * time.Second).UnixMilli(), Spec: workload.Spec{Steps: []workload.Step{batchStep(1, 5000)}}})
+		r.core.AddJob(workload.JobID(id), &workload.Submission{Queue: "quick", Service: "service", AcceptedAtMS: r.now.Add(-40 * time.Second).UnixMilli(), Spec: workload.Spec{Steps: []workload.Step{batchStep(1, 5000)}}})
 	}
 	assert.Empty(t, r.step(20*time.Millisecond).Starts)
 	small := r.submit("0000000000000004", batchStep(1, 500))
@@ -226,7 +226,7 @@
 	r.syncWorkers("w-1")
 	for i, cpu := range []int{1000, 7000, 2000} {
 		age := []time.Duration{40, 60, 50}[i] * time.Second
-		r.core.Submitted(workload.JobID("000000000000000"+string(rune('1'+i))), &workload.Submission{Queue: "quick", Service: "service", AcceptedMS: r.now.Add(-age).UnixMilli(), Spec: workload.Spec{Steps: []workload.Step{batchStep(1, cpu)}}})
+		r.core.AddJob(workload.JobID("000000000000000"+string(rune('1'+i))), &workload.Submission{Queue: "quick", Service: "service", AcceptedAtMS: r.now.Add(-age).UnixMilli(), Spec: workload.Spec{Steps: []workload.Step{batchStep(1, cpu)}}})
 	}
 	onTime := r.submit("0000000000000004", batchStep(1, 1000))
 	starts := r.step(20 * time.Millisecond).Starts
--- a/internal/scheduler/suspect_test.go
+++ b/internal/scheduler/suspect_test.go
@@ -18,7 +18,7 @@
 // given up: for workers that leave, are emptied or cut off nobody's task is to blame.
 func TestCrashIsDistinguishedFromOtherExits(t *testing.T) {
 	newWorker := func(id, service string, leaving bool) workload.Worker {
-		return workload.Worker{ID: id, Service: service, Address: "w-1", Draining: leaving, Labels: []string{"a", "rack"}, Capacity: workload.Resources{CPU: 8000, MemoryMB: 16000}}
+		return workload.Worker{ID: id, Service: service, Address: "w-1", Leaving: leaving, Labels: []string{"a", "rack"}, Capacity: workload.Resources{CPU: 8000, MemoryMB: 16000}}
 	}
 	for name, c := range map[string]struct {
 		ends    func(r *rig)
@@ -26,12 +26,12 @@
 	}{
 		"refused once, then answered": {func(r *rig) {
 			r.answerPollRefused("w-1")
-			r.answerPoll("w-1", r.now.Add(time.Millisecond), workload.Held{})
+			r.answerPoll("w-1", r.now.Add(time.Millisecond), workload.PollReport{})
 		}, 0},
 		"refused, and the list shows no successor": {func(r *rig) { r.refusePollsFor("w-1", 6*time.Second) }, 0},
 		"refused, then answered by the same one": {func(r *rig) {
 			r.refusePollsFor("w-1", 6*time.Second)
-			r.answerPoll("w-1", r.now, workload.Held{})
+			r.answerPoll("w-1", r.now, workload.PollReport{})
 		}, 0},
 		"refused and then replaced": {func(r *rig) { r.crashWorker("w-1") }, 1},
 		"refused until its lease was over, then replaced": {func(r *rig) {
@@ -41,14 +41,14 @@
 		"refused until its lease was over, then a successor is listed": {func(r *rig) {
 			r.core.SetWorkers([]workload.Worker{newWorker("w-2", "service", false)}, r.now)
 			r.refusePollsFor("w-1", 6*time.Second)
-			r.answerPoll("w-2", r.now, workload.Held{})
+			r.answerPoll("w-2", r.now, workload.PollReport{})
 			r.core.SetWorkers([]workload.Worker{newWorker("w-2", "service", false)}, r.now)
 		}, 1},
 		"refused, then no longer registered, then answered by the same one": {func(r *rig) {
 			r.setWorkers()
 			r.refusePollsFor("w-1", 6*time.Second)
 			r.setWorkers("w-1")
-			r.answerPoll("w-1", r.now, workload.Held{})
+			r.answerPoll("w-1", r.now, workload.PollReport{})
 		}, 0},
 		"replaced at once": {func(r *rig) { r.answerPollReplaced("w-1") }, 1},
 		"cut off until its lease was over, then replaced": {func(r *rig) {
@@ -68,7 +68,7 @@
 			r.crashWorker("w-1")
 		}, 0},
 		"emptied for its VM": {func(r *rig) {
-			r.core.Evacuate("w-1", r.now)
+			r.core.DrainWorker("w-1", r.now)
 			r.crashWorker("w-1")
 		}, 0},
 		"its address at another service of the partition": {func(r *rig) {
@@ -76,7 +76,7 @@
 			r.answerPollReplaced("w-1")
 		}, 0},
 		"its address at another service elsewhere": {func(r *rig) {
-			r.core.SetElsewhere([]string{"w-1"})
+			r.core.SetForeignAddresses([]string{"w-1"})
 			r.answerPollReplaced("w-1")
 		}, 0},
 	} {
@@ -84,7 +84,7 @@
 		r.syncWorkers("w-1")
 		r.startJob("0000000000000001", batchStep(1, 1000))
 		c.ends(r)
-		assert.Equal(t, c.crashes, r.core.Counts.Crashes, name)
+		assert.Equal(t, c.crashes, r.core.Counts.WorkerCrashes, name)
 	}
 }
 
@@ -96,7 +96,7 @@
 	r.syncWorkers("w-1", "w-2")
 	s := r.startJob("0000000000000001", batchStep(1, 1000))[0]
 	assert.Empty(t, r.refusePollsFor(s.Worker.ID, testLease).Starts)
-	r.answerPoll(s.Worker.ID, r.now, workload.Held{Running: []workload.RunState{{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}}})
+	r.answerPoll(s.Worker.ID, r.now, workload.PollReport{Running: []workload.ListedRun{{Task: s.Start.Task, Run: s.Start.Run, SpeedPercent: 100}}})
 	assert.Empty(t, r.step(30*time.Millisecond).Starts)
 }
 
@@ -108,11 +108,11 @@
 	r.syncWorkers("w-1", "w-2")
 	start := r.startJob("0000000000000001", batchStep(1, 1000))[0]
 	r.crashWorker(start.Worker.ID)
-	r.core.SetElsewhere([]string{start.Worker.ID})
+	r.core.SetForeignAddresses([]string{start.Worker.ID})
 	r.setWorkers("w-1", "w-2")
 	starts := r.step(30 * time.Millisecond).Starts
 	require.Len(t, starts, 1)
-	assert.Zero(t, r.core.Counts.Trials)
+	assert.Zero(t, r.core.Counts.IsolatedRuns)
 }
 
 // A worker crashes with the tasks of two callers. Both are suspects, and each is
@@ -140,7 +140,7 @@
 	for id := range suspectStartsByWorker {
 		assert.Equal(t, 1, startsByWorker[id], id)
 	}
-	assert.Equal(t, 2, r.core.Counts.Trials)
+	assert.Equal(t, 2, r.core.Counts.IsolatedRuns)
 }
 
 // The same on a service with one worker: the second suspect waits until the first has
@@ -155,8 +155,8 @@
 	require.Len(t, first, 1)
 	r.answerStart(first[0], workload.WorkerOK)
 	r.now = r.now.Add(400 * time.Millisecond)
-	r.answerPoll("w-2", r.now, workload.Held{Running: []workload.RunState{{Task: first[0].Start.Task, Run: first[0].Start.Run, Percent: 100}}})
-	require.Equal(t, 1, r.core.Counts.Cleared)
+	r.answerPoll("w-2", r.now, workload.PollReport{Running: []workload.ListedRun{{Task: first[0].Start.Task, Run: first[0].Start.Run, SpeedPercent: 100}}})
+	require.Equal(t, 1, r.core.Counts.ClearedSuspects)
 	assert.Len(t, r.stepFor(150*time.Millisecond).Starts, 1)
 }
 
@@ -173,13 +173,13 @@
 		r.core.SetWorkers(list, r.now)
 		r.step(0)
 		for id := range labels {
-			r.answerPoll(id, r.now, workload.Held{})
+			r.answerPoll(id, r.now, workload.PollReport{})
 		}
 	}
 	setLabelledWorkers(map[string]string{"w-1": "b"})
 	r.startJob("0000000000000001", batchStep(1, 1000))
 	labelled := batchStep(1, 1000)
-	labelled.Label = "b"
+	labelled.RequiredLabel = "b"
 	r.startJob("0000000000000002", labelled)
 	r.crashWorker("w-1")
 	setLabelledWorkers(map[string]string{"w-2": "a", "w-3": "b"})
@@ -208,8 +208,8 @@
 	r.submit("0000000000000002", batchStep(1, 1000))
 	assert.Empty(t, r.step(30*time.Millisecond).Starts, "the worker is its own for now")
 	r.now = r.now.Add(time.Second)
-	r.answerPoll("w-2", r.now, workload.Held{Running: []workload.RunState{{Task: starts[0].Start.Task, Run: starts[0].Start.Run, Percent: 100}}})
-	assert.Equal(t, 1, r.core.Counts.Cleared)
+	r.answerPoll("w-2", r.now, workload.PollReport{Running: []workload.ListedRun{{Task: starts[0].Start.Task, Run: starts[0].Start.Run, SpeedPercent: 100}}})
+	assert.Equal(t, 1, r.core.Counts.ClearedSuspects)
 	assert.Len(t, r.stepFor(100*time.Millisecond).Starts, 1)
 }
 
@@ -239,7 +239,7 @@
 	r := newRig(t)
 	r.syncWorkers("w-1")
 	r.startJob("0000000000000001", batchStep(2, 3000))
-	waitingDemand := func() workload.Resources { return r.core.Loads(r.now)[0].Waiting }
+	waitingDemand := func() workload.Resources { return r.core.ServiceLoads(r.now)[0].PendingDemand }
 	r.crashWorker("w-1")
 	assert.Zero(t, waitingDemand())
 	r.submit("0000000000000002", batchStep(1, 3000))
@@ -257,18 +257,18 @@
 		id := []string{"w-2", "w-3", "w-4"}[n]
 		r.setWorkers(id)
 		r.step(0)
-		r.answerPoll(id, r.now, workload.Held{})
+		r.answerPoll(id, r.now, workload.PollReport{})
 		for _, s := range r.stepFor(400 * time.Millisecond).Starts {
 			r.answerStart(s, workload.WorkerOK)
 			r.crashWorker(id)
 		}
 	}
 	r.step(30 * time.Millisecond)
-	state, _ := r.core.State(first.Start.Task.Job)
+	state, _ := r.core.JobState(first.Start.Task.Job)
 	require.Equal(t, workload.Failed, state)
 	r.syncWorkers("w-5")
 	r.startJob("0000000000000002", batchStep(1, 1000))
-	assert.Equal(t, 1, r.core.Counts.GivenUp)
+	assert.Equal(t, 1, r.core.Counts.CrashingJobs)
 }
 
 // Guards against a task crashing worker after worker as the answers to its starts are
@@ -283,14 +283,14 @@
 		id := "w-" + strconv.Itoa(n+1)
 		r.setWorkers(id)
 		r.step(0)
-		r.answerPoll(id, r.now, workload.Held{})
+		r.answerPoll(id, r.now, workload.PollReport{})
 		for _, s := range r.stepFor(600 * time.Millisecond).Starts {
 			starts++
 			r.crashWorker(id)
-			r.answerStart(s, workload.WorkerUnknown)
+			r.answerStart(s, workload.WorkerOutcomeUnknown)
 		}
 	}
-	state, _ := r.core.State(job)
+	state, _ := r.core.JobState(job)
 	assert.Equal(t, workload.Failed, state)
 	assert.Equal(t, 4, starts)
 }
--- a/internal/scheduler/trial.go
+++ b/internal/scheduler/trial.go
@@ -11,54 +11,54 @@
 )
 
 const (
-	// trialShare is the part of a service's workers, as one in so many, that are kept
+	// busyReserveDivisor is the part of a service's workers, as one in so many, that are kept
 	// for suspects at most while the service is busy with other tasks, and idleTrialShare
 	// the same while it isn't.
-	trialShare     = 4
-	idleTrialShare = 2
-	// busyFor is how long a service counts as busy after other tasks of it have started or
+	busyReserveDivisor = 4
+	idleReserveDivisor = 2
+	// serviceBusyDuration is how long a service counts as busy after other tasks of it have started or
 	// found no room.
-	busyFor = time.Second
-	// soleRank is what a crash that speaks against a task alone takes off its rank among
+	serviceBusyDuration = time.Second
+	// onlyCandidateRankPenalty is what a crash that speaks against a task alone takes off its rank among
 	// suspects, and waitRank the share of its wait, as one in so many, that is added.
-	soleRank = time.Second
-	waitRank = 50
-	// suspectsNoted is the shortest time between two lines of the log on suspects that wait.
-	suspectsNoted = 2 * time.Second
-	// keptFor is how long a worker is kept for suspects after the last wish; each plan
+	onlyCandidateRankPenalty = time.Second
+	waitRankDivisor          = 50
+	// suspectsLogInterval is the shortest time between two lines of the log on suspects that wait.
+	suspectsLogInterval = 2 * time.Second
+	// reservationTTL is how long a worker is kept for suspects after the last wish; each plan
 	// that finds one waiting renews it.
-	keptFor = 500 * time.Millisecond
-	// gangTrialPatience is how long a gang with suspects waits for workers of their own:
+	reservationTTL = 500 * time.Millisecond
+	// gangReservationTimeout is how long a gang with suspects waits for workers of their own:
 	// there may never be enough.
-	gangTrialPatience = 3 * time.Second
+	gangReservationTimeout = 3 * time.Second
 )
 
-// plannedTrial is where and under which number a suspect is going to be started.
-type plannedTrial struct {
-	worker *worker
-	born   int64 // of the incarnation, as in worker
-	run    int64
+// plannedIsolatedRun is where and under which number a suspect is going to be started.
+type plannedIsolatedRun struct {
+	worker      *worker
+	incarnation int64 // of the incarnation, as in worker
+	runNumber   int64
 }
 
-// keptForTrial tells whether the worker takes nothing but suspects.
-func (w *worker) keptForTrial(now time.Time) bool {
-	if now.Before(w.keptUntil) {
+// isReservedForSuspects tells whether the worker takes nothing but suspects.
+func (w *worker) isReservedForSuspects(now time.Time) bool {
+	if now.Before(w.reservedForSuspectsUntil) {
 		return true
 	}
 	for _, r := range w.runs {
-		if r.trial {
+		if r.isolated {
 			return true
 		}
 	}
 	return false
 }
 
-// provenAll tells whether a crash of the worker could be blamed on none of the tasks
+// hasNoCrashCandidate tells whether a crash of the worker could be blamed on none of the tasks
 // there: they have all got on for a while. That is so a second after the last start at
 // the latest, however long they run.
-func (w *worker) provenAll(now time.Time) bool {
+func (w *worker) hasNoCrashCandidate(now time.Time) bool {
 	for _, r := range w.runs {
-		if r.trial || r.unproven(now) {
+		if r.isolated || r.isCrashCandidate(now) {
 			return false
 		}
 	}
@@ -74,41 +74,41 @@
 
 func (x suspect) task() *task { return &x.step.tasks[x.index] }
 
-// placeTrials starts suspects, each where it is the only one. Where it is started is
+// placeSuspects starts suspects, each where it is the only one. Where it is started is
 // stored before: an owner that is lost just then takes along what it saw, and the next one
 // asks what has become of that worker.
-func (c *Core) placeTrials(pools map[string]*pool, now time.Time) {
-	waiting, kept := 0, 0
-	byService := c.suspects(now)
+func (c *Core) placeSuspects(pools map[string]*pool, now time.Time) {
+	suspectCount, reservedCount := 0, 0
+	byService := c.suspectsByService(now)
 	for _, service := range slices.Sorted(maps.Keys(byService)) {
-		p, list := pools[service], byService[service]
+		p, suspects := pools[service], byService[service]
 		if p == nil {
 			continue
 		}
-		for _, x := range list {
-			if c.starting.full() {
+		for _, x := range suspects {
+			if c.startsInFlight.isFull() {
 				return
 			}
-			c.placeTrial(p, x, now)
+			c.placeSuspect(p, x, now)
 		}
-		waiting += len(list)
-		kept += len(p.trials)
+		suspectCount += len(suspects)
+		reservedCount += len(p.reservedForSuspects)
 	}
-	c.noteSuspects(waiting, kept, now)
+	c.logWaitingSuspects(suspectCount, reservedCount, now)
 }
 
-// suspects are those that may be tried now, by service, in the order in which they are.
-func (c *Core) suspects(now time.Time) map[string][]suspect {
+// suspectsByService are those that may be tried now, by service, in the order in which they are.
+func (c *Core) suspectsByService(now time.Time) map[string][]suspect {
 	byService := map[string][]suspect{}
-	c.crashedSteps = slices.DeleteFunc(c.crashedSteps, func(s *step) bool { return s.job.final.Ended() })
-	for _, s := range c.crashedSteps {
-		if s.idle == 0 || s.spec.Gang || !s.ready(now) {
+	c.stepsWithCrashes = slices.DeleteFunc(c.stepsWithCrashes, func(s *step) bool { return s.job.finalState.IsTerminal() })
+	for _, s := range c.stepsWithCrashes {
+		if s.idleCount == 0 || s.spec.Gang || !s.isReady(now) {
 			continue
 		}
 		for i := range s.tasks {
-			if t := &s.tasks[i]; c.mayBeTried(t, now) && t.suspect() {
-				service := s.job.sub.Service
-				byService[service] = append(byService[service], suspect{s, i, t.likelyHarmless(now)})
+			if t := &s.tasks[i]; c.isTaskStartable(t, now) && t.isSuspect() {
+				service := s.job.submission.Service
+				byService[service] = append(byService[service], suspect{s, i, t.suspectRank(now)})
 			}
 		}
 	}
@@ -118,264 +118,264 @@
 	return byService
 }
 
-// placeTrial starts a suspect where that was planned, or plans it.
-func (c *Core) placeTrial(p *pool, x suspect, now time.Time) {
+// placeSuspect starts a suspect where that was planned, or plans it.
+func (c *Core) placeSuspect(p *pool, x suspect, now time.Time) {
 	s, t := x.step, x.task()
-	if !c.advised(p, s, now) {
+	if !c.ensureAdvice(p, s, now) {
 		return
 	}
-	if t.planned != nil && p.canTry(s, t.planned, now) {
-		c.startTrial(s, x.index, t.checkpoint, now)
+	if t.plannedIsolatedRun != nil && p.canStartPlanned(s, t.plannedIsolatedRun, now) {
+		c.startIsolatedRun(s, x.index, t.checkpoint, now)
 		return
 	}
-	c.dropPending(s, t)
-	w := p.trialWorker(s, now)
+	c.dropPendingCrashes(s, t)
+	w := p.bestReservedWorker(s, now)
 	if w == nil {
-		p.keepForTrial(s, now)
-		w = p.trialWorker(s, now)
+		p.reserveForSuspects(s, now)
+		w = p.bestReservedWorker(s, now)
 	}
 	if w != nil {
-		c.planTrial(w, s, t, s.nextRun(c.cfg.Epoch), now)
+		c.planIsolatedRun(w, s, t, s.nextRunNumber(c.settings.Epoch), now)
 	}
 }
 
-// mayBeTried tells whether an idle task may be started, and what is known of its
+// isTaskStartable tells whether an idle task may be started, and what is known of its
 // crashes is stored.
-func (c *Core) mayBeTried(t *task, now time.Time) bool {
-	return !t.done && len(t.runs) == 0 && !now.Before(t.notBefore) && t.storedIn <= c.storedSeq
+func (c *Core) isTaskStartable(t *task, now time.Time) bool {
+	return !t.done && len(t.runs) == 0 && !now.Before(t.notBefore) && t.crashesStoredInWrite <= c.storedWriteSeq
 }
 
-// canTry tells whether a worker can still be had for a trial that was planned there.
-func (p *pool) canTry(s *step, planned *plannedTrial, now time.Time) bool {
+// canStartPlanned tells whether a worker can still be had for a trial that was planned there.
+func (p *pool) canStartPlanned(s *step, planned *plannedIsolatedRun, now time.Time) bool {
 	w := planned.worker
-	return planned.born == w.born && slices.Contains(p.trials, w) && s.fits(w, now) && w.provenAll(now)
+	return planned.incarnation == w.incarnation && slices.Contains(p.reservedForSuspects, w) && s.fitsOn(w, now) && w.hasNoCrashCandidate(now)
 }
 
-// planTrial has it stored that a suspect is going to be started on a worker.
-func (c *Core) planTrial(w *worker, s *step, t *task, number int64, now time.Time) {
-	t.planned = &plannedTrial{worker: w, born: w.born, run: number}
-	w.plannedUntil = now.Add(keptFor)
-	w.keptUntil = w.plannedUntil
-	t.note(workload.Crash{Worker: w.info.ID, Born: w.born, Address: w.info.Address, Run: number, AtMS: now.UnixMilli(), Pending: true})
-	c.storeCrashes(s, t)
+// planIsolatedRun has it stored that a suspect is going to be started on a worker.
+func (c *Core) planIsolatedRun(w *worker, s *step, t *task, runNumber int64, now time.Time) {
+	t.plannedIsolatedRun = &plannedIsolatedRun{worker: w, incarnation: w.incarnation, runNumber: runNumber}
+	w.isolatedRunPlannedUntil = now.Add(reservationTTL)
+	w.reservedForSuspectsUntil = w.isolatedRunPlannedUntil
+	t.addCrash(workload.Crash{Worker: w.info.ID, Incarnation: w.incarnation, Address: w.info.Address, Run: runNumber, DetectedAtMS: now.UnixMilli(), IsolatedRunPending: true})
+	c.queueCrashWrite(s, t)
 }
 
-// startTrial starts a suspect as planned.
-func (c *Core) startTrial(s *step, index int, checkpoint string, now time.Time) {
-	c.Counts.Trials++
+// startIsolatedRun starts a suspect as planned.
+func (c *Core) startIsolatedRun(s *step, index int, checkpoint string, now time.Time) {
+	c.Counts.IsolatedRuns++
 	t := &s.tasks[index]
-	planned := t.planned
-	t.planned = nil
-	planned.worker.plannedUntil = time.Time{}
-	c.start(planned.worker, s, index, planned.run, checkpoint, now).trial = true
+	planned := t.plannedIsolatedRun
+	t.plannedIsolatedRun = nil
+	planned.worker.isolatedRunPlannedUntil = time.Time{}
+	c.startRun(planned.worker, s, index, planned.runNumber, checkpoint, now).isolated = true
 }
 
-// dropPending forgets a trial that was planned or has ended without a crash.
-func (c *Core) dropPending(s *step, t *task) {
-	t.planned = nil
-	before := len(t.crashes)
-	t.crashes = slices.DeleteFunc(t.crashes, func(crash workload.Crash) bool { return crash.Pending })
-	if len(t.crashes) < before {
-		c.storeCrashes(s, t)
+// dropPendingCrashes forgets a trial that was planned or has ended without a crash.
+func (c *Core) dropPendingCrashes(s *step, t *task) {
+	t.plannedIsolatedRun = nil
+	countBefore := len(t.crashes)
+	t.crashes = slices.DeleteFunc(t.crashes, func(crash workload.Crash) bool { return crash.IsolatedRunPending })
+	if len(t.crashes) < countBefore {
+		c.queueCrashWrite(s, t)
 	}
 }
 
-// resume takes a crash that an earlier owner noted and did not live to see cleared up.
-func (c *Core) resume(s *step, index int, crash workload.Crash) {
-	w := c.worker(crash.Worker, c.startedAt)
+// restoreOpenCrash takes a crash that an earlier owner noted and did not live to see cleared up.
+func (c *Core) restoreOpenCrash(s *step, index int, crash workload.Crash) {
+	w := c.ensureWorker(crash.Worker, c.tookOverAt)
 	if w.info.Address == "" {
 		// It may be on no list any more, and its successor tells at its address.
-		w.info = workload.Worker{ID: crash.Worker, Address: crash.Address, Service: s.job.sub.Service}
+		w.info = workload.Worker{ID: crash.Worker, Address: crash.Address, Service: s.job.submission.Service}
 	}
-	if w.find(s.key(index), crash.Run) != nil {
+	if w.findRun(s.taskKey(index), crash.Run) != nil {
 		return
 	}
 	r := &run{
-		step: s, index: index, number: crash.Run, worker: w, born: crash.Born, state: runUncertain,
-		since: c.startedAt, orderedAt: c.startedAt, paced: fullPace,
-		trial: crash.Pending, restored: true,
-		doubtUntil: c.startedAt.Add(c.cfg.Stop + stopSlack),
+		step: s, index: index, number: crash.Run, worker: w, incarnation: crash.Incarnation, state: runUnanswered,
+		stateChangedAt: c.tookOverAt, orderedAt: c.tookOverAt, orderedSpeedPercent: fullSpeedPercent,
+		isolated: crash.IsolatedRunPending, restored: true,
+		mayBeStoppingUntil: c.tookOverAt.Add(c.settings.MaxStopDuration + stopSlack),
 	}
-	if crash.Pending {
-		r.plannedAt = time.UnixMilli(crash.AtMS)
+	if crash.IsolatedRunPending {
+		r.isolationPlannedAt = time.UnixMilli(crash.DetectedAtMS)
 	}
-	if crash.Unclear {
-		w.victims = append(w.victims, r)
-		w.unclearUntil = c.startedAt.Add(successorWait)
+	if crash.Unconfirmed {
+		w.blamedRuns = append(w.blamedRuns, r)
+		w.crashUnconfirmedUntil = c.tookOverAt.Add(successorTimeout)
 		return
 	}
-	w.extendLease(earlierLeases(c.cfg, c.startedAt))
-	w.add(r) // it counts as under way until the worker has answered, or is gone
+	w.extendLease(earlierLeaseExpiry(c.settings, c.tookOverAt))
+	w.addRun(r) // it counts as under way until the worker has answered, or is gone
 }
 
-// endTrial takes that a trial has ended without a crash of its worker.
-func (c *Core) endTrial(r *run) {
-	if r.trial {
-		r.trial = false
-		c.dropPending(r.step, r.task())
+// endIsolatedRun takes that a trial has ended without a crash of its worker.
+func (c *Core) endIsolatedRun(r *run) {
+	if r.isolated {
+		r.isolated = false
+		c.dropPendingCrashes(r.step, r.task())
 	}
 }
 
-// trialWorker returns a kept worker that is ready for a suspect of the step, the
+// bestReservedWorker returns a kept worker that is ready for a suspect of the step, the
 // emptiest; nil if there is none.
-func (p *pool) trialWorker(s *step, now time.Time) *worker {
+func (p *pool) bestReservedWorker(s *step, now time.Time) *worker {
 	var best *worker
-	for _, w := range p.readyForTrial(now) {
-		if s.fits(w, now) && (best == nil || len(w.runs) < len(best.runs)) {
+	for _, w := range p.readyReservedWorkers(now) {
+		if s.fitsOn(w, now) && (best == nil || len(w.runs) < len(best.runs)) {
 			best = w
 		}
 	}
 	return best
 }
 
-// has tells whether a worker takes starts, of suspects or others.
-func (p *pool) has(w *worker) bool {
-	return slices.Contains(p.trials, w) || slices.Contains(p.workers, w)
+// contains tells whether a worker takes starts, of suspects or others.
+func (p *pool) contains(w *worker) bool {
+	return slices.Contains(p.reservedForSuspects, w) || slices.Contains(p.workers, w)
 }
 
-// keepForTrial keeps workers for a step's suspects: those that are kept already and could
+// reserveForSuspects keeps workers for a step's suspects: those that are kept already and could
 // run one, and one more if there may be. Where none of those could, as for want of its
 // label, there is one more in any case; the suspect would else wait for ever.
-func (p *pool) keepForTrial(s *step, now time.Time) {
-	able := 0
-	for _, w := range p.trials {
-		if s.couldRunOn(w) {
-			w.keptUntil = now.Add(keptFor)
-			able++
+func (p *pool) reserveForSuspects(s *step, now time.Time) {
+	capable := 0
+	for _, w := range p.reservedForSuspects {
+		if s.canEventuallyRunOn(w) {
+			w.reservedForSuspectsUntil = now.Add(reservationTTL)
+			capable++
 		}
 	}
-	if able > 0 && len(p.trials) >= p.mostForTrials(now) {
+	if capable > 0 && len(p.reservedForSuspects) >= p.maxReserved(now) {
 		return
 	}
-	i := p.leastLoaded(s)
+	i := p.leastLoadedIndex(s)
 	if i < 0 {
 		return
 	}
-	p.workers[i].keptUntil = now.Add(keptFor)
-	p.trials = append(p.trials, p.workers[i])
-	p.remove(i)
+	p.workers[i].reservedForSuspectsUntil = now.Add(reservationTTL)
+	p.reservedForSuspects = append(p.reservedForSuspects, p.workers[i])
+	p.removeAt(i)
 }
 
-// likelyHarmless ranks suspects, those that are the least likely to crash a worker first:
+// suspectRank ranks suspects, those that are the least likely to crash a worker first:
 // most of them are cleared in half a second, and one that crashes takes its worker with it
 // for seconds. What crashes its workers does so at its start, so a task that had run for
 // longer at its crash is less likely to blame; one with a crash that speaks against it
 // alone comes last. Who waits moves up, so that none waits for ever.
-func (t *task) likelyHarmless(now time.Time) time.Duration {
-	rank, latest := time.Duration(0), int64(0)
+func (t *task) suspectRank(now time.Time) time.Duration {
+	rank, latestCrashMS := time.Duration(0), int64(0)
 	for _, crash := range t.crashes {
-		latest = max(latest, crash.AtMS)
+		latestCrashMS = max(latestCrashMS, crash.DetectedAtMS)
 		switch {
-		case crash.Cleared || crash.Pending:
-		case crash.Sole:
-			rank -= soleRank
+		case crash.Cleared || crash.IsolatedRunPending:
+		case crash.SoleCause:
+			rank -= onlyCandidateRankPenalty
 		default:
-			rank = max(rank, time.Duration(crash.AgeMS)*time.Millisecond)
+			rank = max(rank, time.Duration(crash.RunAgeMS)*time.Millisecond)
 		}
 	}
-	return rank + now.Sub(time.UnixMilli(latest))/waitRank
+	return rank + now.Sub(time.UnixMilli(latestCrashMS))/waitRankDivisor
 }
 
-// noteSuspects logs now and then how many suspects wait: nothing else tells why their jobs
+// logWaitingSuspects logs now and then how many suspects wait: nothing else tells why their jobs
 // don't get on.
-func (c *Core) noteSuspects(waiting, kept int, now time.Time) {
-	if waiting == 0 || now.Before(c.suspectsNotedAt.Add(suspectsNoted)) {
+func (c *Core) logWaitingSuspects(waiting, reserved int, now time.Time) {
+	if waiting == 0 || now.Before(c.suspectsLoggedAt.Add(suspectsLogInterval)) {
 		return
 	}
-	c.suspectsNotedAt = now
-	c.note(Decision{Verb: "suspects-wait", Reason: fmt.Sprintf("%d tasks that may crash workers wait for a trial, %d workers are kept for such", waiting, kept), Critical: true})
+	c.suspectsLoggedAt = now
+	c.recordDecision(Decision{Verb: "suspects-wait", Reason: fmt.Sprintf("%d tasks that may crash workers wait for a trial, %d workers are kept for such", waiting, reserved), AlwaysLogged: true})
 }
 
-// mostForTrials is how many workers are kept for suspects at most.
-func (p *pool) mostForTrials(now time.Time) int {
-	all := len(p.workers) + len(p.trials)
+// maxReserved is how many workers are kept for suspects at most.
+func (p *pool) maxReserved(now time.Time) int {
+	workerCount := len(p.workers) + len(p.reservedForSuspects)
 	if now.Before(p.busyUntil) {
-		return max(1, all/trialShare)
+		return max(1, workerCount/busyReserveDivisor)
 	}
-	return max(1, all/idleTrialShare)
+	return max(1, workerCount/idleReserveDivisor)
 }
 
-// readyForTrial are the kept workers that are ready.
-func (p *pool) readyForTrial(now time.Time) []*worker {
+// readyReservedWorkers are the kept workers that are ready.
+func (p *pool) readyReservedWorkers(now time.Time) []*worker {
 	var ready []*worker
-	for _, w := range p.trials {
-		if w.provenAll(now) && !now.Before(w.plannedUntil) {
+	for _, w := range p.reservedForSuspects {
+		if w.hasNoCrashCandidate(now) && !now.Before(w.isolatedRunPlannedUntil) {
 			ready = append(ready, w)
 		}
 	}
 	return ready
 }
 
-// placeGangTrial starts a gang with suspects: these on kept workers, the others
+// placeGangWithSuspects starts a gang with suspects: these on kept workers, the others
 // anywhere. A crash ends the whole gang, and its worker tells who was there.
-func (c *Core) placeGangTrial(p *pool, s *step, now time.Time) {
+func (c *Core) placeGangWithSuspects(p *pool, s *step, now time.Time) {
 	var suspects, others []int
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		if !c.mayBeTried(t, now) {
+		if !c.isTaskStartable(t, now) {
 			return
 		}
-		if t.suspect() {
+		if t.isSuspect() {
 			suspects = append(suspects, i)
 		} else {
 			others = append(others, i)
 		}
 	}
-	if !p.canTryGang(s, suspects, now) {
-		c.planGangTrial(p, s, suspects, now)
+	if !p.canStartPlannedGang(s, suspects, now) {
+		c.planGangSuspects(p, s, suspects, now)
 		return
 	}
-	rest := s.seat(p.workers, len(others), now)
-	if rest == nil {
+	otherWorkers := s.assignWorkers(p.workers, len(others), now)
+	if otherWorkers == nil {
 		return
 	}
-	number := s.tasks[suspects[0]].planned.run
+	runNumber := s.tasks[suspects[0]].plannedIsolatedRun.runNumber
 	for _, i := range suspects {
-		c.startTrial(s, i, s.checkpoint, now)
+		c.startIsolatedRun(s, i, s.checkpoint, now)
 	}
-	for i, w := range rest {
-		c.start(w, s, others[i], number, s.checkpoint, now)
+	for i, w := range otherWorkers {
+		c.startRun(w, s, others[i], runNumber, s.checkpoint, now)
 	}
-	s.trialWaits = time.Time{}
-	c.forming = append(c.forming, forming{step: s, run: number, since: now})
-	p.measure()
+	s.waitingForIsolationSince = time.Time{}
+	c.formingGangs = append(c.formingGangs, formingGang{step: s, runNumber: runNumber, orderedAt: now})
+	p.updateMaxFree()
 }
 
-// canTryGang tells whether the suspects of a gang can be started as planned.
-func (p *pool) canTryGang(s *step, suspects []int, now time.Time) bool {
-	var planned []*worker
+// canStartPlannedGang tells whether the suspects of a gang can be started as planned.
+func (p *pool) canStartPlannedGang(s *step, suspects []int, now time.Time) bool {
+	var plannedWorkers []*worker
 	for _, i := range suspects {
-		trial := s.tasks[i].planned
-		if trial == nil || trial.born != trial.worker.born || !p.has(trial.worker) || !trial.worker.provenAll(now) {
+		plan := s.tasks[i].plannedIsolatedRun
+		if plan == nil || plan.incarnation != plan.worker.incarnation || !p.contains(plan.worker) || !plan.worker.hasNoCrashCandidate(now) {
 			return false
 		}
-		if !slices.Contains(planned, trial.worker) {
-			planned = append(planned, trial.worker)
+		if !slices.Contains(plannedWorkers, plan.worker) {
+			plannedWorkers = append(plannedWorkers, plan.worker)
 		}
 	}
-	return s.seat(planned, len(suspects), now) != nil
+	return s.assignWorkers(plannedWorkers, len(suspects), now) != nil
 }
 
-// planGangTrial plans where the suspects of a gang are started. Several of them may
+// planGangSuspects plans where the suspects of a gang are started. Several of them may
 // share a worker; where there are never enough, they go to any.
-func (c *Core) planGangTrial(p *pool, s *step, suspects []int, now time.Time) {
-	if s.trialWaits.IsZero() {
-		s.trialWaits = now
+func (c *Core) planGangSuspects(p *pool, s *step, suspects []int, now time.Time) {
+	if s.waitingForIsolationSince.IsZero() {
+		s.waitingForIsolationSince = now
 	}
-	seats := s.seat(p.readyForTrial(now), len(suspects), now)
-	if seats == nil {
-		p.keepForTrial(s, now)
-		seats = s.seat(p.readyForTrial(now), len(suspects), now)
+	assigned := s.assignWorkers(p.readyReservedWorkers(now), len(suspects), now)
+	if assigned == nil {
+		p.reserveForSuspects(s, now)
+		assigned = s.assignWorkers(p.readyReservedWorkers(now), len(suspects), now)
 	}
-	if seats == nil && !now.Before(s.trialWaits.Add(gangTrialPatience)) {
-		seats = s.seat(p.workers, len(suspects), now)
+	if assigned == nil && !now.Before(s.waitingForIsolationSince.Add(gangReservationTimeout)) {
+		assigned = s.assignWorkers(p.workers, len(suspects), now)
 	}
-	if seats == nil {
+	if assigned == nil {
 		return
 	}
-	number := s.nextRun(c.cfg.Epoch)
+	runNumber := s.nextRunNumber(c.settings.Epoch)
 	for k, i := range suspects {
-		c.dropPending(s, &s.tasks[i])
-		c.planTrial(seats[k], s, &s.tasks[i], number, now)
+		c.dropPendingCrashes(s, &s.tasks[i])
+		c.planIsolatedRun(assigned[k], s, &s.tasks[i], runNumber, now)
 	}
 }
--- a/internal/scheduler/trialqueue_test.go
+++ b/internal/scheduler/trialqueue_test.go
@@ -27,15 +27,15 @@
 	var isolated []workload.JobID
 	r.setWorkers("w-3")
 	r.step(0)
-	r.answerPoll("w-3", r.now, workload.Held{})
+	r.answerPoll("w-3", r.now, workload.PollReport{})
 	for range 40 {
 		for _, s := range r.step(50 * time.Millisecond).Starts {
 			isolated = append(isolated, s.Start.Task.Job)
 			r.answerStart(s, workload.WorkerOK)
 			r.now = r.now.Add(time.Second)
-			r.answerPoll("w-3", r.now, workload.Held{Running: []workload.RunState{{Task: s.Start.Task, Run: s.Start.Run, Percent: 100}}})
-			r.core.CancelRequested(s.Start.Task.Job, r.now)
-			r.answerPoll("w-3", r.now.Add(time.Millisecond), exitReport(int64(len(isolated)), s, workload.EndStopped))
+			r.answerPoll("w-3", r.now, workload.PollReport{Running: []workload.ListedRun{{Task: s.Start.Task, Run: s.Start.Run, SpeedPercent: 100}}})
+			r.core.CancelJob(s.Start.Task.Job, r.now)
+			r.answerPoll("w-3", r.now.Add(time.Millisecond), exitReport(int64(len(isolated)), s, workload.ExitStopped))
 		}
 	}
 	require.Len(t, isolated, 3)
@@ -52,8 +52,8 @@
 		r.crashWorker("w-1")
 		r.setWorkers("w-2")
 		r.step(0)
-		assert.Equal(t, c.vms*8000, r.core.Loads(r.now)[0].Waiting.CPU, "%d suspects", c.suspects)
-		r.answerPoll("w-2", r.now, workload.Held{})
+		assert.Equal(t, c.vms*8000, r.core.ServiceLoads(r.now)[0].PendingDemand.CPU, "%d suspects", c.suspects)
+		r.answerPoll("w-2", r.now, workload.PollReport{})
 		logged := 0
 		for range 10 {
 			for _, d := range r.step(50 * time.Millisecond).Decisions {
@@ -79,7 +79,7 @@
 		isCrashingJob := map[workload.JobID]bool{}
 		for i := range 120 {
 			w.after(w.durationBetween(time.Second, 11*time.Second), func() {
-				j := w.submit(workload.Spec{Steps: []workload.Step{{Count: 3, Need: workload.Resources{CPU: 2000, MemoryMB: 4000}, EstimateMS: 640}}}, "quick")
+				j := w.submit(workload.Spec{Steps: []workload.Step{{Count: 3, Resources: workload.Resources{CPU: 2000, MemoryMB: 4000}, EstimateMS: 640}}}, "quick")
 				if i%4 == 0 {
 					isCrashingJob[j.id] = true
 					w.crashingTasks[string(j.id)+".0.0."+strconv.Itoa(i%3)] = true
@@ -89,7 +89,7 @@
 		w.runUntil(240 * time.Second)
 		require.Empty(t, w.violations, "seed %d", seed)
 		for _, j := range w.jobs {
-			state, _ := w.owner.core.State(j.id)
+			state, _ := w.owner.core.JobState(j.id)
 			want := workload.Completed
 			if isCrashingJob[j.id] {
 				want = workload.Failed
--- a/internal/scheduler/trust.go
+++ b/internal/scheduler/trust.go
@@ -10,65 +10,65 @@
 // too, a few in a hundred, so one failure says little and several in a row
 // within a short time, of several jobs, say much.
 const (
-	failuresInRow  = 3
-	jobsInRow      = 2
-	failureMemory  = 6 * time.Second // a failure longer ago says nothing of now
-	firstSuspend   = 2 * time.Second
-	longestSuspend = 16 * time.Second
-	// probation is how long after a suspension one failure suffices for the
+	minFailuresToSuspend = 3
+	minJobsToSuspend     = 2
+	failureStreakTimeout = 6 * time.Second // a failure longer ago says nothing of now
+	minSuspension        = 2 * time.Second
+	maxSuspension        = 16 * time.Second
+	// probationDuration is how long after a suspension one failure suffices for the
 	// next, and only a few runs are given at once.
-	probation     = 4 * time.Second
-	probationRuns = 2
-	// earlyFailure is how soon after its start a lasting task must fail to count:
+	probationDuration = 4 * time.Second
+	maxProbationRuns  = 2
+	// earlyFailureWindow is how soon after its start a lasting task must fail to count:
 	// such tasks fail at any time by themselves.
-	earlyFailure = 2 * time.Second
+	earlyFailureWindow = 2 * time.Second
 )
 
-// trust is what a worker's ends say of it.
-type trust struct {
-	failures       int // in a row
-	failedAt       time.Time
-	firstJob       workload.JobID
-	jobs           int
-	suspendUntil   time.Time
-	suspend        time.Duration
-	probationUntil time.Time
+// failureTracker is what a worker's ends say of it.
+type failureTracker struct {
+	consecutiveFailures int // in a row
+	lastFailureAt       time.Time
+	firstJob            workload.JobID
+	distinctJobs        int
+	suspendedUntil      time.Time
+	suspension          time.Duration
+	probationUntil      time.Time
 }
 
-// allows tells whether the worker may get a start. runs are those that will end
+// allowsStart tells whether the worker may get a start. runs are those that will end
 // by themselves.
-func (t *trust) allows(now time.Time, runs int) bool {
-	if now.Before(t.suspendUntil) {
+func (t *failureTracker) allowsStart(now time.Time, finiteRuns int) bool {
+	if now.Before(t.suspendedUntil) {
 		return false
 	}
-	return !now.Before(t.probationUntil) || runs < probationRuns
+	return !now.Before(t.probationUntil) || finiteRuns < maxProbationRuns
 }
 
-// count takes the end of a run that took a while.
-func (t *trust) count(how workload.How, s *step, took time.Duration, now time.Time) {
-	if how == workload.EndDone {
-		*t = trust{}
+// recordExit takes the end of a run that took a while.
+func (t *failureTracker) recordExit(reason workload.ExitReason, s *step, duration time.Duration, now time.Time) {
+	if reason == workload.ExitDone {
+		*t = failureTracker{}
 		return
 	}
-	if how != workload.EndFailed || s.spec.Lasting && took > earlyFailure {
+	if reason != workload.ExitFailed || s.spec.LongRunning && duration > earlyFailureWindow {
 		return
 	}
-	if now.Sub(t.failedAt) > failureMemory {
-		t.failures, t.jobs = 0, 0
+	if now.Sub(t.lastFailureAt) > failureStreakTimeout {
+		t.consecutiveFailures, t.distinctJobs = 0, 0
 	}
-	t.failures++
-	t.failedAt = now
+	t.consecutiveFailures++
+	t.lastFailureAt = now
 	switch {
-	case t.jobs == 0:
+	case t.distinctJobs == 0:
 		t.firstJob = s.job.id
-		t.jobs = 1
+		t.distinctJobs = 1
 	case t.firstJob != s.job.id:
-		t.jobs = jobsInRow
+		t.distinctJobs = minJobsToSuspend
 	}
-	suspicious := t.failures >= failuresInRow && t.jobs >= jobsInRow
+	suspicious := t.consecutiveFailures >= minFailuresToSuspend && t.distinctJobs >= minJobsToSuspend
 	if suspicious || now.Before(t.probationUntil) {
-		t.suspend = min(longestSuspend, max(firstSuspend, 2*t.suspend))
-		t.suspendUntil = now.Add(t.suspend)
-		t.probationUntil = t.suspendUntil.Add(probation)
+		t.suspension = min(maxSuspension, max(minSuspension, 2*t.suspension))
+		t.suspendedUntil = now.Add(t.suspension)
+		t.probationUntil = t.suspendedUntil.Add(probationDuration)
 	}
 }
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -9,21 +9,21 @@
 
 // Bounds of orders.
 const (
-	// stopRetry is the pause before a stop without an answer is sent again.
-	stopRetry = 300 * time.Millisecond
-	// maxOrders bounds the orders in flight to one worker.
-	maxOrders = 10
-	// maxInFlight bounds the starts in flight to all workers, but for those whose
+	// stopRetryInterval is the pause before a stop without an answer is sent again.
+	stopRetryInterval = 300 * time.Millisecond
+	// maxOrdersPerWorker bounds the orders in flight to one worker.
+	maxOrdersPerWorker = 10
+	// maxStartsInFlight bounds the starts in flight to all workers, but for those whose
 	// answer is lost. An order takes some 5 ms, so it allows thousands a second;
 	// without it a small VM sends so many at once that none is answered in time.
-	maxInFlight = 64
-	// lateOrder is the longest after which an order without an answer may still
+	maxStartsInFlight = 64
+	// maxOrderDelay is the longest after which an order without an answer may still
 	// be carried out; the platform has seen 12 s.
-	lateOrder = 13 * time.Second
-	fullPace  = 100 // percent
-	// clockFresh is how old the answer may get by which an idle worker's time is reckoned.
+	maxOrderDelay    = 13 * time.Second
+	fullSpeedPercent = 100 // percent
+	// maxClockAge is how old the answer may get by which an idle worker's time is reckoned.
 	// Its first lease is shorter by clockMargin of that.
-	clockFresh = 10 * time.Second
+	maxClockAge = 10 * time.Second
 	// stopSlack is added to what a stop takes, for the order's way.
 	stopSlack = 200 * time.Millisecond
 )
@@ -32,8 +32,8 @@
 type runState int
 
 const (
-	runStarting  runState = iota // ordered, no answer yet
-	runUncertain                 // ordered, no answer came
+	runStarting   runState = iota // ordered, no answer yet
+	runUnanswered                 // ordered, no answer came
 	runRunning
 	runStopping // is to end; may not have begun
 )
@@ -41,38 +41,38 @@
 // run is one run of a task on a worker, from its order to its known end. It
 // takes its room all that time.
 type run struct {
-	step   *step
-	index  int
-	number int64
-	worker *worker
-	born   int64 // of the incarnation that the run was ordered to, as in worker
-	state  runState
-	// since is when the state began: a poll that was sent earlier says nothing
+	step        *step
+	index       int
+	number      int64
+	worker      *worker
+	incarnation int64 // of the incarnation that the run was ordered to, as in worker
+	state       runState
+	// stateChangedAt is when the state began: a poll that was sent earlier says nothing
 	// of it.
-	since      time.Time
-	orderedAt  time.Time
-	stopSentAt time.Time
-	stopping   bool // a stop is in flight
-	stopped    bool // a stop was answered: the run can't begin any more
-	evacuated  bool // it was to end because its VM is to be emptied
-	// doubtUntil is until when a run of an earlier owner may be one that it has
+	stateChangedAt  time.Time
+	orderedAt       time.Time
+	lastStopAt      time.Time
+	stopInFlight    bool // a stop is in flight
+	stopConfirmed   bool // a stop was answered: the run can't begin any more
+	stoppedForDrain bool // it was to end because its VM is to be emptied
+	// mayBeStoppingUntil is until when a run of an earlier owner may be one that it has
 	// told to stop: the worker lists it as running until it has ended. sure is set
 	// once it was listed in answer to a poll that was sent later.
-	doubtUntil time.Time
-	sure       bool
-	confirmed  bool // the worker has answered the start or listed the run
-	percent    int
-	paced      int // percent last ordered
-	pacing     bool
-	load       float64
-	checkpoint string
-	// trial is set while it is to be seen whether the task crashes its worker.
-	trial bool
+	mayBeStoppingUntil  time.Time
+	confirmedRunning    bool
+	startConfirmed      bool // the worker has answered the start or listed the run
+	speedPercent        int
+	orderedSpeedPercent int // percent last ordered
+	throttleInFlight    bool
+	load                float64
+	checkpoint          string
+	// isolated is set while it is to be seen whether the task crashes its worker.
+	isolated bool
 	// restored is set for a run that an earlier owner left.
 	restored bool
-	// plannedAt is when an earlier owner planned it as a trial, zero for others: it began
+	// isolationPlannedAt is when an earlier owner planned it as a trial, zero for others: it began
 	// later than that.
-	plannedAt time.Time
+	isolationPlannedAt time.Time
 	// inherited is set for a run that an earlier owner started and that is known from its
 	// handover or a worker's list: it is older than orderedAt tells.
 	inherited bool
@@ -80,82 +80,82 @@
 	adopted bool
 }
 
-func (r *run) key() workload.TaskKey { return r.step.key(r.index) }
-func (r *run) task() *task           { return &r.step.tasks[r.index] }
+func (r *run) taskKey() workload.TaskKey { return r.step.taskKey(r.index) }
+func (r *run) task() *task               { return &r.step.tasks[r.index] }
 
 // worker is what is known of a worker.
 type worker struct {
 	info workload.Worker
-	// born tells which incarnation it is: when the process started, in Unix milliseconds,
+	// incarnation tells which incarnation it is: when the process started, in Unix milliseconds,
 	// 0 if it isn't known. unsettled is set until that one's first list has told which of
 	// the runs ordered before are there.
-	born        int64
-	unsettled   bool
-	restartedAt time.Time // when a restart under the same ID was last learned, zero if never
-	bornNoted   bool      // that its lists don't tell its start has been logged
-	// inDoubt is set from when its entry names another start than its lists do until it has
+	incarnation              int64
+	incarnationUnresolved    bool
+	restartDetectedAt        time.Time // when a restart under the same ID was last learned, zero if never
+	incarnationUnknownLogged bool      // that its lists don't tell its start has been logged
+	// entryMismatch is set from when its entry names another start than its lists do until it has
 	// answered a poll.
-	inDoubt bool
-	// drained is the start of the latest incarnation whose entry said that it leaves.
-	drained int64
+	entryMismatch bool
+	// leavingIncarnation is the start of the latest incarnation whose entry said that it leaves.
+	leavingIncarnation int64
 	// token fences each incarnation: it is raised for the next one, so that calls meant for
 	// an earlier one have no effect there.
-	token int64
-	since time.Time          // first seen
-	most  workload.Resources // that it had room for
+	token                  int64
+	incarnationFirstSeenAt time.Time          // first seen
+	maxCapacity            workload.Resources // that it had room for
 	// synced is set once it answered under this owner's token and has not been
 	// silent since: its list of runs is complete.
-	synced  bool
-	missing bool // no longer registered
-	// clock is the worker's time in milliseconds at clockAt.
-	clock   int64
-	clockAt time.Time
-	// leaseOver is when the last lease that it may have got has lapsed.
-	leaseOver time.Time
-	holding   bool // a poll is under way
-	holdAfter time.Time
-	// overdueAt is when the answer of the latest poll is late, and extraPolls how many
+	synced       bool
+	unregistered bool // no longer registered
+	// clockMS is the worker's time in milliseconds at clockAt.
+	clockMS     int64
+	clockReadAt time.Time
+	// leasesExpireAt is when the last lease that it may have got has lapsed.
+	leasesExpireAt time.Time
+	pollInFlight   bool // a poll is under way
+	nextPollAt     time.Time
+	// pollAnswerDueAt is when the answer of the latest poll is late, and extraPolls how many
 	// are under way beside the first.
-	overdueAt  time.Time
-	extraPolls int
-	// toldAt is when the latest poll that was answered was sent.
-	toldAt time.Time
-	// listedAt is when the list that was taken last was made, by the worker's clock.
-	listedAt         int64
-	unreachable      bool // the last poll got no answer
-	unreachableSince time.Time
-	refuses          bool // the connection of the last poll was refused
-	// ended is set once another incarnation answered at its address.
-	ended bool
-	// victims are the runs that its crash is held against. It is unclear, and the worker
+	pollAnswerDueAt    time.Time
+	extraPollsInFlight int
+	// lastAnsweredPollSentAt is when the latest poll that was answered was sent.
+	lastAnsweredPollSentAt time.Time
+	// lastReportClockMS is when the list that was taken last was made, by the worker's clock.
+	lastReportClockMS int64
+	unreachable       bool // the last poll got no answer
+	unreachableSince  time.Time
+	connectionRefused bool // the connection of the last poll was refused
+	// replaced is set once another incarnation answered at its address.
+	replaced bool
+	// blamedRuns are the runs that its crash is held against. It is unclear, and the worker
 	// remembered until then, while it may have been cut off.
-	victims      []*run
-	unclearUntil time.Time
-	// keptUntil is until when it takes nothing but suspects.
-	keptUntil time.Time
-	// plannedUntil is until when it waits for a suspect whose trial is being stored.
-	plannedUntil time.Time
-	// unanswered is when the latest poll without an answer was sent.
-	unanswered time.Time
-	answered   time.Time
-	orders     int // in flight
-	// seen is the highest number of its ends that was read, acked the highest that may be
+	blamedRuns            []*run
+	crashUnconfirmedUntil time.Time
+	// reservedForSuspectsUntil is until when it takes nothing but suspects.
+	reservedForSuspectsUntil time.Time
+	// isolatedRunPlannedUntil is until when it waits for a suspect whose trial is being stored.
+	isolatedRunPlannedUntil time.Time
+	// lastUnansweredPollSentAt is when the latest poll without an answer was sent.
+	lastUnansweredPollSentAt time.Time
+	lastPollAnsweredAt       time.Time
+	ordersInFlight           int // in flight
+	// lastExitSeen is the highest number of its ends that was read, acked the highest that may be
 	// acknowledged, and ackSent and ackTaken the highest whose acknowledgement was sent
 	// and answered.
-	seen, acked       int64
-	ackSent, ackTaken int64
-	// lateUntil is until when a start without an answer may yet be carried out.
-	lateUntil time.Time
-	used      workload.Resources
-	runs      []*run
-	// evacuateUntil is until when the worker is being emptied; the wish is
+	lastExitSeen, ackAllowed int64
+	ackSent, ackConfirmed    int64
+	// lateStartUntil is until when a start without an answer may yet be carried out.
+	lateStartUntil time.Time
+	reserved       workload.Resources
+	runs           []*run
+	// drainUntil is until when the worker is being emptied; the wish is
 	// renewed by who has it.
-	evacuateUntil time.Time
-	leavingUntil  time.Time // its VM is due for maintenance
-	pace          int       // of its filling tasks, percent
-	pacedAt       time.Time
-	trust         trust
-	fullUntil     time.Time
+	drainUntil             time.Time
+	maintenanceDueUntil    time.Time // its VM is due for maintenance
+	bestEffortSpeedPercent int       // of its filling tasks, percent
+	speedChangedAt         time.Time
+	trust                  failureTracker
+	startBackoffUntil      time.Time
 }
 
 // markUnreachable notes that the worker doesn't answer.
@@ -166,79 +166,79 @@
 	}
 }
 
-// noted allows the acknowledgement of ends up to a number. The worker is polled
+// allowAck allows the acknowledgement of ends up to a number. The worker is polled
 // at again at once: until it has the acknowledgement it answers without waiting
 // for the next end, so it was left alone.
-func (w *worker) noted(n int64) {
-	if n <= w.acked {
+func (w *worker) allowAck(exitNumber int64) {
+	if exitNumber <= w.ackAllowed {
 		return
 	}
-	w.acked = n
-	if w.acked == w.seen && !w.unreachable {
-		w.holdAfter = time.Time{}
+	w.ackAllowed = exitNumber
+	if w.ackAllowed == w.lastExitSeen && !w.unreachable {
+		w.nextPollAt = time.Time{}
 	}
 }
 
-// ackOwed tells whether an acknowledgement has to travel.
-func (w *worker) ackOwed() bool { return w.acked > w.ackTaken }
+// hasPendingAck tells whether an acknowledgement has to travel.
+func (w *worker) hasPendingAck() bool { return w.ackAllowed > w.ackConfirmed }
 
-// clockNow is the least that the worker's time can be, in milliseconds: its clock may have
+// minClockMS is the least that the worker's time can be, in milliseconds: its clock may have
 // been slow since its last answer.
-func (w *worker) clockNow(now time.Time) int64 {
-	passed := float64(now.Sub(w.clockAt)) * (1 - clockMargin)
-	return w.clock + time.Duration(passed).Milliseconds()
+func (w *worker) minClockMS(now time.Time) int64 {
+	passed := float64(now.Sub(w.clockReadAt)) * (1 - maxClockDrift)
+	return w.clockMS + time.Duration(passed).Milliseconds()
 }
 
-func (w *worker) heard(clock int64, now time.Time) {
-	if clock != 0 {
-		w.clock = clock
-		w.clockAt = now
+func (w *worker) recordClock(clockMS int64, now time.Time) {
+	if clockMS != 0 {
+		w.clockMS = clockMS
+		w.clockReadAt = now
 	}
 }
 
-// grant returns the end of a lease given now, on the worker's clock, and
+// grantLease returns the end of a lease given now, on the worker's clock, and
 // remembers when it will have lapsed.
-func (c *Core) grant(w *worker, now time.Time) int64 {
-	w.extendLease(now.Add(lapse(c.cfg.Lease)))
-	return w.clockNow(now) + c.cfg.Lease.Milliseconds()
+func (c *Core) grantLease(w *worker, now time.Time) int64 {
+	w.extendLease(now.Add(leaseExpiryDelay(c.settings.LeaseDuration)))
+	return w.minClockMS(now) + c.settings.LeaseDuration.Milliseconds()
 }
 
 // extendLease notes that a lease may last until a time; it never gets shorter.
 func (w *worker) extendLease(until time.Time) {
-	if until.After(w.leaseOver) {
-		w.leaseOver = until
+	if until.After(w.leasesExpireAt) {
+		w.leasesExpireAt = until
 	}
 }
 
-func (w *worker) find(k workload.TaskKey, number int64) *run {
+func (w *worker) findRun(k workload.TaskKey, number int64) *run {
 	for _, r := range w.runs {
-		if r.number == number && r.key() == k {
+		if r.number == number && r.taskKey() == k {
 			return r
 		}
 	}
 	return nil
 }
 
-// add puts a run on the worker and its task.
-func (w *worker) add(r *run) {
+// addRun puts a run on the worker and its task.
+func (w *worker) addRun(r *run) {
 	w.runs = append(w.runs, r)
-	w.used = w.used.Add(r.step.spec.Reserve())
-	r.step.attach(r.task(), r)
+	w.reserved = w.reserved.Add(r.step.spec.Reservation())
+	r.step.addRun(r.task(), r)
 }
 
-// remove takes a run that has ended off the worker and its task.
-func (c *Core) remove(r *run) {
+// removeRun takes a run that has ended off the worker and its task.
+func (c *Core) removeRun(r *run) {
 	w := r.worker
 	i := slices.Index(w.runs, r)
 	if i < 0 {
 		return
 	}
 	w.runs = slices.Delete(w.runs, i, i+1)
-	w.used = w.used.Sub(r.step.spec.Reserve())
-	r.step.detach(r.task(), r)
-	c.endTrial(r)
-	if r.step.idle > 0 && !r.step.job.occurrence(r.step.occurrence)[0].ranked {
-		c.rerank(r.step)
+	w.reserved = w.reserved.Sub(r.step.spec.Reservation())
+	r.step.removeRun(r.task(), r)
+	c.endIsolatedRun(r)
+	if r.step.idleCount > 0 && !r.step.job.occurrenceSteps(r.step.occurrence)[0].occurrenceRanked {
+		c.requestRerank(r.step)
 	}
-	c.dirtyPlan = true
+	c.planStale = true
 }
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -107,7 +107,7 @@
 	stoppedNotRestarted     map[string]bool      // lasting tasks that were stopped and are not back
 	lastRunningAt           map[string]time.Time // when a lasting task was last known to run
 	givenUp                 bool                 // by an owner, as its task crashes workers
-	shownState              workload.State
+	shownState              workload.JobState
 	shownStateChangedAt     time.Time // when that changed last
 }
 
@@ -210,7 +210,7 @@
 		digits[i] = byte('0' + n%10)
 	}
 	id = workload.JobID(digits)
-	submission := &workload.Submission{Queue: queue, Service: "service", AcceptedMS: w.now.UnixMilli(), Spec: spec}
+	submission := &workload.Submission{Queue: queue, Service: "service", AcceptedAtMS: w.now.UnixMilli(), Spec: spec}
 	job := &fakeJob{id: id, submission: submission, done: map[string]bool{}, acknowledged: map[string]bool{}, doneRuns: map[string][]int64{}, supersededDoneRuns: map[string]bool{}, failures: map[string]int{}, workerCrashes: map[string]int{}, workerExits: map[string]int{}, earlyWorkerExits: map[string]int{}, startsAfterThreeCrashes: map[string]int{}, stoppedNotRestarted: map[string]bool{}, lastRunningAt: map[string]time.Time{}}
 	w.jobs[id] = job
 	w.appendRecord(workload.Record{Job: id, Submission: submission})
@@ -239,7 +239,7 @@
 		return
 	}
 	for _, job := range w.jobs {
-		state, known := w.owner.core.State(job.id)
+		state, known := w.owner.core.JobState(job.id)
 		if !known {
 			continue
 		}
@@ -255,7 +255,7 @@
 				}
 			}
 		}
-		if job.shownState.Ended() && state != job.shownState {
+		if job.shownState.IsTerminal() && state != job.shownState {
 			w.recordViolation("MIXED", string(job.id)+" was "+string(job.shownState)+" and is "+string(state))
 		}
 		if state != job.shownState {
--- a/internal/testkit/jobs.go
+++ b/internal/testkit/jobs.go
@@ -164,7 +164,7 @@
 func Chain(takes time.Duration, counts ...int) workload.Spec {
 	spec := workload.Spec{Payload: standin.Payload(takes)}
 	for i, n := range counts {
-		s := workload.Step{Count: n, Need: workload.Resources{CPU: 1000, MemoryMB: 500}, EstimateMS: takes.Milliseconds()}
+		s := workload.Step{Count: n, Resources: workload.Resources{CPU: 1000, MemoryMB: 500}, EstimateMS: takes.Milliseconds()}
 		if i > 0 {
 			s.DependsOn = []int{i - 1}
 		}
@@ -223,7 +223,7 @@
 }
 
 // AwaitState waits until a job has a state.
-func (c *JobCluster) AwaitState(service string, id workload.JobID, state workload.State) {
+func (c *JobCluster) AwaitState(service string, id workload.JobID, state workload.JobState) {
 	c.t.Helper()
 	want := `{"state":"` + string(state) + `"}`
 	c.Until(fmt.Sprintf("job %s is %s", id, state), func() bool { return c.State(service, id) == want })
--- a/internal/workload/fleet.go
+++ b/internal/workload/fleet.go
@@ -9,44 +9,44 @@
 // Queue is where callers submit jobs of one kind; its service's workers run
 // them.
 type Queue struct {
-	Name     string
-	Host     string
-	Prefix   string // of the path, ends before the job's ID
-	Service  string
-	Priority int // 0 comes first
+	Name       string
+	Host       string
+	PathPrefix string // of the path, ends before the job's ID
+	Service    string
+	Priority   int // 0 comes first
 	// MaxAttempts is how many runs of one task may fail before the job fails.
 	MaxAttempts int
 	// Stretch times the longest chain of work, plus Objective, is the time in
 	// which a job ought to be completed.
-	Stretch   float64
-	Objective time.Duration
-	Timeout   time.Duration // of one request
-	Advice    *Advice
+	Stretch        float64
+	Objective      time.Duration
+	RequestTimeout time.Duration // of one request
+	Advice         *Advice
 }
 
 // Advice is the policy of a queue whose steps only some workers may run, which
 // a service outside knows.
 type Advice struct {
-	Decision time.Duration // of one question
-	Each     time.Duration // more for each worker in it
-	Valid    time.Duration // of a ticket
+	AnswerDuration          time.Duration // of one question
+	AnswerDurationPerWorker time.Duration // more for each worker in it
+	TicketValidity          time.Duration // of a ticket
 }
 
 // Service is a pool of VMs whose workers run the jobs of its queues.
 type Service struct {
 	Name string
-	// Guarded is set if the workers refuse what exceeds their capacity.
-	Guarded bool
+	// EnforcesCapacity is set if the workers refuse what exceeds their capacity.
+	EnforcesCapacity bool
 	// Standby marks the spare pool, whose VMs are off and cost nothing.
 	Standby bool
 }
 
 // Limits bound a caller's request.
 type Limits struct {
-	MaxHeader     int // bytes
-	MaxBody       int // bytes
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	MaxHeaderBytes int // bytes
+	MaxBodyBytes   int // bytes
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // Config is what operators have published, in full.
@@ -78,10 +78,10 @@
 	var best *Queue
 	for i := range c.Queues {
 		q := &c.Queues[i]
-		if q.Host != host || !strings.HasPrefix(path, q.Prefix) {
+		if q.Host != host || !strings.HasPrefix(path, q.PathPrefix) {
 			continue
 		}
-		if best == nil || len(q.Prefix) > len(best.Prefix) {
+		if best == nil || len(q.PathPrefix) > len(best.PathPrefix) {
 			best = q
 		}
 	}
@@ -91,14 +91,14 @@
 // Worker is a process that runs tasks on a VM. Its ID and Born together name the
 // incarnation: a worker that restarts may keep its ID.
 type Worker struct {
-	ID       string
-	Born     int64 // when the process started, Unix milliseconds; 0 if it isn't known
-	Service  string
-	Address  string
-	Zone     string
-	Labels   []string // the VM's kind, then its rack
-	Capacity Resources
-	Draining bool
+	ID          string
+	Incarnation int64 // when the process started, Unix milliseconds; 0 if it isn't known
+	Service     string
+	Address     string
+	Zone        string
+	Labels      []string // the VM's kind, then its rack
+	Capacity    Resources
+	Leaving     bool
 }
 
 // HasLabel tells whether the worker has a label; "" is had by all.
@@ -138,16 +138,16 @@
 
 // CanRun tells whether a worker on the VM that has some room in all could run what a
 // service lacks a worker for.
-func (v *VM) CanRun(l Lack, room Resources) bool {
-	return l.Need.Fits(room) && (l.Label == "" || slices.Contains(v.Labels, l.Label))
+func (v *VM) CanRun(requirement UnmetRequirement, capacity Resources) bool {
+	return requirement.Resources.FitsIn(capacity) && (requirement.Label == "" || slices.Contains(v.Labels, requirement.Label))
 }
 
 // Wave asks for maintenance of VMs.
 type Wave struct {
-	Number   int64
-	VMs      []string
-	Duration time.Duration // in which all are to be done
-	Cap      int           // at most so many at once
+	Number        int64
+	VMs           []string
+	Window        time.Duration // in which all are to be done
+	MaxConcurrent int           // at most so many at once
 }
 
 // WaveState is how far a wave is.
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -49,46 +49,46 @@
 	return Resources{CPU: max(r.CPU, o.CPU), MemoryMB: max(r.MemoryMB, o.MemoryMB), GPU: max(r.GPU, o.GPU)}
 }
 
-// Fits tells whether r is within o.
-func (r Resources) Fits(o Resources) bool {
+// FitsIn tells whether r is within o.
+func (r Resources) FitsIn(o Resources) bool {
 	return r.CPU <= o.CPU && r.MemoryMB <= o.MemoryMB && r.GPU <= o.GPU
 }
 
 // Step is a set of alike tasks of a job.
 type Step struct {
-	Count int       `json:"n"`
-	Need  Resources `json:"r"`
+	Count     int       `json:"n"`
+	Resources Resources `json:"r"`
 	// EstimateMS is the caller's rough estimate of a task's run time in
 	// milliseconds, 0 if there is none.
 	EstimateMS int64 `json:"e,omitempty"`
 	// DependsOn numbers earlier steps whose tasks must all be done before.
-	DependsOn   []int  `json:"d,omitempty"`
-	Checkpoints bool   `json:"k,omitempty"`
-	Gang        bool   `json:"gg,omitempty"` // all tasks run at once or not at all
-	SameRack    bool   `json:"sr,omitempty"` // a gang that is slower over several racks
-	Label       string `json:"l,omitempty"`  // label that the worker must have
-	Rack        string `json:"ra,omitempty"` // rack where the data lies
+	DependsOn     []int  `json:"d,omitempty"`
+	Checkpoints   bool   `json:"k,omitempty"`
+	Gang          bool   `json:"gg,omitempty"` // all tasks run at once or not at all
+	SameRack      bool   `json:"sr,omitempty"` // a gang that is slower over several racks
+	RequiredLabel string `json:"l,omitempty"`  // label that the worker must have
+	DataRack      string `json:"ra,omitempty"` // rack where the data lies
 	// MaxPerWorker bounds the tasks of one occurrence of the step on one
 	// worker; 0 is unbounded.
 	MaxPerWorker int    `json:"x,omitempty"`
 	Speculative  bool   `json:"sp,omitempty"` // copies may run in parallel
-	Lasting      bool   `json:"la,omitempty"` // runs until the job is cancelled
+	LongRunning  bool   `json:"la,omitempty"` // runs until the job is cancelled
 	Image        string `json:"i,omitempty"`
-	// TargetMS bounds the tail of the response times of a serving task, in
+	// LatencyTargetMS bounds the tail of the response times of a serving task, in
 	// milliseconds; 0 is none.
-	TargetMS int64 `json:"t,omitempty"`
-	// Fills marks tasks that use the processor time that others leave over;
+	LatencyTargetMS int64 `json:"t,omitempty"`
+	// BestEffortCPU marks tasks that use the processor time that others leave over;
 	// their processors aren't reserved.
-	Fills bool `json:"f,omitempty"`
-	// MayMiss is how many tasks of a lasting step may be away at once by acts of
+	BestEffortCPU bool `json:"f,omitempty"`
+	// MaxUnavailable is how many tasks of a lasting step may be away at once by acts of
 	// the system; 0 is no bound.
-	MayMiss int `json:"mm,omitempty"`
+	MaxUnavailable int `json:"mm,omitempty"`
 }
 
-// Reserve is what one task of the step takes of a worker's capacity.
-func (s *Step) Reserve() Resources {
-	r := s.Need
-	if s.Fills {
+// Reservation is what one task of the step takes of a worker's capacity.
+func (s *Step) Reservation() Resources {
+	r := s.Resources
+	if s.BestEffortCPU {
 		r.CPU = 0
 	}
 	return r
@@ -110,8 +110,8 @@
 // Occurrences is how many times the steps run.
 func (s *Spec) Occurrences() int { return max(1, s.Repeat) }
 
-// Due is when an occurrence may begin; the zero time is at once.
-func (s *Spec) Due(occurrence int) time.Time {
+// DueAt is when an occurrence may begin; the zero time is at once.
+func (s *Spec) DueAt(occurrence int) time.Time {
 	if s.Repeat == 0 {
 		return time.Time{}
 	}
@@ -120,15 +120,15 @@
 
 // Bounds of a job that is accepted.
 const (
-	maxPayload     = 4000    // bytes, the platform's bound
-	maxTasks       = 100_000 // of one job with all occurrences; keeps one job from exhausting a node's memory
-	maxOccurrences = 10_000
+	maxPayloadBytes = 4000    // bytes, the platform's bound
+	maxTasksPerJob  = 100_000 // of one job with all occurrences; keeps one job from exhausting a node's memory
+	maxOccurrences  = 10_000
 )
 
-// Check returns why the job cannot be taken.
-func (s *Spec) Check() error {
-	if len(s.Payload) > maxPayload {
-		return errors.Errorf("spec has %d bytes, at most %d are taken", len(s.Payload), maxPayload)
+// Validate returns why the job cannot be taken.
+func (s *Spec) Validate() error {
+	if len(s.Payload) > maxPayloadBytes {
+		return errors.Errorf("spec has %d bytes, at most %d are taken", len(s.Payload), maxPayloadBytes)
 	}
 	if len(s.Steps) == 0 {
 		return errors.New("a job needs at least one step")
@@ -138,22 +138,22 @@
 	}
 	tasks := 0
 	for i := range s.Steps {
-		if err := s.Steps[i].check(i); err != nil {
+		if err := s.Steps[i].validate(i); err != nil {
 			return err
 		}
 		tasks += s.Steps[i].Count
 	}
-	if tasks*s.Occurrences() > maxTasks {
-		return errors.Errorf("the job has more than %d tasks", maxTasks)
+	if tasks*s.Occurrences() > maxTasksPerJob {
+		return errors.Errorf("the job has more than %d tasks", maxTasksPerJob)
 	}
 	return nil
 }
 
-func (s *Step) check(i int) error {
-	if s.Count < 1 || s.Count > maxTasks {
-		return errors.Errorf("step %d: count %d is not between 1 and %d", i, s.Count, maxTasks)
+func (s *Step) validate(i int) error {
+	if s.Count < 1 || s.Count > maxTasksPerJob {
+		return errors.Errorf("step %d: count %d is not between 1 and %d", i, s.Count, maxTasksPerJob)
 	}
-	if s.Need.CPU < 0 || s.Need.MemoryMB < 0 || s.Need.GPU < 0 {
+	if s.Resources.CPU < 0 || s.Resources.MemoryMB < 0 || s.Resources.GPU < 0 {
 		return errors.Errorf("step %d: a need is negative", i)
 	}
 	for _, d := range s.DependsOn {
@@ -197,35 +197,35 @@
 func ParseTaskKey(text string) (TaskKey, error) {
 	job, rest, _ := strings.Cut(text, ".")
 	k := TaskKey{Job: JobID(job)}
-	for i, into := range [...]*int{&k.Occurrence, &k.Step, &k.Index} {
+	for i, field := range [...]*int{&k.Occurrence, &k.Step, &k.Index} {
 		part, after, more := strings.Cut(rest, ".")
-		if last := i == taskNumbers-1; more == last {
+		if last := i == taskKeyNumbers-1; more == last {
 			return TaskKey{}, errors.Errorf("task name %q does not have four parts", text)
 		}
 		n, err := strconv.Atoi(part)
 		if err != nil || n < 0 {
 			return TaskKey{}, errors.Errorf("task name %q: %q is no number", text, part)
 		}
-		*into = n
+		*field = n
 		rest = after
 	}
 	return k, nil
 }
 
-// taskNumbers is how many numbers follow the job in a task's name.
-const taskNumbers = 3
+// taskKeyNumbers is how many numbers follow the job in a task's name.
+const taskKeyNumbers = 3
 
-// State of a job as callers see it.
-type State string
+// JobState of a job as callers see it.
+type JobState string
 
 // The states of a job.
 const (
-	Pending   State = "pending"
-	Running   State = "running"
-	Completed State = "completed"
-	Failed    State = "failed"
-	Cancelled State = "cancelled"
+	Pending   JobState = "pending"
+	Running   JobState = "running"
+	Completed JobState = "completed"
+	Failed    JobState = "failed"
+	Cancelled JobState = "cancelled"
 )
 
-// Ended tells whether the state is final.
-func (s State) Ended() bool { return s == Completed || s == Failed || s == Cancelled }
+// IsTerminal tells whether the state is final.
+func (s JobState) IsTerminal() bool { return s == Completed || s == Failed || s == Cancelled }
