--- a/internal/scheduler/crash.go
+++ b/internal/scheduler/crash.go
@@ -20,7 +20,7 @@
 	switch {
 	case nonCrashReason != "":
 		reason += ", " + nonCrashReason
-		c.clearVictims(w)
+		c.retractWorkerCrash(w)
 	case now.Before(w.crashUnconfirmedUntil):
 		c.confirmCrash(w)
 	default:
@@ -59,7 +59,7 @@
 // resolvePossibleCrash checks whether the list of workers tells what has become of a worker: it lags.
 func (c *Core) resolvePossibleCrash(w *worker, now time.Time) {
 	if len(w.blamedRuns) > 0 && c.listedNonCrashReason(w, w.blamedRuns) != "" {
-		c.clearVictims(w)
+		c.retractWorkerCrash(w)
 		return
 	}
 	if w.unreachable && (len(w.runs) > 0 || now.Before(w.crashUnconfirmedUntil)) && c.hasSuccessor(w) {
@@ -92,7 +92,7 @@
 func (c *Core) retractPossibleCrash(w *worker) {
 	if !w.crashUnconfirmedUntil.IsZero() {
 		w.crashUnconfirmedUntil = time.Time{}
-		c.clearVictims(w)
+		c.retractWorkerCrash(w)
 	}
 }
 
@@ -293,8 +293,8 @@
 	}
 }
 
-// clearVictims takes back what a worker's end said about its tasks: it was no crash.
-func (c *Core) clearVictims(w *worker) {
+// retractWorkerCrash takes back what a worker's end said about its tasks: it was no crash.
+func (c *Core) retractWorkerCrash(w *worker) {
 	for _, r := range w.blamedRuns {
 		c.retractCrashes(r.step, r.task(), func(own workload.Crash) bool { return own.Worker == w.info.ID && own.Incarnation == r.incarnation })
 	}
