--- a/internal/scheduler/crash.go
+++ b/internal/scheduler/crash.go
@@ -143,9 +143,9 @@
 // recordCrash notes against the tasks of a worker that it crashed: the one that was on
 // trial there if there was one, else all. It is unclear where the worker may have been
 // cut off.
-func (c *Core) recordCrash(w *worker, runs []*run, unclear bool, now time.Time) {
+func (c *Core) recordCrash(w *worker, runs []*run, unconfirmed bool, now time.Time) {
 	w.blamedRuns = nil // of an incarnation before
-	if !unclear {
+	if !unconfirmed {
 		c.Counts.WorkerCrashes++
 	}
 	crashedAt := now
@@ -159,7 +159,7 @@
 			Worker: w.info.ID, Incarnation: r.incarnation, Address: w.info.Address, Run: r.number, DetectedAtMS: now.UnixMilli(), RunAgeMS: r.maxAgeAt(crashedAt).Milliseconds(),
 			LikelyCause: slices.Contains(likelyRuns, r),
 			SoleCause:   r.isOnlyCandidate(runs, crashedAt),
-			Unconfirmed: unclear,
+			Unconfirmed: unconfirmed,
 
 			StartUnanswered: !r.startConfirmed && !r.restored,
 			Inherited:       r.inherited,
--- a/internal/scheduler/rank.go
+++ b/internal/scheduler/rank.go
@@ -60,9 +60,9 @@
 			oldest[cand.servicePlan] = cand
 		}
 	}
-	for w, cand := range oldest {
+	for plan, cand := range oldest {
 		cand.class = classStarved
-		w.hasStarved = true
+		plan.hasStarved = true
 	}
 }
 
--- a/internal/scheduler/ranking.go
+++ b/internal/scheduler/ranking.go
@@ -131,18 +131,18 @@
 	c.Counts.RankedJobs++
 	cand := c.rankOccurrence(j, occurrence, now)
 	cand.steps[0].occurrenceRanked = true
-	w := c.ranking.services[j.submission.Service]
-	if w == nil {
-		w = &servicePlan{minDemand: cand.steps[0].spec.Reservation()}
-		c.ranking.services[j.submission.Service] = w
+	plan := c.ranking.services[j.submission.Service]
+	if plan == nil {
+		plan = &servicePlan{minDemand: cand.steps[0].spec.Reservation()}
+		c.ranking.services[j.submission.Service] = plan
 	}
-	cand.servicePlan = w
+	cand.servicePlan = plan
 	c.countOccurrenceArrival(cand)
 	for _, s := range cand.steps {
 		need := s.spec.Reservation()
-		w.minDemand.CPU = min(w.minDemand.CPU, need.CPU)
-		w.minDemand.MemoryMB = min(w.minDemand.MemoryMB, need.MemoryMB)
-		w.minDemand.GPU = min(w.minDemand.GPU, need.GPU)
+		plan.minDemand.CPU = min(plan.minDemand.CPU, need.CPU)
+		plan.minDemand.MemoryMB = min(plan.minDemand.MemoryMB, need.MemoryMB)
+		plan.minDemand.GPU = min(plan.minDemand.GPU, need.GPU)
 	}
 	return cand
 }
@@ -187,13 +187,13 @@
 
 // beginPlan gives the services their pools for a plan.
 func (r *ranking) beginPlan(pools map[string]*pool) {
-	for service, w := range r.services {
-		w.pool = pools[service]
-		w.consecutiveMisses = 0
+	for service, plan := range r.services {
+		plan.pool = pools[service]
+		plan.consecutiveMisses = 0
 	}
 }
 
 // canPlaceMore tells whether a plan is to go on with a service: a task of it may find room.
-func (r *ranking) canPlaceMore(w *servicePlan) bool {
-	return w.pool != nil && (r.tryAll || w.consecutiveMisses < maxConsecutiveMisses && w.minDemand.FitsIn(w.pool.maxFree))
+func (r *ranking) canPlaceMore(plan *servicePlan) bool {
+	return plan.pool != nil && (r.tryAll || plan.consecutiveMisses < maxConsecutiveMisses && plan.minDemand.FitsIn(plan.pool.maxFree))
 }
