--- a/internal/scheduler/crash.go
+++ b/internal/scheduler/crash.go
@@ -8,11 +8,12 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// successorTimeout is how long a worker is remembered that may have crashed: its successor
-// is there after some seconds.
+// successorTimeout is how long a worker that may have crashed is remembered. Its successor answers
+// after some seconds.
 const successorTimeout = 30 * time.Second
 
-// handleProcessExit takes that a worker's process has ended, and with it the runs that it had.
+// handleProcessExit handles the end of a worker's process, which ended the given runs. It records a
+// crash unless another reason for the end is known.
 func (c *Core) handleProcessExit(w *worker, runs []*run, now time.Time) {
 	delete(c.unresolvedWorkers, w.info.ID)
 	reason := "another incarnation answers"
@@ -35,7 +36,7 @@
 		c.Counts.LostRuns++
 		c.recordDecision(Decision{Verb: "run-lost", Job: r.step.job.id, Task: r.taskKey().String(), Worker: w.info.ID, Run: r.number, Reason: reason, Age: now.Sub(r.orderedAt)})
 		if nonCrashReason == "" {
-			r.isolated = false // it has ended, by a crash
+			r.isolated = false // ended by the crash; endIsolatedRun is for runs that end without one
 		}
 		c.removeRun(r)
 	}
@@ -44,10 +45,10 @@
 	}
 }
 
-// recordPossibleCrash notes the crash of a worker that refuses connections. It may as well be
-// cut off and run on, so that its tasks go on counting as there until its leases are
-// over, and nothing is proved until its successor shows. But it is stored at once: that
-// may take as long as owners live.
+// recordPossibleCrash records an unconfirmed crash of a worker that refuses connections. The worker
+// may be cut off and still run its tasks, so its runs stay until its leases expire, and the crash
+// proves nothing until a successor answers. The record is stored at once, because this owner may be
+// lost before that.
 func (c *Core) recordPossibleCrash(w *worker, now time.Time) {
 	if len(w.runs) == 0 || !w.crashUnconfirmedUntil.IsZero() || c.nonCrashReason(w, w.runs, now) != "" {
 		return
@@ -56,7 +57,9 @@
 	w.crashUnconfirmedUntil = now.Add(successorTimeout)
 }
 
-// resolvePossibleCrash checks whether the list of workers tells what has become of a worker: it lags.
+// resolvePossibleCrash checks whether the list of workers, which lags behind, shows what happened
+// to a worker: its process ended for another reason than a crash, or a successor answers at its
+// address.
 func (c *Core) resolvePossibleCrash(w *worker, now time.Time) {
 	if len(w.blamedRuns) > 0 && c.listedNonCrashReason(w, w.blamedRuns) != "" {
 		c.retractWorkerCrash(w)
@@ -67,14 +70,14 @@
 	}
 }
 
-// hasSuccessor tells whether another worker of the service answers at the address.
+// hasSuccessor reports whether another worker of the same service answers at the worker's address.
 func (c *Core) hasSuccessor(w *worker) bool {
 	return slices.ContainsFunc(c.sortedWorkers, func(other *worker) bool {
 		return other != w && w.info.Address != "" && other.info.Address == w.info.Address && other.info.Service == w.info.Service && other.synced && !other.unreachable
 	})
 }
 
-// confirmCrash takes that a worker that may have crashed has.
+// confirmCrash confirms the possible crash recorded for a worker.
 func (c *Core) confirmCrash(w *worker) {
 	c.Counts.WorkerCrashes++
 	for _, r := range w.blamedRuns {
@@ -88,7 +91,7 @@
 	}
 }
 
-// retractPossibleCrash takes that a worker answers that may have crashed: it has not.
+// retractPossibleCrash retracts the possible crash recorded for a worker that has answered.
 func (c *Core) retractPossibleCrash(w *worker) {
 	if !w.crashUnconfirmedUntil.IsZero() {
 		w.crashUnconfirmedUntil = time.Time{}
@@ -96,20 +99,20 @@
 	}
 }
 
-// nonCrashReason is why the end of a worker's process is no crash, "" if none is known.
-// Tasks are not to be blamed for workers that leave, are taken away or were cut off.
+// nonCrashReason returns why the end of a worker's process is not a crash, "" if no such reason is
+// known. Tasks are not blamed for workers that leave, are drained or were cut off.
 func (c *Core) nonCrashReason(w *worker, runs []*run, now time.Time) string {
 	switch {
 	case now.Before(w.drainUntil):
-		return "its VM was to be emptied"
+		return "its VM was being drained"
 	case w.unreachable && !w.connectionRefused && w.crashUnconfirmedUntil.IsZero() && !now.Before(w.leasesExpireAt):
-		return "its leases were over"
+		return "its leases had expired"
 	}
 	return c.listedNonCrashReason(w, runs)
 }
 
-// listedNonCrashReason is the same as far as the list of workers tells it, which lags by some
-// hundred milliseconds, of the incarnation that had the runs.
+// listedNonCrashReason is nonCrashReason based only on the list of workers, which lags by some
+// hundred milliseconds. It concerns the incarnation that had the runs.
 func (c *Core) listedNonCrashReason(w *worker, runs []*run) string {
 	incarnation := w.incarnation
 	if len(runs) > 0 {
@@ -124,8 +127,8 @@
 	return ""
 }
 
-// hasAnnouncedLeaving tells whether an incarnation's entry has said that it leaves. The entry may
-// be that of the next one by now.
+// hasAnnouncedLeaving reports whether an incarnation has announced in its entry that it leaves. The
+// current entry may already be that of the next incarnation.
 func (w *worker) hasAnnouncedLeaving(incarnation int64) bool {
 	if incarnation != 0 && w.leavingIncarnation == incarnation {
 		return true
@@ -133,18 +136,19 @@
 	return w.info.Leaving && (incarnation == 0 || w.info.Incarnation == 0 || w.info.Incarnation == incarnation)
 }
 
-// isAddressReassigned tells whether a worker of another service of the partition is at its address.
+// isAddressReassigned reports whether a registered worker of another service of the partition has
+// the worker's address.
 func (c *Core) isAddressReassigned(w *worker) bool {
 	return slices.ContainsFunc(c.sortedWorkers, func(other *worker) bool {
 		return other.info.Address == w.info.Address && other.info.Service != w.info.Service && !other.unregistered
 	})
 }
 
-// recordCrash notes against the tasks of a worker that it crashed: the one that was on
-// trial there if there was one, else all. It is unclear where the worker may have been
-// cut off.
+// recordCrash records a crash of the worker with the tasks that may have caused it: with the
+// isolated run if there was one, otherwise with all runs. unconfirmed is set if the worker may only
+// have been cut off.
 func (c *Core) recordCrash(w *worker, runs []*run, unconfirmed bool, now time.Time) {
-	w.blamedRuns = nil // of an incarnation before
+	w.blamedRuns = nil // those of an earlier incarnation
 	if !unconfirmed {
 		c.Counts.WorkerCrashes++
 	}
@@ -172,7 +176,7 @@
 			continue
 		}
 		if t.madeProgress && !crashes[i].LikelyCause && crashes[i].RunAgeMS < minProgressTime.Milliseconds() {
-			continue // it has begun before without harm
+			continue // it has started before without a crash
 		}
 		t.addCrash(crashes[i])
 		c.queueCrashWrite(r.step, t)
@@ -180,7 +184,8 @@
 	}
 }
 
-// maxAgeAt is for how long the run may have been under way at a time.
+// maxAgeAt returns the longest time that the run may have been in progress at the given time. An
+// isolated run of an earlier owner may have started as soon as it was planned.
 func (r *run) maxAgeAt(at time.Time) time.Duration {
 	age := max(0, at.Sub(r.orderedAt))
 	if !r.isolationPlannedAt.IsZero() {
@@ -189,8 +194,9 @@
 	return age
 }
 
-// queueCrashWrite has the crashes of a task stored. It isn't started before: one that
-// crashes the next worker, too, would be counted anew by each owner.
+// queueCrashWrite queues the crashes of a task to be stored. The task does not start before they
+// are stored: otherwise, if it crashed the next worker too, each new owner would count its crashes
+// from zero.
 func (c *Core) queueCrashWrite(s *step, t *task) {
 	c.addCrashedStep(s)
 	t.crashesStoredInWrite = c.lastWriteSeq + 1
@@ -198,7 +204,7 @@
 	c.dirtyJobs[s.job.id] = s.job
 }
 
-// addCrashedStep notes that workers have crashed under a step's tasks.
+// addCrashedStep adds a step to those under whose tasks workers have crashed.
 func (c *Core) addCrashedStep(s *step) {
 	if !s.hasCrashes {
 		s.hasCrashes = true
@@ -206,9 +212,9 @@
 	}
 }
 
-// likelyCauses are those of a worker's runs that are most likely to blame for its crash at
-// a time: of those that could be, or of all where none could, those that had just begun,
-// and the last.
+// likelyCauses returns the runs that most likely caused their worker's crash at the given time. Of
+// the crash candidates, or of all runs if there is none, these are the runs ordered within
+// earlyCrash before the crash and the run ordered last.
 func likelyCauses(runs []*run, at time.Time) []*run {
 	likely := slices.DeleteFunc(slices.Clone(runs), func(r *run) bool { return !r.isCrashCandidate(at) })
 	if len(likely) == 0 {
@@ -225,9 +231,9 @@
 	})
 }
 
-// isOnlyCandidate tells whether none of the other runs there can have caused a crash at a
-// time. Others that had got on for long are beyond doubt only beside a trial, which
-// crashes its worker at once or not at all.
+// isOnlyCandidate reports whether none of the worker's other runs can have caused a crash at the
+// given time. Runs that had made progress are ruled out only beside an isolated run, which crashes
+// its worker at once or not at all. A run that is not isolated must have a confirmed start.
 func (r *run) isOnlyCandidate(runs []*run, at time.Time) bool {
 	for _, other := range runs {
 		if !other.isSameTaskOrGang(r) && (!r.isolated || other.isCrashCandidate(at)) {
@@ -237,21 +243,21 @@
 	return r.startConfirmed || r.isolated
 }
 
-// isCrashCandidate tells whether a run could be to blame for a crash at a time. A task that has
-// got on before, perhaps on a worker that others crashed, is not to blame for beginning.
+// isCrashCandidate reports whether a run can have caused a crash at the given time. A task that has
+// made progress before, even on a worker that others crashed, is not a candidate because of a
+// recent start.
 func (r *run) isCrashCandidate(at time.Time) bool {
 	t := r.task()
 	return t.isSuspect() || !t.madeProgress && (!r.startConfirmed || at.Sub(r.orderedAt) < minProgressTime)
 }
 
-// isSameTaskOrGang tells whether two runs are of one task, or of one gang: their job fails
+// isSameTaskOrGang reports whether two runs belong to one task or one gang. Their job fails
 // whichever of them is to blame.
 func (r *run) isSameTaskOrGang(other *run) bool {
 	return r.step == other.step && (r.index == other.index || r.step.spec.Gang)
 }
 
-// giveUpIfProvenCause gives up the job of a run's task if crashes have proved the task to be their
-// cause.
+// giveUpIfProvenCause fails the job of a run's task if the task is proven to crash its workers.
 func (c *Core) giveUpIfProvenCause(r *run, now time.Time) {
 	t, j := r.task(), r.step.job
 	if j.finalState.IsTerminal() || !t.isProvenCause(r.step.spec.LongRunning) {
@@ -265,9 +271,10 @@
 	c.retractUnlikelyCrashes(crashes)
 }
 
-// retractUnlikelyCrashes takes back what crashes said about unlikely causes once the cause is proved.
-// Tasks that last lie beside many such ones, and would be suspects for nothing else.
-// Likely causes stay: two tasks may have crashed one worker.
+// retractUnlikelyCrashes retracts the given crashes from tasks that were unlikely causes, once the
+// cause is proven. Long-running tasks run beside many tasks that crash workers and would become
+// suspects for that alone. Likely causes keep their records, because two tasks may have crashed one
+// worker.
 func (c *Core) retractUnlikelyCrashes(crashes []workload.Crash) {
 	for _, j := range c.activeJobs {
 		for _, s := range j.steps {
@@ -284,7 +291,8 @@
 	c.planStale = true
 }
 
-// retractCrashes drops crashes from what is noted of a task.
+// retractCrashes drops the recorded crashes of a task for which shouldRetract returns true and
+// queues the change to be stored.
 func (c *Core) retractCrashes(s *step, t *task, shouldRetract func(workload.Crash) bool) {
 	countBefore := len(t.crashes)
 	t.crashes = slices.DeleteFunc(t.crashes, shouldRetract)
@@ -293,7 +301,8 @@
 	}
 }
 
-// retractWorkerCrash takes back what a worker's end said about its tasks: it was no crash.
+// retractWorkerCrash retracts the crash of a worker from all tasks that were blamed for it, because
+// the worker did not crash.
 func (c *Core) retractWorkerCrash(w *worker) {
 	for _, r := range w.blamedRuns {
 		c.retractCrashes(r.step, r.task(), func(own workload.Crash) bool { return own.Worker == w.info.ID && own.Incarnation == r.incarnation })
@@ -302,8 +311,8 @@
 	c.planStale = true
 }
 
-// recordRunProgress clears a task of which a poll, sent at a time, finds a run at work for longer
-// than it ever was at a crash.
+// recordRunProgress records that a poll sent at pollSentAt found the run at work. It clears the
+// task once the run has lasted for requiredRunTime.
 func (c *Core) recordRunProgress(r *run, pollSentAt time.Time) {
 	t := r.task()
 	t.madeProgress = t.madeProgress || !pollSentAt.Before(r.orderedAt.Add(minProgressTime))
@@ -324,5 +333,5 @@
 		t.crashes[i].Cleared = true
 	}
 	c.queueCrashWrite(r.step, t)
-	c.recordDecision(Decision{Verb: "cleared", Job: r.step.job.id, Task: r.taskKey().String(), Worker: r.worker.info.ID, Run: r.number, Reason: "gets on since a worker crashed under it"})
+	c.recordDecision(Decision{Verb: "cleared", Job: r.step.job.id, Task: r.taskKey().String(), Worker: r.worker.info.ID, Run: r.number, Reason: "made progress after a worker crashed under it"})
 }
--- a/internal/scheduler/isolation.go
+++ b/internal/scheduler/isolation.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// busyReserveDivisor is the part of a service's workers, as one in so many, that are kept
-	// for suspects at most while the service is busy with other tasks, and idleTrialShare
-	// the same while it isn't.
+	// busyReserveDivisor bounds the workers reserved for suspects, as one in so many of a service's
+	// workers, while the service is busy with other tasks. idleReserveDivisor is the bound while it
+	// is not.
 	busyReserveDivisor = 4
 	idleReserveDivisor = 2
-	// serviceBusyDuration is how long a service counts as busy after other tasks of it have started or
-	// found no room.
+	// serviceBusyDuration is how long a service counts as busy after tasks other than suspects have
+	// started or found no free capacity.
 	serviceBusyDuration = time.Second
-	// onlyCandidateRankPenalty is what a crash that speaks against a task alone takes off its rank among
-	// suspects, and waitRank the share of its wait, as one in so many, that is added.
+	// onlyCandidateRankPenalty lowers a suspect's rank for each crash that it alone can have
+	// caused. waitRankDivisor is the part of its waiting time, as one in so many, that is added.
 	onlyCandidateRankPenalty = time.Second
 	waitRankDivisor          = 50
-	// suspectsLogInterval is the shortest time between two lines of the log on suspects that wait.
+	// suspectsLogInterval is the shortest time between two log lines on waiting suspects.
 	suspectsLogInterval = 2 * time.Second
-	// reservationTTL is how long a worker is kept for suspects after the last wish; each plan
-	// that finds one waiting renews it.
+	// reservationTTL is how long a worker stays reserved for suspects after the last request. Each
+	// plan with a waiting suspect renews it.
 	reservationTTL = 500 * time.Millisecond
-	// gangReservationTimeout is how long a gang with suspects waits for workers of their own:
-	// there may never be enough.
+	// gangReservationTimeout is how long a gang with suspects waits for reserved workers. There may
+	// never be enough.
 	gangReservationTimeout = 3 * time.Second
 )
 
-// plannedIsolatedRun is where and under which number a suspect is going to be started.
+// plannedIsolatedRun is the worker and the run number planned for a suspect.
 type plannedIsolatedRun struct {
 	worker      *worker
-	incarnation int64 // of the incarnation, as in worker
+	incarnation int64 // of the worker when it was planned
 	runNumber   int64
 }
 
-// isReservedForSuspects tells whether the worker takes nothing but suspects.
+// isReservedForSuspects reports whether the worker accepts only suspects.
 func (w *worker) isReservedForSuspects(now time.Time) bool {
 	if now.Before(w.reservedForSuspectsUntil) {
 		return true
@@ -53,9 +53,9 @@
 	return false
 }
 
-// hasNoCrashCandidate tells whether a crash of the worker could be blamed on none of the tasks
-// there: they have all got on for a while. That is so a second after the last start at
-// the latest, however long they run.
+// hasNoCrashCandidate reports whether no run on the worker could be blamed for a crash now, because
+// all have made progress. Unless a suspect runs there or a start is unconfirmed, that is so a
+// second after the last start at the latest, however long the runs take.
 func (w *worker) hasNoCrashCandidate(now time.Time) bool {
 	for _, r := range w.runs {
 		if r.isolated || r.isCrashCandidate(now) {
@@ -65,7 +65,7 @@
 	return true
 }
 
-// suspect is a task that waits for a trial.
+// suspect is a suspect task that waits for an isolated run.
 type suspect struct {
 	step  *step
 	index int
@@ -74,9 +74,9 @@
 
 func (x suspect) task() *task { return &x.step.tasks[x.index] }
 
-// placeSuspects starts suspects, each where it is the only one. Where it is started is
-// stored before: an owner that is lost just then takes along what it saw, and the next one
-// asks what has become of that worker.
+// placeSuspects starts suspects, each on a worker where it is the only crash candidate. The planned
+// worker is stored before the start. If this owner is lost before it has recorded the outcome, the
+// next owner asks what happened to that worker.
 func (c *Core) placeSuspects(pools map[string]*pool, now time.Time) {
 	suspectCount, reservedCount := 0, 0
 	byService := c.suspectsByService(now)
@@ -97,7 +97,8 @@
 	c.logWaitingSuspects(suspectCount, reservedCount, now)
 }
 
-// suspectsByService are those that may be tried now, by service, in the order in which they are.
+// suspectsByService returns the suspects that may be started now by service, highest rank first.
+// Gangs are left out.
 func (c *Core) suspectsByService(now time.Time) map[string][]suspect {
 	byService := map[string][]suspect{}
 	c.stepsWithCrashes = slices.DeleteFunc(c.stepsWithCrashes, func(s *step) bool { return s.job.finalState.IsTerminal() })
@@ -118,7 +119,8 @@
 	return byService
 }
 
-// placeSuspect starts a suspect where that was planned, or plans it.
+// placeSuspect starts a suspect's isolated run as planned, or plans one if there is no plan or its
+// worker is no longer available.
 func (c *Core) placeSuspect(p *pool, x suspect, now time.Time) {
 	s, t := x.step, x.task()
 	if !c.ensureAdvice(p, s, now) {
@@ -139,19 +141,19 @@
 	}
 }
 
-// isTaskStartable tells whether an idle task may be started, and what is known of its
-// crashes is stored.
+// isTaskStartable reports whether a task is idle, may be started now and has all its recorded
+// crashes stored.
 func (c *Core) isTaskStartable(t *task, now time.Time) bool {
 	return !t.done && len(t.runs) == 0 && !now.Before(t.notBefore) && t.crashesStoredInWrite <= c.storedWriteSeq
 }
 
-// canStartPlanned tells whether a worker can still be had for a trial that was planned there.
+// canStartPlanned reports whether the worker of a planned isolated run is still available for it.
 func (p *pool) canStartPlanned(s *step, planned *plannedIsolatedRun, now time.Time) bool {
 	w := planned.worker
 	return planned.incarnation == w.incarnation && slices.Contains(p.reservedForSuspects, w) && s.fitsOn(w, now) && w.hasNoCrashCandidate(now)
 }
 
-// planIsolatedRun has it stored that a suspect is going to be started on a worker.
+// planIsolatedRun plans an isolated run on a worker and queues the plan to be stored.
 func (c *Core) planIsolatedRun(w *worker, s *step, t *task, runNumber int64, now time.Time) {
 	t.plannedIsolatedRun = &plannedIsolatedRun{worker: w, incarnation: w.incarnation, runNumber: runNumber}
 	w.isolatedRunPlannedUntil = now.Add(reservationTTL)
@@ -160,7 +162,7 @@
 	c.queueCrashWrite(s, t)
 }
 
-// startIsolatedRun starts a suspect as planned.
+// startIsolatedRun starts the planned isolated run of a suspect.
 func (c *Core) startIsolatedRun(s *step, index int, checkpoint string, now time.Time) {
 	c.Counts.IsolatedRuns++
 	t := &s.tasks[index]
@@ -170,7 +172,7 @@
 	c.startRun(planned.worker, s, index, planned.runNumber, checkpoint, now).isolated = true
 }
 
-// dropPendingCrashes forgets a trial that was planned or has ended without a crash.
+// dropPendingCrashes drops an isolated run that was only planned or that ended without a crash.
 func (c *Core) dropPendingCrashes(s *step, t *task) {
 	t.plannedIsolatedRun = nil
 	countBefore := len(t.crashes)
@@ -180,11 +182,11 @@
 	}
 }
 
-// restoreOpenCrash takes a crash that an earlier owner noted and did not live to see cleared up.
+// restoreOpenCrash restores a crash record that an earlier owner left unresolved.
 func (c *Core) restoreOpenCrash(s *step, index int, crash workload.Crash) {
 	w := c.ensureWorker(crash.Worker, c.tookOverAt)
 	if w.info.Address == "" {
-		// It may be on no list any more, and its successor tells at its address.
+		// The worker may no longer be listed. A successor at its address shows that it is gone.
 		w.info = workload.Worker{ID: crash.Worker, Address: crash.Address, Service: s.job.submission.Service}
 	}
 	if w.findRun(s.taskKey(index), crash.Run) != nil {
@@ -205,10 +207,10 @@
 		return
 	}
 	w.extendLease(earlierLeaseExpiry(c.settings, c.tookOverAt))
-	w.addRun(r) // it counts as under way until the worker has answered, or is gone
+	w.addRun(r) // it counts as running until the worker has answered or is gone
 }
 
-// endIsolatedRun takes that a trial has ended without a crash of its worker.
+// endIsolatedRun records that an isolated run has ended without a crash of its worker.
 func (c *Core) endIsolatedRun(r *run) {
 	if r.isolated {
 		r.isolated = false
@@ -216,8 +218,8 @@
 	}
 }
 
-// bestReservedWorker returns a kept worker that is ready for a suspect of the step, the
-// emptiest; nil if there is none.
+// bestReservedWorker returns the ready reserved worker with the fewest runs that fits the step, nil
+// if there is none.
 func (p *pool) bestReservedWorker(s *step, now time.Time) *worker {
 	var best *worker
 	for _, w := range p.readyReservedWorkers(now) {
@@ -228,14 +230,15 @@
 	return best
 }
 
-// contains tells whether a worker takes starts, of suspects or others.
+// contains reports whether a worker is in the pool, reserved for suspects or not.
 func (p *pool) contains(w *worker) bool {
 	return slices.Contains(p.reservedForSuspects, w) || slices.Contains(p.workers, w)
 }
 
-// reserveForSuspects keeps workers for a step's suspects: those that are kept already and could
-// run one, and one more if there may be. Where none of those could, as for want of its
-// label, there is one more in any case; the suspect would else wait for ever.
+// reserveForSuspects renews the reservations of workers that could run the step's suspects and
+// reserves one more worker up to maxReserved. If no reserved worker could run them, for example
+// because none has the required label, it exceeds the bound: the suspects would otherwise wait
+// forever.
 func (p *pool) reserveForSuspects(s *step, now time.Time) {
 	capable := 0
 	for _, w := range p.reservedForSuspects {
@@ -256,11 +259,11 @@
 	p.removeAt(i)
 }
 
-// suspectRank ranks suspects, those that are the least likely to crash a worker first:
-// most of them are cleared in half a second, and one that crashes takes its worker with it
-// for seconds. What crashes its workers does so at its start, so a task that had run for
-// longer at its crash is less likely to blame; one with a crash that speaks against it
-// alone comes last. Who waits moves up, so that none waits for ever.
+// suspectRank returns the rank of a suspect; higher ranks start first. Suspects that are the least
+// likely to crash a worker come first: most of them are cleared within half a second, while one
+// that crashes its worker takes it away for seconds. Tasks that crash workers do so at their start, so
+// a longer run before the crash raises the rank, and each crash that the task alone can have caused
+// lowers it. Waiting raises it too, so that no suspect waits forever.
 func (t *task) suspectRank(now time.Time) time.Duration {
 	rank, latestCrashMS := time.Duration(0), int64(0)
 	for _, crash := range t.crashes {
@@ -276,17 +279,17 @@
 	return rank + now.Sub(time.UnixMilli(latestCrashMS))/waitRankDivisor
 }
 
-// logWaitingSuspects logs now and then how many suspects wait: nothing else tells why their jobs
-// don't get on.
+// logWaitingSuspects logs at intervals how many suspects wait. Nothing else shows why their jobs
+// make no progress.
 func (c *Core) logWaitingSuspects(waiting, reserved int, now time.Time) {
 	if waiting == 0 || now.Before(c.suspectsLoggedAt.Add(suspectsLogInterval)) {
 		return
 	}
 	c.suspectsLoggedAt = now
-	c.recordDecision(Decision{Verb: "suspects-wait", Reason: fmt.Sprintf("%d tasks that may crash workers wait for a trial, %d workers are kept for such", waiting, reserved), AlwaysLogged: true})
+	c.recordDecision(Decision{Verb: "suspects-wait", Reason: fmt.Sprintf("%d tasks that may crash workers wait for an isolated run, %d workers are reserved for suspects", waiting, reserved), AlwaysLogged: true})
 }
 
-// maxReserved is how many workers are kept for suspects at most.
+// maxReserved returns how many workers may be reserved for suspects.
 func (p *pool) maxReserved(now time.Time) int {
 	workerCount := len(p.workers) + len(p.reservedForSuspects)
 	if now.Before(p.busyUntil) {
@@ -295,7 +298,8 @@
 	return max(1, workerCount/idleReserveDivisor)
 }
 
-// readyReservedWorkers are the kept workers that are ready.
+// readyReservedWorkers returns the reserved workers that have no crash candidate and no planned
+// isolated run.
 func (p *pool) readyReservedWorkers(now time.Time) []*worker {
 	var ready []*worker
 	for _, w := range p.reservedForSuspects {
@@ -306,8 +310,9 @@
 	return ready
 }
 
-// placeGangWithSuspects starts a gang with suspects: these on kept workers, the others
-// anywhere. A crash ends the whole gang, and its worker tells who was there.
+// placeGangWithSuspects starts a gang with suspects: the suspects on reserved workers, the other
+// members anywhere. A crash ends the whole gang, and the crashed worker shows which members ran
+// there.
 func (c *Core) placeGangWithSuspects(p *pool, s *step, now time.Time) {
 	var suspects, others []int
 	for i := range s.tasks {
@@ -341,7 +346,7 @@
 	p.updateMaxFree()
 }
 
-// canStartPlannedGang tells whether the suspects of a gang can be started as planned.
+// canStartPlannedGang reports whether the suspects of a gang can be started as planned.
 func (p *pool) canStartPlannedGang(s *step, suspects []int, now time.Time) bool {
 	var plannedWorkers []*worker
 	for _, i := range suspects {
@@ -356,8 +361,8 @@
 	return s.assignWorkers(plannedWorkers, len(suspects), now) != nil
 }
 
-// planGangSuspects plans where the suspects of a gang are started. Several of them may
-// share a worker; where there are never enough, they go to any.
+// planGangSuspects plans the workers for the suspects of a gang. Several suspects may share a
+// worker. After gangReservationTimeout any worker of the pool is used.
 func (c *Core) planGangSuspects(p *pool, s *step, suspects []int, now time.Time) {
 	if s.waitingForIsolationSince.IsZero() {
 		s.waitingForIsolationSince = now
--- a/internal/scheduler/suspect.go
+++ b/internal/scheduler/suspect.go
@@ -7,46 +7,44 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// A task may crash each worker that starts it, and every other task there is lost
-// with it. Started again like any other, it takes a service down: each restart ends
-// one more worker and all that it runs. A worker that crashed lists no ends, so
-// attempts don't count it.
+// A task may crash every worker that starts it. Each crash also ends all other tasks of the worker,
+// and each restart of the task takes down one more worker, so a single task can take down a
+// service. A crashed worker lists no exits, so the limit of attempts does not stop such a task.
 //
-// A crash proves nothing against one of the tasks that the worker ran. It makes those
-// that had just begun suspects; each of these is started next on a worker where it is
-// the only one that could be to blame (trial.go), and only once the crash is stored, so
-// that no owner that dies takes the count with it. Workers that crash under it there
-// prove it; a task that gets on is cleared.
+// One crash proves nothing about any of the tasks that the worker ran. The tasks that had just
+// begun become suspects. Each suspect runs next on a worker where it is the only crash candidate
+// (isolation.go), and only once the crash is stored, so that the count survives the loss of the
+// owner. Crashes of workers in isolated runs prove the task to be the cause. A task that makes
+// progress is cleared.
 const (
-	// earlyCrash is how long after its start a task is likely to be what crashed its
-	// worker.
+	// earlyCrash is the age of a run up to which it is a likely cause of its worker's crash.
 	earlyCrash = 300 * time.Millisecond
-	// minProgressTime is how long a run must have got on to be hardly to blame for a crash.
+	// minProgressTime is how long a run must last to be an unlikely cause of a crash.
 	minProgressTime = time.Second
-	// crashesToProve is how many crashes for which nothing else can be to blame prove a
-	// task to be the cause: one may be the worker's own fault.
+	// crashesToProve is how many crashes that the task alone can have caused prove it to be the
+	// cause. One may be the worker's own fault.
 	crashesToProve = 2
-	// laterCrashesPerEarlyCrash is how many crashes later than shortestTrial after the start, after a
-	// start without an answer or under a run of an earlier owner weigh as much as an early
-	// one. A worker that crashes by itself does so by chance within a task's first second or
-	// two, but hardly time and again within its first half second.
+	// laterCrashesPerEarlyCrash is how many later crashes weigh as much as an early one. Later
+	// crashes are those minIsolatedRunTime or more after the start, after an unanswered start, or
+	// under a run of an earlier owner. A worker that crashes on its own may do so by chance within
+	// a task's first second or two, but hardly repeatedly within its first half second.
 	laterCrashesPerEarlyCrash = 3
-	// minCrashesOfSuspect is how many crashes make also a task a suspect that had run for a
-	// while each time, and lay beside likelier ones.
+	// minCrashesOfSuspect is how many crashes make a task a suspect that had run for a while each
+	// time, beside likelier causes.
 	minCrashesOfSuspect = 3
-	// crashRetention is how long a crash says something about a task: a lasting one lives
-	// through the ordinary crashes of months.
+	// crashRetention is how long a crash counts. A long-running task lives through the ordinary
+	// crashes of months.
 	crashRetention = 10 * time.Minute
-	// maxStoredCrashes bounds what is stored of one task.
+	// maxStoredCrashes bounds the crashes stored for one task.
 	maxStoredCrashes = 12
-	// minIsolatedRunTime is how long a suspect must get on at least to be cleared, and
-	// longestTrial for how long one is watched at most: its worker takes nothing else.
+	// minIsolatedRunTime is the shortest run time that clears a suspect. maxIsolatedRunTime is the
+	// longest that may be required, because the worker accepts nothing else meanwhile.
 	minIsolatedRunTime = 500 * time.Millisecond
 	maxIsolatedRunTime = 5 * time.Second
 )
 
-// isSuspect tells whether the task may be what crashed the workers that it lost: it was a
-// likely cause of one crash, or it was there time and again.
+// isSuspect reports whether the task may have crashed the workers that it lost: it was a likely
+// cause of a crash, its isolated run is pending, or it was present at minCrashesOfSuspect crashes.
 func (t *task) isSuspect() bool {
 	hasUncleared := false
 	for _, crash := range t.crashes {
@@ -61,7 +59,7 @@
 	return hasUncleared && len(t.crashes) >= minCrashesOfSuspect
 }
 
-// isProvenCause tells whether crashes have shown the task to be their cause.
+// isProvenCause reports whether the recorded crashes prove the task to be their cause.
 func (t *task) isProvenCause(longRunning bool) bool {
 	early, later, silent := 0, 0, 0
 	progressed := t.madeProgress
@@ -79,16 +77,17 @@
 	}
 	needed := crashesToProve
 	if progressed {
-		needed++ // it doesn't crash each worker at its start
+		needed++ // it does not crash every worker at its start
 	}
 	if longRunning {
-		needed++ // it meets more random crashes, and its service ends with it
+		needed++ // it sees more random crashes, and its service ends with it
 	}
 	return early+later/laterCrashesPerEarlyCrash+silent/silentLossesPerCrash >= needed
 }
 
-// requiredRunTime is how long the task must get on to be cleared: well beyond its age at its
-// crashes. One that had run for longer than a trial lasts can't be tried for that.
+// requiredRunTime returns how long a run must last to clear the task: twice its age at its crashes,
+// at least minIsolatedRunTime. Crashes for which that exceeds maxIsolatedRunTime are left out, as
+// an isolated run can't last long enough for them.
 func (t *task) requiredRunTime() time.Duration {
 	required := minIsolatedRunTime
 	for _, crash := range t.crashes {
@@ -99,8 +98,8 @@
 	return required
 }
 
-// addCrash adds a crash in place of what was noted of its run, and drops those that say
-// nothing any more.
+// addCrash adds a crash, replaces an earlier record of the same run, and drops crashes older than
+// crashRetention and the oldest beyond maxStoredCrashes.
 func (t *task) addCrash(crash workload.Crash) {
 	oldestKeptMS := crash.DetectedAtMS - crashRetention.Milliseconds()
 	t.crashes = slices.DeleteFunc(t.crashes, func(c workload.Crash) bool { return c.DetectedAtMS < oldestKeptMS || c.Run == crash.Run })
@@ -108,8 +107,8 @@
 	t.crashes = t.crashes[max(0, len(t.crashes)-maxStoredCrashes):]
 }
 
-// idleSuspectCount is how many of the step's idle tasks wait for a trial. They need a
-// worker of their own rather than room, and ask for no VMs.
+// idleSuspectCount returns how many of the step's idle tasks wait for an isolated run. They need a
+// reserved worker rather than free capacity, so they are not part of the step's own demand for VMs.
 func (s *step) idleSuspectCount() int {
 	if !s.hasCrashes {
 		return 0
@@ -122,7 +121,7 @@
 		}
 	}
 	if n > 0 && s.spec.Gang {
-		return s.idleCount // the others wait for them
+		return s.idleCount // the other members wait for the suspects
 	}
 	return n
 }
