--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -6,7 +6,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// placeTasks orders starts: feasible, rank, limit, over the room that is known now.
+// placeTasks orders starts for the ranked candidates as far as the free capacity allows.
 func (c *Core) placeTasks(now time.Time) {
 	if !c.planStale && now.Before(c.lastPlanAt.Add(maxPlanInterval)) || c.isPlacementBlocked(now) || !c.hasAuthority(now) {
 		return
@@ -25,7 +25,7 @@
 		}
 		c.placeCandidate(cand, now)
 		if c.startsInFlight.isFull() {
-			c.planStale = true // the rest waits for answers
+			c.planStale = true // the rest waits until starts are answered
 			c.Counts.TruncatedPlans++
 			return
 		}
@@ -33,7 +33,8 @@
 	r.tryAll = false
 }
 
-// placeCandidate places what it can of an occurrence.
+// placeCandidate places the tasks of a candidate's ready steps as far as they fit. For tasks that
+// don't fit it tries preemption and, for long-running and starved candidates, reserves a worker.
 func (c *Core) placeCandidate(cand candidate, now time.Time) {
 	pool := cand.servicePlan.pool
 	for _, s := range cand.steps {
@@ -64,15 +65,15 @@
 	}
 }
 
-// maxPlanInterval is the longest pause between two plans while nothing changes:
-// due times and pauses run out without a message.
+// maxPlanInterval is the longest time between two plans while nothing changes. Due times and
+// backoffs expire without a message.
 const maxPlanInterval = 100 * time.Millisecond
 
-// isPlacementBlocked tells whether an earlier owner's runs may still be unknown. Starting a
-// task then could run it twice.
+// isPlacementBlocked reports whether runs of an earlier owner may still be unknown. Starting a task
+// then could run it twice.
 func (c *Core) isPlacementBlocked(now time.Time) bool {
 	if !c.takeoverStored {
-		return true // a later owner must not take an earlier one's word for the last
+		return true // until it is stored, a later owner would treat an earlier owner's handover as complete
 	}
 	if !now.Before(c.earlierLeasesExpireAt) {
 		return false
@@ -88,7 +89,7 @@
 	return false
 }
 
-// placeStep starts the idle tasks of a step as far as there is room.
+// placeStep starts the idle tasks of a step as far as there is free capacity, a gang as a whole.
 func (c *Core) placeStep(p *pool, s *step, now time.Time) {
 	hasSuspects := s.idleSuspectCount() > 0
 	if !hasSuspects && !s.spec.Reservation().FitsIn(p.maxFree) {
@@ -117,7 +118,7 @@
 		w := p.bestWorker(s, t, now)
 		if w == nil {
 			if t.avoidWorker != "" {
-				continue // another task of the step may have more choice
+				continue // other tasks of the step may run on the avoided worker
 			}
 			return
 		}
@@ -126,14 +127,14 @@
 	}
 }
 
-// nextRunNumber numbers a run above all earlier ones of the step: those of earlier
-// owners have lower epochs.
+// nextRunNumber returns a run number above all earlier ones of the step. Runs of earlier owners
+// have lower epochs.
 func (s *step) nextRunNumber(epoch int64) int64 {
 	s.lastRunSeq++
 	return epoch*runNumbersPerEpoch + s.lastRunSeq
 }
 
-// startRun orders a run.
+// startRun adds a run to a worker and orders its start.
 func (c *Core) startRun(w *worker, s *step, index int, runNumber int64, checkpoint string, now time.Time) *run {
 	r := &run{step: s, index: index, number: runNumber, worker: w, incarnation: w.incarnation, state: runStarting, stateChangedAt: now, orderedAt: now, orderedSpeedPercent: fullSpeedPercent, checkpoint: checkpoint}
 	jobHadBegun := s.job.started
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -7,22 +7,22 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// pool is the workers of a service that can take starts.
+// pool is the workers of a service that accept starts.
 type pool struct {
 	workers []*worker
-	// reservedForSuspects are kept for tasks that may crash them, and in none of the others.
+	// reservedForSuspects are the workers that accept only suspects. They are not in workers.
 	reservedForSuspects []*worker
-	// busyUntil is until when the service counts as busy with tasks that are no suspects.
+	// busyUntil is until when the service counts as busy with tasks other than suspects.
 	busyUntil time.Time
-	// requiredLabels are the labels that the service's jobs ask for.
+	// requiredLabels are the labels that the service's jobs require.
 	requiredLabels     []string
-	hasTaskReservation bool // a worker is kept free for a task that fits nowhere
-	preemptionSearches int  // for runs that give way to steps that do not last, in this plan
-	// lowestPreemptiblePriority is the priority of the least urgent runs that may give way, -1 while it
-	// isn't known.
+	hasTaskReservation bool // a worker is reserved for a task that fits nowhere
+	preemptionSearches int  // in this plan, for steps that are not long-running
+	// lowestPreemptiblePriority is the priority of the least urgent preemptible runs,
+	// unknownPriority until it is determined.
 	lowestPreemptiblePriority int
-	// maxFree is the most room that any of them may have, to pass over tasks
-	// that fit nowhere without a look at each worker.
+	// maxFree is the largest free amount of each resource on any of the workers. Tasks that exceed
+	// it are skipped without a check of each worker.
 	maxFree workload.Resources
 }
 
@@ -56,15 +56,13 @@
 	}
 }
 
-// reserveWorkerFor keeps room for a task that is owed and fits nowhere: one worker that
-// could run it gets nothing of lower rank until it fits. Without it each bit of
-// room that comes free goes to smaller tasks, and a large one waits for ever.
-// The worker with the most room is taken: it gets nothing new, so it stays the
-// one with the most room from plan to plan.
+// reserveWorkerFor reserves a worker for a step whose task must start and fits nowhere: in this
+// plan the worker gets no task of lower rank. Without the reservation smaller tasks take all
+// capacity that is freed, and a large task waits forever. The least loaded worker is reserved. It
+// gets nothing new, so it stays the least loaded from plan to plan.
 //
-// Of jobs that have waited long only one at a time keeps a worker. Each of them
-// would else close one, and a service with more such jobs than workers stands
-// still beside its own free room.
+// Only one starved job at a time reserves a worker. Otherwise each of them would close one, and a
+// service with more starved jobs than workers would stand still beside its own free capacity.
 func (p *pool) reserveWorkerFor(s *step) {
 	p.hasTaskReservation = true
 	if best := p.leastLoadedIndex(s); best >= 0 {
@@ -72,8 +70,8 @@
 	}
 }
 
-// leastLoadedIndex is the index of the least loaded worker that could run a task of the
-// step but for what ends by itself, -1 if none could.
+// leastLoadedIndex returns the index of the least loaded worker that could run a task of the step
+// once its finite runs have ended, -1 if there is none.
 func (p *pool) leastLoadedIndex(s *step) int {
 	best := -1
 	for i, w := range p.workers {
@@ -87,8 +85,8 @@
 	return best
 }
 
-// canEventuallyRunOn tells whether a worker could run a task of the step but for what ends there
-// by itself.
+// canEventuallyRunOn reports whether a worker could run a task of the step once the worker's finite
+// runs have ended.
 func (s *step) canEventuallyRunOn(w *worker) bool {
 	if !s.spec.Reservation().FitsIn(w.info.Capacity.Sub(w.reservedByLongRunning())) || !w.info.HasLabel(s.spec.RequiredLabel) {
 		return false
@@ -96,13 +94,14 @@
 	return s.spec.MaxPerWorker == 0 || s.liveRunsByWorker[w.info.ID] < s.spec.MaxPerWorker
 }
 
-// removeAt takes a worker out of what may get starts in this plan.
+// removeAt excludes a worker from the starts of this plan.
 func (p *pool) removeAt(i int) {
 	p.workers = slices.Delete(p.workers, i, i+1)
 	p.updateMaxFree()
 }
 
-// reservedByLongRunning is what lasting tasks have reserved; it doesn't come free by itself.
+// reservedByLongRunning returns what long-running tasks have reserved. They don't free it on their
+// own.
 func (w *worker) reservedByLongRunning() workload.Resources {
 	var sum workload.Resources
 	for _, r := range w.runs {
@@ -113,7 +112,7 @@
 	return sum
 }
 
-// canAcceptStarts tells whether the worker may get starts at all.
+// canAcceptStarts reports whether the worker may get starts at all.
 func (w *worker) canAcceptStarts(now time.Time) bool {
 	return w.synced && !w.unreachable && !w.unregistered && !w.info.Leaving && w.entryMatchesReports() &&
 		w.ordersInFlight < maxOrdersPerWorker && !now.Before(w.startBackoffUntil) &&
@@ -122,9 +121,9 @@
 
 func (w *worker) free() workload.Resources { return w.info.Capacity.Sub(w.reserved) }
 
-// bestWorker returns the worker for a task: where its data is, where no attempt of it
-// failed, and where the least room is left over, so that large tasks still fit
-// elsewhere. nil if it fits nowhere.
+// bestWorker returns the worker with the highest score for a task, nil if it fits nowhere. It
+// prefers workers near the task's data, workers where the task has not just failed, and workers
+// that are left with the least free capacity, so that large tasks still fit elsewhere.
 func (p *pool) bestWorker(s *step, t *task, now time.Time) *worker {
 	var best *worker
 	var bestScore float64
@@ -149,12 +148,12 @@
 	return best
 }
 
-// hasRequiredLabel tells whether a worker has a label that some jobs must have.
+// hasRequiredLabel reports whether a worker has a label that some jobs require.
 func (p *pool) hasRequiredLabel(w *worker) bool {
 	return slices.ContainsFunc(p.requiredLabels, w.info.HasLabel)
 }
 
-// fitsOn tells whether a worker may run a task of the step now.
+// fitsOn reports whether a worker may run a task of the step now.
 func (s *step) fitsOn(w *worker, now time.Time) bool {
 	if w.ordersInFlight >= maxOrdersPerWorker || !s.spec.Reservation().FitsIn(w.free()) || !w.info.HasLabel(s.spec.RequiredLabel) {
 		return false
@@ -165,19 +164,19 @@
 	return s.validTicket(w.info.ID, now) != nil || s.tickets == nil
 }
 
-// Weights of a worker's score. Being near the data outweighs any fit.
+// Weights of a worker's score. localityWeight outweighs any difference in utilization.
 const (
 	localityWeight       = 10.0
-	noServingTaskWeight  = 2.0 // a filling task beside no serving one
-	recentFailurePenalty = 5.0 // against a worker where the task failed last
-	// requiredLabelPenalty keeps tasks that may run anywhere off workers with a label that
-	// others must have: they fill those up while the rest idles. It outweighs
-	// togetherWeight, as lasting tasks would hold them for good.
+	noServingTaskWeight  = 2.0 // for a best-effort task on a worker without a serving task
+	recentFailurePenalty = 5.0 // for the worker where the task failed last
+	// requiredLabelPenalty keeps tasks that may run anywhere off workers with a label that others
+	// require. Otherwise they fill these workers up while other workers are idle. It outweighs
+	// colocationWeight, because long-running tasks would occupy the workers for good.
 	requiredLabelPenalty = 3.0
-	// colocationWeight draws lasting tasks to workers that have such.
+	// colocationWeight draws long-running tasks to workers that already run some.
 	colocationWeight = 1.0
-	// maintenancePenalty keeps lasting tasks off workers that are about to leave. It outweighs
-	// togetherWeight and any fit, which are at most 2 together.
+	// maintenancePenalty keeps long-running tasks off workers that are due for maintenance. It
+	// outweighs colocationWeight and utilization, which are at most 2 together.
 	maintenancePenalty = 2.5
 )
 
@@ -188,7 +187,7 @@
 	}
 	utilization := w.utilization()
 	if s.spec.BestEffortCPU {
-		// It lives on what others leave, and disturbs serving tasks beside it.
+		// It uses what other tasks leave over, and it disturbs serving tasks on its worker.
 		score -= utilization
 		if !w.hasServingTask() {
 			score += noServingTaskWeight
@@ -196,8 +195,8 @@
 		return score
 	}
 	if s.spec.LongRunning {
-		// Few workers with many lasting tasks leave the others free to be moved
-		// to another pool or maintained.
+		// Concentrating long-running tasks on few workers leaves the others free to be moved to
+		// another pool or maintained.
 		if w.hasLongRunningTask() {
 			score += colocationWeight
 		}
@@ -208,19 +207,19 @@
 	return score + utilization
 }
 
-// utilization is the larger share of processors and memory in use.
+// utilization returns the larger of the reserved shares of processors and memory.
 func (w *worker) utilization() float64 {
 	cpu := float64(w.reserved.CPU) / float64(max(1, w.info.Capacity.CPU))
 	memory := float64(w.reserved.MemoryMB) / float64(max(1, w.info.Capacity.MemoryMB))
 	return max(cpu, memory)
 }
 
-// hasServingTask tells whether a serving task runs on the worker.
+// hasServingTask reports whether a task with a latency target runs on the worker.
 func (w *worker) hasServingTask() bool {
 	return slices.ContainsFunc(w.runs, func(r *run) bool { return r.step.spec.LatencyTargetMS > 0 })
 }
 
-// finiteRunCount is how many runs will end by themselves.
+// finiteRunCount returns how many of the worker's runs end on their own.
 func (w *worker) finiteRunCount() int {
 	n := 0
 	for _, r := range w.runs {
@@ -231,7 +230,7 @@
 	return n
 }
 
-// hasLongRunningTask tells whether a lasting task runs on the worker.
+// hasLongRunningTask reports whether a long-running task runs on the worker.
 func (w *worker) hasLongRunningTask() bool {
 	return slices.ContainsFunc(w.runs, func(r *run) bool { return r.step.spec.LongRunning })
 }
--- a/internal/scheduler/rank.go
+++ b/internal/scheduler/rank.go
@@ -7,46 +7,47 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// rankClass says what a job can still win; lower ones come first.
+// rankClass is the first criterion of a job's rank. Lower classes come first.
 type rankClass int
 
 const (
-	// classLongRunning: lasting tasks are owed within seconds however full the
-	// service is, and there are few.
+	// classLongRunning: long-running tasks must start within seconds however full the service is,
+	// and there are few.
 	classLongRunning rankClass = iota
-	// classStarved: the oldest job of a service that has waited very long.
+	// classStarved: the oldest job of a service that has waited for starvationTimeout after its
+	// credit ended.
 	classStarved
-	classOnTime  // can still be completed within its objective
-	classLate    // earns the worth of a late answer
-	classExpired // earns nothing any more, and is finished all the same
+	classOnTime  // can still be completed within its target
+	classLate    // earns reduced credit
+	classExpired // earns no credit any more, but is still completed
 )
 
-// maxLateFactor is how many times the objective a job may take to earn anything.
+// maxLateFactor is how many times its target a job may take to earn any credit.
 const maxLateFactor = 3
 
-// starvationTimeout is how long a job past winning waits before it goes ahead of all
-// others: nothing that was accepted may wait for ever.
+// starvationTimeout is how long a job that can no longer earn credit waits before it is ranked as
+// starved. No accepted job may wait forever.
 const starvationTimeout = 20 * time.Second
 
-// defaultObjective is taken where the queue was removed.
+// defaultObjective applies if the job's queue was removed.
 const defaultObjective = 2 * time.Second
 
-// candidate is one occurrence of a job with idle tasks, with what it is ranked by.
+// candidate is one occurrence of a job with idle tasks, and the criteria of its rank.
 type candidate struct {
 	job            *job
 	steps          []*step
-	servicePlan    *servicePlan // what waits of its service
+	servicePlan    *servicePlan // of its service
 	class          rankClass
 	priority       int
-	objectiveStart time.Time // when its time began to count
-	servedShare    float64   // of its size, 0 for what has no chance to be in time
-	remainingWork  float64   // core-seconds that are left, by estimate
+	objectiveStart time.Time // when the time to its target began to count
+	servedShare    float64   // of its job size, 0 if it can't be completed in time
+	remainingWork  float64   // estimated core-seconds
 }
 
-// limitStarvedPerService leaves the oldest starved job of each service ahead of the others, and
-// ranks the rest as what they are worth; all of them where the service has one already.
-// Under lasting overload all jobs that could still win would otherwise stand behind
-// those that can't.
+// limitStarvedPerService keeps the oldest starved candidate of each service in classStarved and
+// moves the others to classExpired, all of them if the ranking already has a starved one of the
+// service. Otherwise, under sustained overload, all jobs that can still earn credit would wait
+// behind jobs that can't.
 func limitStarvedPerService(list []candidate) {
 	oldest := map[*servicePlan]*candidate{}
 	for i := range list {
@@ -95,8 +96,8 @@
 	return cand
 }
 
-// objectiveStart is when the time of an occurrence begins to count: when it was due, or
-// when its job was accepted.
+// objectiveStart returns when the time of an occurrence begins to count: its due time, or the time
+// its job was accepted if it has none.
 func (j *job) objectiveStart(occurrence int) time.Time {
 	if due := j.submission.Spec.DueAt(occurrence); !due.IsZero() {
 		return due
@@ -116,7 +117,8 @@
 	return slices.ContainsFunc(j.steps, func(s *step) bool { return s.spec.LongRunning })
 }
 
-// remainingWork is the processor time of all tasks that are not done, by estimate.
+// remainingWork returns the estimated processor time of all tasks that are not done, in
+// core-seconds.
 func remainingWork(steps []*step) float64 {
 	work := 0.0
 	for _, s := range steps {
@@ -126,7 +128,7 @@
 	return work
 }
 
-// defaultEstimate is taken for a task without an estimate.
+// defaultEstimate applies to tasks without an estimate.
 const defaultEstimate = time.Second
 
 func estimate(s *workload.Step) time.Duration {
@@ -136,8 +138,8 @@
 	return time.Duration(s.EstimateMS) * time.Millisecond
 }
 
-// criticalPaths is the longest chain of work of an occurrence by estimate, in all and of
-// what is left.
+// criticalPaths returns the estimated duration of an occurrence's longest chain of steps, in total
+// and without the steps that are done.
 func criticalPaths(steps []*step) (total, remaining time.Duration) {
 	totalUpTo := make([]time.Duration, len(steps))
 	remainingUpTo := make([]time.Duration, len(steps))
--- a/internal/scheduler/ranking.go
+++ b/internal/scheduler/ranking.go
@@ -9,50 +9,49 @@
 )
 
 const (
-	// minRankInterval is the shortest time between two rankings of all jobs. Ranks change
-	// by time in steps of an objective, 600 ms and more.
+	// minRankInterval is the shortest time between two rankings of all jobs. Ranks change with time
+	// in steps of an objective, 600 ms and more.
 	minRankInterval = 100 * time.Millisecond
-	// rankIntervalPerJob is added for each job in the ranking. A job takes some 0.5 us to
-	// rank, so that ranking takes a fortieth of a core at most.
+	// rankIntervalPerJob is added for each job in the ranking. Ranking a job takes about 0.5 us, so
+	// rankings use a fortieth of a core at most.
 	rankIntervalPerJob = 20 * time.Microsecond
-	// maxConsecutiveMisses is how many steps of a service may in turn find no room in a plan before
-	// it leaves the rest alone; the first plan after each ranking tries all. As many as
-	// starts may be in flight: a plan starts no more than that. Chosen, not measured
-	// against other bounds.
+	// maxConsecutiveMisses is how many steps of a service in a row may find no free capacity before
+	// a plan skips the rest of the service. The first plan after each ranking tries all. It equals
+	// maxStartsInFlight, because a plan starts no more than that.
 	maxConsecutiveMisses = 64
 )
 
-// ranking is the jobs that have tasks to place, the most worth having first.
+// ranking is the list of jobs that have tasks to place, in the order in which they are placed.
 //
-// It is kept between plans. Ranking all jobs for each plan makes a start cost as much
-// as there are jobs waiting: an owner that once falls behind then plans ever more slowly,
-// beside workers with room, until no more jobs come. With 2,000 jobs waiting a start
-// looked at 157,790 jobs, workers and runs; now what waits beyond maxMisses costs
-// nothing between two rankings.
+// It is kept between plans. If each plan ranked all jobs, a start would cost as much as there are
+// jobs waiting: an owner that falls behind would plan ever more slowly, beside workers with free
+// capacity, until no more jobs arrive. With 2,000 jobs waiting a start examined 157,790 jobs,
+// workers and runs. With the kept list, what waits beyond maxConsecutiveMisses costs nothing
+// between two rankings.
 type ranking struct {
 	candidates []candidate
 	services   map[string]*servicePlan
 	rankedAt   time.Time
-	stale      bool // another configuration ranks otherwise
-	tryAll     bool // the next plan tries all
-	// toInsert are steps whose occurrence isn't in the list, or whose place is out of date.
+	stale      bool // the configuration has changed
+	tryAll     bool // the next plan tries all candidates
+	// toInsert are steps whose occurrence is not in the list or is at an outdated position.
 	toInsert []*step
 }
 
-// servicePlan is what the plan at work knows of a service whose jobs wait.
+// servicePlan is the state of a service with waiting jobs in the current plan.
 type servicePlan struct {
-	pool *pool // nil if none of its workers takes starts
-	// minDemand is the least that any task asks for, of each resource by itself.
+	pool *pool // nil if none of its workers accepts starts
+	// minDemand is the smallest demand of any task for each resource on its own.
 	minDemand         workload.Resources
-	consecutiveMisses int // steps in turn that found no room
-	// hasStarved is set while the list has a job of the service that goes first as it has
-	// waited very long.
+	consecutiveMisses int // steps in a row that found no free capacity
+	// hasStarved is set while the list has a candidate of the service in classStarved.
 	hasStarved bool
 }
 
-// refreshRanking ranks all jobs anew, or adds those that are new. Credit falls at the
-// objective and ends at three times it, and is earned by whole jobs; so among jobs
-// that can still win, the one with the least work left comes first, within its size.
+// refreshRanking ranks all jobs again if the last ranking is stale or old enough, and otherwise
+// inserts new ones. Credit falls at the target of a job, ends at maxLateFactor times the target and
+// is earned by whole jobs. So among jobs that can be completed in time the one with the least
+// remaining work comes first, within its size.
 func (c *Core) refreshRanking(now time.Time) {
 	r := &c.ranking
 	interval := minRankInterval + time.Duration(len(r.candidates))*rankIntervalPerJob
@@ -63,9 +62,9 @@
 	c.insertCandidates(now)
 }
 
-// insertCandidates puts occurrences that aren't in the list in their place. Those whose place
-// is out of date get a second one, and keep the first until all are ranked anew: a
-// plan that comes to it finds their tasks started, or no room as before.
+// insertCandidates inserts the occurrences of toInsert into the list. An occurrence at an outdated
+// position gets a second entry and keeps the first until the next ranking of all jobs. A plan that
+// reaches the outdated entry finds its tasks started, or no free capacity as before.
 func (c *Core) insertCandidates(now time.Time) {
 	r := &c.ranking
 	var added []candidate
@@ -86,8 +85,8 @@
 	}
 }
 
-// rankAll makes the list anew. Turns are given in the order of work within each size, so
-// it is sorted before and after.
+// rankAll rebuilds the list. Served shares are assigned in the order of remaining work within each
+// size, so the list is sorted before and after.
 func (c *Core) rankAll(now time.Time) {
 	r := &c.ranking
 	for _, cand := range r.candidates {
@@ -96,7 +95,7 @@
 	for _, q := range c.shares {
 		q.decay(now.Sub(r.rankedAt))
 	}
-	clear(r.candidates) // jobs that have ended are not to be kept
+	clear(r.candidates) // don't retain jobs that have ended
 	*r = ranking{candidates: r.candidates[:0], services: map[string]*servicePlan{}, rankedAt: now, tryAll: true, toInsert: r.toInsert[:0]}
 	for _, j := range c.activeJobs {
 		if j.finalState.IsTerminal() {
@@ -119,14 +118,14 @@
 	slices.SortStableFunc(r.candidates, compareCandidates)
 }
 
-// assignServedShare gives a job that can still win its turn among the sizes of its queue.
+// assignServedShare sets the served share of a candidate that can be completed in time.
 func (c *Core) assignServedShare(cand *candidate) {
 	if share := cand.steps[0].share; share != nil && cand.class == classOnTime {
 		cand.servedShare = share.nextServedShare(cand.remainingWork)
 	}
 }
 
-// newCandidate ranks an occurrence and notes what its service waits for.
+// newCandidate ranks an occurrence and includes its demand in its service's minDemand.
 func (c *Core) newCandidate(j *job, occurrence int, now time.Time) candidate {
 	c.Counts.RankedJobs++
 	cand := c.rankOccurrence(j, occurrence, now)
@@ -147,7 +146,7 @@
 	return cand
 }
 
-// countOccurrenceArrival counts an occurrence as arrived the first time that it is ranked.
+// countOccurrenceArrival counts an occurrence as arrived when it is first ranked.
 func (c *Core) countOccurrenceArrival(cand candidate) {
 	if cand.steps[0].share != nil || cand.class == classLongRunning {
 		return
@@ -162,14 +161,14 @@
 	}
 }
 
-// recordStarted counts tasks that were started for a job that can still win.
+// recordStarted counts the work of started tasks of a candidate that can be completed in time.
 func (cand candidate) recordStarted(s *step, tasks int) {
 	if s.share != nil && cand.class == classOnTime {
 		s.share.startedWork += float64(tasks) * coreSeconds(s.spec, estimate(s.spec))
 	}
 }
 
-// compareCandidates orders by what is most worth having.
+// compareCandidates orders candidates by class, priority, served share and remaining work.
 func compareCandidates(a, b candidate) int {
 	return cmp.Or(
 		cmp.Compare(a.class, b.class),
@@ -179,13 +178,13 @@
 	)
 }
 
-// requestRerank asks for a new place of a step's occurrence: it has a task to place again, or less
-// work left.
+// requestRerank requests a new position for a step's occurrence, which has a task to place again or
+// less work left.
 func (c *Core) requestRerank(s *step) {
 	c.ranking.toInsert = append(c.ranking.toInsert, s)
 }
 
-// beginPlan gives the services their pools for a plan.
+// beginPlan sets the services' pools for a new plan.
 func (r *ranking) beginPlan(pools map[string]*pool) {
 	for service, plan := range r.services {
 		plan.pool = pools[service]
@@ -193,7 +192,7 @@
 	}
 }
 
-// canPlaceMore tells whether a plan is to go on with a service: a task of it may find room.
+// canPlaceMore reports whether a plan should go on with a service because one of its tasks may fit.
 func (r *ranking) canPlaceMore(plan *servicePlan) bool {
 	return plan.pool != nil && (r.tryAll || plan.consecutiveMisses < maxConsecutiveMisses && plan.minDemand.FitsIn(plan.pool.maxFree))
 }
