--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -6,39 +6,38 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// drainRequestTTL is how long a worker stays closed after the last wish to empty it.
-// Who empties it repeats the wish several times in that; if that process dies,
-// the worker takes work again.
+// drainRequestTTL is how long a worker stays closed after the last drain request. The requester
+// repeats the request several times within it. If the requester's process dies, the worker accepts
+// starts again.
 const drainRequestTTL = 2 * time.Second
 
-// drainReason and others name why runs are stopped.
+// Reasons for stopping runs.
 const (
-	ownerDrainReason    = "its VM is to be emptied"
+	ownerDrainReason    = "its VM is being drained"
 	workerLeavingReason = "its worker is leaving"
 )
 
-// maxRemainingToFinish is how long a task may still have to run so that it is let finish
-// rather than moved: a move costs a stop, a restart and what was done since the
-// last checkpoint.
+// maxRemainingToFinish is the longest remaining time with which a task may finish rather than move.
+// A move costs a stop, a restart and the work since the last checkpoint.
 const maxRemainingToFinish = 1500 * time.Millisecond
 
-// Times of a worker that is being emptied and runs nothing: one that is idle isn't polled
-// otherwise.
+// Timing of polls to a draining worker that runs nothing. An idle worker is not polled otherwise.
 const (
 	// drainedPollInterval is the pause between polls.
 	drainedPollInterval = 100 * time.Millisecond
-	// drainedAnswerMaxAge is how long an answer shows that its process is there.
+	// drainedAnswerMaxAge is how long an answer proves that the worker's process is there.
 	drainedAnswerMaxAge = 300 * time.Millisecond
 )
 
-// DrainWorker closes a worker for a while and empties it. It is vacant once nothing runs
-// there any more, nor can begin, and all its ends are stored: those that are not go with
-// it.
+// DrainWorker closes a worker to starts for drainRequestTTL and returns its drain state. The worker
+// is drained once nothing runs or can start there and all its exits are stored. Exits that are not
+// stored are lost with the VM.
 func (c *Core) DrainWorker(id string, now time.Time) workload.DrainState {
-	// One that isn't listed yet is closed, too: tasks would start there with the next list.
+	// A worker that is not listed yet is closed too. Otherwise tasks would start there with the
+	// next list.
 	w := c.ensureWorker(id, now)
 	if !now.Before(w.drainUntil) {
-		c.recordDecision(Decision{Verb: "evacuating", Worker: id, Reason: "asked for", AlwaysLogged: true})
+		c.recordDecision(Decision{Verb: "evacuating", Worker: id, Reason: "drain requested", AlwaysLogged: true})
 	}
 	w.drainUntil = now.Add(drainRequestTTL)
 	switch {
@@ -54,19 +53,19 @@
 	return workload.Drained
 }
 
-// isDrainingAndIdle tells whether a worker is being emptied and runs nothing any more: its VM may
-// leave at any time.
+// isDrainingAndIdle reports whether a worker is draining and runs nothing. Its VM may leave at any
+// time.
 func (w *worker) isDrainingAndIdle(now time.Time) bool {
 	return now.Before(w.drainUntil) && len(w.runs) == 0
 }
 
-// maintenanceMarkTTL is how long the word counts that a worker is about to leave. The fleet's
-// owner repeats it several times a second.
+// maintenanceMarkTTL is how long a worker counts as due for maintenance. The owner of the fleet
+// repeats the mark several times a second.
 const maintenanceMarkTTL = time.Second
 
-// SetDueForMaintenance takes the workers of a service whose VMs are due for maintenance. They run
-// on, but lasting tasks that must move go elsewhere if they can: on one of these each of
-// them would move a second time, and a step bears only one move after the other.
+// SetDueForMaintenance marks the workers of a service whose VMs are due for maintenance. Their runs
+// go on, but long-running tasks that must move avoid these workers if they can: there each would
+// move a second time, and the budget of a step allows only one move after the other.
 func (c *Core) SetDueForMaintenance(service string, ids []string, now time.Time) {
 	for _, id := range ids {
 		if w := c.workers[id]; w != nil && w.info.Service == service {
@@ -75,10 +74,11 @@
 	}
 }
 
-// evictRuns moves on what can't be let finish on workers that are to be empty.
+// evictRuns stops the runs on draining and leaving workers that can't be left to finish, so that
+// they continue elsewhere.
 func (c *Core) evictRuns(now time.Time) {
 	if !c.hasAuthority(now) {
-		return // a successor may move others of the same step
+		return // a later owner may move other tasks of the same step
 	}
 	for _, w := range c.sortedWorkers {
 		draining := now.Before(w.drainUntil)
@@ -101,10 +101,9 @@
 	}
 }
 
-// endDrain ends the closing of a worker. One that was emptied has most likely left
-// with its VM, though it is listed for seconds yet: it counts as silent until it
-// has answered a poll. A start there would be refused, which costs a task its
-// pause and a gang all its members.
+// endDrain ends the drain of a worker. A drained worker has most likely left with its VM, though it
+// stays listed for some seconds, so one without runs counts as unreachable until it answers a poll.
+// A start there would be refused, which costs a task its backoff and a gang all its members.
 func (w *worker) endDrain() {
 	if w.drainUntil.IsZero() {
 		return
@@ -115,8 +114,8 @@
 	}
 }
 
-// shouldEvict tells whether a run is to be stopped so that it goes on elsewhere.
-// The budget of a lasting step counts only where its worker could go on.
+// shouldEvict reports whether a run must be stopped so that it continues elsewhere. The budget of a
+// long-running step applies only if its worker could otherwise go on.
 func (r *run) shouldEvict(draining bool, now time.Time) bool {
 	spec := r.step.spec
 	if spec.LongRunning {
@@ -129,9 +128,9 @@
 	return remaining > maxRemainingToFinish
 }
 
-// canRetryStop tells whether a stop without an answer may be sent again to a worker that
-// still lists the run. Where a lasting task was to move with its VM, another one of its
-// step may be away by now, as its worker has failed or left: the budget counts anew.
+// canRetryStop reports whether an unanswered stop may be sent again to a worker that still lists
+// the run. If a long-running task was stopped for a drain, another task of its step may have become
+// unavailable since, because its worker failed or left, so the budget is checked again.
 func (c *Core) canRetryStop(r *run, now time.Time) bool {
 	if r.stoppedForDrain && !c.hasAuthority(now) {
 		return false
@@ -142,8 +141,8 @@
 	return r.step.canLoseTask(r.index)
 }
 
-// canLoseTask tells whether the step bears the loss of one more task: all others
-// must be fully at work but for fewer than the number that it may miss.
+// canLoseTask reports whether the step tolerates the loss of one more task: fewer than
+// MaxUnavailable of the others may be less than fully available. A MaxUnavailable of 0 is no bound.
 func (s *step) canLoseTask(index int) bool {
 	if s.spec.MaxUnavailable == 0 {
 		return true
@@ -157,7 +156,8 @@
 	return unavailable < s.spec.MaxUnavailable
 }
 
-// isFullyAvailable tells whether a lasting task does its full work, and surely goes on.
+// isFullyAvailable reports whether a long-running task runs at full speed on a worker that answers
+// and is known not to be stopping.
 func (t *task) isFullyAvailable() bool {
 	for _, r := range t.runs {
 		if r.state == runRunning && r.speedPercent >= fullSpeedPercent && !r.worker.unreachable && r.confirmedRunning {
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -7,9 +7,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// placeGang starts all tasks of a gang at once, or none. Members that wait for
-// others hold their room and get nothing done; a gang that can't be completed in
-// time ends `alone`, which is broken off work.
+// placeGang starts all tasks of a gang at once, or none. Members that wait for others hold their
+// capacity and do no work, and the platform ends a gang that is not complete in time as `alone`,
+// which counts as aborted work.
 func (c *Core) placeGang(p *pool, s *step, now time.Time) {
 	for i := range s.tasks {
 		t := &s.tasks[i]
@@ -32,23 +32,21 @@
 	p.updateMaxFree()
 }
 
-// defaultGangTimeout is taken where the platform does not tell its own; it is what
-// the known deployments have.
+// defaultGangTimeout applies if the platform does not state its own. It is the value of the known
+// deployments.
 const defaultGangTimeout = 3 * time.Second
 
-// formingGang is a gang whose members have been ordered and are not all known to be
-// there.
+// formingGang is a gang whose members have been ordered and whose starts are not all confirmed.
 type formingGang struct {
 	step      *step
 	runNumber int64 // of all members
 	orderedAt time.Time
 }
 
-// stopIncompleteGangs stops gangs that will not be complete in time. A member that is
-// refused, as by a worker that has just left, or whose start gets no answer,
-// leaves the others waiting: they hold their room, get nothing done and are ended
-// when the platform's time for it is over. Stopped at once, they cost what a stop
-// takes, and the gang starts anew.
+// stopIncompleteGangs stops gangs that won't be complete in time. If a member's start is refused,
+// for example by a worker that has just left, or gets no answer, the other members hold their
+// capacity and do no work until the platform's timeout ends them. An early stop costs only the stop
+// itself, and the gang starts again.
 func (c *Core) stopIncompleteGangs(now time.Time) {
 	c.formingGangs = slices.DeleteFunc(c.formingGangs, func(g formingGang) bool {
 		switch g.step.gangStatus(g.runNumber) {
@@ -70,17 +68,17 @@
 	})
 }
 
-// gangStatus is how much of a gang is there.
+// gangStatus is how far the members of a gang have started.
 type gangStatus int
 
 const (
 	gangComplete gangStatus = iota
-	gangPartial             // some members are not known to be there yet
-	gangBroken              // a member is not there and won't be
+	gangPartial             // the starts of some members are not confirmed yet
+	gangBroken              // a member is missing and won't start
 )
 
-// gangStatus tells how much of a run of a gang is there. Of one that has ended as
-// done nothing is waited for.
+// gangStatus returns how far the members of one run of a gang have started. A gang with a task that
+// is done counts as complete.
 func (s *step) gangStatus(runNumber int64) gangStatus {
 	status := gangComplete
 	for i := range s.tasks {
@@ -99,8 +97,9 @@
 	return status
 }
 
-// assignInOneRack finds workers in one rack, first in that of the data. A gang
-// that doesn't ask for one rack may lie anywhere.
+// assignInOneRack returns workers in one rack for all tasks of a gang, trying the rack of its data
+// first. It returns nil if the gang fits in no rack or asks for none. A gang without SameRack tries
+// one rack only, as it may be placed anywhere.
 func (s *step) assignInOneRack(p *pool, now time.Time) []*worker {
 	if !s.spec.SameRack && s.spec.DataRack == "" {
 		return nil
@@ -132,7 +131,7 @@
 	return nil
 }
 
-// assignWorkers finds a worker for each of a number of tasks at once, nil if not all fit.
+// assignWorkers returns a worker for each of a number of tasks, nil if not all fit.
 func (s *step) assignWorkers(workers []*worker, tasks int, now time.Time) []*worker {
 	free := map[*worker]workload.Resources{}
 	assignedCount := map[*worker]int{}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -8,36 +8,36 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Rules of preemption.
+// Limits of preemption.
 const (
-	// preemptionDelay is how long an urgent task waits for room before other runs are
-	// stopped for it: most room comes free by itself sooner, and a stop takes as
-	// long again.
+	// preemptionDelay is how long an urgent task waits for free capacity before other runs are
+	// stopped for it. Most capacity is freed sooner without a stop, and a stop takes as long again.
 	preemptionDelay = 250 * time.Millisecond
-	// longRunningPreemptionDelay is the same for a lasting task: it earns by the second, so that
-	// a short wait costs little.
+	// longRunningPreemptionDelay is the same for a long-running task, which earns credit by the
+	// second, so that a short wait costs little.
 	longRunningPreemptionDelay = time.Second
-	// maxLossRatio is how much work a preemption may throw away, as a share of the
-	// work that it makes room for.
+	// maxLossRatio is the largest loss of work by a preemption, as a share of the estimated work of
+	// the task that it is made for.
 	maxLossRatio = 0.5
-	// maxLossForLongRunning is how many core-seconds it may throw away for a lasting task:
-	// about what one does in four seconds.
+	// maxLossForLongRunning is the largest loss for a long-running task in core-seconds: about what
+	// one does in four seconds.
 	maxLossForLongRunning = 20.0
-	// maxPreemptionSearches is how many steps a plan looks for runs for that give way, in each
-	// service. A search looks at all runs of the service; without a bound a plan costs
-	// as much as steps wait, and an owner with a hundred of them does little else.
-	// Lasting steps are few and owed within seconds, and are searched for beside it.
+	// maxPreemptionSearches bounds the steps for which one plan searches for preemptible runs, in
+	// each service. A search examines all runs of the service. Without the bound a plan costs as
+	// much as there are steps waiting, and an owner with a hundred of them does little else.
+	// Long-running steps are few and must start within seconds, so they are not counted.
 	maxPreemptionSearches = 4
-	// preemptionSearchInterval is how long a step waits after a search that found nothing: as long
-	// as its patience, so that the searches of a plan reach all steps in turn.
+	// preemptionSearchInterval is how long a step waits after a search that found nothing. It
+	// equals preemptionDelay, so that the searches of successive plans reach all steps.
 	preemptionSearchInterval = preemptionDelay
-	// unknownPriority is that of a pool that wasn't looked at yet.
+	// unknownPriority is the lowestPreemptiblePriority of a pool for which it is not determined
+	// yet.
 	unknownPriority = -1
 )
 
-// preempt stops runs of less urgent queues where a step's tasks find no room.
-// Without it a lasting task that has to start again, or an urgent job, waits on a
-// full service until what is less urgent has ended.
+// preempt stops runs of less urgent queues if a step's tasks find no free capacity. Otherwise a
+// long-running task that has to restart, or an urgent job, waits on a full service until less
+// urgent work has ended.
 func (c *Core) preempt(p *pool, cand candidate, s *step, now time.Time) {
 	if s.waitingForCapacitySince.IsZero() {
 		s.waitingForCapacitySince = now
@@ -57,7 +57,7 @@
 	}
 	c.Counts.PlacementChecks += len(p.workers)
 	if p.tasksFittingAfterStops(s) >= s.idleCount {
-		return // room is being made
+		return // the stops in progress free enough capacity
 	}
 	var bestVictims []*run
 	bestLoss := maxLossRatio * coreSeconds(s.spec, estimate(s.spec))
@@ -74,12 +74,12 @@
 		s.nextPreemptionSearchAt = now.Add(preemptionSearchInterval)
 	}
 	for _, r := range bestVictims {
-		c.stopRun(r, "gives way to "+s.taskKey(0).StepName()+", which is more urgent")
+		c.stopRun(r, "preempted by "+s.taskKey(0).StepName()+", which is more urgent")
 	}
 }
 
-// lowestPreemptiblePriority is the priority of the least urgent runs of a pool that may give way,
-// the highest number.
+// lowestPreemptiblePriority returns the priority of the least urgent preemptible runs of a pool,
+// which is the highest number, 0 if there are none.
 func (c *Core) lowestPreemptiblePriority(p *pool) int {
 	if p.lowestPreemptiblePriority != unknownPriority {
 		return p.lowestPreemptiblePriority
@@ -96,8 +96,8 @@
 	return p.lowestPreemptiblePriority
 }
 
-// preemptionVictims are the runs to stop on a worker so that a task of the step fits, and
-// the core-seconds of work that this throws away; nil if it can't be made to fit.
+// preemptionVictims returns the runs to stop on a worker so that a task of the step fits, and the
+// core-seconds of work that are lost with them; nil if the task can't be made to fit.
 func (c *Core) preemptionVictims(w *worker, s *step, priority int, now time.Time) ([]*run, float64) {
 	if s.placementLimit(w) == 0 {
 		return nil, 0
@@ -121,8 +121,8 @@
 	return nil, 0
 }
 
-// isPreemptible tells whether a run may be stopped for a task of a priority. Lasting
-// tasks have a budget of their own, members of a gang would end the others.
+// isPreemptible reports whether a run may be stopped for a task of the given priority. Long-running
+// tasks have a budget of their own, and stopping a member of a gang would end the others.
 func (c *Core) isPreemptible(r *run, priority int) bool {
 	spec := r.step.spec
 	if r.state != runRunning || spec.LongRunning || spec.Gang || spec.Speculative {
@@ -132,8 +132,8 @@
 	return q != nil && q.Priority > priority
 }
 
-// unsavedWork is the work in core-seconds that is lost if the run is stopped now. A
-// stop leaves a checkpoint where the task makes them.
+// unsavedWork returns the core-seconds of work that are lost if the run is stopped now. A stop
+// leaves a checkpoint if the task makes them.
 func (r *run) unsavedWork(now time.Time) float64 {
 	if r.step.spec.Checkpoints {
 		return 0
@@ -145,7 +145,7 @@
 	return d.Seconds() * float64(s.Resources.CPU) / 1000
 }
 
-// tasksFittingAfterStops is how many tasks of the step fit once the runs that are being
+// tasksFittingAfterStops returns how many tasks of the step fit once the runs that are being
 // stopped have ended.
 func (p *pool) tasksFittingAfterStops(s *step) int {
 	fitting := 0
@@ -164,8 +164,8 @@
 	return fitting
 }
 
-// placementLimit is how many of the step's idle tasks a worker may get, however much
-// room it has.
+// placementLimit returns how many of the step's idle tasks a worker may get, regardless of its free
+// capacity.
 func (s *step) placementLimit(w *worker) int {
 	if !w.info.HasLabel(s.spec.RequiredLabel) {
 		return 0
