--- a/internal/scheduler/advice.go
+++ b/internal/scheduler/advice.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Bounds of questions for advice.
+// Limits of advice requests.
 const (
-	// maxAdviceWorkers is how many workers one question names: each makes its answer
-	// later, and a few good ones are enough.
+	// maxAdviceWorkers is how many workers one request names. Each delays the answer, and a few
+	// approved workers are enough.
 	maxAdviceWorkers = 30
-	// ticketExpiryMargin is how long before its end a ticket is no longer used: the
-	// start has to arrive before.
+	// ticketExpiryMargin is how long before its expiry a ticket is no longer used, because the
+	// start must arrive before.
 	ticketExpiryMargin  = 300 * time.Millisecond
 	adviceRetryInterval = 300 * time.Millisecond
 )
 
-// adviceState is what is known of the workers that may run a step. Which ones those
-// are doesn't change; their tickets run out.
+// adviceState is what is known of the workers that may run a step. Which workers may run it does
+// not change, but their tickets expire.
 type adviceState struct {
 	ticketsByWorker map[string]ticket
 	refusedWorkers  map[string]bool
@@ -30,17 +30,17 @@
 	validUntil time.Time
 }
 
-// AdviceResult is the outcome of an AdviseOrder.
+// AdviceResult is the outcome of an AdviceOrder.
 type AdviceResult struct {
 	Order    AdviceOrder
 	SentAt   time.Time
 	OK       bool
-	Tickets  map[string]string // by worker
+	Tickets  map[string]string // by worker ID
 	ValidFor time.Duration
 }
 
-// ensureAdvice tells whether the step may be placed, and asks for advice where its
-// queue needs it and it is missing.
+// ensureAdvice reports whether the step may be placed, and requests advice if its queue requires it
+// and no worker that the step fits on has a valid ticket.
 func (c *Core) ensureAdvice(p *pool, s *step, now time.Time) bool {
 	q := s.job.queue
 	if q == nil || q.Advice == nil {
@@ -57,7 +57,8 @@
 	return usable
 }
 
-// requestAdvice asks about workers with room, those known to be good first.
+// requestAdvice requests tickets for workers with enough free capacity, for those approved before
+// first.
 func (c *Core) requestAdvice(p *pool, s *step) {
 	var known, unknown []string
 	for _, w := range slices.Concat(p.workers, p.reservedForSuspects) {
@@ -78,7 +79,7 @@
 	c.orders.AdviceRequests = append(c.orders.AdviceRequests, AdviceOrder{Step: s.taskKey(0), Workers: workerIDs[:min(len(workerIDs), maxAdviceWorkers)]})
 }
 
-// HandleAdviceResult takes the outcome of a question.
+// HandleAdviceResult records the outcome of an advice request.
 func (c *Core) HandleAdviceResult(r AdviceResult, now time.Time) {
 	s, _ := c.findTask(r.Order.Step)
 	if s == nil || s.tickets == nil {
@@ -91,7 +92,7 @@
 	}
 	for _, id := range r.Order.Workers {
 		if w := c.workers[id]; w != nil && w.restartDetectedAt.After(r.SentAt) {
-			continue // the answer was for the incarnation before
+			continue // the answer was for the earlier incarnation
 		}
 		text, approved := r.Tickets[id]
 		if !approved {
@@ -103,7 +104,8 @@
 	c.planStale = true
 }
 
-// validTicket returns a ticket that is valid for a while yet, nil if there is none.
+// validTicket returns the ticket for a worker if it is valid for longer than ticketExpiryMargin,
+// nil otherwise.
 func (s *step) validTicket(worker string, now time.Time) *ticket {
 	if s.tickets == nil {
 		return nil
@@ -115,8 +117,8 @@
 	return &t
 }
 
-// forgetAdvice drops what is known of a worker that has restarted: tickets are valid for
-// one incarnation, and the next one may be of another kind.
+// forgetAdvice drops the advice on a worker that has restarted. Tickets are valid for one
+// incarnation, and the next one may be of another kind.
 func (c *Core) forgetAdvice(worker string) {
 	for _, j := range c.activeJobs {
 		for _, s := range j.steps {
--- a/internal/scheduler/failuretracker.go
+++ b/internal/scheduler/failuretracker.go
@@ -6,27 +6,27 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Setting aside workers that fail what they start. Tasks fail by their own fault
-// too, a few in a hundred, so one failure says little and several in a row
-// within a short time, of several jobs, say much.
+// Suspension of workers that fail the tasks they start. A few in a hundred tasks fail by their own
+// fault, so one failure is weak evidence against a worker. Several in a row within a short time, of
+// several jobs, are strong evidence.
 const (
 	minFailuresToSuspend = 3
 	minJobsToSuspend     = 2
-	failureStreakTimeout = 6 * time.Second // a failure longer ago says nothing of now
+	failureStreakTimeout = 6 * time.Second // older failures don't count
 	minSuspension        = 2 * time.Second
 	maxSuspension        = 16 * time.Second
-	// probationDuration is how long after a suspension one failure suffices for the
-	// next, and only a few runs are given at once.
+	// probationDuration is how long after a suspension a single failure causes the next one, and
+	// only maxProbationRuns finite runs are allowed at once.
 	probationDuration = 4 * time.Second
 	maxProbationRuns  = 2
-	// earlyFailureWindow is how soon after its start a lasting task must fail to count:
-	// such tasks fail at any time by themselves.
+	// earlyFailureWindow is how soon after its start a long-running task must fail to count. Such
+	// tasks fail at any time by their own fault.
 	earlyFailureWindow = 2 * time.Second
 )
 
-// failureTracker is what a worker's ends say of it.
+// failureTracker suspends a worker based on how its runs ended.
 type failureTracker struct {
-	consecutiveFailures int // in a row
+	consecutiveFailures int
 	lastFailureAt       time.Time
 	firstJob            workload.JobID
 	distinctJobs        int
@@ -35,8 +35,8 @@
 	probationUntil      time.Time
 }
 
-// allowsStart tells whether the worker may get a start. runs are those that will end
-// by themselves.
+// allowsStart reports whether the worker may get a start. finiteRuns is how many of its runs end on
+// their own.
 func (t *failureTracker) allowsStart(now time.Time, finiteRuns int) bool {
 	if now.Before(t.suspendedUntil) {
 		return false
@@ -44,7 +44,7 @@
 	return !now.Before(t.probationUntil) || finiteRuns < maxProbationRuns
 }
 
-// recordExit takes the end of a run that took a while.
+// recordExit records the exit of a run that took the given duration.
 func (t *failureTracker) recordExit(reason workload.ExitReason, s *step, duration time.Duration, now time.Time) {
 	if reason == workload.ExitDone {
 		*t = failureTracker{}
--- a/internal/scheduler/share.go
+++ b/internal/scheduler/share.go
@@ -6,47 +6,47 @@
 )
 
 const (
-	// shareDecayTime is how long what arrived and was started counts, as the time in which
-	// it falls to a third: longer than a peak of some seconds, and short enough
-	// that the next one is shared by itself.
+	// shareDecayTime is the time in which the recorded arrived and started work falls to 1/e, about
+	// a third. It is longer than a peak of some seconds, and short enough that the next peak is
+	// shared on its own.
 	shareDecayTime = 10 * time.Second
-	// meanWindowJobs is over how many jobs a queue's mean is taken: some seconds of a quiet
-	// queue, half a second of its peak. Chosen, not measured against other lengths.
+	// meanWindowJobs is the number of jobs over which a queue's mean work is taken: some seconds of
+	// a quiet queue, half a second of its peak.
 	meanWindowJobs = 50
 )
 
-// jobSize is a job's work against the mean of its queue's jobs.
+// jobSize is a job's work relative to the mean of its queue's jobs.
 type jobSize int
 
 const (
-	sizeSmall   jobSize = iota // under half the mean
-	sizeMedium                 // under the mean
-	sizeLarge                  // under twice the mean
+	sizeSmall   jobSize = iota // less than half the mean
+	sizeMedium                 // less than the mean
+	sizeLarge                  // less than twice the mean
 	sizeLargest                // more
 	sizeCount
 )
 
-// queueShares shares a queue's room among its jobs by their size.
+// queueShares divides a queue's capacity among its jobs by their size.
 //
-// With the least work first, all that a full service has no room for are the largest
-// jobs: of the largest tenth 0.4 were served where of all 0.9 were, and their callers see
-// a system that is down. Each size gets the same share of the work that arrives;
-// within a size the least work goes first, which serves the most jobs. On copies and
-// originals of the users' deployments it costs 1% of the credit of a day (0.854 to 0.844),
-// and brings the worst served size or kind from 0.45 to 0.56 of its credit, the mean of 25
-// plays.
+// If the least work always goes first, the jobs that a full service has no capacity for are all the
+// largest ones: 0.4 of the largest tenth were served, against 0.9 of all jobs, and their callers
+// see a system that is down. Instead each size gets the same share of its arriving work, and within
+// a size the least work goes first, which serves the most jobs. On copies and originals of the
+// users' deployments this costs 1% of a day's credit (0.854 to 0.844) and raises the worst served
+// size or kind from 0.45 to 0.56 of its credit, in the mean of 25 runs.
 type queueShares struct {
 	meanWork float64 // core-seconds of a job
 	sizes    [sizeCount]sizeShare
 }
 
-// sizeShare is the work of one size lately, in core-seconds.
+// sizeShare is the recent work of one job size, in core-seconds.
 type sizeShare struct {
 	arrivedWork, startedWork float64
-	rankedAhead              float64 // of jobs that wait, those that were ranked so far
+	rankedAhead              float64 // of the waiting jobs ranked so far
 }
 
-// addArrival takes a job that waits for its first start, and returns its size's share.
+// addArrival records the work of a job that waits for its first start and returns the share of its
+// size.
 func (q *queueShares) addArrival(work float64) *sizeShare {
 	if q.meanWork == 0 {
 		q.meanWork = work
@@ -70,7 +70,7 @@
 	}
 }
 
-// decay lets what is past count less, and begins a ranking.
+// decay reduces the weight of past work and resets rankedAhead for a new ranking.
 func (q *queueShares) decay(passed time.Duration) {
 	factor := math.Exp(-passed.Seconds() / shareDecayTime.Seconds())
 	for i := range q.sizes {
@@ -80,11 +80,12 @@
 	}
 }
 
-// minArrivedWork keeps the share of a size defined of which nothing arrived lately.
+// minArrivedWork keeps the served share defined for a size of which nothing has arrived recently.
 const minArrivedWork = 0.001
 
-// nextServedShare is the share of its size's work that will have been started when a job's turn
-// comes: the lower, the sooner. Jobs are to be given in their order within the size.
+// nextServedShare returns the share of its size's work that will have been started when a job's
+// turn comes. Lower shares go first. It must be called for the jobs of a size in their order within
+// the size.
 func (s *sizeShare) nextServedShare(work float64) float64 {
 	servedShare := (s.startedWork + s.rankedAhead) / max(s.arrivedWork, minArrivedWork)
 	s.rankedAhead += work
--- a/internal/scheduler/speculation.go
+++ b/internal/scheduler/speculation.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// speculativeCopyFactor is how many times its estimate a run may take before a copy of it
-// is started, where copies are allowed. Estimates are off by a fifth or so and
-// tasks of one step differ by as much, so that most runs end before it.
+// speculativeCopyFactor is how many times its estimate a run may take before a speculative copy of
+// it is started, if its step allows copies. Estimates are off by about a fifth and tasks of one
+// step differ by as much, so most runs end earlier.
 const speculativeCopyFactor = 1.8
 
-// stragglerCheckInterval is the pause between looks for stragglers.
+// stragglerCheckInterval is the pause between checks for stragglers.
 const stragglerCheckInterval = 100 * time.Millisecond
 
-// startSpeculativeCopies starts second copies of runs that take much longer than
-// others, as on a slow worker. Only room that nothing else wants is used.
+// startSpeculativeCopies starts second copies of runs that take much longer than estimated, for
+// example on a slow worker. It uses only the free capacity that placeTasks has left.
 func (c *Core) startSpeculativeCopies(now time.Time) {
 	if now.Before(c.lastSpeculationAt.Add(stragglerCheckInterval)) || c.isPlacementBlocked(now) || !c.hasAuthority(now) {
 		return
@@ -36,12 +36,12 @@
 	}
 }
 
-// maxCrashDetectionDelay is how long after a crash the worker is asked again at the latest, and
-// refuses the connection.
+// maxCrashDetectionDelay is the longest time from a crash until a poll of the worker has its
+// connection refused.
 const maxCrashDetectionDelay = time.Second
 
-// mayHaveCrashed tells whether the worker is silent and has perhaps crashed. A copy of
-// what it ran could crash the next one; until its lease is over it isn't worth that.
+// mayHaveCrashed reports whether a worker is unreachable and may have crashed. A copy of what it
+// ran could crash the next worker. That risk is not worth taking before its lease has expired.
 func (w *worker) mayHaveCrashed(now time.Time) bool {
 	return w.unreachable && (w.connectionRefused || now.Before(w.unreachableSince.Add(maxCrashDetectionDelay)))
 }
--- a/internal/scheduler/throttle.go
+++ b/internal/scheduler/throttle.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// The control of filling tasks beside serving ones. The tail of a serving task
-// must stay under its target: it is brought down at once and up again slowly,
-// as an overshoot harms users and a lower pace costs only spare work.
+// Control of best-effort tasks beside serving tasks. The tail latency of a serving task must stay
+// under its target. The speed is cut at once and raised slowly, because an overshoot harms users
+// and a low speed costs only spare work.
 const (
-	highTailRatio     = 0.85 // of tail to target, at which pace is cut
-	lowTailRatio      = 0.6  // below which it is raised
+	highTailRatio     = 0.85 // of tail latency to target; above it the speed is cut
+	lowTailRatio      = 0.6  // below it the speed is raised
 	speedCutFactor    = 0.5
-	speedRaisePercent = 15                     // percent
-	throttleInterval  = 500 * time.Millisecond // the tail that workers report covers half a second
-	minSpeedPercent   = 5                      // percent; below it a task is halted
+	speedRaisePercent = 15
+	throttleInterval  = 500 * time.Millisecond // workers report the tail latency of the last half second
+	minSpeedPercent   = 5                      // below it a task is halted
 )
 
-// throttleBestEffort sets the pace of a worker's filling tasks by the tails of its
-// serving ones.
+// throttleBestEffort sets the speed of a worker's best-effort tasks by the tail latencies of its
+// serving tasks.
 func (c *Core) throttleBestEffort(w *worker, now time.Time) {
 	worstTailRatio, hasBestEffort := 0.0, false
 	for _, r := range w.runs {
