--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -68,9 +68,9 @@
 	retryAt        time.Time
 	// drainState is what the worker's owner said in answer to a question of askedAt, and to
 	// each one since saidSince.
-	drainState                         workload.DrainState
-	drainStateAskedAt, drainStateSince time.Time
-	moveExpiresAt                      time.Time // a move is dropped after this
+	drainState                        workload.DrainState
+	drainRequestedAt, drainStateSince time.Time
+	moveExpiresAt                     time.Time // a move is dropped after this
 	// hasBeenListedAway is set once a list has shown the VM as away after its order: it may come back
 	// with a worker of the same ID.
 	hasBeenListedAway bool
@@ -289,7 +289,7 @@
 // answered, its successor may be there by now and run tasks, which an order would cut, and
 // the list lags.
 func (c *Core) isDrained(op *operation, now time.Time) bool {
-	if now.Sub(op.drainStateAskedAt) >= drainStateValidity {
+	if now.Sub(op.drainRequestedAt) >= drainStateValidity {
 		return false
 	}
 	return op.drainState == workload.Drained ||
@@ -312,7 +312,7 @@
 		a = Action{Verb: MaintainVM, VM: op.vm, Wave: op.wave, Reason: "emptied for maintenance"}
 	}
 	if op.drainState != workload.NotDrained {
-		a.ValidUntil = op.drainStateAskedAt.Add(drainStateValidity)
+		a.ValidUntil = op.drainRequestedAt.Add(drainStateValidity)
 	}
 	c.actions = append(c.actions, a)
 }
@@ -320,16 +320,16 @@
 // HandleDrainResult takes the answer to an Empty that was asked at a time. The answer counts
 // from then: a process that stood still since would take it for a fresh one, while
 // the worker is open again and runs tasks.
-func (c *Core) HandleDrainResult(vm, worker string, state workload.DrainState, askedAt time.Time) {
+func (c *Core) HandleDrainResult(vm, worker string, state workload.DrainState, requestedAt time.Time) {
 	op := c.operations[vm]
 	if op == nil || op.phase != phaseDraining || op.worker != worker {
 		return
 	}
 	if state != op.drainState {
-		op.drainStateSince = askedAt
+		op.drainStateSince = requestedAt
 	}
 	op.drainState = state
-	op.drainStateAskedAt = askedAt
+	op.drainRequestedAt = requestedAt
 }
 
 // OrderResult is how an order for a VM ended.
--- a/internal/fleet/core_test.go
+++ b/internal/fleet/core_test.go
@@ -218,9 +218,9 @@
 	require.Len(t, moves, 1)
 	assert.Equal(t, "vm-6", moves[0].VM)
 	assert.Equal(t, "booking", moves[0].Pool)
-	empties := actionsWithVerb(actions, fleet.DrainWorker)
-	require.Len(t, empties, 1, "returns keeps two")
-	assert.Equal(t, "vm-4", empties[0].VM)
+	drains := actionsWithVerb(actions, fleet.DrainWorker)
+	require.Len(t, drains, 1, "returns keeps two")
+	assert.Equal(t, "vm-4", drains[0].VM)
 }
 
 // Two pools ask for more than there is, one of them for far more. Neither takes all
--- a/internal/fleet/labels_test.go
+++ b/internal/fleet/labels_test.go
@@ -42,9 +42,9 @@
 	returns.Workers["w-3"] = busy
 	c.SetLoad(booking, startTime)
 	c.SetLoad(returns, startTime)
-	empties := actionsWithVerb(c.Step(startTime), fleet.DrainWorker)
-	require.Len(t, empties, 1)
-	assert.Equal(t, "vm-4", empties[0].VM)
+	drains := actionsWithVerb(c.Step(startTime), fleet.DrainWorker)
+	require.Len(t, drains, 1)
+	assert.Equal(t, "vm-4", drains[0].VM)
 	assert.Empty(t, actionsWithVerb(c.Step(startTime), fleet.MoveVM))
 	c.HandleDrainResult("vm-4", "w-4", workload.Drained, startTime)
 	moves := actionsWithVerb(c.Step(startTime), fleet.MoveVM)
--- a/internal/fleetowner/actions.go
+++ b/internal/fleetowner/actions.go
@@ -37,25 +37,25 @@
 // drainWorker asks for a worker to be emptied, and once more where its process has not answered
 // lately: the next step would be late for a pool that waits for the VM.
 func (o *Owner) drainWorker(ctx context.Context, a fleet.Action) {
-	state, askedAt := o.requestDrain(ctx, a)
+	state, requestedAt := o.requestDrain(ctx, a)
 	if state == workload.DrainedUnconfirmed {
 		wait.Pause(ctx, unconfirmedDrainRetryDelay)
-		state, askedAt = o.requestDrain(ctx, a)
+		state, requestedAt = o.requestDrain(ctx, a)
 	}
 	o.enqueue(ctx, func(c *fleet.Core, _ time.Time) {
 		delete(o.drainsInFlight, a.Worker)
-		c.HandleDrainResult(a.VM, a.Worker, state, askedAt)
+		c.HandleDrainResult(a.VM, a.Worker, state, requestedAt)
 	})
 }
 
 // requestDrain asks a worker's owner, and returns what it said and when it was asked.
-func (o *Owner) requestDrain(ctx context.Context, a fleet.Action) (state workload.DrainState, askedAt time.Time) {
-	askedAt = time.Now()
+func (o *Owner) requestDrain(ctx context.Context, a fleet.Action) (state workload.DrainState, requestedAt time.Time) {
+	requestedAt = time.Now()
 	state, ok := o.deps.Services.RequestDrain(ctx, a.Pool, a.Worker)
 	if !ok {
-		return workload.NotDrained, askedAt
+		return workload.NotDrained, requestedAt
 	}
-	return state, askedAt
+	return state, requestedAt
 }
 
 // vmKeyPrefix is the key of what is stored of a VM.
--- a/internal/ownership/authority_test.go
+++ b/internal/ownership/authority_test.go
@@ -267,10 +267,10 @@
 	owned          []platform.Partition
 }
 
-func (s *memberStub) set(answered time.Time, held ...platform.Partition) {
+func (s *memberStub) set(joinAnsweredAt time.Time, owned ...platform.Partition) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.joinAnsweredAt, s.owned = answered, held
+	s.joinAnsweredAt, s.owned = joinAnsweredAt, owned
 }
 
 func (s *memberStub) LastJoin(context.Context, string) (LastJoin, error) {
--- a/internal/ownership/cluster_test.go
+++ b/internal/ownership/cluster_test.go
@@ -59,8 +59,8 @@
 // Sizes of the fleets that are played. Fifteen of a hundred VMs are strong, as where an
 // operator adds small VMs to carry callers.
 const (
-	strongCores        = 800
-	weakCores          = 192
+	strongMilliCores   = 800
+	weakMilliCores     = 192
 	strongShare        = 0.15
 	partitionsPerTopic = 24
 	partitionsWithWork = 6 // partitions in which work lies
@@ -99,9 +99,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{t: t, group: newStickyGroup(partitionsPerTopic), ownerByPartition: map[platform.Partition]*clusterNode{}, ownerStarts: map[platform.Partition]int{}}
 		for i := range strong + weak {
-			n := &clusterNode{name: fmt.Sprintf("node-%04d", i), milliCores: weakCores}
+			n := &clusterNode{name: fmt.Sprintf("node-%04d", i), milliCores: weakMilliCores}
 			if i < strong {
-				n.milliCores = strongCores
+				n.milliCores = strongMilliCores
 			}
 			c.nodes = append(c.nodes, n)
 		}
@@ -110,7 +110,7 @@
 	})
 }
 
-func (c *cluster) isStrong(n *clusterNode) bool { return n.milliCores == strongCores }
+func (c *cluster) isStrong(n *clusterNode) bool { return n.milliCores == strongMilliCores }
 
 // start starts nodes over startSpread, in an order that mixes the strong and the weak.
 func (c *cluster) start(which func(*clusterNode) bool) {
