--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -1,8 +1,28 @@
-// Package fleet decides on VMs: which go through maintenance now, and which
-// change their pool. It is pure; the fleet's owner feeds it and carries its
-// orders out. A VM is emptied before it is ordered: its worker's owner lets what
-// is short finish, moves what has a checkpoint and keeps the budgets of lasting
-// tasks.
+// Package fleet decides which VMs go through maintenance and which VMs move to another pool.
+//
+// Core is a pure state machine. The fleet's owner (package fleetowner) feeds it the waves, the
+// list of VMs, the loads of the services and the results of calls, and carries out the Actions
+// that Step returns.
+//
+// A VM is drained before it is ordered away: the owner of its worker lets short tasks finish,
+// moves tasks that have a checkpoint, and keeps to the MaxUnavailable of long-running tasks. An
+// order is given only while the worker is known to run nothing. Spare VMs are off and need no
+// drain.
+//
+// A maintenance wave has as many VMs in work at once as it needs to be done within waveTargetShare
+// of its window, at most its MaxConcurrent. VMs with long-running tasks begin first, a few per
+// pool at once, because they can only be drained one after another. Of the others, the VM whose
+// absence costs least comes next. A wave is completed once every VM of it that is listed has had
+// its maintenance ordered, or rejected by the platform as not applicable.
+//
+// Moves follow the need of the pools. The need of a pool is computed from its load and from the
+// rate at which jobs arrive. If there are too few VMs for all, each pool is limited to its fair
+// share. Pools whose tasks wait for a label or size that no free VM of theirs has get such VMs.
+// Other pools in need get spare VMs first, then the least used VMs of pools that have more than
+// they have needed lately. VMs with long-running tasks are not moved. A VM that its pool has not
+// needed for a while returns to the spare pool.
+//
+// A new owner leaves VMs that an earlier owner has ordered alone for EarlierOrderQuietPeriod.
 package fleet
 
 import (
@@ -13,78 +33,78 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Settings of a Core.
+// Settings configures a Core.
 type Settings struct {
-	MigrationTime   time.Duration // of a VM to another pool
-	MaintenanceTime time.Duration // of a VM
-	// EarlierOrderQuietPeriod is how long a new owner leaves VMs alone that an earlier one has
-	// ordered: orders of two holders for one VM are to be this far apart.
+	MigrationTime   time.Duration // duration of a VM's move to another pool
+	MaintenanceTime time.Duration // duration of a VM's maintenance
+	// EarlierOrderQuietPeriod is how long a new owner leaves a VM alone that an earlier owner has
+	// ordered. The platform requires this time between orders of two holders for one VM.
 	EarlierOrderQuietPeriod time.Duration
 }
 
-// Times that decisions rest on.
+// Time limits of decisions.
 const (
-	// returnGracePeriod is what a VM may take longer than told to come back, and the
-	// list to show it.
+	// returnGracePeriod is how much longer than its order takes a VM may need to come back and to
+	// appear in the list.
 	returnGracePeriod = 4 * time.Second
-	// inFlightOrderSlack is added to the time that a VM is left alone, for an order of
-	// the earlier owner that is on its way.
+	// inFlightOrderSlack is added to the quiet period for an order of the earlier owner that was
+	// in flight at the takeover.
 	inFlightOrderSlack = 500 * time.Millisecond
 	// maxClockSkew is how far the clocks of two nodes may be apart.
 	maxClockSkew = 2500 * time.Millisecond
-	// orderRetryInterval is the pause after an order that was not taken.
+	// orderRetryInterval is the pause after an order that was not accepted.
 	orderRetryInterval = 400 * time.Millisecond
-	// waveTargetShare is the part of a wave's time in which it is to be done; the rest
-	// is for what comes between.
+	// waveTargetShare is the share of a wave's window within which the wave should be done. The
+	// rest is reserve for disturbances.
 	waveTargetShare = 0.6
-	// drainAndReturnTime is what one VM's maintenance takes with emptying it and its
-	// return, without the maintenance itself.
+	// drainAndReturnTime is how long draining a VM for maintenance and its return take, without
+	// the maintenance itself.
 	drainAndReturnTime = 2 * time.Second
-	// slowDrainThreshold is how long a VM may take to be emptied before another one of its
-	// pool is taken along.
+	// slowDrainThreshold is how long a VM may take to be drained before its wave takes another VM
+	// into maintenance in addition.
 	slowDrainThreshold = 3 * time.Second
 )
 
-// operationPhase is how far the work on a VM is.
+// operationPhase is the phase of an operation.
 type operationPhase int
 
 const (
 	phaseDraining       operationPhase = iota
 	phaseOrderInFlight                 // an order is in flight
-	phaseAwaitingReturn                // the order was taken; the VM is not back yet
+	phaseAwaitingReturn                // the order was accepted, the VM is not back yet
 )
 
-// operation is what is under way on a VM.
+// operation is a maintenance or a move of one VM that is under way.
 type operation struct {
 	vm             string
-	sourcePool     string // it was in
-	worker         string // it had
+	sourcePool     string // pool of the VM when the operation began
+	worker         string // worker of the VM
 	wave           int64  // 0 for a move
-	hadLongRunning bool   // the VM had lasting tasks when a wave's work began
-	targetPool     string // pool of a move
-	reason         string // of a move
+	hadLongRunning bool   // the VM had long-running tasks when its maintenance began
+	targetPool     string // target of a move
+	reason         string // reason of a move, for the log
 	phase          operationPhase
-	phaseSince     time.Time // of the phase
+	phaseSince     time.Time // start of the phase
 	retryAt        time.Time
-	// drainState is what the worker's owner said in answer to a question of askedAt, and to
-	// each one since saidSince.
+	// drainState is the answer of the worker's owner to the drain request sent at drainRequestedAt.
+	// All requests since drainStateSince had the same answer.
 	drainState                        workload.DrainState
 	drainRequestedAt, drainStateSince time.Time
-	moveExpiresAt                     time.Time // a move is dropped after this
-	// hasBeenListedAway is set once a list has shown the VM as away after its order: it may come back
-	// with a worker of the same ID.
+	moveExpiresAt                     time.Time // a move that has not been ordered by then is dropped
+	// hasBeenListedAway is set once a list requested after the order was accepted has shown the VM
+	// as away. Then the VM may come back with a worker of the same ID.
 	hasBeenListedAway bool
 }
 
 // waveProgress is what is known of a wave.
 type waveProgress struct {
 	wave          workload.Wave
-	firstSeenAt   time.Time // first seen here
+	firstSeenAt   time.Time //
 	doneVMs       map[string]bool
 	reportedState workload.WaveState
 }
 
-// Core holds what is under way. It is not safe for concurrent use.
+// Core holds the operations and waves that are under way. It is not safe for concurrent use.
 type Core struct {
 	settings          Settings
 	startedAt         time.Time
@@ -92,45 +112,45 @@
 	waves             map[int64]*waveProgress
 	vms               []workload.VM
 	vmsByID           map[string]workload.VM
-	vmListRequestedAt time.Time // when the list was asked for
+	vmListRequestedAt time.Time // when vms was requested
 	poolLoads         map[string]*poolLoad
 	sparePool         string
 	actions           []Action
-	// workerFirstListedAt is when a worker was listed first.
+	// workerFirstListedAt is when the first list that named a worker was requested.
 	workerFirstListedAt map[string]time.Time
-	// earlierOrders are the VMs that an earlier owner ordered.
+	// earlierOrders are the orders of earlier owners, by VM.
 	earlierOrders map[string]earlierOrder
-	// dirtyWaves are to be stored.
+	// dirtyWaves are the waves whose progress must be stored.
 	dirtyWaves map[int64]bool
 }
 
-// Verb says what an Action does.
+// Verb is the kind of an Action.
 type Verb int
 
-// The verbs.
+// Verbs of an Action.
 const (
-	DrainWorker Verb = iota // ask the worker's owner to empty it
-	MaintainVM              // begin maintenance
-	MoveVM                  // move to a pool
-	StoreWave               // store how far a wave is
+	DrainWorker Verb = iota // ask the worker's owner to drain it
+	MaintainVM              // begin the maintenance of a VM
+	MoveVM                  // move a VM to another pool
+	StoreWave               // store the progress of a wave
 )
 
-// Action is something to be done now.
+// Action is a call that the fleet's owner must make now.
 type Action struct {
 	Verb    Verb
 	VM      string
-	Pool    string // of the worker for Empty, the new one for Move
+	Pool    string // pool of the worker for DrainWorker, target pool for MoveVM
 	Worker  string
 	Wave    int64
 	State   workload.WaveState
-	DoneVMs []string // VMs of the wave, for Store
-	// ValidUntil is until when a Maintain or Move may be sent: the VM's worker is surely
-	// empty so long. Zero is for ever, as for a VM that is off.
+	DoneVMs []string // for StoreWave: VMs of the wave whose maintenance was ordered
+	// ValidUntil is until when a MaintainVM or MoveVM may be sent: the worker is known to run
+	// nothing until then. Zero means no limit, as for a VM that is off.
 	ValidUntil time.Time
 	Reason     string
 }
 
-// New returns a core of an owner that took over at now.
+// New returns a Core for an owner that took over at now.
 func New(cfg Settings, now time.Time) *Core {
 	return &Core{
 		settings:      cfg,
@@ -144,7 +164,7 @@
 	}
 }
 
-// SetWaves takes all waves that were asked for.
+// SetWaves records all waves that were requested.
 func (c *Core) SetWaves(waves []workload.Wave, now time.Time) {
 	for _, w := range waves {
 		if s, ok := c.waves[w.Number]; ok {
@@ -156,7 +176,7 @@
 	}
 }
 
-// RestoreWave takes what an earlier owner stored of a wave.
+// RestoreWave records the progress of a wave that an earlier owner stored.
 func (c *Core) RestoreWave(wave int64, doneVMs []string, now time.Time) {
 	s, ok := c.waves[wave]
 	if !ok {
@@ -168,17 +188,17 @@
 	}
 }
 
-// earlierOrder is an order of an earlier owner for a VM.
+// earlierOrder is an earlier owner's order for a VM.
 type earlierOrder struct {
-	wave       int64     // 0 for a move, AnyWave where it isn't known
-	quietUntil time.Time // the VM is left alone
+	wave       int64     // 0 for a move, UnknownWave if it is unknown
+	quietUntil time.Time // the VM is left alone until then
 }
 
-// UnknownWave stands for the wave of an order of which it isn't known what it was for.
+// UnknownWave stands for the wave of an order whose purpose is unknown.
 const UnknownWave = -1
 
-// RecordEarlierOrder notes that an earlier owner has ordered a VM at a time by its
-// clock, for a wave or, with 0, to another pool.
+// RecordEarlierOrder records that an earlier owner ordered a VM at orderedAt, by the clock of
+// that owner, for a wave or, if wave is 0, to another pool.
 func (c *Core) RecordEarlierOrder(vm string, wave int64, orderedAt time.Time) {
 	quietUntil := orderedAt.Add(c.settings.EarlierOrderQuietPeriod + maxClockSkew)
 	if latest := c.startedAt.Add(c.settings.EarlierOrderQuietPeriod + inFlightOrderSlack); quietUntil.After(latest) {
@@ -187,12 +207,12 @@
 	c.earlierOrders[vm] = earlierOrder{wave: wave, quietUntil: quietUntil}
 }
 
-// canOrder tells whether a VM may be ordered by this owner yet.
+// canOrder reports whether the quiet period after an earlier owner's order for a VM has ended.
 func (c *Core) canOrder(vm string, now time.Time) bool {
 	return !now.Before(c.earlierOrders[vm].quietUntil)
 }
 
-// SetVMs takes the list of VMs that was asked for at a time.
+// SetVMs records the list of VMs that was requested at requestedAt.
 func (c *Core) SetVMs(vms []workload.VM, requestedAt time.Time) {
 	slices.SortFunc(vms, func(a, b workload.VM) int { return cmp.Compare(a.ID, b.ID) })
 	c.vms = vms
@@ -212,7 +232,7 @@
 	c.workerFirstListedAt = firstListedAt
 }
 
-// SetConfig takes the services; one of them may be the spare pool.
+// SetConfig sets the spare pool from the services; there may be none.
 func (c *Core) SetConfig(config *workload.Config) {
 	c.sparePool = ""
 	for _, s := range config.Services {
@@ -222,7 +242,7 @@
 	}
 }
 
-// Step returns what is due.
+// Step returns the actions that are due.
 func (c *Core) Step(now time.Time) []Action {
 	c.actions = nil
 	c.finishReturned(now)
@@ -235,7 +255,7 @@
 	return c.actions
 }
 
-// finishReturned ends works whose VM is back.
+// finishReturned ends operations whose VM is back, or has been away for longer than expected.
 func (c *Core) finishReturned(now time.Time) {
 	for id, op := range c.operations {
 		if op.phase != phaseAwaitingReturn {
@@ -257,7 +277,8 @@
 	}
 }
 
-// advanceDrains carries works on: asks for emptying, and orders what is empty.
+// advanceDrains requests drains, and orders the VMs that are drained. It drops the operation of
+// a VM that has left its pool or whose state has changed otherwise, and moves that have expired.
 func (c *Core) advanceDrains(now time.Time) {
 	for _, id := range c.operationIDs() {
 		op := c.operations[id]
@@ -267,14 +288,14 @@
 		vm, known := c.vmsByID[id]
 		switch {
 		case !known || vm.State != workload.VMUp && vm.State != workload.VMDown || vm.Pool != op.sourcePool:
-			delete(c.operations, id) // it left, or something else happened to it
+			delete(c.operations, id) // the VM has left its pool, or its state has changed otherwise
 		case op.wave == 0 && now.After(op.moveExpiresAt):
 			delete(c.operations, id)
 		case !c.canOrder(id, now):
 		case vm.Pool == c.sparePool || vm.Worker == op.worker && c.isDrained(op, now):
 			c.issueOrder(op, now) // spare VMs are off and run nothing
 		case vm.Worker == "":
-			// The list lags: its worker may be there already, with tasks.
+			// The list lags: the VM's worker may already run tasks.
 		default:
 			if op.worker != vm.Worker {
 				op.worker = vm.Worker
@@ -285,9 +306,10 @@
 	}
 }
 
-// isDrained tells whether a VM's worker surely runs nothing. Where its process hasn't
-// answered, its successor may be there by now and run tasks, which an order would cut, and
-// the list lags.
+// isDrained reports whether the worker of a VM certainly runs nothing. If the worker's process
+// has not answered lately, its successor may already run tasks on the VM that an order would
+// end, and the list lags. DrainedUnconfirmed therefore counts only with a recent list that was
+// requested after the first such answer.
 func (c *Core) isDrained(op *operation, now time.Time) bool {
 	if now.Sub(op.drainRequestedAt) >= drainStateValidity {
 		return false
@@ -296,12 +318,12 @@
 		op.drainState == workload.DrainedUnconfirmed && c.vmListRequestedAt.After(op.drainStateSince) && now.Sub(c.vmListRequestedAt) < maxVMListAge
 }
 
-// maxVMListAge is how old the list may be to name the worker that is there: one takes
-// longer to start, register and get its first task.
+// maxVMListAge is how old the list may be for the worker that it names to be the one on the VM:
+// a new worker takes longer to start, to register and to get its first task.
 const maxVMListAge = 600 * time.Millisecond
 
-// drainStateValidity is how long it counts that a worker is vacant: its owner keeps it closed
-// for a while after the last wish.
+// drainStateValidity is how long a drain state counts after its request. The worker's owner keeps
+// the worker closed to new tasks for longer than this after the last drain request.
 const drainStateValidity = time.Second
 
 func (c *Core) issueOrder(op *operation, now time.Time) {
@@ -309,7 +331,7 @@
 	op.phaseSince = now
 	a := Action{Verb: MoveVM, VM: op.vm, Pool: op.targetPool, Reason: op.reason}
 	if op.wave != 0 {
-		a = Action{Verb: MaintainVM, VM: op.vm, Wave: op.wave, Reason: "emptied for maintenance"}
+		a = Action{Verb: MaintainVM, VM: op.vm, Wave: op.wave, Reason: "drained for maintenance"}
 	}
 	if op.drainState != workload.NotDrained {
 		a.ValidUntil = op.drainRequestedAt.Add(drainStateValidity)
@@ -317,9 +339,9 @@
 	c.actions = append(c.actions, a)
 }
 
-// HandleDrainResult takes the answer to an Empty that was asked at a time. The answer counts
-// from then: a process that stood still since would take it for a fresh one, while
-// the worker is open again and runs tasks.
+// HandleDrainResult records the answer to a DrainWorker requested at requestedAt. The answer's age
+// counts from the request: if it counted from the arrival, a process that stood still in between
+// would treat the answer as fresh although the worker is open again and runs tasks.
 func (c *Core) HandleDrainResult(vm, worker string, state workload.DrainState, requestedAt time.Time) {
 	op := c.operations[vm]
 	if op == nil || op.phase != phaseDraining || op.worker != worker {
@@ -332,18 +354,19 @@
 	op.drainRequestedAt = requestedAt
 }
 
-// OrderResult is how an order for a VM ended.
+// OrderResult is the outcome of an order for a VM.
 type OrderResult int
 
 // Results of an order.
 const (
 	OrderAccepted       OrderResult = iota
-	OrderRefused                    // not carried out, may be tried again
-	OrderInvalid                    // makes no sense (any more)
+	OrderRefused                    // not carried out, may be retried
+	OrderInvalid                    // not applicable, or no longer
 	OrderOutcomeUnknown             // may have been carried out
 )
 
-// HandleOrderResult takes the outcome of a Maintain or Move.
+// HandleOrderResult records the outcome of a MaintainVM or MoveVM. A refused order, or one with an
+// unknown outcome, is repeated after another drain request.
 func (c *Core) HandleOrderResult(vm string, result OrderResult, now time.Time) {
 	op := c.operations[vm]
 	if op == nil || op.phase != phaseOrderInFlight {
@@ -358,7 +381,7 @@
 			c.dirtyWaves[op.wave] = true
 		}
 	case OrderRefused, OrderOutcomeUnknown:
-		// Ordering again what was carried out is answered as taken.
+		// Repeating an order that was carried out is answered as accepted.
 		op.phase = phaseDraining
 		op.drainState = workload.NotDrained
 		op.retryAt = now.Add(orderRetryInterval)
@@ -380,7 +403,8 @@
 	return ids
 }
 
-// NeedsFrequentVMLists tells whether the list of VMs is needed often.
+// NeedsFrequentVMLists reports whether the list of VMs is needed often: no VM is known yet, an
+// operation is under way, or a wave is not completed.
 func (c *Core) NeedsFrequentVMLists() bool {
 	if len(c.operations) > 0 || len(c.vms) == 0 {
 		return true
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -9,66 +9,66 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Rules for telling a change of demand from chance.
+// Parameters for telling a change of demand from random fluctuation.
 const (
-	// significanceLevel is how improbable a count of arrivals must be at the rate that is
-	// taken for the present one to show another rate. At five looks a second it
-	// mistakes chance for a change about once a minute.
+	// significanceLevel is how improbable a count of arrivals must be at the current rate to show
+	// that the rate has changed. At five samples a second, a random fluctuation is mistaken for a
+	// change about once a minute.
 	significanceLevel = 0.004
-	// maxRateWindow is the longest time whose arrivals the rate rests on (1.2 s gave less
-	// on four of five days), and longest is how long arrivals are remembered.
+	// maxRateWindow is the longest time over which the rate is computed; 1.2 s earned less on four
+	// of five days. arrivalRetention is how long samples are kept.
 	maxRateWindow    = 3 * time.Second
 	arrivalRetention = 4 * time.Second
-	// smallSampleJobs is the number of jobs below which a rate that was just found is taken
-	// as one job lower: the window begins where jobs came closely, so it counts one
-	// too many.
+	// smallSampleJobs is the number of jobs below which a new, higher rate is computed from one job
+	// less: the window begins where jobs came close together and so counts one too many.
 	smallSampleJobs = 8
-	// meanWorkWindowJobs is over how many jobs the mean work of a job is averaged. Jobs of
-	// one service differ several times in size.
+	// meanWorkWindowJobs is the number of jobs over which the mean work of a job is averaged. Jobs
+	// of one service differ in size by several times.
 	meanWorkWindowJobs = 24
 )
 
-// changeWindows are the times over which arrivals are compared with the rate that is
-// taken for the present one: short ones show a large change at once, long ones a
-// small one.
+// changeWindows are the windows whose arrivals are compared with the current rate: short windows
+// show a large change at once, long windows a small one.
 var changeWindows = []time.Duration{200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond, 1600 * time.Millisecond}
 
-// Rules for a rise of demand.
+// Parameters for a rise of demand.
 const (
-	// trendWindow is the time that is compared with the one before it: a third of the
-	// time in which a peak rises, and three looks at the load.
+	// trendWindow is the window that is compared with the one before it. It is a third of the time
+	// in which a peak rises, and spans three samples.
 	trendWindow = 600 * time.Millisecond
-	// minTrendJobs is how many jobs must have arrived within it: a few are chance.
+	// minTrendJobs is how many jobs must have arrived in the window; fewer may be a random
+	// fluctuation.
 	minTrendJobs = 4
-	// minTrendSigmas is by how many standard deviations it must have brought more: chance
-	// does so in one look of fifteen, which costs a few moves.
+	// minTrendSigmas is by how many standard deviations the window must have more arrivals than the
+	// one before. Random fluctuation reaches it in one sample of fifteen, which costs a few moves.
 	minTrendSigmas = 1.5
-	// maxTrendFactor is how many times the present rate a rise may lead to. A peak rises to
-	// its full rate within some 2 s, of which trendSpan is seen.
+	// maxTrendFactor bounds the forecast, as a multiple of the current rate. A peak rises to its
+	// full rate within about 2 s, of which trendWindow is seen.
 	maxTrendFactor = 6
 )
 
-// demand is the rate at which jobs arrive at a pool. It takes arrivals for a
-// process whose rate stays as it is for a time and then jumps, as where services
-// peak one after the other: a jump shows in a few hundred milliseconds.
+// demand estimates the rate at which jobs arrive at a pool. It models arrivals as a Poisson
+// process whose rate is constant for a time and then jumps, as where services peak one after
+// another. A jump shows within a few hundred milliseconds.
 type demand struct {
 	samples   []arrivalSample
-	rate      float64   // jobs a second
-	rateSince time.Time // the rate rests on the jobs that arrived from then on
-	// meanJobWork is the mean work of a job.
+	rate      float64   // jobs per second
+	rateSince time.Time // the rate is computed from the jobs that arrived after this
+	// meanJobWork is the moving average of the work of a job.
 	meanJobWork struct{ coreMS, mbMS, jobs float64 }
 }
 
-// arrivalSample is what had arrived at a time.
+// arrivalSample is the total of all arrivals at a time.
 type arrivalSample struct {
 	at    time.Time
 	total workload.Work
 }
 
-// observe takes what has arrived by now. It tells whether the rate has fallen.
+// observe records the total of all arrivals by now. It reports whether the rate has fallen to less
+// than half.
 func (d *demand) observe(total workload.Work, now time.Time) (hasFallen bool) {
 	if n := len(d.samples); n > 0 && total.Jobs < d.samples[n-1].total.Jobs {
-		d.samples = nil // another owner counts anew; the rate is as it was
+		d.samples = nil // a new owner counts from zero; the rate stays
 	}
 	if len(d.samples) == 0 {
 		d.rateSince = now
@@ -86,7 +86,7 @@
 	return d.rate < previousRate/2
 }
 
-// updateMeanJobWork averages the work of jobs.
+// updateMeanJobWork adds the jobs that arrived between two samples to the average.
 func (d *demand) updateMeanJobWork(before, after workload.Work) {
 	jobs := float64(after.Jobs - before.Jobs)
 	if jobs <= 0 {
@@ -99,7 +99,8 @@
 	d.meanJobWork.jobs += jobs
 }
 
-// detectRateChange looks for a time whose arrivals contradict the rate, the shortest first.
+// detectRateChange looks for a window, the shortest first, whose arrivals are improbable at the
+// current rate, and sets the rate from it. It reports whether it found one.
 func (d *demand) detectRateChange(now time.Time) bool {
 	for _, window := range changeWindows {
 		jobs, seconds, ok := d.arrivalsSince(now.Add(-window))
@@ -116,7 +117,8 @@
 	return false
 }
 
-// refineRate sharpens the rate by all jobs since it was found.
+// refineRate recomputes the rate from all jobs that arrived since it last changed, within
+// maxRateWindow.
 func (d *demand) refineRate(now time.Time) {
 	from := now.Add(-maxRateWindow)
 	if d.rateSince.After(from) {
@@ -130,8 +132,8 @@
 	}
 }
 
-// arrivalsSince counts the jobs of the time from a mark at or before from until the
-// latest. ok is false while arrivals aren't known for so long.
+// arrivalsSince counts the jobs between the latest sample at or before from and the last sample.
+// ok is false if the samples don't reach back that far.
 func (d *demand) arrivalsSince(from time.Time) (jobs int64, seconds float64, ok bool) {
 	last := d.samples[len(d.samples)-1]
 	for i := len(d.samples) - 2; i >= 0; i-- {
@@ -142,8 +144,8 @@
 	return 0, 0, false
 }
 
-// forecastRate is the rate after a time if it goes on rising as it does now, the present
-// one where it doesn't rise.
+// forecastRate returns the rate after horizon if it goes on rising as it does now, and the current
+// rate if it doesn't rise.
 func (d *demand) forecastRate(horizon time.Duration) float64 {
 	now := d.samples[len(d.samples)-1].at
 	recentJobs, recentSeconds, ok := d.arrivalsSince(now.Add(-trendWindow))
@@ -161,14 +163,14 @@
 	return max(d.rate, min(maxTrendFactor*recentRate, recentRate+slope*(recentSeconds/2+horizon.Seconds())))
 }
 
-// vmsForRate is how many VMs of a size jobs that arrive at a rate would fill.
+// vmsForRate returns how many VMs of a size are filled by jobs that arrive at a rate.
 func (d *demand) vmsForRate(rate float64, size workload.Resources) float64 {
 	cores := rate * d.meanJobWork.coreMS / float64(max(1, size.CPU))
 	memory := rate * d.meanJobWork.mbMS / 1000 / float64(max(1, size.MemoryMB))
 	return max(cores, memory)
 }
 
-// isImprobable tells whether a count is improbable for a Poisson variable of a mean.
+// isImprobable reports whether a count is improbable for a Poisson variable with the given mean.
 func isImprobable(count int64, mean float64) bool {
 	arrivals := distuv.Poisson{Lambda: max(mean, minPoissonMean)}
 	if float64(count) > mean {
@@ -177,5 +179,5 @@
 	return arrivals.CDF(float64(count)) < significanceLevel
 }
 
-// minPoissonMean stands for a mean of 0, for which the distribution is not defined.
+// minPoissonMean replaces a mean of 0, for which the distribution is not defined.
 const minPoissonMean = 1e-9 // jobs
--- a/internal/fleet/labels.go
+++ b/internal/fleet/labels.go
@@ -8,10 +8,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// startMovesForUnmetRequirements moves VMs to pools whose tasks wait for want of VMs that may run them,
-// for their label or size. The pool's load alone would bring any VMs, which these
-// tasks can't use, and they would wait however many it gets. It begins limit moves
-// at most and returns how many it has begun.
+// startMovesForUnmetRequirements moves VMs to pools whose tasks wait for a label or size that none
+// of their free VMs has. The pool's load alone would bring any VMs; these tasks can't use those and
+// would wait however many came. It starts at most limit moves and returns how many it has started.
 func (c *Core) startMovesForUnmetRequirements(balances []poolBalance, limit int, now time.Time) int {
 	started := 0
 	for i := range balances {
@@ -23,8 +22,8 @@
 				if !ok {
 					break
 				}
-				c.startMove(vm, b.pool, balances, now, fmt.Sprintf("%s has no room for tasks with label %q", b.pool, requirement.Label))
-				b.keepFromSpare = max(b.keepFromSpare, b.vms) // it is not to send another one away for it
+				c.startMove(vm, b.pool, balances, now, fmt.Sprintf("%s has no free capacity for tasks with label %q", b.pool, requirement.Label))
+				b.keepFromSpare = max(b.keepFromSpare, b.vms) // the pool must not send another VM away for it
 				started++
 			}
 		}
@@ -32,7 +31,7 @@
 	return started
 }
 
-// vmsRequired is how many VMs of a kind a pool is to get.
+// vmsRequired returns how many VMs that meet a requirement a pool must get.
 func (c *Core) vmsRequired(pool string, requirement workload.UnmetRequirement) int {
 	if requirement.NoFeasibleWorker {
 		return 1
@@ -41,8 +40,8 @@
 	return max(1, int(math.Ceil(shareOf(demanded, size))))
 }
 
-// vmsInTransit is how many VMs that may run what a pool lacks are on their way to it, or
-// have come just now.
+// vmsInTransit returns how many VMs that meet a requirement are on their way to a pool or have just
+// joined it.
 func (c *Core) vmsInTransit(pool string, requirement workload.UnmetRequirement, now time.Time) int {
 	n := 0
 	for _, vm := range c.vms {
@@ -59,9 +58,9 @@
 	return n
 }
 
-// findCapableVM finds a VM elsewhere that may run what a pool lacks: a spare one, else the
-// one with the least in use. Where the pool has some such VMs, others give theirs
-// only if they have more than they need, or nothing runs there.
+// findCapableVM finds a VM outside of a pool that meets the pool's requirement: a spare VM, otherwise
+// the VM with the least in use. If the pool has feasible workers already, other pools give a VM only
+// if they have more than they need or nothing runs on it.
 func (c *Core) findCapableVM(pool string, requirement workload.UnmetRequirement, balances []poolBalance, now time.Time) (workload.VM, bool) {
 	for _, vm := range c.vms {
 		if c.isAvailableSpare(vm, now) && vm.CanRun(requirement, c.effectiveCapacity(vm)) {
@@ -74,7 +73,7 @@
 	for _, b := range balances {
 		l := c.poolLoads[b.pool]
 		if b.pool == pool || requirement.Label != "" && l.load.DemandByLabel[requirement.Label].CPU > 0 {
-			continue // it would take the VM back at once, and each move costs seconds
+			continue // that pool would take the VM back at once, and each move costs seconds
 		}
 		for _, vm := range c.vms {
 			if vm.Pool != b.pool || !vm.CanRun(requirement, c.effectiveCapacity(vm)) || !c.isMovable(vm, l, now) {
@@ -92,8 +91,8 @@
 	return leastUsed, found
 }
 
-// bestSpareVM finds the spare VM whose labels are asked for most in a pool, as its
-// kind and the rack of the data; any where none is.
+// bestSpareVM finds the spare VM whose labels, such as its kind or its rack, are in the highest demand
+// in a pool; any spare VM if no label is in demand.
 func (c *Core) bestSpareVM(pool string, now time.Time) (workload.VM, bool) {
 	var best workload.VM
 	found := false
@@ -109,8 +108,8 @@
 	return best, found
 }
 
-// demandedCPU is how much processor time waiting tasks of a pool ask for with a VM's
-// labels, in thousandths of a core.
+// demandedCPU returns how much processor time, in millicores, the waiting tasks of a pool ask for with
+// the labels of a VM.
 func (c *Core) demandedCPU(pool string, vm workload.VM) int {
 	l := c.poolLoads[pool]
 	if l == nil {
--- a/internal/fleet/moves.go
+++ b/internal/fleet/moves.go
@@ -10,51 +10,51 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Rules of moves between pools. Users weigh what a VM costs in a pool for a
-// second, and a move, at a fifteenth of what a well used VM earns in a second. So
-// a pool in demand gets VMs early and amply, and keeps them a while.
+// Parameters of moves between pools. The cost of a VM in a pool for one second, and the cost of a
+// move, are each weighted as a fifteenth of what a well used VM earns in a second. So a pool in demand
+// gets VMs early and amply, and keeps them for a while.
 const (
-	// headroomFactor is what a pool gets beyond what it is expected to need, as a share.
+	// headroomFactor multiplies the expected need of a pool.
 	headroomFactor = 1.1
-	// moveLeadTime is how long it takes from an order to a worker that serves: emptying
-	// the VM, the migration, and the worker's registration.
+	// moveLeadTime is the time from an order to a worker that runs tasks: the drain, the migration
+	// and the registration of the new worker.
 	moveLeadTime = 2300 * time.Millisecond
-	// backlogTargetTime is the time in which waiting work is to be served.
+	// backlogTargetTime is the time within which waiting work should be served.
 	backlogTargetTime = time.Second
-	// poolReleaseDelay is how long a pool keeps what it has needed: a need that comes
-	// back within it costs no move.
+	// poolReleaseDelay is how long a pool keeps VMs that it has needed. A need that returns within
+	// this time costs no move.
 	poolReleaseDelay = 1200 * time.Millisecond
-	// spareReleaseDelay is how long a pool keeps VMs that only the spare pool would get.
-	// A VM sent there and back costs about as much as one that idles for 4 s.
+	// spareReleaseDelay is how long a pool keeps VMs that only the spare pool would get. Sending a
+	// VM there and back costs about as much as an idle VM does in 4 s.
 	spareReleaseDelay = 4 * time.Second
-	// minPoolVMs is how many VMs a pool keeps at least.
+	// minPoolVMs is the least number of VMs that a pool keeps.
 	minPoolVMs = 2
-	// spreadReserveVMs is how many VMs a pool has beyond those that its lasting tasks
-	// must lie on, so that one can be replaced at once.
+	// spreadReserveVMs is how many VMs a pool has beyond those over which its long-running tasks
+	// must be spread, so that one of them can be replaced at once.
 	spreadReserveVMs = 1
 	// maxMovesShare bounds the moves under way at once, as a share of all VMs.
 	maxMovesShare = 0.7
-	// moveDrainTimeout is how long a move may wait for its VM to be emptied.
+	// moveDrainTimeout is how long a move may wait for its VM to be drained.
 	moveDrainTimeout = 1500 * time.Millisecond
-	// workerJoinTimeout is how long a worker may take from the list of VMs to its first
-	// answer to the owner of its service. One that takes longer counts as lost.
+	// workerJoinTimeout is how long a worker may take from the first list that names it to its first
+	// answer to the owner of its service. After that a worker without an answer counts as lost.
 	workerJoinTimeout = 3 * time.Second
-	// drainGracePeriod is how long a VM may take to be emptied before its pool counts as
-	// short of it. Most are empty, and back, sooner than another could come.
+	// drainGracePeriod is how long a VM may take to be drained before its pool no longer counts it.
+	// Most VMs are drained, and back, sooner than another VM could come.
 	drainGracePeriod = 1200 * time.Millisecond
-	// maxLoadAge is how old a pool's load may be for decisions on it.
+	// maxLoadAge is the age up to which a pool's load is used for decisions.
 	maxLoadAge = 1500 * time.Millisecond
 )
 
-// poolLoad is what is known of a pool.
+// poolLoad is what is known of the load of a pool.
 type poolLoad struct {
 	load            workload.ServiceLoad
 	receivedAt      time.Time
-	firstReceivedAt time.Time // of the first load
+	firstReceivedAt time.Time // when the first load was received
 	demand          demand
-	needHistory     []needSample // of the last patientFor
-	// forecastNeed is how many VMs are to be there if demand goes on rising. VMs are brought
-	// for it, and not kept for it.
+	needHistory     []needSample // of the last spareReleaseDelay
+	// forecastNeed is how many VMs the pool needs if demand goes on rising. VMs are brought for the
+	// forecast, but not kept for it.
 	forecastNeed int
 }
 
@@ -64,7 +64,7 @@
 	vms int
 }
 
-// utilization is the share of a VM that is in use.
+// utilization returns the share of a VM that is in use.
 func (l *poolLoad) utilization(vm workload.VM) float64 {
 	w := l.load.Workers[vm.Worker]
 	if w.ReducedCapacity != nil {
@@ -73,8 +73,8 @@
 	return shareOf(w.Reserved, vm.Capacity)
 }
 
-// effectiveCapacity is what a VM has in all: what its worker says, which may have shrunk for a
-// while, else what the list of VMs says.
+// effectiveCapacity returns the total capacity of a VM: the reduced capacity that its worker reports,
+// if any, otherwise the capacity in the list of VMs.
 func (c *Core) effectiveCapacity(vm workload.VM) workload.Resources {
 	if l := c.poolLoads[vm.Pool]; l != nil && l.load.Workers[vm.Worker].ReducedCapacity != nil {
 		return *l.load.Workers[vm.Worker].ReducedCapacity
@@ -82,7 +82,7 @@
 	return vm.Capacity
 }
 
-// shareOf is the larger share of processors and memory that r takes of a VM.
+// shareOf returns the larger of the shares of CPU and memory that r takes of a VM.
 func shareOf(r, size workload.Resources) float64 {
 	return max(
 		float64(r.CPU)/float64(max(1, size.CPU)),
@@ -90,7 +90,7 @@
 	)
 }
 
-// SetLoad takes what a service's owner says of it.
+// SetLoad records the load of a service as reported by its owner.
 func (c *Core) SetLoad(load workload.ServiceLoad, now time.Time) {
 	l := c.poolLoads[load.Service]
 	if l == nil {
@@ -101,16 +101,15 @@
 	l.receivedAt = now
 	size := c.meanCapacity(load.Service)
 	if l.demand.observe(load.ArrivedWork, now) {
-		l.needHistory = nil // what was needed until now is of no more interest
+		l.needHistory = nil // what was needed before the fall is stale
 	}
 	l.needHistory = append(l.needHistory, needSample{at: now, vms: l.vmsNeeded(l.demand.rate, size)})
 	l.forecastNeed = max(l.needHistory[len(l.needHistory)-1].vms, l.vmsNeeded(l.demand.forecastRate(moveLeadTime), size))
 	l.needHistory = slices.DeleteFunc(l.needHistory, func(n needSample) bool { return now.Sub(n.at) > spareReleaseDelay })
 }
 
-// vmsNeeded is how many VMs a service needs for what it runs, what arrives at a rate,
-// what waits, and what will wait by the time at which VMs that are ordered now are
-// there.
+// vmsNeeded returns how many VMs a service needs for what it runs, for what arrives at a rate, for what
+// waits, and for what will wait by the time VMs that are ordered now arrive.
 func (l *poolLoad) vmsNeeded(rate float64, size workload.Resources) int {
 	currentVMs := shareOf(l.load.Reserved.Add(l.load.PendingDemand).Add(l.load.UpcomingDemand), size)
 	arrivingVMs := l.demand.vmsForRate(rate, size)
@@ -119,7 +118,6 @@
 	return max(n, l.minVMs())
 }
 
-// usableWorkers is how many workers do their part.
 func (l *poolLoad) usableWorkers() float64 {
 	n := 0
 	for _, w := range l.load.Workers {
@@ -130,7 +128,7 @@
 	return float64(n)
 }
 
-// minVMs is how many VMs a service needs for its lasting tasks alone.
+// minVMs returns how many VMs a service needs at least, also for its long-running tasks.
 func (l *poolLoad) minVMs() int {
 	if l.load.MinWorkers == 0 {
 		return minPoolVMs
@@ -138,7 +136,8 @@
 	return max(minPoolVMs, l.load.MinWorkers+spreadReserveVMs)
 }
 
-// meanCapacity is the mean capacity of a pool's workers; where it has none, of its VMs or all.
+// meanCapacity returns the mean capacity of a pool's workers as reported by the pool's owner, otherwise
+// the mean of the pool's VMs, otherwise the mean of all VMs.
 func (c *Core) meanCapacity(pool string) workload.Resources {
 	if l := c.poolLoads[pool]; l != nil && l.load.MeanWorkerCapacity != (workload.Resources{}) {
 		return l.load.MeanWorkerCapacity
@@ -159,22 +158,22 @@
 	return workload.Resources{CPU: total.CPU / n, MemoryMB: total.MemoryMB / n}
 }
 
-// poolBalance is a pool with what it has and needs.
+// poolBalance is what a pool has and what it needs.
 type poolBalance struct {
 	pool          string
-	vms           int // VMs that are there or on their way
-	needed        int // needed now
-	keepFromPools int // needed within keepFor: no other pool gets these
-	keepFromSpare int // needed within patientFor: nor does the spare pool
-	// minVMs is what lasting tasks need at least.
+	vms           int // usable VMs that are there or in transit
+	needed        int // VMs needed now
+	keepFromPools int // VMs needed within poolReleaseDelay; other pools get none of these
+	keepFromSpare int // VMs needed within spareReleaseDelay; the spare pool gets none of these
+	// minVMs is the least number of VMs, which includes those for long-running tasks.
 	minVMs int
-	// isBelowMin is set below the floor; such pools come first, as large ones in demand
-	// would take all there is.
+	// isBelowMin is set if vms is below minVMs. Such pools come first; otherwise large pools in
+	// demand would take all VMs.
 	isBelowMin bool
 }
 
-// planMoves brings VMs where they are needed: from pools that need them less,
-// and from the spare pool; what no pool needs goes back to it.
+// planMoves moves VMs to the pools that need them, from the spare pool and from pools that need them
+// less, and returns VMs that their pool does not need to the spare pool.
 func (c *Core) planMoves(now time.Time) {
 	balances := c.balances(now)
 	limitToFairShare(balances, c.availableSpares(now))
@@ -233,7 +232,7 @@
 	}
 }
 
-// balances lists the pools whose load is known.
+// balances returns the balances of all pools but the spare pool whose load is not older than maxLoadAge.
 func (c *Core) balances(now time.Time) []poolBalance {
 	var list []poolBalance
 	for pool, l := range c.poolLoads {
@@ -245,9 +244,9 @@
 			n := c.countFor(vm, pool, now)
 			b.vms += n
 			if op := c.operations[vm.ID]; n > 0 && op != nil && op.wave != 0 && op.hadLongRunning {
-				// It is about to be maintained, or is, and its lasting tasks need another
-				// one for seconds. With the floor's alone they would wait for each
-				// other, and the wave's next VMs for them.
+				// This VM is or will soon be under maintenance, and its long-running tasks need another VM
+				// for seconds. With only minVMs they would wait for each other, and the wave's next VMs
+				// would wait for them.
 				b.minVMs++
 			}
 		}
@@ -260,14 +259,15 @@
 		}
 		b.isBelowMin = b.vms < b.minVMs
 		if now.Sub(l.firstReceivedAt) < spareReleaseDelay {
-			b.keepFromSpare = max(b.keepFromSpare, b.vms) // not long enough known to be idle
+			b.keepFromSpare = max(b.keepFromSpare, b.vms) // not known for long enough to count as idle
 		}
 		list = append(list, b)
 	}
 	return list
 }
 
-// countFor is 1 for a VM that a pool has or will have when what is under way ends.
+// countFor returns 1 if a pool has a VM, or will have it when the current operation ends, and 0
+// otherwise.
 func (c *Core) countFor(vm workload.VM, pool string, now time.Time) int {
 	op := c.operations[vm.ID]
 	if op != nil && op.wave == 0 {
@@ -291,8 +291,8 @@
 	return 0
 }
 
-// hasUsableWorker tells whether a VM's worker does its part for its pool, or is about to.
-// The platform lists VMs as up whose worker has crashed or is cut off.
+// hasUsableWorker reports whether the worker of a VM is usable for its pool or has only just been
+// listed. The platform lists VMs as up whose worker has crashed or is cut off.
 func (c *Core) hasUsableWorker(vm workload.VM, now time.Time) bool {
 	if now.Sub(c.workerFirstListedAt[vm.Worker]) < workerJoinTimeout {
 		return true
@@ -301,7 +301,7 @@
 	return l != nil && l.load.Workers[vm.Worker].Usable
 }
 
-// isAvailableSpare tells whether a VM of the spare pool can be had.
+// isAvailableSpare reports whether a VM is in the spare pool and can be ordered now.
 func (c *Core) isAvailableSpare(vm workload.VM, now time.Time) bool {
 	isAway := vm.State == workload.VMMoving || vm.State == workload.VMMaintenance
 	return c.sparePool != "" && vm.Pool == c.sparePool && c.operations[vm.ID] == nil && !isAway && c.canOrder(vm.ID, now)
@@ -317,8 +317,8 @@
 	return n
 }
 
-// findDonor finds a VM for a pool: first a spare one, then one that idles in a pool
-// that has more than it needs.
+// findDonor finds a VM for a pool: a spare VM, otherwise the least used VM of a pool that has more than
+// it needs.
 func (c *Core) findDonor(balances []poolBalance, targetPool string, now time.Time) (workload.VM, bool) {
 	if vm, ok := c.bestSpareVM(targetPool, now); ok {
 		return vm, true
@@ -335,8 +335,8 @@
 	return workload.VM{}, false
 }
 
-// isMovable tells whether a VM may be taken from its pool, whose load is l: it does
-// its part there and has no lasting task, which would have to be stopped.
+// isMovable reports whether a VM may be taken from its pool, whose load is l: its worker is usable and
+// has no long-running task, which would have to be stopped.
 func (c *Core) isMovable(vm workload.VM, l *poolLoad, now time.Time) bool {
 	if vm.State != workload.VMUp || vm.Worker == "" || c.operations[vm.ID] != nil || !c.canOrder(vm.ID, now) {
 		return false
@@ -345,9 +345,8 @@
 	return known && load.Usable && load.LongRunningRuns == 0
 }
 
-// leastUsedVM finds the VM of a pool that is emptied soonest: the one with the least
-// in use. Lasting tasks would have to be stopped, so VMs with such are left.
-// With bare, nothing at all may run there.
+// leastUsedVM finds the movable VM of a pool that can be drained soonest: the VM with the least in use.
+// With onlyIdle, nothing at all may run on it.
 func (c *Core) leastUsedVM(pool string, onlyIdle bool, now time.Time) (workload.VM, bool) {
 	l := c.poolLoads[pool]
 	if l == nil || now.Sub(l.receivedAt) > maxLoadAge {
--- a/internal/fleet/ration.go
+++ b/internal/fleet/ration.go
@@ -1,10 +1,9 @@
 package fleet
 
-// limitToFairShare bounds what each pool may ask for where there are too few VMs for all:
-// none gets more than an equal share until those that ask for less have what they
-// ask for. Without it the pool that is furthest behind takes every VM and keeps
-// it, and the others serve nothing as long as it is behind; a forecast that is far
-// too high does the same. spares is how many VMs no pool has.
+// limitToFairShare limits the claims of pools if there are too few VMs for all: no pool gets more than an
+// equal share until the pools that claim less have what they claim. Without the limit the pool that is
+// furthest behind would take every VM and keep it, and the others would serve nothing in the meantime; a
+// forecast that is far too high would do the same. spares is the number of available spare VMs.
 func limitToFairShare(balances []poolBalance, spares int) {
 	remaining := spares
 	for _, b := range balances {
@@ -34,11 +33,10 @@
 	}
 }
 
-// claim is what the pool has a claim to.
+// claim returns how many VMs the pool asks for or keeps from other pools.
 func (b *poolBalance) claim() int { return max(b.needed, b.keepFromPools) }
 
-// limitClaim takes a claim back to a number of VMs, but never below what lasting tasks
-// need.
+// limitClaim reduces the claim to share, but not below minVMs.
 func (b *poolBalance) limitClaim(share int) {
 	limit := max(share, b.minVMs)
 	b.needed = min(b.needed, limit)
--- a/internal/fleet/waves.go
+++ b/internal/fleet/waves.go
@@ -9,8 +9,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// planWaves takes VMs into maintenance, as many at once as the wave's time asks
-// for and its cap allows.
+// planWaves takes VMs into maintenance, as many at once as each wave needs to finish in time and as its
+// MaxConcurrent allows.
 func (c *Core) planWaves(now time.Time) {
 	for _, n := range c.waveNumbers() {
 		s := c.waves[n]
@@ -38,15 +38,15 @@
 	c.operations[vm.ID] = &operation{vm: vm.ID, sourcePool: vm.Pool, worker: vm.Worker, wave: s.wave.Number, hadLongRunning: hasLongRunning, phaseSince: now}
 }
 
-// maxLongRunningDrainsPerPool is how many VMs with lasting tasks are emptied at once in each pool. A
-// step may miss a task or two at a time, so such VMs follow one another however many
-// are closed; the second and third keep the steps that the first has none of moving.
+// maxLongRunningDrainsPerPool is how many VMs with long-running tasks are drained at once in each pool.
+// MaxUnavailable lets a step miss only a task or two at a time, so such VMs are drained one after another
+// however many are closed. The second and third VM let steps move that have no task on the first.
 const maxLongRunningDrainsPerPool = 3
 
-// startLongRunningMaintenance takes VMs with lasting tasks into maintenance from the wave's beginning
-// on. Emptying one takes about a second, in which others of its pool must wait. Taken
-// last, as the most costly ones, they would end long after all others: 25 of them in a
-// pool take 25 s, whatever time the rest of the wave has left.
+// startLongRunningMaintenance takes VMs with long-running tasks into maintenance from the start of the
+// wave. Draining one takes about a second, during which others of its pool must wait. As the costliest VMs
+// they would otherwise come last and end long after the others: 25 of them in a pool take 25 s, whatever
+// time the wave has left.
 func (c *Core) startLongRunningMaintenance(s *waveProgress, pending []workload.VM, now time.Time) {
 	pendingByPool := map[string][]workload.VM{}
 	startedByPool := map[string]int{}
@@ -74,7 +74,7 @@
 	}
 }
 
-// pendingVMs lists the VMs of a wave that have not begun and are there.
+// pendingVMs returns the listed VMs of a wave whose maintenance has not been ordered.
 func (c *Core) pendingVMs(s *waveProgress) []workload.VM {
 	var pending []workload.VM
 	for _, id := range s.wave.VMs {
@@ -87,10 +87,10 @@
 	return pending
 }
 
-// WorkersByPool are, by pool, the workers whose VMs are yet to begin their maintenance.
+// WorkersByPool are the workers whose VMs have not begun their maintenance, by pool.
 type WorkersByPool map[string][]string
 
-// WorkersDueForMaintenance lists the workers that are to leave in a wave.
+// WorkersDueForMaintenance returns the workers that must leave because of a wave.
 func (c *Core) WorkersDueForMaintenance() WorkersByPool {
 	workers := WorkersByPool{}
 	for _, s := range c.waves {
@@ -103,8 +103,8 @@
 	return workers
 }
 
-// targetConcurrency is how many VMs of a wave are to be under way at once: enough to be done
-// in its share of the time, and no more, as each takes room from its pool.
+// targetConcurrency returns how many VMs of a wave must be in work at once for it to be done within
+// waveTargetShare of its window, and no more: each VM takes capacity from its pool.
 func (c *Core) targetConcurrency(s *waveProgress, vmsLeft int, now time.Time) int {
 	targetTime := time.Duration(float64(s.wave.Window) * waveTargetShare)
 	timeLeft := max(time.Second, targetTime-now.Sub(s.firstSeenAt))
@@ -113,17 +113,16 @@
 	slowDrains := 0
 	for _, op := range c.operations {
 		if op.wave == s.wave.Number && op.phase == phaseDraining && now.Sub(op.phaseSince) > slowDrainThreshold {
-			slowDrains++ // it waits for others' tasks; another VM goes on meanwhile
+			slowDrains++ // the VM waits for tasks on others; another VM goes on meanwhile
 		}
 	}
 	return min(n+slowDrains, max(1, s.wave.MaxConcurrent))
 }
 
-// vmsUnderMaintenance is how many VMs of a wave are away or about to be. An earlier owner's
-// orders count, too: by the list, and where they are too new for it by the word
-// that was stored ahead of them. Its moves don't: at a peak it has moved more VMs just
-// before than the wave may have away, and the wave would stand still for seconds
-// after each change of the owner.
+// vmsUnderMaintenance returns how many VMs of a wave are away or about to be. VMs that an earlier owner
+// ordered for the wave count as well: by the list, or, if the order is too recent for the list, by the
+// record stored before the order. An earlier owner's moves don't count: at a peak it may just have moved
+// more VMs than MaxConcurrent, and the wave would stand still for seconds after each change of owner.
 func (c *Core) vmsUnderMaintenance(s *waveProgress, now time.Time) int {
 	n, count := s.wave.Number, 0
 	for _, id := range s.wave.VMs {
@@ -136,11 +135,10 @@
 	return count
 }
 
-// canBelongTo tells whether the order may have been one of a wave.
+// canBelongTo reports whether the order may have been given for a wave.
 func (o earlierOrder) canBelongTo(wave int64) bool { return o.wave == wave || o.wave == UnknownWave }
 
-// cheapestVM picks the VM whose absence costs least: one without work, else one of the
-// pool with the most room left over.
+// cheapestVM returns the VM that can be ordered now and whose absence costs least.
 func (c *Core) cheapestVM(pending []workload.VM, now time.Time) (workload.VM, bool) {
 	best, lowestCost := -1, 0.0
 	for i, vm := range pending {
@@ -158,9 +156,11 @@
 	return pending[best], true
 }
 
-// absentVMCost weighs a VM of a pool that others are already away from.
+// absentVMCost is added to the cost of a VM for each VM of its pool with an operation under way.
 const absentVMCost = 1.0
 
+// maintenanceCost returns the cost of a VM's absence. It is 0 for a VM without a worker and for a spare VM.
+// For others it grows with the utilization, the long-running tasks and the operations on VMs of the pool.
 func (c *Core) maintenanceCost(vm workload.VM) float64 {
 	if vm.Worker == "" || vm.Pool == c.sparePool {
 		return 0
@@ -178,12 +178,12 @@
 	return cost
 }
 
-// queueWaveStores stores what has changed of the waves.
+// queueWaveStores queues a StoreWave for each wave whose progress has changed.
 func (c *Core) queueWaveStores() {
 	for _, n := range c.waveNumbers() {
 		s := c.waves[n]
 		if s.wave.VMs == nil {
-			continue // only an earlier owner's report of it was read so far
+			continue // only an earlier owner's record of it was read so far
 		}
 		state := workload.WaveRunning
 		if len(c.vms) > 0 && len(c.pendingVMs(s)) == 0 && !c.hasOrderInFlight(n) {
@@ -203,7 +203,7 @@
 	}
 }
 
-// hasOrderInFlight tells whether an order of a wave is in flight.
+// hasOrderInFlight reports whether an order of a wave is in flight.
 func (c *Core) hasOrderInFlight(wave int64) bool {
 	for _, op := range c.operations {
 		if op.wave == wave && op.phase == phaseOrderInFlight {
@@ -222,5 +222,5 @@
 	return numbers
 }
 
-// HandleStoreFailure takes back that a wave's state was stored.
+// HandleStoreFailure records that the state of a wave could not be stored. It is stored again.
 func (c *Core) HandleStoreFailure(wave int64) { c.dirtyWaves[wave] = true }
