--- a/internal/fleetowner/actions.go
+++ b/internal/fleetowner/actions.go
@@ -14,7 +14,7 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// execute carries out one action.
+// execute starts an action.
 func (o *Owner) execute(ctx context.Context, a fleet.Action) {
 	switch a.Verb {
 	case fleet.DrainWorker:
@@ -24,18 +24,18 @@
 		o.drainsInFlight[a.Worker] = true
 		o.startCall(ctx, func(ctx context.Context) { o.drainWorker(ctx, a) })
 	case fleet.MaintainVM, fleet.MoveVM:
-		go o.storeAndOrder(ctx, a) // bounded: one a VM
+		go o.storeAndOrder(ctx, a) // at most one per VM
 	case fleet.StoreWave:
-		go o.storeWave(ctx, a) // bounded: one a wave
+		go o.storeWave(ctx, a) // few: one per change of a wave
 	}
 }
 
-// unconfirmedDrainRetryDelay is how long an idle worker, which is polled once it is to be emptied, takes
-// to answer.
+// unconfirmedDrainRetryDelay is how long an idle worker, which its owner polls only once it is being
+// drained, takes to answer.
 const unconfirmedDrainRetryDelay = 30 * time.Millisecond
 
-// drainWorker asks for a worker to be emptied, and once more where its process has not answered
-// lately: the next step would be late for a pool that waits for the VM.
+// drainWorker requests the drain of a worker, and once more if the worker's process has not answered
+// lately: a repetition at the next step would be late for a pool that waits for the VM.
 func (o *Owner) drainWorker(ctx context.Context, a fleet.Action) {
 	state, requestedAt := o.requestDrain(ctx, a)
 	if state == workload.DrainedUnconfirmed {
@@ -48,7 +48,8 @@
 	})
 }
 
-// requestDrain asks a worker's owner, and returns what it said and when it was asked.
+// requestDrain requests the drain of a worker from the worker's owner. It returns the owner's answer,
+// NotDrained if there is none, and the time of the request.
 func (o *Owner) requestDrain(ctx context.Context, a fleet.Action) (state workload.DrainState, requestedAt time.Time) {
 	requestedAt = time.Now()
 	state, ok := o.deps.Services.RequestDrain(ctx, a.Pool, a.Worker)
@@ -58,20 +59,20 @@
 	return state, requestedAt
 }
 
-// vmKeyPrefix is the key of what is stored of a VM.
+// vmKeyPrefix begins the keys of stored orders.
 const vmKeyPrefix = "vm/"
 
-// storedOrder is stored before a VM is ordered. A later owner leaves the VM
-// alone for a while after it: orders of two holders for one VM must not follow
-// each other closely. VMs without one it may order at once.
+// storedOrder is stored before a VM is ordered. A later owner leaves the VM alone for a while after it:
+// orders of two holders for one VM must not follow each other closely. A VM without a stored order may
+// be ordered at once.
 type storedOrder struct {
-	AnnouncedAtMS int64 `json:"at"` // since 1970, by the owner's clock
-	// Wave is the number of the wave that it was ordered for, 0 for a move. Owners of
-	// earlier versions did not store it.
+	AnnouncedAtMS int64 `json:"at"` // Unix time in ms, by the owner's clock
+	// Wave is the number of the wave that the VM was ordered for, 0 for a move. Owners of earlier
+	// versions did not store it.
 	Wave int64 `json:"wave"`
 }
 
-// storeAndOrder stores that a VM is to be ordered, and then orders it.
+// storeAndOrder stores that a VM will be ordered, and then orders it.
 func (o *Owner) storeAndOrder(ctx context.Context, a fleet.Action) {
 	value, err := json.Marshal(storedOrder{AnnouncedAtMS: time.Now().UnixMilli(), Wave: a.Wave})
 	if err == nil {
@@ -86,9 +87,9 @@
 	o.startCall(ctx, func(ctx context.Context) { o.orderVM(ctx, a) })
 }
 
-// orderVM orders a VM, unless the word that it is empty has grown old meanwhile: the
-// store may have been away while the order was announced, or calls have waited
-// for a slot. The worker is open again then, and an order would end what it runs.
+// orderVM orders a VM unless orderBlockedReason returns a reason: while the order was being stored the
+// store may have been away, or the call may have waited for a slot. By then the worker is open again,
+// and the order would end its tasks.
 func (o *Owner) orderVM(ctx context.Context, a fleet.Action) {
 	if reason := o.orderBlockedReason(a, time.Now()); reason != "" {
 		o.logger.Info("VM not ordered", "vm", a.VM, "wave", a.Wave, "pool", a.Pool, "reason", reason)
@@ -112,21 +113,21 @@
 	o.enqueue(ctx, func(c *fleet.Core, now time.Time) { c.HandleOrderResult(a.VM, orderResultOf(status), now) })
 }
 
-// orderBlockedReason tells why an order may not be given any more, "" if it may. Another owner counts
-// the VMs that were announced as ordered then, and not later.
+// orderBlockedReason returns why an order may not be sent any more, "" if it may. A later owner counts
+// a VM as ordered from the stored time of the order on, and would not notice an order sent much later.
 func (o *Owner) orderBlockedReason(a fleet.Action, now time.Time) string {
 	switch {
 	case !a.ValidUntil.IsZero() && hasPassed(a.ValidUntil, now):
-		return "the word that it is empty is too old by " + now.Sub(a.ValidUntil).String()
+		return "the drain state is too old by " + now.Sub(a.ValidUntil).String()
 	case o.deps.OwnedUntil != nil && !now.Before(o.deps.OwnedUntil()):
 		return "another node may own the fleet"
 	}
 	return ""
 }
 
-// hasPassed tells whether a time has passed on the steady clock or by the time of day. A
-// VM that was suspended has a steady clock that knows nothing of it; a time of day
-// that was set forward costs one more look at the worker.
+// hasPassed reports whether t has passed by the monotonic clock or by the wall clock. The monotonic clock
+// does not count the time for which a VM was suspended. A wall clock that was set forward costs one
+// more drain request.
 func hasPassed(t, now time.Time) bool {
 	return now.After(t) || now.Round(0).After(t.Round(0))
 }
@@ -151,7 +152,7 @@
 	}
 }
 
-// storeWave stores how far a wave is, for a later owner and for operators.
+// storeWave stores the progress of a wave for a later owner, and its state for operators.
 func (o *Owner) storeWave(ctx context.Context, a fleet.Action) {
 	value, err := json.Marshal(storedWave{DoneVMs: a.DoneVMs})
 	if err == nil {
--- a/internal/fleetowner/fleetowner.go
+++ b/internal/fleetowner/fleetowner.go
@@ -1,5 +1,17 @@
-// Package fleetowner runs the decisions on VMs on the one node that owns the
+// Package fleetowner carries out the decisions of package fleet on the one node that owns the
 // fleet.
+//
+// A node owns the fleet while it owns the fleet's partition (package ownership), which runs an
+// Owner with the epoch of that ownership. The epoch is above the epochs of all earlier owners and
+// is the fencing token of this owner's writes and orders. At the takeover the Owner fences the
+// fleet's log with it, so that the store refuses writes of earlier owners, and restores the waves
+// and orders that they stored. Each order for a VM carries the token, and a VM that has seen a
+// higher one refuses the order. An Owner that is refused for its token stops: Run returns
+// ErrOwnershipLost.
+//
+// An order for a VM is stored before it is sent. A later owner leaves that VM alone for a while
+// and counts it as away. An order is not sent once the VM's drain state is too old or another
+// node may own the fleet.
 package fleetowner
 
 import (
@@ -21,44 +33,43 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// Times of the fleet's owner.
+// Intervals and limits of an Owner.
 const (
 	stepInterval = 100 * time.Millisecond
-	// vmListIntervalBusy is the pause between lists of VMs while work is under way,
-	// listIdle while none is. Each list is a call that costs.
+	// vmListIntervalBusy is the pause between lists of VMs while operations are under way,
+	// vmListIntervalIdle otherwise. Each list is a call with a cost.
 	vmListIntervalBusy = 400 * time.Millisecond
 	vmListIntervalIdle = 2 * time.Second
-	// loadInterval is the pause between questions for a service's load.
+	// loadInterval is the pause between requests for the services' loads.
 	loadInterval          = 200 * time.Millisecond
 	takeoverRetryInterval = 200 * time.Millisecond
 	inboxSize             = 256
-	// maxCallsInFlight bounds the calls in flight.
-	maxCallsInFlight = 32
+	maxCallsInFlight      = 32
 )
 
-// ErrOwnershipLost is returned by Run when a later owner was seen.
+// ErrOwnershipLost is returned by Run when a later owner was seen or a record can't be stored any more.
 var ErrOwnershipLost = errors.New("ownership of the fleet is lost")
 
-// Machines lists and orders VMs.
+// Machines lists VMs and sends orders for them.
 type Machines interface {
 	List(ctx context.Context) ([]workload.VM, error)
 	Move(ctx context.Context, h platform.Holder, vm, pool string) (platform.VMOrderStatus, error)
 	Maintain(ctx context.Context, h platform.Holder, vm string, wave int64) (platform.VMOrderStatus, error)
 }
 
-// Services are the owners of the services' jobs.
+// Services calls the owners of the services' jobs.
 type Services interface {
 	RequestDrain(ctx context.Context, service, worker string) (v workload.DrainState, ok bool)
 	LoadsOf(ctx context.Context, service string, leaving []string) ([]workload.ServiceLoad, bool)
 }
 
-// Store is what is needed of the platform's store.
+// Store is the part of the platform's store that an Owner uses.
 type Store interface {
 	joblog.Store
 	WriteWaveState(ctx context.Context, wave int64, state workload.WaveState) (platform.StoreStatus, error)
 }
 
-// Deps is what an Owner needs.
+// Deps are the dependencies of an Owner.
 type Deps struct {
 	Node      string
 	Store     Store
@@ -67,7 +78,7 @@
 	Services  Services
 	Published *published.Follower
 	Bounds    platform.Bounds
-	// OwnedUntil is until when no other node can own the fleet; nil stands for no bound.
+	// OwnedUntil returns until when no other node can own the fleet; nil means no limit.
 	OwnedUntil func() time.Time
 	Logger     hclog.Logger
 }
@@ -85,15 +96,15 @@
 
 	writer         *writer
 	ownershipLost  chan error
-	drainsInFlight map[string]bool // workers that are asked about
+	drainsInFlight map[string]bool // workers with a drain request in flight
 	vmListInFlight bool
 	vmListSentAt   time.Time
 	loadsInFlight  bool
 	loadsSentAt    time.Time
 }
 
-// New returns the fleet's owner. epoch is above all earlier owners' ones, and is
-// the fencing token of its orders.
+// New returns the owner of the fleet. epoch must be above the epochs of all earlier owners; it is the
+// fencing token of the owner's writes and orders.
 func New(deps Deps, partition int, epoch int64) *Owner {
 	log := joblog.New(deps.Store, deps.Hedger, joblog.FleetTopic, partition)
 	return &Owner{
@@ -109,15 +120,15 @@
 	}
 }
 
-// waveKeyPrefix is the key of what is stored of a wave.
+// waveKeyPrefix begins the keys of stored waves.
 const waveKeyPrefix = "wave/"
 
-// storedWave is what is stored of a wave.
+// storedWave is the stored progress of a wave.
 type storedWave struct {
 	DoneVMs []string `json:"done"` // VMs whose maintenance was ordered
 }
 
-// Run owns the fleet until ctx ends or a later owner is seen.
+// Run owns the fleet until ctx ends or the ownership is lost.
 func (o *Owner) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -148,7 +159,7 @@
 	}
 }
 
-// takeOver fences earlier owners and reads how far the waves are.
+// takeOver fences earlier owners and restores the stored waves and orders.
 func (o *Owner) takeOver(ctx context.Context, core *fleet.Core) error {
 	for ctx.Err() == nil {
 		status, err := o.log.Fence(ctx, o.epoch)
@@ -222,7 +233,7 @@
 	}
 }
 
-// refresh asks for the list of VMs and the services' loads when they are due.
+// refresh requests the list of VMs and the services' loads when they are due.
 func (o *Owner) refresh(ctx context.Context, core *fleet.Core, config *workload.Config, now time.Time) {
 	listInterval := vmListIntervalIdle
 	if core.NeedsFrequentVMLists() {
@@ -241,7 +252,7 @@
 	}
 }
 
-// startCall runs a call beside the loop; their number is bounded.
+// startCall runs a call concurrently with the loop. At most maxCallsInFlight calls run at once.
 func (o *Owner) startCall(ctx context.Context, call func(ctx context.Context)) {
 	go func() {
 		select {
@@ -275,8 +286,8 @@
 	})
 }
 
-// readLoads asks the owners of the services for their loads, and tells them which workers
-// are about to leave.
+// readLoads requests the loads of the services from their owners, and informs them which workers are due
+// for maintenance.
 func (o *Owner) readLoads(ctx context.Context, config *workload.Config, workersDue fleet.WorkersByPool) {
 	var all []workload.ServiceLoad
 	for _, s := range config.Services {
--- a/internal/fleetowner/writer.go
+++ b/internal/fleetowner/writer.go
@@ -11,23 +11,22 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// maxPendingWrites is how many writes wait; each is for one VM or wave.
+// maxPendingWrites bounds the writes that wait, and the records of one call.
 const maxPendingWrites = 512
 
-// writeRetryInterval is the pause before a write is sent again.
+// writeRetryInterval is the pause before a write is repeated.
 const writeRetryInterval = 100 * time.Millisecond
 
-// pendingWrite is a record to be stored. done gets nil once it is, and is then
-// closed; an error means that it never will be by this owner.
+// pendingWrite is a record to be stored. done receives nil once the record is stored, or an error if this
+// owner can't store it any more.
 type pendingWrite struct {
 	record platform.KeyedRecord
 	done   chan error
 }
 
-// writer stores the owner's records, those that wait together in one call. A
-// write without an answer is sent again under its sequence until its outcome is
-// known: leaving it out would leave a gap in the sequence, after which the store
-// takes no write of this owner any more.
+// writer stores the owner's records, and batches the records that wait into one call. A write without an
+// answer is repeated with its sequence number until its outcome is known: to skip it would leave a
+// gap in the sequence, after which the store accepts no further write of this owner.
 type writer struct {
 	log    *joblog.Log
 	epoch  int64
@@ -39,7 +38,7 @@
 	return &writer{log: log, epoch: epoch, logger: logger, queue: make(chan pendingWrite, maxPendingWrites)}
 }
 
-// put stores a record and returns once it is stored.
+// put stores a record and waits until it is stored or ctx ends.
 func (w *writer) put(ctx context.Context, key string, value []byte) error {
 	p := pendingWrite{record: platform.KeyedRecord{Key: key, Value: value}, done: make(chan error, 1)}
 	select {
@@ -55,7 +54,7 @@
 	}
 }
 
-// run stores until ctx ends.
+// run stores records until ctx ends.
 func (w *writer) run(ctx context.Context) {
 	for sequence := int64(1); ; sequence++ {
 		batch := w.nextBatch(ctx)
@@ -69,7 +68,7 @@
 	}
 }
 
-// nextBatch returns what waits, at least one record; nil once ctx has ended.
+// nextBatch waits for a record and returns all records that wait. It returns nil once ctx has ended.
 func (w *writer) nextBatch(ctx context.Context) []pendingWrite {
 	var batch []pendingWrite
 	select {
