--- a/internal/ownership/authority.go
+++ b/internal/ownership/authority.go
@@ -11,22 +11,22 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// A node that is cut off from the store can't tell that its partitions were given to others
-// from a store that is down for all, where tasks have to run on. The other members tell: a
-// successor is one of them and has had a join answered.
+// A node without an answer from the store can't tell whether it is cut off, and its partitions were given
+// to others, or the store is down for all, where tasks must go on running. It asks the other members: a
+// successor is one of them, and the store has answered a join of it.
 
-// memberQueryTimeout bounds a question to another member, which answers from memory. It leaves
-// time to act on the answer before the authority that it gives is over.
+// memberQueryTimeout bounds a query to another member, which answers from memory. It leaves time to act on
+// the answer before the authority that it gives ends.
 const memberQueryTimeout = 800 * time.Millisecond
 
-// MemberClient asks other members of the group.
+// MemberClient queries other members of the group.
 type MemberClient interface {
-	// LastJoin asks the node at an address when the store last answered one of its joins.
-	// An error says that the node did not tell.
+	// LastJoin asks the node at an address when the store last answered one of its joins. An error
+	// means that the node did not answer.
 	LastJoin(ctx context.Context, address string) (LastJoin, error)
 }
 
-// LastJoin is when the store last answered a join of a process.
+// LastJoin states when the store last answered a join of a process.
 type LastJoin struct {
 	Never bool
 	Age   time.Duration // since the answer
@@ -34,8 +34,7 @@
 	Owned []platform.Partition
 }
 
-// instant is a time by the steady clock, and for how long the machine had been suspended
-// then.
+// instant is a monotonic time, with the total time for which the machine had been suspended by then.
 type instant struct {
 	at           time.Time
 	suspendedFor time.Duration
@@ -45,8 +44,8 @@
 	return instant{at: time.Now(), suspendedFor: m.suspendedFor()}
 }
 
-// suspendAdjustedTime is when an instant was, by a steady clock that had counted each suspension since.
-// Zero for no instant.
+// suspendAdjustedTime returns when an instant was on a monotonic clock that counts the suspensions since.
+// It returns zero for the zero instant.
 func (m *Manager) suspendAdjustedTime(i instant) time.Time {
 	if i.at.IsZero() {
 		return time.Time{}
@@ -54,7 +53,7 @@
 	return i.at.Add(-max(0, m.suspendedFor()-i.suspendedFor))
 }
 
-// ttlExpiresAt is when a time to live that began at an instant is over. Zero for no instant.
+// ttlExpiresAt returns when a TTL that began at an instant ends. It returns zero for the zero instant.
 func (m *Manager) ttlExpiresAt(i instant) time.Time {
 	if i.at.IsZero() {
 		return time.Time{}
@@ -62,12 +61,13 @@
 	return m.suspendAdjustedTime(i).Add(m.ttl)
 }
 
-// TTL is after how long without a join the group gives a member's partitions to others.
+// TTL returns the time without a join after which the group gives a member's partitions to others.
 func (m *Manager) TTL() time.Duration { return m.ttl }
 
-// OwnedUntil is until when a partition can't pass to another member for want of joins:
-// a time to live after the latest join was sent that confirmed it. Zero if it isn't held.
-// The group may deal all anew at will; the next join, joinInterval later, tells that.
+// OwnedUntil returns until when the group can't give a partition to another member because of missing
+// joins: a TTL after the latest join that confirmed the partition was sent. It returns zero if the
+// partition isn't owned. The group may also reassign partitions at any time, which the next join,
+// joinInterval later, shows.
 func (m *Manager) OwnedUntil(p platform.Partition) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -77,10 +77,11 @@
 	return time.Time{}
 }
 
-// AuthorityUntil is until when the owner of a partition may start tasks and renew leases: a
-// time to live after the group has confirmed it, or after all other members were asked and
-// none of them could be a successor. So it ends at most a time to live after a successor
-// has heard of its own ownership, however the group deals. Zero if the partition isn't held.
+// AuthorityUntil returns until when the owner of a partition may start tasks and renew leases: a TTL after
+// the latest join that confirmed the partition was sent, or after the last time at which all other members
+// were asked and none of them could be a successor. So the authority ends at most a TTL after a successor
+// learns of its own ownership, however the group assigns partitions. It returns zero if the partition isn't
+// owned.
 func (m *Manager) AuthorityUntil(p platform.Partition) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -95,7 +96,7 @@
 	return until
 }
 
-// LastJoin tells another member when the store last answered a join of this process.
+// LastJoin returns the answer for another member: when the store last answered a join of this process.
 func (m *Manager) LastJoin() LastJoin {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -105,16 +106,16 @@
 	return LastJoin{Age: time.Since(m.lastJoinAnsweredAt), Owned: slices.Collect(maps.Keys(m.owned))}
 }
 
-// memberAnswer is what another member told while joins got no answer.
+// memberAnswer is what another member has answered while joins of this process had no answer.
 type memberAnswer struct {
-	askedAt         instant // of the latest question that it answered with no later join
-	joinSentAt      instant // since which no other join counts
-	isQueryInFlight bool    // a question is under way
-	vetoReason      string  // why it may be a successor, "" if it is none or was not asked yet
+	askedAt         instant // of the latest query whose answer ruled the member out as a successor
+	joinSentAt      instant // latest answered join of this process at that time; the answer counts for this join only
+	isQueryInFlight bool
+	vetoReason      string // why the member may be a successor, "" if it can't be or has not been asked
 }
 
-// queryMembers asks the other members, while joins get no answer, whether one of them may be a
-// successor of this one.
+// queryMembers asks the other members, while joins have no answer, whether one of them may be a successor
+// of this process. It returns once ctx has ended.
 func (m *Manager) queryMembers(ctx context.Context) {
 	var queries sync.WaitGroup
 	defer queries.Wait()
@@ -127,8 +128,8 @@
 	}
 }
 
-// membersToQuery returns the members of whom no question is under way, none while joins are answered
-// or nothing is held.
+// membersToQuery returns the addresses of the members without a query in flight, and marks their queries as
+// in flight. It returns none while joins are answered or nothing is owned.
 func (m *Manager) membersToQuery() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -147,13 +148,13 @@
 		}
 	}
 	if len(others) == 0 {
-		m.noSuccessorAsOf = m.currentInstant() // nobody else is a member
+		m.noSuccessorAsOf = m.currentInstant() // there is no other member
 	}
 	return addresses
 }
 
-// otherAddresses are the addresses of the other members, as last read from the group. The lock is
-// held.
+// otherAddresses returns the addresses of the other members as last read from the group. It must be called
+// with mu held.
 func (m *Manager) otherAddresses() []string {
 	var addresses []string
 	for _, member := range m.owningMembers() {
@@ -164,7 +165,6 @@
 	return addresses
 }
 
-// queryMember asks one member.
 func (m *Manager) queryMember(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, memberQueryTimeout)
 	defer cancel()
@@ -175,7 +175,7 @@
 	answer := m.memberAnswers[address]
 	answer.isQueryInFlight = false
 	if err != nil {
-		answer.vetoReason = "does not tell: " + err.Error()
+		answer.vetoReason = "does not answer: " + err.Error()
 		return
 	}
 	answer.askedAt, answer.joinSentAt = askedAt, m.lastAnsweredJoinSentAt
@@ -185,26 +185,27 @@
 	m.noSuccessorAsOf = m.earliestAnsweredQuery()
 }
 
-// vetoReason tells why a member may own a partition that is held here, "" if it can't. The
-// lock is held.
+// vetoReason returns why a member may own a partition that this process owns, "" if it can't. It must be
+// called with mu held.
 func (m *Manager) vetoReason(lastJoin LastJoin) string {
 	answeredAt := time.Now().Add(-lastJoin.Age)
 	switch {
 	case lastJoin.Never || !answeredAt.After(m.suspendAdjustedTime(m.lastAnsweredJoinSentAt)):
-		return "" // what it holds has passed on to this one since
+		return "" // a later join confirmed the partitions to this process
 	case answeredAt.After(m.ttlExpiresAt(m.lastAnsweredJoinSentAt)):
 		return "has joined meanwhile"
 	}
 	for _, p := range lastJoin.Owned {
 		if m.owned[p] != nil {
-			return "holds a partition, too" // the group has dealt it anew
+			return "owns a partition, too" // the group has reassigned it
 		}
 	}
 	return ""
 }
 
-// earliestAnsweredQuery is the earliest instant of the latest questions that the members answered with
-// no later join, zero if one of them has not since the latest answered join. The lock is held.
+// earliestAnsweredQuery returns the earliest of the instants at which the other members were last asked with
+// an answer that rules them out as successors. It returns zero if a member has not given such an answer
+// since the latest answered join. It must be called with mu held.
 func (m *Manager) earliestAnsweredQuery() instant {
 	var earliest instant
 	for _, address := range m.otherAddresses() {
@@ -219,8 +220,8 @@
 	return earliest
 }
 
-// logCertainty writes a line when the other members tell that none of them is a successor, and
-// when one of them may be.
+// logCertainty logs when the other members confirm that none of them is a successor, and when one of them
+// may be.
 func (m *Manager) logCertainty() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -252,11 +253,11 @@
 	m.logger.Warn("another member may own the partitions", "reason", reason, "since_ms", sinceJoinMS)
 }
 
-// ownershipCertainty is how certain it is that no other member owns the partitions, for the log.
+// ownershipCertainty is how it is known, for the log, that no other member owns the partitions.
 type ownershipCertainty int
 
 const (
-	confirmedByJoin    ownershipCertainty = iota // by a join
+	confirmedByJoin    ownershipCertainty = iota // by an answered join
 	confirmedByMembers                           // by the answers of all other members
 	unconfirmed
 )
--- a/internal/ownership/capacity.go
+++ b/internal/ownership/capacity.go
@@ -11,35 +11,34 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// The members keep one small record on the store: how strong the owners are. After a
-// loss of all nodes nobody owns anything, and a VM that looks at the owners learns
-// nothing; with the record, weak VMs know that stronger ones are about to come. It is
-// a hint: what is seen of the owners counts for more, so an old one costs a VM that
-// starts strongComeWithin at most.
+// The members keep one small record on the store: the capacity of the owners. After a loss of all nodes
+// nobody owns anything, and a VM that reads the owners learns nothing; from the record, weak VMs know that
+// stronger ones are about to start. The record is only a hint. Owners that are seen count for more, so a
+// stale record costs a VM that starts strongerStartTimeout at most.
 const (
 	capacityTopic = "keyed.members"
 	capacityKey   = "strength"
-	// capacityDecreaseDelay is how long the owners must have been weaker than stored before
-	// that is stored: strong ones that are replaced or cut off are back sooner.
+	// capacityDecreaseDelay is how long the owners must have had less capacity than is stored before the
+	// lower value is stored: strong owners that are replaced or cut off are back sooner.
 	capacityDecreaseDelay = 10 * time.Second
 )
 
 // capacityRecord is the stored record.
 type capacityRecord struct {
-	// MilliCores is the processor time, in thousandths of a core, that as many owners
-	// have as make weaker VMs stand back.
+	// MilliCores is the processor time, in millicores, that minStrongerMembers of the owners have at
+	// least.
 	MilliCores int `json:"milli_cores"`
 }
 
-// capacityHint is what this process knows of the record. It is not safe for concurrent use.
+// capacityHint is what this process knows of the stored record. It is not safe for concurrent use.
 type capacityHint struct {
 	isRead           bool
-	storedMilliCores int // thousandths of a core, 0 if there is no record
-	// weakerSince is since when the owners have been weaker than stored, zero if not.
+	storedMilliCores int // 0 if there is no record
+	// weakerSince is since when the owners have had less capacity than is stored; zero if they have not.
 	weakerSince time.Time
 }
 
-// isStoreDue tells whether the owners' strength, as seen now, is to be stored.
+// isStoreDue reports whether the capacity of the owners, as seen now, must be stored.
 func (h *capacityHint) isStoreDue(milliCores int, now time.Time) bool {
 	h.weakerSince = conditionSince(milliCores < h.storedMilliCores, h.weakerSince, now)
 	return h.isRead && (milliCores > h.storedMilliCores || milliCores < h.storedMilliCores && now.Sub(h.weakerSince) >= capacityDecreaseDelay)
@@ -47,7 +46,7 @@
 
 var capacityPartition = platform.Partition{Topic: capacityTopic, Part: 0}
 
-// readCapacityHint reads the record, once.
+// readCapacityHint reads the record unless it has been read.
 func (m *Manager) readCapacityHint(ctx context.Context) {
 	m.mu.Lock()
 	isRead := m.capacityHint.isRead
@@ -57,12 +56,12 @@
 	}
 	batch, status, err := m.store.Newest(ctx, capacityPartition)
 	if status != platform.StoreOK {
-		m.logger.Debug("how strong the last owners were can't be read yet", "status", status.String(), "error", err)
+		m.logger.Debug("capacity of the last owners can't be read yet", "status", status.String(), "error", err)
 		return
 	}
 	milliCores, err := decodeCapacity(batch)
 	if err != nil {
-		m.logger.Error("record of how strong the last owners were can't be read and is left out", "error", err)
+		m.logger.Error("record of the last owners' capacity can't be decoded and is ignored", "error", err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -78,15 +77,15 @@
 		}
 		var record capacityRecord
 		if err := json.Unmarshal(r.Value, &record); err != nil {
-			return 0, errors.Wrap(err, "strength of the owners")
+			return 0, errors.Wrap(err, "capacity of the owners")
 		}
 		milliCores = record.MilliCores
 	}
 	return milliCores, nil
 }
 
-// storeCapacityHint stores how strong the owners are if that has changed. One member does it:
-// the owner of the first partition.
+// storeCapacityHint stores the capacity of the owners if it has changed. Only the owner of the first
+// partition does so.
 func (m *Manager) storeCapacityHint(ctx context.Context, now time.Time) {
 	m.mu.Lock()
 	milliCores := m.ownersCapacity()
@@ -97,22 +96,22 @@
 	}
 	value, err := json.Marshal(capacityRecord{MilliCores: milliCores})
 	if err != nil {
-		m.logger.Error("strength of the owners can't be encoded", "error", err)
+		m.logger.Error("capacity of the owners can't be encoded", "error", err)
 		return
 	}
 	status, err := m.store.Append(ctx, capacityPartition, nil, platform.KeyedRecord{Key: capacityKey, Value: value})
 	if status != platform.StoreOK {
-		m.logger.Debug("strength of the owners can't be stored yet", "status", status.String(), "error", err)
+		m.logger.Debug("capacity of the owners can't be stored yet", "status", status.String(), "error", err)
 		return
 	}
-	m.logger.Info("strength of the owners stored", "milli_cores", milliCores)
+	m.logger.Info("capacity of the owners stored", "milli_cores", milliCores)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.capacityHint.storedMilliCores = milliCores
 }
 
-// ownersCapacity is the processor time that enoughStrong owners have, 0 where there are fewer
-// owners. The lock is held.
+// ownersCapacity returns the processor time, in millicores, that minStrongerMembers of the owning members
+// have at least, 0 if there are fewer members. It must be called with mu held.
 func (m *Manager) ownersCapacity() int {
 	var milliCores []int
 	for _, o := range m.owningMembers() {
--- a/internal/ownership/name.go
+++ b/internal/ownership/name.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// memberNameSeparator joins the parts of a member's name: node, address for other
-// nodes, what makes it unique to this process, and its processor time in
-// thousandths of a core. Who reads the owners learns all of it with no call more.
+// memberNameSeparator joins the parts of a member's name: the node, its address for other nodes, a part that
+// makes the name unique to this process, and the VM's processor time in millicores. A process that reads the
+// owners learns all of it without another call.
 const memberNameSeparator = "|"
 
 const memberNameParts = 4
 
-// memberInfo is what a member's name tells.
+// memberInfo is what a member's name states.
 type memberInfo struct {
 	name       string
 	address    string
@@ -23,8 +23,8 @@
 	return strings.Join([]string{c.Node, c.Address, c.UniqueID(), strconv.Itoa(c.MilliCores)}, memberNameSeparator)
 }
 
-// parseMemberName reads a name. ok is false for one that no node of this version gives,
-// and for "", where nobody owns the partition.
+// parseMemberName parses a member's name. ok is false for "", where nobody owns the partition, and for a name
+// that no node of this version uses.
 func parseMemberName(name string) (p memberInfo, ok bool) {
 	parts := strings.Split(name, memberNameSeparator)
 	if len(parts) != memberNameParts {
--- a/internal/ownership/owned.go
+++ b/internal/ownership/owned.go
@@ -9,21 +9,21 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// ownedPartition is one owned partition.
+// ownedPartition is a partition that this process owns, with its running owner.
 type ownedPartition struct {
 	epoch   int64
 	cancel  context.CancelCauseFunc
 	stopped chan struct{}
-	// confirmingJoinSentAt is when the latest join was sent whose answer listed it.
+	// confirmingJoinSentAt is when the latest join was sent whose answer listed the partition.
 	confirmingJoinSentAt instant
 }
 
-// applyAssignment starts and stops owners by what the group said to a join sent at a time. changed
-// tells whether others have come or gone since the join before. The lock is held.
+// applyAssignment starts and stops owners according to the answer to a join sent at sentAt. isNewGeneration
+// states whether the generation differs from that of the answer before. It must be called with mu held.
 func (m *Manager) applyAssignment(ctx context.Context, a platform.Assignment, sentAt instant, isNewGeneration bool) {
 	if time.Now().Before(m.ownersStartFrom) {
 		m.releasedGeneration = m.generation
-		return // others are about to come, and the next deal is another one
+		return // other members are about to join, and the next assignment will differ
 	}
 	listed := map[platform.Partition]bool{}
 	for _, p := range a.Partitions {
@@ -36,9 +36,9 @@
 		}
 		switch {
 		case m.stoppingOwners[p] != nil:
-			continue // it is started anew once the previous owner has left word of its runs
+			continue // it is started again once the previous owner has recorded its runs
 		case a.Generation < m.supersededBelow[p]:
-			continue // the answer is older than the owner that asked for it
+			continue // the answer is older than the owner that requested the stop
 		}
 		if m.owned[p] == nil {
 			m.owned[p] = m.startOwner(ctx, p, a.Generation)
@@ -55,13 +55,13 @@
 	}
 }
 
-// handOver stops the owner of a partition. The lock is held.
+// handOver stops the owner of a partition that passes on. It must be called with mu held.
 func (m *Manager) handOver(p platform.Partition, own *ownedPartition, generation int64, reason string) {
 	m.logger.Info("partition handed over", "topic", p.Topic, "partition", p.Part, "generation", generation, "reason", reason)
 	m.stopOwner(p, own, nil)
 }
 
-// stopOwner stops the owner of a partition for a cause. The lock is held.
+// stopOwner stops the owner of a partition with a cause. It must be called with mu held.
 func (m *Manager) stopOwner(p platform.Partition, own *ownedPartition, cause error) {
 	own.cancel(cause)
 	delete(m.owned, p)
@@ -70,10 +70,10 @@
 	go m.releaseOnceStopped(p, own)
 }
 
-// releaseOnceStopped tells the group at once when an owner has stopped whose partition passes
-// on. The group deals the partition out when it hears of a generation in which this
-// process has lost it. Heard earlier, the next owner would fence this one before it has
-// left word of its runs, and wait for their leases: seconds in place of some 60 ms.
+// releaseOnceStopped reports to the group, as soon as no owner is stopping any more, the generation in which
+// this process lost the partitions. The group gives them to others once it receives that generation. If it
+// received it earlier, the next owner would fence this one before it has recorded its runs, and would have
+// to wait for their leases: seconds instead of about 60 ms.
 func (m *Manager) releaseOnceStopped(p platform.Partition, own *ownedPartition) {
 	<-own.stopped
 	m.mu.Lock()
@@ -103,11 +103,11 @@
 	return own
 }
 
-// ErrSuperseded is the cause with which an owner is stopped that a later one has asked to.
+// ErrSuperseded is the cause with which an owner is stopped at the request of a later owner.
 var ErrSuperseded = errors.New("a later owner has taken the partition over")
 
-// StopOwnerBelow stops the owner of a partition here, if its epoch is lower than one, and waits until
-// it has stopped or ctx ends.
+// StopOwnerBelow stops the owner of a partition in this process if its epoch is below epoch, and waits until it
+// has stopped or ctx ends.
 func (m *Manager) StopOwnerBelow(ctx context.Context, p platform.Partition, epoch int64) {
 	m.mu.Lock()
 	m.supersededBelow[p] = max(m.supersededBelow[p], epoch)
@@ -130,7 +130,8 @@
 	}
 }
 
-// stopAllOwners stops all owners and waits until they have left word of their runs.
+// stopAllOwners stops the owners of all owned partitions and waits until they have stopped, by which time they
+// have recorded their runs. It does not wait for owners that were being stopped before.
 func (m *Manager) stopAllOwners() {
 	m.mu.Lock()
 	var stopped []*ownedPartition
--- a/internal/ownership/owners.go
+++ b/internal/ownership/owners.go
@@ -8,8 +8,8 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// Owner returns the address of the node that owns a partition, "" if none is
-// known. With refresh, what is known has just proved wrong.
+// Owner returns the address of the node that owns a partition, "" if none is known. refresh requests a new read
+// because the known owner has proved wrong.
 func (m *Manager) Owner(ctx context.Context, p platform.Partition, refresh bool) string {
 	m.mu.Lock()
 	unknown := m.owners[p].address == ""
@@ -24,19 +24,18 @@
 	return m.owners[p].address
 }
 
-// CachedOwner returns the address of the node that owned a partition when that was
-// last read, "" if none is known. It never waits: what is too old is read again
-// beside the caller.
+// CachedOwner returns the address of the node that owned a partition at the last read, "" if none is known. It
+// doesn't wait: if the last read is too old it starts another one in the background.
 func (m *Manager) CachedOwner(p platform.Partition) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if time.Since(m.ownersReadSentAt) > maxOwnersAge {
-		go m.readOwners(context.Background(), maxOwnersAge) // one at a time, with the call's own time-out
+		go m.readOwners(context.Background(), maxOwnersAge) // one at a time; the call has a timeout of its own
 	}
 	return m.owners[p].address
 }
 
-// OwnerAddresses lists the nodes that owned something when that was last read.
+// OwnerAddresses returns the addresses of the nodes that owned something at the last read.
 func (m *Manager) OwnerAddresses() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -49,13 +48,13 @@
 	return list
 }
 
-// readOwners reads who owns what, unless that is known from a read that was sent
-// less than age ago. It tells whether it is.
+// readOwners reads who owns what, unless a read was sent less than maxAge ago. It returns false if its own read
+// failed, and true otherwise, also if the earlier read has failed or has no answer yet.
 func (m *Manager) readOwners(ctx context.Context, maxAge time.Duration) bool {
 	m.mu.Lock()
 	isStale := time.Since(m.ownersReadSentAt) > maxAge
 	if isStale {
-		m.ownersReadSentAt = time.Now() // others go on with what is known meanwhile
+		m.ownersReadSentAt = time.Now() // other callers use the known owners meanwhile
 	}
 	m.mu.Unlock()
 	if !isStale {
@@ -68,7 +67,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	clear(m.owners) // one that isn't listed any more has no owner either
+	clear(m.owners) // a partition that isn't listed has no owner
 	for _, o := range list {
 		if info, ok := parseMemberName(o.Member); ok {
 			m.owners[o.Partition] = info
@@ -77,7 +76,7 @@
 	return true
 }
 
-// owningMembers lists the members that own something, each once. The lock is held.
+// owningMembers returns the members that own something, each once. It must be called with mu held.
 func (m *Manager) owningMembers() []memberInfo {
 	seen := map[string]bool{}
 	var list []memberInfo
@@ -90,7 +89,7 @@
 	return list
 }
 
-// snapshot is what the latest look at the owners shows. The lock is held.
+// snapshot returns what the last read of the owners shows. It must be called with mu held.
 func (m *Manager) snapshot() ownershipSnapshot {
 	var s ownershipSnapshot
 	for _, o := range m.owningMembers() {
@@ -112,7 +111,7 @@
 	return s
 }
 
-// isOutrankedBy tells whether a member has far more processor time than this one.
+// isOutrankedBy reports whether a member has at least strongerFactor times the processor time of this one.
 func (m *Manager) isOutrankedBy(o memberInfo) bool {
 	return m.milliCores > 0 && o.milliCores >= strongerFactor*m.milliCores
 }
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -1,8 +1,27 @@
-// Package ownership shares the partitions of jobs out among the nodes. The
-// store's group says who should own what; as it may reassign at a whim, that is
-// a hint. What keeps two owners apart is the epoch: it is the generation in which
-// the group gave the partition to this process, so no other has the same, and
-// the store and the workers refuse lower ones.
+// Package ownership assigns the partitions of jobs and of the fleet to the nodes.
+//
+// Each node that does not yield is a member of one group on the platform's store. It joins every
+// joinInterval, and the answer lists the partitions that the group assigns to it. A Manager runs an
+// owner for each of them. If a partition passes on, the owner is stopped and records its runs; only
+// then does the process report the generation in which it lost the partition, upon which the group
+// gives the partition to the next member.
+//
+// The group may reassign partitions at any time, so an assignment is only a hint. What keeps two
+// owners apart is the epoch: the generation of the group in which it gave the partition to this
+// process. No other owner of the partition has the same epoch, and the store and the workers refuse
+// lower ones.
+//
+// An owner may start tasks and renew leases until AuthorityUntil: for a TTL after a join that
+// confirmed the partition was sent or, while the store doesn't answer, for a TTL after all other
+// members were asked and none of them could be a successor. So tasks go on running while the store
+// is down for all, and an owner that alone is cut off from the store loses its authority in time.
+//
+// The group assigns partitions evenly, whatever processor time a member has. The owner of a service
+// in demand needs more of it than a weak VM has, which would serve its callers late. A weak VM
+// therefore yields: it doesn't join, or leaves the group, while at least minStrongerMembers with
+// strongerFactor times its processor time own something. It joins if they are lost. A member's name
+// states its processor time, and a record on the store states the capacity of the last owners for
+// the start after a loss of all nodes.
 package ownership
 
 import (
@@ -17,28 +36,27 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// Times of membership.
+// Times of the membership.
 const (
-	// joinInterval is the pause between joins; several fit into the time to live.
+	// joinInterval is the pause between joins; several fit into the TTL.
 	joinInterval = 200 * time.Millisecond
-	// memberTTL is after how long without a join a member's partitions go to
-	// others, if the store allows so little. Five joins fit into it; a store that is
-	// 90 times as slow as usual answers each within 0.4 s, and they overlap. With the
-	// takeover it must stay within a lease. Each 0.35 s less gave 0.02 of a day with
-	// faults in the mean of 20 plays.
+	// memberTTL is the time without a join after which a member's partitions go to others, unless
+	// the store's minimum is longer. Five joins fit into it; a store 90 times as slow as usual
+	// answers each within 0.4 s, and joins overlap. Together with the takeover it must stay within
+	// a lease. Each 0.35 s less gained 0.02 on a day with faults.
 	memberTTL = 1150 * time.Millisecond
-	// maxOwnersAge is how old the known owners may be; a failed question reads
-	// them again at once, but not more often than ownersRetry.
+	// maxOwnersAge is the age up to which the known owners are used. A request that shows them to
+	// be wrong has them read again at once, but not more often than minOwnersReadInterval.
 	maxOwnersAge          = time.Second
 	minOwnersReadInterval = 150 * time.Millisecond
 )
 
 const groupName = "yuccadrift"
 
-// maxJoinsInFlight bounds the joins under way; a time-out has room for as many.
+// maxJoinsInFlight bounds the joins in flight; about as many begin within the timeout of one.
 const maxJoinsInFlight = 6
 
-// Store is what is needed of the platform's store.
+// Store is the part of the platform's store that a Manager uses.
 type Store interface {
 	Join(ctx context.Context, m platform.Member) (platform.Assignment, platform.StoreStatus, error)
 	Leave(ctx context.Context, group, member string) (platform.StoreStatus, error)
@@ -47,78 +65,78 @@
 	Newest(ctx context.Context, p platform.Partition) (platform.Batch, platform.StoreStatus, error)
 }
 
-// Runner is run while the node owns a partition.
+// Runner is the owner of a partition. It must return once ctx has ended; ctx ends when the process loses the
+// partition. If it returns before, the process joins the group anew.
 type Runner func(ctx context.Context, p platform.Partition, epoch int64) error
 
-// Manager keeps this process a member and runs what it owns. It is safe for
+// Manager keeps this process a member of the group and runs the owners of its partitions. It is safe for
 // concurrent use.
 type Manager struct {
 	store         Store
 	logger        hclog.Logger
 	run           Runner
-	workTopics    []string // topics that are worked on
-	joinTopics    []string // all that members join
+	workTopics    []string // topics whose partitions are worked on
+	joinTopics    []string // workTopics and announcementTopic
 	partitions    int      // of each topic
 	hasWork       func(platform.Partition) bool
-	newMemberName func() string // a new member name
+	newMemberName func() string // returns another name at each call
 
-	address      string       // at which the node answers other nodes
-	memberClient MemberClient // nil if nobody can be asked
+	address      string       // for other nodes
+	memberClient MemberClient // nil if other members can't be asked
 	suspendedFor func() time.Duration
 	milliCores   int     // of this process's VM
-	checkJitter  float64 // from 0 to 1, another one for each node
+	checkJitter  float64 // from 0 to 1, differs between nodes
 	ttl          time.Duration
 
-	joinSlots     chan struct{} // one entry for each join under way
-	joinRequested chan struct{} // has an entry if a join is wanted before it is due
+	joinSlots     chan struct{} // one entry for each join in flight
+	joinRequested chan struct{} // has an entry if a join is requested before it is due
 
 	mu                     sync.Mutex
 	memberName             string
 	generation             int64                    // the latest one received
-	releasedGeneration     int64                    // the latest one whose losses are complete here
-	stoppingCount          int                      // owners that were told to stop as their partition passes on
+	releasedGeneration     int64                    // the latest one whose lost partitions have no running owner here
+	stoppingCount          int                      // owners that are being stopped
 	lastAnsweredJoinSentAt instant                  // when the latest answered join was sent
-	lastJoinAnsweredAt     time.Time                // when it was answered
-	memberAnswers          map[string]*memberAnswer // of other members, by address
-	noSuccessorAsOf        instant                  // since which all of them have said that they are no successors
+	lastJoinAnsweredAt     time.Time                // when the store last answered any join
+	memberAnswers          map[string]*memberAnswer // by address
+	noSuccessorAsOf        instant                  // when all other members were last known to be no successors
 	loggedCertainty        ownershipCertainty       // as last logged
 	owned                  map[platform.Partition]*ownedPartition
-	supersededBelow        map[platform.Partition]int64           // the epoch of the latest owner that asked for it
-	stoppingOwners         map[platform.Partition]*ownedPartition // whose owner here was told to stop and has not yet
+	supersededBelow        map[platform.Partition]int64           // epoch of the latest owner that requested a stop
+	stoppingOwners         map[platform.Partition]*ownedPartition // owners that are being stopped
 	owners                 map[platform.Partition]memberInfo
 	ownersReadSentAt       time.Time
-	mustRejoin             bool // the membership is to begin anew
+	mustRejoin             bool // the process must join under a new name
 	yieldPolicy            yieldPolicy
 	capacityHint           capacityHint
-	ownersStartFrom        time.Time // nothing that was dealt is run before
+	ownersStartFrom        time.Time // no owner is started before
 }
 
-// Config of a Manager.
+// Config configures a Manager.
 type Config struct {
 	Node    string
-	Address string // at which the node answers other nodes
-	// MilliCores is the processor time of the VM in thousandths of a core, 0 if it
-	// isn't known.
+	Address string // for other nodes
+	// MilliCores is the processor time of the VM in millicores, 0 if it is unknown.
 	MilliCores int
-	// MinTTL is the shortest time to live of a member that the store allows.
+	// MinTTL is the shortest TTL of a member that the store allows.
 	MinTTL time.Duration
-	// Topics are those whose partitions are worked on.
+	// Topics are the topics whose partitions are worked on (work topics).
 	Topics []string
-	// Partitions is how many a topic has, 0 if it isn't known.
+	// Partitions is the number of partitions of each topic, 0 if it is unknown.
 	Partitions int
-	// HasWork tells whether work lies in a partition; nil stands for all.
+	// HasWork reports whether a partition has work now; nil means that all have.
 	HasWork func(platform.Partition) bool
-	// UniqueID must return another text at each call: a restarted process that took
-	// up its old name would share the old one's epoch.
+	// UniqueID must return a different text at each call: a restarted process with its old name would
+	// get the epoch of its predecessor.
 	UniqueID func() string
-	// MemberClient asks other members; nil if none can be asked.
+	// MemberClient asks other members; nil if they can't be asked.
 	MemberClient MemberClient
-	// SuspendedFor is for how long the machine was suspended so far; nil if that is not known.
+	// SuspendedFor returns the total time for which the machine has been suspended; nil if that is unknown.
 	SuspendedFor func() time.Duration
 	Logger       hclog.Logger
 }
 
-// New returns a manager that runs what it owns with run.
+// New returns a Manager that runs run for each partition that it owns.
 func New(store Store, c Config, run Runner) *Manager {
 	m := &Manager{
 		store:           store,
@@ -153,14 +171,14 @@
 	return m
 }
 
-// checkJitterOf spreads nodes evenly from 0 to 1, by their names.
+// checkJitterOf maps the names of nodes evenly to values from 0 to 1.
 func checkJitterOf(node string) float64 {
 	h := fnv.New32a()
 	h.Write([]byte(node))
 	return float64(h.Sum32()) / math.MaxUint32
 }
 
-// Run keeps the membership until ctx ends, and then gives all up.
+// Run keeps the membership until ctx ends. Then it stops all owners and leaves the group.
 func (m *Manager) Run(ctx context.Context) error {
 	tick := time.NewTicker(joinInterval)
 	defer tick.Stop()
@@ -194,7 +212,7 @@
 	return ctx.Err()
 }
 
-// startJoin joins beside the caller, unless as many joins as may be are under way.
+// startJoin joins in the background, unless maxJoinsInFlight joins are in flight.
 func (m *Manager) startJoin(ctx context.Context) {
 	select {
 	case m.joinSlots <- struct{}{}:
@@ -207,8 +225,8 @@
 	}()
 }
 
-// join joins once. Joins overlap: an answer that was lost would hold the next one
-// up until its time-out, and by then the membership has lapsed.
+// join joins once. Joins overlap: if they did not, a lost answer would delay the next join until the timeout,
+// and by then the membership would have lapsed.
 func (m *Manager) join(ctx context.Context) {
 	m.mu.Lock()
 	member := platform.Member{Group: groupName, Name: m.memberName, Topics: m.joinTopics, TTL: m.ttl, Generation: m.releasedGeneration}
@@ -223,7 +241,7 @@
 	defer m.mu.Unlock()
 	m.lastJoinAnsweredAt = time.Now()
 	if member.Name != m.memberName || sentAt.at.Before(m.lastAnsweredJoinSentAt.at) || ctx.Err() != nil {
-		return // a later join was answered before, or the membership began anew
+		return // a later join was answered before, or the membership has begun anew
 	}
 	m.lastAnsweredJoinSentAt = sentAt
 	isNewGeneration := a.Generation != m.generation
@@ -231,7 +249,7 @@
 	m.applyAssignment(ctx, a, sentAt, isNewGeneration)
 }
 
-// rejoinIfFenced begins the membership anew if an owner found itself fenced: a later
+// rejoinIfFenced begins a new membership if an owner has ended by itself, as a fenced owner does: a later
 // generation gives it an epoch above the one that fenced it.
 func (m *Manager) rejoinIfFenced(ctx context.Context) {
 	m.mu.Lock()
@@ -252,16 +270,16 @@
 	}
 }
 
-// RequestJoin asks for a join at once: a VM that has just come waits for its answer.
+// RequestJoin requests a join at once.
 func (m *Manager) RequestJoin() {
 	select {
 	case m.joinRequested <- struct{}{}:
-	default: // one is asked for already
+	default: // one is requested already
 	}
 }
 
-// ConfirmingJoinSentAt is when the latest join was sent that confirmed a partition to this
-// process: no other has taken it over before. Zero if it isn't held.
+// ConfirmingJoinSentAt returns when the latest join that confirmed a partition to this process was sent: no other
+// process has taken it over before that. It returns zero if the partition isn't owned.
 func (m *Manager) ConfirmingJoinSentAt(p platform.Partition) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -274,7 +292,7 @@
 // leaveTimeout bounds the last call of a process that stops.
 const leaveTimeout = 500 * time.Millisecond
 
-// leaveGroup gives all up, so that others need not wait for the time to live.
+// leaveGroup stops all owners and leaves the group, so that other members need not wait for the TTL.
 func (m *Manager) leaveGroup() {
 	m.stopAllOwners()
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
--- a/internal/ownership/watch.go
+++ b/internal/ownership/watch.go
@@ -7,26 +7,26 @@
 	"github.com/yuccadrift/yuccadrift/internal/wait"
 )
 
-// Pauses between looks at the owners.
+// Pauses between checks of the owners.
 const (
-	// yieldingCheckInterval is the longest one of a VM that stands back. With the time to live
-	// of a lost member it stays within a lease.
+	// yieldingCheckInterval is the longest pause of a VM that yields. Together with the TTL of a lost
+	// member it stays within a lease.
 	yieldingCheckInterval = 500 * time.Millisecond
-	// outrankedCheckInterval is that of a member beside which stronger ones are known to be
-	// about: it bears little, and is to leave to them within about a second. It takes two looks, and
-	// twice that where it is dealt what another one has left.
+	// outrankedCheckInterval is the pause of a member that knows of stronger members: it can serve little,
+	// and must yield to them within about a second. That takes two checks, and twice as many if the group
+	// assigns it what another member has left.
 	outrankedCheckInterval = 150 * time.Millisecond
-	// memberCheckInterval is that of any other member.
+	// memberCheckInterval is the pause of any other member.
 	memberCheckInterval = time.Second
-	// initialGatherTime is how long a member waits before it runs what it was dealt where nobody
-	// owned anything: VMs that start together do so within this time. The first to join
-	// is dealt all partitions, and would pause each twice: to take it over, and to pass
-	// it on to those that came a moment later.
+	// initialGatherTime is how long a member waits before it starts owners if nobody owned anything; VMs
+	// that start together do so within this time. The first member to join is assigned all partitions,
+	// and each would pause twice: for its takeover, and when it passes on to a member that joined a moment
+	// later.
 	initialGatherTime = 300 * time.Millisecond
 )
 
-// awaitFirstOwnersRead looks at the owners until the store answers: a VM that joined without would
-// not know whether it is to stand back.
+// awaitFirstOwnersRead reads the owners until the store answers: without a read, a VM would not know whether it
+// must yield.
 func (m *Manager) awaitFirstOwnersRead(ctx context.Context) {
 	for ctx.Err() == nil && !m.readOwners(ctx, 0) {
 		wait.Pause(ctx, joinInterval)
@@ -34,7 +34,7 @@
 	m.startYieldPolicy()
 }
 
-// startYieldPolicy takes the first look that was answered.
+// startYieldPolicy starts the yield policy after the first read of the owners.
 func (m *Manager) startYieldPolicy() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// watchOwners keeps up whether this VM stands back, until ctx ends. A look that fails changes
+// watchOwners reads the owners and updates whether this VM yields, until ctx ends. A read that fails changes
 // nothing.
 func (m *Manager) watchOwners(ctx context.Context) {
 	for ctx.Err() == nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-// updateYielding takes what is known of the owners.
+// updateYielding updates whether this VM yields from the known owners.
 func (m *Manager) updateYielding(now time.Time) {
 	m.mu.Lock()
 	s := m.snapshot()
@@ -76,14 +76,14 @@
 	}
 }
 
-// nextCheckDelay is the pause before the next look.
+// nextCheckDelay returns the pause before the next check.
 func (m *Manager) nextCheckDelay(now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
 	case m.yieldPolicy.isYielding:
-		// Each VM has a pause of its own: where the strong are lost, some weak ones
-		// join before the others look, and these see that enough have.
+		// The pauses of the VMs differ: if the strong members are lost, some weak VMs join before others
+		// check, and these then see that enough members have joined.
 		delay := yieldingCheckInterval - time.Duration(m.checkJitter*float64(yieldingCheckInterval/4))
 		if untilJoin := m.yieldPolicy.joinAt.Sub(now); untilJoin > 0 {
 			delay = min(delay, untilJoin)
@@ -102,9 +102,8 @@
 	return m.yieldPolicy.isYielding
 }
 
-// withdraw leaves the group. Joins under way are waited for: one that arrived
-// after the leave would give partitions to a member that runs none. The next
-// membership has another name, for the same reason.
+// withdraw leaves the group. It waits for joins in flight: a join that arrived after the leave would give
+// partitions to a member that runs none. The next membership has another name for the same reason.
 func (m *Manager) withdraw() {
 	for range maxJoinsInFlight {
 		m.joinSlots <- struct{}{}
--- a/internal/ownership/yield.go
+++ b/internal/ownership/yield.go
@@ -2,71 +2,72 @@
 
 import "time"
 
-// Rules for VMs that leave owning to stronger ones. The group deals partitions out
-// evenly, whatever a member can bear. The owner of a service in demand needs some
-// 0.1 to 0.3 of a core; a VM with 0.2 that also serves callers answers those late.
+// Rules by which weak VMs yield to stronger ones. The group assigns partitions evenly, whatever a member can
+// serve. The owner of a service in demand needs about 0.1 to 0.3 of a core; a VM with 0.2 of a core that also
+// serves callers answers them late.
 //
-// So the weak join last, and only if the strong don't come. How strong the owners were
-// is on the store (see memory.go): after a loss of all nodes each VM knows from its
-// start on whether to wait for stronger ones, however many members there are.
+// Weak VMs therefore join last, and only if the strong ones don't start. The capacity of the last owners is on
+// the store (see capacity.go): after a loss of all nodes each VM knows from its start whether to wait for
+// stronger ones, however many members there are.
 const (
-	// strongerFactor is how many times the processor time a member needs to have to
-	// count as stronger.
+	// strongerFactor is how many times a member's processor time another member must have to count as
+	// stronger.
 	strongerFactor = 2
-	// minStrongerMembers is how many stronger members must own something for a weaker VM
-	// to stand back: one may be lost at any time.
+	// minStrongerMembers is how many stronger members must own something for a weaker VM to yield: one may
+	// be lost at any time.
 	minStrongerMembers = 2
-	// strongerStartTimeout is how long a weak VM that starts waits for stronger ones that
-	// owned last. VMs that start together do so within 0.3 s of each other, and a
-	// process is up within another 0.3 s.
+	// strongerStartTimeout is how long a weak VM that starts waits for stronger ones that were the last
+	// owners. VMs that start together do so within 0.3 s of each other, and a process is up within another
+	// 0.3 s.
 	strongerStartTimeout = time.Second
-	// initialWaitOfOneCore is how long a VM with a whole core waits where nothing is known of
-	// earlier owners; one with a fifth waits five times as long, so that VMs that start
-	// together join in the order of their strength. There are no jobs yet.
+	// initialWaitOfOneCore is how long a VM with one core waits if nothing is known of earlier owners. A VM
+	// with a fifth of a core waits five times as long, so that VMs that start together join in the order of
+	// their processor time. There are no jobs yet.
 	initialWaitOfOneCore = 150 * time.Millisecond
-	// maxInitialWait bounds it. By then owners that were lost before a VM's start are not
-	// listed any more.
+	// maxInitialWait bounds the initial wait. By then, owners that were lost before the start of a VM are no
+	// longer listed.
 	maxInitialWait = 2 * time.Second
-	// yieldDelay is for how long enough stronger members must have owned something
-	// before a member leaves to them: two looks in a row.
+	// yieldDelay is how long enough stronger members must have owned something before a member yields to
+	// them: two checks in a row.
 	yieldDelay = 100 * time.Millisecond
-	// idleYieldDelay is how long a member that owns nothing stays where all partitions have
-	// owners: each change of the members is a call, and may move partitions.
+	// idleYieldDelay is how long a member that owns nothing stays if all partitions have owners. Each change
+	// of the members is a call, and may move partitions.
 	idleYieldDelay = 3 * time.Second
 )
 
-// ownershipSnapshot is what one look at the owners shows.
+// ownershipSnapshot is what one read of the owners shows.
 type ownershipSnapshot struct {
-	strongerMembers int  // members that own something and have far more processor time
-	isSaturated     bool // as many members own something as there are partitions to be worked on
-	ownsPartition   bool // this member owns a partition that is worked on
-	ownsWork        bool // one of them is in use
+	strongerMembers int  // members that own something and are stronger than this one
+	isSaturated     bool // as many other members own partitions of work topics as there are such partitions
+	ownsPartition   bool // this member owns a partition of a work topic
+	ownsWork        bool // this member owns a partition that has work now
 }
 
-// yieldPolicy decides whether a VM stands back. It is not safe for concurrent use.
+// yieldPolicy decides whether a VM yields. It is not safe for concurrent use.
 type yieldPolicy struct {
 	startedAt  time.Time
 	isYielding bool
-	// joinAt is when a VM that stands back joins, unless enough stronger ones own.
+	// joinAt is when a VM that yields joins, unless enough stronger members own something.
 	joinAt time.Time
-	// outrankedSince is since when a member has seen enough stronger ones, idleSince since
-	// when it owns nothing beside partitions that all have owners. Zero if not.
+	// outrankedSince is since when a member has seen enough stronger members. idleSince is since when it has
+	// owned nothing while the partitions were saturated. They are zero if that is not so.
 	outrankedSince, idleSince time.Time
 }
 
-// start starts at the first look at the owners. mine is the VM's processor time in
-// thousandths of a core, 0 if it isn't known; nothing is known of earlier owners yet.
+// start begins with the first read of the owners. ownMilliCores is the VM's processor time in millicores, 0 if it
+// is unknown. Nothing is known of the last owners yet.
 func (p *yieldPolicy) start(ownMilliCores int, now time.Time) {
 	p.startedAt = now
 	p.isYielding = ownMilliCores > 0
 	p.joinAt = now.Add(initialWait(ownMilliCores))
 }
 
+// initialWait returns how long a VM waits before it joins if nothing is known of the last owners.
 func initialWait(ownMilliCores int) time.Duration {
 	return min(maxInitialWait, initialWaitOfOneCore*1000/time.Duration(max(1, ownMilliCores)))
 }
 
-// applyCapacityHint takes how strong the last owners were, 0 if there were none.
+// applyCapacityHint adjusts joinAt to the capacity of the last owners in millicores, 0 if there is no record.
 func (p *yieldPolicy) applyCapacityHint(ownMilliCores, lastMilliCores int) {
 	switch {
 	case lastMilliCores == 0:
@@ -77,14 +78,14 @@
 	}
 }
 
-// update takes a look.
+// update decides from a read of the owners.
 func (p *yieldPolicy) update(s ownershipSnapshot, now time.Time) {
 	isOutranked := s.strongerMembers >= minStrongerMembers
 	if p.isYielding {
 		if isOutranked {
-			p.joinAt = now // should they be lost, it joins at the next look
+			p.joinAt = now // if they are lost, this VM joins at the next check
 		}
-		// Soon after a start members may be listed that were lost with all nodes.
+		// Soon after a start, members that were lost with all nodes may still be listed.
 		isSaturated := s.isSaturated && now.Sub(p.startedAt) > maxInitialWait
 		p.isYielding = isOutranked || isSaturated || now.Before(p.joinAt)
 		p.outrankedSince, p.idleSince = time.Time{}, time.Time{}
@@ -94,8 +95,8 @@
 	p.idleSince = conditionSince(s.isSaturated && !s.ownsPartition, p.idleSince, now)
 	switch {
 	case isOutranked && !s.ownsWork:
-		// What it owns moves no work. Were it to stay, partitions that busy members
-		// leave would pass on to it first, and pause a second time.
+		// Its partitions have no work. If it stayed, partitions that busy members leave would pass on
+		// to it first, and would pause a second time.
 		p.isYielding = true
 	case isOutranked && now.Sub(p.outrankedSince) >= yieldDelay:
 		p.isYielding = true
@@ -107,7 +108,8 @@
 	}
 }
 
-// conditionSince keeps the time from which on something holds, zero while it doesn't.
+// conditionSince returns the time since which a condition holds, zero while it doesn't hold. since is the previous
+// result.
 func conditionSince(isTrue bool, since, now time.Time) time.Time {
 	switch {
 	case !isTrue:
