--- a/internal/fleet/core_test.go
+++ b/internal/fleet/core_test.go
@@ -45,9 +45,8 @@
 	return workload.Wave{Number: n, VMs: vms, Window: 20 * time.Second, MaxConcurrent: limit}
 }
 
-// A VM is ordered only once its worker's owner has said that it is empty, and
-// that word is only as good as the worker it was given for: the list may show
-// another one by then.
+// Guards against tasks being ended by an order: a VM may be ordered only once its worker's owner has reported
+// it as drained, and that report does not count for another worker that the list shows by then.
 func TestVMIsOrderedOnlyOnceItsWorkerIsDrained(t *testing.T) {
 	c := newCore()
 	c.SetWaves([]workload.Wave{newWave(1, 1, "vm-1")}, startTime)
@@ -61,16 +60,16 @@
 
 	c.HandleDrainResult("vm-1", "w-1", workload.Drained, startTime.Add(300*time.Millisecond))
 	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-2")}, startTime.Add(300*time.Millisecond))
-	assert.Empty(t, actionsWithVerb(c.Step(startTime.Add(400*time.Millisecond)), fleet.MaintainVM), "another worker is there")
+	assert.Empty(t, actionsWithVerb(c.Step(startTime.Add(400*time.Millisecond)), fleet.MaintainVM), "the VM has another worker now")
 
 	c.HandleDrainResult("vm-1", "w-2", workload.Drained, startTime.Add(500*time.Millisecond))
 	orders := actionsWithVerb(c.Step(startTime.Add(600*time.Millisecond)), fleet.MaintainVM)
 	require.Len(t, orders, 1)
-	assert.Equal(t, startTime.Add(1500*time.Millisecond), orders[0].ValidUntil, "the word holds for a second")
+	assert.Equal(t, startTime.Add(1500*time.Millisecond), orders[0].ValidUntil, "the drain state must count for a second")
 }
 
-// The list lags. A VM that is just back shows no worker yet, although tasks may
-// run on it already: ordering it would end them.
+// Guards against tasks being ended by an order because the list lags: a VM that is just back shows no worker
+// yet, although tasks may run on it.
 func TestVMWithoutListedWorkerIsNotOrdered(t *testing.T) {
 	c := newCore()
 	c.SetWaves([]workload.Wave{newWave(1, 1, "vm-1")}, startTime)
@@ -80,7 +79,7 @@
 	}
 }
 
-// Spare VMs are off: nothing has to be emptied.
+// Spare VMs are off and need no drain.
 func TestSpareVMIsOrderedWithoutDrain(t *testing.T) {
 	c := newCore()
 	c.SetWaves([]workload.Wave{newWave(1, 2, "vm-1")}, startTime)
@@ -90,8 +89,7 @@
 	assert.Zero(t, orders[0].ValidUntil)
 }
 
-// At most the wave's cap of VMs are away at once, from the order until they are
-// seen back.
+// No more VMs than the wave's MaxConcurrent may be away at once, from the order until they are seen back.
 func TestWaveNeverExceedsItsCap(t *testing.T) {
 	c := newCore()
 	ids := []string{"vm-1", "vm-2", "vm-3", "vm-4", "vm-5"}
@@ -121,11 +119,10 @@
 	require.Len(t, away, 2)
 	later := startTime.Add(3 * time.Second)
 	c.SetVMs(list("b-"), later)
-	assert.NotEmpty(t, c.Step(later), "the next two follow")
+	assert.NotEmpty(t, c.Step(later), "the next two must follow")
 }
 
-// A wave is completed once each VM of it that is there has begun its
-// maintenance, and not before.
+// A wave is completed once each of its listed VMs has begun its maintenance, and not before.
 func TestWaveIsNotCompletedBeforeEveryMaintenanceHasBegun(t *testing.T) {
 	c := newCore()
 	c.SetWaves([]workload.Wave{newWave(1, 5, "vm-1", "vm-gone")}, startTime)
@@ -135,7 +132,7 @@
 	assert.Equal(t, workload.WaveRunning, stored[0].State)
 	c.HandleDrainResult("vm-1", "w-1", workload.Drained, startTime)
 	require.Len(t, actionsWithVerb(c.Step(startTime.Add(100*time.Millisecond)), fleet.MaintainVM), 1)
-	assert.Empty(t, actionsWithVerb(c.Step(startTime.Add(200*time.Millisecond)), fleet.StoreWave), "the order is on its way")
+	assert.Empty(t, actionsWithVerb(c.Step(startTime.Add(200*time.Millisecond)), fleet.StoreWave), "the order is in flight")
 	c.HandleOrderResult("vm-1", fleet.OrderAccepted, startTime.Add(300*time.Millisecond))
 	stored = actionsWithVerb(c.Step(startTime.Add(400*time.Millisecond)), fleet.StoreWave)
 	require.Len(t, stored, 1)
@@ -143,8 +140,7 @@
 	assert.Equal(t, []string{"vm-1"}, stored[0].DoneVMs)
 }
 
-// An order without an answer may have been carried out. It is given again, after
-// the VM was asked to be emptied again.
+// An order without an answer may have been carried out. It must be repeated after another drain request.
 func TestOrderWithUnknownOutcomeIsRetriedAfterAnotherDrain(t *testing.T) {
 	c := newCore()
 	c.SetWaves([]workload.Wave{newWave(1, 1, "vm-1")}, startTime)
@@ -159,8 +155,8 @@
 	assert.Len(t, actionsWithVerb(c.Step(later), fleet.MaintainVM), 1)
 }
 
-// Two holders must not order one VM closely one after the other. A new owner
-// leaves those alone that the one before ordered lately, and only those.
+// Two holders must not order one VM closely one after the other. A new owner must leave alone the VMs that the
+// owner before it ordered recently, and only these.
 func TestNewOwnerDoesNotReorderRecentlyOrderedVMs(t *testing.T) {
 	c := newCore()
 	c.RecordEarlierOrder("vm-1", 1, startTime.Add(-100*time.Millisecond))
@@ -179,7 +175,7 @@
 	assert.GreaterOrEqual(t, ordered["vm-1"], quietPeriod)
 }
 
-// What an earlier owner has ordered is not ordered again.
+// Maintenance that an earlier owner has ordered must not be ordered again.
 func TestNewOwnerDoesNotRepeatStoredMaintenance(t *testing.T) {
 	c := newCore()
 	c.RestoreWave(1, []string{"vm-1"}, startTime)
@@ -202,8 +198,7 @@
 	}
 }
 
-// A pool in demand gets spare VMs first, then idle ones of other pools. VMs with
-// lasting tasks stay where they are.
+// A pool in demand gets spare VMs first, then idle VMs of other pools. VMs with long-running tasks stay.
 func TestPoolInDemandGetsSpareThenIdleVMs(t *testing.T) {
 	c := newCore()
 	c.SetVMs([]workload.VM{
@@ -219,12 +214,12 @@
 	assert.Equal(t, "vm-6", moves[0].VM)
 	assert.Equal(t, "booking", moves[0].Pool)
 	drains := actionsWithVerb(actions, fleet.DrainWorker)
-	require.Len(t, drains, 1, "returns keeps two")
+	require.Len(t, drains, 1, "the pool returns must keep two VMs")
 	assert.Equal(t, "vm-4", drains[0].VM)
 }
 
-// Two pools ask for more than there is, one of them for far more. Neither takes all
-// VMs: both get as many, and a third one keeps the little that it needs.
+// Guards against one pool taking all VMs: two pools ask for more than there is, one of them for far more. Both
+// must get as many, and a third pool keeps the little that it needs.
 func TestPoolsInDemandShareScarceVMsEqually(t *testing.T) {
 	c := newCore()
 	c.SetConfig(&workload.Config{Version: 1, Services: []workload.Service{{Name: "booking"}, {Name: "fitting"}, {Name: "returns"}, {Name: "spare", Standby: true}}})
@@ -250,7 +245,7 @@
 	assert.Equal(t, map[string]int{"booking": 3, "fitting": 3}, got)
 }
 
-// A pool gives VMs back to the spare pool only after a while without need.
+// A pool returns VMs to the spare pool only after it has not needed them for a while.
 func TestIdleVMsReturnToTheSparePoolAfterADelay(t *testing.T) {
 	c := newCore()
 	vms := []workload.VM{upVM("vm-1", "booking", "w-1"), upVM("vm-2", "booking", "w-2"), upVM("vm-3", "booking", "w-3")}
@@ -272,7 +267,7 @@
 	assert.Less(t, first, 15*time.Second)
 }
 
-// The platform lists a VM as up whose worker has crashed. Its pool gets another.
+// The platform lists a VM as up whose worker has crashed. Its pool must get another VM.
 func TestVMWithoutUsableWorkerIsNotCountedForItsPool(t *testing.T) {
 	c := newCore()
 	vms := []workload.VM{upVM("vm-1", "booking", "w-1"), upVM("vm-2", "booking", "w-2"), upVM("vm-3", "spare", "")}
@@ -285,9 +280,8 @@
 	assert.Equal(t, "booking", moves[0].Pool)
 }
 
-// An owner of the fleet is killed with VMs of a wave away. The one that follows
-// counts them to the cap: those that the list shows, and those that were ordered
-// just now, which it may not show yet.
+// Guards against a wave exceeding its cap after its owner is killed with VMs of the wave away. The new owner must
+// count the VMs that the list shows as away, and those ordered so recently that the list may not show it yet.
 func TestNewOwnerCountsVMsUnderMaintenanceTowardTheCap(t *testing.T) {
 	c := newCore()
 	c.RecordEarlierOrder("vm-2", 1, startTime.Add(-50*time.Millisecond))
@@ -300,9 +294,8 @@
 	assert.Empty(t, actionsWithVerb(actions, fleet.MaintainVM))
 }
 
-// A VM is being emptied for maintenance and can't be: the task on it waits until
-// another one of its step is back, which finds no room in the pool. The pool gets
-// a VM more, as the one that is closed serves nobody.
+// Guards against a drain that never ends: the task on the VM waits until another task of its step is back, which
+// finds no free capacity in the pool. The pool must get another VM, as the VM being drained serves nobody.
 func TestPoolGetsAnotherVMWhenOneCannotBeDrained(t *testing.T) {
 	c := newCore()
 	vms := []workload.VM{upVM("vm-1", "booking", "w-1"), upVM("vm-2", "booking", "w-2"), upVM("vm-3", "spare", "")}
@@ -327,9 +320,8 @@
 	assert.Equal(t, "booking", moved[0].Pool)
 }
 
-// The workers of a pool say that half of their room is gone for a while; the list of
-// VMs goes on naming what they have as a rule. Callers' jobs would wait for the other
-// half: the pool gets the VMs that it lacks, and its workers count as fuller.
+// Guards against jobs waiting because the workers of a pool report that half of their capacity is gone for a while,
+// while the list of VMs still shows the usual capacity. The pool must get more VMs, and its workers count as fuller.
 func TestPoolWithShrunkWorkersGetsMoreVMs(t *testing.T) {
 	half := workload.Resources{CPU: vmSize.CPU / 2, MemoryMB: vmSize.MemoryMB / 2}
 	movesWith := func(size workload.Resources, shrunk *workload.Resources) int {
@@ -350,8 +342,8 @@
 	assert.Positive(t, movesWith(half, &half))
 }
 
-// A task needs more than any worker of its pool has left. A VM of another pool that has
-// shrunk can't run it either, whatever the list of VMs says, and is not moved there.
+// Guards against a useless move: a task needs more than any worker of its pool has free. A VM of another pool whose
+// capacity has shrunk can't run it either, whatever the list of VMs shows, and must not be moved.
 func TestShrunkVMIsNotMovedForALargeTask(t *testing.T) {
 	half := workload.Resources{CPU: vmSize.CPU / 2, MemoryMB: vmSize.MemoryMB / 2}
 	c := newCore()
@@ -371,5 +363,5 @@
 			return
 		}
 	}
-	t.Error("no VM is brought")
+	t.Error("no VM is moved to the pool")
 }
--- a/internal/fleet/demand_test.go
+++ b/internal/fleet/demand_test.go
@@ -10,12 +10,11 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// The load of a service that peaks once: nearly nothing, then within 2 s
-// a full rate of quick jobs that one pool can't bear, and as quickly nothing again.
-// Work of a job and size of a VM are such that the full rate fills 24 VMs.
+// The load of a service with one peak: nearly nothing, then within 2 s a full rate of short jobs that one pool can't
+// serve, and as quickly nothing again. By the work of a job and the size of a VM, the full rate fills 24 VMs.
 const (
-	baseRate       = 0.6  // jobs a second
-	fullRate       = 46.0 // jobs a second
+	baseRate       = 0.6  // jobs per second
+	fullRate       = 46.0 // jobs per second
 	riseTime       = 2 * time.Second
 	peakBegin      = 10 * time.Second
 	peakEnd        = 18 * time.Second
@@ -26,21 +25,21 @@
 
 var demandVM = workload.Resources{CPU: 16000, MemoryMB: 65536}
 
-// rateWithPeak is the rate at a time since the beginning.
+// rateWithPeak returns the rate at a time since the beginning.
 func rateWithPeak(at time.Duration) float64 {
 	rise := min(1, max(0, (at-peakBegin).Seconds()/riseTime.Seconds()))
 	fall := min(1, max(0, (peakEnd-at).Seconds()/riseTime.Seconds()))
 	return baseRate + (fullRate-baseRate)*min(rise, fall)
 }
 
-// observation is what the demand says at a time.
+// observation is the state of a demand at a time.
 type observation struct {
 	at                   time.Duration
-	keptVMs, forecastVMs float64 // VMs
+	keptVMs, forecastVMs float64
 	hasFallen            bool
 }
 
-// simulateArrivals feeds random arrivals of a rate and returns what was seen.
+// simulateArrivals feeds random arrivals at a rate to a demand and returns the observations.
 func simulateArrivals(seed uint64, rate func(at time.Duration) float64, length time.Duration) []observation {
 	random := rand.New(rand.NewPCG(seed, seed))
 	var d demand
@@ -63,8 +62,8 @@
 
 const demandSeeds = 200
 
-// A peak begins. VMs take over two seconds to come and a quick job can wait for one,
-// so most of them must be asked for while the rate is still rising.
+// Guards against VMs that come too late for a peak: they take over two seconds to come and short jobs wait for them,
+// so most of them must be requested while the rate is still rising.
 func TestRisingDemandIsForecastWhileItRises(t *testing.T) {
 	late := 0
 	for seed := range uint64(demandSeeds) {
@@ -78,11 +77,11 @@
 			late++
 		}
 	}
-	assert.LessOrEqual(t, late, demandSeeds/10, "most of the VMs are asked for 1.2 s after the peak began")
+	assert.LessOrEqual(t, late, demandSeeds/10, "most of the VMs must be forecast 1.2 s after the peak began")
 }
 
-// The rate is full and stays so. Chance looks like a rise again and again; a pool
-// that kept VMs for it would hold all there are until long after its peak.
+// Guards against a pool keeping all VMs until long after its peak: at a constant full rate, random fluctuation looks
+// like a rise again and again.
 func TestRandomFluctuationIsNotKeptAsDemand(t *testing.T) {
 	samples, over := 0, 0
 	for seed := range uint64(demandSeeds) {
@@ -98,8 +97,8 @@
 	assert.LessOrEqual(t, over, samples/20)
 }
 
-// The peak ends. What was needed in it is forgotten soon, so that the VMs can go to
-// the service whose peak begins.
+// Guards against VMs being kept after a peak: the fall must be detected soon, so that the VMs can go to the service
+// whose peak begins.
 func TestFallOfDemandIsDetectedSoon(t *testing.T) {
 	late := 0
 	for seed := range uint64(demandSeeds) {
@@ -116,8 +115,8 @@
 	assert.LessOrEqual(t, late, demandSeeds/10)
 }
 
-// The rate never changes. Each fall that is seen by chance costs VMs that are missed
-// and moved back.
+// Guards against needless moves: at a constant rate, each fall that is detected by chance costs VMs that are then
+// missing and moved back.
 func TestSteadyDemandIsNotDetectedAsAFall(t *testing.T) {
 	samples, falls := 0, 0
 	for seed := range uint64(demandSeeds) {
@@ -131,8 +130,8 @@
 	assert.LessOrEqual(t, falls, samples/200)
 }
 
-// Another owner counts arrivals from anew, in the middle of a peak. The rate stands
-// meanwhile: a pool that lost its VMs for it would be short of them for seconds.
+// Guards against a pool losing its VMs, and being short of them for seconds, because a new owner counts arrivals
+// from zero in the middle of a peak. The rate must stay.
 func TestRateSurvivesAChangeOfOwner(t *testing.T) {
 	var d demand
 	begin := time.UnixMilli(1_700_000_000_000)
@@ -145,7 +144,7 @@
 		total.CoreMS += 9 * jobCoreMS
 		d.observe(total, begin.Add(time.Duration(i)*sampleInterval))
 		if i >= 5 {
-			assert.InDelta(t, 45, d.rate, 5, "look %d", i)
+			assert.InDelta(t, 45, d.rate, 5, "sample %d", i)
 		}
 	}
 }
--- a/internal/fleet/drained_test.go
+++ b/internal/fleet/drained_test.go
@@ -11,10 +11,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// A worker has crashed and its owner has forgotten it, while the list of VMs, which lags,
-// names it still. Its successor may be there and run tasks. The word that such a worker
-// is empty says nothing of the successor: the VM is ordered only on a list that was asked
-// for later.
+// Guards against an order ending the tasks of a worker's successor: the worker has crashed and its owner reports it
+// as drained without an answer of it, while the list, which lags, still names it. The VM may be ordered only on a
+// list that was requested later.
 func TestUnconfirmedDrainNeedsALaterVMList(t *testing.T) {
 	c := newCore()
 	c.SetWaves([]workload.Wave{newWave(1, 1, "vm-1")}, startTime)
@@ -29,8 +28,8 @@
 	assert.Len(t, actionsWithVerb(c.Step(startTime.Add(400*time.Millisecond)), fleet.MaintainVM), 1)
 }
 
-// Guards against tasks being cut by an order that rests on what was said of the worker that
-// its VM had before: the word came when the next worker was listed already.
+// Guards against tasks being ended by an order based on the drain state of the VM's previous worker: the state was
+// reported before the list showed the next worker.
 func TestDrainStateOfPreviousWorkerDoesNotCountForItsSuccessor(t *testing.T) {
 	c := newCore()
 	c.SetWaves([]workload.Wave{newWave(1, 1, "vm-1")}, startTime)
@@ -40,12 +39,12 @@
 	c.HandleDrainResult("vm-1", "w-1", workload.Drained, startTime.Add(100*time.Millisecond))
 	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-2")}, startTime.Add(200*time.Millisecond))
 	for _, at := range []time.Duration{200, 300, 400} {
-		assert.Empty(t, actionsWithVerb(c.Step(startTime.Add(at*time.Millisecond)), fleet.MaintainVM), "its owner hasn't answered for w-2")
+		assert.Empty(t, actionsWithVerb(c.Step(startTime.Add(at*time.Millisecond)), fleet.MaintainVM), "the owner has not answered for w-2")
 	}
 }
 
-// Guards against tasks being cut as a worker has ended while VMs can't be listed: its owner
-// has just found that out and says that nothing runs there, and an older load names it still.
+// Guards against tasks being ended by an order because a worker has exited while VMs can't be listed: its owner has
+// just found that out and reports the worker as drained, and an older load still names it.
 func TestExitedWorkerIsNotTreatedAsPresentByAnOlderLoad(t *testing.T) {
 	c := newCore()
 	c.SetWaves([]workload.Wave{newWave(1, 1, "vm-1")}, startTime)
@@ -56,11 +55,11 @@
 	c.HandleDrainResult("vm-1", "w-1", workload.DrainedUnconfirmed, later)
 	assert.Empty(t, actionsWithVerb(c.Step(later.Add(100*time.Millisecond)), fleet.MaintainVM))
 	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-1")}, later.Add(150*time.Millisecond))
-	assert.Len(t, actionsWithVerb(c.Step(later.Add(200*time.Millisecond)), fleet.MaintainVM), 1, "a later list names it")
+	assert.Len(t, actionsWithVerb(c.Step(later.Add(200*time.Millisecond)), fleet.MaintainVM), 1, "a later list names the worker")
 }
 
-// Guards against a wave that stands still for seconds, or a pool without a VM that it has, as
-// a VM comes back with a worker of the same ID: the list has shown it as away.
+// Guards against a wave that stands still for seconds, and a pool that misses a VM, because a VM comes back with a
+// worker of the same ID. The list has shown it as away in between.
 func TestVMThatReturnsWithTheSameWorkerIDIsRecognized(t *testing.T) {
 	c := newCore()
 	c.SetWaves([]workload.Wave{newWave(1, 1, "vm-1", "vm-2")}, startTime)
@@ -72,7 +71,7 @@
 
 	stale := startTime.Add(maintenanceTime + 100*time.Millisecond)
 	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-1"), upVM("vm-2", "booking", "w-2")}, stale)
-	assert.Empty(t, actionsWithVerb(c.Step(stale), fleet.DrainWorker), "no list has shown it as away: this one may lag")
+	assert.Empty(t, actionsWithVerb(c.Step(stale), fleet.DrainWorker), "no list has shown the VM as away, so this list may lag")
 
 	away := upVM("vm-1", "booking", "")
 	away.State = workload.VMMaintenance
@@ -82,6 +81,6 @@
 	back := stale.Add(500 * time.Millisecond)
 	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-1"), upVM("vm-2", "booking", "w-2")}, back)
 	next := actionsWithVerb(c.Step(back), fleet.DrainWorker)
-	require.Len(t, next, 1, "the wave goes on")
+	require.Len(t, next, 1, "the wave must go on")
 	assert.Equal(t, "vm-2", next[0].VM)
 }
--- a/internal/fleet/labels_test.go
+++ b/internal/fleet/labels_test.go
@@ -24,9 +24,8 @@
 	return workers
 }
 
-// A caller's task needs a kind of VM that its pool has none of. The pool's load asks
-// for no more VMs, and the task would wait for ever: it gets one of that kind, here
-// from another pool that needs it too little, and no second one meanwhile.
+// Guards against a task waiting for ever for a kind of VM that its pool doesn't have: the pool's load asks for no more
+// VMs. The pool must get one VM of that kind, here from another pool that needs it little, and no second one.
 func TestPoolGetsOneVMForAnUnmetRequirement(t *testing.T) {
 	c := newCore()
 	c.SetVMs([]workload.VM{
@@ -52,8 +51,8 @@
 	assert.Equal(t, "booking", moves[0].Pool)
 }
 
-// A pool needs one VM more, and much of what waits has its data in one rack. Of the
-// spare VMs the one of that rack comes: elsewhere these tasks take twice as long.
+// A pool needs another VM, and most of its waiting tasks have their data in one rack. The spare VM of that rack must
+// come: on other VMs these tasks take twice as long.
 func TestSpareVMInTheRackOfTheDataIsMovedFirst(t *testing.T) {
 	c := newCore()
 	c.SetVMs([]workload.VM{
@@ -68,9 +67,8 @@
 	assert.Equal(t, "vm-4", moves[0].VM)
 }
 
-// Much of what waits in a pool needs VMs of one kind. Those that it has are full,
-// its others idle. It gets idle VMs of that kind from another pool, as many as what
-// waits would fill.
+// Most waiting tasks of a pool need VMs of one label. The pool's VMs of that label are full, its others idle. It must
+// get idle VMs of that label from another pool, as many as the waiting tasks fill.
 func TestPoolGetsMoreVMsOfTheLabelThatIsFull(t *testing.T) {
 	c := newCore()
 	vms := []workload.VM{
--- a/internal/fleet/waves_test.go
+++ b/internal/fleet/waves_test.go
@@ -11,12 +11,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Operators see a wave of maintenance stand still for more than three seconds after
-// each change of the fleet's owner, and end late.
-//
-// At a peak the owner before moved two thirds of the VMs to the pool in demand, and is
-// lost. The next one leaves each of them alone for a while, as it must; but it may not
-// take them for VMs that are away for maintenance: the wave's others are there.
+// Guards against a wave that stands still for more than three seconds after each change of the fleet's owner, and ends
+// late. At a peak the previous owner has moved two thirds of the VMs. The new owner must leave them alone for a while,
+// but must not count them as away for maintenance.
 func TestEarlierMovesDoNotCountTowardTheWavesCap(t *testing.T) {
 	const vms, moved = 60, 40
 	c := newCore()
@@ -35,8 +32,8 @@
 	assert.NotEmpty(t, actionsWithVerb(c.Step(startTime.Add(100*time.Millisecond)), fleet.DrainWorker))
 }
 
-// An owner of an earlier version did not store what it ordered a VM for. It may have
-// been the wave, so the VM counts to its cap.
+// An owner of an earlier version did not store for which wave it ordered a VM. The order may belong to this wave, so
+// the VM must count toward its cap.
 func TestEarlierOrderOfUnknownWaveCountsTowardTheCap(t *testing.T) {
 	c := newCore()
 	c.RecordEarlierOrder("vm-1", fleet.UnknownWave, startTime.Add(-50*time.Millisecond))
@@ -45,19 +42,16 @@
 	assert.Empty(t, actionsWithVerb(c.Step(startTime.Add(100*time.Millisecond)), fleet.DrainWorker))
 }
 
-// Operators see a few of some hundred VMs left over at the end of a wave, each time.
-//
-// A pool's lasting tasks lie on 20 of its VMs. Their steps may miss one task at a time,
-// and one that was stopped is back at work after a second, so that these VMs can only be
-// emptied one after the other. They cost most to take away and so were taken last, when
-// all others were done at three fifths of the wave's time, and needed more than the rest
-// of it. The wave asks for all VMs within its time.
+// Guards against a few of some hundred VMs being left over at the end of each wave. A pool's long-running tasks run on
+// 20 of its VMs. Their steps may miss one task at a time, and a stopped task is back after a second, so these VMs can
+// only be drained one after another. As the costliest VMs they came last, when all others were done at three fifths of
+// the wave's time, and needed more than the rest of it. The wave must order all VMs within its window.
 func TestVMsWithLongRunningTasksAreMaintainedInTime(t *testing.T) {
 	const (
 		longRunningVMs = 20
 		otherVMs       = 80
 		duration       = 25 * time.Second
-		moveTime       = time.Second // until a lasting task is back at work elsewhere
+		moveTime       = time.Second // until a long-running task runs elsewhere
 	)
 	c := newCore()
 	workers := map[string]workload.WorkerLoad{}
@@ -75,7 +69,7 @@
 	}
 	c.SetWaves([]workload.Wave{{Number: 1, VMs: ids, Window: duration, MaxConcurrent: 40}}, startTime)
 	ordered := map[string]bool{}
-	var movingWorker string // the VM whose lasting tasks move
+	var movingWorker string // the worker whose long-running tasks move
 	var movedAt time.Time
 	for at := time.Duration(0); at < duration; at += 100 * time.Millisecond {
 		now := startTime.Add(at)
@@ -103,7 +97,7 @@
 				c.HandleOrderResult(a.VM, fleet.OrderAccepted, now)
 			}
 		}
-		for i, vm := range list { // back with a new worker in time
+		for i, vm := range list { // the VM comes back with a new worker in time
 			if ordered[vm.ID] && vm.Worker == "w-"+vm.ID {
 				list[i].Worker = "new-" + vm.ID
 				workers["new-"+vm.ID] = workload.WorkerLoad{Usable: true}
@@ -113,11 +107,9 @@
 	assert.Len(t, ordered, longRunningVMs+otherVMs)
 }
 
-// Operators see a wave's last VMs follow one another at one in two seconds.
-//
-// A pool has one VM beyond those that its lasting tasks must lie on. While a VM is
-// maintained that one has its tasks, and no other VM can be emptied until it is back. A
-// pool gets one VM more for each that is away so.
+// Guards against the last VMs of a wave being maintained one at a time, every two seconds. A pool has one VM beyond
+// those over which its long-running tasks must be spread. While a VM is maintained, that spare VM runs its tasks, and no
+// other VM can be drained. The pool must get another VM for each such VM that is away.
 func TestPoolGetsAVMForEachMaintainedOneWithLongRunningTasks(t *testing.T) {
 	const spread = 4
 	c := newCore()
--- a/internal/fleetowner/actions_test.go
+++ b/internal/fleetowner/actions_test.go
@@ -17,7 +17,7 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// slowStore takes writes a while after they were sent.
+// slowStore accepts writes after a latency.
 type slowStore struct{ latency time.Duration }
 
 func (s *slowStore) Append(context.Context, platform.Partition, *platform.Producer, ...platform.KeyedRecord) (platform.StoreStatus, error) {
@@ -37,7 +37,7 @@
 	return platform.StoreOK, nil
 }
 
-// moveRecorder notes when VMs are ordered.
+// moveRecorder records when VMs are moved.
 type moveRecorder struct {
 	mu      sync.Mutex
 	movedAt []time.Time
@@ -56,8 +56,7 @@
 	return platform.VMOrderOK, nil
 }
 
-// runMove has a move of an emptied VM announced on a store that takes a while, and
-// returns how many orders went out.
+// runMove executes the move of a drained VM on a slow store and returns the number of orders sent.
 func runMove(t *testing.T, storeLatency time.Duration, validUntil func(now time.Time) time.Time) int {
 	machines := &moveRecorder{}
 	synctest.Test(t, func(t *testing.T) {
@@ -72,24 +71,23 @@
 	return len(machines.movedAt)
 }
 
-// The store is away for seconds while an order is announced there. By its return
-// the worker is open again and has got tasks, among them a lasting one whose step
-// may miss no more: the order would end it. It is not given; the VM is emptied anew.
+// Guards against an order that ends tasks because the store was away for seconds while the order was being stored. By
+// then the worker is open again and has tasks, among them a long-running one whose step may miss no more. The order
+// must not be sent.
 func TestOrderIsNotSentOnAStaleDrainState(t *testing.T) {
 	inASecond := func(now time.Time) time.Time { return now.Add(time.Second) }
 	assert.Zero(t, runMove(t, 4*time.Second, inASecond))
 	assert.Equal(t, 1, runMove(t, 20*time.Millisecond, inASecond))
 }
 
-// A VM of the spare pool is off: no wait can make it busy.
+// A VM of the spare pool is off and can't have got tasks meanwhile.
 func TestOrderForASpareVMIsSentHoweverLate(t *testing.T) {
 	never := func(time.Time) time.Time { return time.Time{} }
 	assert.Equal(t, 1, runMove(t, 4*time.Second, never))
 }
 
-// Guards against a VM that is ordered by an owner of the fleet that has a successor by then:
-// its process stood still, or the store was away, after the order was announced. The successor
-// would count the VM as back, and order others of its wave beside it.
+// Guards against an order from an owner that has a successor by then, because its process stood still or the store was
+// away after the order was stored. The successor would count the VM as back, and order other VMs of its wave as well.
 func TestOrderIsNotSentOnceAnotherNodeMayOwnTheFleet(t *testing.T) {
 	for latency, ordered := range map[time.Duration]int{4 * time.Second: 0, 20 * time.Millisecond: 1} {
 		machines := &moveRecorder{}
@@ -103,11 +101,11 @@
 			cancel()
 			synctest.Wait()
 		})
-		assert.Len(t, machines.movedAt, ordered, "announced within %s", latency)
+		assert.Len(t, machines.movedAt, ordered, "the order is stored within %s", latency)
 	}
 }
 
-// slowService says that a worker is empty, and its answer arrives a while later.
+// slowService reports a worker as drained after a latency.
 type slowService struct{ latency time.Duration }
 
 func (s slowService) RequestDrain(context.Context, string, string) (workload.DrainState, bool) {
@@ -119,9 +117,8 @@
 	return nil, false
 }
 
-// The fleet's owner stands still between its question and the answer that a worker
-// is empty. When it wakes the worker is open again and has got tasks. The word counts
-// from the question, so it is too old, and the VM is not ordered.
+// Guards against an order that ends tasks because the fleet's owner stood still between a drain request and its answer.
+// By then the worker is open again and has tasks. The age of the answer must count from the request.
 func TestDrainStateAgeCountsFromTheRequest(t *testing.T) {
 	for latency, ordered := range map[time.Duration]int{1600 * time.Millisecond: 0, 20 * time.Millisecond: 1} {
 		synctest.Test(t, func(t *testing.T) {
@@ -147,8 +144,7 @@
 	}
 }
 
-// After a suspension only the time of day has gone on; times without a reading of
-// the steady clock stand for it here.
+// After a suspension only the wall clock has advanced. Times without a monotonic reading stand for that here.
 func TestTimeHasPassedByEitherClock(t *testing.T) {
 	now := time.Now()
 	assert.False(t, hasPassed(now.Add(time.Second), now))
@@ -157,7 +153,7 @@
 	assert.True(t, hasPassed(now, now.Add(time.Millisecond).Round(0)))
 }
 
-// idleService has a worker that answers its owner a while after it is asked for first.
+// idleService has a worker that answers its owner a while after the first drain request.
 type idleService struct {
 	slowService
 	answersFrom *time.Time
@@ -173,8 +169,8 @@
 	return workload.Drained, true
 }
 
-// Guards against a pool waiting a step longer for each VM whose worker is idle: its owner
-// asks it only once it is to be emptied.
+// Guards against a pool waiting a step longer for each VM with an idle worker: the worker's owner polls it only once it
+// is being drained.
 func TestIdleWorkersVMIsOrderedAtTheNextStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := New(Deps{Services: idleService{answersFrom: &time.Time{}}, Logger: hclog.NewNullLogger()}, 0, 7)
--- a/internal/ownership/authority_test.go
+++ b/internal/ownership/authority_test.go
@@ -14,7 +14,7 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// partitionsOf lists the partitions that a node runs.
+// partitionsOf returns the partitions that a node runs.
 func (c *cluster) partitionsOf(n *clusterNode) []platform.Partition {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -31,8 +31,8 @@
 	return time.Now().Before(n.manager.AuthorityUntil(p))
 }
 
-// withRunningCluster plays a cluster of three nodes until each owns something, and hands over one
-// that does.
+// withRunningCluster runs a cluster of three nodes, waits until the partitions have owners, and calls scenario with
+// the first node and its partitions.
 func withRunningCluster(t *testing.T, scenario func(c *cluster, n *clusterNode, owned []platform.Partition)) {
 	runCluster(t, 3, 0, func(c *cluster) {
 		c.start(anyNode)
@@ -44,8 +44,8 @@
 	})
 }
 
-// Guards against an owner without the store that goes on for longer than its successor
-// reckons: both keep tasks running.
+// Guards against two owners that both keep tasks running: an owner that is cut off from the store must not keep its
+// authority for longer than its successor assumes.
 func TestAuthorityEndsWithinATTLOfASuccessorsStart(t *testing.T) {
 	withRunningCluster(t, func(c *cluster, n *clusterNode, owned []platform.Partition) {
 		n.isCut.Store(true)
@@ -59,7 +59,7 @@
 	})
 }
 
-// Guards against all tasks lapsing while the store is down for all: no successor can arise.
+// Guards against all tasks lapsing while the store is down for all, when no successor can arise.
 func TestAuthorityLastsWhileTheStoreIsDownForAll(t *testing.T) {
 	withRunningCluster(t, func(c *cluster, n *clusterNode, owned []platform.Partition) {
 		for _, other := range c.nodes {
@@ -72,8 +72,8 @@
 	})
 }
 
-// Guards against an owner that takes the silence of a member for the store's: the member may
-// have become its successor.
+// Guards against an owner that keeps its authority although a member doesn't answer: that member may have become its
+// successor.
 func TestAuthorityEndsWhenAMemberDoesNotAnswer(t *testing.T) {
 	withRunningCluster(t, func(c *cluster, n *clusterNode, owned []platform.Partition) {
 		for _, other := range c.nodes {
@@ -86,12 +86,12 @@
 		assert.False(t, hasAuthority(n, owned[0]))
 		c.nodes[2].isSilent.Store(false)
 		time.Sleep(joinInterval + memberQueryTimeout)
-		assert.True(t, hasAuthority(n, owned[0]), "it has told since that it has not joined")
+		assert.True(t, hasAuthority(n, owned[0]), "the member has answered since that it has not joined")
 	})
 }
 
-// Guards against an owner whose machine was suspended: its steady clock doesn't count that
-// time, in which its partitions have passed on.
+// Guards against an owner that keeps its authority after its machine was suspended: its monotonic clock doesn't count
+// that time, in which its partitions have passed on.
 func TestSuspensionEndsAuthorityAndOwnership(t *testing.T) {
 	withRunningCluster(t, func(c *cluster, n *clusterNode, owned []platform.Partition) {
 		n.isCut.Store(true)
@@ -101,12 +101,12 @@
 		n.isCut.Store(false)
 		time.Sleep(joinInterval + 10*storeLatency)
 		for _, p := range c.partitionsOf(n) {
-			assert.True(t, hasAuthority(n, p), "it has joined since")
+			assert.True(t, hasAuthority(n, p), "the node has joined since")
 		}
 	})
 }
 
-// scriptedStore answers joins as a test says.
+// scriptedStore answers joins as set by a test.
 type scriptedStore struct {
 	mu     sync.Mutex
 	gen    int64
@@ -146,8 +146,8 @@
 	return platform.Batch{}, platform.StoreOK, nil
 }
 
-// Guards against an owner that goes on under its old epoch after another node has owned the
-// partition in between: workers that this one never reached would take its orders.
+// Guards against an owner that goes on under its old epoch after another node has owned the partition in between:
+// workers that the other node never reached would accept its orders.
 func TestPartitionThatMayHavePassedOnIsRestartedWithANewEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &scriptedStore{gen: 3, parts: []platform.Partition{{Topic: "jobs"}}}
@@ -156,11 +156,11 @@
 		stopped := 0
 		run := func(ctx context.Context, _ platform.Partition, epoch int64) error {
 			mu.Lock()
-			assert.Equal(t, len(epochs), stopped, "the previous owner has stopped")
+			assert.Equal(t, len(epochs), stopped, "the previous owner must have stopped")
 			epochs = append(epochs, epoch)
 			mu.Unlock()
 			<-ctx.Done()
-			time.Sleep(50 * time.Millisecond) // it leaves word of its runs
+			time.Sleep(50 * time.Millisecond) // it records its runs
 			mu.Lock()
 			defer mu.Unlock()
 			stopped++
@@ -183,16 +183,16 @@
 			return epochs
 		}
 		time.Sleep(time.Second)
-		assert.Equal(t, []int64{3}, downFor(5*time.Second, 3), "nobody has come or gone")
-		assert.Equal(t, []int64{3}, downFor(500*time.Millisecond, 4), "its membership can't have lapsed")
+		assert.Equal(t, []int64{3}, downFor(5*time.Second, 3), "the members have not changed")
+		assert.Equal(t, []int64{3}, downFor(500*time.Millisecond, 4), "the membership can't have lapsed")
 		assert.Equal(t, []int64{3, 6}, downFor(5*time.Second, 6))
 		cancel()
 		<-ended
 	})
 }
 
-// Guards against an owner that takes the word of some members for that of all: one of them
-// has reached the store again, and owns its partitions now.
+// Guards against an owner that treats the answers of some members as those of all: one member has reached the store
+// again and owns its partitions now.
 func TestAuthorityEndsWhenOneMemberReachesTheStoreAgain(t *testing.T) {
 	for which := 1; which <= 2; which++ {
 		withRunningCluster(t, func(c *cluster, n *clusterNode, owned []platform.Partition) {
@@ -215,8 +215,8 @@
 	}
 }
 
-// Guards against an owner that goes on beside the one that asked for its partition, and
-// against one that is started again by an answer of the group from before.
+// Guards against an owner that goes on beside the later owner that requested its stop, and against an owner that is
+// started again by an older answer of the group.
 func TestOwnerIsStoppedForALaterOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		part := platform.Partition{Topic: "jobs"}
@@ -249,10 +249,10 @@
 		}
 		require.Equal(t, []int64{3}, started())
 		m.StopOwnerBelow(t.Context(), part, 3)
-		require.Empty(t, causes, "the one that asks is no later one")
+		require.Empty(t, causes, "an owner with the same epoch is not a later one")
 		m.StopOwnerBelow(t.Context(), part, 5)
 		require.Equal(t, []error{ErrSuperseded}, causes)
-		assert.Equal(t, []int64{3}, started(), "the group's answers are older than the owner that asked")
+		assert.Equal(t, []int64{3}, started(), "the group's answers are older than the owner that requested the stop")
 		store.set(6, false)
 		assert.Equal(t, []int64{3, 6}, started())
 		cancel()
@@ -260,7 +260,7 @@
 	})
 }
 
-// memberStub answers for the one other member, whose last join was answered at a time.
+// memberStub answers for the only other member.
 type memberStub struct {
 	mu             sync.Mutex
 	joinAnsweredAt time.Time
@@ -279,8 +279,8 @@
 	return LastJoin{Age: time.Since(s.joinAnsweredAt), Owned: s.owned}, nil
 }
 
-// Guards against an owner that goes on while the store is down for all, though the group had
-// dealt its partition to another member just before: that one has joined in time, too.
+// Guards against an owner that goes on while the store is down for all, although the group had assigned its partition
+// to another member just before. That member has joined in time as well.
 func TestAuthorityEndsWhenAnotherMemberOwnsThePartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		part := platform.Partition{Topic: "jobs"}
@@ -305,7 +305,7 @@
 		assert.True(t, time.Now().Before(m.AuthorityUntil(part)))
 		other.set(time.Now().Add(-time.Hour), part)
 		time.Sleep(m.TTL() + joinInterval)
-		assert.True(t, time.Now().Before(m.AuthorityUntil(part)), "it has not heard that the partition passed on")
+		assert.True(t, time.Now().Before(m.AuthorityUntil(part)), "the other member has not received the partition in a join yet")
 		other.set(down, part)
 		time.Sleep(m.TTL() + joinInterval)
 		assert.False(t, time.Now().Before(m.AuthorityUntil(part)))
--- a/internal/ownership/cluster_test.go
+++ b/internal/ownership/cluster_test.go
@@ -15,7 +15,7 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// storeLink is a node's way to the store. Nothing arrives from a node that was killed.
+// storeLink is a node's connection to the store. Nothing passes while the node is cut off or killed.
 type storeLink struct {
 	*stickyGroup
 	isCut *atomic.Bool
@@ -42,7 +42,7 @@
 	return l.stickyGroup.Owners(ctx, group)
 }
 
-// clusterMemberClient is a node's way to the others.
+// clusterMemberClient is a node's connection to the other nodes.
 type clusterMemberClient struct{ c *cluster }
 
 func (l clusterMemberClient) LastJoin(ctx context.Context, address string) (LastJoin, error) {
@@ -56,19 +56,19 @@
 	return LastJoin{}, ctx.Err()
 }
 
-// Sizes of the fleets that are played. Fifteen of a hundred VMs are strong, as where an
-// operator adds small VMs to carry callers.
+// Sizes of the simulated fleets. Fifteen of a hundred VMs are strong, as where an operator adds small VMs to serve
+// callers.
 const (
 	strongMilliCores   = 800
 	weakMilliCores     = 192
 	strongShare        = 0.15
 	partitionsPerTopic = 24
-	partitionsWithWork = 6 // partitions in which work lies
+	partitionsWithWork = 6 // of the topic jobs
 	startSpread        = 300 * time.Millisecond
 	outageTime         = 1600 * time.Millisecond
 )
 
-// cluster is a fleet of nodes on one store.
+// cluster is a fleet of nodes with one store.
 type cluster struct {
 	t     *testing.T
 	group *stickyGroup
@@ -76,8 +76,8 @@
 
 	mu               sync.Mutex
 	ownerByPartition map[platform.Partition]*clusterNode
-	ownerStarts      map[platform.Partition]int // owners that began
-	weakOwnerStarts  int                        // how often a weak VM began to own what is in use
+	ownerStarts      map[platform.Partition]int // of partitions with work
+	weakOwnerStarts  int                        // of partitions with work, on weak VMs
 }
 
 type clusterNode struct {
@@ -87,14 +87,14 @@
 	cancel         context.CancelFunc
 	manager        *Manager
 	isCut          *atomic.Bool
-	isSilent       atomic.Bool  // it answers no other node
-	suspendedNanos atomic.Int64 // nanoseconds for which its machine was suspended
+	isSilent       atomic.Bool  // the node answers no other node
+	suspendedNanos atomic.Int64 // total time for which the machine was suspended
 	ended          chan struct{}
 }
 
 func hasWork(p platform.Partition) bool { return p.Topic == "jobs" && p.Part < partitionsWithWork }
 
-// runCluster plays a fleet with so many strong and weak VMs in a bubble.
+// runCluster runs a scenario with a fleet of strong and weak VMs in a synctest bubble.
 func runCluster(t *testing.T, strong, weak int, scenario func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{t: t, group: newStickyGroup(partitionsPerTopic), ownerByPartition: map[platform.Partition]*clusterNode{}, ownerStarts: map[platform.Partition]int{}}
@@ -112,7 +112,7 @@
 
 func (c *cluster) isStrong(n *clusterNode) bool { return n.milliCores == strongMilliCores }
 
-// start starts nodes over startSpread, in an order that mixes the strong and the weak.
+// start starts nodes over startSpread, in an order that mixes strong and weak ones.
 func (c *cluster) start(which func(*clusterNode) bool) {
 	var list []*clusterNode
 	for i := range c.nodes {
@@ -167,7 +167,7 @@
 	}()
 }
 
-// kill ends nodes without a word to the store.
+// kill ends nodes without a call to the store.
 func (c *cluster) kill(which func(*clusterNode) bool) {
 	for _, n := range c.nodes {
 		if which(n) {
@@ -177,7 +177,7 @@
 	c.stop(which)
 }
 
-// stop ends nodes in good order and waits for them.
+// stop ends nodes cleanly and waits for them.
 func (c *cluster) stop(which func(*clusterNode) bool) {
 	for _, n := range c.nodes {
 		if which(n) {
@@ -191,14 +191,14 @@
 	}
 }
 
-// ownerOf is the node that runs a partition, nil if none does.
+// ownerOf returns the node that runs a partition, nil if none does.
 func (c *cluster) ownerOf(p platform.Partition) *clusterNode {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ownerByPartition[p]
 }
 
-// isAllOwned tells whether each partition in use is run, by a strong VM if that is asked for.
+// isAllOwned reports whether each partition with work has an owner, with byStrong one on a strong VM.
 func (c *cluster) isAllOwned(byStrong bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -211,7 +211,7 @@
 	return true
 }
 
-// awaitOwned waits until all in use is owned, for some seconds at most.
+// awaitOwned waits until isAllOwned, for at most 20 s, and returns how long that took.
 func (c *cluster) awaitOwned(byStrong bool) time.Duration {
 	began := time.Now()
 	for !c.isAllOwned(byStrong) && time.Since(began) < 20*time.Second {
@@ -220,8 +220,8 @@
 	return time.Since(began)
 }
 
-// takeOwnerStarts counts owners that began since the last call: the most of any partition in use,
-// and the weak ones.
+// takeOwnerStarts returns the owner starts since the last call: the most of any partition with work, and all on weak
+// VMs.
 func (c *cluster) takeOwnerStarts() (most, weak int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/ownership/scale_test.go
+++ b/internal/ownership/scale_test.go
@@ -13,7 +13,7 @@
 
 func anyNode(*clusterNode) bool { return true }
 
-// maxTimeToOwned is the aim: so long after the nodes are up the strong own what is in use.
+// maxTimeToOwned is the target time from the start of the nodes until strong VMs own all partitions with work.
 const maxTimeToOwned = 500 * time.Millisecond
 
 func forEachFleetSize(t *testing.T, scenario func(t *testing.T, strong, weak int)) {
@@ -26,13 +26,11 @@
 	}
 }
 
-// Callers of a large fleet are hardly served for eight seconds after a loss of power.
-//
-// All VMs come back within 0.3 s and look who owns: nobody yet. So all join, and the
-// partitions pass from the first, a strong one, to weak ones that can't bear them, which
-// notice stronger members after seconds. The strong must own what is in use from the
-// first deal on, each partition passing on once at most; also a second time, and
-// however many members there are.
+// Guards against callers of a large fleet being hardly served for eight seconds after a loss of power. All VMs come
+// back within 0.3 s and see no owners, so all join, and the partitions pass from the first, strong member to weak
+// members that can't serve them and notice stronger ones only after seconds. Strong VMs must own the partitions with
+// work from the first assignment on, with at most one change of owner each, also after a second loss and for any
+// number of members.
 func TestStrongVMsOwnPartitionsAfterALossOfAllNodes(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, strong, weak int) {
 		runCluster(t, strong, weak, func(c *cluster) {
@@ -43,7 +41,7 @@
 			calls := c.group.callWeight
 			time.Sleep(10 * time.Second)
 			perNode := (c.group.callWeight - calls) / float64(len(c.nodes)) / 10
-			assert.LessOrEqual(t, perNode, 3.0, "calls of a node in a second at rest")
+			assert.LessOrEqual(t, perNode, 3.0, "calls per node and second at rest")
 			for range 2 {
 				c.kill(anyNode)
 				time.Sleep(outageTime)
@@ -59,8 +57,8 @@
 	})
 }
 
-// The strong are restarted one after the other, as for a new version. Never may a weak
-// one own: two strong ones are there all the time.
+// Strong VMs are restarted one after another, as for a new version. No weak VM may own a partition with work at any
+// time: two strong VMs are always there.
 func TestWeakVMsYieldDuringARollingRestartOfStrongOnes(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, strong, weak int) {
 		runCluster(t, strong, weak, func(c *cluster) {
@@ -81,10 +79,9 @@
 	})
 }
 
-// All strong VMs but one are lost at once. The weak take over within the lease of what
-// runs, as nothing else can. When the strong are back the weak leave to them no later
-// than if they had been killed at that moment, though there are more members than
-// partitions.
+// All strong VMs but one are lost at once. The weak VMs must take over within the lease of the runs. Once the strong
+// VMs are back, the weak ones must yield to them no later than if they had been killed at that moment, although there
+// are more members than partitions.
 func TestWeakVMsOwnOnlyWhileTheStrongAreLost(t *testing.T) {
 	const lease = 3500 * time.Millisecond
 	forEachFleetSize(t, func(t *testing.T, strong, weak int) {
@@ -107,7 +104,7 @@
 	})
 }
 
-// In a fleet of VMs of one size nobody waits for stronger ones after a loss of all.
+// In a fleet of VMs of one size, no VM may wait for stronger ones after a loss of all nodes.
 func TestVMsOfOneSizeOwnAtOnceAfterALossOfAllNodes(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, strong, weak int) {
 		runCluster(t, 0, strong+weak, func(c *cluster) {
@@ -122,8 +119,8 @@
 	})
 }
 
-// A node is cut off from the store. By the time another one is dealt what it owned, it
-// must know that this may be so: until then it answers questions about its jobs.
+// Guards against a node that is cut off from the store and answers questions about its jobs after another node owns
+// them: OwnedUntil must have ended by the time the other node is assigned the partition.
 func TestOwnedUntilEndsBeforeAnotherMemberOwns(t *testing.T) {
 	runCluster(t, 2, 0, func(c *cluster) {
 		c.start(anyNode)
@@ -140,7 +137,7 @@
 		c.mu.Unlock()
 		require.NotEmpty(t, owned)
 		cutOff.isCut.Store(true)
-		assert.True(t, cutOff.manager.OwnedUntil(owned[0]).After(time.Now()), "while it is only just cut off")
+		assert.True(t, cutOff.manager.OwnedUntil(owned[0]).After(time.Now()), "the node has only just been cut off")
 		for passed := 0; passed < len(owned); time.Sleep(time.Millisecond) {
 			passed = 0
 			for _, p := range owned {
--- a/internal/ownership/stickygroup_test.go
+++ b/internal/ownership/stickygroup_test.go
@@ -8,19 +8,19 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// stickyGroup is a store with one group. It deals partitions out evenly and moves as few
-// as that allows; one that a live member holds passes on when that member has heard of it.
-// Members that have lapsed are not listed as owners.
+// stickyGroup is a store with one group. It assigns partitions evenly and moves as few as possible. A partition of a
+// live member passes on once that member has received the generation that takes it away. Members whose TTL has
+// expired are not listed as owners.
 type stickyGroup struct {
 	mu                 sync.Mutex
-	partitionsPerTopic int // of each topic
+	partitionsPerTopic int
 	topics             []string
-	expiresAt          map[string]time.Time // when they lapse
+	expiresAt          map[string]time.Time // when the TTL of a member ends
 	order              []string
 	gen                int64
 	owner              map[platform.Partition]string
 	target             map[platform.Partition]string
-	revokedIn          map[platform.Partition]int64 // the generation that took it from its holder
+	revokedIn          map[platform.Partition]int64 // the generation that takes a partition from its owner, 0 if none
 	records            []platform.KeyedRecord
 	callWeight         float64
 }
@@ -31,7 +31,7 @@
 	return &stickyGroup{partitionsPerTopic: parts, expiresAt: map[string]time.Time{}, owner: map[platform.Partition]string{}, target: map[platform.Partition]string{}, revokedIn: map[platform.Partition]int64{}}
 }
 
-// beginCall begins a call that counts for so much.
+// beginCall begins a call that counts as weight calls. It returns with mu held.
 func (g *stickyGroup) beginCall(weight float64) {
 	time.Sleep(storeLatency)
 	g.mu.Lock()
@@ -57,7 +57,7 @@
 	}
 }
 
-// rebalance chooses who is to hold what.
+// rebalance chooses the target owner of each partition. It must be called with mu held.
 func (g *stickyGroup) rebalance() {
 	g.gen++
 	var order []string
@@ -67,7 +67,7 @@
 		}
 	}
 	g.order = order
-	least, extra := 0, 0 // so many have one partition more than the least
+	least, extra := 0, 0 // extra members have one partition more than least
 	if total := len(g.topics) * g.partitionsPerTopic; len(order) > 0 {
 		least, extra = total/len(order), total%len(order)
 	}
--- a/internal/ownership/yield_test.go
+++ b/internal/ownership/yield_test.go
@@ -17,12 +17,11 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// fakeGroup is a group in which others own a partition each, and a member that
-// joins gets one more.
+// fakeGroup is a group in which each of others owns a partition, and each member that joins gets another one.
 type fakeGroup struct {
 	emptyStore
 	mu          sync.Mutex
-	others      []string // members that own a partition
+	others      []string // members that own a partition each
 	joinsByName map[string]int
 	leftMembers map[string]bool
 }
@@ -74,7 +73,7 @@
 	return len(g.joinsByName)
 }
 
-// runWeakMember runs a manager of a VM with 192 thousandths of a core in a bubble.
+// runWeakMember runs a scenario with a Manager of a VM with 192 millicores in a synctest bubble.
 func runWeakMember(t *testing.T, others []string, scenario func(g *fakeGroup, owns func() bool)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &fakeGroup{joinsByName: map[string]int{}, leftMembers: map[string]bool{}}
@@ -111,8 +110,8 @@
 
 func encodedName(name, milliCores string) string { return name + "|" + name + ":1|x|" + milliCores }
 
-// A weak VM starts beside two strong ones. It never joins, so nothing passes on to
-// it that it could not bear, nor is anything dealt anew.
+// A weak VM starts beside two strong ones. It must never join, so that it gets no partition that it can't serve and
+// nothing is reassigned.
 func TestWeakVMDoesNotJoinBesideStrongOnes(t *testing.T) {
 	runWeakMember(t, []string{encodedName("s-1", "800"), encodedName("s-2", "800")}, func(g *fakeGroup, owns func() bool) {
 		time.Sleep(20 * time.Second)
@@ -121,8 +120,8 @@
 	})
 }
 
-// The strong VMs are lost. The weak one takes over within a second of their rows:
-// with their time to live that is within the lease of what they ran.
+// Strong VMs are lost. The weak one must take over within a second of their removal from the list of owners: together
+// with their TTL that is within the lease of what they ran.
 func TestWeakVMTakesOverWhenStrongOnesAreLost(t *testing.T) {
 	runWeakMember(t, []string{encodedName("s-1", "800"), encodedName("s-2", "800")}, func(g *fakeGroup, owns func() bool) {
 		time.Sleep(5 * time.Second)
@@ -132,18 +131,18 @@
 	})
 }
 
-// A weak VM was first. Strong ones come and stay: it leaves the group after two looks, in
-// good order, and stays out. Ones that are gone again by its next look change nothing.
+// A weak VM was first, then strong ones come and stay. It must leave the group cleanly after two checks, and stay out.
+// Strong VMs that are gone again by its next check must change nothing.
 func TestWeakMemberYieldsOnceStrongOnesStay(t *testing.T) {
 	runWeakMember(t, nil, func(g *fakeGroup, owns func() bool) {
 		time.Sleep(3 * time.Second)
 		assert.True(t, owns())
-		for range 20 { // seen in one look at most
+		for range 20 { // seen in one check at most
 			g.setOthers(encodedName("s-1", "800"), encodedName("s-2", "800"))
 			time.Sleep(100 * time.Millisecond)
 			g.setOthers("", "")
 			time.Sleep(time.Second)
-			assert.True(t, owns(), "they may be gone in a moment")
+			assert.True(t, owns(), "strong members seen only once must not count")
 		}
 		assert.Equal(t, 1, g.membershipCount())
 		g.setOthers(encodedName("s-1", "800"), encodedName("s-2", "800"))
@@ -156,8 +155,8 @@
 	})
 }
 
-// VMs of one size all join, also where one strong one is among them: it may be
-// lost, and a single owner would bear everything.
+// VMs of one size must all join, also beside a single strong VM: it may be lost, and as the only owner it would carry
+// everything.
 func TestVMsOfOneSizeJoin(t *testing.T) {
 	runWeakMember(t, []string{encodedName("n-1", "192"), encodedName("n-2", "192"), encodedName("s-1", "800")}, func(g *fakeGroup, owns func() bool) {
 		time.Sleep(10 * time.Second)
@@ -166,8 +165,8 @@
 	})
 }
 
-// A member of another version has no processor time in its name: it is no reason
-// to stand back, and its address is not taken from a name that can't be read.
+// The name of a member of another version states no processor time. It must not make a VM yield, and no address must
+// be taken from it.
 func TestInvalidMemberNamesAreIgnored(t *testing.T) {
 	for _, name := range []string{"", "n|a:1|x", "n|a:1|x|many", "n|a:1|x|1|2"} {
 		_, ok := parseMemberName(name)
@@ -179,12 +178,12 @@
 	assert.Equal(t, 400, p.milliCores)
 }
 
-// evenGroup deals the partitions of the topics that members join evenly, in the order
-// of the members' names, and lists who owns them.
+// evenGroup assigns the partitions of the topics that members join evenly, in the order of the members' names, and
+// lists their owners.
 type evenGroup struct {
 	emptyStore
 	mu                 sync.Mutex
-	partitionsPerTopic int // of each topic
+	partitionsPerTopic int
 	members            map[string][]string
 	order              []string
 	gen                int64
@@ -242,16 +241,15 @@
 	return list, platform.StoreOK, nil
 }
 
-// Forty-four VMs start, six of them strong and a little later, and the group deals 24
-// partitions: the strong ones get none, as it happens. The weak ones would own all services for the
-// whole day, at a quarter of the processor time that one in its busy hour needs, while
-// strong VMs idle. They must see the strong ones and leave.
+// Guards against weak VMs that own all services for a whole day, with a quarter of the processor time that an owner in
+// its busy hour needs, while strong VMs idle. Forty-four VMs start, six of them strong and a little later, and the
+// group assigns 24 partitions, by chance none to the strong ones. The weak ones must see the strong ones and leave.
 func TestWeakVMsYieldToStrongOnesWithoutPartitions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const weak, strong = 38, 6
 		g := &evenGroup{partitionsPerTopic: 12, members: map[string][]string{}}
 		var mu sync.Mutex
-		owners := map[string]int{} // partitions that are worked on, by node
+		owners := map[string]int{} // number of work partitions by node
 		ctx, cancel := context.WithCancel(t.Context())
 		var managers sync.WaitGroup
 		for i := range weak + strong {
