--- a/internal/joblog/acceptor_test.go
+++ b/internal/joblog/acceptor_test.go
@@ -67,8 +67,8 @@
 	return workload.Record{Job: workload.JobID(strconv.Itoa(i)), Cancel: true}
 }
 
-// storeRequest stores a record and waits as long as ctx allows.
-func storeRequest(ctx context.Context, a *joblog.Acceptor, partition int, r workload.Record) (platform.StoreStatus, error) {
+// storeAndWait stores a record and waits as long as ctx allows.
+func storeAndWait(ctx context.Context, a *joblog.Acceptor, partition int, r workload.Record) (platform.StoreStatus, error) {
 	status, _, err := a.Store(ctx, partition, r, nil)
 	return status, err
 }
@@ -83,7 +83,7 @@
 		var all sync.WaitGroup
 		for i := range 40 {
 			all.Go(func() {
-				status, err := storeRequest(t.Context(), a, 3, cancelRecord(i))
+				status, err := storeAndWait(t.Context(), a, 3, cancelRecord(i))
 				assert.NoError(t, err)
 				assert.Equal(t, platform.StoreOK, status)
 			})
@@ -106,12 +106,12 @@
 		inFlight := make(chan platform.StoreStatus, 2) // as many appends as there may be at once
 		for i := range 2 {
 			go func() {
-				status, _ := storeRequest(ctx, a, 0, cancelRecord(i))
+				status, _ := storeAndWait(ctx, a, 0, cancelRecord(i))
 				inFlight <- status
 			}()
 			synctest.Wait()
 		}
-		waiting, _ := storeRequest(ctx, a, 0, cancelRecord(2))
+		waiting, _ := storeAndWait(ctx, a, 0, cancelRecord(2))
 		assert.Equal(t, platform.StoreUnknown, <-inFlight)
 		assert.Equal(t, platform.StoreUnknown, <-inFlight)
 		assert.Equal(t, platform.StoreRefused, waiting)
@@ -134,7 +134,7 @@
 		for i := range 30 {
 			all.Go(func() {
 				r := workload.Record{Job: workload.JobID(strconv.Itoa(i)), Submission: large}
-				status, err := storeRequest(t.Context(), a, 0, r)
+				status, err := storeAndWait(t.Context(), a, 0, r)
 				assert.NoError(t, err)
 				assert.Equal(t, platform.StoreOK, status)
 			})
--- a/internal/node/owners.go
+++ b/internal/node/owners.go
@@ -99,7 +99,7 @@
 // RequestDrain asks the owner of a service to empty a worker, once. It tells whether the
 // worker is vacant.
 func (o *ownerDirectory) RequestDrain(ctx context.Context, service, worker string) (workload.DrainState, bool) {
-	response, ok := o.callOnce(ctx, nodepeer.MethodEvacuate, nodepeer.Request{Partition: o.partitionOf(service), Worker: worker}, false)
+	response, ok := o.callOnce(ctx, nodepeer.MethodDrain, nodepeer.Request{Partition: o.partitionOf(service), Worker: worker}, false)
 	switch {
 	case !ok || !response.IsOwner:
 		return workload.NotDrained, false
@@ -113,8 +113,8 @@
 
 // LoadsOf asks the owner of a service, once, what the services of its partition
 // carry, and tells it which of the service's workers are about to leave.
-func (o *ownerDirectory) LoadsOf(ctx context.Context, service string, leaving []string) ([]workload.ServiceLoad, bool) {
-	response, ok := o.callOnce(ctx, nodepeer.MethodLoads, nodepeer.Request{Partition: o.partitionOf(service), Service: service, Leaving: leaving}, false)
+func (o *ownerDirectory) LoadsOf(ctx context.Context, service string, dueForMaintenance []string) ([]workload.ServiceLoad, bool) {
+	response, ok := o.callOnce(ctx, nodepeer.MethodLoads, nodepeer.Request{Partition: o.partitionOf(service), Service: service, DueForMaintenance: dueForMaintenance}, false)
 	return response.Loads, ok && response.IsOwner
 }
 
@@ -132,7 +132,7 @@
 	case nodepeer.MethodLoads:
 		return o.Loads(ctx, req)
 	default:
-		return o.Evacuate(ctx, req)
+		return o.Drain(ctx, req)
 	}
 }
 
@@ -155,8 +155,8 @@
 	return nodepeer.Response{IsOwner: ok, Waiting: n}, nil
 }
 
-// Evacuate answers another node.
-func (o *ownerDirectory) Evacuate(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
+// Drain answers another node.
+func (o *ownerDirectory) Drain(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
 	localOwner := o.localOwner(req.Partition)
 	if localOwner == nil {
 		return nodepeer.Response{}, nil
@@ -171,7 +171,7 @@
 	if localOwner == nil {
 		return nodepeer.Response{}, nil
 	}
-	loads, ok := localOwner.Loads(ctx, req.Service, req.Leaving)
+	loads, ok := localOwner.Loads(ctx, req.Service, req.DueForMaintenance)
 	return nodepeer.Response{IsOwner: ok, Loads: loads}, nil
 }
 
--- a/internal/node/storehealth.go
+++ b/internal/node/storehealth.go
@@ -29,34 +29,34 @@
 }
 
 // record notes the outcome of a call to the store.
-func (c *storeHealth) record(call platform.StoreCall) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (h *storeHealth) record(call platform.StoreCall) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	now := time.Now()
 	if call.Answered {
-		if c.isLost {
-			c.logger.Info("store answers again", "away_ms", now.Sub(c.lastAnswerAt).Milliseconds())
+		if h.isLost {
+			h.logger.Info("store answers again", "away_ms", now.Sub(h.lastAnswerAt).Milliseconds())
 		}
-		c.lastAnswerAt = now
-		c.isLost = false
+		h.lastAnswerAt = now
+		h.isLost = false
 		return
 	}
-	if !c.isLost && now.Sub(c.lastAnswerAt) > storeLostAfter {
-		c.isLost = true
-		c.logger.Warn("store does not answer", "since_ms", now.Sub(c.lastAnswerAt).Milliseconds())
+	if !h.isLost && now.Sub(h.lastAnswerAt) > storeLostAfter {
+		h.isLost = true
+		h.logger.Warn("store does not answer", "since_ms", now.Sub(h.lastAnswerAt).Milliseconds())
 	}
 }
 
 // sinceLastAnswer is how long ago the store last answered.
-func (c *storeHealth) sinceLastAnswer() time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return time.Since(c.lastAnswerAt)
+func (h *storeHealth) sinceLastAnswer() time.Duration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return time.Since(h.lastAnswerAt)
 }
 
 // check tells why the store counts as lost, nil if it doesn't.
-func (c *storeHealth) check() error {
-	if silence := c.sinceLastAnswer(); silence > storeLostAfter {
+func (h *storeHealth) check() error {
+	if silence := h.sinceLastAnswer(); silence > storeLostAfter {
 		return errors.Errorf("no answer of the store for %s", silence.Round(time.Millisecond))
 	}
 	return nil
--- a/internal/nodepeer/nodepeer.go
+++ b/internal/nodepeer/nodepeer.go
@@ -45,8 +45,8 @@
 	Queue     string         `json:"q,omitempty"`
 	Worker    string         `json:"w,omitempty"`
 	// Service is whose Leaving workers are named: their VMs are due for maintenance.
-	Service string   `json:"sv,omitempty"`
-	Leaving []string `json:"lv,omitempty"`
+	Service           string   `json:"sv,omitempty"`
+	DueForMaintenance []string `json:"lv,omitempty"`
 	// Record is one to be stored, by its key and value.
 	RecordKey      string `json:"rk,omitempty"`
 	RecordValue    []byte `json:"rv,omitempty"`
@@ -96,13 +96,13 @@
 
 // Handler answers what other nodes ask.
 type Handler interface {
-	JobState(ctx context.Context, a Request) (Response, error)
-	Waiting(ctx context.Context, a Request) (Response, error)
-	Evacuate(ctx context.Context, a Request) (Response, error)
-	Loads(ctx context.Context, a Request) (Response, error)
-	Store(ctx context.Context, a Request) (Response, error)
-	Membership(ctx context.Context, a Request) (Response, error)
-	Release(ctx context.Context, a Request) (Response, error)
+	JobState(ctx context.Context, req Request) (Response, error)
+	Waiting(ctx context.Context, req Request) (Response, error)
+	Drain(ctx context.Context, req Request) (Response, error)
+	Loads(ctx context.Context, req Request) (Response, error)
+	Store(ctx context.Context, req Request) (Response, error)
+	Membership(ctx context.Context, req Request) (Response, error)
+	Release(ctx context.Context, req Request) (Response, error)
 }
 
 // Method is one of the questions.
@@ -112,7 +112,7 @@
 const (
 	MethodJobState Method = "JobState"
 	MethodWaiting  Method = "Waiting"
-	MethodEvacuate Method = "Evacuate"
+	MethodDrain    Method = "Evacuate"
 	MethodLoads    Method = "Loads"
 	MethodStore    Method = "Store"
 	// MethodMembership asks for the node's last join.
@@ -157,7 +157,7 @@
 		Methods: []grpc.MethodDesc{
 			methodDesc(MethodJobState, Handler.JobState),
 			methodDesc(MethodWaiting, Handler.Waiting),
-			methodDesc(MethodEvacuate, Handler.Evacuate),
+			methodDesc(MethodDrain, Handler.Drain),
 			methodDesc(MethodLoads, Handler.Loads),
 			methodDesc(MethodStore, Handler.Store),
 			methodDesc(MethodMembership, Handler.Membership),
--- a/internal/owner/ask.go
+++ b/internal/owner/ask.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// JobState is what an owner knows of a job.
-type JobState struct {
+// JobStatus is what an owner knows of a job.
+type JobStatus struct {
 	State workload.JobState
 	Known bool // false if there is no such job
 	// Stale is set if the job isn't known and may have been taken lately.
@@ -48,10 +48,10 @@
 // State returns a job's state; ok is false if the owner can't tell. That is so for
 // an unknown job while the partition can't be read, or is read late: it may have
 // been taken. It is so for a job that goes on while another owner may have ended it.
-func (o *Owner) State(ctx context.Context, id workload.JobID) (JobState, bool) {
-	s, ok := queryCore(ctx, o, func(c *scheduler.Core, now time.Time) JobState {
+func (o *Owner) State(ctx context.Context, id workload.JobID) (JobStatus, bool) {
+	s, ok := queryCore(ctx, o, func(c *scheduler.Core, now time.Time) JobStatus {
 		state, known := c.JobState(id)
-		return JobState{State: state, Known: known, Stale: !known && now.Sub(o.lastReadSentAt) > unknownJobMaxReadAge}
+		return JobStatus{State: state, Known: known, Stale: !known && now.Sub(o.lastReadSentAt) > unknownJobMaxReadAge}
 	})
 	return s, ok && !s.Stale && (s.State.IsTerminal() || !o.mayHaveBeenReplaced())
 }
@@ -70,9 +70,9 @@
 
 // Loads returns what the services of the partition carry, and takes which workers of one
 // of them are about to leave.
-func (o *Owner) Loads(ctx context.Context, service string, leaving []string) ([]workload.ServiceLoad, bool) {
+func (o *Owner) Loads(ctx context.Context, service string, dueForMaintenance []string) ([]workload.ServiceLoad, bool) {
 	return queryCore(ctx, o, func(c *scheduler.Core, now time.Time) []workload.ServiceLoad {
-		c.SetDueForMaintenance(service, leaving, now)
+		c.SetDueForMaintenance(service, dueForMaintenance, now)
 		return c.ServiceLoads(now)
 	})
 }
--- a/internal/owner/ask_test.go
+++ b/internal/owner/ask_test.go
@@ -61,7 +61,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ownedUntil := time.Now().Add(time.Second)
 		o := newAnsweringOwner(t, &ownedUntil)
-		jobState := func(id workload.JobID) (JobState, bool) { return o.State(t.Context(), id) }
+		jobState := func(id workload.JobID) (JobStatus, bool) { return o.State(t.Context(), id) }
 
 		s, ok := jobState(waitingJob)
 		assert.True(t, ok)
--- a/internal/owner/confirmed.go
+++ b/internal/owner/confirmed.go
@@ -26,23 +26,23 @@
 }
 
 // shouldRequestConfirmation tells, once for each list, that a confirmation is waited for.
-func (l *confirmedWorkers) shouldRequestConfirmation() bool {
-	if l.pending.Version == l.deliveredVersion || l.pending.Version == l.confirmRequestedVersion || l.pending.ReadSentAt.Before(l.ownedSince) {
+func (c *confirmedWorkers) shouldRequestConfirmation() bool {
+	if c.pending.Version == c.deliveredVersion || c.pending.Version == c.confirmRequestedVersion || c.pending.ReadSentAt.Before(c.ownedSince) {
 		return false
 	}
-	l.confirmRequestedVersion = l.pending.Version
+	c.confirmRequestedVersion = c.pending.Version
 	return true
 }
 
 // next returns a list that was not passed on yet. confirmed is when the latest
 // join that confirmed the ownership was sent. ok is false if there is none.
-func (l *confirmedWorkers) next(readSnapshot func() registry.Snapshot, confirmedAt time.Time) (list []workload.Worker, ok bool) {
-	if l.pending.Version == l.deliveredVersion || l.pending.ReadSentAt.Before(l.ownedSince) {
-		l.pending = readSnapshot()
+func (c *confirmedWorkers) next(readSnapshot func() registry.Snapshot, confirmedAt time.Time) (list []workload.Worker, ok bool) {
+	if c.pending.Version == c.deliveredVersion || c.pending.ReadSentAt.Before(c.ownedSince) {
+		c.pending = readSnapshot()
 	}
-	if l.pending.Version == l.deliveredVersion || l.pending.ReadSentAt.Before(l.ownedSince) || confirmedAt.Before(l.pending.ReadAnsweredAt) {
+	if c.pending.Version == c.deliveredVersion || c.pending.ReadSentAt.Before(c.ownedSince) || confirmedAt.Before(c.pending.ReadAnsweredAt) {
 		return nil, false
 	}
-	l.deliveredVersion = l.pending.Version
-	return l.pending.Workers, true
+	c.deliveredVersion = c.pending.Version
+	return c.pending.Workers, true
 }
--- a/internal/owner/handover.go
+++ b/internal/owner/handover.go
@@ -80,12 +80,12 @@
 }
 
 // apply hands it to the machine, once that knows the jobs.
-func (l predecessorState) apply(core *scheduler.Core, now time.Time) {
-	for id, p := range l.unstoredProgress {
+func (s predecessorState) apply(core *scheduler.Core, now time.Time) {
+	for id, p := range s.unstoredProgress {
 		core.RestoreUnstoredProgress(id, p)
 	}
-	if l.handover != nil {
-		core.RestoreHandover(l.handover, now)
+	if s.handover != nil {
+		core.RestoreHandover(s.handover, now)
 	}
 }
 
--- a/internal/owner/overload.go
+++ b/internal/owner/overload.go
@@ -11,21 +11,21 @@
 	// the owner counts as behind: a pause of the process is shorter as a rule, and
 	// half of the shortest objective is 300 ms.
 	overloadDelay = 250 * time.Millisecond
-	// overloadCutShortShare is the share of plans that may be cut short until the owner counts as
+	// overloadTruncatedShare is the share of plans that may be cut short until the owner counts as
 	// behind: a burst that it bears fills the bound of starts for some plans only.
-	overloadCutShortShare = 0.5
+	overloadTruncatedShare = 0.5
 	// loadInterval is the time over which both are taken, and so between two lines.
 	loadInterval = time.Second
 )
 
 // loadStats is how far an owner is behind what happens, over an interval.
 type loadStats struct {
-	beganAt       time.Time
-	maxEventDelay time.Duration // the longest that an event waited
-	maxStepTime   time.Duration // the longest step
-	plans         int
-	cutShort      int
-	wasOverloaded bool // the owner was behind in the interval before
+	beganAt        time.Time
+	maxEventDelay  time.Duration // the longest that an event waited
+	maxStepTime    time.Duration // the longest step
+	plans          int
+	truncatedPlans int
+	wasOverloaded  bool // the owner was behind in the interval before
 }
 
 // recordEventDelay notes when an event was handed to the machine.
@@ -39,7 +39,7 @@
 // isOverloaded tells whether the owner didn't keep up: what happened waited for it, or it had
 // more to start than it can get answers for. Callers then wait beside workers with room.
 func (l *loadStats) isOverloaded() bool {
-	return l.maxEventDelay > overloadDelay || float64(l.cutShort) > overloadCutShortShare*float64(l.plans)
+	return l.maxEventDelay > overloadDelay || float64(l.truncatedPlans) > overloadTruncatedShare*float64(l.plans)
 }
 
 // nextInterval returns the lag of the interval that begins now.
@@ -57,7 +57,7 @@
 	}
 	l := o.load
 	l.plans = core.Counts.Plans - o.countsAtLoadStart.Plans
-	l.cutShort = core.Counts.TruncatedPlans - o.countsAtLoadStart.TruncatedPlans
+	l.truncatedPlans = core.Counts.TruncatedPlans - o.countsAtLoadStart.TruncatedPlans
 	o.countsAtLoadStart = core.Counts
 	o.load = l.nextInterval(now)
 	o.deps.Metrics.observeLoad(l)
@@ -71,7 +71,7 @@
 	}
 	b := core.Backlog(now)
 	o.logger.Warn(message, "delay_ms", l.maxEventDelay.Milliseconds(), "step_us", l.maxStepTime.Microseconds(),
-		"plans", l.plans, "cut_short", l.cutShort, "active", b.ActiveJobs, "waiting", b.WaitingJobs,
+		"plans", l.plans, "cut_short", l.truncatedPlans, "active", b.ActiveJobs, "waiting", b.WaitingJobs,
 		"oldest_ms", b.OldestWait.Milliseconds(), "unused_cores", b.FreeMilliCores/milliCoresPerCore, "cores", b.CapacityMilliCores/milliCoresPerCore)
 }
 
--- a/internal/owner/overload_test.go
+++ b/internal/owner/overload_test.go
@@ -12,18 +12,18 @@
 // end before all that has room is started.
 func TestOverloadIsDetected(t *testing.T) {
 	for name, c := range map[string]struct {
-		lag    loadStats
-		behind bool
+		load       loadStats
+		overloaded bool
 	}{
-		"keeps up":             {loadStats{maxEventDelay: 20 * time.Millisecond, plans: 200, cutShort: 10}, false},
-		"bears a burst":        {loadStats{maxEventDelay: 60 * time.Millisecond, plans: 200, cutShort: 90}, false},
+		"keeps up":             {loadStats{maxEventDelay: 20 * time.Millisecond, plans: 200, truncatedPlans: 10}, false},
+		"bears a burst":        {loadStats{maxEventDelay: 60 * time.Millisecond, plans: 200, truncatedPlans: 90}, false},
 		"events wait":          {loadStats{maxEventDelay: 300 * time.Millisecond, plans: 3}, true},
-		"starts wait":          {loadStats{maxEventDelay: 20 * time.Millisecond, plans: 90, cutShort: 80}, true},
+		"starts wait":          {loadStats{maxEventDelay: 20 * time.Millisecond, plans: 90, truncatedPlans: 80}, true},
 		"has nothing to start": {loadStats{}, false},
 	} {
-		assert.Equal(t, c.behind, c.lag.isOverloaded(), name)
+		assert.Equal(t, c.overloaded, c.load.isOverloaded(), name)
 	}
-	overloaded := loadStats{plans: 10, cutShort: 9}
+	overloaded := loadStats{plans: 10, truncatedPlans: 9}
 	next := overloaded.nextInterval(time.UnixMilli(1))
 	assert.True(t, next.wasOverloaded)
 	assert.False(t, next.isOverloaded())
