--- a/internal/owner/ask.go
+++ b/internal/owner/ask.go
@@ -8,8 +8,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// queryCore runs a question between two steps of the machine. ok is false if the
-// partition was not taken over yet or ctx ended before.
+// queryCore runs query on the core between two steps. ok is false if the partition is not
+// taken over yet or ctx ends before the query has run.
 func queryCore[T any](ctx context.Context, o *Owner, query func(c *scheduler.Core, now time.Time) T) (result T, ok bool) {
 	select {
 	case <-o.loaded:
@@ -26,28 +26,29 @@
 	}
 }
 
-// JobStatus is what an owner knows of a job.
+// JobStatus is the state of a job as the owner of its partition knows it.
 type JobStatus struct {
 	State workload.JobState
 	Known bool // false if there is no such job
-	// Stale is set if the job isn't known and may have been taken lately.
+	// Stale is set if the job is unknown and the last read of the partition is too old to
+	// rule out that it was accepted since.
 	Stale bool
 }
 
-// unknownJobMaxReadAge is how old what was read of the partition may be for a job that is
-// not in it to count as none. An accepted job must be known within 3 s.
+// unknownJobMaxReadAge is the maximum age of the last read of the partition at which a job
+// that is not in it counts as nonexistent. An accepted job must be known within 3 s.
 const unknownJobMaxReadAge = 2200 * time.Millisecond
 
-// mayHaveBeenReplaced tells whether the node's membership may have lapsed, so that another owner
-// has gone on with the partition's jobs. A process that was paused learns that only from
-// its next join.
+// mayHaveBeenReplaced reports whether the node's membership may have lapsed. Another owner
+// may then run the partition's jobs. A process that was paused learns that only from its
+// next join.
 func (o *Owner) mayHaveBeenReplaced() bool {
 	return !time.Now().Before(o.deps.OwnedUntil(o.partition))
 }
 
-// State returns a job's state; ok is false if the owner can't tell. That is so for
-// an unknown job while the partition can't be read, or is read late: it may have
-// been taken. It is so for a job that goes on while another owner may have ended it.
+// State returns the state of a job. ok is false if the state is uncertain: the job is
+// unknown but may have been accepted since the partition was last read, or it has not ended
+// here but another owner may have ended it.
 func (o *Owner) State(ctx context.Context, id workload.JobID) (JobStatus, bool) {
 	s, ok := queryCore(ctx, o, func(c *scheduler.Core, now time.Time) JobStatus {
 		state, known := c.JobState(id)
@@ -56,20 +57,20 @@
 	return s, ok && !s.Stale && (s.State.IsTerminal() || !o.mayHaveBeenReplaced())
 }
 
-// WaitingJobs returns how many jobs of a queue have not begun.
+// WaitingJobs returns the number of jobs of a queue that have not begun.
 func (o *Owner) WaitingJobs(ctx context.Context, queue string) (int, bool) {
 	return queryCore(ctx, o, func(c *scheduler.Core, _ time.Time) int { return c.WaitingJobs(queue) })
 }
 
-// DrainWorker empties a worker and tells whether it is vacant. ok is false if the owner can't
-// tell, as while another one may have started tasks there.
+// DrainWorker drains a worker and returns its drain state. ok is false if the state is
+// uncertain because another owner may have started tasks on the worker.
 func (o *Owner) DrainWorker(ctx context.Context, worker string) (state workload.DrainState, ok bool) {
 	state, ok = queryCore(ctx, o, func(c *scheduler.Core, now time.Time) workload.DrainState { return c.DrainWorker(worker, now) })
 	return state, ok && !o.mayHaveBeenReplaced()
 }
 
-// Loads returns what the services of the partition carry, and takes which workers of one
-// of them are about to leave.
+// Loads returns the load of the partition's services, and marks workers of service as due
+// for maintenance.
 func (o *Owner) Loads(ctx context.Context, service string, dueForMaintenance []string) ([]workload.ServiceLoad, bool) {
 	return queryCore(ctx, o, func(c *scheduler.Core, now time.Time) []workload.ServiceLoad {
 		c.SetDueForMaintenance(service, dueForMaintenance, now)
--- a/internal/owner/ask_test.go
+++ b/internal/owner/ask_test.go
@@ -12,15 +12,15 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Jobs of the machine that answers questions in these tests.
+// Jobs of the core behind newAnsweringOwner.
 const (
 	waitingJob = workload.JobID("0000000000000001")
 	endedJob   = workload.JobID("0000000000000002")
 	unknownJob = workload.JobID("0000000000000003")
 )
 
-// newAnsweringOwner returns an owner that answers until the test ends. ownedUntil is what the
-// group has confirmed of its partition.
+// newAnsweringOwner returns an owner that answers queries until the test ends. *ownedUntil
+// is the time until which the group has confirmed its ownership.
 func newAnsweringOwner(t *testing.T, ownedUntil *time.Time) *Owner {
 	o := &Owner{inbox: make(chan event, inboxSize), loaded: make(chan struct{})}
 	o.deps.OwnedUntil = func(int) time.Time { return *ownedUntil }
@@ -51,12 +51,10 @@
 	return o
 }
 
-// A caller is shown a job as completed by its owner, and 0.04 s later as pending.
-//
-// The process of an earlier owner was paused for three seconds; another node took the
-// partition over and completed the job. Awake again, the earlier one answers from what it
-// knew, until its next join tells it. An owner must answer only while its membership
-// can't have lapsed; a job that has ended stays so and may be shown by any.
+// A caller saw a job as completed and 0.04 s later as pending: the process of an earlier
+// owner was paused for 3 s, another node completed the job, and the earlier owner answered
+// from its old state until its next join. An owner must answer only while its membership
+// can't have lapsed; final states never change and may always be reported.
 func TestOnlyFinalStatesAreReportedOnceMembershipMayHaveLapsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ownedUntil := time.Now().Add(time.Second)
@@ -72,7 +70,7 @@
 
 		time.Sleep(time.Second)
 		_, ok = jobState(waitingJob)
-		assert.False(t, ok, "a state that another owner may have changed")
+		assert.False(t, ok, "another owner may have changed the state")
 		_, ok = jobState(unknownJob)
 		assert.False(t, ok, "another owner may know the job")
 		s, ok = jobState(endedJob)
@@ -81,18 +79,18 @@
 
 		ownedUntil = time.Now().Add(time.Second)
 		_, ok = jobState(waitingJob)
-		assert.True(t, ok, "confirmed again")
+		assert.True(t, ok, "the membership is confirmed again")
 	})
 }
 
-// Runs on a VM are cut by its maintenance: an owner that was paused said that the VM's
-// worker is empty, after another owner had started tasks there.
+// Maintenance of a VM cut runs off: an owner that was paused reported the VM's worker as
+// drained after another owner had started tasks there.
 func TestNoWorkerIsReportedDrainedOnceMembershipMayHaveLapsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ownedUntil := time.Now().Add(time.Second)
 		o := newAnsweringOwner(t, &ownedUntil)
 		drainState, ok := o.DrainWorker(t.Context(), "w-1")
-		assert.True(t, ok && drainState != workload.NotDrained, "a worker that nobody knows")
+		assert.True(t, ok && drainState != workload.NotDrained, "an unknown worker runs nothing")
 		time.Sleep(time.Second)
 		_, ok = o.DrainWorker(t.Context(), "w-1")
 		assert.False(t, ok)
--- a/internal/owner/authority.go
+++ b/internal/owner/authority.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// refreshAuthority is until when tasks may be started and leases renewed. It writes a line when the
-// membership may have lapsed, when the authority ends, and when the membership is confirmed
-// again.
+// refreshAuthority returns the time until which the owner may start tasks and renew leases.
+// It logs when the membership may have lapsed, when the authority ends, and when the
+// membership is confirmed again.
 func (o *Owner) refreshAuthority() time.Time {
 	until := o.deps.AuthorityUntil(o.partition)
 	now := time.Now()
--- a/internal/owner/confirmed.go
+++ b/internal/owner/confirmed.go
@@ -7,25 +7,26 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// confirmedWorkers passes a list of workers on only once the group has confirmed the
-// ownership by a join that was sent after the list was read. An owner that was
-// replaced without knowing could otherwise start a task on a worker that
-// registered since, which the next owner has not held yet and so not closed to it:
-// the task would run twice. With the rule the next owner, which reads the list
-// after that join, has that worker on it and holds it before it starts anything.
+// confirmedWorkers delivers a list of workers only after the group has confirmed the
+// ownership by a join that was sent after the list was read. An owner that was replaced
+// without knowing it could otherwise start a task on a worker that registered since. The
+// next owner may not have polled that worker yet, so the worker would still accept the
+// order and the task would run twice. With the rule the next owner reads the list after
+// that join, finds the worker on it and polls it before it starts anything.
 //
-// Nor does it pass on a list that was read before the ownership began: a node that
-// owned nothing for a while has not read since, and its list still shows workers as
-// ready that have said long ago that they leave. Where the last owner left a report of its
-// runs nothing else waits for a later read.
+// A list that was read before the ownership began is not delivered either. A node that
+// owned nothing for a while has not read the list since, so it may show workers as ready
+// that have announced long ago that they leave. After a handover nothing else waits for a
+// later read.
 type confirmedWorkers struct {
 	ownedSince              time.Time         // when the ownership began
-	deliveredVersion        int64             // version of the list passed on last
-	pending                 registry.Snapshot // waits for its confirmation if it is another one
-	confirmRequestedVersion int64             // version for which a confirmation was asked for
+	deliveredVersion        int64             // version of the list delivered last
+	pending                 registry.Snapshot // awaits confirmation if its version is not deliveredVersion
+	confirmRequestedVersion int64             // version for which a confirmation was requested
 }
 
-// shouldRequestConfirmation tells, once for each list, that a confirmation is waited for.
+// shouldRequestConfirmation reports, once for each list, whether the list awaits a
+// confirmation.
 func (c *confirmedWorkers) shouldRequestConfirmation() bool {
 	if c.pending.Version == c.deliveredVersion || c.pending.Version == c.confirmRequestedVersion || c.pending.ReadSentAt.Before(c.ownedSince) {
 		return false
@@ -34,8 +35,8 @@
 	return true
 }
 
-// next returns a list that was not passed on yet. confirmed is when the latest
-// join that confirmed the ownership was sent. ok is false if there is none.
+// next returns a confirmed list that was not delivered yet. confirmedAt is when the latest
+// join that confirmed the ownership was sent. ok is false if there is no such list.
 func (c *confirmedWorkers) next(readSnapshot func() registry.Snapshot, confirmedAt time.Time) (list []workload.Worker, ok bool) {
 	if c.pending.Version == c.deliveredVersion || c.pending.ReadSentAt.Before(c.ownedSince) {
 		c.pending = readSnapshot()
--- a/internal/owner/confirmed_test.go
+++ b/internal/owner/confirmed_test.go
@@ -10,23 +10,23 @@
 	"github.com/yuccadrift/yuccadrift/internal/registry"
 )
 
-// A worker registers while another node takes the partition over, and the owner
-// before does not know yet. It must not order that worker, which the next owner
-// may not have held: the list counts only when a join that was sent after it was
-// read has confirmed the ownership, and that join never succeeds.
+// A worker registers while another node takes the partition over and the old owner does not
+// know it yet. The old owner must not send orders to that worker, which the new owner may
+// not have polled: a list counts only after a join sent after its read has confirmed the
+// ownership, and that join never succeeds.
 func TestWorkerListIsDeliveredOnlyAfterALaterConfirmation(t *testing.T) {
 	start := time.UnixMilli(1_700_000_000_000)
 	snap := registry.Snapshot{Version: 1, ReadAnsweredAt: start, Workers: workersWithIDs("w-1")}
 	read := func() registry.Snapshot { return snap }
 	var l confirmedWorkers
 	_, ok := l.next(read, start.Add(-time.Millisecond))
-	assert.False(t, ok, "joined before the list was read")
+	assert.False(t, ok, "the join was sent before the list was read")
 	list, ok := l.next(read, start)
 	require.True(t, ok)
 	assert.Len(t, list, 1)
 
 	_, ok = l.next(read, start.Add(time.Second))
-	assert.False(t, ok, "nothing new")
+	assert.False(t, ok, "the list was delivered already")
 
 	snap = registry.Snapshot{Version: 2, ReadAnsweredAt: start.Add(2 * time.Second), Workers: workersWithIDs("w-1", "w-2")}
 	for age := time.Second; age < 2*time.Second; age += 100 * time.Millisecond {
@@ -38,8 +38,8 @@
 	assert.Len(t, list, 2)
 }
 
-// The list changes faster than joins confirm it. The one that waits is passed on
-// once it is confirmed, rather than put off by each newer one.
+// The list changes faster than joins confirm it. A pending list is delivered once it is
+// confirmed; newer lists must not postpone it.
 func TestFrequentlyChangingWorkerListIsDelivered(t *testing.T) {
 	start := time.UnixMilli(1_700_000_000_000)
 	version := int64(0)
@@ -59,10 +59,9 @@
 	assert.GreaterOrEqual(t, delivered, 8)
 }
 
-// A node owned a service long ago, and has not read the list of workers since. One of
-// them has said meanwhile that it leaves. The node takes the service over from an owner
-// that left a report of its runs, so that it may start tasks at once: a task would begin on
-// that worker seconds after it was to get none.
+// A node that owned a service long ago has not read the list of workers since; one of them
+// is leaving meanwhile. After a handover the node may start tasks at once, so with the old
+// list a task would begin on that worker seconds after it must get none.
 func TestWorkerListReadBeforeTakeoverIsNotDelivered(t *testing.T) {
 	begin := time.UnixMilli(1_700_000_000_000)
 	takenOverAt := begin.Add(10 * time.Second)
@@ -73,7 +72,7 @@
 	assert.False(t, ok)
 	snap = registry.Snapshot{Version: 4, ReadSentAt: takenOverAt.Add(20 * time.Millisecond), ReadAnsweredAt: takenOverAt.Add(24 * time.Millisecond)}
 	_, ok = l.next(read, takenOverAt.Add(21*time.Millisecond))
-	assert.False(t, ok, "no join since")
+	assert.False(t, ok, "no join was sent since the list was read")
 	list, ok := l.next(read, takenOverAt.Add(200*time.Millisecond))
 	assert.True(t, ok)
 	assert.Empty(t, list)
--- a/internal/owner/executor.go
+++ b/internal/owner/executor.go
@@ -2,12 +2,12 @@
 
 import "context"
 
-// maxIdleGoroutines is how many goroutines without a call are kept: some 8 KB each.
+// maxIdleGoroutines bounds the goroutines kept without a call, some 8 KB of memory each.
 const maxIdleGoroutines = 128
 
-// executor runs calls beside the loop, each at once, on goroutines that it keeps.
-// A goroutine made for each call has its stack grown anew each time, which took a
-// twelfth of the processor time of an owner at its peak.
+// executor runs each call at once on a goroutine of its own and reuses idle goroutines. A
+// new goroutine for each call grows its stack anew each time, which took a twelfth of an
+// owner's processor time at peak load.
 type executor struct {
 	calls     chan func()
 	idleSlots chan struct{} // an entry for each goroutine that waits for a call
@@ -17,8 +17,8 @@
 	return &executor{calls: make(chan func()), idleSlots: make(chan struct{}, maxIdleGoroutines)}
 }
 
-// run runs a call. Their number is bounded by who orders them. Goroutines without a
-// call end with ctx.
+// run starts a call and returns without waiting for it. The caller bounds the number of
+// calls. Idle goroutines end with ctx.
 func (e *executor) run(ctx context.Context, call func()) {
 	select {
 	case e.calls <- call:
@@ -27,7 +27,7 @@
 	}
 }
 
-// serve runs a call and then those that come.
+// serve runs a call, and further calls as long as an idle slot is free.
 func (e *executor) serve(ctx context.Context, call func()) {
 	for {
 		call()
--- a/internal/owner/executor_test.go
+++ b/internal/owner/executor_test.go
@@ -11,9 +11,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Three hundred calls come at once and none may wait for another: an order that did
-// would reach its worker after its lease. Later ones use the goroutines again, of
-// which a bounded number stays, until the owner ends.
+// Guards against calls that wait for each other: an order that did would reach its worker
+// after its lease has expired. Idle goroutines are bounded, reused and end with the owner.
 func TestCallsRunConcurrentlyAndIdleGoroutinesEndWithOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/owner/handover.go
+++ b/internal/owner/handover.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	// handoverWriteTimeout bounds the last write of an owner.
+	// handoverWriteTimeout bounds the last writes of an owner.
 	handoverWriteTimeout = 400 * time.Millisecond
-	// releaseTimeout bounds the question to the previous owner. A takeover without its answer
-	// takes about as long for a list of workers.
+	// releaseTimeout bounds the request to the previous owner's node. A takeover without its
+	// reply waits about as long for a list of workers.
 	releaseTimeout = 300 * time.Millisecond
 )
 
-// HandoverReport is what an owner has left and could not store: a later owner had fenced it, or the
-// store didn't answer.
+// HandoverReport holds the handover and the unstored progress of an owner that could not
+// store them: a later owner had fenced it, or the store did not answer.
 type HandoverReport struct {
 	Epoch   int64
 	Records []workload.Record
 }
 
-// HandoverReport returns it once Run has returned. ok is false if there is none.
+// HandoverReport returns the records that the owner could not store. It must be called after
+// Run has returned. ok is false if there is no report.
 func (o *Owner) HandoverReport() (r HandoverReport, ok bool) {
 	if o.handoverReport == nil {
 		return HandoverReport{}, false
@@ -36,7 +37,7 @@
 	return *o.handoverReport, true
 }
 
-// preserveHandover leaves word of what runs, in the store or for a successor that asks.
+// preserveHandover stores a handover, or keeps it for the next owner's release request.
 func (o *Owner) preserveHandover(ctx context.Context, core *scheduler.Core) {
 	superseded := errors.Is(context.Cause(ctx), ownership.ErrSuperseded)
 	if core.StepDownReason() == "" && !superseded && o.storeHandover(core) {
@@ -45,13 +46,13 @@
 	records := core.UnstoredHandoverRecords(time.Now())
 	if findHandover(records) != nil {
 		o.handoverReport = &HandoverReport{Epoch: o.epoch, Records: records}
-		o.logger.Info("partition left, its runs are reported to a successor that asks", "records", len(records))
+		o.logger.Info("partition left, its runs are reported to a successor on request", "records", len(records))
 	}
 }
 
-// storeHandover stores a report of what runs. Orders that are still on their way are in
-// it. Without it the next owner waits for leases to lapse. It tells whether nothing is left
-// to be reported.
+// storeHandover stores the runs, including those whose orders are in flight. Without a
+// handover the next owner waits until their leases expire. storeHandover reports whether
+// nothing remains to be reported to a successor.
 func (o *Owner) storeHandover(core *scheduler.Core) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), handoverWriteTimeout)
 	defer cancel()
@@ -72,14 +73,14 @@
 	return status == platform.StoreOK
 }
 
-// predecessorState is what the previous owner has left, nothing if that isn't known.
+// predecessorState is the state that the previous owner left. It is empty if unknown.
 type predecessorState struct {
 	handover *workload.Handover
-	// unstoredProgress is the progress of jobs that it could not store.
+	// unstoredProgress is the progress of jobs that the previous owner could not store.
 	unstoredProgress map[workload.JobID]*workload.Progress
 }
 
-// apply hands it to the machine, once that knows the jobs.
+// apply restores the state in the core, which must know the stored jobs already.
 func (s predecessorState) apply(core *scheduler.Core, now time.Time) {
 	for id, p := range s.unstoredProgress {
 		core.RestoreUnstoredProgress(id, p)
@@ -89,9 +90,10 @@
 	}
 }
 
-// readPartition reads the partition, and what the previous owner has left: from the store, or else from
-// its node. That one may have started tasks of jobs that were stored after the first read, so
-// that it is read again once that owner has stopped.
+// readPartition reads the partition, and the previous owner's state from the store or
+// otherwise from that owner's node. The previous owner may have started tasks of jobs that
+// were stored after the first read, so the partition is read again once that owner has
+// stopped.
 func (o *Owner) readPartition(ctx context.Context) (platform.Batch, predecessorState, error) {
 	batch, err := o.readSnapshot(ctx)
 	if err != nil {
@@ -109,7 +111,8 @@
 	return batch, predecessor, err
 }
 
-// releasePredecessor asks the node of the previous owner.
+// releasePredecessor asks the node of the previous owner to stop that owner and to return
+// its handover. It returns false unless the handover is of exactly that owner.
 func (o *Owner) releasePredecessor(ctx context.Context, lastTakeover *workload.Takeover) (predecessorState, bool) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
@@ -142,10 +145,10 @@
 	return nil
 }
 
-// lastHandover returns the last owner's report of its runs, nil if it left none, and who that owner
-// was. Only the report of the owner just before counts: later ones have started more.
+// lastHandover returns the last owner's takeover record and its handover, nil if it left
+// none. A handover of an earlier owner doesn't count: later owners have started more runs.
 func lastHandover(batch platform.Batch) (*workload.Handover, *workload.Takeover) {
-	records, _ := joblog.Decode(batch) // unreadable ones are logged by apply
+	records, _ := joblog.Decode(batch) // applyBatch logs the errors
 	var handover *workload.Handover
 	var lastTakeover *workload.Takeover
 	for _, r := range records {
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -15,7 +15,7 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// memoryStore is a partition in memory.
+// memoryStore keeps one partition in memory.
 type memoryStore struct{ records []platform.KeyedRecord }
 
 func (s *memoryStore) put(t *testing.T, records ...workload.Record) {
@@ -40,8 +40,8 @@
 
 const previousAddress = "10.0.0.2:7061"
 
-// newTakingOverOwner returns an owner of epoch 9 that takes over from one of epoch 7, whose node answers
-// with release.
+// newTakingOverOwner returns an owner of epoch 9 that takes over from an owner of epoch 7.
+// release is the reply of that owner's node.
 func newTakingOverOwner(t *testing.T, release func(store *memoryStore) ([]workload.Record, error)) *Owner {
 	store := &memoryStore{}
 	store.put(t, workload.Record{Takeover: &workload.Takeover{Epoch: 7, Address: previousAddress}})
@@ -57,8 +57,9 @@
 	}
 }
 
-// Guards against a task that the previous owner has started after the partition was read, of a
-// job that was stored in between: it would be started once more as soon as the job is read.
+// Guards against a task that runs twice: the previous owner started it after the first read
+// of the partition, of a job that was stored in between. Without a second read the new owner
+// would start the task again as soon as it reads the job.
 func TestPartitionIsReadAgainAfterPredecessorReported(t *testing.T) {
 	sub := &workload.Submission{Service: "booking", Queue: "queue", Spec: workload.Spec{Steps: []workload.Step{{Count: 1}}}}
 	o := newTakingOverOwner(t, func(store *memoryStore) ([]workload.Record, error) {
@@ -76,15 +77,15 @@
 	assert.Contains(t, predecessor.unstoredProgress, endedJob)
 }
 
-// Guards against the word of an owner that was not the last one, or of none, being taken for
-// all that runs: a later one has started more.
+// Guards against treating the handover of an earlier owner, or none, as the list of all runs:
+// a later owner has started more.
 func TestOnlyDirectPredecessorsReportIsAccepted(t *testing.T) {
 	for name, release := range map[string]func(*memoryStore) ([]workload.Record, error){
-		"an earlier one": func(*memoryStore) ([]workload.Record, error) {
+		"handover of an earlier owner": func(*memoryStore) ([]workload.Record, error) {
 			return []workload.Record{{Handover: &workload.Handover{Epoch: 5}}}, nil
 		},
-		"nothing is known there": func(*memoryStore) ([]workload.Record, error) { return nil, nil },
-		"no answer":              func(*memoryStore) ([]workload.Record, error) { return nil, errors.New("timeout") },
+		"owner unknown at its node": func(*memoryStore) ([]workload.Record, error) { return nil, nil },
+		"no answer":                 func(*memoryStore) ([]workload.Record, error) { return nil, errors.New("timeout") },
 	} {
 		_, predecessor, err := newTakingOverOwner(t, release).readPartition(t.Context())
 		require.NoError(t, err)
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -10,8 +10,8 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// execute sends orders, all beside the loop; the machine bounds how many are in
-// flight to one worker, so their number is bounded too.
+// execute logs the decisions and carries out the orders of a step without blocking the
+// loop. The core bounds the orders in flight to each worker, and so the goroutines here.
 func (o *Owner) execute(ctx context.Context, orders scheduler.Orders) {
 	for _, decision := range orders.Decisions {
 		o.logDecision(decision)
@@ -76,7 +76,7 @@
 	tickets, valid, err := o.deps.Adviser.RequestTickets(ctx, a.Step, a.Workers)
 	result := scheduler.AdviceResult{Order: a, SentAt: sentAt, OK: err == nil, ValidFor: valid, Tickets: map[string]string{}}
 	if err != nil {
-		o.logger.Warn("no advice", "step", a.Step.StepName(), "error", err)
+		o.logger.Warn("advice request failed", "step", a.Step.StepName(), "error", err)
 	}
 	for _, t := range tickets {
 		result.Tickets[t.Worker] = t.Text
@@ -84,9 +84,8 @@
 	o.enqueue(ctx, func(c *scheduler.Core, now time.Time) { c.HandleAdviceResult(result, now) })
 }
 
-// write stores records, and tries until it is known whether they are: a write
-// whose answer was lost is sent again under its sequence, which has no second
-// effect.
+// write stores records and retries until the outcome is known. A write whose answer was
+// lost is sent again under the same sequence, which has no second effect.
 func (o *Owner) write(ctx context.Context, w scheduler.WriteOrder) {
 	records, err := joblog.Encode(w.Records, w.DeleteJobs)
 	if err != nil {
@@ -105,13 +104,14 @@
 			o.enqueue(ctx, func(c *scheduler.Core, _ time.Time) { c.StepDown(reason) })
 			return
 		}
-		o.logger.Debug("ends can't be stored yet", "sequence", w.Sequence, "status", status.String(), "error", err)
+		o.logger.Debug("records can't be stored yet", "sequence", w.Sequence, "status", status.String(), "error", err)
 		wait.Pause(ctx, writeRetryInterval)
 	}
 }
 
-// completeLastWrite stores the write that was under way when the owner was stopped, as
-// the next one must follow its sequence. Storing it twice has no second effect.
+// completeLastWrite repeats the write that was in flight when the owner was stopped, since
+// the sequence of the handover's write must follow it. Storing it twice has no second
+// effect. completeLastWrite reports whether the write is stored.
 func (o *Owner) completeLastWrite(ctx context.Context) bool {
 	records, err := joblog.Encode(o.lastWrite.Records, o.lastWrite.DeleteJobs)
 	if err != nil {
@@ -120,13 +120,13 @@
 	}
 	status, err := o.log.Write(ctx, o.epoch, o.lastWrite.Sequence, records)
 	if status != platform.StoreOK {
-		o.logger.Warn("last write is not finished, no report of the runs is left", "status", status.String(), "error", err)
+		o.logger.Warn("last write did not complete, no handover is stored", "status", status.String(), "error", err)
 	}
 	return status == platform.StoreOK
 }
 
-// logDecision writes one line for a decision. Single starts are lines for debugging:
-// there are thousands a second, and even a line that is left out has its fields made.
+// logDecision logs a decision. Placements other than a job's first are logged at level
+// debug: there are thousands a second, so their fields are built only if they are written.
 func (o *Owner) logDecision(decision scheduler.Decision) {
 	if decision.Verb == "placed" && !o.logger.IsDebug() {
 		return
--- a/internal/owner/overload.go
+++ b/internal/owner/overload.go
@@ -7,49 +7,50 @@
 )
 
 const (
-	// overloadDelay is how long something that happened may wait for its decision until
-	// the owner counts as behind: a pause of the process is shorter as a rule, and
-	// half of the shortest objective is 300 ms.
+	// overloadDelay is the wait of an event beyond which the owner counts as overloaded.
+	// Pauses of the process are usually shorter, and half of the shortest objective is 300 ms.
 	overloadDelay = 250 * time.Millisecond
-	// overloadTruncatedShare is the share of plans that may be cut short until the owner counts as
-	// behind: a burst that it bears fills the bound of starts for some plans only.
+	// overloadTruncatedShare is the share of truncated plans beyond which the owner counts as
+	// overloaded: a burst that it can handle truncates only some plans.
 	overloadTruncatedShare = 0.5
-	// loadInterval is the time over which both are taken, and so between two lines.
+	// loadInterval is the time over which the load is measured, and the shortest time between
+	// two log lines.
 	loadInterval = time.Second
 )
 
-// loadStats is how far an owner is behind what happens, over an interval.
+// loadStats measures over an interval whether an owner keeps up with its events.
 type loadStats struct {
 	beganAt        time.Time
-	maxEventDelay  time.Duration // the longest that an event waited
-	maxStepTime    time.Duration // the longest step
+	maxEventDelay  time.Duration // longest wait of an event in the inbox
+	maxStepTime    time.Duration
 	plans          int
 	truncatedPlans int
-	wasOverloaded  bool // the owner was behind in the interval before
+	wasOverloaded  bool // in the previous interval
 }
 
-// recordEventDelay notes when an event was handed to the machine.
+// recordEventDelay records the delay of an event that is applied to the core at now.
 func (l *loadStats) recordEventDelay(occurredAt, now time.Time) {
 	l.maxEventDelay = max(l.maxEventDelay, now.Sub(occurredAt))
 }
 
-// recordStepTime notes how long a step took.
+// recordStepTime records the duration of a step.
 func (l *loadStats) recordStepTime(took time.Duration) { l.maxStepTime = max(l.maxStepTime, took) }
 
-// isOverloaded tells whether the owner didn't keep up: what happened waited for it, or it had
-// more to start than it can get answers for. Callers then wait beside workers with room.
+// isOverloaded reports whether the owner did not keep up: events waited for it, or most
+// plans were truncated because too many starts were unanswered. Jobs then wait although
+// workers have free capacity.
 func (l *loadStats) isOverloaded() bool {
 	return l.maxEventDelay > overloadDelay || float64(l.truncatedPlans) > overloadTruncatedShare*float64(l.plans)
 }
 
-// nextInterval returns the lag of the interval that begins now.
+// nextInterval returns the empty stats of the interval that begins now.
 func (l *loadStats) nextInterval(now time.Time) loadStats {
 	return loadStats{beganAt: now, wasOverloaded: l.isOverloaded()}
 }
 
-// logOverload writes a line while the owner is behind, and one when it keeps up again. It
-// tells an owner without processor time (unused room, long steps) from a service that is
-// full.
+// logOverload logs once an interval while the owner is overloaded, and once when it keeps up
+// again. The values distinguish an owner that lacks processor time (free capacity, long
+// steps) from a service without free capacity.
 func (o *Owner) logOverload(core *scheduler.Core) {
 	now := time.Now()
 	if now.Sub(o.load.beganAt) < loadInterval {
@@ -75,5 +76,5 @@
 		"oldest_ms", b.OldestWait.Milliseconds(), "unused_cores", b.FreeMilliCores/milliCoresPerCore, "cores", b.CapacityMilliCores/milliCoresPerCore)
 }
 
-// milliCoresPerCore is one core in the unit of processors that jobs ask for.
+// milliCoresPerCore converts the unit of processor requests to cores.
 const milliCoresPerCore = 1000
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,6 +1,5 @@
-// Package owner runs the scheduling machine of one partition: it reads the
-// partition's jobs, hands all that happens to the machine in turn, and carries
-// its orders out.
+// Package owner runs the scheduler core of one partition: it reads the partition's jobs,
+// applies all events to the core one after the other, and carries out the core's orders.
 package owner
 
 import (
@@ -20,33 +19,34 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// Times and sizes of an owner.
+// Intervals, timeouts and sizes of an owner.
 const (
-	// minStepPause is the shortest time between two steps: what happens meanwhile is
-	// decided on together, which bounds the processor time under load.
+	// minStepPause is the pause after each step. Events that arrive meanwhile share the next
+	// step, which bounds the processor time under load.
 	minStepPause = 3 * time.Millisecond
-	// tickInterval is the longest time between two steps.
+	// tickInterval is the interval of steps without events.
 	tickInterval = 50 * time.Millisecond
 	inboxSize    = 1024
 	// tailReadWait is how long a read of the partition waits for a record.
 	tailReadWait      = time.Second
 	readRetryInterval = 100 * time.Millisecond
-	// tailReadPause is the pause after a read that brought records. Jobs come to this node
-	// as a rule and are known without it; each record that is read by itself costs a
-	// call, and the owner's own records come back this way, too.
+	// tailReadPause is the pause after a read that returned records. It saves calls: without
+	// it each record, also the owner's own, would cost a read. Most jobs are stored through
+	// this node and known before they are read.
 	tailReadPause = 100 * time.Millisecond
 	// writeRetryInterval is the pause before a write is sent again.
 	writeRetryInterval = 100 * time.Millisecond
-	// workerListTimeout is how long a new owner waits for a list of workers that was
-	// read after it fenced earlier ones.
+	// workerListTimeout is how long a new owner waits for a list of workers that was read
+	// after it fenced earlier owners.
 	workerListTimeout = 3 * time.Second
 	fenceTimeout      = 10 * time.Second
 )
 
-// ErrOwnershipLost is returned by Run when a later owner was seen.
+// ErrOwnershipLost is returned by Run if a later owner has fenced this one or the owner has
+// stepped down.
 var ErrOwnershipLost = errors.New("ownership is lost")
 
-// Workers carries orders to workers.
+// Workers sends orders to workers.
 type Workers interface {
 	Start(ctx context.Context, w workload.Worker, s workload.Start) workload.WorkerAnswer
 	Stop(ctx context.Context, w workload.Worker, task workload.TaskKey, run, token int64) workload.WorkerAnswer
@@ -54,7 +54,7 @@
 	Poll(ctx context.Context, w workload.Worker, h workload.Poll) (workload.PollReport, workload.WorkerAnswer)
 }
 
-// Adviser asks which workers may run a step.
+// Adviser requests tickets for the workers that may run a step.
 type Adviser interface {
 	RequestTickets(ctx context.Context, step workload.TaskKey, workers []string) ([]platform.Ticket, time.Duration, error)
 }
@@ -64,7 +64,7 @@
 	List(ctx context.Context) ([]workload.VM, error)
 }
 
-// Deps is what all owners of a node share.
+// Deps are the dependencies and settings that all owners of a node share.
 type Deps struct {
 	Store     joblog.Store
 	Hedger    *hedge.Hedger
@@ -76,41 +76,44 @@
 	Logger    hclog.Logger
 	Metrics   *Metrics
 	Bounds    platform.Bounds
-	// ConfirmingJoinSentAt is when it was last certain that no other node owns a partition.
+	// ConfirmingJoinSentAt returns when the latest join that confirmed the ownership of a
+	// partition was sent: no other node had taken the partition over before.
 	ConfirmingJoinSentAt func(partition int) time.Time
-	// OwnedUntil is until when no other node can own a partition unless the group deals
-	// all anew.
+	// OwnedUntil returns the time until which no other node can own a partition, unless the
+	// group reassigns all partitions.
 	OwnedUntil func(partition int) time.Time
-	// AuthorityUntil is until when the owner of a partition may start tasks and renew
-	// leases.
+	// AuthorityUntil returns the time until which the owner of a partition may start tasks
+	// and renew leases.
 	AuthorityUntil func(partition int) time.Time
-	// MaxOwnerOverlap is for how long that may be after a successor has begun.
+	// MaxOwnerOverlap is how long the authority may last after a successor has begun.
 	MaxOwnerOverlap time.Duration
-	// RequestJoin asks for a confirmation at once.
+	// RequestJoin requests a join, which confirms the ownership, at once.
 	RequestJoin func()
-	// Address is where the node answers others.
+	// Address is this node's address for other nodes.
 	Address string
-	// ReleasePredecessor asks the node at an address to stop an owner of a partition with a lower epoch,
-	// and returns what that one has left and could not store: nil if nothing is known there.
+	// ReleasePredecessor asks the node at an address to stop an owner of a partition with a
+	// lower epoch than epoch. It returns the records that this owner could not store, nil if
+	// the node knows no such owner.
 	ReleasePredecessor func(ctx context.Context, address string, partition int, epoch int64) ([]workload.Record, error)
-	// Partitions is how many the topic has.
+	// Partitions is the number of partitions of the topic of jobs.
 	Partitions int
-	// LeaseDuration of all runs.
+	// LeaseDuration is the lease of a run from one renewal on.
 	LeaseDuration time.Duration
 }
 
-// event is something that happened, to be handed to the machine.
+// event is a change to be applied to the core.
 type event struct {
 	occurredAt time.Time
 	apply      func(c *scheduler.Core, now time.Time)
 }
 
-// newEvent returns an event that happens now.
+// newEvent returns an event that occurred now.
 func newEvent(apply func(c *scheduler.Core, now time.Time)) event {
 	return event{occurredAt: time.Now(), apply: apply}
 }
 
-// Owner owns one partition while Run runs.
+// Owner schedules the jobs of one partition while Run runs. Its other methods are safe for
+// concurrent use.
 type Owner struct {
 	deps      Deps
 	partition int
@@ -119,26 +122,26 @@
 	logger    hclog.Logger
 	inbox     chan event
 	executor  *executor
-	// loaded is closed once the machine knows all that is stored.
+	// loaded is closed once the core knows all stored records.
 	loaded            chan struct{}
 	workerList        confirmedWorkers
 	config            *workload.Config
 	observedCounts    scheduler.Counts
 	load              loadStats
-	countsAtLoadStart scheduler.Counts // when the lag's interval began
-	// lastReadSentAt is when the latest read of the partition was sent whose records the
-	// machine has.
+	countsAtLoadStart scheduler.Counts // when the interval of load began
+	// lastReadSentAt is when the latest read of the partition was sent whose records were
+	// applied.
 	lastReadSentAt time.Time
-	// membershipUnconfirmed is set while the membership may have lapsed, and idle while nothing may be
-	// started or renewed for that.
+	// membershipUnconfirmed is set while the membership may have lapsed, authorityLapsed while
+	// nothing may be started or renewed.
 	membershipUnconfirmed, authorityLapsed bool
-	// lastWrite is the latest write; it may be under way.
+	// lastWrite is the latest write, which may be in flight.
 	lastWrite      scheduler.WriteOrder
-	handoverReport *HandoverReport // what is left and could not be stored, once Run has returned
+	handoverReport *HandoverReport // set before Run returns if the handover could not be stored
 }
 
-// New returns the owner of a partition. epoch is unique and above all earlier
-// owners' ones.
+// New returns the owner of a partition. epoch must be greater than the epochs of all earlier
+// owners.
 func New(deps Deps, partition int, epoch int64) *Owner {
 	return &Owner{
 		deps:      deps,
@@ -152,8 +155,7 @@
 	}
 }
 
-// Run takes the partition over and runs its jobs until ctx ends or a later owner
-// is seen.
+// Run takes the partition over and runs its jobs until ctx ends or the ownership is lost.
 func (o *Owner) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -180,8 +182,8 @@
 	return err
 }
 
-// fence keeps earlier owners from writing. It comes before the snapshot: what
-// they stored before it is in the snapshot, and nothing comes after.
+// fence rejects further writes of earlier owners. It must precede the snapshot, which then
+// has all that they stored.
 func (o *Owner) fence(ctx context.Context) error {
 	deadline := time.Now().Add(fenceTimeout)
 	for ctx.Err() == nil {
@@ -213,9 +215,9 @@
 	return platform.Batch{}, ctx.Err()
 }
 
-// newCore makes the machine. Where the last owner left no report of its runs, it
-// begins with the workers that may run what an earlier
-// owner started: those registered, and those that the list of VMs names.
+// newCore returns the scheduler core. Without a handover the core starts with unresolved
+// workers: the registered workers and those on the list of VMs, which may run what an
+// earlier owner started.
 func (o *Owner) newCore(ctx context.Context, fencedAt time.Time, hasHandover bool) *scheduler.Core {
 	cfg := scheduler.Settings{
 		Address:            o.deps.Address,
@@ -235,7 +237,7 @@
 	mayBeIncomplete := !snap.IsComplete || snap.ReadSentAt.Before(fencedAt)
 	vms, err := o.deps.VMs.List(ctx)
 	if err != nil {
-		o.logger.Warn("VMs can't be listed at takeover, runs on unlisted workers are waited for", "error", err)
+		o.logger.Warn("VMs can't be listed at takeover, all registered workers count as unresolved", "error", err)
 	} else {
 		mayBeIncomplete = false
 	}
@@ -243,7 +245,7 @@
 	return scheduler.New(cfg, fencedAt, unresolved, mayBeIncomplete)
 }
 
-// sparePool is the name of the spare pool, "" if there is none.
+// sparePool returns the name of the spare pool, "" if there is none.
 func (o *Owner) sparePool() string {
 	config := o.deps.Published.Config()
 	if config == nil {
@@ -268,9 +270,9 @@
 	}
 }
 
-// ownsService tells whether a service's jobs lie in the partition. One that the
-// configuration doesn't name has none: another writer's entry may name it, and a
-// worker that never answers would hold a takeover up for a lease.
+// ownsService reports whether a service's jobs are in the partition. A service that the
+// configuration doesn't name has none: a foreign registry entry may name it, and waiting for
+// a worker that never answers would delay a takeover by a lease.
 func (o *Owner) ownsService(service string) bool {
 	if config := o.deps.Published.Config(); config != nil && !config.HasService(service) {
 		return false
@@ -278,8 +280,8 @@
 	return joblog.PartitionOf(service, o.deps.Partitions) == o.partition
 }
 
-// enqueue hands an event over; it waits while the inbox is full, which slows what
-// sends to the pace of the machine.
+// enqueue puts an event into the inbox. It blocks while the inbox is full, which slows
+// senders down to the rate of the loop.
 func (o *Owner) enqueue(ctx context.Context, apply func(c *scheduler.Core, now time.Time)) {
 	select {
 	case o.inbox <- newEvent(apply):
@@ -287,7 +289,7 @@
 	}
 }
 
-// loop steps the machine after each event.
+// loop applies events and steps the core.
 func (o *Owner) loop(ctx context.Context, core *scheduler.Core) error {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -316,7 +318,7 @@
 	}
 }
 
-// applyQueuedEvents applies the events that are there already.
+// applyQueuedEvents applies the events that are in the inbox already.
 func (o *Owner) applyQueuedEvents(core *scheduler.Core) {
 	for range inboxSize {
 		select {
@@ -328,7 +330,7 @@
 	}
 }
 
-// refreshInputs hands over a new configuration and list of workers.
+// refreshInputs gives the core a new configuration or list of workers.
 func (o *Owner) refreshInputs(core *scheduler.Core) {
 	if config := o.deps.Published.Config(); config != nil && config != o.config {
 		o.config = config
@@ -346,7 +348,8 @@
 	}
 }
 
-// splitWorkers picks the workers of the partition's services, and the addresses of all others.
+// splitWorkers returns the workers of the partition's services, and the addresses of all
+// other workers.
 func (o *Owner) splitWorkers(list []workload.Worker) (own []workload.Worker, otherAddresses []string) {
 	for _, w := range list {
 		if o.ownsService(w.Service) {
--- a/internal/owner/tail.go
+++ b/internal/owner/tail.go
@@ -11,16 +11,17 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// applyBatch hands stored records to the machine.
+// applyBatch applies the stored records of callers' requests to the core.
 func (o *Owner) applyBatch(core *scheduler.Core, batch platform.Batch, now time.Time) {
 	records, bad := joblog.Decode(batch)
 	for _, err := range bad {
-		o.logger.Error("stored record can't be read and is left out", "error", err)
+		o.logger.Error("stored record can't be decoded and is skipped", "error", err)
 	}
 	applyRecords(core, records, now)
 }
 
-// applyRecords hands records of callers to the machine. It may be given one twice.
+// applyRecords applies records of callers' requests to the core. A record may be applied
+// more than once.
 func applyRecords(core *scheduler.Core, records []workload.Record, now time.Time) {
 	for _, r := range records {
 		switch {
@@ -32,10 +33,9 @@
 	}
 }
 
-// HandleStored hands over records that this node has stored in the partition. They come
-// by the tail as well; on this way they are known some milliseconds earlier, and
-// some hundred where the store is slow. Where the inbox is full they are left to
-// the tail.
+// HandleStored applies records that this node has stored in the partition. The tail reads
+// them as well; HandleStored makes them known some milliseconds earlier, or some hundred if
+// the store is slow. If the inbox is full they are left to the tail.
 func (o *Owner) HandleStored(records []workload.Record) {
 	select {
 	case o.inbox <- newEvent(func(c *scheduler.Core, now time.Time) { applyRecords(c, records, now) }):
@@ -44,11 +44,11 @@
 	}
 }
 
-// restoreProgress hands over what earlier owners stored. Records of this owner's own are
-// read back too, and are of no use: the machine knows more. Jobs of which the previous owner has
-// reported more are left out.
+// restoreProgress restores the progress that earlier owners stored. It skips jobs in
+// reported, of which the previous owner has reported later progress. It is not used for
+// records that the tail reads back: the core's own state is newer than those.
 func restoreProgress(core *scheduler.Core, batch platform.Batch, reported map[workload.JobID]*workload.Progress) {
-	records, _ := joblog.Decode(batch) // unreadable ones were logged by apply
+	records, _ := joblog.Decode(batch) // applyBatch has logged the errors
 	for _, r := range records {
 		if r.Progress != nil && reported[r.Job] == nil {
 			core.RestoreProgress(r.Job, r.Progress)
@@ -56,7 +56,7 @@
 	}
 }
 
-// tail reads what is accepted from then on.
+// tail reads the partition from offset next on and applies what callers submit and cancel.
 func (o *Owner) tail(ctx context.Context, next int64) {
 	for ctx.Err() == nil {
 		sentAt := time.Now()
--- a/internal/owner/unresolved.go
+++ b/internal/owner/unresolved.go
@@ -4,15 +4,15 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// unresolvedWorkers returns the workers that may run what an earlier owner started:
-// those that the list of VMs names, and those that are registered. owns tells
-// whether a service's jobs lie in the partition.
+// unresolvedWorkers returns the workers that may run what an earlier owner started: the
+// workers on the list of VMs and the registered workers. ownsService reports whether a
+// service's jobs are in the partition.
 //
-// Entries outlive their workers by some seconds, above all those of VMs that were
-// just moved or maintained. Such a worker never answers, and waiting for it would
-// hold all jobs up for a lease. Where each VM that is not in the spare pool has a
-// worker, or is moving or in maintenance, an entry that belongs to none of these
-// workers is such a rest: no VM is left that it could run on.
+// Registry entries outlive their workers by some seconds, mainly those of VMs that were
+// just moved or maintained. Such a worker never answers, and waiting for it would delay
+// all jobs by a lease. If each VM outside of the spare pool has a worker, or is moving or
+// in maintenance, then a registered worker that the list of VMs doesn't name is stale: no
+// VM is left that it could run on.
 func unresolvedWorkers(registered []workload.Worker, vms []workload.VM, sparePool string, ownsService func(service string) bool) []string {
 	listedWorkers := map[string]bool{}
 	allVMsAccountedFor := len(vms) > 0
--- a/internal/owner/unresolved_test.go
+++ b/internal/owner/unresolved_test.go
@@ -18,9 +18,8 @@
 	return list
 }
 
-// All nodes were killed. The next owner meets entries of VMs that moved away a second ago.
-// Each VM has a worker or is moving, so these entries are rests, and no job waits
-// for them.
+// All nodes were killed and the next owner finds entries of VMs that moved away a second
+// ago. Each VM has a worker or is moving, so the entries are stale and no job waits for them.
 func TestStaleEntriesWithoutVMAreNotUnresolved(t *testing.T) {
 	vms := []workload.VM{
 		{ID: "vm-1", Pool: "booking", State: workload.VMUp, Worker: "w-1"},
@@ -31,8 +30,8 @@
 	assert.Equal(t, []string{"w-1"}, unresolvedWorkers(workersWithIDs("w-1", "w-2"), vms, "spare", ownsBooking))
 }
 
-// A VM is listed as down: it may be cut off from the platform and run on. Entries
-// that no VM claims may be its worker, and are waited for.
+// A VM that is listed as down may be partitioned from the platform and still run tasks. An
+// entry that belongs to no listed VM may be its worker, so the owner waits for it.
 func TestUnlistedEntriesAreUnresolvedWhileAVMIsUnaccountedFor(t *testing.T) {
 	vms := []workload.VM{
 		{ID: "vm-1", Pool: "booking", State: workload.VMUp, Worker: "w-1"},
@@ -41,7 +40,7 @@
 	assert.Equal(t, []string{"w-1", "w-2"}, unresolvedWorkers(workersWithIDs("w-1", "w-2"), vms, "spare", ownsBooking))
 }
 
-// The list of VMs could not be read: all entries are unheld.
+// Without the list of VMs no entry can be ruled out.
 func TestAllEntriesAreUnresolvedWithoutVMList(t *testing.T) {
 	assert.Equal(t, []string{"w-1", "w-2"}, unresolvedWorkers(workersWithIDs("w-1", "w-2"), nil, "spare", ownsBooking))
 }
