--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -1,14 +1,14 @@
-// Package intake stores what callers submit and cancel, by the way that is best
-// at the moment: through the node that owns the partition, through this node's
-// own connection to the store, or through any other node that has one.
+// Package intake stores what callers submit and cancel, over the best available route:
+// through the node that owns the partition, through this node's own connection to the
+// store, or through any other node that reaches the store.
 //
-// The store takes the appends to a partition one after the other. If each node
-// wrote for itself, a store that is some 60 times as slow as usual would have as
-// many appends waiting as there are nodes, longer than callers wait, and would
-// serve next to nothing though a few large appends carry the whole load. So each
-// partition has one writer, the node that owns it: all others send it what they
-// have taken, and it appends what waits together. Any node may store any record, and storing one twice is
-// harmless, so a wrong idea of who the owner is costs time and nothing else.
+// The store processes the appends to a partition one at a time. If each node wrote for
+// itself while the store is some 60 times as slow as usual, as many appends would queue up
+// as there are nodes. The queue would take longer than callers wait, and almost no request
+// would succeed, although a few large appends could carry the whole load. So each partition
+// has one writer, the node that owns it: all other nodes relay their records to it, and it
+// appends the records that wait as one batch. Any node may store any record, and storing
+// one twice is harmless, so a wrong view of who the owner is only costs time.
 package intake
 
 import (
@@ -28,43 +28,42 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// Times of asking other nodes.
+// Timeouts and limits of relaying records through other nodes.
 const (
-	// relayPendingAfter is how long a node that was asked may take before it says that the
-	// outcome is still open: 20 times what the store takes as a rule. It tells a node
-	// that waits for a slow store from one that is frozen or cut off.
+	// relayPendingAfter is the time after which a relaying node replies that the outcome is
+	// still pending: 20 times the usual latency of the store. The reply distinguishes a node
+	// that waits for a slow store from a node that is frozen or partitioned.
 	relayPendingAfter = 250 * time.Millisecond
-	// slowRelayPendingAfter is the same while the store is slow: hundreds of records wait then,
-	// and four questions a second for each would be more than a node of 0.8 of a core
-	// answers.
+	// slowRelayPendingAfter replaces relayPendingAfter while the store is slow: hundreds of
+	// records wait then, and four requests a second for each are more than a node with 0.8 of
+	// a core can answer.
 	slowRelayPendingAfter = 900 * time.Millisecond
-	// relayTransferMargin is added for the way there and back, some 6 ms between zones, through a
+	// relayTransferMargin is added for the round trip, some 6 ms between zones, and for a
 	// process that is busy for some 100 ms.
 	relayTransferMargin = 200 * time.Millisecond
-	// peerBackoffTime is how long a node that gave no answer isn't asked again, so that
-	// not each caller pays for the silence. An owner that is lost is replaced in some
-	// 2 s.
+	// peerBackoffTime is how long a node that did not answer is not asked again, so that not
+	// every caller waits for it. A lost owner is replaced in some 2 s.
 	peerBackoffTime = time.Second
-	// retryInterval is the pause before all ways are tried again: a fiftieth of what
-	// callers wait, so that it costs them little.
+	// retryInterval is the pause before all routes are tried again: a fiftieth of the time
+	// that callers wait.
 	retryInterval = 60 * time.Millisecond
-	// maxRelaysInFlight is how many questions to other nodes are under way at most: more than
-	// the 200 jobs a second that all callers of the largest deployment bring at a peak.
+	// maxRelaysInFlight bounds the concurrent relays: above the 200 jobs a second that all
+	// callers of the largest deployment submit at peak load.
 	maxRelaysInFlight = 256
-	// maxRoutesPerAttempt is how many other nodes are asked for one attempt. The store may
-	// turn a third of the nodes away at once: one caller in a hundred then meets
-	// four such; they are left out then, and the next attempt meets others.
+	// maxRoutesPerAttempt bounds the other nodes that are tried in one attempt. The store may
+	// reject a third of the nodes at once: one caller in a hundred then finds four such nodes.
+	// They are backed off, and the next attempt tries others.
 	maxRoutesPerAttempt = 4
 )
 
-// LocalStore is this node's own way to the store.
+// LocalStore is this node's own connection to the store.
 type LocalStore interface {
 	// Store stores a record; see joblog.Acceptor.
 	Store(ctx context.Context, partition int, r workload.Record, bound <-chan time.Time) (status platform.StoreStatus, pending bool, err error)
-	// CheckAvailable tells why calls of this node to the store are hopeless, nil if they
-	// aren't.
+	// CheckAvailable returns why calls of this node to the store would fail, nil if the store
+	// is available.
 	CheckAvailable() error
-	// IsSlow tells whether the store takes long for answers.
+	// IsSlow reports whether the store is slow to answer.
 	IsSlow() bool
 }
 
@@ -72,28 +71,28 @@
 type StoreRequest struct {
 	Partition    int
 	Record       workload.Record
-	PendingAfter time.Duration // after which the node answers that the outcome is open
+	PendingAfter time.Duration // after which the node replies that the outcome is pending
 }
 
-// StoreReply is what another node said.
+// StoreReply is the reply of another node to a StoreRequest.
 type StoreReply struct {
 	Status      platform.StoreStatus
-	Pending     bool // the outcome is open, the same question may be put again
-	Unavailable bool // the node has no way to the store
+	Pending     bool // the outcome is open; the request may be repeated
+	Unavailable bool // the node does not reach the store
 	Reason      string
 }
 
 // Peers are the other nodes.
 type Peers interface {
-	// Owner is the address of the node that owns a partition, "" if none is known
-	// or it is this one.
+	// Owner returns the address of the node that owns a partition, "" if none is known or
+	// this node owns it.
 	Owner(partition int) string
-	// Self is this node's address.
+	// Self returns this node's address.
 	Self() string
-	// Others are addresses of other nodes.
+	// Others returns the addresses of other nodes.
 	Others() []string
-	// Store asks a node to store a record through its own way to the store. A
-	// question that was certainly not sent is answered StoreRefused with an error.
+	// Store asks a node to store a record through its own connection to the store. If the
+	// request was certainly not sent, Store returns StoreRefused and an error.
 	Store(ctx context.Context, address string, q StoreRequest) (StoreReply, error)
 }
 
@@ -105,7 +104,7 @@
 	relaySlots chan struct{}
 
 	mu             sync.Mutex
-	backedOffUntil map[string]time.Time // until when
+	backedOffUntil map[string]time.Time // by address
 }
 
 // New returns a router.
@@ -113,19 +112,18 @@
 	return &Router{local: local, peers: peers, logger: logger, relaySlots: make(chan struct{}, maxRelaysInFlight), backedOffUntil: map[string]time.Time{}}
 }
 
-// outcome is what is known of a record after some attempts.
+// outcome is the result of storing a record over one or more routes.
 type outcome struct {
 	status platform.StoreStatus
 	err    error
-	// skipOtherRoutes is set where a node that has a way to the store has used it: another one
-	// would meet the same store, and its queue would grow by the same record.
+	// skipOtherRoutes is set if a node that reaches the store has called it. Another node
+	// would call the same store and only add the record to its queue once more.
 	skipOtherRoutes bool
 }
 
-// Accept stores a record. StoreRefused means that it certainly is not and will not
-// be stored; it is returned as soon as no way is left. An outcome that is unknown is
-// resolved by storing again, as long as ctx allows: StoreUnknown means that its
-// time is over.
+// Accept stores a record. It returns StoreRefused as soon as no route is left and the record
+// certainly is not and will not be stored. If the outcome is unknown, Accept stores the
+// record again until the outcome is known or ctx ends; it then returns StoreUnknown.
 func (r *Router) Accept(ctx context.Context, partition int, record workload.Record) (platform.StoreStatus, error) {
 	mayBeStored := false
 	for {
@@ -143,8 +141,8 @@
 	}
 }
 
-// tryRoutes tries the ways in turn until one has an outcome, or a node that has a way
-// to the store has tried. A refusal after an unknown outcome is unknown.
+// tryRoutes tries the routes in order until a node that reaches the store has tried. A
+// refusal after an unknown outcome counts as unknown.
 func (r *Router) tryRoutes(ctx context.Context, partition int, record workload.Record) outcome {
 	mayBeStored := false
 	last := outcome{status: platform.StoreRefused, err: errors.New("no node has a way to the store")}
@@ -164,9 +162,10 @@
 // route is one way to store a record.
 type route func(ctx context.Context, partition int, record workload.Record) outcome
 
-// routes lists the ways to try: the owner; this node's own where the store is quick, as
-// it is the shortest; else other nodes, in an order for each partition that all nodes
-// agree on, so that one of them is the writer in place of the owner.
+// routes returns the routes to try, in order: the owner; then this node's own connection if
+// no owner is known or the store is fast, since it is the shortest; otherwise other nodes, in
+// an order per partition that all nodes agree on, so that one node becomes the writer in
+// place of the owner.
 func (r *Router) routes(partition int) []route {
 	var routes []route
 	owner := r.peers.Owner(partition)
@@ -196,7 +195,7 @@
 	return routes
 }
 
-// sortByRendezvousHash sorts addresses in the order in which they are a partition's writer.
+// sortByRendezvousHash sorts addresses by their rank as writer of a partition.
 func sortByRendezvousHash(partition int, addresses []string) {
 	hash := func(address string) uint64 { return xxhash.Sum64String(strconv.Itoa(partition) + "/" + address) }
 	slices.SortFunc(addresses, func(a, b string) int { return cmp.Compare(hash(a), hash(b)) })
@@ -210,15 +209,15 @@
 	return outcome{status: status, err: err, skipOtherRoutes: true}
 }
 
-// viaPeer stores a record through another node. As long as that node says that the
-// outcome is open, it is asked again: it lives, and its store is slow.
+// viaPeer returns the route through another node. The request is repeated as long as that
+// node replies that the outcome is pending: the node is alive and its store is slow.
 func (r *Router) viaPeer(address string) route {
 	return func(ctx context.Context, partition int, record workload.Record) outcome {
 		select {
 		case r.relaySlots <- struct{}{}:
 			defer func() { <-r.relaySlots }()
 		default:
-			return outcome{status: platform.StoreRefused, err: errors.Errorf("%d records are on their way through other nodes", maxRelaysInFlight)}
+			return outcome{status: platform.StoreRefused, err: errors.Errorf("%d records are being relayed through other nodes already", maxRelaysInFlight)}
 		}
 		wasPending := false
 		for {
@@ -232,10 +231,10 @@
 	}
 }
 
-// relayOutcome is the outcome of a last reply. open tells that the node has said before
-// that the outcome was open: its refusal then says nothing of what it has sent. A
-// refusal of a quick store is no last word: it may turn that node away and serve
-// this one.
+// relayOutcome returns the outcome of the last reply of a relay. wasPending is set if the
+// node has replied before that the outcome was pending: a refusal then says nothing about
+// the earlier request, so the outcome is unknown. After a refusal by a fast store other
+// routes are tried, since the store may reject that node and serve this one.
 func (r *Router) relayOutcome(reply StoreReply, err error, wasPending bool) outcome {
 	res := outcome{status: reply.Status, err: err, skipOtherRoutes: err == nil && !reply.Unavailable}
 	if err == nil && reply.Status != platform.StoreOK {
@@ -276,7 +275,8 @@
 	return !time.Now().Before(r.backedOffUntil[address])
 }
 
-// backOff leaves a node out for a while. The log has one line each time it does.
+// backOff excludes a node from the routes for peerBackoffTime. It logs unless the node's
+// previous backoff is still recorded.
 func (r *Router) backOff(address string, reason error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -292,8 +292,8 @@
 	r.backedOffUntil[address] = now.Add(peerBackoffTime)
 }
 
-// Serve stores a record for another node, through this node's own way only: one
-// that were passed on once more could go in a circle.
+// Serve stores a record for another node. It uses this node's own connection only: relaying
+// the record further could loop.
 func (r *Router) Serve(ctx context.Context, q StoreRequest) StoreReply {
 	if err := r.local.CheckAvailable(); err != nil {
 		return StoreReply{Status: platform.StoreRefused, Unavailable: true, Reason: err.Error()}
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -19,11 +19,11 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// serialStore takes the appends to a partition one after the other, as the
-// platform's does, and refuses what would wait for more than 2 s.
+// serialStore processes appends one at a time, as the platform's store does for a
+// partition, and refuses an append that would wait for more than maxQueueWait.
 type serialStore struct {
 	appendTime time.Duration
-	turn       chan struct{} // one entry: held by the append under way
+	turn       chan struct{} // semaphore of the append in progress
 
 	mu      sync.Mutex
 	waiting int
@@ -34,7 +34,7 @@
 // maxQueueWait is the wait beyond which the platform's store refuses an append.
 const maxQueueWait = 2 * time.Second
 
-// callTimeout is the time-out of one call to the store.
+// callTimeout is the timeout of one call to the store.
 const callTimeout = 1200 * time.Millisecond
 
 func newSerialStore(appendTime time.Duration) *serialStore {
@@ -50,7 +50,7 @@
 	s.waiting++
 	s.mu.Unlock()
 	done := make(chan struct{})
-	go func() { // the store goes on when the caller has left
+	go func() { // the store completes the append even if the caller has given up
 		s.turn <- struct{}{}
 		time.Sleep(s.appendTime)
 		s.mu.Lock()
@@ -86,8 +86,8 @@
 	router      *intake.Router
 	acceptor    *joblog.Acceptor
 	hedger      *hedge.Hedger
-	unavailable error // why the store doesn't answer it
-	frozen      bool  // it answers no other node
+	unavailable error // result of CheckAvailable
+	frozen      bool  // does not answer other nodes
 }
 
 func (n *node) Store(ctx context.Context, partition int, record workload.Record, pendingAfter <-chan time.Time) (platform.StoreStatus, bool, error) {
@@ -97,8 +97,8 @@
 func (n *node) CheckAvailable() error { return n.unavailable }
 func (n *node) IsSlow() bool          { return n.hedger.IsSlow() }
 
-// group is the nodes of a test; owner is the address of the partition's one, ""
-// where each node stores for itself.
+// group is the nodes of a test. owner is the address of the partition's owner; if it is ""
+// each node stores for itself.
 type group struct {
 	nodes []*node
 	owner string
@@ -106,7 +106,7 @@
 
 func address(i int) string { return fmt.Sprint("node-", i) }
 
-// peerView is what one node knows of the others.
+// peerView implements intake.Peers for one node of a group.
 type peerView struct {
 	group *group
 	self  string
@@ -156,7 +156,7 @@
 	return g
 }
 
-// storeQuiesceTime is a time after which the store has carried out all that it was sent.
+// storeQuiesceTime is long enough for the store to complete all appends in flight.
 const storeQuiesceTime = time.Minute
 
 // runInVirtualTime runs a test in virtual time and lets the store finish.
@@ -172,21 +172,21 @@
 	return workload.Record{Job: workload.JobID(fmt.Sprintf("%016x", i)), Cancel: true}
 }
 
-// Load of a slow spell: a queue in its turn takes some 40 jobs a second at nine
-// nodes, and each append takes 150 ms, 70 times as long as usual.
+// Load while the store is slow: one queue receives some 40 jobs a second at nine nodes, and
+// each append takes 150 ms, 70 times as long as usual.
 const (
 	slowStoreNodes = 9
 	slowAppendTime = 150 * time.Millisecond
 	submitInterval = 25 * time.Millisecond // between two jobs
 	submitDuration = 4 * time.Second
 	callerTimeout  = 2900 * time.Millisecond
-	// promptLimit is a time after which a quick job can still be in time: the objective of
-	// such a job is some 2 s.
+	// promptLimit is the acceptance time after which a short job can still meet its objective
+	// of some 2 s.
 	promptLimit = 900 * time.Millisecond
 )
 
 // submitToSlowStore submits jobs at all nodes in turn while the store is slow, and counts
-// those that are taken soon.
+// those accepted within promptLimit.
 func submitToSlowStore(t *testing.T, owner string) (acceptedPromptly, all int) {
 	g := newGroup(slowStoreNodes, newSerialStore(slowAppendTime), owner)
 	var callers sync.WaitGroup
@@ -210,28 +210,28 @@
 	return acceptedPromptly, all
 }
 
-// The store is slow and takes the appends to a partition one after the other. Where
-// each node appends for itself, nine appends wait at any time, callers are told
-// nothing for over a second, and repeated calls make the queue longer. Where all
-// go through the owner, at most its own append is ahead of a job.
+// A slow store processes the appends to a partition one at a time. If each node appends for
+// itself, nine appends wait at any time, callers get no answer for over a second, and
+// repeated calls lengthen the queue. Through the owner at most its own append is ahead of a
+// job.
 func TestJobsAreAcceptedPromptlyThroughOwnerOfSlowStore(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
 		alone, all := submitToSlowStore(t, "")
 		throughOwner, _ := submitToSlowStore(t, address(0))
-		t.Logf("of %d jobs taken soon: %d by each node alone, %d through the owner", all, alone, throughOwner)
-		assert.Less(t, alone, all/4, "the load is one that nodes can't bear alone")
+		t.Logf("of %d jobs accepted promptly: %d by each node alone, %d through the owner", all, alone, throughOwner)
+		assert.Less(t, alone, all/4, "the load must exceed what nodes can store without the owner")
 		assert.GreaterOrEqual(t, throughOwner, all*9/10)
 	})
 }
 
-// The store turns three of nine nodes away for seconds. Their callers would be
-// refused; the other nodes take their jobs, also those of the owner among the three.
+// The store rejects three of nine nodes for seconds. Without the other nodes their callers
+// would be refused, also if the owner is one of the three.
 func TestNodesRefusedByStoreAcceptJobsThroughPeers(t *testing.T) {
-	for _, owner := range []string{address(0), address(5)} { // turned away, and not
+	for _, owner := range []string{address(0), address(5)} { // rejected and not rejected
 		runInVirtualTime(t, func(t *testing.T) {
 			g := newGroup(9, newSerialStore(2*time.Millisecond), owner)
 			for _, n := range g.nodes[:3] {
-				n.unavailable = errors.New("turned away")
+				n.unavailable = errors.New("node is rejected")
 			}
 			for i := range 90 {
 				status, err := g.nodes[i%3].router.Accept(t.Context(), 0, cancelRecord(i))
@@ -241,8 +241,8 @@
 	}
 }
 
-// The owner stands still. The first caller waits for one question's time-out, those
-// after it don't: the node stores for itself meanwhile.
+// The owner is frozen. The first caller waits for the timeout of one request; later callers
+// don't, since the node stores for itself during the backoff.
 func TestFrozenOwnerDelaysOnlyFirstCaller(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
 		g := newGroup(3, newSerialStore(2*time.Millisecond), address(0))
@@ -258,8 +258,8 @@
 	})
 }
 
-// The store is away for all nodes. The refusal is certain and comes at once, so
-// that the caller can use its time elsewhere.
+// No node reaches the store. The refusal is certain and must be immediate, so that the
+// caller can use its time elsewhere.
 func TestRequestIsRefusedImmediatelyWhenNoNodeReachesStore(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
 		store := newSerialStore(2 * time.Millisecond)
@@ -276,7 +276,7 @@
 	})
 }
 
-// lossyStore carries the first appends out and gives no answer.
+// lossyStore carries out all appends and loses the answers to the first ones.
 type lossyStore struct {
 	*serialStore
 	answersToLose int
@@ -291,9 +291,9 @@
 	return status, err
 }
 
-// All answers of one append are lost. The caller could only be told that nothing is
-// known, after which it doesn't ask again; its time is used to store once more under
-// the same key, which has no second effect.
+// All answers to one append are lost. The caller would be told that the outcome is unknown
+// and would not ask again. Instead the record is stored again under the same key, which has
+// no second effect, while the caller still waits.
 func TestUnknownOutcomeIsRetriedWithinCallerTimeout(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
 		store := &lossyStore{newSerialStore(2 * time.Millisecond), 3}
@@ -306,8 +306,8 @@
 	})
 }
 
-// The store is carried out without an answer until the caller's time is over. It is
-// never told that nothing was stored.
+// The store carries out each append without an answer until the caller's time is over. The
+// caller must not be told that nothing was stored.
 func TestUnknownOutcomeIsNeverReportedAsRefusal(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
 		store := &lossyStore{newSerialStore(2 * time.Millisecond), 1 << 20}
@@ -320,8 +320,8 @@
 	})
 }
 
-// The same request reaches two nodes, as a caller that asks again does. Both go
-// through the owner and join the append under way.
+// A caller repeats its request at several nodes. All copies go through the owner and join
+// the append in flight.
 func TestSameRequestAtSeveralNodesIsStoredOnce(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
 		store := newSerialStore(slowAppendTime)
@@ -338,15 +338,15 @@
 	})
 }
 
-// The owner is lost while the store is slow. Nodes that each appended for themselves
-// would have as many appends waiting as there are nodes: the store refuses what waits
-// over 2 s, and the next owner can't fence. They agree on one node in its place.
+// The owner is lost while the store is slow. If each node appended for itself, as many
+// appends would wait as there are nodes: the store refuses those that wait over 2 s, and the
+// next owner can't fence. The nodes must agree on one writer in place of the owner.
 func TestNodesAgreeOnOneWriterInPlaceOfLostOwner(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
 		const nodes = 44
 		store := newSerialStore(slowAppendTime)
 		g := newGroup(nodes, store, "node-gone")
-		for _, n := range g.nodes { // each has met the slow store
+		for _, n := range g.nodes { // each node has measured the slow store
 			status, err := n.hedger.Write(t.Context(), func(context.Context) (platform.StoreStatus, error) {
 				time.Sleep(slowAppendTime)
 				return platform.StoreOK, nil
--- a/internal/joblog/acceptor.go
+++ b/internal/joblog/acceptor.go
@@ -13,30 +13,29 @@
 )
 
 const (
-	// maxBatchRecords is how many records one append has at most: more than a slow store is
-	// brought while it carries one out, some 200 jobs a second for half a second.
+	// maxBatchRecords bounds the records of one append: more than arrive while a slow store
+	// carries one append out, some 200 jobs a second for half a second.
 	maxBatchRecords = 256
-	// maxBatchBytes is how many bytes of keys and values it has at most: half of the
-	// 2 MB that the store takes in one call. It refuses a larger one as a whole, and a
-	// single job may have a quarter of a MB.
+	// maxBatchBytes bounds the bytes of keys and values of one append: half of the 2 MB that
+	// the store accepts in one call. The store refuses a larger call as a whole, and a single
+	// job may have a quarter of a MB.
 	maxBatchBytes = 1 << 20
-	// maxAppendsInFlight is how many appends to a partition are under way at once. The way of
-	// the answer takes as long as the append itself: with a second one on its way a
-	// record waits half as long for its turn. More would make the store's queue longer
-	// for what the owner writes.
+	// maxAppendsInFlight bounds the concurrent appends to a partition. An answer travels as
+	// long as the append itself takes, so with a second append in flight a record waits half
+	// as long for its turn. More would lengthen the store's queue for the owner's writes.
 	maxAppendsInFlight = 2
-	// maxQueuedRecords is how many records wait for one partition at most: what a slow store
-	// takes in some 2 s. Of usual jobs of 1.3 kB they take 1.4 MB of memory.
+	// maxQueuedRecords bounds the records that wait for one partition: what a slow store
+	// accepts in some 2 s. Usual jobs of 1.3 kB then take 1.4 MB of memory.
 	maxQueuedRecords = 1024
 )
 
-// OnStored is told which records of a partition were just stored.
+// OnStored is called with the records of a partition that were just stored.
 type OnStored func(partition int, records []workload.Record)
 
-// Acceptor stores records of callers' requests. Those that come while an append
-// to their partition is under way go together into the next one: the store takes
-// appends to a partition one at a time, and a slow one would have a queue of them
-// longer than callers wait. It is safe for concurrent use.
+// Acceptor stores records of callers' requests. Records that arrive while appends to their
+// partition are in flight go together into the next append: the store processes the appends
+// to a partition one at a time, and single appends to a slow store would queue for longer
+// than callers wait. Acceptor is safe for concurrent use.
 type Acceptor struct {
 	store    Store
 	hedger   *hedge.Hedger
@@ -46,15 +45,15 @@
 	queues map[int]*partitionQueue
 }
 
-// partitionQueue is what waits for one partition, or is under way to it.
+// partitionQueue holds the records of one partition that wait or are in flight.
 type partitionQueue struct {
 	waiting         []*storeRequest
-	byKey           map[string]*storeRequest // waiting or under way
-	appendsInFlight int                      // appends
+	byKey           map[string]*storeRequest // waiting or in flight
+	appendsInFlight int
 }
 
-// storeRequest is one record that waits for its outcome. Several callers may: a request
-// that is sent again joins the one under way.
+// storeRequest is one record with an open outcome. Several callers may wait for it: a
+// repeated request joins the one in flight.
 type storeRequest struct {
 	record  workload.Record
 	encoded platform.KeyedRecord
@@ -64,7 +63,7 @@
 	err     error
 }
 
-// NewAcceptor returns an acceptor. stored may be nil.
+// NewAcceptor returns an acceptor. onStored may be nil.
 func NewAcceptor(store Store, hedger *hedge.Hedger, onStored OnStored) *Acceptor {
 	if onStored == nil {
 		onStored = func(int, []workload.Record) {}
@@ -72,10 +71,10 @@
 	return &Acceptor{store: store, hedger: hedger, onStored: onStored, queues: map[int]*partitionQueue{}}
 }
 
-// Store stores a record of a caller's request. Doing so twice is harmless: the
-// first submission of an ID counts. StoreRefused means that the record certainly
-// is not and will not be stored. Once bound has passed, pending is returned while
-// the outcome is open; who still wants it calls again. A nil bound never passes.
+// Store stores a record of a caller's request. Storing it twice is harmless: the first
+// submission of an ID counts. StoreRefused means that the record certainly is not and will
+// not be stored. If pendingAfter fires while the outcome is open, Store returns with pending
+// set; the caller may call again for the outcome. A nil pendingAfter never fires.
 func (a *Acceptor) Store(ctx context.Context, partition int, r workload.Record, pendingAfter <-chan time.Time) (status platform.StoreStatus, pending bool, err error) {
 	key, value, err := r.Encode()
 	if err != nil {
@@ -99,8 +98,8 @@
 	return platform.StoreUnknown, false, ctx.Err()
 }
 
-// enqueue returns the record's place in the queue, the present one if the same is
-// waiting or under way already.
+// enqueue adds a record to the queue and returns its request. If a record with the same key
+// is waiting or in flight already, the caller joins that request.
 func (a *Acceptor) enqueue(partition int, r workload.Record, encoded platform.KeyedRecord) (*storeRequest, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -114,7 +113,7 @@
 		return existing, nil
 	}
 	if len(q.waiting) >= maxQueuedRecords {
-		return nil, errors.Errorf("%d records wait for the store already", len(q.waiting))
+		return nil, errors.Errorf("%d records are waiting for the store already", len(q.waiting))
 	}
 	entry := &storeRequest{record: r, encoded: encoded, callers: 1, done: make(chan struct{})}
 	q.waiting = append(q.waiting, entry)
@@ -126,15 +125,15 @@
 	return entry, nil
 }
 
-// detachCaller notes that a caller doesn't wait any more. The record stays in the queue.
+// detachCaller records that a caller no longer waits. The record stays in the queue.
 func (a *Acceptor) detachCaller(entry *storeRequest) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	entry.callers--
 }
 
-// withdraw takes a record back that no append has taken up and that nobody else
-// waits for.
+// withdraw detaches a caller and removes the record if it is in no append and no other
+// caller waits for it. It reports whether the record was removed.
 func (a *Acceptor) withdraw(partition int, entry *storeRequest) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -150,7 +149,7 @@
 	return false
 }
 
-// appendQueued appends until nothing waits.
+// appendQueued appends the waiting records until none is left.
 func (a *Acceptor) appendQueued(partition int, q *partitionQueue) {
 	for {
 		batch := a.nextBatch(q)
@@ -164,8 +163,8 @@
 			records[i] = w.record
 		}
 		part := platform.Partition{Topic: JobsTopic, Part: partition}
-		// The calls have time-outs of their own; a caller that leaves does not end
-		// the append of the others.
+		// The calls have their own timeouts. A caller that gives up must not cancel the
+		// append of the others.
 		status, err := a.hedger.Write(context.Background(), func(ctx context.Context) (platform.StoreStatus, error) {
 			return a.store.Append(ctx, part, nil, encoded...)
 		})
@@ -176,7 +175,7 @@
 	}
 }
 
-// completeBatch tells all who wait for a batch how it ended.
+// completeBatch sets the outcome of a batch and wakes its callers.
 func (a *Acceptor) completeBatch(q *partitionQueue, batch []*storeRequest, status platform.StoreStatus, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -187,7 +186,7 @@
 	}
 }
 
-// nextBatch takes what waits, nil if nothing does.
+// nextBatch removes and returns the next records to append, nil if none wait.
 func (a *Acceptor) nextBatch(q *partitionQueue) []*storeRequest {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -201,7 +200,7 @@
 	return batch
 }
 
-// batchSize is how many of the records that wait go into one append: at least one.
+// batchSize returns how many of the waiting records go into one append, at least one.
 func batchSize(waiting []*storeRequest) int {
 	bytes := 0
 	for i, w := range waiting {
--- a/internal/joblog/acceptor_test.go
+++ b/internal/joblog/acceptor_test.go
@@ -18,7 +18,7 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// slowStore takes a while for each append and counts them.
+// slowStore takes appendTime for each append and counts appends and records.
 type slowStore struct {
 	appendTime time.Duration
 	appendErr  error
@@ -26,8 +26,8 @@
 	mu             sync.Mutex
 	appends        int
 	records        int
-	sendsByKey     map[string]int // times by key
-	maxAppendBytes int            // bytes of an append
+	sendsByKey     map[string]int
+	maxAppendBytes int
 }
 
 func (s *slowStore) Append(ctx context.Context, _ platform.Partition, _ *platform.Producer, records ...platform.KeyedRecord) (platform.StoreStatus, error) {
@@ -73,8 +73,8 @@
 	return status, err
 }
 
-// Forty callers come at once to a store that is slow. The first one's record goes
-// alone, all others together in the next append: each is answered after two.
+// Forty callers arrive at once while the store is slow. The first record goes alone and the
+// others together in the next append, so no caller waits for more than a few appends.
 func TestConcurrentRecordsAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &slowStore{appendTime: 80 * time.Millisecond}
@@ -95,15 +95,15 @@
 	})
 }
 
-// The store is silent. The caller whose record is under way may not be told that
-// it was not taken; one whose record still waits may, as it is never sent.
+// The store does not answer. A caller whose record is in flight must not be refused, since
+// the record may be stored. A record that still waits is never sent and may be refused.
 func TestOnlyUnsentRecordsAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &slowStore{appendTime: 10 * time.Second, appendErr: errors.New("no answer")}
 		a := joblog.NewAcceptor(store, hedge.New(), nil)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		inFlight := make(chan platform.StoreStatus, 2) // as many appends as there may be at once
+		inFlight := make(chan platform.StoreStatus, 2) // as many as maxAppendsInFlight
 		for i := range 2 {
 			go func() {
 				status, _ := storeAndWait(ctx, a, 0, cancelRecord(i))
@@ -116,17 +116,17 @@
 		assert.Equal(t, platform.StoreUnknown, <-inFlight)
 		assert.Equal(t, platform.StoreRefused, waiting)
 		time.Sleep(time.Minute)
-		assert.Zero(t, store.sendsByKey["c/2"], "the record that waited was never sent")
+		assert.Zero(t, store.sendsByKey["c/2"], "the waiting record must never be sent")
 		assert.Positive(t, store.sendsByKey["c/0"])
 	})
 }
 
-// A caller hands in jobs of many steps, a quarter of a MB each, while the store is slow.
-// It takes 2 MB in one call and refuses a larger one as a whole: each caller whose job
-// waited beside the others would be told that its job is at fault.
+// Jobs of a quarter of a MB each wait while the store is slow. The store accepts 2 MB in one
+// call and refuses a larger call as invalid: each caller whose job is in the batch would be
+// told that its job is invalid.
 func TestBatchStaysWithinStoreCallLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const maxCallBytes = 2 << 20 // bytes
+		const maxCallBytes = 2 << 20
 		store := &slowStore{appendTime: 150 * time.Millisecond}
 		a := joblog.NewAcceptor(store, hedge.New(), nil)
 		large := &workload.Submission{Spec: workload.Spec{Payload: strings.Repeat("x", 250<<10)}}
--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -1,6 +1,6 @@
-// Package joblog keeps jobs on the platform's store. Each service's jobs lie in
-// one partition of a keyed topic, of which the store keeps the newest record of
-// each key for ever: that is the snapshot that a new owner starts from.
+// Package joblog keeps jobs on the platform's store. The jobs of a service are in one
+// partition of a keyed topic. The store retains the newest record of each key forever; these
+// records are the snapshot from which a new owner starts.
 package joblog
 
 import (
@@ -15,37 +15,37 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// Topics of the product on the store.
+// Topics on the platform's store.
 const (
 	JobsTopic  = "keyed.jobs"
 	FleetTopic = "keyed.fleet"
 )
 
-// ownerProducer is the name under which the owner of a partition writes. Appends of
-// accepted jobs have none and aren't fenced.
+// ownerProducer is the producer name of the owner of a partition. Appends of callers'
+// requests have no producer and are not fenced.
 const ownerProducer = "owner"
 
-// PartitionOf returns the partition of a service's jobs. It depends on the
-// service's name alone, so that all nodes agree at all times, whatever services
-// come and go.
+// PartitionOf returns the partition of a service's jobs. It depends on the service's name
+// and the number of partitions alone, so that all nodes agree at all times, whichever
+// services are added or removed.
 func PartitionOf(service string, partitions int) int {
 	h := fnv.New32a()
 	h.Write([]byte(service))
 	sum := h.Sum32()
-	sum ^= sum >> 15 // the low bits of FNV of short, alike names are close
+	sum ^= sum >> 15 // FNV hashes of short, similar names are close in their low bits
 	sum *= 0x2c1b3c6d
 	sum ^= sum >> 12
 	return int(sum % uint32(partitions))
 }
 
-// Store is what is needed of the platform's store.
+// Store is the part of the platform's store that this package uses.
 type Store interface {
 	Append(ctx context.Context, p platform.Partition, producer *platform.Producer, records ...platform.KeyedRecord) (platform.StoreStatus, error)
 	Read(ctx context.Context, p platform.Partition, from int64, wait time.Duration) (platform.Batch, platform.StoreStatus, error)
 	Newest(ctx context.Context, p platform.Partition) (platform.Batch, platform.StoreStatus, error)
 }
 
-// Log is one partition.
+// Log is one partition of a topic.
 type Log struct {
 	store     Store
 	partition platform.Partition
@@ -57,13 +57,13 @@
 	return &Log{store: store, hedger: hedger, partition: platform.Partition{Topic: topic, Part: partition}}
 }
 
-// Fence puts an owner's epoch in force: writes of earlier ones are refused from
-// then on.
+// Fence sets the epoch of the owner. From then on the store refuses writes of owners with a
+// lower epoch.
 func (l *Log) Fence(ctx context.Context, epoch int64) (platform.StoreStatus, error) {
 	return l.store.Append(ctx, l.partition, &platform.Producer{Name: ownerProducer, Epoch: epoch})
 }
 
-// Write stores records of the owner. The same sequence sent again has no second
+// Write stores records of the owner. A repeated write with the same sequence has no second
 // effect.
 func (l *Log) Write(ctx context.Context, epoch, sequence int64, records []platform.KeyedRecord) (platform.StoreStatus, error) {
 	return l.hedger.Write(ctx, func(ctx context.Context) (platform.StoreStatus, error) {
@@ -71,7 +71,7 @@
 	})
 }
 
-// Encode returns what is to be stored: records, and the deletion of jobs.
+// Encode returns the keyed records that store records and delete jobs.
 func Encode(records []workload.Record, deleted []workload.JobID) ([]platform.KeyedRecord, error) {
 	out := make([]platform.KeyedRecord, 0, len(records)+3*len(deleted))
 	for _, r := range records {
@@ -89,18 +89,18 @@
 	return out, nil
 }
 
-// Snapshot returns all that is stored, and the offset to read on from.
+// Snapshot returns the newest record of each key, and the offset from which to read on.
 func (l *Log) Snapshot(ctx context.Context) (platform.Batch, platform.StoreStatus, error) {
 	return l.store.Newest(ctx, l.partition)
 }
 
-// Read returns what came after an offset.
+// Read returns the records from an offset on. It waits for a record as long as wait.
 func (l *Log) Read(ctx context.Context, from int64, wait time.Duration) (platform.Batch, platform.StoreStatus, error) {
 	return l.store.Read(ctx, l.partition, from, wait)
 }
 
-// Decode reads the records of a batch. Those that can't be read are returned as
-// errors, beside the others.
+// Decode decodes the records of a batch. It returns an error for each record that can't be
+// decoded, besides the other records.
 func Decode(batch platform.Batch) (records []workload.Record, errs []error) {
 	for _, r := range batch.Records {
 		record, ok, err := workload.DecodeRecord(r.Key, r.Value)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -97,7 +97,7 @@
 	ReleasePredecessor func(ctx context.Context, address string, partition int, epoch int64) ([]workload.Record, error)
 	// Partitions is the number of partitions of the topic of jobs.
 	Partitions int
-	// LeaseDuration is the lease of a run from one renewal on.
+	// LeaseDuration is how long a run lives without a renewal of its lease.
 	LeaseDuration time.Duration
 }
 
@@ -112,8 +112,7 @@
 	return event{occurredAt: time.Now(), apply: apply}
 }
 
-// Owner schedules the jobs of one partition while Run runs. Its other methods are safe for
-// concurrent use.
+// Owner owns one partition and schedules its jobs while Run runs.
 type Owner struct {
 	deps      Deps
 	partition int
