--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -1,5 +1,5 @@
-// Package front answers callers of the job queues: it stores what they submit
-// and cancel, and asks the owners for what they want to know.
+// Package front serves the callers of job queues: it stores what they submit and cancel, and
+// queries the owners for the states of jobs and queues.
 package front
 
 import (
@@ -18,23 +18,23 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// Times and sizes of callers' requests.
+// Timeouts and sizes of callers' requests.
 const (
-	// defaultCallerTimeout is taken where the caller doesn't say how long it waits.
+	// defaultCallerTimeout applies if the request has no timeout.
 	defaultCallerTimeout = 3 * time.Second
-	// responseMargin is kept of the caller's time for the way of the answer.
+	// responseMargin is reserved of the caller's timeout for sending the response.
 	responseMargin = 100 * time.Millisecond
-	// storeRetryInterval is the pause before a store that did nothing is tried again.
+	// storeRetryInterval is the pause before a refused record is stored again.
 	storeRetryInterval = 60 * time.Millisecond
-	// maxRefusalRetryTime is how long a submission that the store refuses is tried: a
-	// caller that is told early can try elsewhere.
+	// maxRefusalRetryTime is how long a refused record is retried. A caller that is refused
+	// early can try elsewhere.
 	maxRefusalRetryTime = 250 * time.Millisecond
-	// retryAfterSeconds is when a refused caller is to come back, in seconds.
+	// retryAfterSeconds is the value of the Retry-After header.
 	retryAfterSeconds   = 1
-	defaultMaxBodyBytes = 256 << 10 // bytes, until a configuration says otherwise
+	defaultMaxBodyBytes = 256 << 10 // if the configuration sets no limit
 )
 
-// ConfigFunc returns the configuration in force, nil before the first.
+// ConfigFunc returns the configuration in force, nil before the first was read.
 type ConfigFunc func() *workload.Config
 
 // JobStore stores records of callers' requests.
@@ -42,43 +42,43 @@
 	Accept(ctx context.Context, service string, r workload.Record) (platform.StoreStatus, error)
 }
 
-// Owners answers questions about jobs. ok is false where no owner could be asked.
+// Owners queries the owners of jobs. ok is false if no owner gave an answer.
 type Owners interface {
 	State(ctx context.Context, service string, id workload.JobID) (state workload.JobState, known, ok bool)
 	WaitingJobs(ctx context.Context, service, queue string) (n int, ok bool)
 }
 
-// Handler answers callers.
+// Handler serves callers.
 type Handler struct {
 	Config  ConfigFunc
 	Jobs    JobStore
 	Owners  Owners
 	Logger  hclog.Logger
 	Metrics *Metrics
-	// IsStopping tells whether the process stops: connections are then closed after
-	// their answer, so that callers go to other nodes.
+	// IsStopping reports whether the process is stopping. Connections are then closed after
+	// their response, so that callers go to other nodes.
 	IsStopping func() bool
 }
 
-// request is one call of a caller.
+// request is one request of a caller.
 type request struct {
 	http       *http.Request
 	queue      *workload.Queue
-	pathSuffix string // of the path, after the queue's prefix
+	pathSuffix string // the path after the queue's prefix
 	startedAt  time.Time
-	// configVersion of the configuration that it was routed by.
+	// configVersion is the version of the configuration that routed the request.
 	configVersion int64
 }
 
-// response is what a caller is answered.
+// response is the response to a caller.
 type response struct {
 	status         int
 	body           []byte
 	reason         string // for the log
-	sendRetryAfter bool   // tell when to come back
+	sendRetryAfter bool
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	req := &request{http: r, startedAt: time.Now()}
 	res := h.handle(req)
@@ -95,7 +95,7 @@
 	}
 	w.WriteHeader(res.status)
 	if _, err := w.Write(res.body); err != nil {
-		h.Logger.Debug("caller left before its answer", "path", r.URL.Path, "error", err)
+		h.Logger.Debug("response can't be written", "path", r.URL.Path, "error", err)
 	}
 }
 
@@ -128,11 +128,11 @@
 	case http.MethodDelete:
 		return h.cancel(ctx, req, id)
 	default:
-		return errorResponse(http.StatusMethodNotAllowed, "method "+req.http.Method+" is not taken")
+		return errorResponse(http.StatusMethodNotAllowed, "method "+req.http.Method+" is not supported")
 	}
 }
 
-// hostOf is the request's host without a port.
+// hostOf returns the request's host without the port.
 func hostOf(r *http.Request) string {
 	host, _, _ := strings.Cut(r.Host, ":")
 	return host
@@ -140,7 +140,7 @@
 
 func (h *Handler) queueLength(ctx context.Context, req *request) response {
 	if req.http.Method != http.MethodGet {
-		return errorResponse(http.StatusMethodNotAllowed, "a queue can only be read")
+		return errorResponse(http.StatusMethodNotAllowed, "a queue supports only GET")
 	}
 	n, ok := h.Owners.WaitingJobs(ctx, req.queue.Service, req.queue.Name)
 	if !ok {
@@ -189,10 +189,11 @@
 	return h.storeRecord(ctx, req, workload.Record{Job: id, Cancel: true})
 }
 
-// storeRecord stores a record before its caller is told. Where certainly nothing was
-// stored that is a refusal, with which the caller can ask elsewhere. Where it may
-// yet be stored it is not, as the job would run although its caller was told that
-// it does not; Jobs tries as long as the caller waits before it says so.
+// storeRecord stores a record before the caller gets a response. If the record is certainly
+// not stored the response is a refusal, after which the caller can try elsewhere. If it may
+// still be stored the response is a gateway timeout: after a refusal the job could run
+// although its caller was told that it won't. Jobs retries an unknown outcome as long as the
+// caller waits.
 func (h *Handler) storeRecord(ctx context.Context, req *request, r workload.Record) response {
 	for {
 		status, err := h.Jobs.Accept(ctx, req.queue.Service, r)
@@ -211,7 +212,7 @@
 	}
 }
 
-// errorBody is the body of an answer that is no success.
+// errorBody is the body of an error response.
 type errorBody struct {
 	Error string `json:"error"`
 }
@@ -224,15 +225,15 @@
 	return response{status: status, body: body, reason: reason}
 }
 
-// retryableResponse is a failure after which the caller is to come back.
+// retryableResponse returns an error response that asks the caller to retry.
 func retryableResponse(status int, reason string) response {
 	res := errorResponse(status, reason)
 	res.sendRetryAfter = true
 	return res
 }
 
-// logRequest writes one line for each call that changes something or fails. Questions
-// that were answered are counted only.
+// logRequest logs each request that changes something or fails. Successful reads are only
+// counted.
 func (h *Handler) logRequest(req *request, res response) {
 	if res.status == http.StatusOK && req.http.Method == http.MethodGet {
 		return
--- a/internal/front/metrics.go
+++ b/internal/front/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics of callers' requests.
+// Metrics are the metrics of callers' requests.
 type Metrics struct {
 	requests *prometheus.HistogramVec
 }
@@ -16,7 +16,7 @@
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{requests: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name:    "yuccadrift_front_request_seconds",
-		Help:    "Time from a caller's request to its answer, in seconds, by method and status.",
+		Help:    "Time from a caller's request to its response, in seconds, by method and status.",
 		Buckets: []float64{0.003, 0.01, 0.03, 0.1, 0.3, 1, 3},
 	}, []string{"method", "status"})}
 	r.MustRegister(m.requests)
@@ -27,7 +27,7 @@
 	switch method {
 	case "GET", "POST", "DELETE":
 	default:
-		method = "other" // callers must not make series
+		method = "other" // bounds the number of series
 	}
 	m.requests.WithLabelValues(method, strconv.Itoa(status)).Observe(took.Seconds())
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -14,19 +14,19 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// Times of callers' connections.
+// Timeouts and sizes of callers' connections.
 const (
 	headerTimeout  = 3 * time.Second
 	idleTimeout    = 60 * time.Second
 	maxHeaderBytes = 16 << 10
-	// balancerDetectionTime is how long the balancer may take to see that a node is not ready
-	// any more: it asks each second and believes the second miss.
+	// balancerDetectionTime is how long the balancer may take to detect that a node is no
+	// longer ready: it probes each second and acts on the second failure.
 	balancerDetectionTime = 2300 * time.Millisecond
-	// shutdownTimeout is how long calls in progress get after that.
+	// shutdownTimeout is how long requests in progress may take after that.
 	shutdownTimeout = 1500 * time.Millisecond
 )
 
-// Server serves callers, and the balancer's question for readiness.
+// Server serves callers, and the balancer's readiness probes.
 type Server struct {
 	callerListener net.Listener
 	readyListener  net.Listener
@@ -36,20 +36,20 @@
 	stopping       atomic.Bool
 }
 
-// NewServer returns a server. isReady tells why the node should get no new
-// connections, nil if it should.
+// NewServer returns a server. checkReady returns why the node should get no new connections,
+// nil if it is ready.
 func NewServer(callers, ready net.Listener, checkReady func() error, logger hclog.Logger) *Server {
 	return &Server{callerListener: callers, readyListener: ready, checkReady: checkReady, logger: logger}
 }
 
-// SetHandler sets what answers callers; it must be called before Run.
+// SetHandler sets the handler of callers' requests. It must be called before Run.
 func (s *Server) SetHandler(h http.Handler) { s.handler = h }
 
-// IsStopping tells whether the node is stopping.
+// IsStopping reports whether the node is stopping.
 func (s *Server) IsStopping() bool { return s.stopping.Load() }
 
-// Run serves until ctx ends. Then the node is no longer ready, goes on until the
-// balancer has seen that, lets calls in progress finish and returns.
+// Run serves until ctx ends. It then reports the node as not ready, serves on until the
+// balancer has detected that, completes the requests in progress and returns.
 func (s *Server) Run(ctx context.Context) error {
 	callers := s.newHTTPServer(s.handler)
 	ready := s.newHTTPServer(http.HandlerFunc(s.serveReadyz))
@@ -67,10 +67,10 @@
 	wait.Pause(shutdownCtx, balancerDetectionTime)
 	err := callers.Shutdown(shutdownCtx)
 	if err != nil {
-		s.logger.Warn("calls in progress were cut at the end of the time to finish", "error", err)
+		s.logger.Warn("requests in progress were cut off at the shutdown timeout", "error", err)
 	}
 	if err := ready.Close(); err != nil {
-		s.logger.Debug("readiness listener", "error", err)
+		s.logger.Debug("readiness listener can't be closed", "error", err)
 	}
 	return ctx.Err()
 }
--- a/internal/hedge/hedge.go
+++ b/internal/hedge/hedge.go
@@ -1,7 +1,7 @@
-// Package hedge repeats idempotent writes to the platform's store whose answers
-// are late. An answer that was lost never comes, and its call would hold up all
-// that waits for it until the time-out; a second call after a short pause has the
-// answer within milliseconds. As the writes are idempotent, several may arrive.
+// Package hedge repeats idempotent writes to the platform's store whose answers are late. If
+// an answer is lost, everything that waits for the call is blocked until its timeout; a
+// second call after a short delay is answered within milliseconds. The writes are idempotent,
+// so several calls may arrive.
 package hedge
 
 import (
@@ -12,61 +12,60 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// Delays of further calls, counted from the first.
+// Delays and limits of hedged calls.
 const (
-	// minHedgeDelay is the first one where the store answers as a rule, within 10 ms.
+	// minHedgeDelay is the shortest delay of the second call. The store usually answers within
+	// 10 ms.
 	minHedgeDelay = 90 * time.Millisecond
-	// hedgeDelayFactor times what answers take is the first one where they take longer. A
-	// store that is slow takes each call one after the other: calls that are only
-	// slow must not be sent again, as that makes it slower still, until nothing
-	// is answered in time.
+	// hedgeDelayFactor times the write latency is the delay of the second call if that is
+	// longer. A slow store processes calls one at a time: repeating calls that are only slow
+	// makes it slower still, until no call is answered in time.
 	hedgeDelayFactor = 3
-	// hedgeDelayGrowth is how many times as late each further call is.
+	// hedgeDelayGrowth is the factor between the delays of successive calls.
 	hedgeDelayGrowth = 2.5
 	// maxCalls bounds the calls for one write.
 	maxCalls = 4
-	// latencyDecay is the share of what is known of the time that answers take that each
-	// shorter one takes off; a longer one counts at once.
+	// latencyDecay is the share by which a shorter latency lowers the estimate. A longer
+	// latency replaces the estimate at once.
 	latencyDecay = 0.1
-	// maxHedgeDeferral is how long a further call waits for a sign that the store answers
-	// others: all answers of a store that has just become slow are late together, and
-	// calls that are sent again then only make its queue longer. A slow store answers
-	// within it as a rule.
+	// maxHedgeDeferral is how long a further call is deferred until the store answers a later
+	// call. When the store has just become slow, all answers are late together and repeated
+	// calls only lengthen its queue. A slow store usually answers within this time.
 	maxHedgeDeferral = 700 * time.Millisecond
-	// deferralCheckInterval is the pause between looks for that sign: small beside the 90 ms after
-	// which a call is sent again.
+	// deferralCheckInterval is the interval of checks whether the deferral has ended: short
+	// compared with minHedgeDelay.
 	deferralCheckInterval = 20 * time.Millisecond
-	// recentAnswerWindow is how lately the store must have answered any call for its silence
-	// to be a sign: a node makes several calls a second.
+	// recentAnswerWindow is how recent the store's last answer must have been when the call
+	// was sent for a deferral. A node makes several calls a second.
 	recentAnswerWindow = time.Second
-	// slowLatency is how long answers take where the store counts as slow: ten times
-	// the 4 to 10 ms that they take as a rule.
+	// slowLatency is the latency above which the store counts as slow: ten times the usual 4
+	// to 10 ms.
 	slowLatency = 100 * time.Millisecond
 )
 
-// Hedger knows how long answers of the store take. It is safe for concurrent use.
+// Hedger hedges writes and estimates the latency of the store. It is safe for concurrent use.
 type Hedger struct {
 	mu           sync.Mutex
 	writeLatency time.Duration
-	// lastAnswerAt is when the store last answered any call, latest when the latest call
-	// was sent that it has answered.
+	// lastAnswerAt is when the store last answered a call, lastAnsweredSentAt when the latest
+	// answered call was sent.
 	lastAnswerAt, lastAnsweredSentAt time.Time
-	// callLatency is what answers to calls of all kinds take.
+	// callLatency is the latency of calls of all kinds except long polls.
 	callLatency time.Duration
 }
 
-// New returns a hedger that takes the store for quick.
+// New returns a hedger that assumes a fast store.
 func New() *Hedger { return &Hedger{} }
 
-// firstHedgeDelay is when the second call is sent.
+// firstHedgeDelay returns the delay of the second call after the first.
 func (h *Hedger) firstHedgeDelay() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return max(minHedgeDelay, hedgeDelayFactor*h.writeLatency)
 }
 
-// RecordAnswer notes that the store has answered a call that was sent at a time. waited tells
-// that it was told to wait for something: how long it took says nothing then.
+// RecordAnswer records that the store has answered a call that was sent at sentAt. The
+// latency of a long poll is ignored, since the store was asked to wait.
 func (h *Hedger) RecordAnswer(sentAt time.Time, wasLongPoll bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -79,16 +78,18 @@
 	}
 }
 
-// IsSlow tells whether the store takes long for answers at present. Nodes that write
-// nothing know it by their other calls.
+// IsSlow reports whether the store is slow to answer. Other calls than writes count as well,
+// so nodes that write nothing can detect it.
 func (h *Hedger) IsSlow() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return max(h.writeLatency, h.callLatency) > slowLatency
 }
 
-// isHedgeDeferred tells whether nothing speaks for a lost answer to a call that was sent at a
-// time: no later call was answered either.
+// isHedgeDeferred reports whether a further call should wait: no call sent after sentAt was
+// answered, so the store is probably slow and the answer is not lost. It returns false after
+// maxHedgeDeferral, and if the store had answered nothing for recentAnswerWindow before
+// sentAt.
 func (h *Hedger) isHedgeDeferred(sentAt time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -104,7 +105,7 @@
 	h.writeLatency = updateLatency(h.writeLatency, took)
 }
 
-// updateLatency takes one more answer into what answers take.
+// updateLatency returns the latency estimate after one more answer.
 func updateLatency(latency, took time.Duration) time.Duration {
 	if took > latency {
 		return took
@@ -118,7 +119,7 @@
 	err    error
 }
 
-// timedCall makes one call and takes what its answer took.
+// timedCall makes one call and records its latency if it succeeds.
 func (h *Hedger) timedCall(ctx context.Context, sentAt time.Time, call Call) callResult {
 	status, err := call(ctx)
 	if status == platform.StoreOK {
@@ -130,13 +131,13 @@
 // Call is one call of a write.
 type Call func(ctx context.Context) (platform.StoreStatus, error)
 
-// Write calls until the outcome is known or all calls have ended. It returns
-// StoreRefused only if none of the calls can have had or can have an effect.
+// Write calls until the outcome is known or all calls have ended. It returns StoreRefused
+// only if no call had or can still have an effect.
 func (h *Hedger) Write(ctx context.Context, call Call) (platform.StoreStatus, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results := make(chan callResult, maxCalls)
-	var latestSentAt time.Time // when the latest call was sent
+	var latestSentAt time.Time // of the latest call
 	send := func() {
 		latestSentAt = time.Now()
 		go func(began time.Time) { results <- h.timedCall(ctx, began, call) }(latestSentAt)
--- a/internal/hedge/hedge_test.go
+++ b/internal/hedge/hedge_test.go
@@ -15,8 +15,8 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// The answer of the first call is lost. The second one has it soon, long before
-// the first one's time-out.
+// The answer to the first call is lost. The second call must be answered long before the
+// first one's timeout.
 func TestLostAnswerIsHedgedAfterMinDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls atomic.Int32
@@ -36,7 +36,8 @@
 	})
 }
 
-// A store that did nothing is a refusal at once, without more calls.
+// The store refuses the call without an effect. The refusal must be returned at once, without
+// further calls.
 func TestRefusalIsReturnedWithoutHedging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := 0
@@ -50,8 +51,8 @@
 	})
 }
 
-// One call got no answer and later ones were refused. The first may have had its
-// effect: that is no refusal.
+// The first call gets no answer and later calls are refused. The first call may have had its
+// effect, so the write must not be reported as refused.
 func TestRefusalAfterUnknownOutcomeIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls atomic.Int32
@@ -67,7 +68,7 @@
 	})
 }
 
-// A fenced writer hears so from whichever call is answered.
+// A fenced answer ends the write, whichever call gets it.
 func TestFencedAnswerEndsWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		status, err := hedge.New().Write(t.Context(), func(context.Context) (platform.StoreStatus, error) {
@@ -78,9 +79,9 @@
 	})
 }
 
-// The store has become slow. The first slow answer costs some calls more; after
-// it, calls are not sent again before they are due by what answers take now, and
-// when the store is quick again, hedging is quick again.
+// The store becomes slow. The first slow answer costs some extra calls. After that the hedge
+// delay follows the latency: no extra calls while the store is slow, and early hedging again
+// once it is fast.
 func TestHedgeDelayFollowsStoreLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := hedge.New()
@@ -116,9 +117,9 @@
 	})
 }
 
-// The store has just become slow: what it was sent lately is answered late together.
-// Calls that were sent again would make its queue longer at the worst moment, four
-// times as long, so none is before a later call shows that the store answers.
+// The store has just become slow, so all recent calls are answered late together. Repeated
+// calls would make its queue up to four times as long, so no call is repeated before a later
+// call is answered.
 func TestNoHedgeIsSentWhileAllAnswersAreLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := hedge.New()
@@ -135,8 +136,8 @@
 	})
 }
 
-// The answer is lost while the store answers others: a later call's answer shows it,
-// and the write is sent again then.
+// The answer is lost while the store answers other calls. The answer to a later call shows
+// that, and the write must then be sent again.
 func TestAnswerToLaterCallTriggersHedge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := hedge.New()
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -275,8 +275,8 @@
 	return !time.Now().Before(r.backedOffUntil[address])
 }
 
-// backOff excludes a node from the routes for peerBackoffTime. It logs unless the node's
-// previous backoff is still recorded.
+// backOff excludes a node from the routes for peerBackoffTime. It logs when a backoff begins
+// but not when it is extended.
 func (r *Router) backOff(address string, reason error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/published/published.go
+++ b/internal/published/published.go
@@ -1,5 +1,5 @@
-// Package published follows what operators publish on the platform: the
-// configuration in force and waves of maintenance.
+// Package published follows what operators publish on the platform: the configuration in
+// force and waves of maintenance.
 package published
 
 import (
@@ -14,23 +14,23 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// Times of reading.
+// Intervals of reads.
 const (
-	// longPollWait is how long a read waits for a change. A connection that went
-	// silent is noticed after that and the read's slack, which together stay
-	// under the 2 s in which a configuration is to be in force.
+	// longPollWait is how long a read waits for a change. A silent connection is detected
+	// after longPollWait and the read's timeout margin, together less than the 2 s in which a
+	// configuration must be in force.
 	longPollWait     = 800 * time.Millisecond
 	minRetryInterval = 100 * time.Millisecond
-	maxRetryInterval = 500 * time.Millisecond // between retries
+	maxRetryInterval = 500 * time.Millisecond
 )
 
-// Source is where changes are read from.
+// Source reads the published changes.
 type Source interface {
 	NewestPublished(ctx context.Context) (platform.Batch, platform.StoreStatus, error)
 	ReadPublished(ctx context.Context, from int64, wait time.Duration) (platform.Batch, platform.StoreStatus, error)
 }
 
-// Follower knows what is in force. It is safe for concurrent use.
+// Follower holds the configuration in force and the waves. It is safe for concurrent use.
 type Follower struct {
 	source Source
 	logger hclog.Logger
@@ -41,7 +41,7 @@
 	lastReadAt time.Time
 }
 
-// New returns a follower that knows nothing yet.
+// New returns a follower that has read nothing yet.
 func New(source Source, logger hclog.Logger) *Follower {
 	return &Follower{source: source, logger: logger, waves: map[int64]workload.Wave{}}
 }
@@ -53,7 +53,7 @@
 	return f.config
 }
 
-// Waves returns all waves that were asked for.
+// Waves returns all waves that operators have published.
 func (f *Follower) Waves() []workload.Wave {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -64,26 +64,26 @@
 	return list
 }
 
-// LastReadAt is when the newest state was last known to be complete.
+// LastReadAt returns when the latest successful read was applied.
 func (f *Follower) LastReadAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lastReadAt
 }
 
-// Run follows until ctx ends.
+// Run reads changes until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	pause := minRetryInterval
 	next := int64(-1)
 	for ctx.Err() == nil {
 		batch, status, err := f.read(ctx, next)
 		if status == platform.StoreDropped {
-			f.logger.Warn("history of operators' changes was dropped, reading the newest", "from", next)
+			f.logger.Warn("published changes were dropped before they were read, reading the newest", "from", next)
 			next = -1
 			continue
 		}
 		if status != platform.StoreOK {
-			f.logger.Debug("operators' changes can't be read", "from", next, "status", status.String(), "error", err)
+			f.logger.Debug("published changes can't be read", "from", next, "status", status.String(), "error", err)
 			wait.Pause(ctx, pause)
 			pause = min(maxRetryInterval, 2*pause)
 			continue
@@ -102,9 +102,8 @@
 	return f.source.ReadPublished(ctx, next, longPollWait)
 }
 
-// apply puts changes in force. A configuration that can't be read leaves the
-// last good one in force, and so does one that is older: a node that has seen a
-// version must never answer by an earlier one.
+// apply puts changes in force. The last good configuration stays in force if a new one can't
+// be read or is older: a node that has seen a version must never answer by an earlier one.
 func (f *Follower) apply(batch platform.Batch) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/registry/follower.go
+++ b/internal/registry/follower.go
@@ -11,21 +11,20 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// Times of reading.
 const (
-	// readInterval is the pause between reads. Workers write often; reading each
-	// entry as it comes would cost a call each. A worker that leaves is to get no
-	// work 2 s after its entry says so.
+	// readInterval is the pause between reads. Workers write often, and reading each entry at
+	// once would cost a call each. A leaving worker must get no work 2 s after its entry
+	// states that it leaves.
 	readInterval = 250 * time.Millisecond
 )
 
-// Source is where entries are read from.
+// Source reads the registry's entries.
 type Source interface {
 	NewestWorkers(ctx context.Context) (platform.Batch, platform.StoreStatus, error)
 	ReadWorkers(ctx context.Context, from int64) (platform.Batch, platform.StoreStatus, error)
 }
 
-// Follower keeps a View while it is needed. It is safe for concurrent use.
+// Follower keeps a View up to date while it is in use. It is safe for concurrent use.
 type Follower struct {
 	source Source
 	logger hclog.Logger
@@ -33,12 +32,12 @@
 	mu                 sync.Mutex
 	view               *View
 	version            int64
-	lastReadSentAt     time.Time     // when the latest good read was sent
-	lastReadAnsweredAt time.Time     // when it was answered
-	users              int           // how many need it
-	wake               chan struct{} // has an entry once one more needs it
+	lastReadSentAt     time.Time     // of the latest successful read
+	lastReadAnsweredAt time.Time     // of the same read
+	users              int           // releases not called yet
+	wake               chan struct{} // triggers a read at once
 	nextOffset         int64
-	// rejected are the entries that were found unusable, for one log line each.
+	// rejected holds the IDs of unusable entries, each of which is logged once.
 	rejected map[string]bool
 }
 
@@ -47,7 +46,7 @@
 	return &Follower{source: source, logger: logger, view: NewView(), nextOffset: -1, rejected: map[string]bool{}, wake: make(chan struct{}, 1)}
 }
 
-// Acquire says that the list is needed until done is called: only nodes that order
+// Acquire marks the list as in use until release is called. Only nodes that send orders to
 // workers read it.
 func (f *Follower) Acquire() (release func()) {
 	f.mu.Lock()
@@ -64,25 +63,25 @@
 	}
 }
 
-// Snapshot is the list at a time.
+// Snapshot is the list of workers as of one read.
 type Snapshot struct {
 	Workers    []workload.Worker
-	Version    int64     // rises with each change
-	ReadSentAt time.Time // of the read that it rests on; zero before the first
+	Version    int64     // increases with each read
+	ReadSentAt time.Time // zero before the first read
 	// ReadAnsweredAt is when that read was answered.
 	ReadAnsweredAt time.Time
-	IsComplete     bool // no outage of the store has ended just now
+	IsComplete     bool // see View.IsComplete
 }
 
-// Snapshot returns the list.
+// Snapshot returns the list of workers at now.
 func (f *Follower) Snapshot(now time.Time) Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return Snapshot{Workers: f.view.List(now), Version: f.version, ReadSentAt: f.lastReadSentAt, ReadAnsweredAt: f.lastReadAnsweredAt, IsComplete: f.view.IsComplete(now)}
 }
 
-// Run reads until ctx ends, while the list is needed. Whoever begins to need it gets a
-// read at once: it takes a service over and can start nothing before.
+// Run reads the list until ctx ends, while it is in use. Acquire triggers a read at once,
+// since a new owner can start nothing before it has the list.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		var nextRead <-chan time.Time
@@ -136,7 +135,7 @@
 	f.lastReadSentAt = sentAt
 	f.version++
 	if batch.Unreadable > 0 {
-		f.logger.Error("records of workers have no key and are left out", "count", batch.Unreadable)
+		f.logger.Error("worker entries have no key and are skipped", "count", batch.Unreadable)
 	}
 	var list []workload.Worker
 	for _, r := range batch.Records {
@@ -160,17 +159,17 @@
 	}
 }
 
-// reject takes an entry that can't be used. Its writer may repeat it each second,
-// so it is logged once.
+// reject removes a worker whose entry is unusable. The entry's writer may repeat it each
+// second, so it is logged once.
 func (f *Follower) reject(id string, reason error) {
 	f.view.Reject(id)
 	if f.rejected[id] || len(f.rejected) >= maxLoggedRejections {
 		return
 	}
 	f.rejected[id] = true
-	f.logger.Error("entry names no usable worker and is left out", "worker", id, "reason", reason)
+	f.logger.Error("entry names no usable worker and is skipped", "worker", id, "reason", reason)
 }
 
-// maxLoggedRejections is how many unusable entries are remembered, and so logged: enough to
-// see what writes them, and some 20 kB of memory.
+// maxLoggedRejections bounds the unusable entries that are logged and remembered: enough to
+// find their writer, at some 20 kB of memory.
 const maxLoggedRejections = 200
--- a/internal/registry/follower_test.go
+++ b/internal/registry/follower_test.go
@@ -11,7 +11,7 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// fakeSource answers with what it is given next.
+// fakeSource answers full reads with newest and other reads with next.
 type fakeSource struct {
 	newest, next platform.Batch
 }
@@ -30,9 +30,9 @@
 	return platform.KeyedRecord{Key: key, Value: []byte(value)}
 }
 
-// Another writer leaves entries beside those of the workers, or in place of one.
-// Tasks that were started on such an "worker" would never begin, and a takeover
-// would wait for its answer. None of them is used, and the others stay.
+// Another writer puts unusable entries beside the workers' entries, or in place of one. Tasks
+// started on such a worker would never begin, and a takeover would wait for its answer.
+// Unusable entries must be skipped and must not affect the others.
 func TestUnusableEntriesAreNotListed(t *testing.T) {
 	for name, bad := range map[string]string{
 		"no JSON":            "\x00\xff{",
@@ -65,8 +65,8 @@
 	}
 }
 
-// A worker's room shrinks to nothing for a while. It gets no tasks, and those that it
-// runs go on: an owner that took it off the list would not ask it, and start them again.
+// A worker's free capacity is zero for a while. The worker must stay on the list: an owner
+// that doesn't see it would not poll it, and would start its running tasks again.
 func TestWorkerWithoutCapacityStaysListed(t *testing.T) {
 	full := `{"service":"s","address":"10.0.0.9:80","zone":"z","version":"v1","slots":8,"state":"ready","sequence":5,"capacity":{"cpu":0,"mem_mb":0},"labels":["a"]}`
 	source := &fakeSource{
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -1,5 +1,4 @@
-// Package registry follows the list of workers that are registered on the
-// platform.
+// Package registry follows the list of workers that are registered on the platform.
 package registry
 
 import (
@@ -8,29 +7,29 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// reregistrationTime is how long after the store's return entries of workers that live
-// may still be missing: they lapse while it is away and are back within about
-// two seconds. A removal in that time says nothing.
+// reregistrationTime is how long after an outage of the store the entries of live workers
+// may be missing. Entries expire during the outage, and live workers register again within
+// about 2 s. A removal in that time does not mean that the worker is gone.
 const reregistrationTime = 2300 * time.Millisecond
 
-// minOutageDuration is how long reads must have failed for entries to have lapsed.
+// minOutageDuration is the gap between successful reads in which entries may have expired.
 const minOutageDuration = 500 * time.Millisecond
 
-// View is what is known of the workers. It decides on arguments only.
+// View holds the registered workers. All times are passed in by the caller.
 type View struct {
 	workers map[string]workload.Worker
-	// removed holds entries that are gone, since when, and may come back.
+	// removed holds the IDs of workers whose entries are gone and may come back.
 	removed       map[string]bool
 	lastReadAt    time.Time
-	outageEndedAt time.Time // end of the latest outage
+	outageEndedAt time.Time // of the latest outage
 }
 
-// NewView returns a view that knows no worker.
+// NewView returns an empty view.
 func NewView() *View {
 	return &View{workers: map[string]workload.Worker{}, removed: map[string]bool{}}
 }
 
-// RecordSuccessfulRead notes a read that succeeded at now.
+// RecordSuccessfulRead records that a read succeeded at now.
 func (v *View) RecordSuccessfulRead(now time.Time) {
 	if !v.lastReadAt.IsZero() && now.Sub(v.lastReadAt) > minOutageDuration {
 		v.outageEndedAt = now
@@ -38,27 +37,27 @@
 	v.lastReadAt = now
 }
 
-// Set takes an entry.
+// Set adds or replaces a worker.
 func (v *View) Set(w workload.Worker) {
 	v.workers[w.ID] = w
 	delete(v.removed, w.ID)
 }
 
-// Remove takes the removal of an entry.
+// Remove marks a worker as removed. List drops it unless the view is incomplete.
 func (v *View) Remove(id string) {
 	if _, ok := v.workers[id]; ok {
 		v.removed[id] = true
 	}
 }
 
-// Reject takes an entry that names no usable worker. It counts at once, also just
-// after an outage: the entry is there and says something else.
+// Reject drops a worker whose entry became unusable. Unlike Remove it takes effect at once,
+// also just after an outage: the entry is present and names no usable worker.
 func (v *View) Reject(id string) {
 	delete(v.workers, id)
 	delete(v.removed, id)
 }
 
-// Replace takes the complete list.
+// Replace sets the complete list. Workers that are not on it are marked as removed.
 func (v *View) Replace(list []workload.Worker) {
 	present := map[string]bool{}
 	for _, w := range list {
@@ -72,12 +71,14 @@
 	}
 }
 
-// IsComplete tells whether the list is complete: no outage has ended just now.
+// IsComplete reports whether the list has all live workers: a read has succeeded, and no
+// outage has ended within reregistrationTime.
 func (v *View) IsComplete(now time.Time) bool {
 	return !v.lastReadAt.IsZero() && (v.outageEndedAt.IsZero() || now.Sub(v.outageEndedAt) > reregistrationTime)
 }
 
-// List returns the workers that count as registered at now.
+// List returns the workers that count as registered at now. Removed workers count until the
+// view is complete.
 func (v *View) List(now time.Time) []workload.Worker {
 	if v.IsComplete(now) {
 		for id := range v.removed {
--- a/internal/registry/view_test.go
+++ b/internal/registry/view_test.go
@@ -28,9 +28,9 @@
 	assert.Equal(t, map[string]bool{"w-2": true}, ids(v.List(startTime)))
 }
 
-// The store was away for seconds and entries have lapsed, though their workers
-// live. They count as registered until the time in which living workers are back;
-// one that is not back then is gone.
+// Entries of live workers expire during an outage of the store. They must count as
+// registered until live workers had time to register again; a worker that has not registered
+// by then is gone.
 func TestEntriesExpiredDuringOutageAreKeptUntilReregistrationTime(t *testing.T) {
 	v := NewView()
 	v.RecordSuccessfulRead(startTime)
