--- a/internal/node/intake.go
+++ b/internal/node/intake.go
@@ -14,7 +14,7 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// localStore is this node's own way to the store, as intake sees it.
+// localStore implements intake.LocalStore.
 type localStore struct {
 	acceptor *joblog.Acceptor
 	health   *storeHealth
@@ -25,9 +25,9 @@
 	return l.acceptor.Store(ctx, partition, r, pendingAfter)
 }
 
-// CheckAvailable tells why calls to the store are hopeless. A call that is not sent has
-// certainly no effect, so a refusal is true, and its caller need not wait for a
-// time-out that tells it nothing.
+// CheckAvailable returns an error if the store has not answered this node for failFastAfter.
+// A call that is not sent certainly has no effect, so the caller gets a refusal instead of
+// waiting for a timeout with an unknown outcome.
 func (l localStore) CheckAvailable() error {
 	if silence := l.health.sinceLastAnswer(); silence > failFastAfter {
 		return errors.Errorf("no answer of the store for %s", silence.Round(time.Millisecond))
@@ -35,10 +35,10 @@
 	return nil
 }
 
-// IsSlow tells whether the store takes long for writes.
+// IsSlow reports whether the store is slow to answer.
 func (l localStore) IsSlow() bool { return l.hedger.IsSlow() }
 
-// storePeers are the other nodes, as intake sees them.
+// storePeers implements intake.Peers.
 type storePeers struct{ owners *ownerDirectory }
 
 func (p storePeers) Owner(partition int) string {
@@ -76,19 +76,19 @@
 	case err != nil:
 		return intake.StoreReply{Status: platform.StoreUnknown}, err
 	case answer.StoreResult == nil:
-		return intake.StoreReply{Status: platform.StoreUnknown}, errors.Errorf("node %s gave no outcome", address)
+		return intake.StoreReply{Status: platform.StoreUnknown}, errors.Errorf("response of node %s has no store result", address)
 	}
 	s := answer.StoreResult
 	return intake.StoreReply{Status: s.Status, Pending: s.Pending, Unavailable: s.Unavailable, Reason: s.Reason}, nil
 }
 
-// Accept stores a record of a caller's request with its service's jobs.
+// Accept stores a record of a caller's request in the partition of its service.
 func (n *Node) Accept(ctx context.Context, service string, r workload.Record) (platform.StoreStatus, error) {
 	return n.intake.Accept(ctx, n.owners.partitionOf(service), r)
 }
 
-// onStored hands records that were just stored to the partition's owner, if it is
-// here: it need not wait until it has read them back.
+// onStored passes records that were just stored to the partition's owner if this node owns
+// the partition. The owner then need not wait until it reads them.
 func (n *Node) onStored(partition int, records []workload.Record) {
 	if localOwner := n.owners.localOwner(partition); localOwner != nil {
 		localOwner.HandleStored(records)
--- a/internal/node/memory.go
+++ b/internal/node/memory.go
@@ -2,22 +2,22 @@
 
 import "runtime/debug"
 
-// Settings of the garbage collector. A collection costs time by what is live, a few
-// MB here, and comes each time that so much again was allocated. The owner of a busy
-// service allocates tens of MB a second.
+// Settings of the garbage collector. The cost of a collection grows with the live memory, a
+// few MB here, and by default a collection runs each time that as much again was allocated.
+// The owner of a busy service allocates tens of MB a second.
 const (
-	// gcPercent is by how many percent the live memory may grow before it is
-	// collected. With 400 in place of the usual 100 collections come a quarter as
-	// often; they took a fifth of an owner's processor time.
+	// gcPercent is the growth of the heap between collections, in percent of the live memory.
+	// With the default of 100 collections are four times as frequent and took a fifth of an
+	// owner's processor time.
 	gcPercent = 400
-	// memoryLimitShare is the part of the memory that the process may use from which on
-	// the collector comes as often as needed to stay below: the process is killed at
-	// the whole, which also has what the kernel holds for its sockets.
+	// memoryLimitShare is the share of the process's memory above which the collector runs as
+	// often as needed. The process is killed at the whole, which includes the kernel's socket
+	// buffers.
 	memoryLimitShare = 0.5
 )
 
-// configureGC sets the collector for a process that may use so much memory, in MB;
-// 0 is no bound.
+// configureGC configures the collector for a process that may use megabytes of memory; 0 is
+// no limit.
 func configureGC(megabytes int) {
 	debug.SetGCPercent(gcPercent)
 	if megabytes > 0 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,4 @@
-// Package node assembles the process that runs on each entry VM of the users'
-// platform.
+// Package node assembles the process that runs on each entry VM.
 package node
 
 import (
@@ -39,12 +38,12 @@
 
 const binary = "yuccadrift-node"
 
-// runLease is how long a run lives without renewal: longer than the detection of a
-// lost owner and the takeover together, which take about 2.2 s, and else as short
-// as it can be, as the tasks of a lost worker wait for it.
+// runLease is how long a run lives without a renewal of its lease: longer than the detection
+// of a lost owner and the takeover together, about 2.2 s. It is otherwise as short as
+// possible, since the tasks of a lost worker can't restart before the lease expires.
 const runLease = 3500 * time.Millisecond
 
-// Node is the process.
+// Node holds the components of the process.
 type Node struct {
 	settings     platform.Settings
 	logger       hclog.Logger
@@ -61,23 +60,23 @@
 	front        *front.Server
 	admin        *admin.Server
 	peerListener listen.Listener
-	// frontCtx ends when callers are no longer served.
+	// frontCtx ends once the front has stopped serving callers.
 	frontCtx       context.Context
 	cancelFrontCtx context.CancelFunc
 }
 
-// Ports of the process, counted from the first one that is free for it.
+// Ports of the process, as offsets from its first peer port.
 const (
 	metricsPortOffset = 0
 	peerPortOffset    = 1
 )
 
-// peerAddress is an address on one of the ports that are free for the process.
+// peerAddress returns the address of the peer port at an offset.
 func peerAddress(s platform.Settings, offset int) string {
 	return fmt.Sprintf("%s:%d", s.IP, s.PeerPorts[0]+offset)
 }
 
-// Run runs a node by the settings file at path until ctx ends.
+// Run runs a node with the settings file at path until ctx ends.
 func Run(ctx context.Context, path string, out io.Writer) error {
 	began := time.Now()
 	hangups := notifyHangups()
@@ -94,7 +93,7 @@
 		return err
 	}
 	logger.Info("started", "took", time.Since(began).String(), "callers", s.CallerAddress, "store", s.Store.Address, "partitions", s.Store.Partitions)
-	context.AfterFunc(ctx, func() { logger.Info("told to stop, callers that wait get their answers") })
+	context.AfterFunc(ctx, func() { logger.Info("told to stop, requests in progress are completed") })
 	err = supervise.Run(ctx, binary, logger, n.duties(path, hangups)...)
 	logger.Info("stopped", "dropped_lines", async.Dropped(), "error", fmt.Sprint(err))
 	return err
@@ -106,7 +105,7 @@
 	metrics := prometheus.NewRegistry()
 	metrics.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "yuccadrift_log_lines_dropped_total",
-		Help: "Log lines that were dropped because nobody read them fast enough.",
+		Help: "Log lines that were dropped because the output was too slow.",
 	}, func() float64 { return float64(async.Dropped()) }))
 	if n.suspendMeter, err = suspend.NewMeter(); err != nil {
 		return nil, err
@@ -140,7 +139,7 @@
 	return n, n.openListeners(ctx, metrics)
 }
 
-// initPeering makes what shares the work among the nodes.
+// initPeering creates the components that share the work among the nodes.
 func (n *Node) initPeering(hedger *hedge.Hedger) {
 	s, logger := n.settings, n.logger
 	self := peerAddress(s, peerPortOffset)
@@ -176,7 +175,7 @@
 	}
 }
 
-// openListeners binds the process's addresses.
+// openListeners binds the process's addresses and creates the servers on them.
 func (n *Node) openListeners(ctx context.Context, metrics *prometheus.Registry) error {
 	s := n.settings
 	callers, err := listen.TCPText(ctx, "address for callers", s.CallerAddress)
@@ -208,7 +207,7 @@
 	return nil
 }
 
-// checkReady tells why the node should get no new connections.
+// checkReady returns why the node should get no new connections, nil if it is ready.
 func (n *Node) checkReady() error {
 	if n.published.Config() == nil {
 		return errors.New("no configuration was read yet")
@@ -216,7 +215,7 @@
 	return n.storeHealth.check()
 }
 
-// runOwner runs what the group gave to this node.
+// runOwner runs the owner of a partition that the group has assigned to this node.
 func (n *Node) runOwner(ctx context.Context, p platform.Partition, epoch int64) error {
 	if p.Topic != joblog.JobsTopic {
 		return n.runFleetOwner(ctx, p.Part, epoch)
@@ -235,7 +234,7 @@
 	return err
 }
 
-// fleetPartition is the one partition of its topic that stands for the fleet.
+// fleetPartition is the only partition of the fleet's topic that is used.
 const fleetPartition = 0
 
 func (n *Node) runFleetOwner(ctx context.Context, partition int, epoch int64) error {
@@ -258,10 +257,10 @@
 	}, partition, epoch).Run(ctx)
 }
 
-// inUseCheckInterval is the pause between looks whether a partition is in use.
+// inUseCheckInterval is the interval of checks whether a partition is in use.
 const inUseCheckInterval = 100 * time.Millisecond
 
-// isInUse tells whether a partition has work: that of the fleet, or a service's jobs.
+// isInUse reports whether a partition is the fleet's or has the jobs of a configured service.
 func (n *Node) isInUse(p platform.Partition) bool {
 	if p.Topic != joblog.JobsTopic {
 		return p.Part == fleetPartition
@@ -272,7 +271,7 @@
 	})
 }
 
-// awaitInUse waits until a partition is in use.
+// awaitInUse waits until a partition is in use. It returns false if ctx ends before.
 func (n *Node) awaitInUse(ctx context.Context, p platform.Partition) bool {
 	for ctx.Err() == nil {
 		if n.isInUse(p) {
@@ -286,7 +285,7 @@
 	return false
 }
 
-// duties are the process's goroutines.
+// duties returns the supervised goroutines of the process.
 func (n *Node) duties(path string, hangups <-chan os.Signal) []supervise.Duty {
 	return []supervise.Duty{
 		{Name: "front", Serve: n.serveFront, StopWithin: n.settings.Bounds.ShutdownGrace},
@@ -304,9 +303,9 @@
 	return n.front.Run(ctx)
 }
 
-// servePeers answers other nodes until the last caller here has its answer: what
-// others store through this node would else have an open outcome, and all of them
-// would turn to the store at once.
+// servePeers serves other nodes until the last caller of this node has its response. If it
+// stopped earlier, records that others store through this node would have an open outcome,
+// and all other nodes would call the store at once.
 func (n *Node) servePeers(ctx context.Context) error {
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -318,17 +317,17 @@
 	return err
 }
 
-// notifyHangups takes SIGHUP over for the whole life of the process. One that came
-// while nobody took it, as while the process stops, would end it at once, and with
-// it all answers that callers still wait for.
+// notifyHangups catches SIGHUP for the whole life of the process. An uncaught SIGHUP, for
+// example during the shutdown, would end the process at once and cut off all requests in
+// progress.
 func notifyHangups() <-chan os.Signal {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups
 }
 
-// reload checks the settings at each SIGHUP. What a process is and where it
-// listens can't change while it runs.
+// reload checks the settings file at each SIGHUP. The identity and the addresses of a process
+// can't change while it runs, so the settings take effect at the next start.
 func (n *Node) reload(ctx context.Context, path string, hangups <-chan os.Signal) error {
 	for {
 		select {
@@ -336,10 +335,10 @@
 			return ctx.Err()
 		case <-hangups:
 			if _, err := platform.LoadSettings(path); err != nil {
-				n.logger.Error("settings can't be read, the last good ones stay", "error", err)
+				n.logger.Error("settings can't be read, the last good ones stay in force", "error", err)
 				continue
 			}
-			n.logger.Info("settings were read again, they take effect at the next start")
+			n.logger.Info("settings are valid, they take effect at the next start")
 		}
 	}
 }
--- a/internal/node/owners.go
+++ b/internal/node/owners.go
@@ -15,26 +15,26 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// Times of questions to owners.
+// Timeouts of calls to owners.
 const (
-	// ownerCallTimeout is for one question; an owner answers within milliseconds, and
-	// one that does not is better asked again.
+	// ownerCallTimeout bounds one call. An owner answers within milliseconds; if it does not, a
+	// new call is better than waiting.
 	ownerCallTimeout = 400 * time.Millisecond
-	// ownerCallRetryInterval is the pause before a question is put again, as while a partition
-	// is handed over.
+	// ownerCallRetryInterval is the pause before a call is repeated, for example while a
+	// partition is handed over.
 	ownerCallRetryInterval = 80 * time.Millisecond
 )
 
-// ownerDirectory finds the owner of a service's jobs, here or on another node.
+// ownerDirectory finds and calls the owner of a service's jobs, on this or another node.
 type ownerDirectory struct {
 	partitions  int
-	selfAddress string // address for other nodes
+	selfAddress string // this node's address for other nodes
 	clients     *nodepeer.Clients
 	manager     *ownership.Manager
 
 	mu      sync.Mutex
 	local   map[int]*owner.Owner
-	reports map[int]owner.HandoverReport // of the last owner here that could not store its own, by partition
+	reports map[int]owner.HandoverReport // by partition, of the last local owner that could not store its handover
 }
 
 func (o *ownerDirectory) localOwner(partition int) *owner.Owner {
@@ -57,7 +57,7 @@
 	}
 }
 
-// call puts a question to the owner until it answers or ctx ends.
+// call calls the owner of a partition until it answers or ctx ends.
 func (o *ownerDirectory) call(ctx context.Context, m nodepeer.Method, req nodepeer.Request) (nodepeer.Response, bool) {
 	for refreshOwner := false; ctx.Err() == nil; refreshOwner = true {
 		answer, ok := o.callOnce(ctx, m, req, refreshOwner)
@@ -84,20 +84,20 @@
 	return answer, err == nil
 }
 
-// State asks for a job's state.
+// State returns the state of a job.
 func (o *ownerDirectory) State(ctx context.Context, service string, id workload.JobID) (state workload.JobState, known, ok bool) {
 	response, ok := o.call(ctx, nodepeer.MethodJobState, nodepeer.Request{Partition: o.partitionOf(service), Job: id})
 	return response.State, response.Known, ok
 }
 
-// WaitingJobs asks how many jobs of a queue wait.
+// WaitingJobs returns the number of jobs of a queue that have not begun.
 func (o *ownerDirectory) WaitingJobs(ctx context.Context, service, queue string) (int, bool) {
 	response, ok := o.call(ctx, nodepeer.MethodWaiting, nodepeer.Request{Partition: o.partitionOf(service), Queue: queue})
 	return response.Waiting, ok
 }
 
-// RequestDrain asks the owner of a service to empty a worker, once. It tells whether the
-// worker is vacant.
+// RequestDrain asks the owner of a service to drain a worker and returns the worker's drain
+// state. It calls the owner once.
 func (o *ownerDirectory) RequestDrain(ctx context.Context, service, worker string) (workload.DrainState, bool) {
 	response, ok := o.callOnce(ctx, nodepeer.MethodDrain, nodepeer.Request{Partition: o.partitionOf(service), Worker: worker}, false)
 	switch {
@@ -111,8 +111,8 @@
 	return workload.Drained, true
 }
 
-// LoadsOf asks the owner of a service, once, what the services of its partition
-// carry, and tells it which of the service's workers are about to leave.
+// LoadsOf returns the loads of all services in the partition of service, and marks workers
+// of service as due for maintenance. It calls the owner once.
 func (o *ownerDirectory) LoadsOf(ctx context.Context, service string, dueForMaintenance []string) ([]workload.ServiceLoad, bool) {
 	response, ok := o.callOnce(ctx, nodepeer.MethodLoads, nodepeer.Request{Partition: o.partitionOf(service), Service: service, DueForMaintenance: dueForMaintenance}, false)
 	return response.Loads, ok && response.IsOwner
@@ -122,7 +122,7 @@
 	return joblog.PartitionOf(service, o.partitions)
 }
 
-// serveLocal answers a question from what is owned here.
+// serveLocal serves a call of this node to an owner on this node.
 func (o *ownerDirectory) serveLocal(ctx context.Context, m nodepeer.Method, req nodepeer.Request) (nodepeer.Response, error) {
 	switch m {
 	case nodepeer.MethodJobState:
@@ -136,7 +136,7 @@
 	}
 }
 
-// JobState answers another node.
+// JobState serves MethodJobState.
 func (o *ownerDirectory) JobState(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
 	localOwner := o.localOwner(req.Partition)
 	if localOwner == nil {
@@ -155,7 +155,7 @@
 	return nodepeer.Response{IsOwner: ok, Waiting: n}, nil
 }
 
-// Drain answers another node.
+// Drain serves MethodDrain.
 func (o *ownerDirectory) Drain(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
 	localOwner := o.localOwner(req.Partition)
 	if localOwner == nil {
@@ -165,7 +165,7 @@
 	return nodepeer.Response{IsOwner: ok, Drained: state != workload.NotDrained, DrainConfirmed: state == workload.Drained}, nil
 }
 
-// Loads answers another node.
+// Loads serves MethodLoads.
 func (o *ownerDirectory) Loads(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
 	localOwner := o.localOwner(req.Partition)
 	if localOwner == nil {
@@ -175,23 +175,23 @@
 	return nodepeer.Response{IsOwner: ok, Loads: loads}, nil
 }
 
-// peerHandler is the node as other nodes see it.
+// peerHandler serves the calls of other nodes.
 type peerHandler struct {
 	*ownerDirectory
 	intake *intake.Router
 }
 
-// Store answers another node.
+// Store serves MethodStore. It rejects records that are no caller's request.
 func (p peerHandler) Store(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
 	record, ok, err := workload.DecodeRecord(req.RecordKey, req.RecordValue)
 	if err != nil || !ok || record.Submission == nil && !record.Cancel {
-		return nodepeer.Response{StoreResult: &nodepeer.StoreResult{Status: platform.StoreInvalid, Reason: "no record of a caller"}}, nil
+		return nodepeer.Response{StoreResult: &nodepeer.StoreResult{Status: platform.StoreInvalid, Reason: "not a record of a caller's request"}}, nil
 	}
 	reply := p.intake.Serve(ctx, intake.StoreRequest{Partition: req.Partition, Record: record, PendingAfter: time.Duration(req.PendingAfterMS) * time.Millisecond})
 	return nodepeer.Response{StoreResult: &nodepeer.StoreResult{Status: reply.Status, Pending: reply.Pending, Unavailable: reply.Unavailable, Reason: reply.Reason}}, nil
 }
 
-// Waiting answers another node.
+// Waiting serves MethodWaiting.
 func (p peerHandler) Waiting(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
 	return p.ownerDirectory.serveWaiting(ctx, req)
 }
--- a/internal/node/release.go
+++ b/internal/node/release.go
@@ -11,11 +11,11 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// reportRetention is how long a report is kept for a successor, which asks as it begins. The store
-// may be away for some time before.
+// reportRetention is how long a report is kept for a successor. The successor asks for it
+// when it takes over, which the store may delay by an outage.
 const reportRetention = 30 * time.Second
 
-// keepReport keeps what an owner here could not store, for its successor.
+// keepReport keeps the report of a local owner for its successor.
 func (o *ownerDirectory) keepReport(partition int, r owner.HandoverReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -29,7 +29,8 @@
 	})
 }
 
-// reportBelow is what the last owner of a partition here has left, if its epoch is lower than one.
+// reportBelow returns the report of the last local owner of a partition if its epoch is lower
+// than epoch.
 func (o *ownerDirectory) reportBelow(partition int, epoch int64) (owner.HandoverReport, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -37,7 +38,8 @@
 	return r, ok && r.Epoch < epoch
 }
 
-// Release answers the next owner of a partition: the one here is stopped.
+// Release serves MethodRelease: it stops the local owner of a partition and returns that
+// owner's report to the next owner.
 func (o *ownerDirectory) Release(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
 	o.manager.StopOwnerBelow(ctx, platform.Partition{Topic: joblog.JobsTopic, Part: req.Partition}, req.Epoch)
 	report, ok := o.reportBelow(req.Partition, req.Epoch)
@@ -55,8 +57,8 @@
 	return answer, nil
 }
 
-// releasePredecessor asks the node of an earlier owner to stop it, and returns what it has left: nil if
-// nothing is known there.
+// releasePredecessor asks the node at an address to stop an earlier owner of a partition. It
+// returns the records that this owner could not store, nil if the node knows no such owner.
 func (o *ownerDirectory) releasePredecessor(ctx context.Context, address string, partition int, epoch int64) ([]workload.Record, error) {
 	req := nodepeer.Request{Partition: partition, Epoch: epoch}
 	var answer nodepeer.Response
--- a/internal/node/storehealth.go
+++ b/internal/node/storehealth.go
@@ -10,16 +10,16 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// storeLostAfter is how long after the last good call the store counts as lost. The
+// storeLostAfter is the time since the store's last answer after which it counts as lost. The
 // node makes several calls a second.
 const storeLostAfter = 1500 * time.Millisecond
 
-// failFastAfter is how long after the last good call nothing new is sent on behalf of
-// callers. The node's own calls go on and find the store's return; a slow store
-// answers within half of it.
+// failFastAfter is the time since the store's last answer after which the node makes no more
+// calls on behalf of callers. Its own calls go on and detect when the store is back. A slow
+// store answers within half of this time.
 const failFastAfter = 900 * time.Millisecond
 
-// storeHealth knows whether the store answers this node.
+// storeHealth tracks whether the store answers this node. It is safe for concurrent use.
 type storeHealth struct {
 	logger hclog.Logger
 
@@ -28,7 +28,7 @@
 	isLost       bool
 }
 
-// record notes the outcome of a call to the store.
+// record records whether a call to the store was answered.
 func (h *storeHealth) record(call platform.StoreCall) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -47,14 +47,14 @@
 	}
 }
 
-// sinceLastAnswer is how long ago the store last answered.
+// sinceLastAnswer returns the time since the store's last answer.
 func (h *storeHealth) sinceLastAnswer() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return time.Since(h.lastAnswerAt)
 }
 
-// check tells why the store counts as lost, nil if it doesn't.
+// check returns an error if the store counts as lost.
 func (h *storeHealth) check() error {
 	if silence := h.sinceLastAnswer(); silence > storeLostAfter {
 		return errors.Errorf("no answer of the store for %s", silence.Round(time.Millisecond))
--- a/internal/nodepeer/nodepeer.go
+++ b/internal/nodepeer/nodepeer.go
@@ -1,5 +1,5 @@
-// Package nodepeer is the talk between nodes: questions about jobs to the node
-// that owns their service, over gRPC.
+// Package nodepeer implements the gRPC calls between nodes, mainly queries to the node that
+// owns a partition.
 package nodepeer
 
 import (
@@ -21,80 +21,80 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// Times of connections between nodes.
+// Timeouts of connections between nodes.
 const (
-	// keepaliveInterval and pingTimeout find a connection that went silent.
+	// keepaliveInterval and keepaliveTimeout detect a silent connection.
 	keepaliveInterval = 10 * time.Second // the shortest that grpc allows
 	keepaliveTimeout  = time.Second
 	idleTimeout       = 30 * time.Second
 	minConnectTimeout = 500 * time.Millisecond
-	// closeDelay is how long a connection that may have gone silent stays open for
-	// the other questions on it: the longest wait 1.1 s, for a record while the store
-	// is slow.
+	// closeDelay is how long a connection that may be silent stays open for the other calls
+	// on it. The longest of them, storing a record while the store is slow, takes up to 1.1 s.
 	closeDelay = 1500 * time.Millisecond
 )
 
-// reconnectBackoff is the pause before a new try at a node that can't be reached: a
-// restarted node is back within a second.
+// reconnectBackoff is the backoff for connecting to an unreachable node. A restarted node is
+// back within a second.
 var reconnectBackoff = backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 500 * time.Millisecond}
 
-// Request is a question to the owner of a partition.
+// Request holds the arguments of all methods.
 type Request struct {
 	Partition int            `json:"p"`
 	Job       workload.JobID `json:"j,omitempty"`
 	Queue     string         `json:"q,omitempty"`
 	Worker    string         `json:"w,omitempty"`
-	// Service is whose Leaving workers are named: their VMs are due for maintenance.
+	// Service is the service of the workers in DueForMaintenance.
 	Service           string   `json:"sv,omitempty"`
 	DueForMaintenance []string `json:"lv,omitempty"`
-	// Record is one to be stored, by its key and value.
+	// RecordKey and RecordValue are the record to be stored.
 	RecordKey      string `json:"rk,omitempty"`
 	RecordValue    []byte `json:"rv,omitempty"`
-	PendingAfterMS int64  `json:"rw,omitempty"` // after which the outcome is told as open
-	Epoch          int64  `json:"ep,omitempty"` // of the owner that asks
+	PendingAfterMS int64  `json:"rw,omitempty"` // after which the node replies that the outcome is pending
+	Epoch          int64  `json:"ep,omitempty"` // of the requesting owner
 }
 
-// Response is what the owner says.
+// Response holds the results of all methods.
 type Response struct {
 	IsOwner bool              `json:"o"` // the node owns the partition and has read it
 	Known   bool              `json:"k,omitempty"`
 	State   workload.JobState `json:"s,omitempty"`
 	Waiting int               `json:"w,omitempty"`
-	// Drained tells that a worker runs nothing, and Seen that its process has just answered,
-	// which nodes of earlier versions leave out.
+	// Drained is set if the worker runs nothing. DrainConfirmed is set if in addition its
+	// process has just answered; nodes of earlier versions omit it.
 	Drained        bool                   `json:"e,omitempty"`
 	DrainConfirmed bool                   `json:"es,omitempty"`
 	Loads          []workload.ServiceLoad `json:"l,omitempty"`
 	StoreResult    *StoreResult           `json:"st,omitempty"`
-	// LastJoin is of the node's process, whatever it owns.
+	// LastJoin is the last join of the node's process, whatever the process owns.
 	LastJoin *LastJoin `json:"lj,omitempty"`
-	// HandoverRecords is what an earlier owner of the partition has left, nil if nothing is known.
+	// HandoverRecords are the records that an earlier owner of the partition could not store,
+	// nil if the node knows no such owner.
 	HandoverRecords []StoredRecord `json:"rp,omitempty"`
 }
 
-// StoredRecord is a record by its key and value.
+// StoredRecord is the key and value of a record.
 type StoredRecord struct {
 	Key   string `json:"k"`
 	Value []byte `json:"v"`
 }
 
-// LastJoin is when the store last answered a join of a node's process.
+// LastJoin describes the last join of a node's process that the store answered.
 type LastJoin struct {
 	Never bool  `json:"n,omitempty"`
-	AgeMS int64 `json:"a"` // since the answer
-	// Owned are the partitions that the group has given to the process.
+	AgeMS int64 `json:"a"` // time since the answer
+	// Owned are the partitions that the group has assigned to the process.
 	Owned []platform.Partition `json:"h,omitempty"`
 }
 
-// StoreResult is what became of a record that was to be stored.
+// StoreResult is the outcome of storing a record.
 type StoreResult struct {
 	Status      platform.StoreStatus `json:"s"`
 	Pending     bool                 `json:"p,omitempty"`
-	Unavailable bool                 `json:"a,omitempty"` // the node has no way to the store
+	Unavailable bool                 `json:"a,omitempty"` // the node does not reach the store
 	Reason      string               `json:"r,omitempty"`
 }
 
-// Handler answers what other nodes ask.
+// Handler serves the calls of other nodes.
 type Handler interface {
 	JobState(ctx context.Context, req Request) (Response, error)
 	Waiting(ctx context.Context, req Request) (Response, error)
@@ -105,7 +105,7 @@
 	Release(ctx context.Context, req Request) (Response, error)
 }
 
-// Method is one of the questions.
+// Method is the name of a gRPC method.
 type Method string
 
 // The methods.
@@ -115,16 +115,16 @@
 	MethodDrain    Method = "Evacuate"
 	MethodLoads    Method = "Loads"
 	MethodStore    Method = "Store"
-	// MethodMembership asks for the node's last join.
+	// MethodMembership returns the last join of the node's process.
 	MethodMembership Method = "Membership"
-	// MethodRelease has an earlier owner stop and report what it leaves.
+	// MethodRelease stops an earlier owner and returns the records that it could not store.
 	MethodRelease Method = "Release"
 )
 
 const serviceName = "yuccadrift.Node"
 
-// jsonCodec puts messages on the wire as JSON: they are small and few, and no
-// generated code is needed for them.
+// jsonCodec encodes messages as JSON: they are small and few, and JSON needs no generated
+// code.
 type jsonCodec struct{}
 
 func (jsonCodec) Marshal(v any) ([]byte, error)      { return json.Marshal(v) }
@@ -133,7 +133,7 @@
 
 func init() { encoding.RegisterCodec(jsonCodec{}) }
 
-// methodDesc makes the gRPC method of a handler's one.
+// methodDesc returns the gRPC description of a handler's method.
 func methodDesc(m Method, invoke func(Handler, context.Context, Request) (Response, error)) grpc.MethodDesc {
 	return grpc.MethodDesc{
 		MethodName: string(m),
@@ -148,7 +148,7 @@
 	}
 }
 
-// Serve answers other nodes on a listener until ctx ends.
+// Serve serves other nodes on a listener until ctx ends.
 func Serve(ctx context.Context, listener net.Listener, h Handler) error {
 	server := grpc.NewServer(grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveInterval / 2, PermitWithoutStream: true}))
 	server.RegisterService(&grpc.ServiceDesc{
@@ -176,29 +176,29 @@
 	}
 }
 
-// Clients keeps one connection to each node. It is safe for concurrent use.
+// Clients holds one connection to each node. It is safe for concurrent use.
 type Clients struct {
 	mu    sync.Mutex
 	conns map[string]*grpc.ClientConn
 }
 
-// NewClients returns no connections yet.
+// NewClients returns Clients without connections.
 func NewClients() *Clients { return &Clients{conns: map[string]*grpc.ClientConn{}} }
 
-// ErrNotSent marks a question that never left this node.
+// ErrNotSent is returned for a request that never left this node.
 var ErrNotSent = errors.New("not sent")
 
-// Call puts a question to the node at an address.
+// Call calls a method of the node at an address.
 func (c *Clients) Call(ctx context.Context, address string, m Method, req Request) (Response, error) {
 	conn, err := c.conn(address)
 	if err != nil {
 		return Response{}, err
 	}
 	var answer Response
-	var sentTo peer.Peer // stays empty where no connection took the question
+	var sentTo peer.Peer // stays empty if the request was not sent
 	err = conn.Invoke(ctx, "/"+serviceName+"/"+string(m), &req, &answer, grpc.CallContentSubtype("json"), grpc.Peer(&sentTo))
 	if err != nil && ctx.Err() != nil {
-		// It may have gone silent; the next call gets a new connection.
+		// The connection may be silent; the next call gets a new one.
 		c.discard(address, conn)
 	}
 	if err != nil && sentTo.Addr == nil {
@@ -220,7 +220,7 @@
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
 	)
 	if err != nil {
-		return nil, errors.Wrap(err, "connection to a node")
+		return nil, errors.Wrap(err, "create connection to a node")
 	}
 	c.conns[address] = conn
 	return conn, nil
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -1,6 +1,6 @@
-// Package suspend tells for how long the machine was suspended. The steady clock of a
-// suspended machine stands still, so that a right which ends after some time by that clock
-// would outlive the suspension.
+// Package suspend measures how long the machine was suspended. The monotonic clock stops
+// while the machine is suspended, so a lease or an authority that is timed by this clock
+// alone would outlive the suspension.
 package suspend
 
 import (
@@ -10,14 +10,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Meter tells for how long the machine was suspended. It is safe for concurrent use.
+// Meter measures how long the machine was suspended. It is safe for concurrent use.
 type Meter struct {
 	startedAt         time.Time
 	startedAtBootTime time.Duration
 }
 
-// NewMeter returns a meter that counts from now on. It fails where the kernel has no clock
-// that counts suspensions.
+// NewMeter returns a meter that starts now. It fails if the kernel has no clock that includes
+// suspensions.
 func NewMeter() (*Meter, error) {
 	boot, err := bootTime()
 	if err != nil {
@@ -26,7 +26,7 @@
 	return &Meter{startedAt: time.Now(), startedAtBootTime: boot}, nil
 }
 
-// Total is for how long the machine was suspended since the meter was made.
+// Total returns how long the machine was suspended since the meter was created.
 func (m *Meter) Total() (time.Duration, error) {
 	boot, err := bootTime()
 	if err != nil {
@@ -35,7 +35,7 @@
 	return boot - m.startedAtBootTime - time.Since(m.startedAt), nil
 }
 
-// bootTime is the time since the machine was started, suspensions included.
+// bootTime returns the time since the machine was booted, including suspensions.
 func bootTime() (time.Duration, error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/internal/suspend/suspend_test.go
+++ b/internal/suspend/suspend_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against the time that a suspended machine sleeps being lost: the clock since boot
-// has gone on, the steady one has not.
+// Guards against a suspension that is not counted: it advances the boot clock but not the
+// monotonic clock. The test moves the meter's start 5 s back on the boot clock only.
 func TestTotalIsBootTimeMinusMonotonicTime(t *testing.T) {
 	m, err := NewMeter()
 	require.NoError(t, err)
