--- a/internal/hedge/hedge.go
+++ b/internal/hedge/hedge.go
@@ -35,8 +35,9 @@
 	// deferralCheckInterval is the interval of checks whether the deferral has ended: short
 	// compared with minHedgeDelay.
 	deferralCheckInterval = 20 * time.Millisecond
-	// recentAnswerWindow is how recent the store's last answer must have been when the call
-	// was sent for a deferral. A node makes several calls a second.
+	// recentAnswerWindow is how recently the store must have answered any call before a call
+	// is sent for that call to be deferred: otherwise its silence says nothing about its
+	// latency. A node makes several calls a second.
 	recentAnswerWindow = time.Second
 	// slowLatency is the latency above which the store counts as slow: ten times the usual 4
 	// to 10 ms.
--- a/internal/joblog/acceptor_test.go
+++ b/internal/joblog/acceptor_test.go
@@ -122,8 +122,8 @@
 }
 
 // Jobs of a quarter of a MB each wait while the store is slow. The store accepts 2 MB in one
-// call and refuses a larger call as invalid: each caller whose job is in the batch would be
-// told that its job is invalid.
+// call and refuses a larger call as a whole: each caller whose job is in the batch would get
+// an error as if its own job were invalid.
 func TestBatchStaysWithinStoreCallLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const maxCallBytes = 2 << 20
--- a/internal/owner/ask.go
+++ b/internal/owner/ask.go
@@ -46,9 +46,9 @@
 	return !time.Now().Before(o.deps.OwnedUntil(o.partition))
 }
 
-// State returns the state of a job. ok is false if the state is uncertain: the job is
-// unknown but may have been accepted since the partition was last read, or it has not ended
-// here but another owner may have ended it.
+// State returns the state of a job. ok is false if the state is uncertain: the job is unknown
+// but may have been accepted since the partition was last read, or it has no final state here
+// and another owner may run the partition.
 func (o *Owner) State(ctx context.Context, id workload.JobID) (JobStatus, bool) {
 	s, ok := queryCore(ctx, o, func(c *scheduler.Core, now time.Time) JobStatus {
 		state, known := c.JobState(id)
--- a/internal/owner/confirmed.go
+++ b/internal/owner/confirmed.go
@@ -12,7 +12,7 @@
 // without knowing it could otherwise start a task on a worker that registered since. The
 // next owner may not have polled that worker yet, so the worker would still accept the
 // order and the task would run twice. With the rule the next owner reads the list after
-// that join, finds the worker on it and polls it before it starts anything.
+// that join, finds the worker on it and polls that worker before it starts anything.
 //
 // A list that was read before the ownership began is not delivered either. A node that
 // owned nothing for a while has not read the list since, so it may show workers as ready
--- a/internal/owner/executor_test.go
+++ b/internal/owner/executor_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against calls that wait for each other: an order that did would reach its worker
-// after its lease has expired. Idle goroutines are bounded, reused and end with the owner.
+// Guards against calls that wait for each other: a delayed order would reach its worker after
+// its lease has expired. Idle goroutines must be bounded, reused and end with the owner.
 func TestCallsRunConcurrentlyAndIdleGoroutinesEndWithOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -1,6 +1,6 @@
 // Package suspend measures how long the machine was suspended. The monotonic clock stops
-// while the machine is suspended, so a lease or an authority that is timed by this clock
-// alone would outlive the suspension.
+// while the machine is suspended, so an owner's authority that is timed by this clock alone
+// would outlive the suspension.
 package suspend
 
 import (
