--- a/internal/workload/drain.go
+++ b/internal/workload/drain.go
@@ -1,15 +1,15 @@
 package workload
 
-// DrainState is what its owner says of a worker that is to be emptied.
+// DrainState is how far the drain of a worker is.
 type DrainState int
 
-// The vacancies.
+// States of a drain.
 const (
-	// NotDrained is a worker that runs tasks, or may run some.
+	// NotDrained: the worker runs tasks or may run some.
 	NotDrained DrainState = iota
-	// DrainedUnconfirmed is one that runs none and hasn't answered lately: its process may have
-	// ended, and another one be on its VM by now.
+	// DrainedUnconfirmed: the worker runs nothing but has not answered recently. Its process
+	// may have ended, and another worker may be on its VM by now.
 	DrainedUnconfirmed
-	// Drained is one that has just answered, runs no task and gets none.
+	// Drained: the worker has just answered, runs nothing and gets no starts.
 	Drained
 )
--- a/internal/workload/fleet.go
+++ b/internal/workload/fleet.go
@@ -6,50 +6,49 @@
 	"time"
 )
 
-// Queue is where callers submit jobs of one kind; its service's workers run
-// them.
+// Queue takes the jobs of one kind from callers. The workers of its service run them.
 type Queue struct {
 	Name       string
 	Host       string
-	PathPrefix string // of the path, ends before the job's ID
+	PathPrefix string // of request paths, ends before the job's ID
 	Service    string
-	Priority   int // 0 comes first
-	// MaxAttempts is how many runs of one task may fail before the job fails.
+	Priority   int // 0 is the highest
+	// MaxAttempts is the number of failed runs of one task after which the job fails.
 	MaxAttempts int
-	// Stretch times the longest chain of work, plus Objective, is the time in
-	// which a job ought to be completed.
+	// A job's completion objective is Stretch times the estimate of its critical path,
+	// plus Objective.
 	Stretch        float64
 	Objective      time.Duration
-	RequestTimeout time.Duration // of one request
+	RequestTimeout time.Duration // of one request of a caller
 	Advice         *Advice
 }
 
-// Advice is the policy of a queue whose steps only some workers may run, which
-// a service outside knows.
+// Advice configures a queue whose steps may run on some workers only. An external
+// service knows which and issues tickets for them.
 type Advice struct {
-	AnswerDuration          time.Duration // of one question
-	AnswerDurationPerWorker time.Duration // more for each worker in it
+	AnswerDuration          time.Duration // of one request
+	AnswerDurationPerWorker time.Duration // added for each worker in the request
 	TicketValidity          time.Duration // of a ticket
 }
 
 // Service is a pool of VMs whose workers run the jobs of its queues.
 type Service struct {
 	Name string
-	// EnforcesCapacity is set if the workers refuse what exceeds their capacity.
+	// EnforcesCapacity is set if the workers refuse starts that exceed their capacity.
 	EnforcesCapacity bool
-	// Standby marks the spare pool, whose VMs are off and cost nothing.
+	// Standby marks the spare pool. Its VMs are switched off and cost nothing.
 	Standby bool
 }
 
 // Limits bound a caller's request.
 type Limits struct {
-	MaxHeaderBytes int // bytes
-	MaxBodyBytes   int // bytes
+	MaxHeaderBytes int
+	MaxBodyBytes   int
 	HeaderTimeout  time.Duration
 	IdleTimeout    time.Duration
 }
 
-// Config is what operators have published, in full.
+// Config is a complete configuration as published by the operators.
 type Config struct {
 	Version  int64
 	Queues   []Queue
@@ -57,12 +56,12 @@
 	Limits   Limits
 }
 
-// HasService tells whether a service is named.
+// HasService reports whether the configuration has a service of that name.
 func (c *Config) HasService(name string) bool {
 	return slices.ContainsFunc(c.Services, func(s Service) bool { return s.Name == name })
 }
 
-// Queue returns the queue named, nil if there is none.
+// Queue returns the queue of that name, nil if there is none.
 func (c *Config) Queue(name string) *Queue {
 	for i := range c.Queues {
 		if c.Queues[i].Name == name {
@@ -72,8 +71,8 @@
 	return nil
 }
 
-// Route returns the queue of a request: the longest prefix of its path among
-// the queues of its host. nil if there is none.
+// Route returns the queue of a request: among the queues of its host, the one with the
+// longest matching path prefix. It returns nil if none matches.
 func (c *Config) Route(host, path string) *Queue {
 	var best *Queue
 	for i := range c.Queues {
@@ -88,25 +87,25 @@
 	return best
 }
 
-// Worker is a process that runs tasks on a VM. Its ID and Born together name the
-// incarnation: a worker that restarts may keep its ID.
+// Worker is a process that runs tasks on a VM. Its ID and incarnation together name one
+// process: a worker that restarts may keep its ID.
 type Worker struct {
 	ID          string
-	Incarnation int64 // when the process started, Unix milliseconds; 0 if it isn't known
+	Incarnation int64 // start time of the process, Unix milliseconds; 0 if unknown
 	Service     string
 	Address     string
 	Zone        string
 	Labels      []string // the VM's kind, then its rack
 	Capacity    Resources
-	Leaving     bool
+	Leaving     bool // the worker announces that it will stop
 }
 
-// HasLabel tells whether the worker has a label; "" is had by all.
+// HasLabel reports whether the worker has a label. It is true for "".
 func (w *Worker) HasLabel(label string) bool {
 	return label == "" || slices.Contains(w.Labels, label)
 }
 
-// Rack is the worker's rack, "" if it is not known.
+// Rack returns the worker's rack, "" if it is unknown.
 func (w *Worker) Rack() string {
 	if len(w.Labels) < 2 {
 		return ""
@@ -114,7 +113,7 @@
 	return w.Labels[len(w.Labels)-1]
 }
 
-// VMState is what the platform says of a VM.
+// VMState is the state of a VM as the platform reports it.
 type VMState string
 
 // States of a VM.
@@ -125,7 +124,7 @@
 	VMDown        VMState = "down"
 )
 
-// VM is a line of the platform's list.
+// VM is an entry of the platform's list of VMs.
 type VM struct {
 	ID       string
 	Pool     string
@@ -136,21 +135,21 @@
 	Worker   string // ID of its worker, "" if it has none
 }
 
-// CanRun tells whether a worker on the VM that has some room in all could run what a
-// service lacks a worker for.
+// CanRun reports whether a worker on the VM, with a total capacity of capacity, could run
+// a task with the requirement.
 func (v *VM) CanRun(requirement UnmetRequirement, capacity Resources) bool {
 	return requirement.Resources.FitsIn(capacity) && (requirement.Label == "" || slices.Contains(v.Labels, requirement.Label))
 }
 
-// Wave asks for maintenance of VMs.
+// Wave requests maintenance of VMs.
 type Wave struct {
 	Number        int64
 	VMs           []string
-	Window        time.Duration // in which all are to be done
-	MaxConcurrent int           // at most so many at once
+	Window        time.Duration // in which all must be done
+	MaxConcurrent int           // VMs in maintenance at once
 }
 
-// WaveState is how far a wave is.
+// WaveState is the state of a wave.
 type WaveState string
 
 // States of a wave.
--- a/internal/workload/orders.go
+++ b/internal/workload/orders.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// WorkerStatus is how a worker answered an order.
+// WorkerStatus is the outcome of an order to a worker.
 type WorkerStatus int
 
-// Answers of a worker.
+// Outcomes of an order.
 const (
-	// WorkerOK: the order was taken.
+	// WorkerOK: the worker accepted the order.
 	WorkerOK WorkerStatus = iota
 	// WorkerFenced: the worker has seen a higher fencing token.
 	WorkerFenced
-	// WorkerStaleRun: the run's number is not above one that stopped or ended there.
+	// WorkerStaleRun: the run's number is not above that of a run that was stopped or ended there.
 	WorkerStaleRun
-	// WorkerLeaseExpired: the lease had lapsed when the order arrived.
+	// WorkerLeaseExpired: the lease had expired when the order arrived.
 	WorkerLeaseExpired
-	// WorkerFull: there is no room.
+	// WorkerFull: the worker has no free capacity.
 	WorkerFull
-	// WorkerInvalidTicket: the ticket is missing or no longer valid.
+	// WorkerInvalidTicket: the ticket is missing or has expired.
 	WorkerInvalidTicket
-	// WorkerInvalidOrder: the worker doesn't understand the order.
+	// WorkerInvalidOrder: the worker can't parse the order.
 	WorkerInvalidOrder
-	// WorkerUnhealthy: the worker did nothing.
+	// WorkerUnhealthy: the worker is unhealthy and did nothing.
 	WorkerUnhealthy
 	// WorkerReplaced: another incarnation answers at the address.
 	WorkerReplaced
-	// WorkerNotSent: the order never left.
+	// WorkerNotSent: the order was not sent.
 	WorkerNotSent
-	// WorkerConnRefused: the connection was refused, so nothing listens at the address: the
-	// process has ended, or is only starting. The order never left.
+	// WorkerConnRefused: the connection was refused and the order was not sent. Nothing
+	// listens at the address: the process has ended or is still starting.
 	WorkerConnRefused
-	// WorkerOutcomeUnknown: the order may have been carried out, or may be later.
+	// WorkerOutcomeUnknown: the order may have been carried out or may still be.
 	WorkerOutcomeUnknown
 )
 
-// String names the status for the log.
+// String returns the status as logged.
 func (s WorkerStatus) String() string {
 	return [...]string{"ok", "fenced", "old", "late", "full", "ticket", "invalid", "unhealthy", "replaced", "not sent", "down", "unknown"}[s]
 }
@@ -50,59 +50,59 @@
 	Ticket           string
 }
 
-// Poll renews the leases of all that runs on a worker and asks what it runs.
+// Poll renews the leases of all runs on a worker and lists its runs and exits.
 type Poll struct {
 	Token            int64
-	AckedUpTo        int64 // ends up to this number are known and may be forgotten
-	LeaseExpiresAtMS int64 // on the worker's clock, milliseconds; 0 leaves the lease as it is
-	MaxWait          time.Duration
-	// ShortTimeout asks for a short time-out: the worker has not answered before.
+	AckedUpTo        int64         // the worker may forget exits up to this sequence number
+	LeaseExpiresAtMS int64         // on the worker's clock, milliseconds; 0 renews no lease
+	MaxWait          time.Duration // how long the worker may wait for an exit before it answers
+	// ShortTimeout requests a short timeout: the worker left an earlier poll unanswered.
 	ShortTimeout bool
 }
 
-// ExitReason a run ended.
+// ExitReason is why a run ended.
 type ExitReason string
 
-// Ends of a run.
+// Reasons of an exit.
 const (
 	ExitDone           ExitReason = "done"
 	ExitFailed         ExitReason = "failed"
 	ExitStopped        ExitReason = "stopped"
 	ExitLeaseExpired   ExitReason = "lapsed"
 	ExitGangBroken     ExitReason = "broken" // another member of its gang ended
-	ExitGangIncomplete ExitReason = "alone"  // its gang was not complete in time
+	ExitGangIncomplete ExitReason = "alone"  // its gang did not become complete in time
 )
 
-// ListedRun is a run that is on a worker.
+// ListedRun is a run that a worker lists as running.
 type ListedRun struct {
 	Task         TaskKey
 	Run          int64
 	Checkpoint   string // the newest one, "" if there is none
-	SpeedPercent int    // of the full speed at which it works
-	// Load is the tail of response times in milliseconds for a serving task, and
-	// the processor time in use, in thousandths of a core, for others.
+	SpeedPercent int    // of full speed
+	// Load is the tail latency of a serving task in milliseconds, and the processor time in
+	// use, in thousandths of a core, of any other task.
 	Load float64
 }
 
 // RunExit is a run that has ended on a worker.
 type RunExit struct {
-	Sequence   int64 // rises by one in each incarnation
+	Sequence   int64 // rises by one with each exit, from 1 in each incarnation
 	Task       TaskKey
 	Run        int64
 	Reason     ExitReason
 	Checkpoint string
 }
 
-// PollReport is a worker's answer to a Hold.
+// PollReport is the content of a worker's answer to a poll.
 type PollReport struct {
-	Incarnation    int64 // of the incarnation that answered, as in Worker
-	IncarnationErr error // why Born could not be read, nil if it was read or is missing
+	Incarnation    int64 // of the worker that answered, as in Worker
+	IncarnationErr error // why Incarnation could not be parsed; nil if it was parsed or is missing
 	Running        []ListedRun
 	Exited         []RunExit
 }
 
-// WorkerAnswer is the outcome of an order. Clock is the worker's time in
-// milliseconds, 0 if it did not say.
+// WorkerAnswer is the outcome of an order. ClockMS is the worker's clock in milliseconds,
+// 0 if the answer has none.
 type WorkerAnswer struct {
 	Status  WorkerStatus
 	ClockMS int64
--- a/internal/workload/stored.go
+++ b/internal/workload/stored.go
@@ -7,35 +7,35 @@
 	"github.com/pkg/errors"
 )
 
-// Submission is a job as it is stored when it is accepted.
+// Submission is the stored record of an accepted job.
 type Submission struct {
 	Queue        string `json:"q"`
 	Service      string `json:"v"`
-	AcceptedAtMS int64  `json:"a"` // since 1970, by the clock of the node that accepted it
+	AcceptedAtMS int64  `json:"a"` // Unix milliseconds, by the clock of the node that accepted the job
 	Spec         Spec   `json:"j"`
 }
 
-// Progress is what the owner of a service stores of a job: the ends of runs that
-// it has taken note of.
+// Progress is the stored record of what the owner knows of a job's runs: completed tasks,
+// failed runs and crashes.
 type Progress struct {
-	// DoneBitmaps has, for each occurrence and step in order, the indexes of the tasks
-	// that are done as a bit set of bytes.
+	// DoneBitmaps has a bitmap of the tasks that are done, by index, for each occurrence
+	// and step in order.
 	DoneBitmaps [][]byte `json:"d,omitempty"`
-	// FailedRuns has the run numbers that ended by the task's own fault. Numbers
-	// rather than a count: a later owner may see an end again whose
-	// acknowledgement was lost, and must not count it twice.
+	// FailedRuns has the numbers of runs that failed by the task's own fault, by task
+	// (OCCURRENCE.STEP.INDEX). It has numbers rather than a count: a later owner may read
+	// an exit again whose acknowledgement was lost, and must not count it twice.
 	FailedRuns map[string][]int64 `json:"f,omitempty"`
-	// Crashes has the crashes of workers that ran a task, by the same names.
+	// Crashes has the crashes of workers that ran a task, by task as in FailedRuns.
 	Crashes map[string][]Crash `json:"x,omitempty"`
-	// FinalState is the job's state once it has ended.
+	// FinalState is the job's terminal state, "" until the job ends.
 	FinalState JobState `json:"t,omitempty"`
-	// CompletedAtMS is when it ended, since 1970.
+	// CompletedAtMS is when the job ended, in Unix milliseconds.
 	CompletedAtMS int64 `json:"e,omitempty"`
-	// Started is set once a task was started.
+	// Started is set once a task of the job has been started.
 	Started bool `json:"b,omitempty"`
 }
 
-// Kinds of stored records, the first letter of their keys.
+// Prefixes of the keys of a job's records, and keys of the owners' records.
 const (
 	submissionPrefix = "s/"
 	cancelPrefix     = "c/"
@@ -45,14 +45,14 @@
 	takeoverKey = "owner/last"
 )
 
-// Handover is what an owner that gives a partition up in good order says of the
-// runs that it leaves. With it the next owner knows what a worker that does not
-// answer may run.
+// Handover is the report that an owner stores when it gives up a partition in an orderly
+// way: the runs that it leaves. With it the next owner knows what an unreachable worker
+// may run.
 type Handover struct {
 	Epoch int64         `json:"e"` // of the owner that wrote it
 	Runs  []HandoverRun `json:"r,omitempty"`
-	// DrainingWorkers are the workers that are being emptied: their VMs may be ordered any
-	// moment, on this owner's word that nothing runs there.
+	// DrainingWorkers are the workers that are being drained. Their VMs may be ordered away
+	// at any moment, as this owner may have reported them as drained.
 	DrainingWorkers []string `json:"x,omitempty"`
 }
 
@@ -61,22 +61,22 @@
 	Worker      string `json:"w"`
 	Task        string `json:"t"`
 	Run         int64  `json:"n"`
-	Incarnation int64  `json:"b,omitempty"` // of the incarnation that it was ordered to, as in Worker
-	// StartConfirmed is set if the worker has answered the start or listed the run;
-	// else the start may yet be carried out.
+	Incarnation int64  `json:"b,omitempty"` // of the worker that the run was ordered to, as in Worker
+	// StartConfirmed is set if the worker has answered the start or listed the run.
+	// Otherwise the start may still be carried out.
 	StartConfirmed bool `json:"c,omitempty"`
 }
 
-// Takeover names the owner that took a partition over last.
+// Takeover names the owner that took over the partition last.
 type Takeover struct {
 	Epoch int64 `json:"e"`
-	// Address is where the owner's node answers others; owners of earlier versions left it
-	// out.
+	// Address is where the owner's node answers other nodes. Earlier versions did not
+	// store it.
 	Address string `json:"a,omitempty"`
 }
 
-// Record is a stored fact about a job, or about the owner of the partition. One
-// of the pointers and Cancel is set; none is where the record was deleted.
+// Record is a stored record of a job or of an owner of the partition. Exactly one of
+// Submission, Progress, Cancel, Handover and Takeover is set.
 type Record struct {
 	Job        JobID
 	Submission *Submission
@@ -86,7 +86,7 @@
 	Takeover   *Takeover
 }
 
-// Encode returns the key and value under which a record is stored.
+// Encode returns the key and value of the record in the store.
 func (r Record) Encode() (key string, value []byte, err error) {
 	switch {
 	case r.Submission != nil:
@@ -108,13 +108,13 @@
 	}
 }
 
-// JobKeys returns all keys of a job.
+// JobKeys returns the keys of all records of a job.
 func JobKeys(id JobID) []string {
 	return []string{submissionPrefix + string(id), cancelPrefix + string(id), progressPrefix + string(id)}
 }
 
-// DecodeRecord reads what Encode wrote. A record without a value was deleted;
-// ok is false for it and for keys that are no job's.
+// DecodeRecord parses a key and value that Encode returned. ok is false for a record
+// without a value, which was deleted, and for unknown keys.
 func DecodeRecord(key string, value []byte) (r Record, ok bool, err error) {
 	if len(value) == 0 || len(key) < 3 {
 		return Record{}, false, nil
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -1,6 +1,6 @@
-// Package workload has the job model: queues, jobs of steps and tasks, and the
-// workers that run them. It is pure; the adapter of the users' platform
-// translates their formats to it.
+// Package workload is the job model: queues, jobs of steps and tasks, the workers that
+// run them, the orders to workers and the stored records. It does no I/O. The adapter of
+// the users' platform translates their formats to these types.
 package workload
 
 import (
@@ -14,29 +14,29 @@
 // JobID is chosen by the caller, 16 hexadecimal digits.
 type JobID string
 
-// Resources is what a task reserves or a worker has.
+// Resources are the resources that a task reserves or a worker has.
 type Resources struct {
 	CPU      int `json:"c,omitempty"` // thousandths of a core
 	MemoryMB int `json:"m,omitempty"`
 	GPU      int `json:"g,omitempty"`
 }
 
-// Add returns the sum.
+// Add returns r plus o.
 func (r Resources) Add(o Resources) Resources {
 	return Resources{CPU: r.CPU + o.CPU, MemoryMB: r.MemoryMB + o.MemoryMB, GPU: r.GPU + o.GPU}
 }
 
-// Sub returns the difference, which may be negative.
+// Sub returns r minus o, which may be negative.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{CPU: r.CPU - o.CPU, MemoryMB: r.MemoryMB - o.MemoryMB, GPU: r.GPU - o.GPU}
 }
 
-// Times returns r for n tasks.
+// Times returns r times n.
 func (r Resources) Times(n int) Resources {
 	return Resources{CPU: n * r.CPU, MemoryMB: n * r.MemoryMB, GPU: n * r.GPU}
 }
 
-// DividedBy returns the n-th part, 0 for none.
+// DividedBy returns r divided by n. It returns the zero value if n is 0.
 func (r Resources) DividedBy(n int) Resources {
 	if n == 0 {
 		return Resources{}
@@ -44,48 +44,48 @@
 	return Resources{CPU: r.CPU / n, MemoryMB: r.MemoryMB / n, GPU: r.GPU / n}
 }
 
-// Max returns the larger of each resource.
+// Max returns the larger value of each resource.
 func (r Resources) Max(o Resources) Resources {
 	return Resources{CPU: max(r.CPU, o.CPU), MemoryMB: max(r.MemoryMB, o.MemoryMB), GPU: max(r.GPU, o.GPU)}
 }
 
-// FitsIn tells whether r is within o.
+// FitsIn reports whether no resource of r exceeds that of o.
 func (r Resources) FitsIn(o Resources) bool {
 	return r.CPU <= o.CPU && r.MemoryMB <= o.MemoryMB && r.GPU <= o.GPU
 }
 
-// Step is a set of alike tasks of a job.
+// Step is a set of identical tasks of a job.
 type Step struct {
 	Count     int       `json:"n"`
 	Resources Resources `json:"r"`
-	// EstimateMS is the caller's rough estimate of a task's run time in
-	// milliseconds, 0 if there is none.
+	// EstimateMS is the caller's rough estimate of a task's run time in milliseconds, 0 if
+	// the caller gave none.
 	EstimateMS int64 `json:"e,omitempty"`
-	// DependsOn numbers earlier steps whose tasks must all be done before.
+	// DependsOn has the numbers of earlier steps whose tasks must all be done first.
 	DependsOn     []int  `json:"d,omitempty"`
 	Checkpoints   bool   `json:"k,omitempty"`
-	Gang          bool   `json:"gg,omitempty"` // all tasks run at once or not at all
-	SameRack      bool   `json:"sr,omitempty"` // a gang that is slower over several racks
-	RequiredLabel string `json:"l,omitempty"`  // label that the worker must have
-	DataRack      string `json:"ra,omitempty"` // rack where the data lies
-	// MaxPerWorker bounds the tasks of one occurrence of the step on one
-	// worker; 0 is unbounded.
+	Gang          bool   `json:"gg,omitempty"` // all tasks run at the same time or none does
+	SameRack      bool   `json:"sr,omitempty"` // the gang is slower across several racks
+	RequiredLabel string `json:"l,omitempty"`  // that the worker must have, "" for none
+	DataRack      string `json:"ra,omitempty"` // rack of the data, "" for none
+	// MaxPerWorker bounds the tasks of one occurrence of the step on one worker; 0 is
+	// no bound.
 	MaxPerWorker int    `json:"x,omitempty"`
-	Speculative  bool   `json:"sp,omitempty"` // copies may run in parallel
+	Speculative  bool   `json:"sp,omitempty"` // a task may have speculative copies
 	LongRunning  bool   `json:"la,omitempty"` // runs until the job is cancelled
 	Image        string `json:"i,omitempty"`
-	// LatencyTargetMS bounds the tail of the response times of a serving task, in
-	// milliseconds; 0 is none.
+	// LatencyTargetMS is the target for the tail latency of a serving task, in
+	// milliseconds; 0 is no target.
 	LatencyTargetMS int64 `json:"t,omitempty"`
-	// BestEffortCPU marks tasks that use the processor time that others leave over;
-	// their processors aren't reserved.
+	// BestEffortCPU marks tasks that use processor time that others leave over. No
+	// processors are reserved for them.
 	BestEffortCPU bool `json:"f,omitempty"`
-	// MaxUnavailable is how many tasks of a lasting step may be away at once by acts of
-	// the system; 0 is no bound.
+	// MaxUnavailable bounds the tasks of a long-running step that may be unavailable at once
+	// because of the scheduler's own actions; 0 is no bound.
 	MaxUnavailable int `json:"mm,omitempty"`
 }
 
-// Reservation is what one task of the step takes of a worker's capacity.
+// Reservation returns the capacity that one task of the step reserves on a worker.
 func (s *Step) Reservation() Resources {
 	r := s.Resources
 	if s.BestEffortCPU {
@@ -94,23 +94,22 @@
 	return r
 }
 
-// Spec is what the caller asks to be run.
+// Spec is a job as its caller submits it.
 type Spec struct {
-	Payload string `json:"p"` // handed to the workers as it is
+	Payload string `json:"p"` // passed to the workers unchanged
 	Steps   []Step `json:"s"`
-	// Repeat is how many occurrences the job has, 0 for a job that runs once
-	// and at once.
+	// Repeat is the number of occurrences, 0 for a job that runs once and immediately.
 	Repeat int `json:"rp,omitempty"`
-	// StartAtMS is when occurrence 0 is due, IntervalMS the time between two,
-	// both in milliseconds, the first since 1970.
+	// StartAtMS is when occurrence 0 is due, in Unix milliseconds. IntervalMS is the time
+	// between two occurrences, in milliseconds.
 	StartAtMS  int64 `json:"st,omitempty"`
 	IntervalMS int64 `json:"iv,omitempty"`
 }
 
-// Occurrences is how many times the steps run.
+// Occurrences returns how many times the steps run.
 func (s *Spec) Occurrences() int { return max(1, s.Repeat) }
 
-// DueAt is when an occurrence may begin; the zero time is at once.
+// DueAt returns when an occurrence may start. The zero time means immediately.
 func (s *Spec) DueAt(occurrence int) time.Time {
 	if s.Repeat == 0 {
 		return time.Time{}
@@ -120,21 +119,21 @@
 
 // Bounds of a job that is accepted.
 const (
-	maxPayloadBytes = 4000    // bytes, the platform's bound
-	maxTasksPerJob  = 100_000 // of one job with all occurrences; keeps one job from exhausting a node's memory
+	maxPayloadBytes = 4000    // the platform's limit
+	maxTasksPerJob  = 100_000 // over all occurrences; keeps one job from exhausting a node's memory
 	maxOccurrences  = 10_000
 )
 
-// Validate returns why the job cannot be taken.
+// Validate returns an error if the job can't be accepted.
 func (s *Spec) Validate() error {
 	if len(s.Payload) > maxPayloadBytes {
-		return errors.Errorf("spec has %d bytes, at most %d are taken", len(s.Payload), maxPayloadBytes)
+		return errors.Errorf("payload has %d bytes, the maximum is %d", len(s.Payload), maxPayloadBytes)
 	}
 	if len(s.Steps) == 0 {
 		return errors.New("a job needs at least one step")
 	}
 	if s.Repeat < 0 || s.Repeat > maxOccurrences {
-		return errors.Errorf("%d occurrences, between 0 and %d are taken", s.Repeat, maxOccurrences)
+		return errors.Errorf("job has %d occurrences, not between 0 and %d", s.Repeat, maxOccurrences)
 	}
 	tasks := 0
 	for i := range s.Steps {
@@ -154,7 +153,7 @@
 		return errors.Errorf("step %d: count %d is not between 1 and %d", i, s.Count, maxTasksPerJob)
 	}
 	if s.Resources.CPU < 0 || s.Resources.MemoryMB < 0 || s.Resources.GPU < 0 {
-		return errors.Errorf("step %d: a need is negative", i)
+		return errors.Errorf("step %d: a requested resource is negative", i)
 	}
 	for _, d := range s.DependsOn {
 		if d < 0 || d >= i {
@@ -164,7 +163,7 @@
 	return nil
 }
 
-// ParseJobID checks an ID.
+// ParseJobID validates a job ID.
 func ParseJobID(text string) (JobID, error) {
 	if len(text) != 16 {
 		return "", errors.Errorf("job ID %q does not have 16 digits", text)
@@ -177,23 +176,23 @@
 	return JobID(text), nil
 }
 
-// TaskKey names a task.
+// TaskKey identifies a task.
 type TaskKey struct {
 	Job                     JobID
 	Occurrence, Step, Index int
 }
 
-// String is the task's name, ID.OCCURRENCE.STEP.INDEX.
+// String returns the task's name, ID.OCCURRENCE.STEP.INDEX.
 func (k TaskKey) String() string {
 	return k.StepName() + "." + strconv.Itoa(k.Index)
 }
 
-// StepName is the name of the task's step, ID.OCCURRENCE.STEP.
+// StepName returns the name of the task's step, ID.OCCURRENCE.STEP.
 func (k TaskKey) StepName() string {
 	return string(k.Job) + "." + strconv.Itoa(k.Occurrence) + "." + strconv.Itoa(k.Step)
 }
 
-// ParseTaskKey reads what String writes.
+// ParseTaskKey parses a name that String returned.
 func ParseTaskKey(text string) (TaskKey, error) {
 	job, rest, _ := strings.Cut(text, ".")
 	k := TaskKey{Job: JobID(job)}
@@ -204,7 +203,7 @@
 		}
 		n, err := strconv.Atoi(part)
 		if err != nil || n < 0 {
-			return TaskKey{}, errors.Errorf("task name %q: %q is no number", text, part)
+			return TaskKey{}, errors.Errorf("task name %q: %q is not a non-negative number", text, part)
 		}
 		*field = n
 		rest = after
@@ -212,10 +211,10 @@
 	return k, nil
 }
 
-// taskKeyNumbers is how many numbers follow the job in a task's name.
+// taskKeyNumbers is the number of numeric parts after the job ID in a task's name.
 const taskKeyNumbers = 3
 
-// JobState of a job as callers see it.
+// JobState is the state of a job as callers see it.
 type JobState string
 
 // The states of a job.
@@ -227,5 +226,5 @@
 	Cancelled JobState = "cancelled"
 )
 
-// IsTerminal tells whether the state is final.
+// IsTerminal reports whether the state is final.
 func (s JobState) IsTerminal() bool { return s == Completed || s == Failed || s == Cancelled }
