--- a/internal/scheduler/incarnation.go
+++ b/internal/scheduler/incarnation.go
@@ -87,7 +87,7 @@
 	w.lastReportClockMS = 0
 	w.lastExitSeen, w.ackAllowed, w.ackSent, w.ackConfirmed = 0, 0, 0, 0
 	w.bestEffortSpeedPercent, w.speedChangedAt = fullSpeedPercent, time.Time{}
-	w.trust = failureTracker{}
+	w.failures = failureTracker{}
 	w.startBackoffUntil = time.Time{}
 	for _, r := range w.runs {
 		r.stopInFlight, r.stopConfirmed = false, false // the process before knew of the stop
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -83,7 +83,7 @@
 
 // isUsable tells whether the worker answers and may get starts now or soon.
 func (w *worker) isUsable(now time.Time) bool {
-	return w.synced && !w.unreachable && !w.info.Leaving && !now.Before(w.trust.suspendedUntil)
+	return w.synced && !w.unreachable && !w.info.Leaving && !now.Before(w.failures.suspendedUntil)
 }
 
 // loadReport is what a worker carries, by how hard it is to move.
--- a/internal/scheduler/pollresult.go
+++ b/internal/scheduler/pollresult.go
@@ -255,7 +255,7 @@
 		t.checkpoint = exit.Checkpoint
 		s.checkpoint = exit.Checkpoint
 	}
-	w.trust.recordExit(exit.Reason, s, runDuration, now)
+	w.failures.recordExit(exit.Reason, s, runDuration, now)
 	switch {
 	case s.job.finalState.IsTerminal() || t.done:
 	case exit.Reason == workload.ExitDone && !s.spec.LongRunning:
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -117,7 +117,7 @@
 func (w *worker) canAcceptStarts(now time.Time) bool {
 	return w.synced && !w.unreachable && !w.unregistered && !w.info.Leaving && w.entryMatchesReports() &&
 		w.ordersInFlight < maxOrdersPerWorker && !now.Before(w.startBackoffUntil) &&
-		!now.Before(w.drainUntil) && w.trust.allowsStart(now, w.finiteRunCount())
+		!now.Before(w.drainUntil) && w.failures.allowsStart(now, w.finiteRunCount())
 }
 
 func (w *worker) free() workload.Resources { return w.info.Capacity.Sub(w.reserved) }
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -154,7 +154,7 @@
 	maintenanceDueUntil    time.Time // its VM is due for maintenance
 	bestEffortSpeedPercent int       // of its filling tasks, percent
 	speedChangedAt         time.Time
-	trust                  failureTracker
+	failures                  failureTracker
 	startBackoffUntil      time.Time
 }
 
