--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -1,20 +1,36 @@
-// Package scheduler is the machine that runs the jobs of services on their
-// workers. It is deterministic and pure: messages and the time go in, orders and
-// records to be stored come out. One node, the owner, runs it for the services
-// of one partition of the store.
+// Package scheduler decides which tasks run on which workers. It is a deterministic state
+// machine without I/O: events and the time go in, orders to workers and records to be
+// stored come out of [Core.Step]. One node, the owner, runs one Core for the services of
+// one partition of the store.
 //
-// What it rests on:
+// Stored state. A job is stored before its caller learns that it was accepted. A run's
+// exit that changes a job is stored before it is acknowledged to the worker, which keeps
+// the exit until then. So the store and the workers' lists together are the complete
+// state, and a new owner rebuilds it from them.
 //
-//   - Every accepted job is stored before its caller hears of it, and every end
-//     that matters is stored before it is acknowledged to the worker, which
-//     keeps it until then. So what a new owner reads from the store, together
-//     with what the workers list, is all that has happened.
-//   - A worker refuses orders with a lower fencing token than one it has seen.
-//     A new owner holds each worker with its own token before it starts
-//     anything: from that answer on, no order of an earlier owner has effect
-//     there, and the answer lists all that runs.
-//   - A run lives only while its lease does. What a worker that does not answer
-//     may run is over once the last lease it may have got has lapsed.
+// A run is one run of a task on one worker, from its start order until it is known to have
+// ended. What decides its fate:
+//
+//   - Lease: a run lives only until its lease expires. Starts and polls grant leases, and an
+//     owner may send them only while its authority lasts. The runs on a worker that does
+//     not answer are over once the last lease that the worker may have got has expired on
+//     every clock, and their tasks may start elsewhere (poll.go, authority.go).
+//   - Fencing token: a worker refuses an order with a lower token than it has seen. A new
+//     owner polls each worker with its own token before it starts anything there. After
+//     the answer no order of an earlier owner has an effect on that worker, and the answer
+//     lists all its runs.
+//   - Incarnation: one process of a worker. A restarted worker may keep its ID, but has lost
+//     its runs, exits and tokens. Each incarnation gets a token of its own (incarnation.go).
+//   - Poll: renews the leases on a worker and lists its runs and exits. Only a poll shows
+//     that a run has ended by itself (poll.go, pollresult.go).
+//   - Suspect: a task that may have crashed its worker. It is quarantined: its next run is an
+//     isolated run, on a worker where no other task can cause a crash. The suspect is
+//     cleared by progress, or its job fails after repeated crashes (suspect.go, crash.go,
+//     isolation.go, silence.go).
+//   - Preemption and drain: the owner stops a run to make room for a more urgent task, or
+//     because its VM will be ordered away (preempt.go, drain.go).
+//   - Backlog: ready tasks without a run wait, ranked by what their jobs can still achieve
+//     (ranking.go, place.go).
 package scheduler
 
 import (
@@ -25,110 +41,122 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Settings of a Core.
+// Settings configures a Core.
 type Settings struct {
-	// Epoch is unique to this ownership and above all earlier ones.
+	// Epoch is unique to this ownership and higher than all earlier ones.
 	Epoch int64
-	// Address is where the owner's node answers others.
+	// Address is where the owner's node answers other nodes.
 	Address string
-	// LeaseDuration is how long a run lives without renewal.
+	// LeaseDuration is the duration of the leases that the owner grants.
 	LeaseDuration time.Duration
-	// MaxOwnerOverlap is for how long an owner may go on after its successor has begun.
+	// MaxOwnerOverlap is how long an owner may go on after its successor has started.
 	MaxOwnerOverlap time.Duration
-	// MaxLeaseDuration is the longest lease that a worker gives, whatever it is asked for.
+	// MaxLeaseDuration is the longest lease that a worker accepts, whatever an order asks for.
 	MaxLeaseDuration time.Duration
-	// JobRetention is for how long an ended job is known.
+	// JobRetention is how long an ended job must stay known. It is deleted after twice that.
 	JobRetention time.Duration
-	// MaxStopDuration is what a stop takes at most.
+	// MaxStopDuration is the longest time that a worker takes to stop a run.
 	MaxStopDuration time.Duration
-	// GangTimeout is how long a member of a gang waits for the others; 0 is the
-	// default.
+	// GangTimeout is how long a member of a gang waits for the others; 0 is the default.
 	GangTimeout time.Duration
-	// RemoteDataSlowdown is how many times as long a task takes away from its data.
+	// RemoteDataSlowdown is the factor by which a task takes longer away from its data.
 	RemoteDataSlowdown float64
 }
 
-// Times that decisions rest on.
 const (
-	// maxClockDrift is what a worker's clock may be slow, as a share of a lease;
-	// the platform says 2%.
+	// maxClockDrift is how much a worker's clock may be slow, as a share of elapsed time;
+	// the platform states 2%.
 	maxClockDrift = 0.03
-	// leaseExpirySlack is added to a lease before it counts as lapsed: the way of the
-	// order and the turn of timers at both ends.
+	// leaseExpirySlack is added to a lease before it counts as expired. It covers the
+	// order's transit and timer delays on both sides.
 	leaseExpirySlack = 150 * time.Millisecond
-	// tokensPerEpoch leaves room below the epoch for raising the token at one worker.
+	// tokensPerEpoch is the number of fencing tokens of an epoch. The owner raises the token
+	// at a worker for each new incarnation.
 	tokensPerEpoch = 1 << 10
-	// runNumbersPerEpoch leaves room below the epoch for the runs of one step, so that a new
-	// owner needs to know nothing of earlier runs to number higher.
+	// runNumbersPerEpoch is the number of run numbers of a step in an epoch. A new owner
+	// numbers its runs above all earlier ones without knowing them.
 	runNumbersPerEpoch = 1 << 16
-	// jobSweepInterval is the pause between looks for jobs to be forgotten.
+	// jobSweepInterval is the pause between two searches for jobs to delete.
 	jobSweepInterval = 5 * time.Second
 )
 
-// Core holds the jobs and workers of one partition. It is not safe for
-// concurrent use.
+// Core is the state of one partition: its jobs, its workers and what must be stored. The
+// owner passes in events, then calls Step and carries out the orders that Step returns.
+// It is not safe for concurrent use.
 type Core struct {
 	settings Settings
 	config   *workload.Config
 
+	// Jobs, their ranking and the workers.
 	jobs          map[workload.JobID]*job
-	activeJobs    []*job // not ended, in the order of their acceptance here
+	activeJobs    []*job // jobs whose end is not stored or that have live runs, in order of arrival
 	ranking       ranking
 	shares        map[string]*queueShares // by queue
 	workers       map[string]*worker
-	sortedWorkers []*worker // sorted by ID
-	// forgottenWorkerTokens are the tokens that were in use at workers that are forgotten, by ID: one
-	// of that ID may come back.
+	sortedWorkers []*worker // by ID
+	// forgottenWorkerTokens are the last tokens of removed workers, by ID. A worker may come
+	// back under its ID.
 	forgottenWorkerTokens map[string]int64
 
-	// authorityUntil is until when tasks may be started and leases renewed, if that is bounded.
+	// Authority. Tasks may be started and leases renewed until authorityUntil if
+	// authorityBounded is set, and without a bound otherwise.
 	authorityUntil   time.Time
 	authorityBounded bool
-	// earlierLeasesExpireAt is when the last lease of an earlier owner has lapsed. Until
-	// then a worker that has not answered may run any task.
+
+	// Runs of earlier owners.
+
+	// earlierLeasesExpireAt is when the last lease of an earlier owner has expired. Until
+	// then a worker that has not answered this owner may run any task.
 	earlierLeasesExpireAt time.Time
-	// unresolvedWorkers are the workers that may run what an earlier owner started. There
-	// are none where that owner has left a report of its runs.
+	// unresolvedWorkers may run tasks that an earlier owner started, and have not answered
+	// this owner yet. It is empty if the earlier owner left a handover.
 	unresolvedWorkers map[string]bool
-	// workerListIncomplete is set while the list of workers may lack some that run tasks.
+	// workerListIncomplete is set if unresolvedWorkers may lack some workers.
 	workerListIncomplete bool
 
-	// What is to be stored, and is being stored.
-	dirtyJobs      map[workload.JobID]*job
-	jobsToDelete   []workload.JobID // to be deleted
-	pendingWrite   *pendingWrite    // nil if none is under way
+	// Records that must be stored, and the write in flight.
+	dirtyJobs      map[workload.JobID]*job // their progress has changed
+	jobsToDelete   []workload.JobID
+	pendingWrite   *pendingWrite // nil if no write is in flight
 	lastWriteSeq   int64
-	storedWriteSeq int64 // of the latest write that is stored
-	takeoverStored bool  // this owner has stored that it took over
+	storedWriteSeq int64 // sequence of the latest stored write
+	takeoverStored bool  // the record of this owner's takeover is stored
 
-	// foreignAddresses are the addresses at which workers of other partitions' services are
-	// registered.
+	// foreignAddresses are the addresses of registered workers that belong to services of
+	// other partitions.
 	foreignAddresses map[string]bool
 
-	arrivedWork map[string]workload.Work // by service
-	// requiredLabels are the labels that a service's jobs have asked for so far.
+	// Demand, by service.
+	arrivedWork map[string]workload.Work
+	// requiredLabels are the labels that the jobs of a service have required so far.
 	requiredLabels map[string][]string
-	startsInFlight startTracker
-	// extraPollsInFlight is how many are under way.
+
+	// Orders in flight.
+	startsInFlight     startTracker
 	extraPollsInFlight int
 	formingGangs       []formingGang
-	// stepsWithCrashes are those under whose tasks workers have crashed.
+
+	// Suspects.
+
+	// stepsWithCrashes are the steps whose tasks have lost a worker to a crash.
 	stepsWithCrashes []*step
 	// serviceBusyUntil is until when a service counts as busy with tasks that are no suspects.
 	serviceBusyUntil map[string]time.Time
-	// suspectWritePending is set while what is known of some suspects is being stored.
+	// suspectWritePending is set while changed crashes of tasks are not stored.
 	suspectWritePending bool
-	// planStale is set when something has changed that a plan rests on.
+
+	// planStale is set when something has changed that a plan depends on.
 	planStale bool
-	// stalledUntil is until when the process counts as stalled: it hardly gets on.
+	// stalledUntil is until when this process counts as stalled after a long pause between
+	// steps: the silence of workers proves nothing until then.
 	stalledUntil     time.Time
-	takeoverComplete bool // nothing waits for an earlier owner's runs any more
+	takeoverComplete bool // starts no longer wait for the runs of an earlier owner
 
-	// When things were done last.
+	// Times of the last actions.
 	tookOverAt, lastStepAt, lastJobSweepAt, lastPlanAt, lastSpeculationAt, lastWriteAt, suspectsLoggedAt time.Time
 
-	stepDownReason string // why the ownership is lost, "" while it is not
-	orders         Orders // of the present step
+	stepDownReason string // why the ownership is lost, "" while it is held
+	orders         Orders // of the step in progress
 	Counts         Counts
 }
 
@@ -136,28 +164,28 @@
 type Counts struct {
 	StartedRuns, DoneTasks, FailedRuns, ExpiredRuns, RefusedStarts, UnansweredStarts int
 	CompletedJobs, FailedJobs, CancelledJobs                                         int
-	// WorkerCrashes is how many workers crashed, and RunsLost how many runs with them.
+	// WorkerCrashes counts crashes of workers, LostRuns the runs lost with a worker's process.
 	WorkerCrashes, LostRuns int
-	// WorkerRestarts is how many workers came back under their ID, and EndsUnread how many runs
-	// vanished from a worker that listed no end of them.
+	// WorkerRestarts counts workers that restarted under their ID, UnreadExits the runs that
+	// vanished from a worker that listed no exit of them.
 	WorkerRestarts, UnreadExits int
-	// DuplicateRuns is how many runs were found beside another run of their task.
+	// DuplicateRuns counts runs that were found beside another run of their task.
 	DuplicateRuns int
-	// IsolatedRuns is how many starts were of suspects, Cleared how many of these got on, and
-	// GivenUp how many jobs failed as one of their tasks crashes workers.
+	// IsolatedRuns counts the starts of suspects, ClearedSuspects the suspects that made
+	// progress, CrashingJobs the jobs that failed because a task of theirs crashes workers.
 	IsolatedRuns, ClearedSuspects, CrashingJobs int
-	// ExtraPolls is how many polls of workers were sent beside one whose answer was late.
+	// ExtraPolls counts polls that were sent while the answer of another was overdue.
 	ExtraPolls int
-	// RankedJobs is how many jobs were ranked, and Looks how many workers and runs were
-	// looked at, to decide on starts: what planning costs.
+	// RankedJobs counts jobs that were ranked, PlacementChecks the workers and runs that were
+	// examined to decide on starts. Together they are the cost of planning.
 	RankedJobs, PlacementChecks int
-	// Plans is how many plans were made, and CutShort how many of them ended before
-	// all that has room was started, as too many starts had no answer yet.
+	// Plans counts plans, TruncatedPlans those that ended before all free capacity was used
+	// because too many starts were unanswered.
 	Plans, TruncatedPlans int
 }
 
-// New returns a core that takes over at now. unheld are the workers that an
-// earlier owner may have given work to; doubtful says that there may be more.
+// New returns a core that takes over at now. unresolved are the IDs of workers that may run
+// tasks of an earlier owner. listIncomplete states that there may be more of them.
 func New(settings Settings, now time.Time, unresolved []string, listIncomplete bool) *Core {
 	if settings.GangTimeout == 0 {
 		settings.GangTimeout = defaultGangTimeout
@@ -186,15 +214,17 @@
 	return c
 }
 
-// leaseExpiryDelay is the time after which a lease given now is over on every clock.
+// leaseExpiryDelay returns the time after which a lease granted now has expired on every
+// clock.
 func leaseExpiryDelay(lease time.Duration) time.Duration {
 	return lease + time.Duration(float64(lease)*maxClockDrift) + leaseExpirySlack
 }
 
-// StepDownReason tells why the ownership is lost, "" while it is not.
+// StepDownReason returns why the ownership is lost, "" while it is held.
 func (c *Core) StepDownReason() string { return c.stepDownReason }
 
-// SetConfig puts a configuration in force.
+// SetConfig applies a configuration. It ignores one with a lower version than the current
+// one.
 func (c *Core) SetConfig(config *workload.Config) {
 	if config.Version < c.config.Version {
 		return
@@ -207,7 +237,7 @@
 	c.planStale = true
 }
 
-// AddJob takes a stored job. The first record of an ID counts.
+// AddJob adds a stored job. Only the first record of an ID counts.
 func (c *Core) AddJob(id workload.JobID, submission *workload.Submission) {
 	j := c.ensureJob(id)
 	if j.submission != nil {
@@ -228,7 +258,7 @@
 	c.planStale = true
 }
 
-// recordRequiredLabels notes which labels the jobs of a service ask for.
+// recordRequiredLabels records the labels that a job requires.
 func (c *Core) recordRequiredLabels(submission *workload.Submission) {
 	for i := range submission.Spec.Steps {
 		label := submission.Spec.Steps[i].RequiredLabel
@@ -238,7 +268,7 @@
 	}
 }
 
-// CancelJob takes a stored cancel, also one that is read before its job.
+// CancelJob applies a stored cancellation. The cancellation may be read before the job.
 func (c *Core) CancelJob(id workload.JobID, now time.Time) {
 	j := c.ensureJob(id)
 	if j.finalState.IsTerminal() || j.cancelRequested {
@@ -251,7 +281,7 @@
 	c.completeJob(j, workload.Cancelled, now)
 }
 
-// RestoreProgress takes what an earlier owner stored of a job.
+// RestoreProgress applies the progress that an earlier owner stored for a job.
 func (c *Core) RestoreProgress(id workload.JobID, progress *workload.Progress) {
 	j := c.ensureJob(id)
 	j.restoredProgress = progress
@@ -261,7 +291,7 @@
 	}
 }
 
-// ensureJob returns the job of an ID, made if need be.
+// ensureJob returns the job with an ID and creates it if there is none.
 func (c *Core) ensureJob(id workload.JobID) *job {
 	j, ok := c.jobs[id]
 	if !ok {
@@ -271,9 +301,9 @@
 	return j
 }
 
-// JobState returns a job's state as callers may be told it. ok is false if there
-// is no such job. An end is shown only once it is stored: an owner that shows
-// it and is lost would otherwise be followed by one that runs the job again.
+// JobState returns the state of a job for callers. ok is false if there is no such job. A
+// terminal state is returned only once it is stored: otherwise a caller could learn of an
+// end that is lost with this owner, and the next owner would run the job again.
 func (c *Core) JobState(id workload.JobID) (s workload.JobState, ok bool) {
 	j, ok := c.jobs[id]
 	if !ok || j.submission == nil {
@@ -288,7 +318,7 @@
 	return workload.Pending, true
 }
 
-// WaitingJobs is how many accepted jobs of a queue have not begun.
+// WaitingJobs returns the number of active jobs of a queue that have not started.
 func (c *Core) WaitingJobs(queue string) int {
 	n := 0
 	for _, j := range c.activeJobs {
@@ -299,7 +329,7 @@
 	return n
 }
 
-// SetWorkers takes the list of workers that are registered.
+// SetWorkers applies the list of registered workers.
 func (c *Core) SetWorkers(list []workload.Worker, now time.Time) {
 	present := map[string]bool{}
 	for _, info := range list {
@@ -317,8 +347,8 @@
 	c.planStale = true
 }
 
-// SetForeignAddresses takes the addresses at which workers of services that other owners run
-// are registered. An address may pass from one service to another.
+// SetForeignAddresses replaces the addresses of registered workers that belong to services
+// of other owners. An address may move from one service to another.
 func (c *Core) SetForeignAddresses(addresses []string) {
 	clear(c.foreignAddresses)
 	for _, a := range addresses {
@@ -326,7 +356,7 @@
 	}
 }
 
-// ensureWorker returns the worker of an ID, made if need be.
+// ensureWorker returns the worker with an ID and creates it if there is none.
 func (c *Core) ensureWorker(id string, now time.Time) *worker {
 	if w, ok := c.workers[id]; ok {
 		return w
@@ -342,7 +372,7 @@
 	return w
 }
 
-// Step returns what is due.
+// Step advances the state to now and returns the orders that are due.
 func (c *Core) Step(now time.Time) Orders {
 	c.detectStall(now)
 	c.expireRuns(now)
@@ -360,15 +390,16 @@
 	return orders
 }
 
-// removeGoneWorkers drops workers that are gone and run nothing any more. One that is
-// closed is kept: it may be on no list yet, and open when it comes.
+// removeGoneWorkers removes workers that are not registered and run nothing. A worker that
+// is being drained is kept: it may not be registered yet, and would get starts as soon as
+// it is.
 func (c *Core) removeGoneWorkers(now time.Time) {
 	c.sortedWorkers = slices.DeleteFunc(c.sortedWorkers, func(w *worker) bool {
 		if !w.unregistered || len(w.runs) > 0 || now.Before(w.drainUntil) || now.Before(w.crashUnconfirmedUntil) {
 			return false
 		}
 		if c.unresolvedWorkers[w.info.ID] && now.Before(c.earlierLeasesExpireAt) {
-			return false // it may be cut off from the store and run what an earlier owner started
+			return false // it may be partitioned from the store and run tasks of an earlier owner
 		}
 		delete(c.workers, w.info.ID)
 		delete(c.unresolvedWorkers, w.info.ID)
@@ -377,7 +408,8 @@
 	})
 }
 
-// sweepJobs drops jobs that ended long ago, here and in the store.
+// sweepJobs removes ended jobs from activeJobs, and deletes jobs that ended long ago here
+// and in the store.
 func (c *Core) sweepJobs(now time.Time) {
 	c.logTakeoverComplete(now)
 	c.activeJobs = slices.DeleteFunc(c.activeJobs, func(j *job) bool { return j.storedState.IsTerminal() && j.liveRuns == 0 })
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -7,25 +7,26 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// job is one accepted job.
+// job is an accepted job with all its steps. It ends when finalState is set. Callers see the
+// end once storedState is set, too.
 type job struct {
 	id         workload.JobID
-	submission *workload.Submission // nil where only a cancel or progress was read yet
-	// queue is that of the configuration in force, nil if it has none of that name.
+	submission *workload.Submission // nil while only a cancellation or progress was read
+	// queue is the job's queue in the current configuration, nil if it was removed.
 	queue *workload.Queue
-	// steps has one entry for each occurrence and step, occurrences first.
+	// steps has one entry for each occurrence and step, ordered by occurrence, then step.
 	steps            []*step
-	remainingTasks   int // tasks that are not done, lasting ones included
-	liveRuns         int // runs that are not known to have ended
-	started          bool
+	remainingTasks   int  // tasks that are not done, long-running ones included
+	liveRuns         int  // runs that are not known to have ended
+	started          bool // a task of it has been started
 	cancelRequested  bool
 	finalState       workload.JobState // "" until the job ends
 	completedAtMS    int64
-	storedState      workload.JobState // what is stored of final
-	restoredProgress *workload.Progress
+	storedState      workload.JobState  // finalState as stored, pending until then
+	restoredProgress *workload.Progress // stored by earlier owners, nil if there is none
 }
 
-// step is one step of one occurrence.
+// step is one step of one occurrence of a job, with its tasks.
 type step struct {
 	job                     *job
 	spec                    *workload.Step
@@ -33,42 +34,44 @@
 	number                  int
 	tasks                   []task
 	doneCount               int
-	idleCount               int       // tasks that are neither done nor have a run
-	hasCrashes              bool      // workers have crashed under its tasks
-	waitingForCapacitySince time.Time // since when idle tasks find no room, zero if none do
-	// waitingForIsolationSince is since when it waits as a gang with suspects.
+	idleCount               int       // tasks that are not done and have no run
+	hasCrashes              bool      // its tasks have lost workers to crashes
+	waitingForCapacitySince time.Time // since when idle tasks find no free capacity, zero if they don't wait
+	// waitingForIsolationSince is since when a gang waits for workers for its suspects.
 	waitingForIsolationSince time.Time
-	// nextPreemptionSearchAt is when runs that give way to its tasks are looked for again.
+	// nextPreemptionSearchAt is when the step may search for preemptible runs again.
 	nextPreemptionSearchAt time.Time
-	lastRunSeq             int64
-	liveRunsByWorker       map[string]int // live runs by worker
-	checkpoint             string         // of a gang
-	tickets                *adviceState
-	occurrenceRanked       bool // of the first step: the occurrence is in the ranking
-	// share is that of the occurrence's size, nil before it is ranked and for lasting
-	// tasks.
+	lastRunSeq             int64          // of this epoch's run numbers
+	liveRunsByWorker       map[string]int // by worker ID
+	checkpoint             string         // newest of any task; a gang restarts from it
+	tickets                *adviceState   // nil before its queue needed advice
+	occurrenceRanked       bool           // of an occurrence's first step: the occurrence is in the ranking
+	// share is the share of the occurrence's size, nil before it is ranked and for
+	// long-running tasks.
 	share *sizeShare
 }
 
-// task is one task of a step.
+// task is one task of a step. It is idle, and waits for a start, while it is not done and has
+// no runs.
 type task struct {
 	done         bool
-	runs         []*run  // live
-	failedRuns   []int64 // run numbers that ended by the task's own fault
-	madeProgress bool    // a run of it was at work for a while
-	// crashes are those of workers that ran it, the latest last. storedIn is the
-	// sequence of the write that stores them.
+	runs         []*run  // not known to have ended
+	failedRuns   []int64 // numbers of runs that failed by the task's own fault
+	madeProgress bool    // a run of it ran for minProgressTime, or it was cleared
+	// crashes are the crashes of workers that ran the task, latest last. They are stored by
+	// the write with sequence crashesStoredInWrite.
 	crashes              []workload.Crash
 	crashesStoredInWrite int64
-	// plannedIsolatedRun is its trial that begins once it is stored, nil if there is none.
+	// plannedIsolatedRun is an isolated run that starts once the plan is stored, nil if none
+	// is planned.
 	plannedIsolatedRun *plannedIsolatedRun
 	checkpoint         string
-	avoidWorker        string    // worker where it failed last
-	avoidUntil         time.Time // until then it isn't tried there again
-	notBefore          time.Time // the next run
+	avoidWorker        string    // ID of the worker where it failed last
+	avoidUntil         time.Time // until then it does not start on avoidWorker
+	notBefore          time.Time // earliest time of the next start
 }
 
-// createSteps builds the steps of a stored job.
+// createSteps creates the steps of all occurrences.
 func (j *job) createSteps(submission *workload.Submission) {
 	j.submission = submission
 	for o := range submission.Spec.Occurrences() {
@@ -103,7 +106,7 @@
 	return j.steps[occurrence*len(j.submission.Spec.Steps)+number]
 }
 
-// findTask returns the step and task of a key, nil if there is none.
+// findTask returns the step and task of a key, nil if there is no such task.
 func (c *Core) findTask(k workload.TaskKey) (*step, *task) {
 	j, ok := c.jobs[k.Job]
 	if !ok {
@@ -120,8 +123,8 @@
 	return workload.TaskKey{Job: s.job.id, Occurrence: s.occurrence, Step: s.number, Index: index}
 }
 
-// isReady tells whether the step's tasks may run: its time has come and all that
-// it depends on is done.
+// isReady reports whether the step's tasks may run: the occurrence is due and all steps that
+// it depends on are done.
 func (s *step) isReady(now time.Time) bool {
 	if due := s.job.submission.Spec.DueAt(s.occurrence); !due.IsZero() && now.UnixMilli() < due.UnixMilli() {
 		return false
@@ -135,7 +138,7 @@
 	return true
 }
 
-// addRun adds a live run to its task.
+// addRun adds a live run to a task.
 func (s *step) addRun(t *task, r *run) {
 	if len(t.runs) == 0 && !t.done {
 		s.idleCount--
@@ -149,7 +152,7 @@
 	s.job.started = true
 }
 
-// removeRun takes a run that has ended off its task.
+// removeRun removes a run that has ended from its task.
 func (s *step) removeRun(t *task, r *run) {
 	i := slices.Index(t.runs, r)
 	if i < 0 {
@@ -178,7 +181,7 @@
 	s.job.remainingTasks--
 }
 
-// applyStoredProgress applies what is stored of a job to it.
+// applyStoredProgress applies the stored progress of a job.
 func (c *Core) applyStoredProgress(j *job) {
 	progress := j.restoredProgress
 	for i, s := range j.steps {
@@ -209,7 +212,7 @@
 	}
 }
 
-// restoreCrashes takes what is stored of the crashes under a task.
+// restoreCrashes restores the stored crashes of a task.
 func (c *Core) restoreCrashes(s *step, index int, crashes []workload.Crash) {
 	c.addCrashedStep(s)
 	s.tasks[index].crashes = crashes
@@ -220,8 +223,8 @@
 	}
 }
 
-// findStoredTask returns the step and index of a task by its name in what is stored of a
-// job, a nil step if there is none.
+// findStoredTask returns the step and index of a task by its name in stored progress, and a
+// nil step if there is no such task.
 func (c *Core) findStoredTask(j *job, name string) (*step, int) {
 	key, err := workload.ParseTaskKey(string(j.id) + "." + name)
 	if err != nil {
@@ -232,7 +235,7 @@
 	return s, key.Index
 }
 
-// applyEarlyCancel ends a job that was cancelled before it was read.
+// applyEarlyCancel cancels a job whose cancellation was read before the job.
 func (c *Core) applyEarlyCancel(j *job) {
 	if j.cancelRequested && !j.finalState.IsTerminal() {
 		j.finalState = workload.Cancelled
@@ -241,7 +244,7 @@
 	}
 }
 
-// completeJob gives a job its final state and stops what it runs.
+// completeJob gives a job its final state and stops its runs.
 func (c *Core) completeJob(j *job, final workload.JobState, now time.Time) {
 	if j.finalState.IsTerminal() {
 		return
@@ -272,11 +275,11 @@
 	}
 }
 
-// progressToStore is what is to be stored of a job now.
+// progressToStore returns the record of a job's current progress.
 func (j *job) progressToStore() *workload.Progress {
 	progress := &workload.Progress{FinalState: j.finalState, CompletedAtMS: j.completedAtMS, Started: j.started}
 	if j.finalState.IsTerminal() {
-		return progress // the tasks of an ended job are of no more use
+		return progress // the tasks of an ended job are no longer needed
 	}
 	for _, s := range j.steps {
 		bits := []byte{}
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -7,158 +7,188 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Bounds of orders.
 const (
 	// stopRetryInterval is the pause before a stop without an answer is sent again.
 	stopRetryInterval = 300 * time.Millisecond
 	// maxOrdersPerWorker bounds the orders in flight to one worker.
 	maxOrdersPerWorker = 10
-	// maxStartsInFlight bounds the starts in flight to all workers, but for those whose
-	// answer is lost. An order takes some 5 ms, so it allows thousands a second;
-	// without it a small VM sends so many at once that none is answered in time.
+	// maxStartsInFlight bounds the starts in flight to all workers, except those whose answer
+	// counts as lost. An order takes about 5 ms, so the bound allows thousands a second.
+	// Without it a small VM sends so many at once that none is answered in time.
 	maxStartsInFlight = 64
-	// maxOrderDelay is the longest after which an order without an answer may still
-	// be carried out; the platform has seen 12 s.
+	// maxOrderDelay is the longest time after which an order without an answer may still be
+	// carried out; the platform has seen 12 s.
 	maxOrderDelay    = 13 * time.Second
-	fullSpeedPercent = 100 // percent
-	// maxClockAge is how old the answer may get by which an idle worker's time is reckoned.
-	// Its first lease is shorter by clockMargin of that.
+	fullSpeedPercent = 100
+	// maxClockAge is how old the last clock reading of an idle worker may get. The worker's
+	// next lease is shorter by maxClockDrift of that age.
 	maxClockAge = 10 * time.Second
-	// stopSlack is added to what a stop takes, for the order's way.
+	// stopSlack is added to the duration of a stop for the order's transit.
 	stopSlack = 200 * time.Millisecond
 )
 
-// runState is what is known of a run.
+// runState is what the owner knows of a run.
 type runState int
 
 const (
-	runStarting   runState = iota // ordered, no answer yet
-	runUnanswered                 // ordered, no answer came
-	runRunning
-	runStopping // is to end; may not have begun
+	runStarting   runState = iota // ordered, not answered yet
+	runUnanswered                 // it may run: its start got no answer, or an earlier owner left it
+	runRunning                    // its start was answered, or the worker has listed it
+	runStopping                   // the owner has ordered its stop; it may not have started
 )
 
-// run is one run of a task on a worker, from its order to its known end. It
-// takes its room all that time.
+// run is one run of a task on a worker, from its start order until it is known to have
+// ended. Its resources stay reserved on the worker for all that time.
 type run struct {
 	step        *step
-	index       int
+	index       int // of the task in the step
 	number      int64
 	worker      *worker
-	incarnation int64 // of the incarnation that the run was ordered to, as in worker
+	incarnation int64 // of the worker that the run was ordered to; 0 if unknown
 	state       runState
-	// stateChangedAt is when the state began: a poll that was sent earlier says nothing
-	// of it.
-	stateChangedAt  time.Time
-	orderedAt       time.Time
+	// stateChangedAt is when state was set or confirmed last. A poll that was sent earlier
+	// proves nothing against it.
+	stateChangedAt time.Time
+	orderedAt      time.Time
+
+	// Stop of the run.
 	lastStopAt      time.Time
-	stopInFlight    bool // a stop is in flight
-	stopConfirmed   bool // a stop was answered: the run can't begin any more
-	stoppedForDrain bool // it was to end because its VM is to be emptied
-	// mayBeStoppingUntil is until when a run of an earlier owner may be one that it has
-	// told to stop: the worker lists it as running until it has ended. sure is set
-	// once it was listed in answer to a poll that was sent later.
-	mayBeStoppingUntil  time.Time
-	confirmedRunning    bool
-	startConfirmed      bool // the worker has answered the start or listed the run
-	speedPercent        int
-	orderedSpeedPercent int // percent last ordered
+	stopInFlight    bool // a stop awaits its answer
+	stopConfirmed   bool // the worker has accepted a stop: the run can't start any more
+	stoppedForDrain bool // it was stopped to drain its worker
+
+	// Until mayBeStoppingUntil a stop of an earlier owner may still be ending the run: a
+	// worker lists a run as running until it has ended. confirmedRunning is set once the run
+	// is listed in answer to a poll that was sent later.
+	mayBeStoppingUntil time.Time
+	confirmedRunning   bool
+	startConfirmed     bool // the worker has answered the start or listed the run
+
+	// Speed and load.
+	speedPercent        int // as listed last
+	orderedSpeedPercent int // as ordered last, -1 if it must be ordered again
 	throttleInFlight    bool
-	load                float64
+	load                float64 // as in workload.ListedRun
 	checkpoint          string
-	// isolated is set while it is to be seen whether the task crashes its worker.
+
+	// isolated is set for an isolated run of a suspect until the run makes progress or ends.
 	isolated bool
-	// restored is set for a run that an earlier owner left.
+
+	// Origin of a run that an earlier owner ordered.
+
+	// restored is set if the run is known from a stored crash of its task.
 	restored bool
-	// isolationPlannedAt is when an earlier owner planned it as a trial, zero for others: it began
-	// later than that.
+	// isolationPlannedAt is when an earlier owner planned the run as an isolated run, zero for
+	// other runs. The run started later than that.
 	isolationPlannedAt time.Time
-	// inherited is set for a run that an earlier owner started and that is known from its
-	// handover or a worker's list: it is older than orderedAt tells.
+	// inherited is set if the run is known from a handover or a worker's list. The run is
+	// older than orderedAt.
 	inherited bool
-	// adopted is set for a run that was listed without an order of this owner.
+	// adopted is set if the run is known from a worker's list only.
 	adopted bool
 }
 
 func (r *run) taskKey() workload.TaskKey { return r.step.taskKey(r.index) }
 func (r *run) task() *task               { return &r.step.tasks[r.index] }
 
-// worker is what is known of a worker.
+// worker is a worker as its owner knows it: the process at its address, the leases that it
+// may hold, its polls and its runs.
 type worker struct {
-	info workload.Worker
-	// incarnation tells which incarnation it is: when the process started, in Unix milliseconds,
-	// 0 if it isn't known. unsettled is set until that one's first list has told which of
-	// the runs ordered before are there.
+	info workload.Worker // its entry in the registry
+
+	// Incarnation.
+
+	// incarnation is the start time of the worker's process in Unix milliseconds, 0 if
+	// unknown. incarnationUnresolved is set until its first list has shown which runs that
+	// were ordered earlier are there.
 	incarnation              int64
 	incarnationUnresolved    bool
-	restartDetectedAt        time.Time // when a restart under the same ID was last learned, zero if never
-	incarnationUnknownLogged bool      // that its lists don't tell its start has been logged
-	// entryMismatch is set from when its entry names another start than its lists do until it has
-	// answered a poll.
+	restartDetectedAt        time.Time // when a restart under the same ID was last detected, zero if never
+	incarnationUnknownLogged bool      // it was logged that its lists don't state the incarnation
+	// entryMismatch is set when its entry names another incarnation than its lists, until
+	// the worker has answered a poll.
 	entryMismatch bool
-	// leavingIncarnation is the start of the latest incarnation whose entry said that it leaves.
+	// leavingIncarnation is the latest incarnation whose entry announced that it leaves.
 	leavingIncarnation int64
-	// token fences each incarnation: it is raised for the next one, so that calls meant for
-	// an earlier one have no effect there.
+	// token is the fencing token of the incarnation. It is raised for the next one, so that
+	// orders to an earlier incarnation have no effect there.
 	token                  int64
-	incarnationFirstSeenAt time.Time          // first seen
-	maxCapacity            workload.Resources // that it had room for
-	// synced is set once it answered under this owner's token and has not been
-	// silent since: its list of runs is complete.
+	incarnationFirstSeenAt time.Time
+	maxCapacity            workload.Resources // largest capacity in the incarnation's entries
+	// synced is set once the worker has answered a poll with the current token, so that all
+	// its runs are known. It is cleared when its process ends or restarts, and when its
+	// leases expire while it doesn't answer.
 	synced       bool
-	unregistered bool // no longer registered
-	// clockMS is the worker's time in milliseconds at clockAt.
+	unregistered bool // the registry doesn't list it
+
+	// Clock and leases.
+
+	// clockMS is the worker's clock in milliseconds at clockReadAt.
 	clockMS     int64
 	clockReadAt time.Time
-	// leasesExpireAt is when the last lease that it may have got has lapsed.
+	// leasesExpireAt is when the last lease that the worker may have got has expired.
 	leasesExpireAt time.Time
-	pollInFlight   bool // a poll is under way
-	nextPollAt     time.Time
-	// pollAnswerDueAt is when the answer of the latest poll is late, and extraPolls how many
-	// are under way beside the first.
+
+	// Polls.
+	pollInFlight bool
+	nextPollAt   time.Time
+	// pollAnswerDueAt is when the answer of the latest poll is overdue. extraPollsInFlight is
+	// the number of polls in flight beside the first.
 	pollAnswerDueAt    time.Time
 	extraPollsInFlight int
-	// lastAnsweredPollSentAt is when the latest poll that was answered was sent.
+	// lastAnsweredPollSentAt is when the latest poll that got an answer was sent.
 	lastAnsweredPollSentAt time.Time
-	// lastReportClockMS is when the list that was taken last was made, by the worker's clock.
+	// lastReportClockMS is the worker's clock in the last list that was accepted.
 	lastReportClockMS int64
-	unreachable       bool // the last poll got no answer
+	// unreachable is set when a poll fails, a start can't be sent or a drain ends, until the
+	// worker answers a poll. It gets no starts until then.
+	unreachable       bool
 	unreachableSince  time.Time
 	connectionRefused bool // the connection of the last poll was refused
-	// replaced is set once another incarnation answered at its address.
+	// replaced is set once another incarnation has answered at the worker's address.
 	replaced bool
-	// blamedRuns are the runs that its crash is held against. It is unclear, and the worker
-	// remembered until then, while it may have been cut off.
+
+	// Crashes and suspects.
+
+	// blamedRuns are the runs to which the worker's crash is attributed. Until
+	// crashUnconfirmedUntil the worker may be partitioned rather than crashed, and is kept.
 	blamedRuns            []*run
 	crashUnconfirmedUntil time.Time
-	// reservedForSuspectsUntil is until when it takes nothing but suspects.
+	// reservedForSuspectsUntil is until when the worker gets no starts but of suspects.
 	reservedForSuspectsUntil time.Time
-	// isolatedRunPlannedUntil is until when it waits for a suspect whose trial is being stored.
+	// isolatedRunPlannedUntil is until when the worker waits for a suspect whose planned
+	// isolated run is being stored.
 	isolatedRunPlannedUntil time.Time
+
 	// lastUnansweredPollSentAt is when the latest poll without an answer was sent.
 	lastUnansweredPollSentAt time.Time
 	lastPollAnsweredAt       time.Time
-	ordersInFlight           int // in flight
-	// lastExitSeen is the highest number of its ends that was read, acked the highest that may be
-	// acknowledged, and ackSent and ackTaken the highest whose acknowledgement was sent
-	// and answered.
+	ordersInFlight           int // starts, stops and throttles without an outcome
+
+	// Sequence numbers of exits: the highest that was read, the highest that may be
+	// acknowledged, and the highest whose acknowledgement was sent and answered.
 	lastExitSeen, ackAllowed int64
 	ackSent, ackConfirmed    int64
-	// lateStartUntil is until when a start without an answer may yet be carried out.
+
+	// Runs.
+
+	// lateStartUntil is until when a start without an answer may still be carried out.
 	lateStartUntil time.Time
-	reserved       workload.Resources
+	reserved       workload.Resources // by runs
 	runs           []*run
-	// drainUntil is until when the worker is being emptied; the wish is
-	// renewed by who has it.
+
+	// Drain, throttling and backoff.
+
+	// drainUntil is until when the worker is drained. Whoever drains it renews the request.
 	drainUntil             time.Time
 	maintenanceDueUntil    time.Time // its VM is due for maintenance
-	bestEffortSpeedPercent int       // of its filling tasks, percent
+	bestEffortSpeedPercent int       // speed of its best-effort tasks
 	speedChangedAt         time.Time
-	failures                  failureTracker
+	failures               failureTracker
 	startBackoffUntil      time.Time
 }
 
-// markUnreachable notes that the worker doesn't answer.
+// markUnreachable records that the worker doesn't answer.
 func (w *worker) markUnreachable(now time.Time) {
 	if !w.unreachable {
 		w.unreachable = true
@@ -166,9 +196,9 @@
 	}
 }
 
-// allowAck allows the acknowledgement of ends up to a number. The worker is polled
-// at again at once: until it has the acknowledgement it answers without waiting
-// for the next end, so it was left alone.
+// allowAck allows the acknowledgement of exits up to a sequence number. If that covers all
+// exits that were read, the worker is polled immediately: while exits were unacknowledged it
+// would have answered each poll without waiting, so polls were delayed.
 func (w *worker) allowAck(exitNumber int64) {
 	if exitNumber <= w.ackAllowed {
 		return
@@ -179,16 +209,17 @@
 	}
 }
 
-// hasPendingAck tells whether an acknowledgement has to travel.
+// hasPendingAck reports whether an acknowledgement must be sent or sent again.
 func (w *worker) hasPendingAck() bool { return w.ackAllowed > w.ackConfirmed }
 
-// minClockMS is the least that the worker's time can be, in milliseconds: its clock may have
-// been slow since its last answer.
+// minClockMS returns a lower bound of the worker's clock, in milliseconds: the clock may have
+// been slow since it was read.
 func (w *worker) minClockMS(now time.Time) int64 {
 	passed := float64(now.Sub(w.clockReadAt)) * (1 - maxClockDrift)
 	return w.clockMS + time.Duration(passed).Milliseconds()
 }
 
+// recordClock records the worker's clock unless the answer has none.
 func (w *worker) recordClock(clockMS int64, now time.Time) {
 	if clockMS != 0 {
 		w.clockMS = clockMS
@@ -196,14 +227,14 @@
 	}
 }
 
-// grantLease returns the end of a lease given now, on the worker's clock, and
-// remembers when it will have lapsed.
+// grantLease returns the expiry of a lease granted now, on the worker's clock in
+// milliseconds, and records when that lease has expired on every clock.
 func (c *Core) grantLease(w *worker, now time.Time) int64 {
 	w.extendLease(now.Add(leaseExpiryDelay(c.settings.LeaseDuration)))
 	return w.minClockMS(now) + c.settings.LeaseDuration.Milliseconds()
 }
 
-// extendLease notes that a lease may last until a time; it never gets shorter.
+// extendLease records that a lease may last until a time. An earlier time has no effect.
 func (w *worker) extendLease(until time.Time) {
 	if until.After(w.leasesExpireAt) {
 		w.leasesExpireAt = until
@@ -219,14 +250,14 @@
 	return nil
 }
 
-// addRun puts a run on the worker and its task.
+// addRun adds a run to the worker and to its task.
 func (w *worker) addRun(r *run) {
 	w.runs = append(w.runs, r)
 	w.reserved = w.reserved.Add(r.step.spec.Reservation())
 	r.step.addRun(r.task(), r)
 }
 
-// removeRun takes a run that has ended off the worker and its task.
+// removeRun removes a run that has ended from the worker and from its task.
 func (c *Core) removeRun(r *run) {
 	w := r.worker
 	i := slices.Index(w.runs, r)
