--- a/internal/scheduler/incarnation.go
+++ b/internal/scheduler/incarnation.go
@@ -8,32 +8,32 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// A worker that restarts may keep its ID, so a worker's process is known by its ID and its
-// start. The new process knows nothing of before: it numbers its ends from 1, its clock
-// begins anew, and it has seen no fencing token and no stop. Its entry and its lists tell
-// its start; answers to orders don't.
+// A worker that restarts may keep its ID, so a process is identified by its ID and its start
+// time, the incarnation. The new process has no state of the previous one: it numbers its
+// exits from 1, its clock starts anew, and it has seen no fencing token and no stop. The
+// worker's registry entry and its lists state the incarnation; answers to other orders
+// don't.
 //
-// Calls that were on their way to the process before may reach the new one. Three rules
-// keep them harmless:
+// Orders that were in flight to the previous process may reach the new one. Three rules make
+// them harmless:
 //
-//   - Each incarnation has a fencing token of its own. What was sent before is refused
-//     once a poll with the new token has been carried out, and no task starts before that
-//     poll's list has come.
-//   - An acknowledgement travels only just after a list of the same incarnation. The new
-//     process would take it for its own ends and forget those unread.
-//   - A run that was ordered before counts as lost only once that list shows that it
+//   - Each incarnation has its own fencing token. The worker refuses earlier orders once it
+//     has carried out a poll with the new token, and no task starts there before the owner
+//     has that poll's list.
+//   - An acknowledgement is sent only shortly after a list of the same incarnation. The new
+//     process would apply it to its own exits and drop them unread.
+//   - A run that was ordered earlier counts as lost only once that list shows that the run
 //     isn't there.
 
-// maxAckReportAge is how old a worker's list may be for an acknowledgement to be sent: a process
-// takes longer to crash and start again.
+// maxAckReportAge is the maximum age of a worker's list when an acknowledgement is sent. A
+// process takes longer to crash and restart.
 const maxAckReportAge = 200 * time.Millisecond
 
-// minClockRegression is how far a worker's clock must have gone back to tell a restart where its
-// start isn't known: answers may overtake each other.
+// minClockRegression is how far a worker's clock must go back to count as a restart if the
+// incarnation is unknown. Answers that overtake each other cause smaller steps.
 const minClockRegression = time.Second
 
-// isOtherIncarnation tells whether a list was given by another incarnation than the one that is
-// known.
+// isOtherIncarnation reports whether a list comes from another incarnation than the known one.
 func (w *worker) isOtherIncarnation(r PollResult) bool {
 	if r.Report.Incarnation != 0 {
 		return w.incarnation != 0 && r.Report.Incarnation != w.incarnation
@@ -41,24 +41,24 @@
 	return r.Answer.ClockMS != 0 && w.clockMS-r.Answer.ClockMS > minClockRegression.Milliseconds()
 }
 
-// entryMatchesReports tells whether a worker's entry and its lists name the same start, as far as
-// they tell it. Where they don't, one of them is of an earlier incarnation.
+// entryMatchesReports reports whether a worker's entry and its lists name the same
+// incarnation, as far as both state one. If they differ, one of them is stale.
 //
-// A task starts only where they agree. Lists of entries are passed on only while the
-// ownership is confirmed, so an owner that was replaced unawares can't start tasks on an
-// incarnation that the next owner has not held.
+// A task starts only if they match. The owner gets new entries only while its ownership is
+// confirmed. So an owner that was replaced without knowing it can't start tasks on an
+// incarnation that the next owner has not polled.
 func (w *worker) entryMatchesReports() bool {
 	return w.info.Incarnation == 0 || w.incarnation == 0 || w.info.Incarnation == w.incarnation
 }
 
-// updateEntry takes a worker's entry. It may be older or newer than what the worker itself
-// has told, or of another writer, so that it only has the worker asked.
+// updateEntry applies a worker's registry entry. The entry may be older or newer than the
+// worker's lists, or come from another writer, so a new incarnation in it only causes a poll.
 func (c *Core) updateEntry(w *worker, entry workload.Worker, now time.Time) {
 	previous := w.info
 	w.info = entry
 	w.maxCapacity = w.maxCapacity.Max(entry.Capacity)
 	if entry.Incarnation != previous.Incarnation {
-		w.maxCapacity = entry.Capacity // the VM may be another one
+		w.maxCapacity = entry.Capacity // it may be another VM
 		w.entryMismatch = w.entryMismatch || !w.entryMatchesReports()
 	}
 	if entry.Leaving {
@@ -66,11 +66,11 @@
 	}
 	if w.replaced && previous.Address != "" && (entry.Incarnation != previous.Incarnation || entry.Address != previous.Address) {
 		w.replaced = false
-		c.handleRestart(w, entry.Incarnation, "another one had its address, and its entry is back", now)
+		c.handleRestart(w, entry.Incarnation, "another worker had its address, and its entry has changed", now)
 	}
 }
 
-// handleRestart takes that a worker's process has started again under its ID.
+// handleRestart records that a worker's process has restarted under its ID.
 func (c *Core) handleRestart(w *worker, incarnation int64, reason string, now time.Time) {
 	c.Counts.WorkerRestarts++
 	c.recordDecision(Decision{Verb: "worker-restarted", Worker: w.info.ID, Reason: reason, Age: now.Sub(w.lastPollAnsweredAt), AlwaysLogged: true})
@@ -90,25 +90,26 @@
 	w.failures = failureTracker{}
 	w.startBackoffUntil = time.Time{}
 	for _, r := range w.runs {
-		r.stopInFlight, r.stopConfirmed = false, false // the process before knew of the stop
+		r.stopInFlight, r.stopConfirmed = false, false // only the previous process had the stop
 	}
 	c.forgetAdvice(w.info.ID)
 	c.planStale = true
 }
 
+// restartReason returns why a list with another incarnation counts as a restart.
 func restartReason(previous, incarnation int64) string {
 	switch {
 	case incarnation == 0:
-		return "its clock went back"
+		return "its clock went backwards"
 	case incarnation < previous:
-		return fmt.Sprintf("it started at %d by its clock, before the one known so far, %d", incarnation, previous)
+		return fmt.Sprintf("it started at %d by its clock, before the start of the known incarnation, %d", incarnation, previous)
 	default:
-		return fmt.Sprintf("it started at %d, the one before at %d", incarnation, previous)
+		return fmt.Sprintf("it started at %d, the previous incarnation at %d", incarnation, previous)
 	}
 }
 
-// raiseToken gives a worker the next fencing token. There are as many as the epochs leave
-// room for; the next owner has more.
+// raiseToken gives a worker the next fencing token. Without a token left in its epoch the
+// owner steps down; the next owner has new ones.
 func (c *Core) raiseToken(w *worker) {
 	if w.token+1 >= (c.settings.Epoch+1)*tokensPerEpoch {
 		c.StepDown("no fencing token is left for worker " + w.info.ID)
@@ -117,7 +118,7 @@
 	w.token++
 }
 
-// recordIncarnation takes which incarnation has given a list.
+// recordIncarnation records which incarnation a list comes from.
 func (c *Core) recordIncarnation(w *worker, report workload.PollReport) {
 	if report.Incarnation != 0 {
 		w.incarnation = report.Incarnation
@@ -127,16 +128,16 @@
 		return
 	}
 	w.incarnationUnknownLogged = true
-	reason := "its lists don't tell when it started"
+	reason := "its lists don't state when it started"
 	if report.IncarnationErr != nil {
 		reason = report.IncarnationErr.Error()
 	}
 	c.recordDecision(Decision{Verb: "worker-start-unknown", Worker: w.info.ID, Reason: reason, AlwaysLogged: true})
 }
 
-// resolveIncarnation takes the first list of an incarnation under its own token: no order
-// that was sent before has effect any more, so that runs which are not listed are lost
-// with the process that they were ordered to.
+// resolveIncarnation handles the first list of an incarnation under its own token. No
+// earlier order has an effect any more, so runs that were ordered to a previous process and
+// are not listed are lost.
 func (c *Core) resolveIncarnation(w *worker, report workload.PollReport, now time.Time) {
 	w.incarnationUnresolved = false
 	var lost []*run
@@ -144,7 +145,7 @@
 		switch {
 		case r.incarnation == 0 || r.incarnation == w.incarnation:
 		case isListed(report.Running, r) || hasExited(report.Exited, r):
-			r.incarnation = w.incarnation // its start arrived late
+			r.incarnation = w.incarnation // its start reached the new process
 		default:
 			lost = append(lost, r)
 		}
@@ -153,31 +154,32 @@
 		c.handleProcessExit(w, lost, now)
 	}
 	if !w.restartDetectedAt.IsZero() {
-		// An order with a lease by the clock of the process before may have arrived.
+		// An order with a lease by the previous process's clock may have arrived.
 		w.extendLease(now.Add(leaseExpiryDelay(c.settings.MaxLeaseDuration)))
 	}
 }
 
-// hasBlamedRunsOfEarlierIncarnation tells whether it is still unclear if an earlier incarnation of the
-// worker has crashed.
+// hasBlamedRunsOfEarlierIncarnation reports whether a crash of an earlier incarnation of the
+// worker is unconfirmed.
 func (w *worker) hasBlamedRunsOfEarlierIncarnation() bool {
 	return !w.crashUnconfirmedUntil.IsZero() && slices.ContainsFunc(w.blamedRuns, func(r *run) bool { return r.incarnation != 0 && r.incarnation != w.incarnation })
 }
 
-// mayOutliveLeases tells whether runs on a worker of which a restart is known may outlive the
-// leases that were given: a start that arrived late has its lease cut to the longest one.
+// mayOutliveLeases reports whether runs on a restarted worker may outlive the leases that
+// were granted. A start for the previous process may have reached the new one, whose clock
+// is behind; the worker then cuts the lease to MaxLeaseDuration.
 func (c *Core) mayOutliveLeases(w *worker, now time.Time) bool {
 	return w.incarnationUnresolved && !w.restartDetectedAt.IsZero() && now.Before(w.restartDetectedAt.Add(leaseExpiryDelay(c.settings.MaxLeaseDuration)))
 }
 
-// canAcknowledge tells whether an acknowledgement may travel with a poll that is sent now.
+// canAcknowledge reports whether a poll that is sent now may carry an acknowledgement.
 func (c *Core) canAcknowledge(w *worker, now time.Time) bool {
 	if !w.hasPendingAck() || !w.synced || w.unreachable || w.entryMismatch {
 		return false
 	}
 	reportedAt := w.lastPollAnsweredAt
 	if now.Before(c.stalledUntil) {
-		reportedAt = w.lastAnsweredPollSentAt // the answer may have lain unread
+		reportedAt = w.lastAnsweredPollSentAt // the answer may have waited unread
 	}
 	return now.Sub(reportedAt) < maxAckReportAge
 }
@@ -186,10 +188,10 @@
 	return slices.ContainsFunc(exited, func(e workload.RunExit) bool { return e.Run == r.number && e.Task == r.taskKey() })
 }
 
-// handleUnreadExit takes that a run has vanished from the worker that had it, which lists no end:
-// the end was acknowledged before anybody read it. The task may be done, so that it isn't
-// started again unless it may run more than once; and as nothing will ever tell, its job
-// ends as failed rather than never.
+// handleUnreadExit handles a run that has vanished from its worker without a listed exit: the
+// exit was acknowledged before an owner read it. The task may be done, so it must not start
+// again unless it may run more than once. As its result will never be known, its job fails;
+// otherwise the job would never end.
 func (c *Core) handleUnreadExit(r *run, now time.Time) {
 	c.Counts.UnreadExits++
 	c.recordDecision(Decision{Verb: "end-unread", Job: r.step.job.id, Task: r.taskKey().String(), Worker: r.worker.info.ID, Run: r.number, Reason: "the worker lists neither the run nor its end", Age: now.Sub(r.orderedAt), AlwaysLogged: true})
--- a/internal/scheduler/poll.go
+++ b/internal/scheduler/poll.go
@@ -7,58 +7,56 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Times of polls of workers.
 const (
-	// maxPollWait is how long a worker may hold back its answer while nothing ends.
-	// Twice that and a lost answer are within a lease.
+	// maxPollWait is how long a worker may delay its answer while no run ends. Two such waits
+	// and a lost answer fit into a lease.
 	maxPollWait = time.Second
-	// loadWatchPollWait is the same where the load of serving tasks is watched, or a
-	// task's return to work is waited for.
+	// loadWatchPollWait replaces maxPollWait while the load of serving tasks is watched, or a
+	// long-running task is expected to return to full speed.
 	loadWatchPollWait = 400 * time.Millisecond
-	// startCheckPollWait is the same where it is to be learned whether a run has begun.
+	// startCheckPollWait replaces maxPollWait while it is unknown whether a run has started.
 	startCheckPollWait = 50 * time.Millisecond
-	// unackedPollInterval is the pause between polls of a worker whose ends can't be
-	// acknowledged yet, as while the store is away: it would answer each at once.
+	// unackedPollInterval is the pause between polls of a worker whose exits can't be
+	// acknowledged yet, for example during an outage of the store: the worker answers each
+	// poll without waiting.
 	unackedPollInterval = 400 * time.Millisecond
-	// minPollInterval is the shortest pause between two polls: ends that come closely
-	// one after the other are read together.
+	// minPollInterval is the shortest pause between two polls. Exits that follow each other
+	// closely are read together.
 	minPollInterval = 15 * time.Millisecond
-	// pollIntervalPerWorker is added for each worker of the owner, so that all of them
-	// together are polled about a thousand times a second at most, which a
-	// fifth of a core bears.
+	// pollIntervalPerWorker is added to minPollInterval for each worker of the owner. It
+	// limits all polls together to about a thousand a second, a fifth of a core.
 	pollIntervalPerWorker = 700 * time.Microsecond
 	// pollRetryInterval is the pause after a poll without an answer.
 	pollRetryInterval = 250 * time.Millisecond
-	// firstPollRetryInterval is the same after the first such poll: a worker that has crashed refuses
-	// the next, and that is to be stored before this owner may be lost.
+	// firstPollRetryInterval replaces pollRetryInterval after the first such poll. A crashed
+	// worker refuses the next poll, and the crash must be stored before this owner may be lost.
 	firstPollRetryInterval = 20 * time.Millisecond
-	// pollAnswerSlack is how long an answer may take beyond the wait that it was asked for
-	// before another poll is sent: many times an order and its answer.
+	// pollAnswerSlack is how long an answer may take beyond the requested wait before an extra
+	// poll is sent: many times the round trip of an order.
 	pollAnswerSlack = 100 * time.Millisecond
-	// maxExtraPollsPerWorker bounds the polls beside the first that are under way to one worker:
-	// of three in a row hardly all are lost. allExtraPolls bounds them for all workers.
-	// One in seven answers lost makes some ten at a time; more are no loss, but a node
-	// that is behind, or workers that are cut off.
+	// maxExtraPollsPerWorker bounds the extra polls in flight to one worker: three polls in a
+	// row are hardly ever all lost. maxExtraPollsTotal bounds them for all workers. If one in
+	// seven answers is lost, about ten are in flight. More are a sign of an overloaded node
+	// or partitioned workers, not of lost answers.
 	maxExtraPollsPerWorker = 2
 	maxExtraPollsTotal     = 32
-	// exitEstimateSlack is added to the estimate of a run's end: estimates are rough.
+	// exitEstimateSlack is added to the estimated time to a run's exit; estimates are rough.
 	exitEstimateSlack = 100 * time.Millisecond
 )
 
-// maxStepGap is the longest pause between two steps of a process that gets on.
+// maxStepGap is the longest pause between two steps of a process that is not stalled.
 const maxStepGap = 400 * time.Millisecond
 
-// stallGracePeriod is how long after a longer pause the silence of workers says nothing:
-// their answers may lie unread here.
+// stallGracePeriod is how long the silence of workers proves nothing after a longer pause:
+// their answers may be waiting unread in this process.
 const stallGracePeriod = 2 * time.Second
 
-// silenceTimeout is how long a worker that is registered may be silent before its
-// tasks are given up. One that has crashed is no longer registered after 4.5 s;
-// one that is cut off has most likely ended its short tasks, and tells when it is
-// back.
+// silenceTimeout is how long a registered worker may be silent before its runs are dropped.
+// A crashed worker is unregistered after 4.5 s. A partitioned worker has most likely
+// completed its short tasks and lists their exits once it is reachable again.
 const silenceTimeout = 10 * time.Second
 
-// detectStall notes how far apart steps are.
+// detectStall sets stalledUntil after a pause between steps of more than maxStepGap.
 func (c *Core) detectStall(now time.Time) {
 	if !c.lastStepAt.IsZero() && now.Sub(c.lastStepAt) > maxStepGap {
 		c.stalledUntil = now.Add(stallGracePeriod)
@@ -66,19 +64,19 @@
 	c.lastStepAt = now
 }
 
-// expireRuns drops runs whose lease has lapsed on a worker that does not answer.
-// The last word is a poll that was sent after that: a worker that answers it may
-// list ends as done, and a task that was started again meanwhile would run twice.
-// A process that hardly gets on does not take silence for an answer at all, and a
-// worker that is still registered lives, and will most likely tell.
-// A start that got no answer may be carried out much later, with its lease
-// counted from then; it is kept as long as that.
+// expireRuns drops the runs on unreachable workers whose leases have expired.
+//
+// The runs are kept until a poll that was sent after the expiry has failed, too: a worker
+// that answers it may list runs as done, and a task that was started again meanwhile would
+// run twice. They are also kept while this process is stalled, when silence proves nothing,
+// and until silenceTimeout while the worker is registered: it is alive and will most likely
+// answer.
 func (c *Core) expireRuns(now time.Time) {
 	for _, w := range c.sortedWorkers {
 		if !w.unreachable || now.Before(w.leasesExpireAt) || now.Before(c.stalledUntil) || c.mayOutliveLeases(w, now) {
 			continue
 		}
-		hasAddress := w.info.Address != "" // not where only an earlier owner named it
+		hasAddress := w.info.Address != "" // it has none if only an earlier owner has named it
 		if hasAddress && (w.lastUnansweredPollSentAt.Before(w.leasesExpireAt) || !w.unregistered && now.Sub(w.lastPollAnsweredAt) < silenceTimeout) {
 			continue
 		}
@@ -90,8 +88,9 @@
 	}
 }
 
-// dropExpiredRuns drops the runs of a worker whose leases are over, but for those that may begin
-// late.
+// dropExpiredRuns drops the runs on a worker whose leases have expired. On a registered worker
+// it keeps runs of which neither a start nor a stop is confirmed: the start may be carried
+// out up to maxOrderDelay later, with its lease counted from then.
 func (c *Core) dropExpiredRuns(w *worker, now time.Time) {
 	expired := slices.DeleteFunc(slices.Clone(w.runs), func(r *run) bool {
 		return !r.startConfirmed && !r.stopConfirmed && !w.unregistered && now.Before(r.orderedAt.Add(maxOrderDelay+leaseExpiryDelay(c.settings.LeaseDuration)))
@@ -107,7 +106,7 @@
 	}
 }
 
-// pollWorkers orders a poll of each worker that has something to tell.
+// pollWorkers orders polls of the workers that are due.
 func (c *Core) pollWorkers(now time.Time) {
 	for _, w := range c.sortedWorkers {
 		if w.info.Address == "" || w.replaced || now.Before(w.nextPollAt) {
@@ -117,8 +116,8 @@
 			c.sendExtraPoll(w, now)
 			continue
 		}
-		// One that did not answer gets nothing until it does, so it is asked also
-		// when it has nothing to tell.
+		// An unreachable worker gets no starts until it answers, so it is polled even if it
+		// has no runs and no exits.
 		mayHaveRuns := len(w.runs) > 0 || now.Before(w.lateStartUntil)
 		needed := !w.synced || w.unreachable || mayHaveRuns || w.lastExitSeen > w.ackAllowed || w.hasPendingAck() || w.entryMismatch ||
 			w.isDrainingAndIdle(now) && now.Sub(w.lastAnsweredPollSentAt) >= drainedPollInterval || now.Sub(w.clockReadAt) >= maxClockAge
@@ -130,8 +129,8 @@
 			poll.AckedUpTo = w.ackAllowed
 		}
 		w.ackSent = poll.AckedUpTo
-		// A worker that may be gone gets no longer lease: its tasks would have to
-		// wait for that one to lapse, too.
+		// A worker that may be gone gets no renewal: its tasks would have to wait for the
+		// longer lease to expire.
 		inSync := w.synced && !w.unreachable && !w.entryMismatch
 		if len(w.runs) > 0 && inSync && c.hasAuthority(now) {
 			poll.LeaseExpiresAtMS = c.grantLease(w, now)
@@ -146,10 +145,9 @@
 	}
 }
 
-// sendExtraPoll sends another poll where the answer of the latest is late. An answer that
-// is lost would else be waited for until its time-out, as long as two or three short
-// tasks take; meanwhile the worker's ends are not seen, nothing new is started in their
-// place, and then it counts as silent.
+// sendExtraPoll sends another poll if the answer of the latest is overdue. Without it a lost
+// answer blocks polling until its timeout, the time of two or three short tasks: the worker's
+// exits stay unread, nothing starts in their place, and then the worker counts as silent.
 func (c *Core) sendExtraPoll(w *worker, now time.Time) {
 	if w.extraPollsInFlight >= maxExtraPollsPerWorker || now.Before(w.pollAnswerDueAt) || now.Before(c.stalledUntil) || c.extraPollsInFlight >= maxExtraPollsTotal {
 		return
@@ -162,8 +160,8 @@
 	c.orders.Polls = append(c.orders.Polls, PollOrder{Worker: w.info, Poll: poll, Extra: true})
 }
 
-// pollWait is how long a poll may wait for an end. Where a run is expected to end sooner
-// than the longest wait, the answer is expected sooner, too, so that its loss shows.
+// pollWait returns how long a poll may wait for an exit. The wait is shorter if a run is
+// expected to end before maxPollWait, so that a lost answer is detected sooner.
 func (c *Core) pollWait(w *worker, now time.Time) time.Duration {
 	serving, bestEffort, resuming := false, false, false
 	wait := maxPollWait
@@ -187,8 +185,8 @@
 	return wait
 }
 
-// estimatedTimeToExit is how long a run may go on, by estimate. One that has outlasted it may go on
-// as long again.
+// estimatedTimeToExit returns how long a run may go on, by its estimate. A run that has
+// exceeded its estimate by some time is expected to go on for as long again.
 func (r *run) estimatedTimeToExit(now time.Time) time.Duration {
 	rest := estimate(r.step.spec) - now.Sub(r.orderedAt)
 	return max(rest, -rest)
--- a/internal/scheduler/pollresult.go
+++ b/internal/scheduler/pollresult.go
@@ -8,11 +8,11 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// maxListedExits is how many ends one answer lists at most; more follow once
-// these are acknowledged.
+// maxListedExits is the maximum number of exits in one answer. More follow once these are
+// acknowledged.
 const maxListedExits = 500
 
-// PollResult is the outcome of a HoldOrder.
+// PollResult is the outcome of a PollOrder.
 type PollResult struct {
 	Worker string
 	Token  int64
@@ -22,7 +22,7 @@
 	Answer workload.WorkerAnswer
 }
 
-// HandlePollResult takes the outcome of a poll.
+// HandlePollResult handles the outcome of a poll.
 func (c *Core) HandlePollResult(r PollResult, now time.Time) {
 	if r.Extra {
 		c.extraPollsInFlight--
@@ -31,9 +31,9 @@
 	if w == nil {
 		return
 	}
-	// An answer that a later one has overtaken says nothing any more: what it lists as
-	// running may have ended. Its end, if it lists one, is listed again. Nor does one that
-	// was asked for before a restart of the worker was known.
+	// An answer that a later one has overtaken is stale: runs that it lists may have ended,
+	// and the exits that it lists are listed again. An answer to a poll that was sent before
+	// a restart of the worker was detected is stale, too.
 	stale := r.SentAt.Before(w.lastAnsweredPollSentAt) || r.Token < w.token
 	if r.Extra {
 		w.extraPollsInFlight--
@@ -58,20 +58,20 @@
 	case r.Answer.Status == workload.WorkerOK:
 		w.lastAnsweredPollSentAt = r.SentAt
 		w.lastReportClockMS = r.Answer.ClockMS
-		w.pollInFlight = false // the answer of a poll that was sent earlier will be overtaken
+		w.pollInFlight = false // the answer of an earlier poll will be stale
 		c.handlePollReport(w, r, now)
 	default:
 		c.handlePollFailure(w, r, now)
 	}
 }
 
-// isStaleReport tells whether a list was made before the one that was taken last: a poll that
-// was sent earlier may have waited longer for its answer.
+// isStaleReport reports whether a list is older than the last accepted one. An earlier poll
+// may wait longer at the worker, so that its list is the newer one.
 func (w *worker) isStaleReport(r PollResult) bool {
 	return r.Answer.Status == workload.WorkerOK && r.Answer.ClockMS < w.lastReportClockMS && !w.isOtherIncarnation(r)
 }
 
-// handlePollFailure takes a poll that got no answer, or none that says anything.
+// handlePollFailure handles a poll that got no usable answer.
 func (c *Core) handlePollFailure(w *worker, r PollResult, now time.Time) {
 	w.lastUnansweredPollSentAt = r.SentAt
 	w.nextPollAt = now.Add(pollRetryInterval)
@@ -88,16 +88,16 @@
 	}
 }
 
-// handleFenced gives up if a later owner has ordered the worker. An order that was
-// overtaken by a raise of this owner's own token is simply void.
+// handleFenced steps down if a later owner has sent orders to the worker. An order that was
+// refused because this owner has raised its own token meanwhile has no further effect.
 func (c *Core) handleFenced(w *worker, token int64) {
 	if token >= w.token {
 		c.StepDown("worker " + w.info.ID + " has seen a higher fencing token")
 	}
 }
 
-// handleReplaced takes that another incarnation answers at a worker's address: its process
-// has ended, and all that it ran. It is not asked again while it is still listed.
+// handleReplaced records that another incarnation answers at a worker's address: the worker's
+// process and its runs have ended. The worker is not polled again until its entry changes.
 func (c *Core) handleReplaced(w *worker, now time.Time) {
 	if w.replaced {
 		return
@@ -106,6 +106,7 @@
 	c.handleProcessExit(w, w.runs, now)
 }
 
+// handlePollReport handles the report of an answered poll.
 func (c *Core) handlePollReport(w *worker, r PollResult, now time.Time) {
 	c.recordIncarnation(w, r.Report)
 	if w.incarnationUnresolved {
@@ -148,7 +149,7 @@
 	c.planStale = true
 }
 
-// handleListedRun takes a run that a worker lists in answer to a poll sent at a time.
+// handleListedRun handles a run that a worker lists in answer to a poll sent at sentAt.
 func (c *Core) handleListedRun(w *worker, listed workload.ListedRun, sentAt, now time.Time) {
 	r := w.findRun(listed.Task, listed.Run)
 	if r == nil {
@@ -176,8 +177,8 @@
 	}
 }
 
-// adoptRun takes over a run that an earlier owner started. One that is not wanted
-// is stopped.
+// adoptRun adds a listed run that an earlier owner started. It stops a run that is not
+// needed, and returns nil if the run's task is unknown.
 func (c *Core) adoptRun(w *worker, listed workload.ListedRun, now time.Time) *run {
 	s, t := c.findTask(listed.Task)
 	if s == nil {
@@ -189,11 +190,11 @@
 		c.dropEarlierRuns(t, listed.Run)
 	}
 	others := len(t.runs)
-	w.extendLease(now.Add(leaseExpiryDelay(c.settings.LeaseDuration))) // the earlier owner's latest one
+	w.extendLease(now.Add(leaseExpiryDelay(c.settings.LeaseDuration))) // the earlier owner may have renewed it just now
 	w.addRun(r)
 	switch {
 	case s.job.finalState.IsTerminal() || t.done:
-		c.stopRun(r, "no longer wanted")
+		c.stopRun(r, "no longer needed")
 	case others > 0 && !s.spec.Speculative:
 		c.Counts.DuplicateRuns++
 		c.recordDecision(Decision{Verb: "second-run", Job: s.job.id, Task: r.taskKey().String(), Worker: w.info.ID, Run: r.number, Reason: fmt.Sprintf("run %d of the task is on %s", t.runs[0].number, t.runs[0].worker.info.ID), Age: now.Sub(c.tookOverAt), AlwaysLogged: true})
@@ -202,9 +203,10 @@
 	return r
 }
 
-// dropEarlierRuns forgets runs of a task that earlier owners left and that nobody has listed, as
-// one with a higher number is listed: a task is started anew only once its run before is known
-// to be over, though the owner that knew may not have lived to store it.
+// dropEarlierRuns removes runs of a task with a lower number that earlier owners left and no
+// worker has listed. A task starts again only once its previous run is known to be over, so
+// the listed run with the higher number proves that they are over. The owner that knew it
+// may have been lost before it stored that.
 func (c *Core) dropEarlierRuns(t *task, number int64) {
 	for _, r := range slices.Clone(t.runs) {
 		if r.number < number && r.state == runUnanswered && (r.inherited || r.restored) {
@@ -214,7 +216,7 @@
 	}
 }
 
-// handleMissingRuns looks for runs that the worker no longer lists.
+// handleMissingRuns handles the runs that the worker no longer lists.
 func (c *Core) handleMissingRuns(w *worker, result PollResult, now time.Time) {
 	for _, r := range slices.Clone(w.runs) {
 		if r.stateChangedAt.After(result.SentAt) || r.state == runStarting || isListed(result.Report.Running, r) {
@@ -222,8 +224,8 @@
 		}
 		switch {
 		case r.state == runUnanswered:
-			// The start was not carried out so far. A stop that is answered
-			// keeps it from being carried out later.
+			// The start has not been carried out yet. A stop that is accepted keeps it
+			// from being carried out later.
 			c.stopRun(r, "start without an answer")
 			c.sendStop(r, now)
 		case r.state == runStopping && !r.stopConfirmed:
@@ -236,11 +238,12 @@
 	}
 }
 
+// isListed reports whether a worker lists the run as running.
 func isListed(running []workload.ListedRun, r *run) bool {
 	return slices.ContainsFunc(running, func(listed workload.ListedRun) bool { return listed.Run == r.number && listed.Task == r.taskKey() })
 }
 
-// handleExit takes the end of a run.
+// handleExit handles the exit of a run.
 func (c *Core) handleExit(w *worker, exit workload.RunExit, now time.Time) {
 	runDuration := time.Duration(0)
 	if r := w.findRun(exit.Task, exit.Run); r != nil {
@@ -268,7 +271,7 @@
 	c.planStale = true
 }
 
-// completeTask marks a task done; of a gang one end stands for all.
+// completeTask marks a task as done. In a gang one completed task completes all.
 func (c *Core) completeTask(s *step, t *task, now time.Time) {
 	c.Counts.DoneTasks++
 	if s.spec.Gang {
@@ -283,20 +286,21 @@
 	}
 	c.dirtyJobs[s.job.id] = s.job
 	if s.doneCount == len(s.tasks) {
-		c.requestRerank(s) // the next step's turn has come, and less work is left
+		c.requestRerank(s) // the next step may be ready, and less work is left
 	}
 	if s.job.remainingTasks == 0 {
 		c.completeJob(s.job, workload.Completed, now)
 	}
 }
 
-// recordFailedRun counts an attempt that failed by its own fault.
+// recordFailedRun records a run that failed by its task's own fault, and fails the job once
+// the queue's MaxAttempts is reached.
 func (c *Core) recordFailedRun(w *worker, s *step, t *task, exit workload.RunExit, now time.Time) {
 	c.Counts.FailedRuns++
 	t.avoidWorker = w.info.ID
 	t.avoidUntil = now.Add(avoidWorkerDuration)
 	if s.spec.LongRunning {
-		return // these have no limit of attempts
+		return // no limit of attempts
 	}
 	if slices.Contains(t.failedRuns, exit.Run) {
 		return
@@ -313,14 +317,15 @@
 	}
 }
 
-// avoidWorkerDuration is how long a task that failed on a worker waits for room on others.
-// After that it may run there again: its failure may be its own.
+// avoidWorkerDuration is how long a task that failed on a worker waits for free capacity on
+// other workers. After that it may run there again: its failure may be its own fault.
 const avoidWorkerDuration = time.Second
 
-// defaultMaxAttempts is taken where the queue was removed while its jobs run.
+// defaultMaxAttempts applies if the queue sets no limit or was removed while its jobs run.
 const defaultMaxAttempts = 2
 
-// failedRunCount counts the runs of a gang that failed, each once.
+// failedRunCount returns the number of failed runs of a gang. Its members share a run number
+// and count once.
 func (s *step) failedRunCount() int {
 	seen := map[int64]bool{}
 	for i := range s.tasks {
--- a/internal/scheduler/silence.go
+++ b/internal/scheduler/silence.go
@@ -7,28 +7,28 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// A task may take the VM of its worker with it. Nothing refuses calls then, and nothing
-// comes up at the address, so the loss looks like that of a worker that was cut off and
-// says nothing by itself: a zone that is cut off loses hundreds of tasks at once. Time and
-// again, soon after each start of one task, it does. Several such losses make the task a
-// suspect, as unlikely causes are (suspect.go); those under its trials prove it.
+// A task may crash the VM of its worker. Then nothing refuses connections and no successor
+// appears at the address, so the loss looks like a partition, and one such loss proves
+// nothing: a partitioned zone loses hundreds of tasks at once. Repeated losses soon after
+// each start of one task do count. Several make the task a suspect, as for unlikely causes
+// of crashes (suspect.go); losses during its isolated runs prove it to be the cause.
 const (
-	// maxSilenceDelay is how long after a start its worker may have fallen silent for the
-	// loss to count. The poll that shows it has waited for an answer.
+	// maxSilenceDelay is how long after a start the worker may have become silent for the
+	// loss to count. The poll that detects it has waited for an answer.
 	maxSilenceDelay = 2 * time.Second
-	// silentLossesPerCrash is how many losses under trials weigh as much as an early crash.
+	// silentLossesPerCrash is how many losses during isolated runs count as one early crash.
 	silentLossesPerCrash = 2
 )
 
-// recordSilentLosses notes which of the runs that lapse on a worker had their start soon before it
-// fell silent, and returns them.
+// recordSilentLosses records a crash for each of the expired runs on a worker that had started
+// within maxSilenceDelay before the worker became silent, and returns those runs.
 func (c *Core) recordSilentLosses(w *worker, runs []*run, now time.Time) (blamed []*run) {
 	if len(runs) == 0 || now.Before(w.drainUntil) || !w.crashUnconfirmedUntil.IsZero() || c.listedNonCrashReason(w, runs) != "" {
 		return nil
 	}
 	silentSince := w.unreachableSince
 	if silentSince.IsZero() {
-		silentSince = c.tookOverAt // it has never answered this owner
+		silentSince = c.tookOverAt // the worker has never answered this owner
 	}
 	anyIsolated := slices.ContainsFunc(runs, func(r *run) bool { return r.isolated })
 	for _, r := range runs {
@@ -43,7 +43,7 @@
 		})
 		c.addCrashedStep(r.step)
 		if r.isolated || len(t.crashes) > 1 {
-			c.queueCrashWrite(r.step, t) // the first says nothing, and there may be hundreds
+			c.queueCrashWrite(r.step, t) // a single loss proves nothing, and there may be hundreds
 		}
 		r.isolated = false
 		blamed = append(blamed, r)
@@ -51,7 +51,8 @@
 	return blamed
 }
 
-// withdrawSilentLosses takes back what the silence of a worker's process said: it was cut off.
+// withdrawSilentLosses removes the crashes that were recorded for the silence of a worker's
+// process that answers again: it was partitioned.
 func (c *Core) withdrawSilentLosses(w *worker) {
 	for _, s := range c.stepsWithCrashes {
 		for i := range s.tasks {
--- a/internal/scheduler/starttracker.go
+++ b/internal/scheduler/starttracker.go
@@ -6,34 +6,35 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// overtakenThreshold is how many starts later than one without an answer one must be that was
-// answered for the first to count as lost: as many as may be in flight. On a node that
-// is behind all answers come late, but about in the order of their starts.
+// overtakenThreshold is the number of starts by which an answered start must be later than an
+// unanswered one for the latter's answer to count as lost: as many as may be in flight. On
+// an overloaded node all answers are late, but arrive roughly in the order of their starts.
 const overtakenThreshold = maxStartsInFlight
 
-// overtakenStartTimeout is how long an overtaken start may be without an answer before its
-// worker is asked: many times an order and its answer, and a third of a short task. Its
-// time-out is a second, in which the task may neither run nor be started elsewhere.
+// overtakenStartTimeout is how long an overtaken start may be unanswered before its worker is
+// polled: many times the round trip of an order, and a third of a short task. The order's
+// own timeout is a second, in which the task may neither run nor start elsewhere.
 const overtakenStartTimeout = 200 * time.Millisecond
 
-// startID names one start of a task.
+// startID identifies one start of a task.
 type startID struct {
 	task workload.TaskKey
 	run  int64
 }
 
-// startTracker counts the starts that wait for an answer and whose number is bounded.
-// Those whose answer is lost are not among them: an answer is given up after a
-// second, and at 1,600 starts a second one lost answer of twenty-five would take all
-// places that there are, so that tasks wait beside free workers.
+// startTracker counts the unanswered starts, which maxStartsInFlight bounds. Starts whose
+// answer counts as lost are not counted. An answer times out after a second, so at 1,600
+// starts a second one lost answer in twenty-five would use up the bound, and tasks would
+// wait beside free workers.
 type startTracker struct {
-	unanswered   map[startID]int64 // the start's number
-	queue        []sentStart       // those that wait, and some that were answered
-	lastSent     int64             // the latest start's number
-	lastAnswered int64             // the number of the latest start that was answered
-	overtaken    []*run            // overtaken, and not asked about yet
+	unanswered   map[startID]int64 // sequence number of the start
+	queue        []sentStart       // unanswered starts in order, and some answered ones
+	lastSent     int64             // sequence number of the latest start
+	lastAnswered int64             // sequence number of the latest answered start
+	overtaken    []*run            // runs whose start was overtaken and whose worker was not polled for it yet
 }
 
+// sentStart is a start and its sequence number.
 type sentStart struct {
 	run    *run
 	number int64
@@ -50,7 +51,8 @@
 	f.queue = append(f.queue, sentStart{r, f.lastSent})
 }
 
-// resolve takes a start that was answered or given up.
+// resolve removes a start that was answered or given up, and moves starts that were
+// overtaken to f.overtaken.
 func (f *startTracker) resolve(id startID, answered bool) {
 	number, known := f.unanswered[id]
 	delete(f.unanswered, id)
@@ -71,10 +73,10 @@
 	}
 }
 
-// isFull tells whether no more starts may be sent.
+// isFull reports whether maxStartsInFlight is reached.
 func (f *startTracker) isFull() bool { return len(f.unanswered) >= maxStartsInFlight }
 
-// pollOvertakenStarts has the workers asked about starts whose answer seems to be lost.
+// pollOvertakenStarts schedules polls of the workers with overtaken starts.
 func (c *Core) pollOvertakenStarts(now time.Time) {
 	for len(c.startsInFlight.overtaken) > 0 {
 		r := c.startsInFlight.overtaken[0]
@@ -88,7 +90,7 @@
 	}
 }
 
-// markStartUnanswered notes that a start has no answer, and has the worker asked at once.
+// markStartUnanswered records that a start got no answer and schedules an immediate poll.
 func (c *Core) markStartUnanswered(r *run, reason string, now time.Time) {
 	c.Counts.UnansweredStarts++
 	c.recordDecision(Decision{Verb: "uncertain", Job: r.step.job.id, Task: r.taskKey().String(), Worker: r.worker.info.ID, Run: r.number, Reason: "start without an answer: " + reason, AlwaysLogged: true})
@@ -96,5 +98,5 @@
 	r.stateChangedAt = now
 	r.worker.lateStartUntil = r.orderedAt.Add(maxOrderDelay)
 	r.worker.nextPollAt = now
-	r.worker.pollAnswerDueAt = now // the poll under way may wait for an end for long
+	r.worker.pollAnswerDueAt = now // the poll in flight may wait long for an exit
 }
