--- a/internal/scheduler/fakecrash_test.go
+++ b/internal/scheduler/fakecrash_test.go
@@ -100,7 +100,7 @@
 	f.terminated, f.processCrashed = false, false
 	f.restartCount++
 	f.clockStartedAt = f.world.now
-	f.highestToken, f.leaseExpiresAt, f.lastExitNumber, f.ackedUpTo, f.lastExitAtLapse = 0, 0, 0, 0, 0
+	f.highestToken, f.leaseExpiresAt, f.lastExitNumber, f.ackedUpTo, f.lastExitAtLeaseExpiry = 0, 0, 0, 0, 0
 	f.unackedExits = nil
 	f.highestRunByTask = map[string]int64{}
 	f.info.Incarnation = f.world.now.UnixMilli()
--- a/internal/scheduler/fakeworker_test.go
+++ b/internal/scheduler/fakeworker_test.go
@@ -26,15 +26,15 @@
 	hasSuccessor      bool
 	capacityReducedAt time.Time // when its room shrank last
 
-	highestToken     int64
-	leaseExpiresAt   int64 // on its clock, milliseconds
-	runs             []*fakeRun
-	unackedExits     []workload.RunExit
-	ackedUpTo        int64 // ends up to this number are forgotten, also those that come later
-	lastExitNumber   int64
-	highestRunByTask map[string]int64 // of runs that stopped or ended, by task
-	lastExitAtLapse  int64            // ends up to this number were listed when the lease lapsed
-	waitingPolls     []func()
+	highestToken          int64
+	leaseExpiresAt        int64 // on its clock, milliseconds
+	runs                  []*fakeRun
+	unackedExits          []workload.RunExit
+	ackedUpTo             int64 // ends up to this number are forgotten, also those that come later
+	lastExitNumber        int64
+	highestRunByTask      map[string]int64 // of runs that stopped or ended, by task
+	lastExitAtLeaseExpiry int64            // ends up to this number were listed when the lease lapsed
+	waitingPolls          []func()
 }
 
 type fakeRun struct {
@@ -109,7 +109,7 @@
 	if f.terminated || f.leaseExpiresAt == 0 || f.clockMillis() < f.leaseExpiresAt {
 		return
 	}
-	f.lastExitAtLapse = f.lastExitNumber
+	f.lastExitAtLeaseExpiry = f.lastExitNumber
 	for _, r := range slices.Clone(f.runs) {
 		f.endRun(r, workload.ExitLeaseExpired)
 	}
@@ -263,7 +263,7 @@
 	switch exit.Reason {
 	case workload.ExitDone:
 		taskName := exit.Task.String()
-		if exit.Sequence <= f.lastExitAtLapse {
+		if exit.Sequence <= f.lastExitAtLeaseExpiry {
 			return // nobody could know of it in time
 		}
 		job.acknowledged[taskName] = true
--- a/internal/scheduler/longrunning_test.go
+++ b/internal/scheduler/longrunning_test.go
@@ -45,13 +45,13 @@
 	require.Len(t, starts, 2)
 	drainedWorker := starts[0].Worker.ID
 	require.Equal(t, drainedWorker, starts[1].Worker.ID, "lasting tasks lie together")
-	runState := func(s scheduler.StartOrder, percent int) workload.ListedRun {
+	listedRun := func(s scheduler.StartOrder, percent int) workload.ListedRun {
 		return workload.ListedRun{Task: s.Start.Task, Run: s.Start.Run, SpeedPercent: percent}
 	}
 	for _, s := range starts {
 		r.answerStart(s, workload.WorkerOK)
 	}
-	r.answerPoll(drainedWorker, r.now.Add(time.Millisecond), workload.PollReport{Running: []workload.ListedRun{runState(starts[0], 100), runState(starts[1], 100)}})
+	r.answerPoll(drainedWorker, r.now.Add(time.Millisecond), workload.PollReport{Running: []workload.ListedRun{listedRun(starts[0], 100), listedRun(starts[1], 100)}})
 	assert.Equal(t, workload.NotDrained, r.core.DrainWorker(drainedWorker, r.now))
 	stops := r.step(20 * time.Millisecond).Stops
 	require.Len(t, stops, 1)
@@ -60,7 +60,7 @@
 		stopped, remaining = remaining, stopped
 	}
 	report := exitReport(1, stopped, workload.ExitStopped)
-	report.Running = []workload.ListedRun{runState(remaining, 100)}
+	report.Running = []workload.ListedRun{listedRun(remaining, 100)}
 	r.answerPoll(drainedWorker, r.now.Add(time.Millisecond), report)
 	r.core.DrainWorker(drainedWorker, r.now)
 	orders := r.step(20 * time.Millisecond)
@@ -69,7 +69,7 @@
 	r.answerStart(orders.Starts[0], workload.WorkerOK)
 	r.core.DrainWorker(drainedWorker, r.now)
 	assert.Empty(t, r.step(20*time.Millisecond).Stops, "the first is not at work yet")
-	r.answerPoll(orders.Starts[0].Worker.ID, r.now.Add(time.Millisecond), workload.PollReport{Running: []workload.ListedRun{runState(orders.Starts[0], 100)}})
+	r.answerPoll(orders.Starts[0].Worker.ID, r.now.Add(time.Millisecond), workload.PollReport{Running: []workload.ListedRun{listedRun(orders.Starts[0], 100)}})
 	r.core.DrainWorker(drainedWorker, r.now)
 	assert.Len(t, r.step(20*time.Millisecond).Stops, 1)
 }
