--- a/internal/scheduler/fakecrash_test.go
+++ b/internal/scheduler/fakecrash_test.go
@@ -6,7 +6,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// reduceCapacity lets a worker's room shrink to a share of what it was, and grow again.
+// reduceCapacity reduces a worker's capacity to a fraction for a while.
 func (f *fakeWorker) reduceCapacity(fraction float64, duration time.Duration) {
 	full := f.info.Capacity
 	f.capacityReducedAt = f.world.now
@@ -14,7 +14,7 @@
 	f.world.after(duration, func() { f.setCapacity(full) })
 }
 
-// setCapacity has the worker say what it has room for.
+// setCapacity sets the worker's capacity, also in its registry entry.
 func (f *fakeWorker) setCapacity(capacity workload.Resources) {
 	f.info.Capacity = capacity
 	for i := range f.world.registry {
@@ -24,10 +24,10 @@
 	}
 }
 
-// crashDelay is how long after its start a task that crashes workers does so.
+// crashDelay is the time from the start of a crashing task to the crash of its worker.
 const crashDelay = 10 * time.Millisecond
 
-// crashFromRun ends the worker's process by one of its tasks, and all that it runs.
+// crashFromRun ends the worker's process because of one of its tasks. All of its runs are lost.
 func (f *fakeWorker) crashFromRun(culprit *fakeRun) {
 	if f.terminated {
 		return
@@ -40,7 +40,7 @@
 		}
 	}
 	if f.world.crashesLoseVM {
-		f.processCrashed = false // its VM is gone as well: nothing at its address refuses calls
+		f.processCrashed = false // the VM is lost too: nothing at its address refuses calls
 		f.world.after(registryEntryTTL, func() { f.unregister() })
 		f.world.after(f.world.durationBetween(time.Second, 5*time.Second), func() { f.world.addWorker(f.info.ID+"+", f.info.Capacity) })
 		return
@@ -56,10 +56,11 @@
 	})
 }
 
-// earlyCrash is how soon after a run's start its worker's crash speaks against the task.
+// earlyCrash is how soon after a run's start a crash of its worker is attributed to the task.
 const earlyCrash = 500 * time.Millisecond
 
-// endProcess ends the worker's process and returns what it ran. Calls are refused from then on.
+// endProcess ends the worker's process and returns the runs that it had. Calls are refused from
+// then on.
 func (f *fakeWorker) endProcess() []*fakeRun {
 	f.terminated, f.processCrashed = true, true
 	runs := f.runs
@@ -84,7 +85,7 @@
 	return runs
 }
 
-// restart ends the worker's process and brings it back under its ID after a while.
+// restart ends the worker's process and starts it again under the same ID after downtime.
 func (f *fakeWorker) restart(downtime time.Duration) {
 	if f.terminated {
 		return
@@ -93,9 +94,9 @@
 	f.world.after(downtime, f.startProcess)
 }
 
-// startProcess starts the worker's process again under its ID: it knows nothing of before, and
-// its clock and its numbers begin anew. Calls that were on their way reach it. Its entry
-// follows within a heartbeat.
+// startProcess starts the worker's process again under the same ID. The process knows nothing of
+// the previous incarnation; its clock and exit numbers start over. Calls in flight reach it. Its
+// registry entry follows within a heartbeat.
 func (f *fakeWorker) startProcess() {
 	f.terminated, f.processCrashed = false, false
 	f.restartCount++
@@ -107,7 +108,7 @@
 	f.world.after(f.world.durationBetween(0, 600*time.Millisecond), f.register)
 }
 
-// register writes the worker's entry.
+// register writes the worker's registry entry.
 func (f *fakeWorker) register() {
 	if f.terminated {
 		return
@@ -116,7 +117,8 @@
 	f.world.registry = append(f.world.registry, f.info)
 }
 
-// refusalAnswer is how a call to a worker whose process has ended is answered.
+// refusalAnswer returns the answer to a call to a worker whose process has ended or refuses
+// connections.
 func (f *fakeWorker) refusalAnswer() workload.WorkerAnswer {
 	if f.hasSuccessor {
 		return workload.WorkerAnswer{Status: workload.WorkerReplaced}
--- a/internal/scheduler/fakegang_test.go
+++ b/internal/scheduler/fakegang_test.go
@@ -6,7 +6,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// startGangWork lets the members of a gang work once all are there, until all are done.
+// startGangWork ends all members of a gang as done, one estimated duration after the last of them
+// started.
 func (w *world) startGangWork(lastStarted *fakeRun, spec *workload.Step) {
 	if len(w.gangMembers(lastStarted)) < spec.Count {
 		return
@@ -23,13 +24,13 @@
 	})
 }
 
-// gangMember is a member of a gang on its worker.
+// gangMember is a member of a gang and its worker.
 type gangMember struct {
 	worker *fakeWorker
 	run    *fakeRun
 }
 
-// gangMembers are the members of a run's gang that are there, the run among them.
+// gangMembers returns the running members of a run's gang, including the run.
 func (w *world) gangMembers(member *fakeRun) []gangMember {
 	var members []gangMember
 	for _, id := range w.workerIDs() {
@@ -43,7 +44,7 @@
 	return members
 }
 
-// breakGang ends the other members of a gang.
+// breakGang ends the remaining members of a gang.
 func (w *world) breakGang(lost *fakeRun) {
 	for _, m := range w.gangMembers(lost) {
 		m.worker.endRun(m.run, workload.ExitGangBroken)
--- a/internal/scheduler/fakeowner_test.go
+++ b/internal/scheduler/fakeowner_test.go
@@ -7,30 +7,30 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// fakeOwner runs a Core as an owner's process does.
+// fakeOwner runs a Core as the owner's process does.
 type fakeOwner struct {
 	world        *world
 	core         *scheduler.Core
 	epoch        int64
 	coreStarted  bool
-	dead         bool // killed, or gone: it sends nothing any more
+	dead         bool // killed or replaced: sends nothing more
 	killed       bool
 	pendingWrite *scheduler.WriteOrder
-	// slowUntil is until when the process hardly gets on: what is told to it waits,
-	// in order, and its steps are far apart.
+	// slowUntil is the time until which the process is slow: deliveries are delayed, in order,
+	// and steps are far apart.
 	slowUntil      time.Time
-	lastDeliveryAt time.Time // when the latest of what waits is taken up
-	// links are those to workers that don't work, by worker. noStore is set while it is cut
-	// off from the store.
+	lastDeliveryAt time.Time // when the latest delayed delivery is handled
+	// links holds the faulty links to workers, by worker ID. storeUnreachable is set while the
+	// owner is cut off from the store.
 	links            map[string]linkFault
 	storeUnreachable bool
-	// confirmedAt is when the group last confirmed that the partition is its own.
+	// confirmedAt is when the group last confirmed the ownership of the partition.
 	confirmedAt time.Time
-	// processor is what the owner's work is done on, nil where that takes no time.
+	// processor models the CPU time of the owner's work. If nil, the work takes no time.
 	processor *processor
 }
 
-// deliver hands something to the owner's process, which takes it up in order.
+// deliver passes an event to the owner's process, which handles events in order.
 func (o *fakeOwner) deliver(action func()) {
 	w := o.world
 	if o.processor != nil {
@@ -62,7 +62,7 @@
 	Services: []workload.Service{{Name: "service", EnforcesCapacity: true}},
 }
 
-// takeOver starts a new owner, as the owner package does: fence, then read.
+// takeOver starts a new owner as the owner package does: it fences first, then reads.
 func (w *world) takeOver() {
 	w.epoch++
 	o := &fakeOwner{world: w, epoch: w.epoch}
@@ -96,7 +96,7 @@
 	o.startCore(records)
 }
 
-// startCore starts the machine on the records that were read.
+// startCore creates the Core from the records that were read.
 func (o *fakeOwner) startCore(records []workload.Record) {
 	w := o.world
 	if o.dead {
@@ -144,14 +144,15 @@
 		o.core.RestoreHandover(handover, w.now)
 	}
 	for _, r := range w.store.records() {
-		o.applyRecord(r) // what was stored since the read; it follows the log
+		o.applyRecord(r) // stored since the read: the owner follows the log
 	}
 	o.coreStarted = true
 	o.processor = w.processor
 	o.tick()
 }
 
-// lastHandover returns the report of the last owner, nil if it left none, and that owner's epoch.
+// lastHandover returns the handover record of the last owner, nil if it left none, and that
+// owner's epoch.
 func lastHandover(records []workload.Record) (handover *workload.Handover, lastEpoch int64) {
 	for _, r := range records {
 		if r.Handover != nil {
@@ -167,8 +168,8 @@
 	return handover, lastEpoch
 }
 
-// requestHandover has the owner of an epoch stop and tell what it leaves, where nodes reach each
-// other; nil if nothing is known.
+// requestHandover stops the owner of an epoch and returns the records that it has not stored. It
+// returns nil if that owner can't be reached, was killed or had not started.
 func (w *world) requestHandover(epoch int64) []workload.Record {
 	if w.previousOwnerReachable == 0 || !w.chance(w.previousOwnerReachable) {
 		return nil
@@ -196,8 +197,8 @@
 	}
 }
 
-// confirmOwnership has the group confirm the partition. While the store is down for all, other nodes
-// tell that none of them has become its owner.
+// confirmOwnership lets the group confirm the ownership of the partition. While the store is
+// unavailable to all nodes, the other nodes confirm that none of them has become the owner.
 func (o *fakeOwner) confirmOwnership() {
 	if o.world.owner == o && (!o.storeUnreachable || o.world.store.unavailable) {
 		o.confirmedAt = o.world.now
@@ -205,7 +206,7 @@
 	o.core.SetAuthority(o.confirmedAt.Add(membershipTTL))
 }
 
-// receiveRecord takes a record that is in the store, once the owner reaches it.
+// receiveRecord applies a stored record once the owner can reach the store.
 func (o *fakeOwner) receiveRecord(r workload.Record) {
 	switch {
 	case !o.coreStarted || o.dead:
@@ -216,7 +217,7 @@
 	}
 }
 
-// testLease is the lease of all runs in histories.
+// testLease is the lease duration of all runs in histories.
 const testLease = 3500 * time.Millisecond
 
 func (o *fakeOwner) tick() {
@@ -224,13 +225,13 @@
 		return
 	}
 	if o.world.replacedOwnersStop && !o.storeUnreachable && !o.world.store.unavailable && o.world.owner != o {
-		o.dead = true // its join tells it that the partition is another one's
+		o.dead = true // its join shows that another owner has the partition
 		return
 	}
 	o.confirmOwnership()
 	updateWorkers := func() {
 		if o.world.owner == o {
-			// An owner hears of new workers only while the group confirms it.
+			// An owner receives the worker list only while the group confirms its ownership.
 			o.core.SetWorkers(o.world.registry, o.world.now)
 		}
 	}
@@ -242,7 +243,7 @@
 	o.world.after(interval, o.tick)
 }
 
-// deliverNow hands something over and steps, or leaves it to the processor's next turn.
+// deliverNow runs an action and steps, or leaves the action to the processor's next step.
 func (o *fakeOwner) deliverNow(action func()) {
 	if o.processor != nil {
 		o.processor.deliverAfter(o, 0, action)
@@ -252,7 +253,7 @@
 	o.step()
 }
 
-// step carries out what is due.
+// step steps the core and executes the orders.
 func (o *fakeOwner) step() {
 	if o.dead {
 		return
@@ -290,7 +291,7 @@
 	}
 }
 
-// write stores until the outcome is known.
+// write repeats the pending write until its outcome is known.
 func (o *fakeOwner) write() {
 	w := o.world
 	w.after(w.durationBetween(4*time.Millisecond, 12*time.Millisecond), func() {
@@ -324,7 +325,7 @@
 	})
 }
 
-// sendOrder sends one order on its way, with the faults of the history.
+// sendOrder sends an order subject to the faults of the history.
 func (o *fakeOwner) sendOrder(worker string, order func(f *fakeWorker) workload.WorkerAnswer, handleAnswer func(workload.WorkerAnswer)) {
 	w := o.world
 	deliverAnswer := func(a workload.WorkerAnswer, delay time.Duration) {
@@ -364,7 +365,7 @@
 	}
 }
 
-// sendPoll sends a poll; its answer waits for an end.
+// sendPoll sends a poll. The answer waits for an exit, up to the poll's MaxWait.
 func (o *fakeOwner) sendPoll(order scheduler.PollOrder) {
 	w := o.world
 	sentAt := w.now
@@ -418,14 +419,14 @@
 	})
 }
 
-// killOwner ends the owner without a word, and another one follows.
+// killOwner ends the owner without a handover. Another owner follows after takeoverDelay.
 func (w *world) killOwner(takeoverDelay time.Duration) {
 	w.owner.dead = true
 	w.owner.killed = true
 	w.after(takeoverDelay, w.takeOver)
 }
 
-// handOverOwner ends the owner in good order.
+// handOverOwner ends the owner after it has stored its pending write and its handover records.
 func (w *world) handOverOwner(takeoverDelay time.Duration) {
 	o := w.owner
 	o.dead = true
--- a/internal/scheduler/fakeworker_test.go
+++ b/internal/scheduler/fakeworker_test.go
@@ -8,32 +8,32 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// fakeWorker is a worker with the platform's semantics.
+// fakeWorker simulates a worker as the platform specifies it: fencing, leases, polls and exits.
 type fakeWorker struct {
 	world          *world
 	info           workload.Worker
-	clockRate      float64   // of its clock, 0.98 to 1
-	clockStartedAt time.Time // of its clock
-	// restartCount counts its processes: a restarted one has the same ID.
+	clockRate      float64   // speed of the worker's clock, 0.98 to 1
+	clockStartedAt time.Time // when the worker's clock read 0
+	// restartCount counts restarts of the process. A restarted worker keeps its ID.
 	restartCount int
-	cutOff       bool // cut off, runs on
-	// refusesConnections is set while connections to it are refused; it runs on.
+	cutOff       bool // unreachable, but its tasks run on
+	// refusesConnections is set while connections to the worker are refused. Its tasks run on.
 	refusesConnections bool
-	terminated         bool // has ended
-	// processCrashed is set if its process has ended and its VM lives: calls are refused at
-	// once, and once its successor is there are answered by that one.
+	terminated         bool // the process has ended
+	// processCrashed is set if the process has ended while its VM lives: calls are refused at
+	// once, or answered by the successor once it is there.
 	processCrashed    bool
 	hasSuccessor      bool
-	capacityReducedAt time.Time // when its room shrank last
+	capacityReducedAt time.Time // when the capacity was last reduced
 
 	highestToken          int64
-	leaseExpiresAt        int64 // on its clock, milliseconds
+	leaseExpiresAt        int64 // milliseconds on the worker's clock
 	runs                  []*fakeRun
 	unackedExits          []workload.RunExit
-	ackedUpTo             int64 // ends up to this number are forgotten, also those that come later
+	ackedUpTo             int64 // exits up to this number are forgotten, also later ones
 	lastExitNumber        int64
-	highestRunByTask      map[string]int64 // of runs that stopped or ended, by task
-	lastExitAtLeaseExpiry int64            // ends up to this number were listed when the lease lapsed
+	highestRunByTask      map[string]int64 // highest run that was stopped or has exited
+	lastExitAtLeaseExpiry int64            // last exit that was listed when the lease expired
 	waitingPolls          []func()
 }
 
@@ -47,10 +47,10 @@
 	stopRequested bool
 }
 
-// maxLease is the longest lease that a worker gives, whatever it is asked for.
+// maxLease is the longest lease that a worker grants, whatever is requested.
 const maxLease = 10 * time.Second
 
-// stopDuration is what a stop takes.
+// stopDuration is the time from a stop order to the exit of the run.
 const stopDuration = 400 * time.Millisecond
 
 func (w *world) addWorker(id string, capacity workload.Resources) *fakeWorker {
@@ -70,8 +70,8 @@
 	return int64(float64(f.world.now.Sub(f.clockStartedAt).Milliseconds()) * f.clockRate)
 }
 
-// execute carries an order out unless the worker has ended; ok is false where no
-// answer can come.
+// execute applies an order unless the process has ended. It returns false if no answer can reach
+// the owner.
 func (f *fakeWorker) execute(order func(f *fakeWorker) workload.WorkerAnswer) (workload.WorkerAnswer, bool) {
 	if f.terminated {
 		return workload.WorkerAnswer{}, false
@@ -81,8 +81,8 @@
 	return a, !f.cutOff
 }
 
-// executeLate carries an order out seconds after it was sent. One that had reached a
-// process which has ended since is lost with it.
+// executeLate applies an order seconds after it was sent. The order is lost if the process that
+// it was sent to has ended since.
 func (f *fakeWorker) executeLate(restartCountWhenSent int, order func(f *fakeWorker) workload.WorkerAnswer) {
 	if f.restartCount == restartCountWhenSent {
 		f.execute(order)
@@ -101,7 +101,7 @@
 	if expiresAt > f.leaseExpiresAt {
 		f.leaseExpiresAt = min(expiresAt, f.clockMillis()+maxLease.Milliseconds())
 		untilExpiry := time.Duration(float64(f.leaseExpiresAt-f.clockMillis())/f.clockRate) * time.Millisecond
-		f.world.after(untilExpiry+2*time.Millisecond, f.expireLease) // past the rounding of the clock
+		f.world.after(untilExpiry+2*time.Millisecond, f.expireLease) // allows for the rounding of the clock
 	}
 }
 
@@ -177,7 +177,7 @@
 	return workload.WorkerAnswer{}
 }
 
-// endRun lists a run's end.
+// endRun ends a run and lists its exit.
 func (f *fakeWorker) endRun(r *fakeRun, reason workload.ExitReason) {
 	if r.exited || f.terminated {
 		return
@@ -195,7 +195,7 @@
 		job.doneRuns[taskName] = append(job.doneRuns[taskName], r.runNumber)
 	}
 	if f.lastExitNumber <= f.ackedUpTo {
-		f.recordAck(exit) // nobody will read it
+		f.recordAck(exit) // already acknowledged: no owner will read it
 	} else {
 		f.unackedExits = append(f.unackedExits, exit)
 	}
@@ -206,7 +206,7 @@
 	}
 }
 
-// respondOnExit calls tell once ends are listed, or after wait.
+// respondOnExit calls respond as soon as an exit is listed, at the latest after wait.
 func (f *fakeWorker) respondOnExit(wait time.Duration, respond func()) {
 	if wait == 0 || len(f.unackedExits) > 0 {
 		respond()
@@ -257,18 +257,18 @@
 	return workload.WorkerAnswer{}
 }
 
-// recordAck takes that an end was acknowledged.
+// recordAck records that an exit was acknowledged.
 func (f *fakeWorker) recordAck(exit workload.RunExit) {
 	job := f.world.jobs[exit.Task.Job]
 	switch exit.Reason {
 	case workload.ExitDone:
 		taskName := exit.Task.String()
 		if exit.Sequence <= f.lastExitAtLeaseExpiry {
-			return // nobody could know of it in time
+			return // no owner could read it before the lease expired
 		}
 		job.acknowledged[taskName] = true
 		if job.supersededDoneRuns[runKey(taskName, exit.Run)] {
-			f.world.recordViolation("TWICE", taskName+" was started again before its end was acknowledged")
+			f.world.recordViolation("TWICE", taskName+" was started again before its exit was acknowledged")
 		}
 	case workload.ExitFailed:
 		job.failures[exit.Task.String()]++
@@ -284,11 +284,11 @@
 	return report
 }
 
-// registryEntryTTL is how long after a worker's last heartbeat its entry goes.
+// registryEntryTTL is how long an entry stays in the registry after the worker's last heartbeat.
 const registryEntryTTL = 4500 * time.Millisecond
 
-// loseVM ends the worker; its entry goes after three heartbeats, and another
-// incarnation comes.
+// loseVM ends the worker with its VM. The registry entry expires after three missed heartbeats,
+// and a worker under another ID follows.
 func (f *fakeWorker) loseVM() {
 	f.terminated = true
 	for _, r := range f.runs {
--- a/internal/scheduler/rig_test.go
+++ b/internal/scheduler/rig_test.go
@@ -10,18 +10,18 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// rig is a Core with workers that answer only what a test says.
+// rig is a Core whose workers answer only as a test directs.
 type rig struct {
-	t    testing.TB
-	core *scheduler.Core
-	now  time.Time
-	// epoch is the core's.
+	t     testing.TB
+	core  *scheduler.Core
+	now   time.Time
 	epoch int64
-	// latestPolls are the latest that were sent, by worker.
+	// latestPolls holds each worker's latest poll that awaitPoll has not returned yet; extra
+	// polls are left out.
 	latestPolls map[string]scheduler.PollOrder
 }
 
-// token is the fencing token of the core's first orders to a worker.
+// token returns the fencing token of the first orders to each worker.
 func (r *rig) token() int64 { return r.epoch << 10 }
 
 // gangTimeout is how long members of a gang wait for each other.
@@ -57,7 +57,7 @@
 	r.core.SetWorkers(list, r.now)
 }
 
-// step steps after d and stores what is to be stored.
+// step advances the clock by d, steps the core and acknowledges its write.
 func (r *rig) step(d time.Duration) scheduler.Orders {
 	r.now = r.now.Add(d)
 	orders := r.core.Step(r.now)
@@ -72,7 +72,7 @@
 	return orders
 }
 
-// recordPolls keeps the polls among orders for tests that answer them.
+// recordPolls records the polls in orders for tests that answer them.
 func (r *rig) recordPolls(orders scheduler.Orders) {
 	if r.latestPolls == nil {
 		r.latestPolls = map[string]scheduler.PollOrder{}
@@ -84,12 +84,12 @@
 	}
 }
 
-// answerPoll answers a poll.
+// answerPoll answers a poll with a report.
 func (r *rig) answerPoll(worker string, sentAt time.Time, report workload.PollReport) {
 	r.core.HandlePollResult(scheduler.PollResult{Worker: worker, Token: r.token(), SentAt: sentAt, Report: report, Answer: workload.WorkerAnswer{ClockMS: 1000}}, r.now)
 }
 
-// answerPollReplaced answers a poll of a worker as its successor at the same address does.
+// answerPollReplaced answers a poll as a worker's successor at the same address does.
 func (r *rig) answerPollReplaced(worker string) {
 	r.core.HandlePollResult(scheduler.PollResult{Worker: worker, Token: r.token(), SentAt: r.now, Answer: workload.WorkerAnswer{Status: workload.WorkerReplaced}}, r.now)
 }
@@ -111,7 +111,7 @@
 	return workload.Step{Count: count, Resources: workload.Resources{CPU: cpu, MemoryMB: 100}, EstimateMS: 500}
 }
 
-// syncWorkers syncs workers and returns the starts that follow.
+// syncWorkers registers workers, answers their first polls and returns the starts that follow.
 func (r *rig) syncWorkers(ids ...string) []scheduler.StartOrder {
 	r.setWorkers(ids...)
 	r.step(0)
@@ -125,19 +125,19 @@
 	return workload.PollReport{Exited: []workload.RunExit{{Sequence: exitNumber, Task: s.Start.Task, Run: s.Start.Run, Reason: reason}}}
 }
 
-// answerPollAs answers a poll as the incarnation does that started at born.
+// answerPollAs answers a poll as the given incarnation of the worker.
 func (r *rig) answerPollAs(poll scheduler.PollOrder, incarnation int64, report workload.PollReport) {
 	report.Incarnation = incarnation
 	r.core.HandlePollResult(scheduler.PollResult{Worker: poll.Worker.ID, Token: poll.Poll.Token, SentAt: r.now, Extra: poll.Extra, Report: report, Answer: workload.WorkerAnswer{ClockMS: r.now.UnixMilli() - incarnation}}, r.now)
 }
 
-// registerWorker registers one worker, as started at born.
+// registerWorker registers one worker with the given incarnation.
 func (r *rig) registerWorker(id string, incarnation int64) {
 	r.core.SetWorkers([]workload.Worker{{ID: id, Incarnation: incarnation, Service: "service", Address: id, Labels: []string{"a", "rack"}, Capacity: workload.Resources{CPU: 8000, MemoryMB: 16000}}}, r.now)
 }
 
-// awaitPoll returns the poll of a worker that waits for its answer, after steps until there is
-// one, and the starts meanwhile.
+// awaitPoll steps until there is an unanswered poll of a worker, and returns the poll and the
+// starts meanwhile.
 func (r *rig) awaitPoll(id string) (poll scheduler.PollOrder, starts []scheduler.StartOrder) {
 	for range 100 {
 		if poll, ok := r.latestPolls[id]; ok {
@@ -146,21 +146,23 @@
 		}
 		starts = append(starts, r.step(10*time.Millisecond).Starts...)
 	}
-	require.FailNow(r.t, "no poll of "+id)
+	require.FailNow(r.t, "no poll of worker "+id)
 	return poll, starts
 }
 
-// answerPollRefused answers a poll as the address of a process that has ended does.
+// answerPollRefused answers a poll with a refused connection, as the address of an ended process
+// does.
 func (r *rig) answerPollRefused(worker string) {
 	r.core.HandlePollResult(scheduler.PollResult{Worker: worker, Token: r.token(), SentAt: r.now, Answer: workload.WorkerAnswer{Status: workload.WorkerConnRefused}}, r.now)
 }
 
-// timeOutPoll answers a poll with silence.
+// timeOutPoll lets a poll time out.
 func (r *rig) timeOutPoll(worker string) {
 	r.core.HandlePollResult(scheduler.PollResult{Worker: worker, Token: r.token(), SentAt: r.now, Answer: workload.WorkerAnswer{Status: workload.WorkerOutcomeUnknown}}, r.now)
 }
 
-// crashWorker ends a worker's process: polls are refused, and then its successor answers.
+// crashWorker simulates the crash of a worker's process: two polls are refused, then the
+// successor at its address answers.
 func (r *rig) crashWorker(worker string) {
 	r.answerPollRefused(worker)
 	r.now = r.now.Add(100 * time.Millisecond)
@@ -169,7 +171,7 @@
 	r.answerPollReplaced(worker)
 }
 
-// refusePollsFor steps while each poll of a worker is refused.
+// refusePollsFor steps for d and refuses each poll of a worker.
 func (r *rig) refusePollsFor(worker string, d time.Duration) scheduler.Orders {
 	var collected scheduler.Orders
 	for until := r.now.Add(d); r.now.Before(until); {
@@ -184,7 +186,7 @@
 	return collected
 }
 
-// crashAndReplace ends a worker's process, and others take its place.
+// crashAndReplace crashes a worker, registers successors and answers their first polls.
 func (r *rig) crashAndReplace(worker string, successors ...string) {
 	r.crashWorker(worker)
 	r.setWorkers(successors...)
@@ -194,7 +196,7 @@
 	}
 }
 
-// startJob submits a job and answers its starts, which must be as many as it has tasks.
+// startJob submits a job of one step and accepts its starts, one for each task.
 func (r *rig) startJob(id string, spec workload.Step) []scheduler.StartOrder {
 	r.submit(id, spec)
 	starts := r.step(30 * time.Millisecond).Starts
@@ -205,8 +207,7 @@
 	return starts
 }
 
-// newIncarnationRig returns a rig with one worker that is known to have started at
-// firstBorn.
+// newIncarnationRig returns a rig with one worker, whose incarnation is firstIncarnation.
 func newIncarnationRig(t *testing.T) *rig {
 	r := newRig(t)
 	r.registerWorker("w-1", firstIncarnation)
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -10,10 +10,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// historyStart is when each history begins.
+// historyStart is the start of each history in virtual time.
 var historyStart = time.UnixMilli(1_700_000_000_000)
 
-// event is something that happens at a time of a history.
+// event is an action that happens at a time of a history.
 type event struct {
 	at     time.Time
 	seq    int
@@ -42,73 +42,72 @@
 	return last
 }
 
-// world is one history in virtual time: workers, a store, owners that follow one
-// another, and faults. It checks the promises from what workers and the store
-// see, never from what an owner believes.
+// world is one history in virtual time: workers, a store, successive owners, and faults. It
+// checks invariants against what workers and the store see, never against what an owner believes.
 type world struct {
 	now           time.Time
 	rng           *rand.Rand
 	pendingEvents eventHeap
 	lastEventSeq  int
 	faults        faults
-	faultsStopped bool // no more faults
+	faultsStopped bool // no faults are drawn any more
 
 	store         *fakeStore
 	workers       map[string]*fakeWorker
-	registry      []workload.Worker // the registry
+	registry      []workload.Worker // registered workers
 	owner         *fakeOwner
-	owners        []*fakeOwner // all that there were
+	owners        []*fakeOwner // all owners so far
 	epoch         int64
 	jobs          map[workload.JobID]*fakeJob
 	violations    []string
 	lastJobNumber int
 	starts        int
-	// unguarded is set where workers start what exceeds their room.
+	// unguarded is set if workers start tasks that exceed their capacity.
 	unguarded bool
-	// crashingTasks are the tasks that crash each worker that starts them, by name.
+	// crashingTasks holds the names of the tasks that crash each worker that starts them.
 	crashingTasks map[string]bool
-	// crashedWorkersRestart is set where a worker that crashes under a task comes back under its ID, and
-	// silentCrashes where its VM is lost with it.
+	// crashedWorkersRestart is set if a worker that crashes under a task comes back under the
+	// same ID, crashesLoseVM if its VM is lost with it.
 	crashedWorkersRestart, crashesLoseVM bool
-	// bystanderRunsLost counts the runs of others that were lost in such crashes.
+	// bystanderRunsLost counts the runs of other jobs that were lost in such crashes.
 	bystanderRunsLost int
-	// replacedOwnersStop is set where an owner that was replaced learns so from the group.
+	// replacedOwnersStop is set if the group tells an owner that it was replaced.
 	replacedOwnersStop bool
-	// previousOwnerReachable is the chance that an owner reaches the node of the one before, and told how
-	// often one has told what it left.
+	// previousOwnerReachable is the probability that an owner reaches the node of the previous
+	// owner. directHandovers counts the handovers that it received this way.
 	previousOwnerReachable float64
 	directHandovers        int
-	// processor is that of each owner's node, nil where it costs no time.
+	// processor models the CPU of each owner's node. If nil, the owner's work takes no time.
 	processor *processor
 }
 
-// faults are the chances of what goes wrong, each between 0 and 1.
+// faults holds the probabilities of faults, each between 0 and 1.
 type faults struct {
-	lostAnswer      float64 // an order is carried out and its answer is lost
-	lateOrder       float64 // an order has no answer and is carried out seconds later
+	lostAnswer      float64 // an order is executed and its answer is lost
+	lateOrder       float64 // an order gets no answer and is executed seconds later
 	failedTask      float64
-	lostWriteAnswer float64 // a write is done and its answer is lost
+	lostWriteAnswer float64 // a write is stored and its answer is lost
 }
 
-// fakeJob is what the caller knows.
+// fakeJob is a job as its caller and its workers see it.
 type fakeJob struct {
 	id                      workload.JobID
 	submission              *workload.Submission
-	cancelledAt             time.Time // when the cancel was stored
+	cancelledAt             time.Time // when the cancellation was stored
 	done                    map[string]bool
-	acknowledged            map[string]bool // ends that were acknowledged
+	acknowledged            map[string]bool // tasks whose done exit was acknowledged
 	doneRuns                map[string][]int64
-	supersededDoneRuns      map[string]bool // runs that ended as done before another start
+	supersededDoneRuns      map[string]bool // runs that were done before the task was started again
 	failures                map[string]int
-	workerCrashes           map[string]int       // of workers under a task
-	workerExits             map[string]int       // workers under a task, for whatever cause
-	earlyWorkerExits        map[string]int       // those that died soon after its start
-	startsAfterThreeCrashes map[string]int       // starts after three of these
-	stoppedNotRestarted     map[string]bool      // lasting tasks that were stopped and are not back
-	lastRunningAt           map[string]time.Time // when a lasting task was last known to run
-	givenUp                 bool                 // by an owner, as its task crashes workers
+	workerCrashes           map[string]int       // worker crashes while the task ran, by task
+	workerExits             map[string]int       // ended worker processes, whatever the cause, by task
+	earlyWorkerExits        map[string]int       // of these, soon after the task's start
+	startsAfterThreeCrashes map[string]int       // starts after three crashes, by task
+	stoppedNotRestarted     map[string]bool      // long-running tasks that were stopped and not restarted
+	lastRunningAt           map[string]time.Time // when the task was last running
+	givenUp                 bool                 // by an owner, because its task crashes workers
 	shownState              workload.JobState
-	shownStateChangedAt     time.Time // when that changed last
+	shownStateChangedAt     time.Time // when shownState last changed
 }
 
 func newWorld(seed uint64, f faults) *world {
@@ -124,7 +123,7 @@
 	}
 }
 
-// workerIDs are the IDs of all workers that there were, sorted.
+// workerIDs returns the IDs of all workers so far, sorted.
 func (w *world) workerIDs() []string {
 	return slices.Sorted(maps.Keys(w.workers))
 }
@@ -134,7 +133,7 @@
 	heap.Push(&w.pendingEvents, event{at: w.now.Add(d), seq: w.lastEventSeq, action: action})
 }
 
-// runUntil plays until a time.
+// runUntil runs the events up to an offset from historyStart.
 func (w *world) runUntil(offset time.Duration) {
 	stopAt := historyStart.Add(offset)
 	for len(w.pendingEvents) > 0 && !w.pendingEvents[0].at.After(stopAt) {
@@ -147,7 +146,7 @@
 
 func (w *world) chance(p float64) bool { return !w.faultsStopped && w.rng.Float64() < p }
 
-// durationBetween draws a duration.
+// durationBetween draws a duration between low and high, both included.
 func (w *world) durationBetween(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.rng.Int64N(int64(high-low)+1))
 }
@@ -156,13 +155,13 @@
 	w.violations = append(w.violations, rule+" at "+w.now.Sub(historyStart).String()+": "+detail)
 }
 
-// fakeStore keeps the newest record of each key and refuses fenced writers.
+// fakeStore keeps the newest record of each key and rejects fenced epochs.
 type fakeStore struct {
 	keys         []string // in the order of their first record
 	values       map[string][]byte
-	log          []string // keys of all records, in order
+	log          []string // keys of all records, in write order
 	epoch        int64
-	lastSequence int64 // sequence of the epoch's last write
+	lastSequence int64 // sequence of the last write in this epoch
 	unavailable  bool
 }
 
@@ -178,7 +177,8 @@
 	s.log = append(s.log, key)
 }
 
-// fence puts an epoch in force.
+// fence fences all earlier epochs. It returns false if the store is unavailable or a later epoch
+// is in force.
 func (s *fakeStore) fence(epoch int64) bool {
 	if s.unavailable || epoch < s.epoch {
 		return false
@@ -201,7 +201,7 @@
 	return out
 }
 
-// submit stores a job, as a node does before it tells the caller.
+// submit stores a job as a node does before it answers the caller.
 func (w *world) submit(spec workload.Spec, queue string) *fakeJob {
 	w.lastJobNumber++
 	id := workload.JobID([]byte("0000000000000000"))
@@ -224,8 +224,8 @@
 	}
 }
 
-// appendRecord stores a record of a caller's and tells all owners that live, as each
-// follows the log.
+// appendRecord stores a caller's record and delivers it to all live owners, since each follows
+// the log.
 func (w *world) appendRecord(r workload.Record) {
 	w.store.put(r)
 	for _, o := range w.owners {
@@ -233,7 +233,7 @@
 	}
 }
 
-// checkShownStates reads what callers are shown.
+// checkShownStates checks the job states that callers are shown.
 func (w *world) checkShownStates() {
 	if w.owner == nil || !w.owner.coreStarted {
 		return
@@ -249,14 +249,14 @@
 					for index := range job.submission.Spec.Steps[step].Count {
 						key := workload.TaskKey{Job: job.id, Occurrence: occurrence, Step: step, Index: index}.String()
 						if !job.done[key] {
-							w.recordViolation("MIXED", key+" is not done, its job is shown as completed")
+							w.recordViolation("MIXED", key+" is not done but its job is shown as completed")
 						}
 					}
 				}
 			}
 		}
 		if job.shownState.IsTerminal() && state != job.shownState {
-			w.recordViolation("MIXED", string(job.id)+" was "+string(job.shownState)+" and is "+string(state))
+			w.recordViolation("MIXED", string(job.id)+" changed from "+string(job.shownState)+" to "+string(state))
 		}
 		if state != job.shownState {
 			job.shownStateChangedAt = w.now
