--- a/internal/scheduler/checks_test.go
+++ b/internal/scheduler/checks_test.go
@@ -7,24 +7,24 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// capacityUpdateDelay is how long a room that has shrunk doesn't count as smaller: the word has
-// to reach the owner, three seconds and a heartbeat.
+// capacityUpdateDelay is how long after a reduction an owner may still use a worker's old
+// capacity: the new one takes up to three seconds and a heartbeat to reach it.
 const capacityUpdateDelay = 4500 * time.Millisecond
 
-// checkCapacity checks that no start brings an unguarded worker over its room.
+// checkCapacity checks that no start exceeds the capacity of an unguarded worker.
 func (w *world) checkCapacity(f *fakeWorker, task string) {
 	if w.now.Sub(f.capacityReducedAt) > capacityUpdateDelay {
-		w.recordViolation("LIMIT", task+" brings "+f.info.ID+" over its room")
+		w.recordViolation("LIMIT", task+" starts on "+f.info.ID+" and exceeds its capacity")
 	}
 }
 
-// unavailabilityGrace is how long a lasting task may be away before it counts as missing
-// whatever the cause.
+// unavailabilityGrace is how long a long-running task may be away, for whatever cause, before it
+// counts as unavailable.
 const unavailabilityGrace = 4500 * time.Millisecond
 
-// checkMaxUnavailable checks that the step of a lasting task bears its stop: others that
-// were stopped, or are away for long, are within what it may miss. A job that was given up
-// has ended, and all its tasks with it.
+// checkMaxUnavailable checks that the stop of a long-running task keeps its step within
+// MaxUnavailable. Other tasks of the step count if they were stopped or have been away for long.
+// A job that was given up has ended with all its tasks.
 func (w *world) checkMaxUnavailable(r *fakeRun) {
 	job := w.jobs[r.task.Job]
 	spec := &job.submission.Spec.Steps[r.task.Step]
@@ -43,12 +43,12 @@
 		}
 	}
 	if unavailable >= spec.MaxUnavailable {
-		w.recordViolation("AVAIL", fmt.Sprintf("%s is stopped while %d others are away", taskName, unavailable))
+		w.recordViolation("AVAIL", fmt.Sprintf("%s is stopped while %d others are unavailable", taskName, unavailable))
 	}
 	job.stoppedNotRestarted[taskName] = true
 }
 
-// isRunning tells whether a task runs on a worker that lives.
+// isRunning reports whether a task runs on a live worker and is not being stopped.
 func (w *world) isRunning(key workload.TaskKey) bool {
 	for _, f := range w.workers {
 		for _, r := range f.runs {
@@ -62,14 +62,14 @@
 
 func runKey(task string, run int64) string { return fmt.Sprint(task, "#", run) }
 
-// checkStart checks the promises about a start.
+// checkStart checks the invariants of a start.
 func (w *world) checkStart(job *fakeJob, spec *workload.Step, s workload.Start, target *fakeWorker) {
 	taskName := s.Task.String()
 	if job.acknowledged[taskName] && !spec.Speculative {
-		w.recordViolation("TWICE", taskName+" starts after its end was acknowledged")
+		w.recordViolation("TWICE", taskName+" starts after its exit was acknowledged")
 	}
 	for _, run := range job.doneRuns[taskName] {
-		job.supersededDoneRuns[runKey(taskName, run)] = !spec.Speculative // allowed only where that end is lost
+		job.supersededDoneRuns[runKey(taskName, run)] = !spec.Speculative // allowed only if that exit is lost
 	}
 	if job.shownState == workload.Completed {
 		w.recordViolation("TWICE", taskName+" starts after its job was shown as completed")
@@ -90,12 +90,12 @@
 		}
 	}
 	if w.crashesLoseVM && w.crashingTasks[taskName] && job.workerCrashes[taskName] == maxSilentVMLosses {
-		w.recordViolation("BUDGET", fmt.Sprintf("%s is started again after %d VMs were lost under it", taskName, maxSilentVMLosses))
+		w.recordViolation("BUDGET", fmt.Sprintf("%s is started again after the loss of %d VMs that ran it", taskName, maxSilentVMLosses))
 	}
 	if !w.crashesLoseVM && w.crashingTasks[taskName] && job.workerCrashes[taskName] >= 3 {
 		job.startsAfterThreeCrashes[taskName]++
 		if job.startsAfterThreeCrashes[taskName] == 3 {
-			w.recordViolation("BUDGET", taskName+" is started three times more after three workers have crashed under it")
+			w.recordViolation("BUDGET", taskName+" is started three more times after three worker crashes")
 		}
 	}
 	if !job.cancelledAt.IsZero() && w.now.Sub(job.cancelledAt) > 3*time.Second {
@@ -112,7 +112,7 @@
 			}
 		}
 		if n >= spec.MaxPerWorker {
-			w.recordViolation("ROUTE", taskName+" is one too many of its step on "+target.info.ID)
+			w.recordViolation("ROUTE", taskName+" exceeds the step's MaxPerWorker on "+target.info.ID)
 		}
 	}
 }
--- a/internal/scheduler/core_test.go
+++ b/internal/scheduler/core_test.go
@@ -11,9 +11,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// The caller's job takes one poll more to begin. A worker may run what an earlier
-// owner started there: nothing is started anywhere before each one has answered
-// under the new token, as the same task could run on the one that has not.
+// A worker may run what an earlier owner started. Until every such worker has answered under the
+// new token, nothing starts on any worker: the same task could still run on one that has not
+// answered.
 func TestNothingStartsBeforeEveryUnresolvedWorkerAnswers(t *testing.T) {
 	r := newRig(t, "w-1", "w-2")
 	r.setWorkers("w-1", "w-2")
@@ -25,9 +25,8 @@
 	assert.Len(t, r.step(50*time.Millisecond).Starts, 1)
 }
 
-// A worker stays silent at a takeover. What it runs has ended when the last
-// lease that the earlier owner can have given has lapsed, also on a clock that
-// is 2% slow; before that nothing is started.
+// A worker stays silent during a takeover. Nothing may start before the last lease that the
+// earlier owner can have granted has expired, even on a clock that is 2% slow.
 func TestTakeoverWaitsForTheLeaseOfASilentWorker(t *testing.T) {
 	r := newRig(t, "w-1", "w-2")
 	r.setWorkers("w-1", "w-2")
@@ -46,8 +45,8 @@
 	assert.True(t, started)
 }
 
-// A new owner finds a run of its predecessor. It goes on; its task is not started
-// a second time, and its end counts.
+// A new owner finds a run of its predecessor. The run goes on, its task is not started a second
+// time, and its exit counts.
 func TestRunOfAnEarlierOwnerIsAdopted(t *testing.T) {
 	r := newRig(t, "w-1")
 	r.setWorkers("w-1")
@@ -62,9 +61,9 @@
 	assert.Equal(t, workload.Completed, state)
 }
 
-// A start has no answer and is carried out late. The worker's list does not have
-// it at first, so it is stopped; the stop's answer keeps the late start out. Only
-// a poll after that frees the task for another worker.
+// A start gets no answer and may be executed late. The worker's report doesn't list the run, so
+// the owner stops it; the stop keeps the late start from taking effect. Only a poll sent after
+// the answer to the stop frees the task for another start.
 func TestUnansweredStartIsStoppedBeforeTheTaskStartsElsewhere(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -81,15 +80,15 @@
 	r.core.HandleStopResult(scheduler.OrderResult{Worker: start.Worker.ID, Task: start.Start.Task, Run: start.Start.Run, Token: start.Start.Token, Answer: workload.WorkerAnswer{ClockMS: 1000}}, r.now)
 	sentBeforeStopAnswer := r.now.Add(-time.Millisecond)
 	r.answerPoll(start.Worker.ID, sentBeforeStopAnswer, workload.PollReport{})
-	assert.Empty(t, r.step(20*time.Millisecond).Starts, "that poll was sent before the stop was answered")
+	assert.Empty(t, r.step(20*time.Millisecond).Starts, "the poll was sent before the stop was answered")
 	r.answerPoll(start.Worker.ID, r.now, workload.PollReport{})
 	restarts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, restarts, 1)
 	assert.Greater(t, restarts[0].Start.Run, start.Start.Run)
 }
 
-// An end is acknowledged to the worker, and shown to the caller, only once it is
-// stored: the worker's list is all that a new owner would have of it.
+// An exit is acknowledged to the worker and shown to the caller only once it is stored. Until
+// then the worker's report is all that a new owner would know of it.
 func TestExitIsStoredBeforeItIsAcknowledged(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -114,8 +113,8 @@
 	}
 }
 
-// A caller cancels its job and then a record of the job comes again, as when two
-// nodes took the same request. The first one counts.
+// Two nodes may store the same submission, the second one after the job was cancelled. Only the
+// first record counts.
 func TestRepeatedSubmissionIsIgnored(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -131,8 +130,8 @@
 	assert.Equal(t, workload.Cancelled, state)
 }
 
-// The start of a cancelled job comes late: its worker lists it after the cancel.
-// It is stopped.
+// The start of a cancelled job is executed late, so that the worker lists the run after the
+// cancellation. The run must be stopped.
 func TestCancelledJobWithALateStartIsStopped(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -148,8 +147,8 @@
 	assert.NotEmpty(t, r.step(20*time.Millisecond).Stops)
 }
 
-// A worker refuses a connection while nothing runs on it. It gets no work until
-// it answers, and it is asked, so that it does not stay aside for ever.
+// A worker without runs refuses a connection. It gets no work until it answers a poll, and must
+// be polled, or it would stay unused forever.
 func TestIdleWorkerIsPolledAfterAnUndeliveredStart(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -163,8 +162,8 @@
 	assert.Len(t, r.step(400*time.Millisecond).Starts, 1)
 }
 
-// A worker fails all that it starts. After a few failures of several jobs it is
-// set aside, and the jobs are run elsewhere.
+// A worker fails everything that it starts. After a few failures of several jobs it gets no new
+// tasks, and the jobs run on other workers.
 func TestWorkerThatFailsTasksOfSeveralJobsGetsNoNewOnes(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -177,14 +176,14 @@
 		r.answerStart(s, workload.WorkerOK)
 		r.answerPoll("w-1", r.now, exitReport(int64(i+1), s, workload.ExitFailed))
 	}
-	assert.Empty(t, r.step(1100*time.Millisecond).Starts, "nothing new goes to it")
+	assert.Empty(t, r.step(1100*time.Millisecond).Starts, "the worker gets no new tasks")
 	for _, s := range r.syncWorkers("w-1", "w-2") {
 		assert.Equal(t, "w-2", s.Worker.ID)
 	}
 }
 
-// An owner hands over while a worker does not answer. The next one knows what it
-// may run: other tasks start at once, that one when the lease is over.
+// An owner hands over while a worker does not answer. The next owner knows from the handover what
+// the worker may run: those tasks start once the lease has expired, all others at once.
 func TestHandoverDelaysOnlyTasksThatMayStillRun(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -219,7 +218,7 @@
 			}
 			for _, poll := range orders.Polls {
 				if poll.Worker.ID != "w-1" {
-					continue // it waits for an end
+					continue // waits for an exit
 				}
 				next.core.HandlePollResult(scheduler.PollResult{Worker: poll.Worker.ID, Token: poll.Poll.Token, SentAt: next.now, Answer: workload.WorkerAnswer{Status: workload.WorkerOutcomeUnknown}}, next.now)
 			}
@@ -231,9 +230,9 @@
 	assert.Contains(t, started, first)
 }
 
-// The owner's process stands still while a worker answers it, and wakes to calls
-// that have timed out. It asks once more before it gives the worker's tasks up:
-// the answer lists one as done, and the caller's task runs once.
+// The owner's process stalls while a worker answers, and wakes up to polls that have timed out.
+// It must poll once more before it gives up the worker's runs: the answer lists one as done, and
+// a second start would run the task twice.
 func TestStalledOwnerPollsAgainBeforeItGivesUpRuns(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -257,8 +256,8 @@
 	assert.Equal(t, workload.Completed, state)
 }
 
-// Hundreds of tasks are ready at once. Their starts go out in portions: on a small
-// VM all of them together would be answered too late, and count as unknown.
+// Hundreds of tasks are ready at once. The starts in flight are bounded: on a small VM all of
+// them together would be answered too late and count as unanswered.
 func TestStartsInFlightAreBounded(t *testing.T) {
 	r := newRig(t)
 	var ids []string
@@ -272,16 +271,16 @@
 	first := r.step(20 * time.Millisecond).Starts
 	require.NotEmpty(t, first)
 	require.LessOrEqual(t, len(first), 64)
-	assert.Empty(t, r.step(20*time.Millisecond).Starts, "none was answered yet")
+	assert.Empty(t, r.step(20*time.Millisecond).Starts, "no start was answered yet")
 	for _, s := range first {
 		r.answerStart(s, workload.WorkerOK)
 	}
 	assert.NotEmpty(t, r.step(20*time.Millisecond).Starts)
 }
 
-// A task ends while another runs on the worker. Until its end is stored the worker
-// is left alone, as it would answer each poll at once; then it is polled without
-// a pause. Otherwise every end costs the next one on that worker 400 ms.
+// A task exits while another one runs on the worker. The worker would answer each poll at once
+// until the exit is stored, so polling pauses until then and resumes without a delay. Otherwise
+// every exit would delay the next one on that worker by 400 ms.
 func TestPollFollowsAStoredExitAtOnce(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -304,9 +303,9 @@
 	assert.Equal(t, int64(1), polls[0].Poll.AckedUpTo)
 }
 
-// A caller cancels its job, and the owner hands over before its stop has reached the
-// worker. The next owner knows the cancel and the run: once the worker lists the run
-// it is stopped. Without that a lasting task runs on for ever.
+// A job is cancelled, and the owner hands over before its stop has reached the worker. The next
+// owner knows the cancellation and the run, and must stop the run once the worker lists it.
+// Otherwise a long-running task would run forever.
 func TestRunOfACancelledJobIsStoppedAfterAHandover(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -315,7 +314,7 @@
 	start := r.step(20 * time.Millisecond).Starts[0]
 	r.answerStart(start, workload.WorkerOK)
 	r.core.CancelJob(job, r.now)
-	require.Len(t, r.step(20*time.Millisecond).Stops, 1) // it is lost
+	require.Len(t, r.step(20*time.Millisecond).Stops, 1) // the stop is lost
 	var handover *workload.Handover
 	for _, record := range r.core.HandoverRecords(r.now) {
 		if record.Handover != nil {
@@ -339,9 +338,9 @@
 	assert.Equal(t, start.Start.Run, stops[0].Run)
 }
 
-// A worker's room shrinks below what a caller's job needs and grows again. Nothing is
-// started there meanwhile, what runs goes on, the service is said to lack a worker for
-// the job for as long only, and the job is run in the end.
+// A worker's capacity falls below what a waiting job requires and is restored later. Meanwhile
+// nothing starts there, its runs go on and the requirement is reported as unmet. The job starts
+// once the capacity is restored.
 func TestPlacementFollowsChangesOfWorkerCapacity(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -368,8 +367,8 @@
 	assert.Len(t, r.stepFor(200*time.Millisecond).Starts, 1)
 }
 
-// The worker that keeps its room for a large job shrinks below what that one needs.
-// Another one keeps it from then on; the job would else wait beside it for ever.
+// A worker reserved for a large job shrinks below what the job requires. The reservation must
+// move to another worker, or the job would wait forever.
 func TestReservationMovesWhenItsWorkerShrinks(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -13,8 +13,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// historyCount is how many seeds a run of the tests plays; YUCCADRIFT_HISTORIES
-// asks for more.
+// historyCount returns how many seeds each test plays. YUCCADRIFT_HISTORIES overrides the
+// default.
 func historyCount(t *testing.T) uint64 {
 	text := os.Getenv("YUCCADRIFT_HISTORIES")
 	if text == "" {
@@ -25,11 +25,11 @@
 	return n
 }
 
-// regressionSeeds have shown a fault, or an artefact of the test, outside the range that
-// each run plays.
+// regressionSeeds once showed a fault of the scheduler or of the test, and lie outside the range
+// that each run plays.
 var regressionSeeds = []uint64{589, 726, 787, 1208}
 
-// seedsToPlay are those that a test plays: the first n, and the kept ones.
+// seedsToPlay returns the first n seeds and regressionSeeds.
 func seedsToPlay(n uint64) []uint64 {
 	var list []uint64
 	for seed := range n {
@@ -38,7 +38,7 @@
 	return append(list, regressionSeeds...)
 }
 
-// randomJobSpec draws a job like those of the users.
+// randomJobSpec draws a job of the kinds that users submit.
 func (w *world) randomJobSpec() workload.Spec {
 	spec := workload.Spec{Payload: "work"}
 	for i := range 1 + w.rng.IntN(3) {
@@ -91,7 +91,7 @@
 	return w
 }
 
-// injectRandomFault draws one thing that goes wrong.
+// injectRandomFault injects one random fault.
 func (w *world) injectRandomFault() {
 	ids := make([]string, 0, len(w.registry))
 	for _, info := range w.registry {
@@ -108,7 +108,7 @@
 			w.handOverOwner(w.durationBetween(20*time.Millisecond, 600*time.Millisecond))
 		}
 	case 2:
-		// The owner is frozen or cut off: another one takes over while it lives.
+		// The owner is frozen or cut off: another owner takes over while it lives.
 		if !w.owner.dead {
 			w.takeOver()
 		}
@@ -125,10 +125,10 @@
 	}
 }
 
-// TestRandomHistories plays histories in which owners are killed, replaced and
-// hand over, workers crash and are cut off, answers get lost, orders are carried
-// out seconds late and the store is away. The caller sees each of its jobs end as
-// it should, and no worker sees a task that it must not.
+// TestRandomHistories plays histories in which owners are killed, replaced and hand over, workers
+// crash and are cut off, answers are lost, orders are executed seconds late and the store is
+// unavailable. Each job must reach the state that its caller expects, and no invariant may be
+// violated.
 func TestRandomHistories(t *testing.T) {
 	starts := 0
 	for _, seed := range seedsToPlay(historyCount(t)) {
@@ -137,17 +137,17 @@
 		require.Empty(t, w.violations, "seed %d", seed)
 		for _, job := range w.jobs {
 			state, known := w.owner.core.JobState(job.id)
-			require.True(t, known, "seed %d: job %s is not known", seed, job.id)
+			require.True(t, known, "seed %d: job %s must be known", seed, job.id)
 			switch {
 			case !job.cancelledAt.IsZero():
 				assert.True(t, state.IsTerminal(), "seed %d: cancelled job %s is %s", seed, job.id, state)
-				assert.Zero(t, w.runningCount(job.id), "seed %d: cancelled job %s runs on", seed, job.id)
+				assert.Zero(t, w.runningCount(job.id), "seed %d: cancelled job %s must not run", seed, job.id)
 			case job.submission.Spec.Steps[0].LongRunning:
 				assert.Equal(t, workload.Running, state, "seed %d: job %s", seed, job.id)
 				missing := w.runningCount(job.id) < job.submission.Spec.Steps[0].Count
-				assert.False(t, missing && w.hasFreeCapacity(job), "seed %d: lasting tasks of %s", seed, job.id)
+				assert.False(t, missing && w.hasFreeCapacity(job), "seed %d: long-running tasks of %s must not be missing beside free capacity", seed, job.id)
 			case w.longRunningMemoryShare() > 0.8:
-				// Lasting tasks fill the workers: others may wait for ever.
+				// Long-running tasks fill the workers: others may wait forever.
 			default:
 				assert.Contains(t, []workload.JobState{workload.Completed, workload.Failed}, state, "seed %d: job %s", seed, job.id)
 			}
@@ -159,13 +159,12 @@
 	t.Log(fmt.Sprint(starts, " starts"))
 }
 
-// TestNoTaskRunsTwiceAcrossHandovers plays histories in which owners follow one another
-// every second or so, each with a report of its runs. The caller notices nothing: no
-// task runs twice, and none is forgotten, though ends come in all the while.
+// TestNoTaskRunsTwiceAcrossHandovers plays histories in which owners hand over every second or so
+// while runs exit. No task may run twice, and none may be lost.
 func TestNoTaskRunsTwiceAcrossHandovers(t *testing.T) {
 	for _, seed := range seedsToPlay(historyCount(t) / 3) {
 		w := newWorld(seed, faults{})
-		for i := range 12 { // room for all, also where many tasks last
+		for i := range 12 { // capacity for all, also if many tasks are long-running
 			w.addWorker("worker-"+strconv.Itoa(i), workload.Resources{CPU: 32000, MemoryMB: 64000})
 		}
 		w.takeOver()
@@ -188,7 +187,7 @@
 	}
 }
 
-// longRunningMemoryShare is the share of all memory that lasting tasks hold.
+// longRunningMemoryShare returns the share of all memory that long-running tasks reserve.
 func (w *world) longRunningMemoryShare() float64 {
 	reservedMB, totalMB := 0, 0
 	for _, f := range w.workers {
@@ -205,8 +204,8 @@
 	return float64(reservedMB) / float64(totalMB)
 }
 
-// hasFreeCapacity tells whether a worker could take one more task of a job's first step.
-// Lasting tasks may fill all workers.
+// hasFreeCapacity reports whether a worker could take one more task of a job's first step.
+// Long-running tasks may fill all workers.
 func (w *world) hasFreeCapacity(j *fakeJob) bool {
 	spec := &j.submission.Spec.Steps[0]
 	for _, f := range w.workers {
@@ -224,10 +223,11 @@
 	return false
 }
 
-// TestDrainingInRandomHistories plays histories in which workers are emptied one
-// after the other, as in a wave, while owners are killed and hand over, workers
-// crash or are cut off, and orders get lost or late. No more of a step's lasting
-// tasks are taken away at once than it may miss, and each worker becomes empty.
+// TestDrainingInRandomHistories plays histories in which workers are drained one after the other,
+// as in a maintenance wave, while owners are killed and hand over, workers crash or are cut off,
+// and answers are lost. No more of a step's long-running tasks may be stopped at once than
+// MaxUnavailable allows, and no worker may be reported drained while it runs tasks. Workers need
+// not become drained in time.
 func TestDrainingInRandomHistories(t *testing.T) {
 	for _, seed := range seedsToPlay(historyCount(t)) {
 		w := newWorld(seed, faults{lostAnswer: 0.01, failedTask: 0.01, lostWriteAnswer: 0.02})
@@ -256,9 +256,9 @@
 	}
 }
 
-// TestNoTaskRunsTwiceUnderASlowOwner plays histories in which the owner's process hardly
-// gets on for seconds at a time, as on an overloaded VM: answers lie unread while
-// leases go on. The caller waits longer; no task runs twice.
+// TestNoTaskRunsTwiceUnderASlowOwner plays histories in which the owner's process is slow for
+// seconds at a time, as on an overloaded VM: answers stay unread while leases run out. No task
+// may run twice.
 func TestNoTaskRunsTwiceUnderASlowOwner(t *testing.T) {
 	for _, seed := range seedsToPlay(historyCount(t)) {
 		w := newWorld(seed, faults{lostAnswer: 0.01, failedTask: 0.01, lostWriteAnswer: 0.02})
@@ -281,8 +281,8 @@
 	}
 }
 
-// drainAndRemove asks the owner to empty a worker until it is, for some seconds, as
-// the fleet's owner does, and then takes its VM away for maintenance.
+// drainAndRemove drains a worker as the fleet's owner does, for up to 8 s, and removes its VM for
+// maintenance once it is drained.
 func (w *world) drainAndRemove(id string, drained *int) {
 	deadline := w.now.Add(8 * time.Second)
 	var attempt func()
@@ -293,7 +293,7 @@
 		}
 		if !w.owner.dead && w.owner.coreStarted && w.owner.core.DrainWorker(id, w.now) != workload.NotDrained {
 			if len(f.runs) > 0 {
-				w.recordViolation("CUT", id+" is said to be empty and runs tasks")
+				w.recordViolation("CUT", id+" is reported drained but runs tasks")
 			}
 			*drained++
 			f.terminated = true
@@ -306,10 +306,9 @@
 	attempt()
 }
 
-// TestDrainedWorkersStayEmptyUntilTheirVMIsRemoved plays histories in which a VM is
-// ordered up to a second after its worker was said to be empty, as an order takes
-// its way, while owners hand over or are replaced meanwhile. No task is there when
-// the VM leaves.
+// TestDrainedWorkersStayEmptyUntilTheirVMIsRemoved plays histories in which a VM is removed up to
+// a second after its worker was reported drained, since the order takes time, while owners hand
+// over. The worker must not run a task when its VM is removed.
 func TestDrainedWorkersStayEmptyUntilTheirVMIsRemoved(t *testing.T) {
 	drained := 0
 	for seed := range historyCount(t) / 3 {
@@ -337,7 +336,8 @@
 	require.NotZero(t, drained)
 }
 
-// drainAndRemoveLater is evacuate with an order that arrives a while after the word.
+// drainAndRemoveLater is drainAndRemove with a removal up to a second after the worker is
+// reported drained.
 func (w *world) drainAndRemoveLater(id string, drained *int) {
 	deadline := w.now.Add(8 * time.Second)
 	var attempt func()
@@ -353,7 +353,7 @@
 		*drained++
 		w.after(w.durationBetween(0, time.Second), func() {
 			if len(f.runs) > 0 {
-				w.recordViolation("CUT", id+" was said to be empty and runs tasks when its VM leaves")
+				w.recordViolation("CUT", id+" was reported drained but runs tasks when its VM is removed")
 			}
 			f.terminated = true
 			f.runs = nil
@@ -364,7 +364,7 @@
 	attempt()
 }
 
-// runningCount counts the runs of a job that are on workers that live.
+// runningCount returns the number of a job's runs on live workers.
 func (w *world) runningCount(id workload.JobID) int {
 	n := 0
 	for _, f := range w.workers {
--- a/internal/scheduler/step_test.go
+++ b/internal/scheduler/step_test.go
@@ -11,7 +11,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// A step waits for all tasks of the step that it depends on.
+// A step must not start before all tasks of the steps that it depends on are done.
 func TestStepsWaitForTheirDependencies(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -33,21 +33,22 @@
 	assert.Equal(t, 1, dependentStarts[0].Start.Task.Step)
 }
 
-// A gang starts with all its members, under one run number, or not at all.
+// A gang starts with all members under one run number, or not at all: members that start alone
+// hold capacity and get nothing done.
 func TestGangStartsWholeOrNotAtAll(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
 	gang := batchStep(3, 3000)
 	gang.Gang = true
 	r.submit("0000000000000001", gang)
-	assert.Empty(t, r.step(20*time.Millisecond).Starts, "two fit, three don't")
+	assert.Empty(t, r.step(20*time.Millisecond).Starts, "only two of three members fit")
 	starts := r.syncWorkers("w-1", "w-2")
 	require.Len(t, starts, 3)
 	assert.Equal(t, starts[0].Start.Run, starts[1].Start.Run)
 	assert.Equal(t, starts[0].Start.Run, starts[2].Start.Run)
 }
 
-// An occurrence does not begin before it is due.
+// An occurrence must not start before its due time.
 func TestOccurrencesDoNotStartBeforeTheyAreDue(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -67,8 +68,8 @@
 	assert.False(t, startedAt[1].Before(due.Add(time.Second)))
 }
 
-// A queue whose steps only some workers may run is asked about first; a start
-// carries the ticket, and goes to no worker without one.
+// The tasks of a queue with advice may only run on some workers. The owner requests advice before
+// it starts them; each start carries the worker's ticket, and workers without a ticket get none.
 func TestAdviceIsRequestedBeforeAStart(t *testing.T) {
 	r := newRig(t)
 	config := *testConfig
@@ -80,7 +81,7 @@
 	orders := r.step(20 * time.Millisecond)
 	assert.Empty(t, orders.Starts)
 	require.Len(t, orders.AdviceRequests, 1)
-	assert.Empty(t, r.step(20*time.Millisecond).AdviceRequests, "one question at a time")
+	assert.Empty(t, r.step(20*time.Millisecond).AdviceRequests, "one request at a time")
 	r.core.HandleAdviceResult(scheduler.AdviceResult{Order: orders.AdviceRequests[0], SentAt: r.now, OK: true, ValidFor: 3 * time.Second, Tickets: map[string]string{"w-2": "ticket"}}, r.now)
 	starts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, starts, 2)
@@ -90,9 +91,8 @@
 	}
 }
 
-// A job with many occurrences asks for one after the other. Its service is shown
-// what is due now or within seconds: all of them together would draw every VM to
-// its pool.
+// Only occurrences that are due now or within seconds count as demand. All occurrences of a job
+// together would draw every VM to the pool of its service.
 func TestOnlyOccurrencesDueSoonCountAsDemand(t *testing.T) {
 	r := newRig(t)
 	r.core.AddJob("0000000000000001", &workload.Submission{Queue: "quick", Service: "service", AcceptedAtMS: r.now.UnixMilli(), Spec: workload.Spec{
@@ -105,8 +105,8 @@
 	assert.Equal(t, 2000, loads[0].UpcomingDemand.CPU)
 }
 
-// An occurrence is long past its time, and a caller's job came just now. There is
-// room for one task: the job gets it, as the occurrence can win nothing any more.
+// An occurrence long past its deadline and a new job compete for capacity for one task. The job
+// starts first, as the occurrence can't meet its deadline any more.
 func TestJobOnTimeStartsBeforeAnOverdueOccurrence(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -119,8 +119,9 @@
 	assert.Equal(t, job, starts[0].Start.Task.Job)
 }
 
-// A task needs a label that no worker of its service has, or more room than any has.
-// The fleet's owner is told what to bring; what only waits for room is not named.
+// A task needs a label that no worker of its service has, or more capacity than any worker has.
+// The fleet's owner must be told, or it never adds a suitable VM. Tasks that only wait for free
+// capacity are not reported.
 func TestUnmetRequirementsAreReported(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -143,8 +144,8 @@
 	assert.Equal(t, 8000, loads[0].DemandByLabel["rack-7"].CPU)
 }
 
-// An owner has just taken over, and no worker has answered yet. Nothing is said to be
-// missing: VMs would be moved for nothing.
+// After a takeover no worker has answered yet. Unmet requirements reported then would move VMs
+// needlessly.
 func TestNoUnmetRequirementsBeforeWorkersAnswer(t *testing.T) {
 	r := newRig(t)
 	r.setWorkers("w-1")
@@ -154,8 +155,8 @@
 	assert.Empty(t, loads[0].UnmetRequirements)
 }
 
-// Data lies in one rack. Tasks run there while it has room, and elsewhere rather
-// than wait once it has none.
+// Tasks run in the rack of their data while it has free capacity, and in other racks rather than
+// wait.
 func TestTasksRunNearTheirData(t *testing.T) {
 	r := newRig(t)
 	r.core.SetWorkers([]workload.Worker{
@@ -175,8 +176,8 @@
 	assert.Equal(t, map[string]int{"w-1": 1, "w-2": 2}, startsByWorker)
 }
 
-// Some jobs of a service need one kind of VM. Tasks that may run anywhere leave that
-// kind free while others have room: the next job that needs it starts at once.
+// Some jobs of a service require one kind of VM. Tasks without a required label leave these VMs
+// free while others have capacity, so that the next job that requires them starts at once.
 func TestUnconstrainedTasksLeaveLabelledWorkersFree(t *testing.T) {
 	r := newRig(t)
 	r.core.SetWorkers([]workload.Worker{
@@ -200,9 +201,9 @@
 	}
 }
 
-// Two jobs have waited for half a minute for more room than any worker has free. One
-// worker is kept free for the first of them; on the other a caller's small task
-// starts. Were each to keep one, the service would stand still beside free room.
+// Two jobs have waited for half a minute for more capacity than any worker has free. Only one
+// worker is reserved for them, and a small job starts on the other. If each job reserved a
+// worker, the service would stand still beside free capacity.
 func TestJobsThatWaitedLongDoNotReserveAllWorkers(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -218,9 +219,9 @@
 	assert.Equal(t, small, starts[0].Start.Task.Job)
 }
 
-// Jobs have waited long, and smaller ones keep joining them. The oldest goes first,
-// however large it is: else it would wait for ever. The others that can win nothing
-// any more do not pass a job that can.
+// Jobs are overdue, and smaller ones keep joining them. The oldest starts first, however large it
+// is, or it would wait forever. The other overdue jobs don't start before a job that can still
+// meet its deadline.
 func TestOldestOverdueJobStartsFirst(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
