--- a/internal/scheduler/authority_test.go
+++ b/internal/scheduler/authority_test.go
@@ -11,7 +11,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// stepReporting steps for a while and answers each poll of a worker with its running tasks.
+// stepReporting steps for d and answers a worker's polls with the given runs.
 func (r *rig) stepReporting(d time.Duration, worker string, running ...workload.ListedRun) scheduler.Orders {
 	var collected scheduler.Orders
 	for until := r.now.Add(d); r.now.Before(until); {
@@ -24,9 +24,9 @@
 	return collected
 }
 
-// Guards against an owner that may have a successor keeping tasks alive there, where the
-// successor can't reach the worker: it starts nothing, renews no lease and moves no task
-// until it is confirmed again.
+// An owner that may have a successor must not keep tasks alive on a worker that the successor
+// can't reach. Until its ownership is confirmed again it starts nothing, renews no lease and
+// moves no task.
 func TestOwnerWithoutAuthorityNeitherStartsNorRenews(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -48,7 +48,7 @@
 	r.submit("0000000000000002", batchStep(1, 1000))
 	r.core.DrainWorker("w-1", r.now)
 	orders := r.stepReporting(time.Second, "w-1", running)
-	assert.NotEmpty(t, orders.Polls, "its workers are polled: one of them may tell of the successor")
+	assert.NotEmpty(t, orders.Polls, "workers are polled: one of them may report the successor's token")
 	assert.Zero(t, countRenewals(orders))
 	assert.Empty(t, orders.Starts)
 	assert.Empty(t, orders.Stops)
@@ -59,8 +59,8 @@
 	assert.NotEmpty(t, orders.Starts)
 }
 
-// Guards against a successor that reckons an earlier owner's last lease from its own
-// beginning: that one may go on for Overlap.
+// The earlier owner may go on for MaxOwnerOverlap after its successor has begun. A successor that
+// counted the last lease from its own beginning would start tasks that still run.
 func TestTakeoverWaitsForLeasesRenewedAfterItBegan(t *testing.T) {
 	settings := testSettings(3)
 	settings.MaxOwnerOverlap = membershipTTL
@@ -78,9 +78,9 @@
 	assert.NotEmpty(t, r.stepFor(500*time.Millisecond).Starts)
 }
 
-// Guards against a run of an earlier owner that was listed once being given up before the
-// lease that it has is over: an owner without authority renews none, so that nothing else
-// tells how long it may last.
+// A run of an earlier owner that was listed once must not be given up before its lease has
+// expired. An owner without authority renews no lease, so only the earlier owner's lease bounds
+// the run.
 func TestAdoptedRunIsKeptForTheEarlierOwnersLease(t *testing.T) {
 	r := newRig(t, "w-1")
 	r.setWorkers("w-1", "w-2")
--- a/internal/scheduler/backlog_test.go
+++ b/internal/scheduler/backlog_test.go
@@ -11,11 +11,11 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// saturatedService is a service whose workers are full, with jobs that wait.
+// saturatedService is a service whose workers are full while jobs wait.
 type saturatedService struct {
 	*rig
 	running        []scheduler.StartOrder
-	lastExitNumber map[string]int64 // of each worker, how many it has listed
+	lastExitNumber map[string]int64 // number of the last exit, by worker
 	jobCount       int
 }
 
@@ -51,7 +51,7 @@
 	f.running = append(f.running, starts...)
 }
 
-// completeOldestRun ends the oldest run and takes what is started in its place.
+// completeOldestRun ends the oldest run and accepts the starts that follow.
 func (f *saturatedService) completeOldestRun() {
 	oldest := f.running[0]
 	f.running = f.running[1:]
@@ -67,16 +67,14 @@
 	f.acceptStarts(f.step(3 * time.Millisecond).Starts)
 }
 
-// planWork is what planning has cost so far.
+// planWork returns the work that planning has cost so far: ranked jobs and placement checks.
 func (f *saturatedService) planWork() int {
 	return f.core.Counts.RankedJobs + f.core.Counts.PlacementChecks
 }
 
-// Callers see starts slow down the more jobs wait, beside workers that come free.
-//
-// A run ends and one of the waiting jobs' tasks is started in its place. If the owner ranks
-// all of them for that, and looks for runs that could give way to each, a start costs as
-// much as there are jobs waiting. A peak then leaves an owner that can only plan.
+// A run exits and a task of a waiting job starts in its place. If the owner ranks all waiting
+// jobs for that and searches preemptible runs for each, the cost of a start grows with the
+// backlog: starts slow down beside free workers, and after a peak the owner does little but plan.
 func TestCostOfAStartDoesNotGrowWithTheBacklog(t *testing.T) {
 	const workers, starts = 20, 300
 	costPerStart := func(waiting int) float64 {
@@ -88,11 +86,11 @@
 		return float64(f.planWork()-before) / starts
 	}
 	smallBacklog, largeBacklog := costPerStart(50), costPerStart(2000)
-	assert.Less(t, largeBacklog, 3*smallBacklog, "jobs, workers and runs looked at for a start, with 50 jobs waiting and with 2,000")
+	assert.Less(t, largeBacklog, 3*smallBacklog, "plan work per start with 2,000 jobs waiting must stay below three times that with 50")
 }
 
-// BenchmarkStartBesideABacklog measures an end and the start in its place, on 100
-// workers, with more and more jobs waiting.
+// BenchmarkStartBesideABacklog measures an exit and the start in its place on 100 workers, for
+// growing backlogs.
 func BenchmarkStartBesideABacklog(b *testing.B) {
 	for _, waiting := range []int{10, 100, 1000, 3000} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
@@ -105,9 +103,9 @@
 	}
 }
 
-// A hundred jobs wait for a label that no worker has, and one with more work for
-// nothing but room, which there is. It starts within two rankings, though a plan leaves
-// a service alone after as many steps that found no room.
+// A hundred jobs wait for a label that no worker has. A job with more work that fits must start
+// within two rankings, although a plan gives up on a service after that many steps without a
+// placement.
 func TestUnplaceableJobsDoNotDelayAPlaceableOne(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
--- a/internal/scheduler/crash_test.go
+++ b/internal/scheduler/crash_test.go
@@ -12,12 +12,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Callers of a service see their jobs late or failed for minutes: one task crashes
-// each worker that starts it, with all that the worker runs. Attempts count ends
-// that workers list, and one that crashed lists none: the task's run was taken off
-// without a trace, and it was started on the next worker at once, by one owner,
-// under one epoch with numbers one after the other, without end. The task is to be
-// given up, and its job shown as failed, before a third start after three crashes.
+// A task crashes each worker that starts it, with all runs there. Only exits that workers list
+// count as failed attempts, and a crashed worker lists none, so that the task was started on one
+// worker after the other without end. It must be given up and its job shown as failed before a
+// third start after three crashes.
 func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	r := newRig(t)
 	job := r.submit("0000000000000001", batchStep(1, 1000))
@@ -39,8 +37,7 @@
 	assert.Equal(t, workload.Failed, state)
 }
 
-// randomCrashingSpec draws a job of which one task crashes its workers: of any kind that
-// there is.
+// randomCrashingSpec draws a job of any kind; one of its tasks crashes its workers.
 func (w *world) randomCrashingSpec() workload.Spec {
 	s := workload.Step{
 		Count:      1 + w.rng.IntN(4),
@@ -66,23 +63,24 @@
 	return spec
 }
 
-// playCrashHistory plays two minutes of jobs of which a few crash their workers, on 16
-// workers whose room shrinks and grows and which refuse connections at times, in every second history under owners that are
-// killed, replaced and hand over while the store comes and goes, in every third one
-// on workers that don't guard their room. With restarts, workers that crash come back under
-// their ID, and some restart of themselves.
+// playCrashHistory plays two minutes of jobs on 16 workers; a few jobs crash their workers. At
+// times a worker's capacity shrinks or a worker refuses connections. For odd seeds owners are
+// killed, replaced and hand over, and the store is unavailable at times. For every third seed the
+// workers don't enforce their capacity.
 func playCrashHistory(seed uint64) (w *world, crashingJobs []*fakeJob) {
 	return newWorld(seed, crashFaults).playCrashScenario(seed)
 }
 
+// playCrashRestartHistory is playCrashHistory with workers that come back under the same ID after
+// a crash; some also restart without one.
 func playCrashRestartHistory(seed uint64) (w *world, crashingJobs []*fakeJob) {
 	w = newWorld(seed, crashFaults)
 	w.crashedWorkersRestart = true
 	return w.playCrashScenario(seed)
 }
 
-// playVMLossHistory is crashHistory with workers that crash and take their VMs with them,
-// under one owner: what an owner that dies has seen of a silence is lost with it.
+// playVMLossHistory is playCrashHistory with workers that lose their VMs when they crash, under
+// one owner: an owner that dies takes along what it has seen of a silent worker.
 func playVMLossHistory(seed uint64) (w *world, crashingJobs []*fakeJob) {
 	w = newWorld(seed, crashFaults)
 	w.crashesLoseVM = true
@@ -94,7 +92,7 @@
 func (w *world) playCrashScenario(seed uint64) (_ *world, crashingJobs []*fakeJob) {
 	if seed%3 == 0 {
 		w.unguarded = true
-		w.faults.lateOrder = 0 // nobody can know what has shrunk by then
+		w.faults.lateOrder = 0 // an owner can't know of a capacity reduced by then
 	}
 	for i := range 16 {
 		w.addWorker("worker-"+strconv.Itoa(i), workload.Resources{CPU: 32000, MemoryMB: 64000})
@@ -130,13 +128,13 @@
 	})
 	duration := 2 * time.Minute
 	if w.crashesLoseVM {
-		duration = 3 * time.Minute // each loss shows only when its leases are over
+		duration = 3 * time.Minute // a loss shows only once the leases have expired
 	}
 	w.runUntil(duration)
 	return w, crashingJobs
 }
 
-// shrinkRandomWorker lets a worker's room shrink for some seconds, to nothing at times.
+// shrinkRandomWorker reduces a worker's capacity for some seconds, at times to nothing.
 func (w *world) shrinkRandomWorker() {
 	f := w.workers[w.registry[w.rng.IntN(len(w.registry))].ID]
 	if f.terminated || f.info.Capacity.CPU < 32000 {
@@ -146,14 +144,15 @@
 	f.reduceCapacity(fraction, w.durationBetween(2*time.Second, 10*time.Second))
 }
 
-// refuseConnectionsAtRandomWorker lets a worker refuse connections for some seconds while it runs on.
+// refuseConnectionsAtRandomWorker lets a worker refuse connections for some seconds while its
+// tasks run on.
 func (w *world) refuseConnectionsAtRandomWorker() {
 	f := w.workers[w.registry[w.rng.IntN(len(w.registry))].ID]
 	f.refusesConnections = true
 	w.after(w.durationBetween(300*time.Millisecond, 6*time.Second), func() { f.refusesConnections = false })
 }
 
-// injectOwnerFault draws one thing that goes wrong with the owner or the store.
+// injectOwnerFault injects one random fault of the owner or the store.
 func (w *world) injectOwnerFault() {
 	if w.owner.dead {
 		return
@@ -171,9 +170,9 @@
 	}
 }
 
-// crashSeedsToPlay are the first n, and those that have shown a fault beyond them: three owners
-// in a row were lost before the crash that they saw was stored or cleared up (47, 81, 223), or
-// three starts in a row had no answer before their workers crashed (212, with restarts).
+// crashSeedsToPlay returns the first n seeds and those that have shown a fault beyond them: three
+// owners in a row were lost before the crash that they saw was stored or resolved (47, 81, 223),
+// or three starts in a row had no answer before their workers crashed (212, with restarts).
 func crashSeedsToPlay(n uint64) []uint64 {
 	var list []uint64
 	for seed := range n {
@@ -182,29 +181,26 @@
 	return append(list, 47, 81, 212, 223)
 }
 
-// The callers of 16 workers see their jobs wait and start anew while tasks of up to
-// four other jobs crash each worker that starts them. A crash takes all that the
-// worker ran, so every task there is under suspicion, and owners that are killed
-// take along what only they know. The jobs of the tasks that crash workers are
-// shown as failed after few crashes; no job of others is, and all of these end. No
-// start brings a worker over the room that it has left at the time.
+// Tasks of up to four jobs crash each worker that starts them. A crash ends all runs of the
+// worker, so that each of their tasks is a suspect, and an owner that is killed takes along what
+// only it knew. The jobs with crashing tasks must fail after few crashes and all others must
+// complete. No start may exceed the capacity that a worker has at the time.
 func TestTasksThatCrashWorkersInRandomHistories(t *testing.T) {
 	checkCrashHistories(t, playCrashHistory)
 }
 
-// Guards against a crash that shows only in another start of the same worker: the same
-// histories, with workers that come back under their ID.
+// The same histories with workers that come back under the same ID: a crash then shows only in
+// the worker's new incarnation.
 func TestTasksThatCrashRestartingWorkersInRandomHistories(t *testing.T) {
 	checkCrashHistories(t, playCrashRestartHistory)
 }
 
-// maxSilentVMLosses is how many VMs a task may take with it that loses its VM each time: some are
-// lost before it is suspected, and each loss by itself proves less than a crash.
+// maxSilentVMLosses is how many VMs may be lost to a task that loses its VM each time. Some are
+// lost before the task is a suspect, and a loss proves less than a crash.
 const maxSilentVMLosses = 12
 
-// Guards against a task that takes its worker's VM with it each time being started without
-// end: nothing refuses calls then and nothing comes back at the address, so that each loss
-// looks like that of a worker that was cut off.
+// A task that loses its worker's VM each time must not be started without end. No address refuses
+// connections and no successor answers, so that each loss looks like a worker that was cut off.
 func TestTasksThatLoseTheirVMsInRandomHistories(t *testing.T) {
 	checkCrashHistories(t, playVMLossHistory)
 }
@@ -218,7 +214,7 @@
 		for _, job := range crashingJobs {
 			isCrashingJob[job.id] = true
 			state, _ := w.owner.core.JobState(job.id)
-			assert.Equal(t, workload.Failed, state, "seed %d: job %s with a task that crashes workers", seed, job.id)
+			assert.Equal(t, workload.Failed, state, "seed %d: job %s has a task that crashes workers", seed, job.id)
 			for taskName := range w.crashingTasks {
 				crashes += job.workerCrashes[taskName]
 				maxCrashes = max(maxCrashes, job.workerCrashes[taskName])
@@ -227,13 +223,13 @@
 		bystanderRunsLost += w.bystanderRunsLost
 		for _, job := range w.jobs {
 			state, known := w.owner.core.JobState(job.id)
-			require.True(t, known, "seed %d: job %s is not known", seed, job.id)
+			require.True(t, known, "seed %d: job %s must be known", seed, job.id)
 			switch {
 			case isCrashingJob[job.id]:
 			case job.submission.Spec.Steps[0].LongRunning:
 				assert.Equal(t, workload.Running, state, "seed %d: job %s", seed, job.id)
 				missing := w.runningCount(job.id) < job.submission.Spec.Steps[0].Count
-				assert.False(t, missing && w.hasFreeCapacity(job), "seed %d: lasting tasks of %s", seed, job.id)
+				assert.False(t, missing && w.hasFreeCapacity(job), "seed %d: long-running tasks of %s must not be missing beside free capacity", seed, job.id)
 			case w.longRunningMemoryShare() > 0.8:
 			default:
 				assert.Equal(t, workload.Completed, state, "seed %d: job %s of another caller", seed, job.id)
@@ -243,14 +239,13 @@
 			return
 		}
 	}
-	t.Log(fmt.Sprint(crashes, " crashes, at most ", maxCrashes, " under one task, ", bystanderRunsLost, " runs of others lost"))
+	t.Log(fmt.Sprint(crashes, " crashes, at most ", maxCrashes, " under one task, ", bystanderRunsLost, " runs of other jobs lost"))
 }
 
-// Callers' lasting tasks lie on the three workers of a small service, and half a dozen
-// jobs crash these within some seconds. Each task that lasts is there at many crashes,
-// so that each became a suspect and was tried for ten seconds, one after the other: some
-// were away for a minute. They are to be back soon after the last crash, as tasks whose
-// worker has been lost; what crashes of a cause that is proved said about others is void.
+// Half a dozen jobs crash the three workers of a small service within seconds. The long-running
+// tasks there ran during many of the crashes, so that each was a suspect and was isolated for ten
+// seconds, one after the other: some were unavailable for a minute. They must run again within
+// seconds of the last crash; a crash whose cause is proven must not count against other tasks.
 func TestLongRunningTasksRecoverSoonBesideJobsThatCrashWorkers(t *testing.T) {
 	for seed := range historyCount(t) / 10 {
 		w := newWorld(seed, faults{})
@@ -286,7 +281,7 @@
 		}
 		require.Empty(t, w.violations, "seed %d", seed)
 		for _, j := range longRunningJobs {
-			assert.Equal(t, 3, w.runningCount(j.id), "seed %d: job %s, %s after the beginning", seed, j.id, w.now.Sub(historyStart))
+			assert.Equal(t, 3, w.runningCount(j.id), "seed %d: job %s must run with all tasks %s after the start", seed, j.id, w.now.Sub(historyStart))
 		}
 		if t.Failed() {
 			return
--- a/internal/scheduler/drain_test.go
+++ b/internal/scheduler/drain_test.go
@@ -10,15 +10,15 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Guards against tasks being cut by an order for a VM right after a change of owners: the new
-// owner said that a worker is empty before it had read its first list of workers, and started
-// tasks there as soon as the list came.
+// After a takeover the owner reported a worker as drained before it had read its first worker
+// list, and started tasks there as soon as the list named the worker. The removal of the VM then
+// cut these tasks off.
 func TestWorkerReportedDrainedBeforeItIsListedGetsNoTasks(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		prepare func(r *rig)
 	}{
-		{"all is handed over", func(r *rig) {
+		{"everything is handed over", func(r *rig) {
 			r.core.RestoreHandover(&workload.Handover{Epoch: r.epoch - 1}, r.now)
 		}},
 		{"forgotten", func(r *rig) {
@@ -29,7 +29,7 @@
 	} {
 		r := newRig(t)
 		c.prepare(r)
-		require.Equal(t, workload.DrainedUnconfirmed, r.core.DrainWorker("w-1", r.now), "%s: nothing can run there", c.name)
+		require.Equal(t, workload.DrainedUnconfirmed, r.core.DrainWorker("w-1", r.now), "%s: no task can run there", c.name)
 		r.submit("0000000000000001", batchStep(1, 1000))
 		clear(r.latestPolls)
 		r.setWorkers("w-1")
@@ -38,15 +38,15 @@
 			r.answerPollAs(poll, firstIncarnation, workload.PollReport{})
 		}
 		answerNextPoll()
-		assert.Empty(t, r.stepFor(time.Second).Starts, "%s: the order for the VM is on its way", c.name)
+		assert.Empty(t, r.stepFor(time.Second).Starts, "%s: the VM may be removed now", c.name)
 		r.stepFor(time.Second)
 		answerNextPoll()
-		assert.Len(t, r.stepFor(100*time.Millisecond).Starts, 1, "%s: nobody wants it empty any more", c.name)
+		assert.Len(t, r.stepFor(100*time.Millisecond).Starts, 1, "%s: the drain has ended", c.name)
 	}
 }
 
-// Guards against a VM that is never maintained: its worker has ended, and the list of VMs
-// still names it.
+// A worker has ended while the list of VMs still names it. It must be reported drained, or its VM
+// is never maintained.
 func TestUnlistedWorkerIsReportedDrainedEachTime(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-2")
@@ -57,7 +57,8 @@
 	assert.NotContains(t, r.core.ServiceLoads(r.now)[0].Workers, "w-1")
 }
 
-// Guards against a worker being called empty that may run what an earlier owner started.
+// A worker that may run what an earlier owner started must not be reported drained before it
+// answers.
 func TestUnresolvedWorkerIsNotReportedDrainedBeforeItAnswers(t *testing.T) {
 	r := newRig(t, "w-1")
 	for range 3 {
@@ -66,13 +67,14 @@
 	}
 	r.setWorkers("w-1")
 	r.step(0)
-	require.Equal(t, workload.NotDrained, r.core.DrainWorker("w-1", r.now), "it is listed and hasn't answered")
+	require.Equal(t, workload.NotDrained, r.core.DrainWorker("w-1", r.now), "it is registered but has not answered")
 	r.answerPoll("w-1", r.now, workload.PollReport{})
 	assert.Equal(t, workload.Drained, r.core.DrainWorker("w-1", r.now))
 }
 
-// Guards against a VM's tasks being cut as the process of its idle worker had ended and
-// another one was there: nobody had asked the idle one for long.
+// An idle worker is rarely polled, so that its process may have been replaced unseen. It is
+// confirmed drained only while it answers polls; otherwise the removal of the VM would cut off
+// tasks of the new process.
 func TestIdleWorkerIsConfirmedDrainedOnlyOnceItAnswers(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -84,7 +86,7 @@
 	require.Equal(t, workload.Drained, r.core.DrainWorker("w-1", r.now))
 	poll, _ = r.awaitPoll("w-1")
 	r.timeOutPoll(poll.Worker.ID)
-	assert.Equal(t, workload.DrainedUnconfirmed, r.core.DrainWorker("w-1", r.now), "it doesn't answer any more")
+	assert.Equal(t, workload.DrainedUnconfirmed, r.core.DrainWorker("w-1", r.now), "it no longer answers")
 	r.stepFor(400 * time.Millisecond)
 	assert.Equal(t, workload.DrainedUnconfirmed, r.core.DrainWorker("w-1", r.now))
 }
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -11,7 +11,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// submitGang is a step of three tasks, of which a test worker holds two.
+// submitGang submits a gang of three tasks, two of which fit on a worker, and returns the starts.
 func submitGang(r *rig) []scheduler.StartOrder {
 	r.syncWorkers("w-1", "w-2")
 	gang := batchStep(3, 3000)
@@ -22,7 +22,7 @@
 	return starts
 }
 
-// stepFor steps for a while. Workers answer polls and list nothing.
+// stepFor steps for d and answers no poll.
 func (r *rig) stepFor(d time.Duration) scheduler.Orders {
 	var collected scheduler.Orders
 	for until := r.now.Add(d); r.now.Before(until); {
@@ -33,10 +33,9 @@
 	return collected
 }
 
-// One member of a gang meets a worker that has just left; the others begin and
-// wait for it. They are stopped at once, as they get nothing done and hold their
-// room, and the gang starts anew under a higher number: the caller's job takes
-// half a second longer, and no member ends for want of the others.
+// A worker refuses one member of a gang, and the other members wait for it. They must be stopped
+// at once, as they hold capacity and get nothing done, and the gang restarts under a higher run
+// number.
 func TestGangWithARefusedMemberIsStoppedAndRestarted(t *testing.T) {
 	r := newRig(t)
 	starts := submitGang(r)
@@ -58,8 +57,8 @@
 	}
 }
 
-// The start of one member gets no answer, and its worker is silent. The others
-// would wait for it until they end without work done; they are stopped before.
+// The start of one member gets no answer, and its worker is silent. The other members must be
+// stopped before the gang timeout ends them without work done.
 func TestGangWithAnUncertainMemberIsStoppedBeforeTheGangTimeout(t *testing.T) {
 	r := newRig(t)
 	starts := submitGang(r)
@@ -75,7 +74,7 @@
 	assert.True(t, stopped[starts[1].Start.Task])
 }
 
-// All members are there: the gang is left alone, however long it works.
+// A gang with all members running must not be stopped, however long it works.
 func TestCompleteGangIsNotStopped(t *testing.T) {
 	r := newRig(t)
 	for _, s := range submitGang(r) {
@@ -84,9 +83,9 @@
 	assert.Empty(t, r.stepFor(2*gangTimeout).Stops)
 }
 
-// A VM was emptied, and its worker goes with it to another pool. The list names it
-// for seconds yet. It gets no task before it has answered a poll again: a start
-// there would be refused and cost its task 0.3 s.
+// A drained VM moves to another pool with its worker, and the worker list still names it for
+// seconds. The worker must get no task before it has answered a poll again: the start would be
+// refused and delay the task by 0.3 s.
 func TestDrainedWorkerGetsNoTaskBeforeItAnswersAPoll(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
