--- a/internal/scheduler/incarnation_test.go
+++ b/internal/scheduler/incarnation_test.go
@@ -11,14 +11,14 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Starts of the worker of these tests, in Unix milliseconds.
+// Incarnations of the worker in these tests, in Unix milliseconds.
 var (
 	firstIncarnation = historyStart.Add(-time.Hour).UnixMilli()
 	nextIncarnation  = historyStart.Add(-time.Second).UnixMilli()
 )
 
-// completeJob starts the task of a job of one on the worker and has it end as done, as its end n.
-// It returns the poll that carries the acknowledgement.
+// completeJob starts a job of one task on the worker and ends the task as done, with the given
+// exit number. It returns the poll that carries the acknowledgement.
 func (r *rig) completeJob(id string, exitNumber int64) scheduler.PollOrder {
 	s := r.startJob(id, batchStep(1, 1000))[0]
 	poll, _ := r.awaitPoll("w-1")
@@ -27,9 +27,9 @@
 	return poll
 }
 
-// Guards against an acknowledgement reaching a process that has listed nothing, which
-// takes it for its own first ends: after any pause in which the worker can have restarted
-// a poll goes without it first.
+// A new process of a worker takes an acknowledgement as one of its own first exits. After any
+// pause in which the worker may have restarted, the owner must poll without an acknowledgement
+// first.
 func TestAcknowledgementIsSentOnlyRightAfterAPollReport(t *testing.T) {
 	r := newIncarnationRig(t)
 	poll := r.completeJob("0000000000000001", 1)
@@ -44,19 +44,19 @@
 
 	s := r.startJob("0000000000000002", batchStep(1, 1000))[0]
 	poll, _ = r.awaitPoll("w-1")
-	assert.Zero(t, poll.Poll.AckedUpTo, "it has been answered")
+	assert.Zero(t, poll.Poll.AckedUpTo, "the acknowledgement was delivered before")
 	r.now = r.now.Add(300 * time.Millisecond)
 	r.answerPollAs(poll, firstIncarnation, exitReport(2, s, workload.ExitDone))
-	r.now = r.now.Add(300 * time.Millisecond) // as a slow store takes
+	r.now = r.now.Add(300 * time.Millisecond) // a slow store
 	poll, _ = r.awaitPoll("w-1")
-	assert.Zero(t, poll.Poll.AckedUpTo, "the list is old")
+	assert.Zero(t, poll.Poll.AckedUpTo, "the report is old")
 	r.answerPollAs(poll, firstIncarnation, exitReport(2, s, workload.ExitDone))
 	poll, _ = r.awaitPoll("w-1")
 	assert.Equal(t, int64(2), poll.Poll.AckedUpTo)
 }
 
-// Guards against an acknowledgement that stays here for want of another task on the
-// worker: it would travel with the first poll after a restart.
+// An acknowledgement that waits for the worker's next task would be sent with the first poll
+// after a restart. It must be sent to an idle worker at once.
 func TestAcknowledgementIsDeliveredToAnIdleWorker(t *testing.T) {
 	r := newIncarnationRig(t)
 	poll := r.completeJob("0000000000000001", 1)
@@ -66,8 +66,9 @@
 	assert.Empty(t, r.step(time.Second).Polls)
 }
 
-// Guards against the ends of a new process being left out as known, and against the
-// acknowledgement of what was read of the one before, also where that is stored only now.
+// Exit numbers start over with each incarnation. The exits of the new process must not be ignored
+// as known, and exits of the previous one must not be acknowledged to it, even if they are stored
+// only now.
 func TestExitNumbersStartOverWithANewIncarnation(t *testing.T) {
 	r := newIncarnationRig(t)
 	r.answerPollAs(r.completeJob("0000000000000001", 57), firstIncarnation, workload.PollReport{})
@@ -84,7 +85,7 @@
 	r.registerWorker("w-1", nextIncarnation)
 	poll, _ = r.awaitPoll("w-1")
 	r.answerPollAs(poll, nextIncarnation, workload.PollReport{})
-	require.Empty(t, r.step(20*time.Millisecond).Polls, "nothing is to be acknowledged")
+	require.Empty(t, r.step(20*time.Millisecond).Polls, "no exit needs an acknowledgement")
 
 	s = r.startJob("0000000000000003", batchStep(1, 1000))[0]
 	poll, _ = r.awaitPoll("w-1")
@@ -96,9 +97,9 @@
 	assert.Equal(t, workload.Completed, state)
 }
 
-// Guards against orders of before a restart having effect on the new process, which has
-// seen no fencing token: its first poll carries a higher one, and no task is started
-// before that poll is answered.
+// A new process has seen no fencing token, so that orders sent before the restart would take
+// effect. Its first poll must carry a higher token, and no task may start before that poll is
+// answered.
 func TestEachIncarnationIsFenced(t *testing.T) {
 	r := newIncarnationRig(t)
 	s := r.startJob("0000000000000001", batchStep(1, 1000))[0]
@@ -119,8 +120,8 @@
 	assert.Empty(t, r.core.StepDownReason())
 }
 
-// Guards against a refusal of an order of before a restart being taken for the word of a
-// later owner.
+// A new incarnation refuses an order sent before the restart. The owner must not mistake the
+// refusal for a sign of a later owner.
 func TestOrderFencedByANewIncarnationDoesNotEndOwnership(t *testing.T) {
 	r := newIncarnationRig(t)
 	s := r.startJob("0000000000000001", batchStep(1, 1000))[0]
@@ -130,8 +131,8 @@
 	assert.Empty(t, r.core.StepDownReason())
 }
 
-// Guards against a start that reached the new process being taken for lost with the old
-// one: its task would run twice. It is listed there, or its end is.
+// A start that has reached the new process must not count as lost with the old one, or its task
+// runs twice. The new process lists the run or its exit.
 func TestStartThatReachedTheNewIncarnationIsKept(t *testing.T) {
 	for _, exited := range []bool{false, true} {
 		r := newIncarnationRig(t)
@@ -153,8 +154,9 @@
 	}
 }
 
-// Guards against leases by the clock of the process before: the new one would give the
-// longest there is, and its runs outlive the lease that its owner counts with.
+// The clock of a new incarnation starts over. With a lease by the old clock the worker would
+// grant the longest lease that it can, and its runs would outlive the lease that the owner
+// assumes.
 func TestLeasesFollowTheClockOfTheNewIncarnation(t *testing.T) {
 	r := newIncarnationRig(t)
 	s := r.startJob("0000000000000001", batchStep(1, 1000))[0]
@@ -163,13 +165,13 @@
 	r.answerPollAs(poll, nextIncarnation, workload.PollReport{})
 	fencingPoll, _ := r.awaitPoll("w-1")
 	r.answerPollAs(fencingPoll, nextIncarnation, workload.PollReport{Running: []workload.ListedRun{{Task: s.Start.Task, Run: s.Start.Run, SpeedPercent: 100}}})
-	// An answer of the process before that comes now says nothing of this one's clock.
+	// A late answer of the previous process must not set the clock.
 	r.core.HandleStopResult(scheduler.OrderResult{Worker: "w-1", Task: s.Start.Task, Run: s.Start.Run, Token: s.Start.Token, Answer: workload.WorkerAnswer{ClockMS: r.now.UnixMilli() - firstIncarnation}}, r.now)
 	poll, _ = r.awaitPoll("w-1")
 	assert.InDelta(t, r.now.UnixMilli()-nextIncarnation+testLease.Milliseconds(), poll.Poll.LeaseExpiresAtMS, 50)
 
-	// It is cut off now, and no longer registered. The run counts as there for as long as
-	// the longest lease.
+	// The worker is cut off and no longer registered. Its run counts as live for
+	// MaxLeaseDuration.
 	r.core.SetWorkers(nil, r.now)
 	stepUnanswered := func(d time.Duration) (starts []scheduler.StartOrder) {
 		for until := r.now.Add(d); r.now.Before(until); {
@@ -187,11 +189,13 @@
 	assert.Equal(t, 1, r.core.Counts.ExpiredRuns)
 }
 
-// Guards against the entry and the lists of a worker being weighed as if they came in
-// order: each may be ahead of the other, and neither alone lets tasks start.
+// A worker's registry entry and its poll reports arrive in either order. Tasks start only once
+// both name the same incarnation: the owner receives entries only while its ownership is
+// confirmed, so that a replaced owner can't start tasks on an incarnation that the next owner has
+// not fenced.
 func TestRegistryEntryAndPollReportsMayArriveInEitherOrder(t *testing.T) {
 	r := newIncarnationRig(t)
-	r.registerWorker("w-1", nextIncarnation) // the entry is ahead
+	r.registerWorker("w-1", nextIncarnation) // the entry comes first
 	r.submit("0000000000000001", batchStep(1, 1000))
 	poll, starts := r.awaitPoll("w-1")
 	assert.Empty(t, starts)
@@ -203,17 +207,18 @@
 
 	r = newIncarnationRig(t)
 	r.startJob("0000000000000001", batchStep(1, 1000))
-	poll, _ = r.awaitPoll("w-1") // the list is ahead
+	poll, _ = r.awaitPoll("w-1") // the report comes first
 	r.answerPollAs(poll, nextIncarnation, workload.PollReport{})
 	fencingPoll, _ = r.awaitPoll("w-1")
 	r.answerPollAs(fencingPoll, nextIncarnation, workload.PollReport{})
 	r.registerWorker("w-1", firstIncarnation)
-	assert.Empty(t, r.stepFor(500*time.Millisecond).Starts, "the ownership may have passed on since")
+	assert.Empty(t, r.stepFor(500*time.Millisecond).Starts, "the ownership is not confirmed for the new incarnation")
 	r.registerWorker("w-1", nextIncarnation)
 	assert.Len(t, r.stepFor(800*time.Millisecond).Starts, 1)
 }
 
-// Guards against an entry of another writer ending what runs: the worker itself is asked.
+// A registry entry with another incarnation may come from another writer. It must not end the
+// worker's runs: the owner polls the worker.
 func TestRegistryEntryOfAnotherIncarnationLosesNoRun(t *testing.T) {
 	r := newIncarnationRig(t)
 	s := r.startJob("0000000000000001", batchStep(1, 1000))[0]
@@ -224,15 +229,15 @@
 		assert.Empty(t, starts)
 		r.answerPollAs(poll, firstIncarnation, report)
 		poll, _ = r.awaitPoll("w-1")
-		assert.NotZero(t, poll.Poll.LeaseExpiresAtMS, "its lease is renewed")
+		assert.NotZero(t, poll.Poll.LeaseExpiresAtMS, "the worker's lease must be renewed")
 		r.answerPollAs(poll, firstIncarnation, report)
 	}
 	assert.Zero(t, r.core.Counts.WorkerRestarts)
 	assert.Zero(t, r.core.Counts.LostRuns)
 }
 
-// Guards against a start that is missing, can't be read or goes back breaking anything.
-// The first two leave it at what is known, told once; the last is another process.
+// A report with a missing or invalid incarnation leaves the known one in place, logged once. An
+// incarnation that decreases is another process.
 func TestMissingInvalidOrDecreasingIncarnation(t *testing.T) {
 	r := newIncarnationRig(t)
 	s := r.startJob("0000000000000001", batchStep(1, 1000))[0]
@@ -260,8 +265,8 @@
 	assert.Equal(t, 1, r.core.Counts.LostRuns)
 }
 
-// Guards against a restart that stays unseen where lists don't tell the start: the
-// worker's clock begins anew.
+// If reports carry no incarnation, the owner must detect a restart by the worker's clock, which
+// starts over.
 func TestRestartIsDetectedByTheClockWithoutIncarnations(t *testing.T) {
 	r := newRig(t)
 	r.setWorkers("w-1")
@@ -277,8 +282,8 @@
 	assert.Equal(t, 1, r.core.Counts.WorkerRestarts)
 }
 
-// Guards against a crash going uncounted as the worker keeps its ID: tasks that crash
-// their workers are suspects, and given up, as where the successor has another one.
+// A worker that crashes may come back under the same ID. The crash must count, so that a task
+// that crashes its workers becomes a suspect and is given up, as with a successor of another ID.
 func TestRestartUnderTheSameIDCountsAsACrash(t *testing.T) {
 	r := newIncarnationRig(t)
 	job := r.submit("0000000000000001", batchStep(1, 1000))
@@ -300,12 +305,12 @@
 	}
 	state, _ := r.core.JobState(job)
 	assert.Equal(t, workload.Failed, state)
-	assert.Equal(t, 2, starts, "it was alone there")
+	assert.Equal(t, 2, starts, "the task was alone on its worker")
 	assert.Equal(t, starts, r.core.Counts.WorkerCrashes)
 }
 
-// Guards against blame for a planned restart: the incarnation had said that it leaves, and
-// the entry is that of the next one by the time its list comes.
+// A worker that leaves may be replaced under its ID: by the time of its report the entry is that
+// of the next incarnation. The planned restart must not count as a crash.
 func TestRestartOfALeavingWorkerIsNotACrash(t *testing.T) {
 	r := newIncarnationRig(t)
 	r.startJob("0000000000000001", batchStep(1, 1000))
@@ -319,8 +324,8 @@
 	assert.Zero(t, r.core.Counts.WorkerCrashes)
 }
 
-// Guards against a worker staying unused for ever once another one had its address: it may
-// start again under its ID elsewhere.
+// A worker whose address another worker has taken must not stay unused forever: it may start
+// again elsewhere under its ID.
 func TestReplacedWorkerIsUsedAgainAfterARestart(t *testing.T) {
 	r := newIncarnationRig(t)
 	r.answerPollReplaced("w-1")
@@ -332,8 +337,8 @@
 	r.startJob("0000000000000001", batchStep(1, 1000))
 }
 
-// Guards against orders of before outranking those of now at a worker that was forgotten
-// and comes back under its ID.
+// A worker was forgotten and comes back under its ID. Its token must rise, or orders from before
+// would outrank later ones.
 func TestTokensOfAForgottenWorkerKeepRising(t *testing.T) {
 	r := newIncarnationRig(t)
 	poll, _ := r.restartWorker()
@@ -344,7 +349,8 @@
 	assert.Greater(t, nextPoll.Poll.Token, poll.Poll.Token)
 }
 
-// restartWorker has the worker restart and answers the poll that fences it.
+// restartWorker restarts the worker and answers the poll that fences the new incarnation. It
+// returns that poll and the starts before it.
 func (r *rig) restartWorker() (scheduler.PollOrder, []scheduler.StartOrder) {
 	r.registerWorker("w-1", nextIncarnation)
 	poll, _ := r.awaitPoll("w-1")
@@ -354,8 +360,8 @@
 	return fencingPoll, starts
 }
 
-// Guards against tickets outliving the worker that they were given for, also those that
-// were asked for before it restarted.
+// Tickets must not outlive the incarnation that they were issued for, nor be accepted if they
+// were requested before the restart.
 func TestTicketsAreDroppedWithTheIncarnation(t *testing.T) {
 	r := newRig(t)
 	config := *testConfig
@@ -381,7 +387,7 @@
 	assert.Equal(t, 1, repeatedRequests)
 }
 
-// Guards against what a worker has failed being held against its next process.
+// Failures of an earlier incarnation must not keep tasks from the next one.
 func TestFailuresOfAnEarlierIncarnationDoNotCountForTheNext(t *testing.T) {
 	r := newIncarnationRig(t)
 	for n, id := range []string{"0000000000000001", "0000000000000002", "0000000000000003"} {
@@ -393,7 +399,7 @@
 		r.answerPollAs(poll, firstIncarnation, workload.PollReport{})
 	}
 	r.submit("0000000000000004", batchStep(1, 1000))
-	require.Empty(t, r.stepFor(500*time.Millisecond).Starts, "it is set aside")
+	require.Empty(t, r.stepFor(500*time.Millisecond).Starts, "the worker gets no tasks after its failures")
 	_, starts := r.restartWorker()
 	assert.Len(t, append(starts, r.stepFor(200*time.Millisecond).Starts...), 1)
 }
--- a/internal/scheduler/inherited_test.go
+++ b/internal/scheduler/inherited_test.go
@@ -11,16 +11,16 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Guards against a job of no fault being given up as its worker restarts soon after a change
-// of owners: the new owner took the run, a second old, for one that had just begun when it
-// heard of it, and the crash for one at the task's start.
+// A worker restarts soon after a takeover. If the new owner took the inherited run, which is a
+// second old, for a run that has just started, the crash would count as an early crash and the
+// job would be given up.
 func TestCrashUnderAnInheritedRunIsNotAnEarlyCrash(t *testing.T) {
 	const job = workload.JobID("0000000000000001")
 	const inheritedRun = int64(3<<16 + 2)
 	key := workload.TaskKey{Job: job}
 	for _, c := range []struct {
 		name string
-		tell func(next *rig) // how the new owner hears of the run
+		tell func(next *rig) // how the new owner learns of the run
 	}{
 		{"handed over", func(next *rig) {
 			leftRun := workload.HandoverRun{Worker: "w-1", Task: key.String(), Run: inheritedRun, Incarnation: firstIncarnation, StartConfirmed: true}
@@ -47,10 +47,9 @@
 	}
 }
 
-// Guards against a lasting task being stopped at work, as its new owner counts an earlier run
-// of it as there: the trial that this was had been cleared and its worker had crashed, and
-// the owner did not live to store that. It had started the task anew, so the run before is
-// over.
+// An isolated run was cleared, its worker crashed, and the owner started the task again but was
+// lost before it stored that. The next owner must conclude from the later run that the isolated
+// run has ended, or it stops the later one.
 func TestLaterRunProvesThatEarlierRunsHaveEnded(t *testing.T) {
 	const job = workload.JobID("0000000000000001")
 	const isolatedRun = int64(3<<16 + 2)
@@ -65,7 +64,7 @@
 	}
 }
 
-// Guards against the reverse: a run that is older than one that is known is not wanted.
+// A run that is older than a known run of its task must be stopped.
 func TestEarlierRunIsStoppedWhenALaterOneIsKnown(t *testing.T) {
 	const job = workload.JobID("0000000000000001")
 	const run = int64(3<<16 + 2)
@@ -80,8 +79,8 @@
 	assert.Equal(t, run-1, stops[0].Run)
 }
 
-// Guards against a successor of the owner taking runs of before a restart for runs of now:
-// its predecessor's word names the incarnation. One of an older program names none.
+// A successor must not mistake runs from before a restart for runs of the new incarnation. The
+// handover names the incarnation; a handover of an older program names none.
 func TestHandoverNamesTheIncarnation(t *testing.T) {
 	for _, named := range []bool{true, false} {
 		r := newIncarnationRig(t)
@@ -108,12 +107,12 @@
 			continue
 		}
 		assert.Zero(t, next.core.Counts.WorkerCrashes)
-		assert.Len(t, next.step(20*time.Millisecond).Stops, 1, "whether it may yet begin isn't known")
+		assert.Len(t, next.step(20*time.Millisecond).Stops, 1, "the run may still begin")
 	}
 }
 
-// Guards against a trial being forgotten with its owner as the worker that crashed under
-// it keeps its ID. A record of an older program names no incarnation, and is read as well.
+// A worker crashes under an isolated run and keeps its ID. The crash must not be forgotten with
+// the owner. A record of an older program names no incarnation and must be readable too.
 func TestIsolatedRunOnARestartedWorkerSurvivesATakeover(t *testing.T) {
 	for _, named := range []bool{true, false} {
 		r := newIncarnationRig(t)
@@ -132,8 +131,8 @@
 	}
 }
 
-// Guards against an earlier crash being taken back as a later process of the same ID was
-// only cut off.
+// A later process under the same ID was only cut off. That must not revoke the crash of the
+// earlier one.
 func TestCrashOfAnEarlierIncarnationIsNotRevoked(t *testing.T) {
 	r := newIncarnationRig(t)
 	r.startJob("0000000000000001", batchStep(1, 1000))
@@ -165,9 +164,9 @@
 	assert.Equal(t, firstIncarnation, crashes[0].Incarnation)
 }
 
-// What crashed is known to one process until it is stored. The owner may be lost the
-// next moment, so a suspect isn't started while the store is away: each owner would
-// count from nothing, and the task would crash as many workers as there are owners.
+// A crash is known only to the owner until it is stored. A suspect must not start while the store
+// is unavailable: if owners were lost one after the other, each would count from zero and the
+// task would crash a worker under every owner.
 func TestSuspectWaitsUntilItsCrashIsStored(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -181,7 +180,8 @@
 	assert.NotEmpty(t, r.stepFor(200*time.Millisecond).Starts)
 }
 
-// stepAndStore steps and stores, and returns what was stored last of a job beside the starts.
+// stepAndStore steps and acknowledges writes. It returns the starts and the job progress that was
+// stored last, nil if none was.
 func (r *rig) stepAndStore(d time.Duration) (starts []scheduler.StartOrder, progress *workload.Progress) {
 	r.now = r.now.Add(d)
 	orders := r.core.Step(r.now)
@@ -200,7 +200,7 @@
 	}
 }
 
-// newSuccessor returns the next owner of a job of one task, which has read what is stored.
+// newSuccessor returns the next owner of a job of one task, restored from the stored progress.
 func (r *rig) newSuccessor(job workload.JobID, stored *workload.Progress) *rig {
 	next := &rig{t: r.t, now: r.now, epoch: r.epoch + 1}
 	next.core = scheduler.New(testSettings(next.epoch), next.now, nil, false)
@@ -211,9 +211,9 @@
 	return next
 }
 
-// The owner is killed while a suspect runs, and the worker crashes before the next one
-// has polled it. The start was stored before it was ordered, so that the next owner
-// counts that crash, too, and gives the job up after one more.
+// The owner is killed while a suspect runs, and the worker crashes before the next owner has
+// polled it. The start was stored before it was ordered, so that the next owner counts the crash
+// and gives the job up.
 func TestIsolatedRunSurvivesATakeover(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -241,10 +241,10 @@
 	assert.Equal(t, workload.Failed, state)
 }
 
-// A worker refuses connections under a suspect, and its owner is lost before it is known
-// that it has crashed. The crash is stored as unclear, with the address; the next owner
-// asks there, hears from the worker's successor at once, and gives the job up, though the
-// crashed worker is on no list any more.
+// A worker refuses connections under a suspect, and the owner is lost before the crash is
+// confirmed. The crash is stored as unconfirmed with the worker's address. The next owner polls
+// that address, gets an answer from the successor and gives the job up, though the crashed worker
+// is no longer registered.
 func TestUnconfirmedCrashIsConfirmedByTheNextOwner(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
--- a/internal/scheduler/isolationqueue_test.go
+++ b/internal/scheduler/isolationqueue_test.go
@@ -11,14 +11,13 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Guards against tasks of no fault waiting for a trial behind those that take a worker with
-// them for seconds: of two suspects the one with a crash that speaks against it alone is
-// tried last, though its job is the older one.
+// Suspects that are likely harmless must not wait behind those that take a worker with them for
+// seconds. The sole suspect of a crash is isolated last, though its job is the oldest.
 func TestSoleSuspectOfACrashIsIsolatedLast(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
 	short := batchStep(1, 8000)
-	short.EstimateMS = 50 // it would go first by its work
+	short.EstimateMS = 50 // least work: ranked first otherwise
 	soleSuspect := r.startJob("0000000000000001", short)[0]
 	firstOfTwo := r.startJob("0000000000000002", batchStep(1, 5000))[0]
 	secondOfTwo := r.startJob("0000000000000003", batchStep(1, 3000))[0]
@@ -42,8 +41,8 @@
 	assert.Equal(t, soleSuspect.Start.Task.Job, isolated[2], "after %s and %s", firstOfTwo.Start.Task.Job, secondOfTwo.Start.Task.Job)
 }
 
-// Guards against a long queue of suspects on the workers of a small service, which takes
-// minutes: it asks for VMs, and the log tells that they wait. A short one asks for none.
+// On a small service a long queue of suspects takes minutes. It must request VMs and be logged; a
+// short queue requests none.
 func TestLongQueueOfSuspectsRequestsVMs(t *testing.T) {
 	for _, c := range []struct{ suspects, vms int }{{4, 0}, {7, 1}} {
 		r := newRig(t)
@@ -66,9 +65,8 @@
 	}
 }
 
-// Guards against a queue of tasks that crash workers holding those of no fault up without
-// end, on a service that gets no VMs: 30 of 120 jobs have one, on 4 workers. Each job ends
-// as it should.
+// On a service that gets no VMs, a queue of tasks that crash workers must not delay the others
+// without end: 30 of 120 jobs have such a task, on 4 workers. Each job must end as it should.
 func TestManyTasksThatCrashWorkersOnASmallService(t *testing.T) {
 	for seed := range uint64(3) {
 		w := newWorld(seed, faults{})
--- a/internal/scheduler/lease_test.go
+++ b/internal/scheduler/lease_test.go
@@ -10,9 +10,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Guards against a lease that outlives what owners reckon: a worker that was idle for
-// three minutes and whose clock is slow would take its first lease for one of seconds
-// more.
+// A worker with a slow clock is idle for three minutes. Its first lease then must not last longer
+// than the owner assumes.
 func TestLeaseAfterAnIdlePeriodIsNoLongerThanTheOwnerAssumes(t *testing.T) {
 	const idleTime = 3 * time.Minute
 	w := newWorld(1, faults{})
@@ -30,11 +29,11 @@
 	other := w.addWorker("worker-1", capacity)
 	w.runUntil(idleTime + 10*time.Second)
 	require.Empty(t, w.violations)
-	require.Len(t, other.runs, 1, "its lease is over on every clock")
+	require.Len(t, other.runs, 1, "the lease must have expired on every clock")
 }
 
-// Guards against the time of an idle worker being reckoned on an answer that grows ever
-// older: its first lease would get shorter and shorter, and be refused in the end.
+// An idle worker's clock is estimated from its last answer. Without polls the first lease would
+// get shorter as the answer ages, until the worker refuses it.
 func TestIdleWorkerIsPolledForItsClock(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -48,8 +47,8 @@
 	require.Equal(t, 2, polls, "in 25 s")
 }
 
-// Guards against a takeover that waits no longer for a worker whose entry is gone: it may
-// be cut off from the store alone, and run what an earlier owner started.
+// A worker whose registry entry has expired may be cut off from the store alone and run what an
+// earlier owner started. The takeover must wait for its lease all the same.
 func TestTakeoverWaitsForAWorkerThatIsNoLongerListed(t *testing.T) {
 	r := newRig(t, "w-1", "w-2")
 	r.setWorkers("w-1", "w-2")
@@ -69,5 +68,5 @@
 		}
 	}
 	require.NotEmpty(t, starts)
-	require.GreaterOrEqual(t, r.now.Sub(beganAt), testLease, "a lease that the earlier owner gave may last as long")
+	require.GreaterOrEqual(t, r.now.Sub(beganAt), testLease, "the earlier owner's lease may last this long")
 }
--- a/internal/scheduler/links_test.go
+++ b/internal/scheduler/links_test.go
@@ -10,19 +10,20 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// linkFault is what is wrong with the link between one owner and one worker.
+// linkFault is a fault of the link between an owner and a worker.
 type linkFault int
 
 const (
 	linkHealthy     linkFault = iota
-	linkDown                  // nothing arrives either way
-	linkAnswersLost           // orders arrive, answers don't
+	linkDown                  // orders and answers are lost
+	linkAnswersLost           // orders arrive, answers are lost
 )
 
-// membershipTTL is after how long without a join the group gives an owner's partition away.
+// membershipTTL is how long after its last join an owner loses its partition.
 const membershipTTL = 1150 * time.Millisecond
 
-// drawLinkFaults draws the faults of an owner's links to all workers.
+// drawLinkFaults draws faults of an owner's links to the workers, each with the given
+// probability.
 func (w *world) drawLinkFaults(probability float64) map[string]linkFault {
 	links := map[string]linkFault{}
 	for _, id := range w.workerIDs() {
@@ -37,8 +38,8 @@
 	return links
 }
 
-// cutOffOwner cuts the owner off from the store for a while, and some of its links to
-// workers; the group gives its partition to another one, some of whose links are cut, too.
+// cutOffOwner cuts the owner off from the store for a while, and from some workers. The group
+// gives its partition to another owner, which is cut off from some workers too.
 func (w *world) cutOffOwner() {
 	old := w.owner
 	if old.dead || !old.coreStarted || old.storeUnreachable {
@@ -58,8 +59,8 @@
 	})
 }
 
-// playLinkHistory plays 25 s of jobs while owners are cut off from the store and from workers,
-// each link by itself, and 60 s without faults.
+// playLinkHistory plays 25 s of jobs while owners are cut off from the store and from single
+// workers, and then runs without faults to 86 s.
 func playLinkHistory(seed uint64, f faults, injectFault func(w *world)) *world {
 	return playLinkScenario(newWorld(seed, f), injectFault)
 }
@@ -93,15 +94,15 @@
 	return w
 }
 
-// Guards against a task running on a worker that its owner's successor can't reach, and
-// once more on another one: the earlier owner, cut off from the store, renews its leases on.
+// An owner that is cut off from the store goes on renewing its leases. A task that runs on a
+// worker that the successor can't reach would then be started again on another one.
 func TestOwnerCutOffFromTheStoreBesideASuccessorCutOffFromWorkers(t *testing.T) {
 	for _, seed := range seedsToPlay(historyCount(t)) {
 		w := playLinkHistory(seed, faults{}, nil)
 		require.Empty(t, w.violations, "seed %d", seed)
 		for _, j := range w.jobs {
 			if w.longRunningMemoryShare() > 0.8 {
-				break // lasting tasks fill the workers: others may wait for ever
+				break // long-running tasks fill the workers: others may wait forever
 			}
 			state, _ := w.owner.core.JobState(j.id)
 			require.True(t, state == workload.Completed || j.submission.Spec.Steps[0].LongRunning, "seed %d: job %s is %s", seed, j.id, state)
@@ -109,8 +110,8 @@
 	}
 }
 
-// Guards against the same beside answers that get lost, workers that crash or are cut off
-// from all, owners that are killed or hand over, and a store that is away.
+// The same with lost answers, workers that crash or are cut off from everything, owners that are
+// killed or hand over, and an unavailable store.
 func TestOwnersCutOffFromTheStoreBesideOtherFaults(t *testing.T) {
 	for _, seed := range seedsToPlay(historyCount(t)) {
 		w := playLinkHistory(seed, faults{lostAnswer: 0.01, failedTask: 0.01, lostWriteAnswer: 0.02}, (*world).injectRandomFault)
@@ -118,8 +119,8 @@
 	}
 }
 
-// Guards against tasks that run twice, and jobs that are forgotten, where the earlier owner
-// tells its successor what it leaves: what it could not store is known to these two only.
+// The earlier owner reports to its successor what it could not store. Without that report tasks
+// would run twice and jobs would be forgotten.
 func TestNoTaskRunsTwiceAfterDirectHandovers(t *testing.T) {
 	directHandovers := 0
 	for _, seed := range seedsToPlay(historyCount(t)) {
@@ -130,12 +131,12 @@
 		require.Empty(t, w.violations, "seed %d", seed)
 		for _, j := range w.jobs {
 			if w.longRunningMemoryShare() > 0.8 {
-				break // lasting tasks fill the workers: others may wait for ever
+				break // long-running tasks fill the workers: others may wait forever
 			}
 			state, known := w.owner.core.JobState(j.id)
 			require.True(t, known && (state.IsTerminal() || j.submission.Spec.Steps[0].LongRunning), "seed %d: job %s is %s", seed, j.id, state)
 		}
 	}
 	require.NotZero(t, directHandovers)
-	t.Log(directHandovers, "owners told what they left")
+	t.Log(directHandovers, "direct handovers")
 }
--- a/internal/scheduler/longrunning_test.go
+++ b/internal/scheduler/longrunning_test.go
@@ -11,8 +11,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Lasting tasks fail by themselves now and then, and such failures say nothing of
-// their worker: however many there were, it goes on getting them.
+// Long-running tasks fail by themselves now and then. Such failures must not keep their worker
+// from getting them again, however many there were.
 func TestFailedLongRunningTasksAreRestartedOnTheSameWorker(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -34,9 +34,8 @@
 	}
 }
 
-// A VM is to be emptied, and one of two lasting tasks may be missing. They leave
-// one after the other: the second one goes only when the first is fully at work
-// elsewhere.
+// Two long-running tasks run on a worker that is drained, and one may be unavailable. The second
+// must not be stopped before the first runs at full speed on another worker.
 func TestDrainingRespectsMaxUnavailable(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -44,7 +43,7 @@
 	starts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, starts, 2)
 	drainedWorker := starts[0].Worker.ID
-	require.Equal(t, drainedWorker, starts[1].Worker.ID, "lasting tasks lie together")
+	require.Equal(t, drainedWorker, starts[1].Worker.ID, "long-running tasks are placed together")
 	listedRun := func(s scheduler.StartOrder, percent int) workload.ListedRun {
 		return workload.ListedRun{Task: s.Start.Task, Run: s.Start.Run, SpeedPercent: percent}
 	}
@@ -68,14 +67,15 @@
 	require.NotEqual(t, drainedWorker, orders.Starts[0].Worker.ID)
 	r.answerStart(orders.Starts[0], workload.WorkerOK)
 	r.core.DrainWorker(drainedWorker, r.now)
-	assert.Empty(t, r.step(20*time.Millisecond).Stops, "the first is not at work yet")
+	assert.Empty(t, r.step(20*time.Millisecond).Stops, "the first does not run yet")
 	r.answerPoll(orders.Starts[0].Worker.ID, r.now.Add(time.Millisecond), workload.PollReport{Running: []workload.ListedRun{listedRun(orders.Starts[0], 100)}})
 	r.core.DrainWorker(drainedWorker, r.now)
 	assert.Len(t, r.step(20*time.Millisecond).Stops, 1)
 }
 
-// A serving task is over its target because of a filling one beside it. The
-// filling one is slowed down, and let go again once the tail is well below.
+// A serving task misses its latency target because of a best-effort task beside it. The
+// best-effort task is throttled, and released again once the tail latency is well below the
+// target.
 func TestBestEffortTasksAreThrottledBesideServingTasks(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -115,9 +115,9 @@
 	assert.Equal(t, 40, throttles[0].SpeedPercent)
 }
 
-// A service is full of short tasks, and a large lasting one has to start again.
-// Each bit of room that comes free would go to short ones for ever: room is kept
-// for it on one worker until it fits.
+// A service is full of short tasks, and a large long-running task has to start. Short tasks would
+// take all capacity that gets free, so that the large one would wait forever: a worker is
+// reserved for it until it fits.
 func TestLargeLongRunningTaskIsPlacedOnAFullService(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -145,7 +145,7 @@
 		if stepAndStart() {
 			return
 		}
-		// One task ends on each worker in turn, and more jobs come.
+		// A task exits on each worker in turn, and more jobs arrive.
 		worker := []string{"w-1", "w-2"}[round%2]
 		if len(running[worker]) == 0 {
 			continue
@@ -163,13 +163,12 @@
 			submitShortJob()
 		}
 	}
-	t.Fatal("the lasting task never got room")
+	t.Fatal("the long-running task must start")
 }
 
-// A wave of maintenance reaches a VM whose worker got a lasting task from another VM of
-// the same wave a moment before: the task moves twice, and a step bears only one move
-// after the other. Lasting tasks lie together, but not on a worker that is about to leave,
-// unless it is the only one; and not for longer than the word of it is repeated.
+// Long-running tasks are placed together. If that puts one on a VM that the same maintenance wave
+// reaches next, the task moves twice, and a step allows only one move at a time. Workers due for
+// maintenance are avoided unless no other has capacity, and only while the mark is repeated.
 func TestLongRunningTasksAvoidWorkersDueForMaintenance(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -199,12 +198,9 @@
 	assert.Equal(t, first, place("0000000000000004"))
 }
 
-// A caller's step misses two of its lasting tasks at once, though it may miss one.
-//
-// A VM is to be emptied, and the stop of its task is lost on the way. Meanwhile the worker
-// of another task of the step leaves, which nothing can put off. The stop is sent again
-// once its time-out is over: the worker lists the task as running. It must wait until the
-// other task is back at work elsewhere.
+// A stop of a drained worker's task is lost, and meanwhile the worker of another task of the step
+// leaves. If the stop were resent after its timeout, two tasks of the step would be unavailable
+// though MaxUnavailable is 1. It must wait until the other task runs again.
 func TestLostStopIsNotResentWhileAnotherTaskIsUnavailable(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2", "w-3")
@@ -231,7 +227,7 @@
 		}
 	}
 	r.core.SetWorkers(list, r.now)
-	require.Len(t, r.step(20*time.Millisecond).Stops, 1, "the other worker leaves")
+	require.Len(t, r.step(20*time.Millisecond).Stops, 1, "the task of the leaving worker must be stopped")
 	r.core.HandleStopResult(scheduler.OrderResult{Worker: first.Worker.ID, Task: stops[0].Task, Run: stops[0].Run, Token: stops[0].Token, Answer: workload.WorkerAnswer{Status: workload.WorkerOutcomeUnknown}}, r.now)
 	r.now = r.now.Add(time.Second)
 	resentStops := func() int {
@@ -245,13 +241,13 @@
 		}
 		return n
 	}
-	assert.Zero(t, resentStops(), "the other one is away")
+	assert.Zero(t, resentStops(), "the other task is unavailable")
 
 	r.answerPoll(second.Worker.ID, r.now.Add(time.Millisecond), exitReport(1, second, workload.ExitStopped))
 	restarts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, restarts, 1)
 	r.answerStart(restarts[0], workload.WorkerOK)
-	assert.Zero(t, resentStops(), "the other one is not at work yet")
+	assert.Zero(t, resentStops(), "the other task does not run yet")
 	r.answerPoll(restarts[0].Worker.ID, r.now.Add(time.Millisecond), runningReport(restarts[0]))
 	assert.Equal(t, 1, resentStops())
 }
