--- a/internal/scheduler/crash_test.go
+++ b/internal/scheduler/crash_test.go
@@ -12,10 +12,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// A task crashes each worker that starts it, with all runs there. Only exits that workers list
-// count as failed attempts, and a crashed worker lists none, so that the task was started on one
-// worker after the other without end. It must be given up and its job shown as failed before a
-// third start after three crashes.
+// A task crashes each worker that starts it. A crashed worker lists no exits, so that no failed
+// attempt was counted and the task started again without end. It must be given up and its job
+// shown as failed before a third start after three crashes.
 func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	r := newRig(t)
 	job := r.submit("0000000000000001", batchStep(1, 1000))
@@ -181,10 +180,10 @@
 	return append(list, 47, 81, 212, 223)
 }
 
-// Tasks of up to four jobs crash each worker that starts them. A crash ends all runs of the
-// worker, so that each of their tasks is a suspect, and an owner that is killed takes along what
-// only it knew. The jobs with crashing tasks must fail after few crashes and all others must
-// complete. No start may exceed the capacity that a worker has at the time.
+// Tasks of up to four jobs crash each worker that starts them; all tasks there become suspects,
+// and a killed owner takes along what only it knew. The jobs with crashing tasks must fail after
+// few crashes, all others must complete, and no start may exceed the capacity that a worker has
+// left.
 func TestTasksThatCrashWorkersInRandomHistories(t *testing.T) {
 	checkCrashHistories(t, playCrashHistory)
 }
@@ -242,10 +241,10 @@
 	t.Log(fmt.Sprint(crashes, " crashes, at most ", maxCrashes, " under one task, ", bystanderRunsLost, " runs of other jobs lost"))
 }
 
-// Half a dozen jobs crash the three workers of a small service within seconds. The long-running
-// tasks there ran during many of the crashes, so that each was a suspect and was isolated for ten
-// seconds, one after the other: some were unavailable for a minute. They must run again within
-// seconds of the last crash; a crash whose cause is proven must not count against other tasks.
+// Six jobs crash the three workers of a small service within seconds. Each long-running task ran
+// there during many crashes and was isolated for ten seconds, one after the other, so that some
+// were unavailable for a minute. They must run again soon after the last crash: crashes with a
+// proven cause must not count against other tasks.
 func TestLongRunningTasksRecoverSoonBesideJobsThatCrashWorkers(t *testing.T) {
 	for seed := range historyCount(t) / 10 {
 		w := newWorld(seed, faults{})
--- a/internal/scheduler/fakeworker_test.go
+++ b/internal/scheduler/fakeworker_test.go
@@ -264,7 +264,7 @@
 	case workload.ExitDone:
 		taskName := exit.Task.String()
 		if exit.Sequence <= f.lastExitAtLeaseExpiry {
-			return // no owner could read it before the lease expired
+			return // the owner may have given up the run before it read the exit
 		}
 		job.acknowledged[taskName] = true
 		if job.supersededDoneRuns[runKey(taskName, exit.Run)] {
--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -62,7 +62,7 @@
 	return spec
 }
 
-// playRandomHistory plays 25 s of jobs with faults and 60 s without, and returns the world.
+// playRandomHistory plays 25 s of jobs with faults, then runs without faults to 86 s.
 func playRandomHistory(seed uint64) *world {
 	w := newWorld(seed, faults{lostAnswer: 0.01, lateOrder: 0.01, failedTask: 0.01, lostWriteAnswer: 0.02})
 	for i := range 6 {
@@ -126,9 +126,8 @@
 }
 
 // TestRandomHistories plays histories in which owners are killed, replaced and hand over, workers
-// crash and are cut off, answers are lost, orders are executed seconds late and the store is
-// unavailable. Each job must reach the state that its caller expects, and no invariant may be
-// violated.
+// crash and are cut off, answers are lost, orders are executed late and the store is unavailable.
+// Each job must reach the state that its caller expects, without a violation.
 func TestRandomHistories(t *testing.T) {
 	starts := 0
 	for _, seed := range seedsToPlay(historyCount(t)) {
@@ -223,11 +222,10 @@
 	return false
 }
 
-// TestDrainingInRandomHistories plays histories in which workers are drained one after the other,
-// as in a maintenance wave, while owners are killed and hand over, workers crash or are cut off,
-// and answers are lost. No more of a step's long-running tasks may be stopped at once than
-// MaxUnavailable allows, and no worker may be reported drained while it runs tasks. Workers need
-// not become drained in time.
+// TestDrainingInRandomHistories drains one worker after the other, as in a maintenance wave,
+// while other faults occur. No more of a step's long-running tasks may be stopped at once than
+// MaxUnavailable allows, and no worker may be reported drained while it runs tasks. It does not
+// check that each worker becomes drained.
 func TestDrainingInRandomHistories(t *testing.T) {
 	for _, seed := range seedsToPlay(historyCount(t)) {
 		w := newWorld(seed, faults{lostAnswer: 0.01, failedTask: 0.01, lostWriteAnswer: 0.02})
--- a/internal/scheduler/incarnation_test.go
+++ b/internal/scheduler/incarnation_test.go
@@ -189,10 +189,9 @@
 	assert.Equal(t, 1, r.core.Counts.ExpiredRuns)
 }
 
-// A worker's registry entry and its poll reports arrive in either order. Tasks start only once
-// both name the same incarnation: the owner receives entries only while its ownership is
-// confirmed, so that a replaced owner can't start tasks on an incarnation that the next owner has
-// not fenced.
+// A worker's registry entry and its reports arrive in either order; tasks start only once both
+// name the same incarnation. The owner receives entries only while its ownership is confirmed, so
+// that a replaced owner can't start tasks on an incarnation that the next owner has not fenced.
 func TestRegistryEntryAndPollReportsMayArriveInEitherOrder(t *testing.T) {
 	r := newIncarnationRig(t)
 	r.registerWorker("w-1", nextIncarnation) // the entry comes first
--- a/internal/scheduler/inherited_test.go
+++ b/internal/scheduler/inherited_test.go
@@ -242,9 +242,9 @@
 }
 
 // A worker refuses connections under a suspect, and the owner is lost before the crash is
-// confirmed. The crash is stored as unconfirmed with the worker's address. The next owner polls
-// that address, gets an answer from the successor and gives the job up, though the crashed worker
-// is no longer registered.
+// confirmed. The crash is stored as unconfirmed with the address: the next owner polls there,
+// gets the successor's answer and gives the job up, though the crashed worker is no longer
+// registered.
 func TestUnconfirmedCrashIsConfirmedByTheNextOwner(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
--- a/internal/scheduler/peak_test.go
+++ b/internal/scheduler/peak_test.go
@@ -12,18 +12,18 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// The load of a queue whose demand comes by turns: for some seconds several times its
-// mean, then a twentieth of that. A lookup is one or two steps of a few tasks of 0.64 s.
+// Load of a queue with alternating demand: several times its mean for some seconds, then a
+// twentieth of that. A lookup is one or two steps of a few tasks of 0.64 s.
 const (
-	peakLookupsPerSecond  = 180.0 // jobs a second
+	peakLookupsPerSecond  = 180.0
 	quietLookupsPerSecond = 4.0
 	peakDuration          = 4 * time.Second
 	quietDuration         = 4 * time.Second
 	lookupEstimateMS      = 640
 )
 
-// randomLookupSpec draws a quick job. Jobs differ in the number of tasks and their size, so that the
-// largest tenth has some three times the mean's work.
+// randomLookupSpec draws a quick job. Jobs differ in the number of tasks and their size, so that
+// the largest tenth has about three times the mean work.
 func (w *world) randomLookupSpec() workload.Spec {
 	step := workload.Step{
 		Count:      2 + w.rng.IntN(6) + w.rng.IntN(6),
@@ -41,7 +41,7 @@
 	return spec
 }
 
-// playPeaks plays two peaks of lookups on a pool.
+// playPeaks plays two peaks of lookups on a pool of workers.
 func playPeaks(seed uint64, workers int, ownerProcessor *processor, f faults) *world {
 	w := newWorld(seed, f)
 	w.processor = ownerProcessor
@@ -64,7 +64,7 @@
 	return w
 }
 
-// shareInTime is the share of some jobs that are completed within their objective.
+// shareInTime returns the share of jobs that were completed within their objective.
 func shareInTime(jobs []*fakeJob) float64 {
 	n := 0
 	for _, j := range jobs {
@@ -77,7 +77,7 @@
 	return float64(n) / float64(len(jobs))
 }
 
-// jobsBySize lists the jobs, those with the most work first.
+// jobsBySize returns the jobs, those with the most work first.
 func (w *world) jobsBySize() []*fakeJob {
 	var list []*fakeJob
 	for _, j := range w.jobs {
@@ -89,7 +89,7 @@
 	return list
 }
 
-// coreMilliseconds is a job's work in core-milliseconds.
+// coreMilliseconds returns a job's work in core-milliseconds.
 func coreMilliseconds(s *workload.Submission) int64 {
 	work := int64(0)
 	for _, step := range s.Spec.Steps {
@@ -98,15 +98,10 @@
 	return work
 }
 
-// Callers of a queue that peaks see a third of their jobs come late, and nearly all that
-// have much work, beside workers with room for all of them.
-//
-// An owner on a small VM bears the peak's starts for a second. Then some tens of jobs
-// wait. If each plan ranks all of them, and looks for runs that could give way to each,
-// the owner orders half as many starts as before, more jobs wait, and so on until it does
-// little but plan. The least work goes first, so the largest jobs come last. That was
-// proved by the time that steps took (40 to 70% of a second) while starts fell from 1,500
-// to 300 a second, and by plans made 30 ms apart, which ended it.
+// If each plan ranks all waiting jobs and searches preemptible runs for each, a peak makes an
+// owner on a small VM do little but plan: steps took 40 to 70% of the time, starts fell from
+// 1,500 to 300 a second, and a third of all jobs and nearly all large ones were late beside free
+// workers.
 func TestOwnerKeepsUpWithAPeakOnASmallVM(t *testing.T) {
 	for seed := range uint64(2) {
 		w := playPeaks(seed, 220, &processor{}, faults{})
@@ -118,13 +113,9 @@
 	}
 }
 
-// Callers with large jobs are turned away nearly always while a service is full, and those
-// with small ones hardly ever.
-//
-// A queue asks for more than its workers hold, for seconds and by turns, and its owner keeps
-// up. With the least work first, each bit of room that comes free goes to a smaller job, and
-// a large one waits until it can't be in time. Each size is to be served alike: what is
-// asked for here is half of what all are served, as the users ask.
+// A queue asks for more than its workers hold. With the least work first, all capacity that gets
+// free goes to smaller jobs, and large ones nearly always miss their deadline. Each size must be
+// served at least half as well as all jobs together.
 func TestLargestJobsAreServedByAFullService(t *testing.T) {
 	for seed := range uint64(3) {
 		w := playPeaks(seed, 105, nil, faults{})
@@ -138,14 +129,10 @@
 	}
 }
 
-// Callers wait for seconds while some of the workers' answers are lost, or some orders are
-// carried out seconds late, though nearly all workers are well and have room.
-//
-// A start without an answer took one of the places for starts until it was given up after
-// a second, and its task waited as long; a poll without an answer hid the ends of its
-// worker's tasks for two, after which the worker got no starts for a while. So one lost
-// answer of seven cost most of what the workers could do. What is asked for is nine
-// tenths of what is served without any loss.
+// A start without an answer took one of the places for starts until it was given up after a
+// second; a poll without an answer hid its worker's exits for two seconds, after which the worker
+// got no starts for a while. One lost answer in seven cost most of the capacity. Nine tenths of
+// what is served without faults must be served.
 func TestPeakIsServedWhileAnswersAreLost(t *testing.T) {
 	servedShare := func(f faults) float64 {
 		w := playPeaks(1, 220, nil, f)
--- a/internal/scheduler/pollresult_test.go
+++ b/internal/scheduler/pollresult_test.go
@@ -10,9 +10,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Guards against a run that has ended being brought back by a list that was made before its
-// end and comes after it, by a poll that was sent later: the task would count as running, and
-// its room as taken.
+// A report may be older than another one though its poll was sent later. A run that has exited
+// must not be restored from it, or its task counts as running and its capacity as used.
 func TestOlderPollReportIsIgnored(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -12,8 +12,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// fillWorker fills the only worker, which holds eight cores, with a step of a queue of
-// less urgent work.
+// fillWorker fills the only worker, which has eight cores, with a step of the less urgent queue.
 func fillWorker(r *rig, step workload.Step) []scheduler.StartOrder {
 	r.syncWorkers("w-1")
 	r.submitToQueue("slow", "0000000000000001", step)
@@ -24,7 +23,6 @@
 	return starts
 }
 
-// submitToQueue submits a job to a queue.
 func (r *rig) submitToQueue(queue, id string, steps ...workload.Step) workload.JobID {
 	job := workload.JobID(id)
 	r.core.AddJob(job, &workload.Submission{Queue: queue, Service: "service", AcceptedAtMS: r.now.UnixMilli(), Spec: workload.Spec{Payload: "work", Steps: steps}})
@@ -38,20 +36,20 @@
 	return s
 }
 
-// Long tasks of a less urgent queue fill the service when an urgent job comes. As
-// many of them as it takes are stopped, those that have least to lose; the urgent
-// job starts once they have ended, and they go on from their checkpoint later.
+// Long tasks of a less urgent queue fill the service when an urgent job arrives. Only as many as
+// needed are stopped, those that lose least. The urgent job starts once they have exited; they
+// resume from their checkpoints later.
 func TestUrgentJobPreemptsLessUrgentRuns(t *testing.T) {
 	r := newRig(t)
 	starts := fillWorker(r, checkpointedStep(4, 2000))
 	require.Len(t, starts, 4)
 	urgent := r.submit("0000000000000002", batchStep(1, 3000))
-	assert.Empty(t, r.step(50*time.Millisecond).Stops, "room may come by itself")
+	assert.Empty(t, r.step(50*time.Millisecond).Stops, "capacity may get free without preemption")
 	var stops []scheduler.StopOrder
 	for range 5 {
 		stops = append(stops, r.step(100*time.Millisecond).Stops...)
 	}
-	require.Len(t, stops, 2, "two make room, and no more are stopped while they end")
+	require.Len(t, stops, 2, "two stops free enough capacity, and no more follow while they are in progress")
 	var exits []workload.RunExit
 	for i, s := range stops {
 		exits = append(exits, workload.RunExit{Sequence: int64(i + 1), Task: s.Task, Run: s.Run, Reason: workload.ExitStopped, Checkpoint: "half"})
@@ -62,7 +60,8 @@
 	assert.Equal(t, urgent, nextStarts[0].Start.Task.Job)
 }
 
-// What is as urgent, lasts, works together or has much to lose is not stopped.
+// Runs that are as urgent, long-running, members of a gang or have much to lose must not be
+// preempted.
 func TestOnlyLessUrgentRunsThatLoseLittleArePreempted(t *testing.T) {
 	longRunning := batchStep(4, 2000)
 	longRunning.LongRunning = true
@@ -84,12 +83,11 @@
 		r.answerStart(s, workload.WorkerOK)
 	}
 	r.submit("0000000000000002", batchStep(1, 2000))
-	assert.Empty(t, r.stepFor(time.Second).Stops, "of one queue")
+	assert.Empty(t, r.stepFor(time.Second).Stops, "runs of the same queue must not be preempted")
 }
 
-// A lasting task of an urgent queue has to start again while less urgent work fills
-// the service. It gets room after a second, also from a run without a checkpoint
-// that loses little.
+// A long-running task of an urgent queue has to start while less urgent work fills the service.
+// After a second it may also preempt a run without a checkpoint that loses little.
 func TestLongRunningTaskPreemptsRunsWithoutCheckpoint(t *testing.T) {
 	r := newRig(t)
 	plain := batchStep(4, 2000)
@@ -100,9 +98,9 @@
 	assert.Len(t, r.stepFor(2*time.Second).Stops, 1)
 }
 
-// TestPreemptionInRandomHistories plays histories of an urgent and a less urgent
-// queue on a service that is too small, with the usual troubles. Callers see each
-// job end as it should, and nothing runs that must not.
+// TestPreemptionInRandomHistories plays histories of an urgent and a less urgent queue on a
+// service that is too small, with the faults of the other histories. No invariant may be
+// violated.
 func TestPreemptionInRandomHistories(t *testing.T) {
 	for seed := range historyCount(t) / 3 {
 		w := newWorld(seed, faults{lostAnswer: 0.01, lateOrder: 0.01, failedTask: 0.01, lostWriteAnswer: 0.02})
@@ -131,10 +129,9 @@
 	}
 }
 
-// More steps wait than a plan searches room for, and none of the first ones can be
-// helped: no worker has their label. One behind them could start in the place of less
-// urgent work. If the same ones used up the searches of each plan, it would wait as
-// long as that work lasts.
+// More steps wait than a plan makes preemption searches, and the first ones can't be placed: no
+// worker has their label. If they used up the searches of each plan, a step behind them would
+// wait as long as the less urgent work lasts.
 func TestUnplaceableStepsDoNotUseUpAllPreemptionSearches(t *testing.T) {
 	for _, longRunning := range []bool{true, false} {
 		r := newRig(t)
@@ -151,6 +148,6 @@
 		for range 15 {
 			stops = append(stops, r.step(100*time.Millisecond).Stops...)
 		}
-		assert.Len(t, stops, 1, "one of the less urgent runs gives way, lasting %t", longRunning)
+		assert.Len(t, stops, 1, "one less urgent run must be preempted, long-running: %t", longRunning)
 	}
 }
--- a/internal/scheduler/processor_test.go
+++ b/internal/scheduler/processor_test.go
@@ -6,33 +6,32 @@
 	"github.com/yuccadrift/yuccadrift/internal/scheduler"
 )
 
-// What an owner's processor does for its service, on a small VM's 0.4 of a core.
+// Costs of an owner's work on a small VM with 0.4 of a core.
 const (
-	// callCost is an order or a poll and its answer. A start is two of them and takes
-	// 270 us of a core, measured by BenchmarkOwnerStarts with nothing waiting.
+	// callCost is the cost of an order or a poll and its answer. A start is two of them and takes
+	// 270 us of a core in BenchmarkOwnerStarts without a backlog.
 	callCost = 340 * time.Microsecond
-	// rankCost is one job that a plan ranks and lookCost one worker or run that it
-	// looks at. On a node with 0.4 of a core a step took 11 ms at 1,650 active jobs,
-	// and steps took 350 ms of a second with 1.45 million looks; half of both was
-	// other goroutines' time.
+	// rankCost is the cost of ranking one job, checkCost that of one placement check of a worker
+	// or run. On a node with 0.4 of a core a step took 11 ms at 1,650 active jobs, and steps took
+	// 350 ms of a second with 1.45 million checks; half of both was other goroutines' time.
 	rankCost  = 3 * time.Microsecond
 	checkCost = 120 * time.Nanosecond
-	// stepPause is the pause that the owner's loop makes between two steps.
+	// stepPause is the pause of the owner's loop between two steps.
 	stepPause = 3 * time.Millisecond
 )
 
-// processor is an owner's share of a core, on which the goroutines of its calls and the
-// steps of its loop take turns. Calls are many, so that each step takes up only the few
-// answers that were handled since the last.
+// processor is an owner's share of a core, shared by the goroutines of its calls and the steps of
+// its loop. Calls are many, so that each step handles only the few answers that came since the
+// last step.
 type processor struct {
-	busyUntil       time.Time // when what it has to do until now is done
+	busyUntil       time.Time // when the work queued so far is done
 	pendingActions  []func()
-	lastStepEndedAt time.Time // when the last step ended
-	stepScheduled   bool      // a step is due
+	lastStepEndedAt time.Time
+	stepScheduled   bool
 	lastCounts      scheduler.Counts
 }
 
-// occupy takes the processor for a while and returns when that is over.
+// occupy adds work to the processor and returns when the work is done.
 func (p *processor) occupy(now time.Time, cost time.Duration) time.Time {
 	if p.busyUntil.Before(now) {
 		p.busyUntil = now
@@ -41,12 +40,12 @@
 	return p.busyUntil
 }
 
-// deliverAnswer hands an answer over once it was handled.
+// deliverAnswer delivers an answer once the processor has handled it.
 func (p *processor) deliverAnswer(o *fakeOwner, action func()) {
 	p.deliverAfter(o, p.occupy(o.world.now, callCost).Sub(o.world.now), action)
 }
 
-// deliverAfter hands something over after a while, for the next step.
+// deliverAfter queues an action for the next step after a delay.
 func (p *processor) deliverAfter(o *fakeOwner, delay time.Duration, action func()) {
 	o.world.after(delay, func() {
 		p.pendingActions = append(p.pendingActions, action)
@@ -57,7 +56,7 @@
 	})
 }
 
-// step takes up what was handed over and steps once.
+// step runs the pending actions and steps the owner once.
 func (p *processor) step(o *fakeOwner) {
 	p.stepScheduled = false
 	if o.dead {
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -11,8 +11,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// playOneRestart plays 20 s of jobs on one worker whose process restarts under its ID at
-// 4 s, and 20 s more.
+// playOneRestart plays 20 s of jobs on one worker whose process restarts under its ID at 4 s, and
+// 20 s more.
 func playOneRestart(f faults) *world {
 	w := newWorld(1, f)
 	worker := w.addWorker("worker", workload.Resources{CPU: 32000, MemoryMB: 64000})
@@ -25,8 +25,8 @@
 	return w
 }
 
-// Guards against ends of a restarted worker being taken for ends that are known, and
-// acknowledged unread: it numbers them from 1 again, and callers' tasks ran time and again.
+// A restarted worker numbers its exits from 1 again. They must not be taken for known exits and
+// acknowledged unread, or their tasks run again and again.
 func TestTasksRunOnceOnAWorkerThatRestarts(t *testing.T) {
 	w := playOneRestart(faults{})
 	require.Empty(t, w.violations)
@@ -36,7 +36,7 @@
 	}
 }
 
-// Guards against failed runs on a restarted worker not being counted as attempts.
+// Failed runs on a restarted worker must count as attempts.
 func TestFailedRunsOnARestartedWorkerCountAsAttempts(t *testing.T) {
 	w := playOneRestart(faults{failedTask: 0.6})
 	require.Empty(t, w.violations)
@@ -47,9 +47,9 @@
 }
 
 // playRestartHistory plays 25 s of jobs on 6 workers and 60 s more. Workers crash and restart
-// under their ID, some behind a cut; in every second history owners are killed, replaced
-// and hand over meanwhile, and the store is away. Without late orders nothing that was
-// sent before a restart reaches the new process.
+// under their ID, some while they are cut off. For odd seeds owners are killed, replaced and hand
+// over, and the store is unavailable at times. Without late orders, no order sent before a
+// restart reaches the new process.
 func playRestartHistory(seed uint64, f faults) *world {
 	w := newWorld(seed, f)
 	for i := range 6 {
@@ -86,12 +86,12 @@
 	return w
 }
 
-// randomWorker draws one of the workers that are registered.
+// randomWorker draws a registered worker.
 func (w *world) randomWorker() *fakeWorker {
 	return w.workers[w.registry[w.rng.IntN(len(w.registry))].ID]
 }
 
-// restartRandomWorker lets a worker crash and restart under its ID, at times twice in a row.
+// restartRandomWorker restarts a worker's process under its ID, at times twice in a row.
 func (w *world) restartRandomWorker() {
 	f := w.randomWorker()
 	downtime := w.durationBetween(300*time.Millisecond, 4*time.Second)
@@ -101,8 +101,7 @@
 	}
 }
 
-// cutOffRandomWorker cuts a worker off. It runs on and comes back with the same start, or it restarts
-// behind the cut.
+// cutOffRandomWorker cuts a worker off. Its process keeps running or restarts meanwhile.
 func (w *world) cutOffRandomWorker() {
 	f := w.randomWorker()
 	duration := w.durationBetween(500*time.Millisecond, 8*time.Second)
@@ -113,9 +112,9 @@
 	}
 }
 
-// isLikelyCulprit tells whether two workers have crashed soon after they had started one of the
-// job's tasks, or four while they ran it, which no owner can tell from a task that crashes
-// its workers.
+// isLikelyCulprit reports whether two workers ended soon after the start of one of the job's
+// tasks, or four while they ran it. No owner can distinguish that from a task that crashes its
+// workers.
 func (j *fakeJob) isLikelyCulprit() bool {
 	for name, n := range j.workerExits {
 		if n >= 4 || j.earlyWorkerExits[name] >= 2 {
@@ -125,23 +124,23 @@
 	return false
 }
 
-// checkJobOutcomes checks that each job ended as its caller may expect. A job may fail where
-// tasks fail by their own fault, or where one of its tasks looks guilty by chance.
+// checkJobOutcomes checks that each job reached the state that its caller may expect. A job may
+// fail if tasks fail by themselves or if one of its tasks is a likely culprit by chance.
 func checkJobOutcomes(t *testing.T, w *world, seed uint64) {
 	for _, job := range w.jobs {
 		state, known := w.owner.core.JobState(job.id)
-		require.True(t, known, "seed %d: job %s is not known", seed, job.id)
+		require.True(t, known, "seed %d: job %s must be known", seed, job.id)
 		switch {
 		case !job.cancelledAt.IsZero():
 			assert.True(t, state.IsTerminal(), "seed %d: cancelled job %s is %s", seed, job.id, state)
-			assert.Zero(t, w.runningCount(job.id), "seed %d: cancelled job %s runs on", seed, job.id)
+			assert.Zero(t, w.runningCount(job.id), "seed %d: cancelled job %s must not run", seed, job.id)
 		case state == workload.Failed && job.isLikelyCulprit():
 		case job.submission.Spec.Steps[0].LongRunning:
 			assert.Equal(t, workload.Running, state, "seed %d: job %s", seed, job.id)
 			missing := w.runningCount(job.id) < job.submission.Spec.Steps[0].Count
-			assert.False(t, missing && w.hasFreeCapacity(job), "seed %d: lasting tasks of %s", seed, job.id)
+			assert.False(t, missing && w.hasFreeCapacity(job), "seed %d: long-running tasks of %s must not be missing beside free capacity", seed, job.id)
 		case w.longRunningMemoryShare() > 0.8:
-			// Lasting tasks fill the workers: others may wait for ever.
+			// Long-running tasks fill the workers: others may wait forever.
 		case state == workload.Failed:
 			assert.True(t, w.faults.failedTask > 0 || w.faults.lateOrder > 0, "seed %d: job %s", seed, job.id)
 		default:
@@ -150,7 +149,7 @@
 	}
 }
 
-// unreadExitCount counts the runs whose end no owner could read.
+// unreadExitCount returns the number of runs whose exit no owner could read.
 func (w *world) unreadExitCount() int {
 	count := 0
 	for _, o := range w.owners {
@@ -161,12 +160,13 @@
 	return count
 }
 
-// restartRegressionSeeds have shown a fault beyond those that are played anyway: jobs of no fault were
-// given up, and their lasting tasks stopped.
+// restartRegressionSeeds once showed a fault and lie beyond the seeds that are played anyway:
+// jobs were given up, and their long-running tasks stopped, though they did not crash their
+// workers.
 var restartRegressionSeeds = []uint64{36, 59, 70, 88, 146, 152, 156, 195, 252, 276, 283, 286, 299}
 
-// Guards against anything that is known of a worker being taken for known of the process
-// that has its ID after a restart, in random histories with owners that come and go.
+// After a restart, nothing that is known of a worker's previous process may be taken as known of
+// the new process under its ID. Random histories with changing owners.
 func TestRestartsInRandomHistories(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -175,7 +175,7 @@
 		{"tasks fail", faults{failedTask: 0.08, lostWriteAnswer: 0.02}},
 		{"answers lost", faults{lostAnswer: 0.03, lostWriteAnswer: 0.02}},
 		{"orders late", faults{lostAnswer: 0.01, lateOrder: 0.01, failedTask: 0.02}},
-		{"nothing beside", faults{}},
+		{"no other faults", faults{}},
 	} {
 		name, f := c.name, c.f
 		unreadExits := 0
@@ -191,13 +191,13 @@
 		if f.lateOrder == 0 {
 			assert.Zero(t, unreadExits, name)
 		}
-		t.Log(name, ": ends unread: ", unreadExits)
+		t.Log(name, ": unread exits: ", unreadExits)
 	}
 }
 
-// Guards against a job of no fault being shown as failed as its workers restart by
-// themselves: crashes a second or two after the start of a task that is alone on its
-// worker prove it only if there are many more of them than of early ones.
+// A worker that restarts by itself must not cause the job on it to be given up. Crashes a second
+// or two after the start of a task that is alone on its worker prove little: several of them
+// count as one early crash.
 func TestTaskIsNotGivenUpAfterAFewLateCrashes(t *testing.T) {
 	r := newIncarnationRig(t)
 	job := r.submit("0000000000000001", batchStep(1, 1000))
@@ -219,24 +219,24 @@
 	assert.Equal(t, 4, r.core.Counts.WorkerCrashes)
 }
 
-// Guards against a lasting job of no fault being given up, and its tasks stopped, as two of
-// its workers restart by themselves soon after the start of one of them.
+// Two workers restart by themselves soon after the start of one of a job's long-running tasks.
+// The job must not be given up and its tasks stopped.
 func TestLongRunningJobIsNotGivenUpForUnrelatedRestarts(t *testing.T) {
 	w := playRestartHistory(117, faults{lostAnswer: 0.03, lostWriteAnswer: 0.02})
 	require.Empty(t, w.violations)
 }
 
-// Guards against a job of no fault being given up as its workers restart by themselves: none
-// did so twice within half a second of a start, nor four times in all.
+// A job's workers restart by themselves, none twice within half a second of a start nor four
+// times in all. The job must not be given up.
 func TestJobIsNotGivenUpForUnrelatedRestarts(t *testing.T) {
 	w := playRestartHistory(73, faults{})
 	require.Empty(t, w.violations)
 	checkJobOutcomes(t, w, 73)
 }
 
-// Guards against a task being started again, or waited for without end, where its end was
-// acknowledged before anybody read it: it may be done. Its job fails; lasting tasks and
-// copies start again.
+// An exit was acknowledged before any owner read it, so that its task may be done. The task must
+// not be started again, nor may its job wait forever: the job fails. Long-running tasks and
+// speculative copies start again.
 func TestExitAcknowledgedUnreadFailsItsJob(t *testing.T) {
 	w := newWorld(1, faults{})
 	f := w.addWorker("worker", workload.Resources{CPU: 32000, MemoryMB: 64000})
@@ -261,8 +261,8 @@
 	assert.Equal(t, 3, w.unreadExitCount())
 }
 
-// Guards against a worker that was only cut off being taken for a new process: it has the
-// same start, its runs go on and its ends count, beside one that restarted behind the cut.
+// A worker that was only cut off keeps its incarnation: its runs go on and its exits count. It
+// must not be taken for a new process, unlike a worker that restarted while it was cut off.
 func TestRunsOfAWorkerThatWasCutOffContinue(t *testing.T) {
 	w := newWorld(1, faults{})
 	cutOff := w.addWorker("same", workload.Resources{CPU: 8000, MemoryMB: 16000})
--- a/internal/scheduler/silence_test.go
+++ b/internal/scheduler/silence_test.go
@@ -12,8 +12,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// silenceWorker has a worker answer nothing until its leases are over and it isn't registered any
-// more, beside another one that answers. It returns the starts there.
+// silenceWorker lets a worker answer nothing until its leases have expired and it is no longer
+// registered, beside a worker that answers. It returns the starts that follow.
 func (r *rig) silenceWorker(id, answering string) (starts []scheduler.StartOrder) {
 	r.setWorkers(answering)
 	for range 200 {
@@ -30,9 +30,9 @@
 	return nil
 }
 
-// Guards against tasks being tried one by one, and their jobs given up, after a zone was cut
-// off: hundreds of tasks lose their worker at once, some of them soon after their start, and
-// some do so twice.
+// When a zone is cut off, hundreds of tasks lose their worker at once, some of them soon after
+// their start and some twice. They must not become suspects that are isolated one by one and
+// given up.
 func TestTasksWhoseWorkersFallSilentTwiceAreNotSuspects(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-0")
@@ -47,8 +47,8 @@
 	assert.Equal(t, 2, r.core.Counts.ExpiredRuns)
 }
 
-// Guards against a job being given up as its workers are cut off for longer than their
-// leases: one that answers again takes back what its silence said.
+// A job's workers are cut off for longer than their leases. A worker that answers again revokes
+// what its silence counted against the task, or the job is given up.
 func TestSilenceDoesNotCountOnceTheWorkerAnswersAgain(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-0")
@@ -56,7 +56,7 @@
 	for n := range 12 {
 		id, next := "w-"+strconv.Itoa(n), "w-"+strconv.Itoa(n+1)
 		starts := r.silenceWorker(id, next)
-		require.Len(t, starts, 1, "%s has lapsed", id)
+		require.Len(t, starts, 1, "lease of %s must have expired", id)
 		r.answerStart(starts[0], workload.WorkerOK)
 		r.setWorkers(id, next)
 		delete(r.latestPolls, id)
@@ -68,13 +68,13 @@
 	assert.Zero(t, r.core.Counts.IsolatedRuns)
 }
 
-// Guards against a job of no fault being given up by trials of which nobody knows how long
-// they had got on: the owner that planned them was lost, and the worker has never answered
-// the next one. The trial may have run for as long as that.
+// An owner planned an isolated run and was lost, and the worker never answered the next owner.
+// The run may have made progress since it was planned, so that the silence must not count as
+// proof and the job must not be given up.
 func TestSilenceAfterAPossiblyLongIsolatedRunProvesNothing(t *testing.T) {
 	const job = workload.JobID("0000000000000001")
 	for _, c := range []struct {
-		planned time.Duration // before the takeover
+		planned time.Duration // time from the plan to the takeover
 		state   workload.JobState
 	}{
 		{100 * time.Millisecond, workload.Failed},
--- a/internal/scheduler/starttracker_test.go
+++ b/internal/scheduler/starttracker_test.go
@@ -11,17 +11,13 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Callers of a busy queue wait for seconds beside free workers while a few of a
-// hundred workers' answers are lost.
-//
-// Of the starts that may be in flight, those without an answer keep their places until
-// they are given up after a second. With every sixth one lost, 384 starts take all
-// places, and nothing else starts until then. A start without an answer is to hold up
-// itself alone: all that has room is ordered within some round trips.
+// Starts without an answer count as in flight for a second. With every sixth answer lost, 384
+// starts take all places and nothing else starts beside free workers. An unanswered start must
+// delay only its own task: all that fits must be ordered within some round trips.
 func TestUnansweredStartsDoNotBlockOthers(t *testing.T) {
 	const (
 		workers        = 120
-		tasksPerWorker = 8 // that a worker has room for
+		tasksPerWorker = 8 // capacity of a worker, in tasks
 		roundTrip      = 5 * time.Millisecond
 		lossInterval   = 6
 	)
@@ -47,10 +43,10 @@
 	assert.Equal(t, workers*tasksPerWorker, ordered, "starts ordered within %s", 40*roundTrip)
 }
 
-// On a node that is behind, answers come late. They are no sign of loss: sending more
-// would only delay them further.
+// On an overloaded node answers come late. They must not count as lost: more starts would only
+// delay them further.
 func TestStartsInFlightAreBoundedWhileAllAnswersAreLate(t *testing.T) {
-	const maxInFlight = 64 // starts in flight
+	const maxInFlight = 64
 	r := newRig(t)
 	var ids []string
 	for i := range 40 {
@@ -64,7 +60,7 @@
 	for range 100 {
 		unanswered = append(unanswered, r.step(5*time.Millisecond).Starts...)
 		assert.LessOrEqual(t, len(unanswered), maxInFlight)
-		if len(unanswered) > 0 { // one answer a step, in order
+		if len(unanswered) > 0 { // one answer per step, in order
 			r.answerStart(unanswered[0], workload.WorkerOK)
 			unanswered = unanswered[1:]
 		}
--- a/internal/scheduler/suspect_test.go
+++ b/internal/scheduler/suspect_test.go
@@ -13,9 +13,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// A worker's process ends under a job. Whether it crashed decides whether the job's
-// task is started alone on a worker that others could use, and whether it may be
-// given up: for workers that leave, are emptied or cut off nobody's task is to blame.
+// Only a crash of a worker's process makes a job's task a suspect, which is isolated and may be
+// given up. The end of a worker that leaves, is drained or is cut off must not count as a crash.
 func TestCrashIsDistinguishedFromOtherExits(t *testing.T) {
 	newWorker := func(id, service string, leaving bool) workload.Worker {
 		return workload.Worker{ID: id, Service: service, Address: "w-1", Leaving: leaving, Labels: []string{"a", "rack"}, Capacity: workload.Resources{CPU: 8000, MemoryMB: 16000}}
@@ -28,30 +27,30 @@
 			r.answerPollRefused("w-1")
 			r.answerPoll("w-1", r.now.Add(time.Millisecond), workload.PollReport{})
 		}, 0},
-		"refused, and the list shows no successor": {func(r *rig) { r.refusePollsFor("w-1", 6*time.Second) }, 0},
-		"refused, then answered by the same one": {func(r *rig) {
+		"refused, and no successor is registered": {func(r *rig) { r.refusePollsFor("w-1", 6*time.Second) }, 0},
+		"refused, then answered by the same worker": {func(r *rig) {
 			r.refusePollsFor("w-1", 6*time.Second)
 			r.answerPoll("w-1", r.now, workload.PollReport{})
 		}, 0},
 		"refused and then replaced": {func(r *rig) { r.crashWorker("w-1") }, 1},
-		"refused until its lease was over, then replaced": {func(r *rig) {
+		"refused until its lease expired, then replaced": {func(r *rig) {
 			r.refusePollsFor("w-1", 6*time.Second)
 			r.answerPollReplaced("w-1")
 		}, 1},
-		"refused until its lease was over, then a successor is listed": {func(r *rig) {
+		"refused until its lease expired, then a successor is registered": {func(r *rig) {
 			r.core.SetWorkers([]workload.Worker{newWorker("w-2", "service", false)}, r.now)
 			r.refusePollsFor("w-1", 6*time.Second)
 			r.answerPoll("w-2", r.now, workload.PollReport{})
 			r.core.SetWorkers([]workload.Worker{newWorker("w-2", "service", false)}, r.now)
 		}, 1},
-		"refused, then no longer registered, then answered by the same one": {func(r *rig) {
+		"refused, then no longer registered, then answered by the same worker": {func(r *rig) {
 			r.setWorkers()
 			r.refusePollsFor("w-1", 6*time.Second)
 			r.setWorkers("w-1")
 			r.answerPoll("w-1", r.now, workload.PollReport{})
 		}, 0},
 		"replaced at once": {func(r *rig) { r.answerPollReplaced("w-1") }, 1},
-		"cut off until its lease was over, then replaced": {func(r *rig) {
+		"cut off until its lease expired, then replaced": {func(r *rig) {
 			r.timeOutPoll("w-1")
 			r.now = r.now.Add(4 * time.Second)
 			r.answerPollReplaced("w-1")
@@ -67,15 +66,15 @@
 			r.core.SetWorkers([]workload.Worker{newWorker("w-1", "service", true)}, r.now)
 			r.crashWorker("w-1")
 		}, 0},
-		"emptied for its VM": {func(r *rig) {
+		"drained for its VM": {func(r *rig) {
 			r.core.DrainWorker("w-1", r.now)
 			r.crashWorker("w-1")
 		}, 0},
-		"its address at another service of the partition": {func(r *rig) {
+		"its address taken by another service of the partition": {func(r *rig) {
 			r.core.SetWorkers([]workload.Worker{newWorker("w-1", "service", false), newWorker("w-2", "other", false)}, r.now)
 			r.answerPollReplaced("w-1")
 		}, 0},
-		"its address at another service elsewhere": {func(r *rig) {
+		"its address taken by another service elsewhere": {func(r *rig) {
 			r.core.SetForeignAddresses([]string{"w-1"})
 			r.answerPollReplaced("w-1")
 		}, 0},
@@ -88,9 +87,9 @@
 	}
 }
 
-// A worker is cut off from its owner, which is refused connections as if it had crashed,
-// and runs on. The caller's task there must not be started a second time before the lease
-// is over; no refusal tells that the process has ended.
+// A worker that is cut off from its owner may refuse connections as if it had crashed, and run
+// on. Its task must not be started again before the lease has expired: a refusal is no proof that
+// the process has ended.
 func TestTaskOfAWorkerThatRefusesConnectionsIsNotStartedTwice(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -100,9 +99,9 @@
 	assert.Empty(t, r.step(30*time.Millisecond).Starts)
 }
 
-// The list of workers lags: that a worker was leaving, or that its address is another
-// service's, is known only after its end looked like a crash. What was held against
-// its task is taken back, and the task is started like any other.
+// The worker list may show only after an apparent crash that the worker was leaving or that its
+// address belongs to another service. The crash must then be revoked, and the task starts like
+// any other.
 func TestTaskIsClearedWhenTheRegistryExplainsTheExit(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -115,10 +114,8 @@
 	assert.Zero(t, r.core.Counts.IsolatedRuns)
 }
 
-// A worker crashes with the tasks of two callers. Both are suspects, and each is
-// started where nothing else has just begun; the one that gets on is done as if
-// nothing had happened, and the next worker that crashes under the other one takes no
-// task of anybody else.
+// A worker crashes with the tasks of two jobs. Each suspect must start on a worker where nothing
+// else has just started, so that a further crash takes no tasks of others.
 func TestSuspectsRunOnWorkersOfTheirOwn(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -143,8 +140,8 @@
 	assert.Equal(t, 2, r.core.Counts.IsolatedRuns)
 }
 
-// The same on a service with one worker: the second suspect waits until the first has
-// got on, however much room there is. Its crash would else prove nothing.
+// On a service with one worker the second suspect must wait until the first has made progress,
+// whatever capacity is free. A crash under both would prove nothing.
 func TestSuspectsShareNoWorker(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -160,9 +157,8 @@
 	assert.Len(t, r.stepFor(150*time.Millisecond).Starts, 1)
 }
 
-// The worker that is kept for suspects lacks the label that the next one must have. That
-// one gets a worker of its own besides; it would else wait for ever, and keep the other
-// one idle.
+// The worker reserved for suspects lacks the label that the next suspect requires. The suspect
+// must get another worker, or it waits forever and keeps the reserved one idle.
 func TestSuspectWithALabelGetsAWorkerThatHasIt(t *testing.T) {
 	r := newRig(t)
 	setLabelledWorkers := func(labels map[string]string) {
@@ -192,9 +188,9 @@
 	assert.Equal(t, "w-3", workerByJob["0000000000000002"])
 }
 
-// A long task lay beside one that crashed its worker. It gets on afterwards for
-// longer than it had at the crash: it is cleared, its worker takes other tasks again,
-// and a crash much later is its first.
+// A long task ran beside one that crashed its worker. Once it has run longer than before the
+// crash it must be cleared: its worker takes other tasks again, and a much later crash counts as
+// its first.
 func TestSuspectThatMakesProgressIsCleared(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -206,15 +202,15 @@
 	require.Len(t, starts, 1)
 	r.answerStart(starts[0], workload.WorkerOK)
 	r.submit("0000000000000002", batchStep(1, 1000))
-	assert.Empty(t, r.step(30*time.Millisecond).Starts, "the worker is its own for now")
+	assert.Empty(t, r.step(30*time.Millisecond).Starts, "the worker is reserved for the suspect")
 	r.now = r.now.Add(time.Second)
 	r.answerPoll("w-2", r.now, workload.PollReport{Running: []workload.ListedRun{{Task: starts[0].Start.Task, Run: starts[0].Start.Run, SpeedPercent: 100}}})
 	assert.Equal(t, 1, r.core.Counts.ClearedSuspects)
 	assert.Len(t, r.stepFor(100*time.Millisecond).Starts, 1)
 }
 
-// A worker is silent as it has crashed, and it isn't known yet. The task there may be
-// copied; a copy of what crashes workers would crash a second one.
+// A silent worker may have crashed under its task. A speculative copy of a task that crashes
+// workers would crash a second one.
 func TestTaskOfAWorkerThatMayHaveCrashedGetsNoSpeculativeCopy(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -224,17 +220,16 @@
 	r.now = r.now.Add(950 * time.Millisecond)
 	r.timeOutPoll(s.Worker.ID)
 	assert.Empty(t, r.stepFor(900*time.Millisecond).Starts)
-	assert.NotEmpty(t, r.stepFor(300*time.Millisecond).Starts, "it is cut off")
+	assert.NotEmpty(t, r.stepFor(300*time.Millisecond).Starts, "the worker is cut off")
 
 	r = newRig(t)
 	r.syncWorkers("w-1", "w-2")
 	s = r.startJob("0000000000000001", speculative)[0]
 	r.now = r.now.Add(950 * time.Millisecond)
-	assert.Empty(t, r.refusePollsFor(s.Worker.ID, 2500*time.Millisecond).Starts, "it refuses connections")
+	assert.Empty(t, r.refusePollsFor(s.Worker.ID, 2500*time.Millisecond).Starts, "the worker refuses connections")
 }
 
-// A job whose task crashes workers waits for a worker of its own, not for room. The
-// service is given no VMs for it.
+// Suspects wait for a worker of their own, not for capacity, and must not request VMs.
 func TestSuspectsRequestNoVMs(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -246,8 +241,7 @@
 	assert.Equal(t, 3000, waitingDemand().CPU)
 }
 
-// The caller whose job was given up hands it in again: it is a new job, and nothing
-// is held against it.
+// A job that was given up and is submitted again is a new job, without the crashes of the first.
 func TestResubmissionOfAGivenUpJobIsANewJob(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -271,8 +265,8 @@
 	assert.Equal(t, 1, r.core.Counts.CrashingJobs)
 }
 
-// Guards against a task crashing worker after worker as the answers to its starts are
-// lost: a crash after a start without an answer says something, too.
+// The answers to a task's starts are lost and its workers crash. Such crashes must count too, or
+// the task crashes one worker after the other.
 func TestCrashAfterAnUnansweredStartCounts(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-0")
