--- a/internal/scheduler/incarnation_test.go
+++ b/internal/scheduler/incarnation_test.go
@@ -27,9 +27,9 @@
 	return poll
 }
 
-// A new process of a worker takes an acknowledgement as one of its own first exits. After any
-// pause in which the worker may have restarted, the owner must poll without an acknowledgement
-// first.
+// A new process of a worker would apply an acknowledgement to its own first exits and forget them
+// unread. After any pause in which the worker may have restarted, the owner must poll without an
+// acknowledgement first.
 func TestAcknowledgementIsSentOnlyRightAfterAPollReport(t *testing.T) {
 	r := newIncarnationRig(t)
 	poll := r.completeJob("0000000000000001", 1)
