--- a/cmd/yuccadrift-platform-standin/main.go
+++ b/cmd/yuccadrift-platform-standin/main.go
@@ -58,10 +58,10 @@
 	}
 	fmt.Println("ready")
 	if after := cmd.Duration("wave-after"); after > 0 {
-		time.AfterFunc(after, func() { askWave(p) })
+		time.AfterFunc(after, func() { publishWave(p) })
 	}
 	<-ctx.Done()
-	return verdict(p, cmd.Duration("wave-after") > 0)
+	return reportViolations(p, cmd.Duration("wave-after") > 0)
 }
 
 func writeSettings(p *standin.Platform, cmd *cli.Command) error {
@@ -82,7 +82,7 @@
 // waveLimit is how many VMs of the wave may be away at once.
 const waveLimit = 3
 
-func askWave(p *standin.Platform) {
+func publishWave(p *standin.Platform) {
 	var vms []string
 	for _, vm := range p.VMs() {
 		vms = append(vms, vm.ID)
@@ -92,7 +92,7 @@
 	}
 }
 
-func verdict(p *standin.Platform, wave bool) error {
+func reportViolations(p *standin.Platform, wave bool) error {
 	fmt.Printf("tasks done: %d\n", p.DoneTasks())
 	if wave {
 		fmt.Printf("wave completed: %t\n", p.IsWaveCompleted(1))
