--- a/cmd/yuccadrift-node/main.go
+++ b/cmd/yuccadrift-node/main.go
@@ -1,5 +1,5 @@
-// Command yuccadrift-node is the process on each entry VM of the users'
-// platform: it answers callers, owns services' jobs and looks after the fleet.
+// Command yuccadrift-node runs on each entry VM of the users' platform. It serves callers, owns the
+// jobs of services and manages the fleet.
 package main
 
 import (
@@ -17,10 +17,10 @@
 func main() {
 	command.Main(&cli.Command{
 		Name:  "yuccadrift-node",
-		Usage: "answer callers, run their jobs and look after the fleet",
+		Usage: "serve callers, run their jobs and manage the fleet",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "config", Usage: "read settings from `FILE` (TOML)", Sources: cli.EnvVars(platform.SettingsVariable), Required: true},
-			&cli.BoolFlag{Name: "check", Usage: "check the settings and exit"},
+			&cli.BoolFlag{Name: "check", Usage: "validate the settings and exit"},
 		},
 		Action: run,
 	})
@@ -34,7 +34,7 @@
 	}
 	err := node.Run(ctx, path, os.Stdout)
 	if errors.Is(err, context.Canceled) {
-		return nil // asked to stop
+		return nil // stopped by a signal
 	}
 	return err
 }
--- a/cmd/yuccadrift-platform-standin/main.go
+++ b/cmd/yuccadrift-platform-standin/main.go
@@ -1,5 +1,5 @@
-// Command yuccadrift-platform-standin is a stand-in of the users' platform for
-// development: its store, its workers and the service for VMs, on loopback.
+// Command yuccadrift-platform-standin is a stand-in of the users' platform for development. It
+// serves the store, the workers and the VM service on loopback.
 package main
 
 import (
@@ -18,24 +18,24 @@
 	"github.com/yuccadrift/yuccadrift/platform/standin"
 )
 
-// portsPerNode is how many ports a node gets, next to one another.
+// portsPerNode is the number of consecutive ports of a node.
 const portsPerNode = 4
 
 func main() {
 	command.Main(&cli.Command{
 		Name:  "yuccadrift-platform-standin",
-		Usage: "stand in for the users' platform on this machine; development only",
-		Description: `Writes a settings file for each node into DIR and serves until it is told to stop.
-It then says what went against the promises, as workers and VMs saw it, and ends
-with 1 if anything did.
+		Usage: "serve a stand-in of the users' platform on this machine; for development only",
+		Description: `Writes a settings file for each node into DIR and serves until it is interrupted.
+It then prints the violations of the scheduler's guarantees that workers and VMs have
+observed, and exits with status 1 if there are any or a wave was not completed.
 
 Example:
    yuccadrift-platform-standin --dir tmp/jobs --nodes 3 --wave-after 5s`,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "dir", Usage: "write settings files into `DIR`", Required: true},
-			&cli.IntFlag{Name: "nodes", Usage: "`N` nodes to write settings for", Value: 3},
+			&cli.IntFlag{Name: "nodes", Usage: "write settings for `N` nodes", Value: 3},
 			&cli.IntFlag{Name: "port", Usage: "first `PORT` of the nodes", Value: 27300},
-			&cli.DurationFlag{Name: "wave-after", Usage: "ask for maintenance of all VMs after a `DURATION`; 0 for none"},
+			&cli.DurationFlag{Name: "wave-after", Usage: "request maintenance of all VMs after `DURATION`; 0 for none"},
 		},
 		Action: run,
 	})
@@ -73,13 +73,13 @@
 		}
 		file := filepath.Join(cmd.String("dir"), place.Name+".toml")
 		if err := os.WriteFile(file, []byte(p.Settings(place)), 0o600); err != nil {
-			return errors.Wrap(err, "settings of a node")
+			return errors.Wrap(err, "write settings of a node")
 		}
 	}
 	return nil
 }
 
-// waveLimit is how many VMs of the wave may be away at once.
+// waveLimit is the number of VMs that may be away at once during the wave.
 const waveLimit = 3
 
 func publishWave(p *standin.Platform) {
@@ -98,12 +98,12 @@
 		fmt.Printf("wave completed: %t\n", p.IsWaveCompleted(1))
 	}
 	broken := p.Violations()
-	fmt.Printf("promises broken: %d\n", len(broken))
+	fmt.Printf("violations: %d\n", len(broken))
 	for _, b := range broken {
 		fmt.Println("  " + b)
 	}
 	if len(broken) > 0 || wave && !p.IsWaveCompleted(1) {
-		return errors.New("a promise broke")
+		return errors.New("violations were observed or the wave was not completed")
 	}
 	return nil
 }
