--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -22,11 +22,11 @@
 // Bounds of one admin connection. They keep a stuck scraper from holding
 // connections; answers may take long, as a profile does.
 const (
-	headerTimeout = 5 * time.Second
-	idleTimeout   = time.Minute
-	maxHeader     = 16 << 10
-	// stopTimeout is what answers in progress get when the daemon stops.
-	stopTimeout = 2 * time.Second
+	headerTimeout  = 5 * time.Second
+	idleTimeout    = time.Minute
+	maxHeaderBytes = 16 << 10
+	// shutdownTimeout is what answers in progress get when the daemon stops.
+	shutdownTimeout = 2 * time.Second
 )
 
 // Config is what a Server serves.
@@ -53,7 +53,7 @@
 	})
 	s.mux.HandleFunc("GET /readyz", s.readyz)
 	if config.Profiles {
-		s.profiles()
+		s.handleProfiles()
 	}
 	return s
 }
@@ -70,24 +70,24 @@
 		Handler:           s.mux,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          s.config.Logger.StandardLogger(nil),
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(s.config.Listener) }()
+	serveResult := make(chan error, 1)
+	go func() { serveResult <- server.Serve(s.config.Listener) }()
 	select {
-	case err := <-ended:
+	case err := <-serveResult:
 		return supervise.Fatal(errors.Wrap(err, "admin server"))
 	case <-ctx.Done():
-		stop(server)
-		<-ended
+		shutdown(server)
+		<-serveResult
 		return ctx.Err()
 	}
 }
 
-// stop lets answers in progress finish and then closes their connections.
-func stop(server *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
+// shutdown lets answers in progress finish and then closes their connections.
+func shutdown(server *http.Server) {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
 		_ = server.Close() // the listener is closed already, only connections remain
@@ -104,7 +104,7 @@
 	writeText(w, http.StatusServiceUnavailable, strings.Join(reasons, "\n"))
 }
 
-func (s *Server) profiles() {
+func (s *Server) handleProfiles() {
 	s.mux.HandleFunc("GET /debug/pprof/", pprof.Index)
 	s.mux.HandleFunc("GET /debug/pprof/cmdline", pprof.Cmdline)
 	s.mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -23,7 +23,7 @@
 // buildInfo is a gauge of constant 1 that carries the build in its labels, so
 // that a roll-out shows as a change of labels.
 func buildInfo(binary string) prometheus.Collector {
-	version, revision := build()
+	version, revision := buildVersion()
 	gauge := prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "yuccadrift_build_info",
 		Help: "Constant 1, labelled with the build of this process.",
@@ -38,9 +38,9 @@
 	return gauge
 }
 
-// build returns the module version and the commit, as far as they were stamped
+// buildVersion returns the module version and the commit, as far as they were stamped
 // into the binary.
-func build() (version, revision string) {
+func buildVersion() (version, revision string) {
 	version, revision = "unknown", "unknown"
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -8,7 +8,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/invariant"
 )
 
-func TestCheckPanicsWithReasonOnlyWhenBroken(t *testing.T) {
+func TestCheckPanicsOnlyWhenConditionIsFalse(t *testing.T) {
 	assert.NotPanics(t, func() { invariant.Check(true, "unused") })
 	assert.PanicsWithError(t, "broken invariant: offset 3 below 5", func() {
 		invariant.Check(false, "offset %d below %d", 3, 5)
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -28,10 +28,10 @@
 	if err == nil {
 		return listener, nil
 	}
-	return nil, errors.Errorf("%s: cannot listen on %s: %s", key, address, explain(err))
+	return nil, errors.Errorf("%s: cannot listen on %s: %s", key, address, bindErrorReason(err))
 }
 
-func explain(err error) string {
+func bindErrorReason(err error) string {
 	switch {
 	case errors.Is(err, syscall.EADDRINUSE):
 		return "address already in use, stop the process that holds it or set another port"
--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 )
 
-// asyncLines is how many lines wait for a slow reader of standard output.
-const asyncLines = 2048
+// maxBufferedLines is how many lines wait for a slow reader of standard output.
+const maxBufferedLines = 2048
 
 // Async is a writer that never blocks: lines that come faster than the reader
 // takes them are dropped and counted, so that a log that nobody reads can't hold
@@ -19,12 +19,12 @@
 
 // NewAsync returns a writer that hands lines to out.
 func NewAsync(out io.Writer) *Async {
-	a := &Async{lines: make(chan []byte, asyncLines), done: make(chan struct{})}
-	go a.run(out)
+	a := &Async{lines: make(chan []byte, maxBufferedLines), done: make(chan struct{})}
+	go a.writeLoop(out)
 	return a
 }
 
-func (a *Async) run(out io.Writer) {
+func (a *Async) writeLoop(out io.Writer) {
 	defer close(a.done)
 	for line := range a.lines {
 		if _, err := out.Write(line); err != nil {
@@ -35,9 +35,9 @@
 
 // Write takes one line.
 func (a *Async) Write(line []byte) (int, error) {
-	own := append([]byte(nil), line...)
+	copied := append([]byte(nil), line...)
 	select {
-	case a.lines <- own:
+	case a.lines <- copied:
 	default:
 		a.dropped.Add(1)
 	}
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -12,7 +12,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/settings"
 )
 
-func TestNewFollowsLevelAndFormat(t *testing.T) {
+func TestNewAppliesLevelAndFormat(t *testing.T) {
 	var out bytes.Buffer
 	logger := logging.New("yuccadrift-entry", settings.Node{ID: "entry-1", Zone: "a"}, settings.Log{Level: "warn", Format: settings.LogJSON}, &out)
 	logger.Info("left out")
--- a/internal/logstory/logstory.go
+++ b/internal/logstory/logstory.go
@@ -14,8 +14,8 @@
 	"github.com/pkg/errors"
 )
 
-// maxLine bounds one line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds one line of a log, in bytes.
+const maxLineBytes = 1 << 20
 
 // Line is one line of a log.
 type Line struct {
@@ -27,8 +27,8 @@
 	Fields []string
 }
 
-// frame are the names that have a field of their own in Line, or say nothing.
-var frame = []string{"@timestamp", "@message", "@module", "@level", "node", "zone"}
+// omittedFields are the names that have a field of their own in Line, or say nothing.
+var omittedFields = []string{"@timestamp", "@message", "@module", "@level", "node", "zone"}
 
 // Read returns the lines of a log that name id, in the order of the log. What
 // stands before the first brace of a line is passed over; lines that are no JSON
@@ -36,7 +36,7 @@
 func Read(r io.Reader, id string) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Text()
 		if !strings.Contains(text, id) {
@@ -60,18 +60,18 @@
 	if err := decoder.Decode(&fields); err != nil {
 		return Line{}, false
 	}
-	word := func(name string) string {
+	stringField := func(name string) string {
 		value, _ := fields[name].(string) // "" if it is missing
 		return value
 	}
-	line := Line{Node: word("node"), Module: word("@module"), Message: word("@message")}
-	at, err := time.Parse(time.RFC3339, word("@timestamp"))
+	line := Line{Node: stringField("node"), Module: stringField("@module"), Message: stringField("@message")}
+	at, err := time.Parse(time.RFC3339, stringField("@timestamp"))
 	if err != nil {
 		return Line{}, false
 	}
 	line.At = at
 	for name, value := range fields {
-		if !slices.Contains(frame, name) && value != "" && value != nil {
+		if !slices.Contains(omittedFields, name) && value != "" && value != nil {
 			line.Fields = append(line.Fields, fmt.Sprintf("%s=%v", name, value))
 		}
 	}
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -135,14 +135,14 @@
 	return rec, nil
 }
 
-// kindMark is what stands before the kind in what Encode writes. Inside a
+// encodedKindPrefix is what stands before the kind in what Encode writes. Inside a
 // string its quotes would be escaped.
-var kindMark = []byte(`,"kind":"`)
+var encodedKindPrefix = []byte(`,"kind":"`)
 
 // kindOf returns the record's kind. It spares a pass over what Encode wrote;
 // decoderOf checks what was found so.
 func kindOf(data []byte) (Kind, error) {
-	if _, rest, ok := bytes.Cut(data, kindMark); ok {
+	if _, rest, ok := bytes.Cut(data, encodedKindPrefix); ok {
 		if name, _, ok := bytes.Cut(rest, []byte{'"'}); ok {
 			if _, known := decoders[Kind(name)]; known {
 				return Kind(name), nil
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func sample(body Body) Record {
+func testRecord(body Body) Record {
 	return Record{
 		ID:      "01J",
 		Subject: Subject{Kind: SubjectVM, Name: "vm-1"},
@@ -22,23 +22,23 @@
 	}
 }
 
-func TestEveryKindSurvivesTheLog(t *testing.T) {
+func TestEncodeAndDecodeEveryKind(t *testing.T) {
 	for kind := range decoders {
 		for _, form := range []string{`{"id":"x","subject":{"kind":"vm","name":"y"},"kind":%q,"body":{}}`, `{"body" : {}, "kind" : %q, "subject":{"kind":"vm","name":"y"},"id":"x"}`} {
 			first, err := Decode(fmt.Appendf(nil, form, kind))
 			require.NoError(t, err)
 			require.Equal(t, kind, first.Body.Kind())
-			data, err := Encode(sample(first.Body))
+			data, err := Encode(testRecord(first.Body))
 			require.NoError(t, err)
 			got, err := Decode(data)
 			require.NoError(t, err)
-			assert.Equal(t, sample(first.Body), got)
+			assert.Equal(t, testRecord(first.Body), got)
 		}
 	}
 }
 
-func TestDecodeTellsForeignFromUnknown(t *testing.T) {
-	data, err := Encode(sample(VMDrain{Reason: DrainMove}))
+func TestDecodeDistinguishesMalformedFromUnknownKind(t *testing.T) {
+	data, err := Encode(testRecord(VMDrain{Reason: DrainMove}))
 	require.NoError(t, err)
 	for change, want := range map[string]error{
 		`"vm.drain"->"vm.fly"`:                                ErrUnknownKind,
@@ -64,7 +64,7 @@
 // with a record that encodes to the same again, or with one of the two errors.
 func FuzzDecode(f *testing.F) {
 	for _, body := range []Body{VMRegister{Cores: 3}, WaveStart{Pools: []string{"a"}}, JobSubmit{Team: "t"}, MemberSuspect{By: "m"}} {
-		data, err := Encode(sample(body))
+		data, err := Encode(testRecord(body))
 		require.NoError(f, err)
 		f.Add(data)
 	}
--- a/internal/supervise/supervise.go
+++ b/internal/supervise/supervise.go
@@ -20,7 +20,7 @@
 const (
 	failureThreshold = 1.0
 	failureDecay     = 10 // seconds in which the count of failures halves
-	restartPause     = time.Second
+	restartBackoff   = time.Second
 )
 
 // DefaultStopWithin is how long a duty may take to return once it was told to
@@ -39,7 +39,7 @@
 	// started again; the others go on.
 	ErrDone = errors.New("duty is done")
 
-	errEnded = errors.New("duty ended without a reason")
+	errReturnedEarly = errors.New("duty ended without a reason")
 )
 
 // fatalError is an error that a restart cannot mend.
@@ -76,11 +76,11 @@
 // time are named in the error.
 func Run(ctx context.Context, name string, logger hclog.Logger, duties ...Duty) error {
 	tree := &tree{logger: logger}
-	longest := time.Duration(0)
+	longestStop := time.Duration(0)
 	for _, d := range duties {
-		longest = max(longest, d.stopWithin())
+		longestStop = max(longestStop, d.stopWithin())
 	}
-	root := suture.New(name, tree.spec(longest+stopMargin))
+	root := suture.New(name, tree.spec(longestStop+stopMargin))
 	for _, d := range duties {
 		// A supervisor for each duty keeps one that fails again and again from
 		// holding back the restarts of the others.
@@ -103,10 +103,10 @@
 
 func (t *tree) spec(timeout time.Duration) suture.Spec {
 	return suture.Spec{
-		EventHook:        t.event,
+		EventHook:        t.logEvent,
 		FailureThreshold: failureThreshold,
 		FailureDecay:     failureDecay,
-		FailureBackoff:   restartPause,
+		FailureBackoff:   restartBackoff,
 		Timeout:          timeout,
 		// A recovered panic would let a process with a broken invariant answer
 		// callers from a state that nobody knows.
@@ -114,8 +114,8 @@
 	}
 }
 
-// event logs what suture reports.
-func (t *tree) event(e suture.Event) {
+// logEvent logs what suture reports.
+func (t *tree) logEvent(e suture.Event) {
 	switch e := e.(type) {
 	case suture.EventServiceTerminate:
 		t.logger.Warn("duty failed", "duty", e.ServiceName, "error", e.Err, "restarting", e.Restarting)
@@ -133,8 +133,8 @@
 	}
 }
 
-// fail keeps the first error that ends the tree.
-func (t *tree) fail(duty string, err error) {
+// setFatal keeps the first error that ends the tree.
+func (t *tree) setFatal(duty string, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.fatal == nil {
@@ -174,14 +174,14 @@
 	var fatal fatalError
 	switch {
 	case errors.As(err, &fatal):
-		s.tree.fail(s.duty.Name, err)
+		s.tree.setFatal(s.duty.Name, err)
 		return suture.ErrTerminateSupervisorTree
 	case errors.Is(err, ErrStop):
 		return suture.ErrTerminateSupervisorTree
 	case errors.Is(err, ErrDone), ctx.Err() != nil:
 		return suture.ErrDoNotRestart
 	case err == nil:
-		return errEnded
+		return errReturnedEarly
 	default:
 		return err
 	}
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -21,9 +21,9 @@
 // DecodeOver is Decode with defaults for the keys that the text leaves out.
 // defaults must hold no map or slice that the text may set.
 func DecodeOver[T any](file string, data []byte, defaults T) (T, Positions, Problems) {
-	positions := index(file, data)
-	if positions.broken != nil {
-		return defaults, positions, Problems{*positions.broken}
+	positions := indexKeys(file, data)
+	if positions.firstSyntaxError != nil {
+		return defaults, positions, Problems{*positions.firstSyntaxError}
 	}
 	var problems Problems
 	rest := bytes.Clone(data)
@@ -42,7 +42,7 @@
 		}
 		problem, offset := positions.decodeError(err, rest, value)
 		problems.Add(problem)
-		if len(problems) >= MaxProblems || !positions.blank(rest, offset) {
+		if len(problems) >= MaxProblems || !positions.blankExpression(rest, offset) {
 			return value, positions, problems
 		}
 	}
@@ -52,11 +52,11 @@
 	return toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields().Decode(into)
 }
 
-// blank overwrites the expression at offset with spaces, so that the next pass
+// blankExpression overwrites the expression at offset with spaces, so that the next pass
 // decodes what follows. The decoder stops at the first value that it cannot
 // store; without this an operator would learn of one mistake per attempt. It
 // reports false when nothing was left to overwrite, which ends the passes.
-func (p Positions) blank(data []byte, offset int) bool {
+func (p Positions) blankExpression(data []byte, offset int) bool {
 	i := p.expressionAt(offset)
 	if i < 0 {
 		return false
@@ -84,7 +84,7 @@
 	if known := knownKeys(value, err.Key()); len(known) > 0 {
 		expected = "one of " + strings.Join(known, ", ")
 	}
-	return Problem{File: p.file, Line: p.lineAt(offset), Key: p.dottedAt(offset, err.Key()), Wrong: "unknown key", Expected: expected}
+	return Problem{File: p.file, Line: p.lineAt(offset), Key: p.keyPathAt(offset, err.Key()), Wrong: "unknown key", Expected: expected}
 }
 
 // decodeError describes a key that stands twice or a value of the wrong type,
@@ -96,17 +96,17 @@
 	if errors.As(err, &located) {
 		offset, path = p.offset(located), located.Key()
 	} else {
-		offset = p.locate(rest, value)
+		offset = p.firstFailingOffset(rest, value)
 	}
-	wrong, expected := describe(strings.TrimPrefix(err.Error(), "toml: "), value, path)
+	wrong, expected := describeMismatch(strings.TrimPrefix(err.Error(), "toml: "), value, path)
 	return Problem{File: p.file, Line: p.lineAt(offset), Key: p.keyAt(offset), Wrong: wrong, Expected: expected}, offset
 }
 
-// locate returns the offset of the first expression that value's type refuses.
+// firstFailingOffset returns the offset of the first expression that value's type refuses.
 // The decoder hands on the error of an UnmarshalText method without a place
 // when the value is no string (window = 30). It works in the text's order, so
 // the shortest beginning that fails ends with the expression at fault.
-func (p Positions) locate(rest []byte, value any) int {
+func (p Positions) firstFailingOffset(rest []byte, value any) int {
 	i := sort.Search(len(p.expressions), func(i int) bool {
 		target := reflect.New(reflect.TypeOf(value))
 		err := decodeStrict(rest[:p.expressions[i].end], target.Interface())
--- a/internal/tomlfile/describe.go
+++ b/internal/tomlfile/describe.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// mismatch matches the decoder's message for a value of the wrong type, such
+// mismatchPattern matches the decoder's message for a value of the wrong type, such
 // as "cannot decode TOML string into int". Other messages are kept as they are.
-var mismatch = regexp.MustCompile(`^cannot decode TOML (.+) into (?:struct field \S+ of type )?(\S+)$`)
+var mismatchPattern = regexp.MustCompile(`^cannot decode TOML (.+) into (?:struct field \S+ of type )?(\S+)$`)
 
-// describe turns the decoder's message on the key at path into what is wrong
+// describeMismatch turns the decoder's message on the key at path into what is wrong
 // and what is expected.
-func describe(message string, value any, path []string) (wrong, expected string) {
-	m := mismatch.FindStringSubmatch(message)
+func describeMismatch(message string, value any, path []string) (wrong, expected string) {
+	m := mismatchPattern.FindStringSubmatch(message)
 	if m == nil {
 		return message, ""
 	}
@@ -24,7 +24,7 @@
 // tomlType names the TOML type that decodes into goType, the name of the type
 // that refused the value. at is the type of the whole key, or nil; it tells
 // what a named type such as "settings.LogFormat" is.
-func tomlType(goType string, at reflect.Type) string {
+func tomlType(goType string, keyType reflect.Type) string {
 	switch {
 	case goType == reflect.TypeFor[Duration]().String():
 		return durationForm
@@ -32,11 +32,11 @@
 		return addressForm
 	case strings.HasPrefix(goType, "[]"):
 		return "an array"
-	case strings.Contains(goType, ".") && at != nil:
-		if reflect.PointerTo(element(at)).Implements(reflect.TypeFor[encoding.TextUnmarshaler]()) {
+	case strings.Contains(goType, ".") && keyType != nil:
+		if reflect.PointerTo(elementType(keyType)).Implements(reflect.TypeFor[encoding.TextUnmarshaler]()) {
 			return "a string"
 		}
-		goType = element(at).Kind().String()
+		goType = elementType(keyType).Kind().String()
 	}
 	switch strings.TrimRight(goType, "0123456789") {
 	case "string":
@@ -56,7 +56,7 @@
 func typeAt(value any, path []string) reflect.Type {
 	t := reflect.TypeOf(value)
 	for _, name := range path {
-		t = element(t)
+		t = elementType(t)
 		if t.Kind() != reflect.Struct {
 			return nil
 		}
@@ -72,11 +72,11 @@
 // knownKeys lists the keys of the table that holds the last part of path.
 func knownKeys(value any, path []string) []string {
 	t := typeAt(value, path[:max(0, len(path)-1)])
-	if t == nil || element(t).Kind() != reflect.Struct {
+	if t == nil || elementType(t).Kind() != reflect.Struct {
 		return nil
 	}
 	var known []string
-	for _, field := range reflect.VisibleFields(element(t)) {
+	for _, field := range reflect.VisibleFields(elementType(t)) {
 		if name := keyOf(field); name != "" {
 			known = append(known, name)
 		}
@@ -109,8 +109,8 @@
 	}
 }
 
-// element strips pointers, slices and maps.
-func element(t reflect.Type) reflect.Type {
+// elementType strips pointers, slices and maps.
+func elementType(t reflect.Type) reflect.Type {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice || t.Kind() == reflect.Map {
 		t = t.Elem()
 	}
--- a/internal/tomlfile/positions.go
+++ b/internal/tomlfile/positions.go
@@ -25,17 +25,17 @@
 // elements of arrays and of arrays of tables carry an index, such as
 // "pool.size" or "route[1].path".
 type Positions struct {
-	file        string
-	data        []byte
-	keys        []keyPosition
-	first       map[string]int // key -> index into keys
-	expressions []expression
-	broken      *Problem // the syntax error that ended the text early
+	file             string
+	data             []byte
+	keys             []keyPosition
+	firstIndex       map[string]int // key -> index into keys
+	expressions      []expression
+	firstSyntaxError *Problem // the syntax error that ended the text early
 }
 
 // Has tells whether the text holds the key.
 func (p Positions) Has(key string) bool {
-	_, ok := p.first[key]
+	_, ok := p.firstIndex[key]
 	return ok
 }
 
@@ -43,7 +43,7 @@
 // of its nearest table that is present, or 1.
 func (p Positions) Line(key string) int {
 	for key != "" {
-		if i, ok := p.first[key]; ok {
+		if i, ok := p.firstIndex[key]; ok {
 			return p.lineAt(p.keys[i].offset)
 		}
 		key = parent(key)
@@ -76,9 +76,9 @@
 	return key
 }
 
-// dottedAt returns the key that starts at offset and ends with the last part of
+// keyPathAt returns the key that starts at offset and ends with the last part of
 // path: "a.b" is noted twice, as "a" and as "a.b".
-func (p Positions) dottedAt(offset int, path []string) string {
+func (p Positions) keyPathAt(offset int, path []string) string {
 	if i := p.expressionAt(offset); i < 0 || p.expressions[i].header != "" || len(path) == 0 {
 		return p.keyAt(offset)
 	}
@@ -118,17 +118,17 @@
 	table     string         // path of the current table
 }
 
-// index parses data and returns the places of all keys in front of the first
+// indexKeys parses data and returns the places of all keys in front of the first
 // syntax error, if there is one.
-func index(file string, data []byte) Positions {
-	p := Positions{file: file, data: data, first: map[string]int{}}
+func indexKeys(file string, data []byte) Positions {
+	p := Positions{file: file, data: data, firstIndex: map[string]int{}}
 	in := indexer{positions: &p, elements: map[string]int{}}
 	parser := unstable.Parser{}
 	parser.Reset(data)
 	for parser.NextExpression() {
 		in.expression(parser.Expression())
 	}
-	p.broken = syntaxError(file, &parser)
+	p.firstSyntaxError = parseError(file, &parser)
 	for i := range p.expressions {
 		p.expressions[i].end = len(data)
 		if i+1 < len(p.expressions) {
@@ -138,8 +138,8 @@
 	return p
 }
 
-// syntaxError returns the error that stopped parser, or nil at the text's end.
-func syntaxError(file string, parser *unstable.Parser) *Problem {
+// parseError returns the error that stopped parser, or nil at the text's end.
+func parseError(file string, parser *unstable.Parser) *Problem {
 	err := parser.Error()
 	if err == nil {
 		return nil
@@ -174,13 +174,13 @@
 		}
 		path = join(path, string(it.Node().Data))
 		if array && it.IsLast() {
-			in.note(path, offset)
+			in.record(path, offset)
 			in.elements[path]++
 		}
 		if n := in.elements[path]; n > 0 {
 			path = fmt.Sprintf("%s[%d]", path, n-1)
 		}
-		in.note(path, offset)
+		in.record(path, offset)
 	}
 	in.table = path
 	lineStart := 1 + bytes.LastIndexByte(in.positions.data[:start], '\n')
@@ -197,7 +197,7 @@
 			start = offset
 		}
 		path = join(path, string(it.Node().Data))
-		in.note(path, offset)
+		in.record(path, offset)
 	}
 	in.value(path, node.Value())
 	return start
@@ -214,17 +214,17 @@
 		for it := node.Children(); it.Next(); i++ {
 			element := fmt.Sprintf("%s[%d]", path, i)
 			if it.Node().Kind != unstable.Array { // the parser gives arrays no place
-				in.note(element, int(it.Node().Raw.Offset))
+				in.record(element, int(it.Node().Raw.Offset))
 			}
 			in.value(element, it.Node())
 		}
 	}
 }
 
-func (in *indexer) note(key string, offset int) {
+func (in *indexer) record(key string, offset int) {
 	p := in.positions
-	if _, ok := p.first[key]; !ok {
-		p.first[key] = len(p.keys)
+	if _, ok := p.firstIndex[key]; !ok {
+		p.firstIndex[key] = len(p.keys)
 	}
 	p.keys = append(p.keys, keyPosition{key: key, offset: offset})
 }
--- a/internal/tomlfile/values.go
+++ b/internal/tomlfile/values.go
@@ -52,13 +52,13 @@
 func ParseAddress(text string) (Address, error) {
 	parsed, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return Address{}, errors.Errorf("%q is %s, expected %s", text, addressFault(text), addressForm)
+		return Address{}, errors.Errorf("%q is %s, expected %s", text, addressProblem(text), addressForm)
 	}
 	return Address{parsed}, nil
 }
 
-// addressFault tells an operator which part of the text is no address.
-func addressFault(text string) string {
+// addressProblem tells an operator which part of the text is no address.
+func addressProblem(text string) string {
 	if _, err := netip.ParseAddr(text); err == nil {
 		return "without a port"
 	}
@@ -84,13 +84,13 @@
 // isHostName tells whether host holds a letter and only the characters of a
 // host name.
 func isHostName(host string) bool {
-	letter := false
+	hasLetter := false
 	for _, r := range host {
 		isLetter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z'
-		letter = letter || isLetter
+		hasLetter = hasLetter || isLetter
 		if !isLetter && (r < '0' || r > '9') && !strings.ContainsRune("-._", r) {
 			return false
 		}
 	}
-	return letter
+	return hasLetter
 }
