--- a/internal/dayreport/dayreport_test.go
+++ b/internal/dayreport/dayreport_test.go
@@ -25,7 +25,7 @@
 func explain(t *testing.T, lines ...string) dayreport.Report {
 	var log dayreport.Log
 	require.NoError(t, log.Read(strings.NewReader(strings.Join(lines, "")), "all.log"))
-	r, ok := dayreport.Of(&log, time.Second)
+	r, ok := dayreport.Build(&log, time.Second)
 	require.True(t, ok)
 	return r
 }
@@ -42,9 +42,9 @@
 		at(2, "n-2", "ended", `"job":"a","reason":"completed","age_ms":1900`),
 		at(2, "n-2", "ended", `"job":"b","reason":"failed","age_ms":1900`),
 		at(2, "n-2", "ended", `"job":"c","reason":"cancelled","age_ms":1900`))
-	assert.Equal(t, 4, r.Jobs.Taken)
+	assert.Equal(t, 4, r.Jobs.Accepted)
 	assert.Equal(t, []int{1, 1, 1, 1}, []int{r.Jobs.Completed, r.Jobs.Failed, r.Jobs.Cancelled, r.Jobs.Open})
-	assert.InDelta(t, 1900, r.Jobs.Ended.Most, 0)
+	assert.InDelta(t, 1900, r.Jobs.Ended.Max, 0)
 }
 
 func TestRefusalsAreGroupedByWhatCallersWereTold(t *testing.T) {
@@ -58,11 +58,11 @@
 		refused(2, "404", "no such job"))
 	require.Len(t, r.Refusals, 3)
 	store := r.Refusals[0]
-	assert.Equal(t, dayreport.StoreAway, store.Cause)
+	assert.Equal(t, dayreport.StoreUnavailable, store.Cause)
 	assert.Equal(t, 2, store.Count)
 	assert.Equal(t, []time.Time{noon.Add(time.Second), noon.Add(3 * time.Second)}, []time.Time{store.First, store.Last})
-	assert.Equal(t, dayreport.OwnerAway, r.Refusals[1].Cause)
-	assert.Equal(t, dayreport.Other, r.Refusals[2].Cause)
+	assert.Equal(t, dayreport.OwnerUnavailable, r.Refusals[1].Cause)
+	assert.Equal(t, dayreport.OtherCause, r.Refusals[2].Cause)
 }
 
 // A job that began late waited for what held longest meanwhile.
@@ -76,47 +76,47 @@
 		lines []string
 		cause dayreport.Cause
 	}{
-		{"nothing else", []string{owned, begins(20, "3000")}, dayreport.Full},
+		{"nothing else", []string{owned, begins(20, "3000")}, dayreport.NoFreeCapacity},
 		{"its owner had no store", []string{
 			owned, at(17, "n-2", "store does not answer", `"since_ms":1000`),
 			at(19, "n-2", "store answers again", `"away_ms":3000`), begins(20, "3000"),
-		}, dayreport.StoreAway},
+		}, dayreport.StoreUnavailable},
 		{"another node had no store", []string{
 			owned, at(17, "n-1", "store does not answer", `"since_ms":1000`), begins(20, "3000"),
-		}, dayreport.Full},
+		}, dayreport.NoFreeCapacity},
 		{"nobody owned its partition", []string{
 			owned, at(17, "n-2", "partition left", `"partition":4,"status":"ok"`),
 			at(19, "n-2", "partition taken over", `"partition":4`), begins(20, "3000"),
-		}, dayreport.OwnerAway},
+		}, dayreport.OwnerUnavailable},
 		{"its owner was killed", []string{
 			owned, at(17, "n-2", "ended", `"job":"b","reason":"completed"`),
 			at(19, "n-2", "started", `"partitions":12`), at(19.5, "n-2", "partition taken over", `"partition":4`), begins(20, "3000"),
-		}, dayreport.OwnerAway},
+		}, dayreport.OwnerUnavailable},
 		{"its owner was behind", []string{
 			owned, at(18, "n-2", "owner is behind", `"partition":4,"delay_ms":900`), begins(20, "3000"),
-		}, dayreport.OwnerBehind},
+		}, dayreport.OwnerOverloaded},
 		{"VMs were on their way, and the store away for less long", []string{
 			owned, at(17, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`),
 			at(18, "n-2", "store does not answer", `"since_ms":0`), at(18.5, "n-2", "store answers again", ""), begins(20, "3000"),
-		}, dayreport.VMsComing},
+		}, dayreport.VMsInTransit},
 		{"VMs went elsewhere", []string{
 			owned, at(17, "n-2", "VM ordered", `"pool":"returns","outcome":"ok","maintain":false`),
 			at(17, "n-2", "VM ordered", `"pool":"booking","outcome":"busy","maintain":false`), begins(20, "3000"),
-		}, dayreport.Full},
+		}, dayreport.NoFreeCapacity},
 		{"VMs were on their way for a second, then there was no room", []string{
 			owned, at(14.5, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`), begins(20, "3000"),
-		}, dayreport.Full},
+		}, dayreport.NoFreeCapacity},
 		{"its owner was behind for two seconds, with a line for each, and VMs were on their way for less", []string{
 			owned, at(18.3, "n-2", "owner is behind", `"partition":4,"delay_ms":900`),
 			at(19.31, "n-2", "owner is behind", `"partition":4,"delay_ms":900`),
 			at(18.5, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`), begins(20, "3000"),
-		}, dayreport.OwnerBehind},
+		}, dayreport.OwnerOverloaded},
 	} {
 		r := explain(t, append([]string{taken(0.5, "a")}, c.lines...)...)
-		require.Len(t, r.Slow, 1, c.name)
-		assert.Equal(t, dayreport.Slow{Cause: c.cause, Service: "booking", Count: 1, MostMS: 3000}, r.Slow[0], c.name)
+		require.Len(t, r.SlowStarts, 1, c.name)
+		assert.Equal(t, dayreport.SlowStart{Cause: c.cause, Service: "booking", Count: 1, MaxMS: 3000}, r.SlowStarts[0], c.name)
 	}
-	assert.Empty(t, explain(t, owned, begins(20, "999")).Slow, "in time")
+	assert.Empty(t, explain(t, owned, begins(20, "999")).SlowStarts, "in time")
 }
 
 // Guards against a partition that counts as without an owner since the word of the owner
@@ -144,7 +144,7 @@
 	require.Len(t, r.Seconds, 2, "a second without any of this is left out")
 	assert.Equal(t, []string{"nodes started: 2", "configuration 7 in force"}, r.Seconds[0].Events)
 	assert.Equal(t, []string{"wave 2 running, 2 VMs done"}, r.Seconds[1].Events)
-	assert.Equal(t, 1, r.Seconds[1].Taken)
+	assert.Equal(t, 1, r.Seconds[1].Accepted)
 	assert.InDelta(t, 100, r.Seconds[1].WaitMS, 0)
 }
 
@@ -157,13 +157,13 @@
 	require.NoError(t, log.Read(strings.NewReader(text), "n.log"))
 	assert.Len(t, log.Lines, 2)
 	assert.Equal(t, 3, log.Foreign)
-	assert.Equal(t, 3, log.Cut)
+	assert.Equal(t, 3, log.Truncated)
 	assert.Equal(t, []dayreport.Problem{
-		{File: "n.log", Line: 2, What: "foreign"}, {File: "n.log", Line: 4, What: "cut"}, {File: "n.log", Line: 5, What: "foreign"},
-		{File: "n.log", Line: 6, What: "foreign"}, {File: "n.log", Line: 7, What: "cut"},
+		{File: "n.log", Line: 2, Kind: "foreign"}, {File: "n.log", Line: 4, Kind: "cut"}, {File: "n.log", Line: 5, Kind: "foreign"},
+		{File: "n.log", Line: 6, Kind: "foreign"}, {File: "n.log", Line: 7, Kind: "cut"},
 	}, log.Problems, "five of a file are named")
 
-	_, ok := dayreport.Of(&dayreport.Log{Foreign: 3}, time.Second)
+	_, ok := dayreport.Build(&dayreport.Log{Foreign: 3}, time.Second)
 	assert.False(t, ok)
 }
 
@@ -198,7 +198,7 @@
 		if err := log.Read(strings.NewReader(text), "fuzz"); err != nil {
 			t.Fatal(err)
 		}
-		if r, ok := dayreport.Of(&log, time.Second); ok && len(r.Seconds) > r.Lines {
+		if r, ok := dayreport.Build(&log, time.Second); ok && len(r.Seconds) > r.Lines {
 			t.Error("more seconds than lines")
 		}
 	})
--- a/internal/dayreport/lines.go
+++ b/internal/dayreport/lines.go
@@ -14,8 +14,8 @@
 	"github.com/pkg/errors"
 )
 
-// maxLine bounds one line of a log, in bytes. A longer one counts as cut.
-const maxLine = 1 << 20
+// maxLineBytes bounds one line of a log, in bytes. A longer one counts as cut.
+const maxLineBytes = 1 << 20
 
 // maxProblems is how many lines of each file that can't be read are named; the others are
 // counted.
@@ -23,42 +23,42 @@
 
 // Line is one line of a node's log, as far as the report needs it.
 type Line struct {
-	At        time.Time `json:"@timestamp"`
-	Message   string    `json:"@message"`
-	Node      string    `json:"node"`
-	Job       string    `json:"job"`
-	Queue     string    `json:"queue"`
-	Service   string    `json:"service"`
-	Method    string    `json:"method"`
-	Status    int       `json:"status"` // of an answer; a text in other lines
-	Reason    string    `json:"reason"`
-	AgeMS     int64     `json:"age_ms"`
-	SinceMS   int64     `json:"since_ms"`
-	Partition int       `json:"partition"`
-	Topic     string    `json:"topic"`
-	Handed    bool      `json:"handed_over"` // the owner before left word of its runs
-	VM        string    `json:"vm"`
-	Pool      string    `json:"pool"`
-	Maintain  bool      `json:"maintain"`
-	Wave      int64     `json:"wave"`
-	Done      int       `json:"done"`
-	Outcome   string    `json:"outcome"`
-	State     string    `json:"state"`
-	Version   int64     `json:"version"`
+	At          time.Time `json:"@timestamp"`
+	Message     string    `json:"@message"`
+	Node        string    `json:"node"`
+	Job         string    `json:"job"`
+	Queue       string    `json:"queue"`
+	Service     string    `json:"service"`
+	Method      string    `json:"method"`
+	Status      int       `json:"status"` // of an answer; a text in other lines
+	Reason      string    `json:"reason"`
+	AgeMS       int64     `json:"age_ms"`
+	SinceMS     int64     `json:"since_ms"`
+	Partition   int       `json:"partition"`
+	Topic       string    `json:"topic"`
+	HandedOver  bool      `json:"handed_over"` // the owner before left word of its runs
+	VM          string    `json:"vm"`
+	Pool        string    `json:"pool"`
+	Maintenance bool      `json:"maintain"`
+	Wave        int64     `json:"wave"`
+	Done        int       `json:"done"`
+	Outcome     string    `json:"outcome"`
+	State       string    `json:"state"`
+	Version     int64     `json:"version"`
 }
 
 // Problem is a line that can't be read.
 type Problem struct {
 	File string `json:"file"`
 	Line int    `json:"line"`
-	What string `json:"what"` // "foreign" or "cut"
+	Kind string `json:"what"` // "foreign" or "cut"
 }
 
 // Kinds of lines that can't be read: of another program, and such that begin as a line of a
 // node does.
 const (
-	foreign = "foreign"
-	cut     = "cut"
+	foreign   = "foreign"
+	truncated = "cut"
 )
 
 // Log is what was read of the logs of all nodes.
@@ -66,35 +66,35 @@
 	Lines []Line
 	// Foreign and Cut count the lines that can't be read, of which Problems names the first
 	// of each file.
-	Foreign, Cut int
-	Problems     []Problem
+	Foreign, Truncated int
+	Problems           []Problem
 }
 
 // Read adds the lines of a log that is called name. What stands before the first brace of
 // a line is passed over. A line that can't be read is counted and is no error; only the
 // reader's own errors are.
 func (l *Log) Read(r io.Reader, name string) error {
-	in := bufio.NewReaderSize(r, maxLine)
-	named := 0
+	in := bufio.NewReaderSize(r, maxLineBytes)
+	reported := 0
 	for n := 1; ; n++ {
-		text, whole, err := readLine(in)
+		text, complete, err := readLine(in)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return errors.Wrapf(err, "%s: line %d", name, n)
 		}
-		what := l.take(text, whole)
-		if what != "" && named < maxProblems {
-			l.Problems = append(l.Problems, Problem{File: name, Line: n, What: what})
-			named++
+		kind := l.addLine(text, complete)
+		if kind != "" && reported < maxProblems {
+			l.Problems = append(l.Problems, Problem{File: name, Line: n, Kind: kind})
+			reported++
 		}
 	}
 }
 
 // readLine reads a line without its end. whole is false if it is longer than maxLine; the
 // rest of it is passed over.
-func readLine(in *bufio.Reader) (text []byte, whole bool, err error) {
+func readLine(in *bufio.Reader) (text []byte, complete bool, err error) {
 	text, more, err := in.ReadLine()
 	if err != nil || !more {
 		return text, true, err
@@ -108,11 +108,11 @@
 	return nil, false, err
 }
 
-// take adds a line and returns "", or what keeps it from being read.
-func (l *Log) take(text []byte, whole bool) (problem string) {
-	if !whole {
-		l.Cut++
-		return cut
+// addLine adds a line and returns "", or what keeps it from being read.
+func (l *Log) addLine(text []byte, complete bool) (problem string) {
+	if !complete {
+		l.Truncated++
+		return truncated
 	}
 	if len(bytes.TrimSpace(text)) == 0 {
 		return ""
@@ -125,12 +125,12 @@
 	var line Line
 	err := json.Unmarshal(text[brace:], &line)
 	var syntax *json.SyntaxError
-	switch other := (*json.UnmarshalTypeError)(nil); {
-	case errors.As(err, &other):
+	switch wrongType := (*json.UnmarshalTypeError)(nil); {
+	case errors.As(err, &wrongType):
 		// A field of that name has another type in this message; the others are there.
 	case errors.As(err, &syntax):
-		l.Cut++
-		return cut
+		l.Truncated++
+		return truncated
 	case err != nil:
 		l.Foreign++
 		return foreign
--- a/internal/dayreport/page.go
+++ b/internal/dayreport/page.go
@@ -40,15 +40,15 @@
 
 // WritePage writes a report as one HTML page that needs nothing else.
 func WritePage(w io.Writer, r Report) error {
-	plots, err := plotsOf(r)
+	plots, err := renderPlots(r)
 	if err != nil {
 		return err
 	}
 	return errors.Wrap(page.Execute(w, pageData{Report: r, Plots: plots}), "page")
 }
 
-// plotsOf draws the plots, none where the lines lie too far apart.
-func plotsOf(r Report) ([]template.HTML, error) {
+// renderPlots draws the plots, none where the lines lie too far apart.
+func renderPlots(r Report) ([]template.HTML, error) {
 	if r.To.Sub(r.From) > maxPlotted {
 		return nil, nil
 	}
@@ -58,7 +58,7 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "plot")
 		}
-		svg, err := svgOf(p)
+		svg, err := renderSVG(p)
 		if err != nil {
 			return nil, err
 		}
@@ -67,8 +67,8 @@
 	return all, nil
 }
 
-// svgOf draws a plot. The text of a plot is this package's own, and numbers.
-func svgOf(p *plot.Plot) (template.HTML, error) {
+// renderSVG draws a plot. The text of a plot is this package's own, and numbers.
+func renderSVG(p *plot.Plot) (template.HTML, error) {
 	to, err := p.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
 		return "", errors.Wrap(err, "plot")
@@ -85,7 +85,7 @@
 func callsPlot(r Report) (*plot.Plot, error) {
 	p := newPlot("jobs a second")
 	err := plotutil.AddLines(p,
-		"taken", points(r, func(s Second) float64 { return float64(s.Taken) }),
+		"taken", points(r, func(s Second) float64 { return float64(s.Accepted) }),
 		"completed", points(r, func(s Second) float64 { return float64(s.Ended) }),
 		"calls refused", points(r, func(s Second) float64 { return float64(s.Refused) }))
 	return p, err
--- a/internal/dayreport/seconds.go
+++ b/internal/dayreport/seconds.go
@@ -7,117 +7,117 @@
 	"time"
 )
 
-// moment collects what happened in one second.
-type moment struct {
+// secondStats collects what happened in one second.
+type secondStats struct {
 	Second
-	waits      []float64
-	started    int // nodes
-	storeAway  int // nodes that lost it
-	storeBack  int
-	behind     int // owners
-	takeovers  int
-	longestGap time.Duration
-	moves      int
-	maintained int
-	other      []string
+	waits            []float64
+	nodesStarted     int // nodes
+	storeLost        int // nodes that lost it
+	storeRecovered   int
+	overloadedOwners int // owners
+	takeovers        int
+	longestGap       time.Duration
+	vmsMoved         int
+	vmsMaintained    int
+	otherEvents      []string
 }
 
-// secondsOf puts the lines on a time line, without the seconds in which nothing happened.
-func secondsOf(lines []Line, takeovers []Takeover) []Second {
-	var all []*moment
-	at := func(t time.Time) *moment {
+// groupBySecond puts the lines on a time line, without the seconds in which nothing happened.
+func groupBySecond(lines []Line, takeovers []Takeover) []Second {
+	var all []*secondStats
+	at := func(t time.Time) *secondStats {
 		t = t.Truncate(time.Second)
 		if n := len(all); n > 0 && all[n-1].At.Equal(t) {
 			return all[n-1]
 		}
-		all = append(all, &moment{Second: Second{At: t}})
+		all = append(all, &secondStats{Second: Second{At: t}})
 		return all[len(all)-1]
 	}
 	for _, l := range lines {
-		at(l.At).take(l)
+		at(l.At).add(l)
 	}
 	for _, t := range takeovers {
-		i, _ := slices.BinarySearchFunc(all, t.At.Truncate(time.Second), func(m *moment, t time.Time) int { return m.At.Compare(t) })
+		i, _ := slices.BinarySearchFunc(all, t.At.Truncate(time.Second), func(m *secondStats, t time.Time) int { return m.At.Compare(t) })
 		all[i].takeovers++
 		all[i].longestGap = max(all[i].longestGap, t.Gap)
 	}
 	var out []Second
 	for _, m := range all {
-		if s := m.told(); s.Taken+s.Refused+s.Began+s.Ended+len(s.Events) > 0 {
+		if s := m.result(); s.Accepted+s.Refused+s.Started+s.Ended+len(s.Events) > 0 {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-func (m *moment) take(l Line) {
+func (m *secondStats) add(l Line) {
 	switch l.Message {
 	case "answered":
-		if l.taken() {
-			m.Taken++
+		if l.isAcceptedJob() {
+			m.Accepted++
 		}
-		if l.refused() {
+		if l.isRefusal() {
 			m.Refused++
 		}
 	case "first-placed":
-		m.Began++
+		m.Started++
 		m.waits = append(m.waits, float64(l.AgeMS))
 	case "ended":
 		if l.Reason == "completed" {
 			m.Ended++
 		}
 	case "started":
-		m.started++
+		m.nodesStarted++
 	case "store does not answer":
-		m.storeAway++
+		m.storeLost++
 	case "store answers again":
-		m.storeBack++
+		m.storeRecovered++
 	case "owner is behind":
-		m.behind++
+		m.overloadedOwners++
 	case "VM ordered":
-		if l.Maintain {
-			m.maintained++
+		if l.Maintenance {
+			m.vmsMaintained++
 		} else {
-			m.moves++
+			m.vmsMoved++
 		}
 	case "fleet taken over":
-		m.other = append(m.other, "fleet taken over by "+l.Node)
+		m.otherEvents = append(m.otherEvents, "fleet taken over by "+l.Node)
 	case "wave":
-		m.wave(l)
+		m.addWave(l)
 	case "configuration in force":
-		m.inForce(l.Version)
+		m.addConfiguration(l.Version)
 	}
 }
 
-// wave notes how far a wave is, in place of what was noted of it in the second before.
-func (m *moment) wave(l Line) {
+// addWave notes how far a wave is, in place of what was noted of it in the second before.
+func (m *secondStats) addWave(l Line) {
 	name := fmt.Sprintf("wave %d ", l.Wave)
-	m.other = slices.DeleteFunc(m.other, func(text string) bool { return strings.HasPrefix(text, name) })
-	m.other = append(m.other, fmt.Sprintf("%s%s, %d VMs done", name, l.State, l.Done))
+	m.otherEvents = slices.DeleteFunc(m.otherEvents, func(text string) bool { return strings.HasPrefix(text, name) })
+	m.otherEvents = append(m.otherEvents, fmt.Sprintf("%s%s, %d VMs done", name, l.State, l.Done))
 }
 
-// inForce notes a configuration; each node writes the line.
-func (m *moment) inForce(version int64) {
+// addConfiguration notes a configuration; each node writes the line.
+func (m *secondStats) addConfiguration(version int64) {
 	text := fmt.Sprintf("configuration %d in force", version)
-	if !slices.Contains(m.other, text) {
-		m.other = append(m.other, text)
+	if !slices.Contains(m.otherEvents, text) {
+		m.otherEvents = append(m.otherEvents, text)
 	}
 }
 
-// told returns the second with its events as text.
-func (m *moment) told() Second {
+// result returns the second with its events as text.
+func (m *secondStats) result() Second {
 	s := m.Second
-	s.WaitMS = timesOf(m.waits).Of100
+	s.WaitMS = percentilesOf(m.waits).P95
 	for _, e := range []struct {
 		n    int
 		text string
 	}{
-		{m.started, "nodes started"},
-		{m.storeAway, "nodes lost the store"},
-		{m.storeBack, "nodes have it again"},
-		{m.behind, "owners behind"},
-		{m.moves, "VMs moved"},
-		{m.maintained, "VMs maintained"},
+		{m.nodesStarted, "nodes started"},
+		{m.storeLost, "nodes lost the store"},
+		{m.storeRecovered, "nodes have it again"},
+		{m.overloadedOwners, "owners behind"},
+		{m.vmsMoved, "VMs moved"},
+		{m.vmsMaintained, "VMs maintained"},
 	} {
 		if e.n > 0 {
 			s.Events = append(s.Events, fmt.Sprintf("%s: %d", e.text, e.n))
@@ -126,6 +126,6 @@
 	if m.takeovers > 0 {
 		s.Events = append(s.Events, fmt.Sprintf("partitions taken over: %d, up to %s without an owner", m.takeovers, m.longestGap.Round(time.Millisecond)))
 	}
-	s.Events = append(s.Events, m.other...)
+	s.Events = append(s.Events, m.otherEvents...)
 	return s
 }
--- a/internal/operatorcmd/report_day.go
+++ b/internal/operatorcmd/report_day.go
@@ -59,9 +59,9 @@
 	if err := readDay(&log, cmd.Args().Slice(), cmd.Root().Reader); err != nil {
 		return err
 	}
-	r, ok := dayreport.Of(&log, slow)
+	r, ok := dayreport.Build(&log, slow)
 	if !ok {
-		return errors.Errorf("no line of a node was found; %d lines of other programs, %d cut ones", log.Foreign, log.Cut)
+		return errors.Errorf("no line of a node was found; %d lines of other programs, %d cut ones", log.Foreign, log.Truncated)
 	}
 	if name := cmd.String(flagHTML); name != "" {
 		if err := writePage(name, r); err != nil {
@@ -104,14 +104,16 @@
 func dayTable(r dayreport.Report) *table {
 	t := &table{title: "day", header: []string{"FROM", "TO", "NODES", "LINES", "TAKEN", "COMPLETED", "FAILED", "CANCELLED", "OPEN", "START MS 50/95/100", "END MS 50/95/100"}}
 	j := r.Jobs
-	t.add(clock(r.From), clock(r.To), fmt.Sprint(r.Nodes), fmt.Sprint(r.Lines), fmt.Sprint(j.Taken), fmt.Sprint(j.Completed),
+	t.add(clock(r.From), clock(r.To), fmt.Sprint(r.Nodes), fmt.Sprint(r.Lines), fmt.Sprint(j.Accepted), fmt.Sprint(j.Completed),
 		fmt.Sprint(j.Failed), fmt.Sprint(j.Cancelled), fmt.Sprint(j.Open), times(j.Started), times(j.Ended))
 	return t
 }
 
 func clock(t time.Time) string { return t.UTC().Format(time.TimeOnly) }
 
-func times(t dayreport.Times) string { return fmt.Sprintf("%.0f/%.0f/%.0f", t.Half, t.Of100, t.Most) }
+func times(t dayreport.Percentiles) string {
+	return fmt.Sprintf("%.0f/%.0f/%.0f", t.Median, t.P95, t.Max)
+}
 
 func refusalTable(r dayreport.Report) *table {
 	t := &table{title: "calls refused", header: []string{"CAUSE", "CALL", "STATUS", "TOLD", "TIMES", "FIRST", "LAST"}}
@@ -123,8 +125,8 @@
 
 func slowTable(r dayreport.Report) *table {
 	t := &table{title: "jobs that began late", header: []string{"WAITED FOR", "SERVICE", "JOBS", "LONGEST MS"}}
-	for _, s := range r.Slow {
-		t.add(string(s.Cause), s.Service, fmt.Sprint(s.Count), fmt.Sprint(s.MostMS))
+	for _, s := range r.SlowStarts {
+		t.add(string(s.Cause), s.Service, fmt.Sprint(s.Count), fmt.Sprint(s.MaxMS))
 	}
 	return t
 }
@@ -140,16 +142,16 @@
 func secondsTable(r dayreport.Report) *table {
 	t := &table{title: "second by second", header: []string{"TIME", "TAKEN", "REFUSED", "BEGAN", "WAIT MS", "COMPLETED", "MEANWHILE"}}
 	for _, s := range r.Seconds {
-		t.add(clock(s.At), fmt.Sprint(s.Taken), fmt.Sprint(s.Refused), fmt.Sprint(s.Began), fmt.Sprintf("%.0f", s.WaitMS),
+		t.add(clock(s.At), fmt.Sprint(s.Accepted), fmt.Sprint(s.Refused), fmt.Sprint(s.Started), fmt.Sprintf("%.0f", s.WaitMS),
 			fmt.Sprint(s.Ended), strings.Join(s.Events, "; "))
 	}
 	return t
 }
 
 func problemTable(r dayreport.Report) *table {
-	t := &table{title: fmt.Sprintf("lines left out: %d foreign, %d cut", r.Foreign, r.Cut), header: []string{"FILE", "LINE", "WHAT"}}
+	t := &table{title: fmt.Sprintf("lines left out: %d foreign, %d cut", r.Foreign, r.Truncated), header: []string{"FILE", "LINE", "WHAT"}}
 	for _, p := range r.Problems {
-		t.add(p.File, fmt.Sprint(p.Line), p.What)
+		t.add(p.File, fmt.Sprint(p.Line), p.Kind)
 	}
 	return t
 }
--- a/internal/operatorcmd/report_day_test.go
+++ b/internal/operatorcmd/report_day_test.go
@@ -39,8 +39,8 @@
 
 	code, r := runJSON[dayreport.Report](&bench{t: t, addr: "127.0.0.1:1"}, "report", "day", "--slow", "3s", log)
 	require.Zero(t, code)
-	assert.Equal(t, 1, r.Jobs.Taken)
-	assert.Empty(t, r.Slow, "none began 3 s late")
+	assert.Equal(t, 1, r.Jobs.Accepted)
+	assert.Empty(t, r.SlowStarts, "none began 3 s late")
 }
 
 func TestReportOnADayTellsWhatIsWrong(t *testing.T) {
