--- a/cmd/yuccadrift-load/jobs.go
+++ b/cmd/yuccadrift-load/jobs.go
@@ -31,20 +31,20 @@
 
 func runJobs(ctx context.Context, cmd *cli.Command) error {
 	report, err := load.RunJobs(ctx, load.JobPlan{
-		Targets:  cmd.StringSlice("target"),
-		Host:     cmd.String("host"),
-		Queues:   cmd.StringSlice("queue"),
-		Jobs:     cmd.Int("jobs"),
-		Rate:     cmd.Float("rate"),
-		Takes:    cmd.Duration("takes"),
-		Patience: cmd.Duration("patience"),
-		Seed:     cmd.Uint64("seed"),
+		Targets:           cmd.StringSlice("target"),
+		Host:              cmd.String("host"),
+		Queues:            cmd.StringSlice("queue"),
+		Jobs:              cmd.Int("jobs"),
+		Rate:              cmd.Float("rate"),
+		TaskDuration:      cmd.Duration("takes"),
+		CompletionTimeout: cmd.Duration("patience"),
+		Seed:              cmd.Uint64("seed"),
 	})
 	if err != nil {
 		return err
 	}
 	fmt.Printf("jobs sent %d, taken %d, refused %d, completed %d, open %d; slowest %s\n",
-		report.Sent, report.Taken, report.Refused, report.Completed, report.Open, report.Slowest.Round(time.Millisecond))
+		report.Sent, report.Accepted, report.Refused, report.Completed, report.Incomplete, report.Slowest.Round(time.Millisecond))
 	if report.Completed != report.Sent {
 		return errors.New("not all jobs were completed")
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -14,9 +14,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/admin"
 )
 
-// start serves on a free port and returns the base URL, the readiness and what
+// startServer serves on a free port and returns the base URL, the readiness and what
 // stops the server and returns Serve's error.
-func start(t *testing.T, profiles bool) (string, *admin.Readiness, func() error) {
+func startServer(t *testing.T, profiles bool) (string, *admin.Readiness, func() error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	readiness := admin.NewReadiness()
@@ -43,7 +43,7 @@
 }
 
 func TestHealthReadinessAndMetrics(t *testing.T) {
-	base, readiness, stop := start(t, false)
+	base, readiness, stop := startServer(t, false)
 	readiness.Unready("platform", "log not read yet")
 	readiness.Unready("drain", "stopping")
 	readiness.Unready("platform", "log unreachable since 3s")
@@ -67,8 +67,8 @@
 	assert.Error(t, err, "the listener is closed after the stop")
 }
 
-func TestProfilesOnlyWhenSet(t *testing.T) {
-	base, _, stop := start(t, true)
+func TestProfilesAreServedOnlyWhenEnabled(t *testing.T) {
+	base, _, stop := startServer(t, true)
 	status, body := get(t, base+"/debug/pprof/goroutine?debug=1")
 	assert.Equal(t, http.StatusOK, status)
 	assert.Contains(t, body, "goroutine profile:")
--- a/internal/dayreport/dayreport_test.go
+++ b/internal/dayreport/dayreport_test.go
@@ -13,8 +13,8 @@
 
 var noon = time.Date(2026, 1, 2, 12, 0, 0, 0, time.UTC)
 
-// at returns a node's line, after seconds of the day.
-func at(seconds float64, node, message, fields string) string {
+// logLine returns a node's line, after seconds of the day.
+func logLine(seconds float64, node, message, fields string) string {
 	t := noon.Add(time.Duration(seconds * float64(time.Second))).Format("2006-01-02T15:04:05.000Z")
 	if fields != "" {
 		fields = "," + fields
@@ -22,7 +22,7 @@
 	return `{"@level":"info","@message":"` + message + `","@module":"yuccadrift-node.x","@timestamp":"` + t + `","node":"` + node + `"` + fields + "}\n"
 }
 
-func explain(t *testing.T, lines ...string) dayreport.Report {
+func buildReport(t *testing.T, lines ...string) dayreport.Report {
 	var log dayreport.Log
 	require.NoError(t, log.Read(strings.NewReader(strings.Join(lines, "")), "all.log"))
 	r, ok := dayreport.Build(&log, time.Second)
@@ -30,28 +30,28 @@
 	return r
 }
 
-// taken is the answer that a job was taken, of the service booking.
-func taken(seconds float64, job string) string {
-	return at(seconds, "n-1", "answered", `"method":"POST","status":200,"job":"`+job+`","queue":"q","service":"booking"`)
+// acceptedJob is the answer that a job was taken, of the service booking.
+func acceptedJob(seconds float64, job string) string {
+	return logLine(seconds, "n-1", "answered", `"method":"POST","status":200,"job":"`+job+`","queue":"q","service":"booking"`)
 }
 
-func TestJobsAreCountedByTheirLastEnd(t *testing.T) {
-	r := explain(t,
-		taken(0, "a"), taken(0, "b"), taken(0, "c"), taken(0, "d"),
-		at(1, "n-1", "ended", `"job":"a","reason":"completed","age_ms":900`),
-		at(2, "n-2", "ended", `"job":"a","reason":"completed","age_ms":1900`),
-		at(2, "n-2", "ended", `"job":"b","reason":"failed","age_ms":1900`),
-		at(2, "n-2", "ended", `"job":"c","reason":"cancelled","age_ms":1900`))
+func TestLastEndOfJobIsCounted(t *testing.T) {
+	r := buildReport(t,
+		acceptedJob(0, "a"), acceptedJob(0, "b"), acceptedJob(0, "c"), acceptedJob(0, "d"),
+		logLine(1, "n-1", "ended", `"job":"a","reason":"completed","age_ms":900`),
+		logLine(2, "n-2", "ended", `"job":"a","reason":"completed","age_ms":1900`),
+		logLine(2, "n-2", "ended", `"job":"b","reason":"failed","age_ms":1900`),
+		logLine(2, "n-2", "ended", `"job":"c","reason":"cancelled","age_ms":1900`))
 	assert.Equal(t, 4, r.Jobs.Accepted)
 	assert.Equal(t, []int{1, 1, 1, 1}, []int{r.Jobs.Completed, r.Jobs.Failed, r.Jobs.Cancelled, r.Jobs.Open})
 	assert.InDelta(t, 1900, r.Jobs.Ended.Max, 0)
 }
 
-func TestRefusalsAreGroupedByWhatCallersWereTold(t *testing.T) {
+func TestRefusalsAreGroupedByReason(t *testing.T) {
 	refused := func(seconds float64, status, reason string) string {
-		return at(seconds, "n-1", "answered", `"method":"POST","status":`+status+`,"reason":"`+reason+`"`)
+		return logLine(seconds, "n-1", "answered", `"method":"POST","status":`+status+`,"reason":"`+reason+`"`)
 	}
-	r := explain(t,
+	r := buildReport(t,
 		refused(1, "503", "the store is away, the request was not taken: timeout 17"),
 		refused(3, "503", "the store is away, the request was not taken: timeout 18"),
 		refused(2, "503", "the owner of the service can't be asked"),
@@ -66,11 +66,11 @@
 }
 
 // A job that began late waited for what held longest meanwhile.
-func TestLateJobsArePutDownToWhatHeldLongest(t *testing.T) {
+func TestSlowStartIsAttributedToLongestCondition(t *testing.T) {
 	begins := func(seconds float64, ageMS string) string {
-		return at(seconds, "n-2", "first-placed", `"job":"a","queue":"q","partition":4,"age_ms":`+ageMS)
+		return logLine(seconds, "n-2", "first-placed", `"job":"a","queue":"q","partition":4,"age_ms":`+ageMS)
 	}
-	owned := at(1, "n-2", "partition taken over", `"partition":4,"handed_over":true`)
+	owned := logLine(1, "n-2", "partition taken over", `"partition":4,"handed_over":true`)
 	for _, c := range []struct {
 		name  string
 		lines []string
@@ -78,69 +78,69 @@
 	}{
 		{"nothing else", []string{owned, begins(20, "3000")}, dayreport.NoFreeCapacity},
 		{"its owner had no store", []string{
-			owned, at(17, "n-2", "store does not answer", `"since_ms":1000`),
-			at(19, "n-2", "store answers again", `"away_ms":3000`), begins(20, "3000"),
+			owned, logLine(17, "n-2", "store does not answer", `"since_ms":1000`),
+			logLine(19, "n-2", "store answers again", `"away_ms":3000`), begins(20, "3000"),
 		}, dayreport.StoreUnavailable},
 		{"another node had no store", []string{
-			owned, at(17, "n-1", "store does not answer", `"since_ms":1000`), begins(20, "3000"),
+			owned, logLine(17, "n-1", "store does not answer", `"since_ms":1000`), begins(20, "3000"),
 		}, dayreport.NoFreeCapacity},
 		{"nobody owned its partition", []string{
-			owned, at(17, "n-2", "partition left", `"partition":4,"status":"ok"`),
-			at(19, "n-2", "partition taken over", `"partition":4`), begins(20, "3000"),
+			owned, logLine(17, "n-2", "partition left", `"partition":4,"status":"ok"`),
+			logLine(19, "n-2", "partition taken over", `"partition":4`), begins(20, "3000"),
 		}, dayreport.OwnerUnavailable},
 		{"its owner was killed", []string{
-			owned, at(17, "n-2", "ended", `"job":"b","reason":"completed"`),
-			at(19, "n-2", "started", `"partitions":12`), at(19.5, "n-2", "partition taken over", `"partition":4`), begins(20, "3000"),
+			owned, logLine(17, "n-2", "ended", `"job":"b","reason":"completed"`),
+			logLine(19, "n-2", "started", `"partitions":12`), logLine(19.5, "n-2", "partition taken over", `"partition":4`), begins(20, "3000"),
 		}, dayreport.OwnerUnavailable},
 		{"its owner was behind", []string{
-			owned, at(18, "n-2", "owner is behind", `"partition":4,"delay_ms":900`), begins(20, "3000"),
+			owned, logLine(18, "n-2", "owner is behind", `"partition":4,"delay_ms":900`), begins(20, "3000"),
 		}, dayreport.OwnerOverloaded},
 		{"VMs were on their way, and the store away for less long", []string{
-			owned, at(17, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`),
-			at(18, "n-2", "store does not answer", `"since_ms":0`), at(18.5, "n-2", "store answers again", ""), begins(20, "3000"),
+			owned, logLine(17, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`),
+			logLine(18, "n-2", "store does not answer", `"since_ms":0`), logLine(18.5, "n-2", "store answers again", ""), begins(20, "3000"),
 		}, dayreport.VMsInTransit},
 		{"VMs went elsewhere", []string{
-			owned, at(17, "n-2", "VM ordered", `"pool":"returns","outcome":"ok","maintain":false`),
-			at(17, "n-2", "VM ordered", `"pool":"booking","outcome":"busy","maintain":false`), begins(20, "3000"),
+			owned, logLine(17, "n-2", "VM ordered", `"pool":"returns","outcome":"ok","maintain":false`),
+			logLine(17, "n-2", "VM ordered", `"pool":"booking","outcome":"busy","maintain":false`), begins(20, "3000"),
 		}, dayreport.NoFreeCapacity},
 		{"VMs were on their way for a second, then there was no room", []string{
-			owned, at(14.5, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`), begins(20, "3000"),
+			owned, logLine(14.5, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`), begins(20, "3000"),
 		}, dayreport.NoFreeCapacity},
 		{"its owner was behind for two seconds, with a line for each, and VMs were on their way for less", []string{
-			owned, at(18.3, "n-2", "owner is behind", `"partition":4,"delay_ms":900`),
-			at(19.31, "n-2", "owner is behind", `"partition":4,"delay_ms":900`),
-			at(18.5, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`), begins(20, "3000"),
+			owned, logLine(18.3, "n-2", "owner is behind", `"partition":4,"delay_ms":900`),
+			logLine(19.31, "n-2", "owner is behind", `"partition":4,"delay_ms":900`),
+			logLine(18.5, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`), begins(20, "3000"),
 		}, dayreport.OwnerOverloaded},
 	} {
-		r := explain(t, append([]string{taken(0.5, "a")}, c.lines...)...)
+		r := buildReport(t, append([]string{acceptedJob(0.5, "a")}, c.lines...)...)
 		require.Len(t, r.SlowStarts, 1, c.name)
 		assert.Equal(t, dayreport.SlowStart{Cause: c.cause, Service: "booking", Count: 1, MaxMS: 3000}, r.SlowStarts[0], c.name)
 	}
-	assert.Empty(t, explain(t, owned, begins(20, "999")).SlowStarts, "in time")
+	assert.Empty(t, buildReport(t, owned, begins(20, "999")).SlowStarts, "in time")
 }
 
 // Guards against a partition that counts as without an owner since the word of the owner
 // before, which came after the next one's.
-func TestWordOfALeavingOwnerMayComeLate(t *testing.T) {
-	r := explain(t,
-		at(1, "n-1", "partition taken over", `"partition":4`),
-		at(9, "n-1", "ended", `"job":"a","reason":"completed"`),
-		at(9.2, "n-2", "partition taken over", `"partition":4,"handed_over":true`),
-		at(9.3, "n-1", "partition left", `"partition":4,"status":"ok"`),
-		at(30, "n-2", "ended", `"job":"b","reason":"completed"`),
-		at(30.4, "n-1", "partition taken over", `"partition":4`))
+func TestGapIgnoresLateLeaveOfPreviousOwner(t *testing.T) {
+	r := buildReport(t,
+		logLine(1, "n-1", "partition taken over", `"partition":4`),
+		logLine(9, "n-1", "ended", `"job":"a","reason":"completed"`),
+		logLine(9.2, "n-2", "partition taken over", `"partition":4,"handed_over":true`),
+		logLine(9.3, "n-1", "partition left", `"partition":4,"status":"ok"`),
+		logLine(30, "n-2", "ended", `"job":"b","reason":"completed"`),
+		logLine(30.4, "n-1", "partition taken over", `"partition":4`))
 	require.Len(t, r.Takeovers, 3)
 	assert.Equal(t, 200*time.Millisecond, r.Takeovers[1].Gap)
 	assert.Equal(t, 400*time.Millisecond, r.Takeovers[2].Gap)
 }
 
-func TestSecondsTellWhatHappenedMeanwhile(t *testing.T) {
-	r := explain(t,
-		at(0.1, "n-1", "started", ""), at(0.2, "n-2", "started", ""),
-		at(0.3, "n-1", "configuration in force", `"version":7`), at(0.4, "n-2", "configuration in force", `"version":7`),
-		at(1.1, "n-1", "wave", `"wave":2,"state":"running","done":1`), at(1.2, "n-1", "wave", `"wave":2,"state":"running","done":2`),
-		taken(1.5, "a"), at(1.6, "n-1", "first-placed", `"job":"a","queue":"q","age_ms":100`),
-		at(3.0, "n-1", "worker-synced", ""))
+func TestEventsAreGroupedBySecond(t *testing.T) {
+	r := buildReport(t,
+		logLine(0.1, "n-1", "started", ""), logLine(0.2, "n-2", "started", ""),
+		logLine(0.3, "n-1", "configuration in force", `"version":7`), logLine(0.4, "n-2", "configuration in force", `"version":7`),
+		logLine(1.1, "n-1", "wave", `"wave":2,"state":"running","done":1`), logLine(1.2, "n-1", "wave", `"wave":2,"state":"running","done":2`),
+		acceptedJob(1.5, "a"), logLine(1.6, "n-1", "first-placed", `"job":"a","queue":"q","age_ms":100`),
+		logLine(3.0, "n-1", "worker-synced", ""))
 	require.Len(t, r.Seconds, 2, "a second without any of this is left out")
 	assert.Equal(t, []string{"nodes started: 2", "configuration 7 in force"}, r.Seconds[0].Events)
 	assert.Equal(t, []string{"wave 2 running, 2 VMs done"}, r.Seconds[1].Events)
@@ -148,8 +148,8 @@
 	assert.InDelta(t, 100, r.Seconds[1].WaitMS, 0)
 }
 
-func TestLinesThatCannotBeReadAreCountedAndNamed(t *testing.T) {
-	whole := at(1, "n-1", "ended", `"job":"a","reason":"completed"`)
+func TestUnreadableLinesAreCountedAndReported(t *testing.T) {
+	whole := logLine(1, "n-1", "ended", `"job":"a","reason":"completed"`)
 	text := "\n" + "panic: not of a node\n" + "  1.25 entry-1 " + whole + whole[:40] + "\n" +
 		`{"level":"info"}` + "\n" + `{"@timestamp":"yesterday","@message":"ended"}` + "\n" +
 		strings.Repeat("x", 3<<20) + "\n" + whole + whole[:len(whole)-5]
@@ -167,9 +167,9 @@
 	assert.False(t, ok)
 }
 
-func TestPageStandsAlone(t *testing.T) {
-	r := explain(t, taken(0, "a"), at(2, "n-1", "partition taken over", `"partition":4`),
-		at(2, "n-1", "answered", `"method":"GET","status":404,"reason":"<script>no such job"`))
+func TestPageReferencesNothingExternal(t *testing.T) {
+	r := buildReport(t, acceptedJob(0, "a"), logLine(2, "n-1", "partition taken over", `"partition":4`),
+		logLine(2, "n-1", "answered", `"method":"GET","status":404,"reason":"<script>no such job"`))
 	var page strings.Builder
 	require.NoError(t, dayreport.WritePage(&page, r))
 	assert.Equal(t, 2, strings.Count(page.String(), "<svg"))
@@ -180,8 +180,8 @@
 }
 
 // Guards against a page that takes all memory, as one line has a time of its own.
-func TestLinesThatLieFarApartAreNotPlotted(t *testing.T) {
-	r := explain(t, taken(0, "a"), taken(1e9, "b"))
+func TestLogsOverADayAreNotPlotted(t *testing.T) {
+	r := buildReport(t, acceptedJob(0, "a"), acceptedJob(1e9, "b"))
 	var page strings.Builder
 	require.NoError(t, dayreport.WritePage(&page, r))
 	assert.NotContains(t, page.String(), "<svg")
@@ -190,9 +190,9 @@
 
 // FuzzRead reads any text as a log and explains what is in it.
 func FuzzRead(f *testing.F) {
-	f.Add(taken(0, "a") + at(1, "n-1", "first-placed", `"job":"a","age_ms":5000,"partition":2`))
-	f.Add(at(1, "n-1", "VM ordered", `"pool":3,"outcome":"ok"`) + "{")
-	f.Add(at(-1e7, "", "partition taken over", `"partition":-1`) + at(1e7, "", "started", ""))
+	f.Add(acceptedJob(0, "a") + logLine(1, "n-1", "first-placed", `"job":"a","age_ms":5000,"partition":2`))
+	f.Add(logLine(1, "n-1", "VM ordered", `"pool":3,"outcome":"ok"`) + "{")
+	f.Add(logLine(-1e7, "", "partition taken over", `"partition":-1`) + logLine(1e7, "", "started", ""))
 	f.Fuzz(func(t *testing.T, text string) {
 		var log dayreport.Log
 		if err := log.Read(strings.NewReader(text), "fuzz"); err != nil {
--- a/internal/listen/listen_test.go
+++ b/internal/listen/listen_test.go
@@ -16,7 +16,7 @@
 	return address
 }
 
-func TestTCPExplainsFailures(t *testing.T) {
+func TestTCPReportsBindErrorReason(t *testing.T) {
 	held, err := listen.TCP(t.Context(), "admin.listen", parse(t, "127.0.0.1:0"))
 	require.NoError(t, err)
 	defer held.Close()
--- a/internal/load/jobs.go
+++ b/internal/load/jobs.go
@@ -19,42 +19,42 @@
 
 // JobPlan is a load of jobs.
 type JobPlan struct {
-	Targets  []string // callers' addresses of nodes
-	Host     string   // of the queues
-	Queues   []string // path prefixes
-	Jobs     int
-	Rate     float64 // jobs a second
-	Takes    time.Duration
-	Patience time.Duration // for all jobs to be completed, after the last was sent
-	Seed     uint64
+	Targets           []string // callers' addresses of nodes
+	Host              string   // of the queues
+	Queues            []string // path prefixes
+	Jobs              int
+	Rate              float64 // jobs a second
+	TaskDuration      time.Duration
+	CompletionTimeout time.Duration // for all jobs to be completed, after the last was sent
+	Seed              uint64
 }
 
 // JobReport is what came of it.
 type JobReport struct {
-	Sent, Taken, Refused, Completed, Open int
-	Slowest                               time.Duration // from the first try until shown as completed
+	Sent, Accepted, Refused, Completed, Incomplete int
+	Slowest                                        time.Duration // from the first try until shown as completed
 }
 
 // Times of a caller of jobs.
 const (
-	jobCallTimeout = 4 * time.Second
-	jobRetry       = 200 * time.Millisecond
-	jobPoll        = 50 * time.Millisecond
-	jobTries       = 20
+	jobCallTimeout      = 4 * time.Second
+	submitRetryInterval = 200 * time.Millisecond
+	statusPollInterval  = 50 * time.Millisecond
+	maxSubmitAttempts   = 20
 )
 
-// maxWidth is how many tasks the first step of a job has at most.
-const maxWidth = 5
+// maxFirstStepTasks is how many tasks the first step of a job has at most.
+const maxFirstStepTasks = 5
 
-// spec is a job of two steps.
-func (p JobPlan) spec(width int) workload.Spec {
-	first := workload.Step{Count: width, Resources: workload.Resources{CPU: 1000, MemoryMB: 500}, EstimateMS: p.Takes.Milliseconds()}
-	second := workload.Step{Count: 1, Resources: workload.Resources{CPU: 2000, MemoryMB: 500}, EstimateMS: p.Takes.Milliseconds(), DependsOn: []int{0}}
-	return workload.Spec{Payload: p.Takes.String(), Steps: []workload.Step{first, second}}
+// jobSpec is a job of two steps.
+func (p JobPlan) jobSpec(width int) workload.Spec {
+	first := workload.Step{Count: width, Resources: workload.Resources{CPU: 1000, MemoryMB: 500}, EstimateMS: p.TaskDuration.Milliseconds()}
+	second := workload.Step{Count: 1, Resources: workload.Resources{CPU: 2000, MemoryMB: 500}, EstimateMS: p.TaskDuration.Milliseconds(), DependsOn: []int{0}}
+	return workload.Spec{Payload: p.TaskDuration.String(), Steps: []workload.Step{first, second}}
 }
 
-// jobCaller submits jobs and asks for them.
-type jobCaller struct {
+// jobClient submits jobs and asks for them.
+type jobClient struct {
 	plan   JobPlan
 	client *http.Client
 
@@ -68,17 +68,17 @@
 	if len(plan.Targets) == 0 || len(plan.Queues) == 0 || plan.Jobs < 1 || plan.Rate <= 0 {
 		return JobReport{}, errors.New("a load of jobs needs targets, queues, jobs and a rate")
 	}
-	c := &jobCaller{plan: plan, client: &http.Client{Timeout: jobCallTimeout}}
+	c := &jobClient{plan: plan, client: &http.Client{Timeout: jobCallTimeout}}
 	rng := rand.New(rand.NewPCG(plan.Seed, 1))
 	var jobs sync.WaitGroup
 	for i := range plan.Jobs {
 		id := fmt.Sprintf("%016x", rng.Uint64())
 		queue := plan.Queues[i%len(plan.Queues)]
-		body, err := platform.EncodeJob(plan.spec(1 + rng.IntN(maxWidth)))
+		body, err := platform.EncodeJob(plan.jobSpec(1 + rng.IntN(maxFirstStepTasks)))
 		if err != nil {
 			return c.report, err
 		}
-		jobs.Go(func() { c.job(ctx, i, queue+id, body) })
+		jobs.Go(func() { c.runJob(ctx, i, queue+id, body) })
 		if err := wait.Sleep(ctx, time.Duration(float64(time.Second)/plan.Rate)); err != nil {
 			break
 		}
@@ -87,26 +87,26 @@
 	return c.report, ctx.Err()
 }
 
-// job takes one job from its submission to its end.
-func (c *jobCaller) job(ctx context.Context, i int, path string, body []byte) {
-	began := time.Now()
-	taken := c.submit(ctx, i, path, body)
-	c.count(func(r *JobReport) {
+// runJob takes one job from its submission to its end.
+func (c *jobClient) runJob(ctx context.Context, i int, path string, body []byte) {
+	startedAt := time.Now()
+	accepted := c.submit(ctx, i, path, body)
+	c.update(func(r *JobReport) {
 		r.Sent++
-		if taken {
-			r.Taken++
+		if accepted {
+			r.Accepted++
 		} else {
 			r.Refused++
 		}
 	})
-	if !taken {
+	if !accepted {
 		return
 	}
-	done := c.await(ctx, i, path)
-	took := time.Since(began)
-	c.count(func(r *JobReport) {
+	done := c.awaitCompletion(ctx, i, path)
+	took := time.Since(startedAt)
+	c.update(func(r *JobReport) {
 		if !done {
-			r.Open++
+			r.Incomplete++
 			return
 		}
 		r.Completed++
@@ -114,39 +114,39 @@
 	})
 }
 
-func (c *jobCaller) count(add func(r *JobReport)) {
+func (c *jobClient) update(add func(r *JobReport)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	add(&c.report)
 }
 
-func (c *jobCaller) submit(ctx context.Context, i int, path string, body []byte) bool {
-	for try := range jobTries {
+func (c *jobClient) submit(ctx context.Context, i int, path string, body []byte) bool {
+	for try := range maxSubmitAttempts {
 		if status, _ := c.call(ctx, http.MethodPost, i+try, path, body); status == http.StatusOK {
 			return true
 		}
-		if wait.Sleep(ctx, jobRetry) != nil {
+		if wait.Sleep(ctx, submitRetryInterval) != nil {
 			return false
 		}
 	}
 	return false
 }
 
-func (c *jobCaller) await(ctx context.Context, i int, path string) bool {
-	ctx, cancel := context.WithTimeout(ctx, c.plan.Patience)
+func (c *jobClient) awaitCompletion(ctx context.Context, i int, path string) bool {
+	ctx, cancel := context.WithTimeout(ctx, c.plan.CompletionTimeout)
 	defer cancel()
 	for try := i; ctx.Err() == nil; try++ {
 		status, text := c.call(ctx, http.MethodGet, try, path, nil)
 		if status == http.StatusOK && bytes.Equal(text, platform.EncodeState(workload.Completed)) {
 			return true
 		}
-		wait.Pause(ctx, jobPoll)
+		wait.Pause(ctx, statusPollInterval)
 	}
 	return false
 }
 
 // call sends one call; the status is 0 without an answer.
-func (c *jobCaller) call(ctx context.Context, method string, n int, path string, body []byte) (int, []byte) {
+func (c *jobClient) call(ctx context.Context, method string, n int, path string, body []byte) (int, []byte) {
 	target := c.plan.Targets[n%len(c.plan.Targets)]
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+target+path, bytes.NewReader(body))
 	if err != nil {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -17,16 +17,16 @@
 
 // answers maps a path to an entry's good or bad conduct.
 var answers = map[string]http.HandlerFunc{
-	"/good": func(w http.ResponseWriter, r *http.Request) { whole(w, r, outcome.Ran) },
+	"/good": func(w http.ResponseWriter, r *http.Request) { writeWholeAnswer(w, r, outcome.Ran) },
 	"/other": func(w http.ResponseWriter, r *http.Request) {
 		r.Header.Set(standin.HeaderEcho, "somebody-else")
-		whole(w, r, outcome.Ran)
+		writeWholeAnswer(w, r, outcome.Ran)
 	},
 	"/partial": func(w http.ResponseWriter, r *http.Request) {
 		r.Header.Set(standin.HeaderReplyBytes, "5")
-		whole(w, r, outcome.Ran)
+		writeWholeAnswer(w, r, outcome.Ran)
 	},
-	"/silent": func(w http.ResponseWriter, r *http.Request) { whole(w, r, "") },
+	"/silent": func(w http.ResponseWriter, r *http.Request) { writeWholeAnswer(w, r, "") },
 	"/cut": func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "10")
 		_, _ = w.Write([]byte("half"))
@@ -47,7 +47,7 @@
 	},
 }
 
-func whole(w http.ResponseWriter, r *http.Request, o outcome.Outcome) {
+func writeWholeAnswer(w http.ResponseWriter, r *http.Request, o outcome.Outcome) {
 	size := 10
 	if r.Header.Get(standin.HeaderReplyBytes) == "5" {
 		size = 5
@@ -58,7 +58,7 @@
 	_, _ = w.Write(standin.ReplyBody(echo, size))
 }
 
-func plan(server *httptest.Server, path string) Plan {
+func testPlan(server *httptest.Server, path string) Plan {
 	return Plan{
 		Targets: []string{strings.TrimPrefix(server.URL, "http://")}, Duration: 50 * time.Millisecond, InFlight: 100, Seed: 1,
 		Routes: []Route{{Name: "r", Path: path, Rate: 200, ReplyBytes: 10}},
@@ -67,22 +67,22 @@
 
 // The generator must see each broken promise: another request's answer, a partial
 // one that passes as whole, and one without an outcome.
-func TestEveryAnswerIsJudged(t *testing.T) {
+func TestAnswersAreClassified(t *testing.T) {
 	mux := http.NewServeMux()
 	for path, answer := range answers {
 		mux.HandleFunc(path, answer)
 	}
 	server := httptest.NewServer(mux)
 	defer server.Close()
-	of := map[string]func(Counts) int{
+	counterOf := map[string]func(Counts) int{
 		"/good": func(c Counts) int { return c.Good }, "/other": func(c Counts) int { return c.Wrong },
 		"/partial": func(c Counts) int { return c.Wrong }, "/silent": func(c Counts) int { return c.Wrong },
 		"/cut": func(c Counts) int { return c.Broken }, "/failed": func(c Counts) int { return c.Failed },
 		"/shed": func(c Counts) int { return c.NotRun }, "/unknown": func(c Counts) int { return c.Unknown },
 	}
-	for path, count := range of {
+	for path, count := range counterOf {
 		t.Run(path, func(t *testing.T) {
-			report, err := Run(t.Context(), plan(server, path))
+			report, err := Run(t.Context(), testPlan(server, path))
 			require.NoError(t, err)
 			got := report.Route("r")
 			assert.NotZero(t, got.Sent)
@@ -93,7 +93,7 @@
 
 // A retry carries the key of its first attempt and counts up; a fresh key would
 // run a booking twice.
-func TestRetryKeepsTheKey(t *testing.T) {
+func TestRetryReusesKey(t *testing.T) {
 	var keys sync.Map
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key := r.Header.Get(outcome.HeaderKey)
@@ -103,10 +103,10 @@
 			answers["/unknown"](w, r)
 			return
 		}
-		whole(w, r, outcome.Ran)
+		writeWholeAnswer(w, r, outcome.Ran)
 	}))
 	defer server.Close()
-	p := plan(server, "/book")
+	p := testPlan(server, "/book")
 	p.Retries, p.Routes[0].Keyed = 1, true
 	report, err := Run(t.Context(), p)
 	require.NoError(t, err)
@@ -116,10 +116,10 @@
 	assert.Equal(t, got.Sent, got.Retries)
 }
 
-func TestPlanBoundsItsLoad(t *testing.T) {
+func TestCheckRejectsUnboundedPlans(t *testing.T) {
 	ok := Plan{Targets: []string{"127.0.0.1:1"}, Routes: []Route{{Path: "/s/x", Rate: 10}}, Duration: time.Second, InFlight: 1}
 	require.NoError(t, ok.Check())
-	for name, spoil := range map[string]func(*Plan){
+	for name, mutate := range map[string]func(*Plan){
 		"another machine": func(p *Plan) { p.Targets = []string{"10.0.0.1:80"} },
 		"a name":          func(p *Plan) { p.Targets = []string{"localhost:80"} },
 		"too long":        func(p *Plan) { p.Duration = time.Hour },
@@ -127,12 +127,12 @@
 		"unbounded":       func(p *Plan) { p.InFlight = 0 },
 	} {
 		p := ok
-		spoil(&p)
+		mutate(&p)
 		assert.Error(t, p.Check(), name)
 	}
 }
 
-func TestRouteIsRead(t *testing.T) {
+func TestParseRoute(t *testing.T) {
 	r, err := ParseRoute("name=book,path=/booking/reservations,rate=20,work=50ms,reply=10,body=20,keyed=true,deadline=1s")
 	require.NoError(t, err)
 	assert.Equal(t, Route{Name: "book", Path: "/booking/reservations", Rate: 20, Work: 50 * time.Millisecond, ReplyBytes: 10, BodyBytes: 20, Keyed: true, Deadline: time.Second}, r)
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -130,19 +130,19 @@
 		r.counts.Broken++
 	case a.outcome == outcome.NotRun:
 		r.counts.NotRun++
-		record(r.notRun, us)
+		recordLatency(r.notRun, us)
 	case a.outcome == outcome.Unknown:
 		r.counts.Unknown++
 	case a.failed:
 		r.counts.Failed++
 	default:
 		r.counts.Good++
-		record(r.good, us)
+		recordLatency(r.good, us)
 	}
 }
 
-// record adds a time that was brought into the histogram's range.
-func record(h *hdrhistogram.Histogram, us int64) {
+// recordLatency adds a time that was brought into the histogram's range.
+func recordLatency(h *hdrhistogram.Histogram, us int64) {
 	err := h.RecordValue(us)
 	invariant.Check(err == nil, "a time of %d us is out of the histogram's range: %v", us, err)
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -16,11 +16,11 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// requestLimit bounds one attempt whose route sets no deadline.
-const requestLimit = 5 * time.Minute
+// attemptTimeout bounds one attempt whose route sets no deadline.
+const attemptTimeout = 5 * time.Minute
 
-// retryPause is waited between attempts, besides what Retry-After says.
-const retryPause = 20 * time.Millisecond
+// retryInterval is waited between attempts, besides what Retry-After says.
+const retryInterval = 20 * time.Millisecond
 
 // Run carries the plan out and waits for its last answer.
 func Run(ctx context.Context, p Plan) (Report, error) {
@@ -35,10 +35,10 @@
 	recorders := make([]*recorder, len(p.Routes))
 	for i, route := range p.Routes {
 		recorders[i] = newRecorder()
-		arrivals.Go(func() { g.arrive(ctx, route, recorders[i], rand.New(rand.NewPCG(p.Seed, uint64(i)))) })
+		arrivals.Go(func() { g.generateArrivals(ctx, route, recorders[i], rand.New(rand.NewPCG(p.Seed, uint64(i)))) })
 	}
 	arrivals.Wait()
-	g.sending.Wait()
+	g.requests.Wait()
 	for i, route := range p.Routes {
 		report.Routes = append(report.Routes, recorders[i].report(route.Name, report.Seconds))
 	}
@@ -46,26 +46,26 @@
 }
 
 type generator struct {
-	plan    Plan
-	client  *http.Client
-	slots   chan struct{}
-	sending sync.WaitGroup
+	plan     Plan
+	client   *http.Client
+	slots    chan struct{}
+	requests sync.WaitGroup
 }
 
-// arrive starts the route's requests at random, independent moments (a Poisson
+// generateArrivals starts the route's requests at random, independent moments (a Poisson
 // process), whether or not earlier ones were answered.
-func (g *generator) arrive(ctx context.Context, route Route, rec *recorder, rnd *rand.Rand) {
+func (g *generator) generateArrivals(ctx context.Context, route Route, rec *recorder, rnd *rand.Rand) {
 	if route.Rate == 0 {
 		return
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	due := time.Duration(0)
 	for n := 0; ; n++ {
 		due += time.Duration(rnd.ExpFloat64() / route.Rate * float64(time.Second))
-		if due > g.plan.Duration || !sleepUntil(ctx, began.Add(due)) {
+		if due > g.plan.Duration || !sleepUntil(ctx, startedAt.Add(due)) {
 			return
 		}
-		at, counted := began.Add(due), due >= g.plan.Warm
+		dueAt, counted := startedAt.Add(due), due >= g.plan.Warm
 		target := g.plan.Targets[rnd.IntN(len(g.plan.Targets))]
 		select {
 		case g.slots <- struct{}{}:
@@ -75,11 +75,11 @@
 			}
 			continue
 		}
-		g.sending.Go(func() {
+		g.requests.Go(func() {
 			defer func() { <-g.slots }()
 			last, retries := g.send(ctx, route, target)
 			if counted {
-				rec.add(last, retries, time.Since(at))
+				rec.add(last, retries, time.Since(dueAt))
 			}
 		})
 	}
@@ -102,12 +102,12 @@
 
 // attempt is how one attempt ended.
 type attempt struct {
-	outcome outcome.Outcome
-	reason  outcome.Reason
-	failed  bool // answer of 500 and up
-	broken  bool
-	wrong   bool
-	after   time.Duration // Retry-After
+	outcome    outcome.Outcome
+	reason     outcome.Reason
+	failed     bool // answer of 500 and up
+	broken     bool
+	wrong      bool
+	retryAfter time.Duration // Retry-After
 }
 
 // send sends one request with its retries, each at the next target.
@@ -118,11 +118,11 @@
 	}
 	for {
 		last = g.try(ctx, route, target, key, retries+1)
-		again := last.broken || last.outcome == outcome.NotRun || last.outcome == outcome.Unknown
-		if !again || retries == g.plan.Retries {
+		retryable := last.broken || last.outcome == outcome.NotRun || last.outcome == outcome.Unknown
+		if !retryable || retries == g.plan.Retries {
 			return last, retries
 		}
-		if !sleepUntil(ctx, time.Now().Add(retryPause+last.after)) {
+		if !sleepUntil(ctx, time.Now().Add(retryInterval+last.retryAfter)) {
 			return last, retries
 		}
 		retries++
@@ -140,7 +140,7 @@
 }
 
 func (g *generator) try(ctx context.Context, route Route, target, key string, n int) attempt {
-	ctx, cancel := context.WithTimeout(ctx, requestLimit)
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	echo := strconv.FormatUint(rand.Uint64(), 36)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target+route.Path, bytes.NewReader(make([]byte, route.BodyBytes)))
@@ -148,7 +148,7 @@
 		return attempt{broken: true}
 	}
 	req.GetBody = nil // the client must not send a request twice by itself
-	route.fill(req.Header, key, n)
+	route.setHeaders(req.Header, key, n)
 	req.Header.Set(standin.HeaderEcho, echo)
 	res, err := g.client.Do(req)
 	if err != nil {
@@ -159,10 +159,10 @@
 	if err != nil {
 		return attempt{broken: true}
 	}
-	return judge(route, res, body, echo)
+	return checkAnswer(route, res, body, echo)
 }
 
-func (r Route) fill(h http.Header, key string, n int) {
+func (r Route) setHeaders(h http.Header, key string, n int) {
 	h.Set(standin.HeaderReplyBytes, strconv.Itoa(r.ReplyBytes))
 	if r.Work > 0 {
 		h.Set(standin.HeaderWorkMS, strconv.FormatFloat(r.Work.Seconds()*1000, 'f', -1, 64))
@@ -176,14 +176,14 @@
 	}
 }
 
-// judge checks an answer that looks whole.
-func judge(route Route, res *http.Response, body []byte, echo string) attempt {
+// checkAnswer checks an answer that looks whole.
+func checkAnswer(route Route, res *http.Response, body []byte, echo string) attempt {
 	a := attempt{
 		outcome: outcome.Outcome(res.Header.Get(outcome.HeaderOutcome)),
 		reason:  outcome.Reason(res.Header.Get(outcome.HeaderReason)),
 	}
 	if s, err := strconv.Atoi(res.Header.Get("Retry-After")); err == nil {
-		a.after = time.Duration(s) * time.Second
+		a.retryAfter = time.Duration(s) * time.Second
 	}
 	switch a.outcome {
 	case outcome.NotRun, outcome.Unknown:
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervise/supervise_test.go
@@ -75,7 +75,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		var starts []time.Duration
-		var healthy []time.Duration
+		var onceStarts []time.Duration
 		flaky := supervise.Duty{Name: "flaky", Serve: func(ctx context.Context) error {
 			starts = append(starts, time.Since(start))
 			if len(starts) == 5 {
@@ -84,8 +84,8 @@
 			return errors.New("refused")
 		}}
 		once := supervise.Duty{Name: "once", Serve: func(ctx context.Context) error {
-			healthy = append(healthy, time.Since(start))
-			if len(healthy) == 1 {
+			onceStarts = append(onceStarts, time.Since(start))
+			if len(onceStarts) == 1 {
 				return nil
 			}
 			<-ctx.Done()
@@ -95,7 +95,7 @@
 		require.Len(t, starts, 5)
 		assert.Zero(t, starts[1])
 		assert.Greater(t, starts[4], time.Second)
-		assert.Equal(t, []time.Duration{0, 0}, healthy)
+		assert.Equal(t, []time.Duration{0, 0}, onceStarts)
 	})
 }
 
@@ -108,7 +108,7 @@
 	assert.EqualError(t, err, "admin: address in use")
 }
 
-func TestEndOfContextStopsDuties(t *testing.T) {
+func TestCanceledContextStopsDuties(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		result := make(chan error, 1)
@@ -119,7 +119,7 @@
 	})
 }
 
-func TestOverdueDutyIsNamed(t *testing.T) {
+func TestErrorNamesDutyThatDidNotStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		release := make(chan struct{})
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -55,7 +55,7 @@
 	assert.Equal(t, 7, positions.Line("route[1].timeout"))
 }
 
-func TestDecodeReportsEveryMistakeWithItsLine(t *testing.T) {
+func TestDecodeReportsEveryProblemWithLine(t *testing.T) {
 	text := strings.Join([]string{
 		`name = 7`,
 		`size = "many"`,
@@ -98,7 +98,7 @@
 	assert.Contains(t, problems[0].String(), "svc.toml:2: not valid TOML: ")
 }
 
-func TestProblemsKeepFirstPerKeyInLineOrder(t *testing.T) {
+func TestProblemsKeepFirstOfEachKeyInLineOrder(t *testing.T) {
 	_, positions, problems := tomlfile.Decode[service]("a.toml", []byte("name = 'x'\nsize = 'y'\n"))
 	problems.Add(positions.Problem("size", "is 0", "at least 1"))
 	problems.Add(positions.Problem("name", "is too short", ""))
@@ -106,7 +106,7 @@
 	assert.NoError(t, tomlfile.Problems{}.Err())
 }
 
-func TestParseAddressNamesTheFault(t *testing.T) {
+func TestParseAddressReportsReason(t *testing.T) {
 	for text, fault := range map[string]string{
 		"localhost:80": "a host name", "vm-1": "a host name", "10.0.0.1": "without a port", "[::1]:http": "without a valid port",
 		"10.0.0.1:70000": "without a valid port", "10.0.0.300:80": "not an address", "": "not an address",
