--- a/internal/dayreport/conditions.go
+++ b/internal/dayreport/conditions.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Cause is what a refusal or a late start is put down to.
+// Cause is the reason that the report gives for a refusal or a late start.
 type Cause string
 
-// The causes.
+// Causes of refusals and late starts.
 const (
 	StoreUnavailable Cause = "store away"
 	OwnerUnavailable Cause = "owner away"
@@ -16,22 +16,21 @@
 	OtherCause       Cause = "other"
 )
 
-// Times of conditions that have no line at one of their ends.
+// Lengths of conditions for which only one end is logged.
 const (
-	// overloadLineInterval is the interval that a line on an owner that is behind covers.
+	// overloadLineInterval is the time before an "owner is behind" line that the line covers.
 	overloadLineInterval = time.Second
-	// vmTransitTime is how long a VM counts as on its way to a pool after its order.
+	// vmTransitTime is how long a VM counts as in transit to its pool after the order.
 	vmTransitTime = 3 * time.Second
 )
 
-// minCauseShare is the least part of a wait for which a condition must have held to be its
-// cause.
+// minCauseShare is the share of a wait that a condition must exceed to count as its cause.
 const minCauseShare = 0.25
 
-// span is a time in which a condition held.
+// span is a period in which a condition held.
 type span struct{ from, to time.Time }
 
-// overlap is how long two spans have in common.
+// overlap returns how long s and o overlap.
 func (s span) overlap(o span) time.Duration {
 	from, to := s.from, s.to
 	if o.from.After(from) {
@@ -43,36 +42,37 @@
 	return max(0, to.Sub(from))
 }
 
-// coveredDuration is how much of a span others cover, which are in the order of their begins.
+// coveredDuration returns how much of window the other spans cover. The others must be sorted
+// by their start.
 func coveredDuration(window span, others []span) time.Duration {
 	var sum time.Duration
 	for _, s := range others {
 		sum += window.overlap(s)
 		if s.to.After(window.from) {
-			window.from = s.to // what is counted is not counted again
+			window.from = s.to // don't count the same time twice
 		}
 	}
 	return sum
 }
 
-// conditions are what held when, as the lines tell it.
+// conditions holds the periods in which each condition held, according to the log lines.
 type conditions struct {
 	storeUnavailable map[string][]span // by node
-	ownerUnavailable map[int][]span    // by partition of jobs
+	ownerUnavailable map[int][]span    // by partition of the jobs topic
 	ownerOverloaded  map[int][]span
 	vmsInTransit     map[string][]span // by pool
 }
 
-// ownership follows who owns the partitions of jobs.
+// ownership tracks the owners of the partitions of the jobs topic.
 type ownership struct {
-	owner       map[int]string    // the latest to have taken it over
-	leftAt      map[int]time.Time // when that one has left it, by its own word
+	owner       map[int]string    // the node that took it over last
+	leftAt      map[int]time.Time // when that node left it, from its "partition left" line
 	lastLineAt  map[string]time.Time
 	firstLineAt time.Time
 }
 
-// collectConditions goes through lines in the order of their times, and returns the takeovers,
-// too.
+// collectConditions returns the conditions and the takeovers that lines report. The lines must
+// be sorted by time and must not be empty.
 func collectConditions(lines []Line) (*conditions, []Takeover) {
 	c := &conditions{
 		storeUnavailable: map[string][]span{},
@@ -115,8 +115,8 @@
 	return c, takeovers
 }
 
-// nodeRestarted takes that a node's process has begun. What the one before owned it has left
-// with its last line, if not by its word.
+// nodeRestarted records that a new process of a node has started. Each partition that the
+// previous process owned and did not leave counts as left at that process's last line.
 func (o *ownership) nodeRestarted(node string) {
 	for partition, owner := range o.owner {
 		if _, ok := o.leftAt[partition]; owner == node && !ok {
@@ -125,16 +125,16 @@
 	}
 }
 
-// partitionLeft takes a node's word that it has left a partition, which may come after the next
-// owner's.
+// partitionLeft records that a node left a partition. The line is ignored if another node has
+// taken the partition over already.
 func (o *ownership) partitionLeft(l Line) {
 	if o.owner[l.Partition] == l.Node {
 		o.leftAt[l.Partition] = l.At
 	}
 }
 
-// takenOverBy takes that a node owns a partition now. Nobody owned it since the last owner
-// left it or, if that one left no word, since its last line.
+// takenOverBy records that a node took a partition over and returns the takeover. The gap begins
+// when the previous owner left the partition or, if it did not log that, at its last line.
 func (o *ownership) takenOverBy(l Line) Takeover {
 	since := o.firstLineAt
 	if before, ok := o.owner[l.Partition]; ok {
@@ -148,8 +148,9 @@
 	return Takeover{At: l.At, Partition: l.Partition, Node: l.Node, Gap: l.At.Sub(since), HandedOver: l.HandedOver}
 }
 
-// startDelayCause returns what a job most likely waited for that has waited until a line of its
-// owner: the condition that held longest meanwhile, if for a good part of the wait.
+// startDelayCause returns the most likely cause of a job's late start, where l is its owner's
+// line on that start: the condition that held longest during the wait if it exceeds minCauseShare
+// of the wait, otherwise NoFreeCapacity.
 func (c *conditions) startDelayCause(l Line, service string) Cause {
 	waited := span{l.At.Add(-time.Duration(l.AgeMS) * time.Millisecond), l.At}
 	cause, longest := NoFreeCapacity, time.Duration(minCauseShare*float64(waited.to.Sub(waited.from)))
--- a/internal/dayreport/dayreport_test.go
+++ b/internal/dayreport/dayreport_test.go
@@ -13,7 +13,7 @@
 
 var noon = time.Date(2026, 1, 2, 12, 0, 0, 0, time.UTC)
 
-// logLine returns a node's line, after seconds of the day.
+// logLine returns a line that a node logs seconds after noon.
 func logLine(seconds float64, node, message, fields string) string {
 	t := noon.Add(time.Duration(seconds * float64(time.Second))).Format("2006-01-02T15:04:05.000Z")
 	if fields != "" {
@@ -30,7 +30,7 @@
 	return r
 }
 
-// acceptedJob is the answer that a job was taken, of the service booking.
+// acceptedJob returns the line on an answer that accepts a job of the service booking.
 func acceptedJob(seconds float64, job string) string {
 	return logLine(seconds, "n-1", "answered", `"method":"POST","status":200,"job":"`+job+`","queue":"q","service":"booking"`)
 }
@@ -65,7 +65,7 @@
 	assert.Equal(t, dayreport.OtherCause, r.Refusals[2].Cause)
 }
 
-// A job that began late waited for what held longest meanwhile.
+// A late start is attributed to the condition that held longest during the job's wait.
 func TestSlowStartIsAttributedToLongestCondition(t *testing.T) {
 	begins := func(seconds float64, ageMS string) string {
 		return logLine(seconds, "n-2", "first-placed", `"job":"a","queue":"q","partition":4,"age_ms":`+ageMS)
@@ -76,37 +76,37 @@
 		lines []string
 		cause dayreport.Cause
 	}{
-		{"nothing else", []string{owned, begins(20, "3000")}, dayreport.NoFreeCapacity},
-		{"its owner had no store", []string{
+		{"no condition held", []string{owned, begins(20, "3000")}, dayreport.NoFreeCapacity},
+		{"the owner's store was unavailable", []string{
 			owned, logLine(17, "n-2", "store does not answer", `"since_ms":1000`),
 			logLine(19, "n-2", "store answers again", `"away_ms":3000`), begins(20, "3000"),
 		}, dayreport.StoreUnavailable},
-		{"another node had no store", []string{
+		{"another node's store was unavailable", []string{
 			owned, logLine(17, "n-1", "store does not answer", `"since_ms":1000`), begins(20, "3000"),
 		}, dayreport.NoFreeCapacity},
-		{"nobody owned its partition", []string{
+		{"the partition had no owner", []string{
 			owned, logLine(17, "n-2", "partition left", `"partition":4,"status":"ok"`),
 			logLine(19, "n-2", "partition taken over", `"partition":4`), begins(20, "3000"),
 		}, dayreport.OwnerUnavailable},
-		{"its owner was killed", []string{
+		{"the owner was killed", []string{
 			owned, logLine(17, "n-2", "ended", `"job":"b","reason":"completed"`),
 			logLine(19, "n-2", "started", `"partitions":12`), logLine(19.5, "n-2", "partition taken over", `"partition":4`), begins(20, "3000"),
 		}, dayreport.OwnerUnavailable},
-		{"its owner was behind", []string{
+		{"the owner was overloaded", []string{
 			owned, logLine(18, "n-2", "owner is behind", `"partition":4,"delay_ms":900`), begins(20, "3000"),
 		}, dayreport.OwnerOverloaded},
-		{"VMs were on their way, and the store away for less long", []string{
+		{"VMs were in transit, and the store was unavailable for a shorter time", []string{
 			owned, logLine(17, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`),
 			logLine(18, "n-2", "store does not answer", `"since_ms":0`), logLine(18.5, "n-2", "store answers again", ""), begins(20, "3000"),
 		}, dayreport.VMsInTransit},
-		{"VMs went elsewhere", []string{
+		{"VMs were ordered for another pool, or refused", []string{
 			owned, logLine(17, "n-2", "VM ordered", `"pool":"returns","outcome":"ok","maintain":false`),
 			logLine(17, "n-2", "VM ordered", `"pool":"booking","outcome":"busy","maintain":false`), begins(20, "3000"),
 		}, dayreport.NoFreeCapacity},
-		{"VMs were on their way for a second, then there was no room", []string{
+		{"VMs were in transit for less than the minimum share of the wait", []string{
 			owned, logLine(14.5, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`), begins(20, "3000"),
 		}, dayreport.NoFreeCapacity},
-		{"its owner was behind for two seconds, with a line for each, and VMs were on their way for less", []string{
+		{"the owner was overloaded for two seconds, with one line each, and VMs were in transit for a shorter time", []string{
 			owned, logLine(18.3, "n-2", "owner is behind", `"partition":4,"delay_ms":900`),
 			logLine(19.31, "n-2", "owner is behind", `"partition":4,"delay_ms":900`),
 			logLine(18.5, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`), begins(20, "3000"),
@@ -119,8 +119,8 @@
 	assert.Empty(t, buildReport(t, owned, begins(20, "999")).SlowStarts, "in time")
 }
 
-// Guards against a partition that counts as without an owner since the word of the owner
-// before, which came after the next one's.
+// A previous owner may log "partition left" after the next owner's "partition taken over". Guards
+// against a gap that is counted from that late line.
 func TestGapIgnoresLateLeaveOfPreviousOwner(t *testing.T) {
 	r := buildReport(t,
 		logLine(1, "n-1", "partition taken over", `"partition":4`),
@@ -141,7 +141,7 @@
 		logLine(1.1, "n-1", "wave", `"wave":2,"state":"running","done":1`), logLine(1.2, "n-1", "wave", `"wave":2,"state":"running","done":2`),
 		acceptedJob(1.5, "a"), logLine(1.6, "n-1", "first-placed", `"job":"a","queue":"q","age_ms":100`),
 		logLine(3.0, "n-1", "worker-synced", ""))
-	require.Len(t, r.Seconds, 2, "a second without any of this is left out")
+	require.Len(t, r.Seconds, 2, "a second without events is left out")
 	assert.Equal(t, []string{"nodes started: 2", "configuration 7 in force"}, r.Seconds[0].Events)
 	assert.Equal(t, []string{"wave 2 running, 2 VMs done"}, r.Seconds[1].Events)
 	assert.Equal(t, 1, r.Seconds[1].Accepted)
@@ -161,7 +161,7 @@
 	assert.Equal(t, []dayreport.Problem{
 		{File: "n.log", Line: 2, Kind: "foreign"}, {File: "n.log", Line: 4, Kind: "cut"}, {File: "n.log", Line: 5, Kind: "foreign"},
 		{File: "n.log", Line: 6, Kind: "foreign"}, {File: "n.log", Line: 7, Kind: "cut"},
-	}, log.Problems, "five of a file are named")
+	}, log.Problems, "five unreadable lines of a file are listed")
 
 	_, ok := dayreport.Build(&dayreport.Log{Foreign: 3}, time.Second)
 	assert.False(t, ok)
@@ -179,7 +179,7 @@
 	}
 }
 
-// Guards against a page that takes all memory, as one line has a time of its own.
+// Guards against a plot that uses up all memory because one line has a time far from the others.
 func TestLogsOverADayAreNotPlotted(t *testing.T) {
 	r := buildReport(t, acceptedJob(0, "a"), acceptedJob(1e9, "b"))
 	var page strings.Builder
@@ -188,7 +188,7 @@
 	assert.Contains(t, page.String(), "more than a day apart")
 }
 
-// FuzzRead reads any text as a log and explains what is in it.
+// FuzzRead reads any text as a log and builds the report on it.
 func FuzzRead(f *testing.F) {
 	f.Add(acceptedJob(0, "a") + logLine(1, "n-1", "first-placed", `"job":"a","age_ms":5000,"partition":2`))
 	f.Add(logLine(1, "n-1", "VM ordered", `"pool":3,"outcome":"ok"`) + "{")
--- a/internal/dayreport/lines.go
+++ b/internal/dayreport/lines.go
@@ -1,7 +1,7 @@
-// Package dayreport explains a day of a deployment from the logs of its nodes: what callers
-// were refused and why, which jobs began late and what they waited for, and what happened
-// to the owners, the store and the VMs meanwhile. It is pure but for the reading of the
-// logs.
+// Package dayreport explains a day of a deployment from the logs of its nodes: which calls
+// were refused and why, which jobs started late and what they waited for, and what happened
+// to the owners, the store and the VMs at that time. Apart from reading the logs and writing
+// the page it does no I/O and holds no state.
 package dayreport
 
 import (
@@ -14,14 +14,14 @@
 	"github.com/pkg/errors"
 )
 
-// maxLineBytes bounds one line of a log, in bytes. A longer one counts as cut.
+// maxLineBytes bounds one line of a log. A longer line counts as truncated.
 const maxLineBytes = 1 << 20
 
-// maxProblems is how many lines of each file that can't be read are named; the others are
+// maxProblems is how many unreadable lines of each file are listed. Further ones are only
 // counted.
 const maxProblems = 5
 
-// Line is one line of a node's log, as far as the report needs it.
+// Line holds the fields of a node's log line that the report needs.
 type Line struct {
 	At          time.Time `json:"@timestamp"`
 	Message     string    `json:"@message"`
@@ -30,13 +30,13 @@
 	Queue       string    `json:"queue"`
 	Service     string    `json:"service"`
 	Method      string    `json:"method"`
-	Status      int       `json:"status"` // of an answer; a text in other lines
+	Status      int       `json:"status"` // HTTP status of an answer; a string in other lines
 	Reason      string    `json:"reason"`
 	AgeMS       int64     `json:"age_ms"`
 	SinceMS     int64     `json:"since_ms"`
 	Partition   int       `json:"partition"`
 	Topic       string    `json:"topic"`
-	HandedOver  bool      `json:"handed_over"` // the owner before left word of its runs
+	HandedOver  bool      `json:"handed_over"` // the previous owner handed its runs over
 	VM          string    `json:"vm"`
 	Pool        string    `json:"pool"`
 	Maintenance bool      `json:"maintain"`
@@ -47,32 +47,32 @@
 	Version     int64     `json:"version"`
 }
 
-// Problem is a line that can't be read.
+// Problem is an unreadable line.
 type Problem struct {
 	File string `json:"file"`
 	Line int    `json:"line"`
 	Kind string `json:"what"` // "foreign" or "cut"
 }
 
-// Kinds of lines that can't be read: of another program, and such that begin as a line of a
-// node does.
+// Kinds of unreadable lines: lines of other programs, and lines that are too long or end within
+// their JSON object.
 const (
 	foreign   = "foreign"
 	truncated = "cut"
 )
 
-// Log is what was read of the logs of all nodes.
+// Log holds the lines that were read from the logs of all nodes.
 type Log struct {
 	Lines []Line
-	// Foreign and Cut count the lines that can't be read, of which Problems names the first
+	// Foreign and Truncated count the unreadable lines. Problems lists the first maxProblems
 	// of each file.
 	Foreign, Truncated int
 	Problems           []Problem
 }
 
-// Read adds the lines of a log that is called name. What stands before the first brace of
-// a line is passed over. A line that can't be read is counted and is no error; only the
-// reader's own errors are.
+// Read adds the lines of the log r. name identifies the log in Problems and errors. Text before
+// the first brace of a line is ignored. An unreadable line is counted and is not an error; Read
+// returns only errors of r.
 func (l *Log) Read(r io.Reader, name string) error {
 	in := bufio.NewReaderSize(r, maxLineBytes)
 	reported := 0
@@ -92,8 +92,8 @@
 	}
 }
 
-// readLine reads a line without its end. whole is false if it is longer than maxLine; the
-// rest of it is passed over.
+// readLine reads a line and strips its end. If the line is longer than in's buffer, complete is
+// false, text is nil and the whole line is skipped.
 func readLine(in *bufio.Reader) (text []byte, complete bool, err error) {
 	text, more, err := in.ReadLine()
 	if err != nil || !more {
@@ -103,12 +103,12 @@
 		_, more, err = in.ReadLine()
 	}
 	if errors.Is(err, io.EOF) {
-		err = nil // the next call tells
+		err = nil // the next call returns it
 	}
 	return nil, false, err
 }
 
-// addLine adds a line and returns "", or what keeps it from being read.
+// addLine adds a line and returns "", or counts it as unreadable and returns its kind of problem.
 func (l *Log) addLine(text []byte, complete bool) (problem string) {
 	if !complete {
 		l.Truncated++
@@ -127,7 +127,7 @@
 	var syntax *json.SyntaxError
 	switch wrongType := (*json.UnmarshalTypeError)(nil); {
 	case errors.As(err, &wrongType):
-		// A field of that name has another type in this message; the others are there.
+		// A field of the same name has another type in this message. The other fields are decoded.
 	case errors.As(err, &syntax):
 		l.Truncated++
 		return truncated
--- a/internal/dayreport/page.go
+++ b/internal/dayreport/page.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	_ "embed" // the page
+	_ "embed" // for page.html
 	"html/template"
 	"image/color"
 	"io"
@@ -21,7 +21,8 @@
 	plotHeight = 7 * vg.Centimeter
 )
 
-// maxPlotted is the longest time that is plotted, second by second.
+// maxPlotted is the longest time that is plotted. A plot has one point per second, so a single
+// line with a wrong time would otherwise use up all memory.
 const maxPlotted = 24 * time.Hour
 
 //go:embed page.html
@@ -32,13 +33,13 @@
 	"round": func(d time.Duration) string { return d.Round(time.Millisecond).String() },
 }).Parse(pageText))
 
-// pageData is what the page is made of.
+// pageData is the data of the page template.
 type pageData struct {
 	Report
 	Plots []template.HTML
 }
 
-// WritePage writes a report as one HTML page that needs nothing else.
+// WritePage writes the report as one self-contained HTML page.
 func WritePage(w io.Writer, r Report) error {
 	plots, err := renderPlots(r)
 	if err != nil {
@@ -47,7 +48,7 @@
 	return errors.Wrap(page.Execute(w, pageData{Report: r, Plots: plots}), "page")
 }
 
-// renderPlots draws the plots, none where the lines lie too far apart.
+// renderPlots returns the plots as SVG, or none if the report covers more than maxPlotted.
 func renderPlots(r Report) ([]template.HTML, error) {
 	if r.To.Sub(r.From) > maxPlotted {
 		return nil, nil
@@ -67,7 +68,8 @@
 	return all, nil
 }
 
-// renderSVG draws a plot. The text of a plot is this package's own, and numbers.
+// renderSVG returns a plot as an SVG element. It is safe to embed unescaped: the text in a plot
+// consists of constants of this package and numbers.
 func renderSVG(p *plot.Plot) (template.HTML, error) {
 	to, err := p.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
@@ -77,11 +79,11 @@
 	if _, err := to.WriteTo(&out); err != nil {
 		return "", errors.Wrap(err, "plot")
 	}
-	_, svg, _ := bytes.Cut(out.Bytes(), []byte("<svg")) // without the declaration, which stands in no page
+	_, svg, _ := bytes.Cut(out.Bytes(), []byte("<svg")) // drops the XML declaration, which HTML doesn't allow
 	return template.HTML("<svg" + string(svg)), nil     //nolint:gosec // see above
 }
 
-// callsPlot shows what became of calls.
+// callsPlot plots accepted and completed jobs and refused calls per second.
 func callsPlot(r Report) (*plot.Plot, error) {
 	p := newPlot("jobs a second")
 	err := plotutil.AddLines(p,
@@ -91,7 +93,7 @@
 	return p, err
 }
 
-// waitPlot shows how long jobs waited, and the changes of owners.
+// waitPlot plots how long jobs waited for their first start, and the takeovers of partitions.
 func waitPlot(r Report) (*plot.Plot, error) {
 	p := newPlot("wait for the first start, 95th percentile, s")
 	wait := points(r, func(s Second) float64 { return s.WaitMS / 1000 })
@@ -125,7 +127,7 @@
 	return p
 }
 
-// points are a value of each second, 0 where nothing happened.
+// points returns one point per second, 0 for seconds without events.
 func points(r Report, value func(Second) float64) plotter.XYs {
 	first := r.From.Truncate(time.Second)
 	all := make(plotter.XYs, int(r.To.Sub(first).Seconds())+1)
--- a/internal/dayreport/report.go
+++ b/internal/dayreport/report.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Report explains a day.
+// Report summarizes the logs of a deployment.
 type Report struct {
 	From       time.Time   `json:"from"`
 	To         time.Time   `json:"to"`
@@ -23,31 +23,32 @@
 	Refusals   []Refusal   `json:"refusals"`
 	SlowStarts []SlowStart `json:"slow_starts"`
 	Orders     []Order     `json:"orders"`
-	// Takeovers are those of partitions of jobs.
+	// Takeovers lists the takeovers of partitions of the jobs topic.
 	Takeovers []Takeover `json:"takeovers"`
 	Seconds   []Second   `json:"seconds"`
 }
 
-// Jobs are the jobs that were taken. Open are those without an end in the logs.
+// Jobs counts the accepted jobs. Open is the number of jobs without an end in the logs.
 type Jobs struct {
 	Accepted  int `json:"taken"`
 	Completed int `json:"completed"`
 	Failed    int `json:"failed"`
 	Cancelled int `json:"cancelled"`
 	Open      int `json:"open"`
-	// Started and Ended are how long after they were taken jobs began and ended.
+	// Started and Ended are the times from the acceptance of a job to its first start and to
+	// its completion.
 	Started Percentiles `json:"started_ms"`
 	Ended   Percentiles `json:"ended_ms"`
 }
 
-// Percentiles describe durations, in milliseconds.
+// Percentiles summarizes durations, in milliseconds.
 type Percentiles struct {
-	Median float64 `json:"half"`   // the median
-	P95    float64 `json:"95_100"` // the 95th percentile
+	Median float64 `json:"half"`
+	P95    float64 `json:"95_100"`
 	Max    float64 `json:"most"`
 }
 
-// Refusal counts answers with an error that are alike.
+// Refusal counts error answers with the same method, status and reason.
 type Refusal struct {
 	Cause  Cause     `json:"cause"`
 	Method string    `json:"method"`
@@ -58,7 +59,7 @@
 	Last   time.Time `json:"last"`
 }
 
-// SlowStart counts jobs that began late for the same cause, by service.
+// SlowStart counts the jobs of one service that started late for the same cause.
 type SlowStart struct {
 	Cause   Cause  `json:"cause"`
 	Service string `json:"service"`
@@ -66,15 +67,15 @@
 	MaxMS   int64  `json:"most_ms"`
 }
 
-// Order counts orders for VMs that are alike.
+// Order counts orders for VMs of the same kind, pool and outcome.
 type Order struct {
 	Kind    string `json:"kind"` // "move" or "maintenance"
-	Pool    string `json:"pool"` // of a move
+	Pool    string `json:"pool"` // target of a move
 	Outcome string `json:"outcome"`
 	Count   int    `json:"count"`
 }
 
-// Takeover is a change of a partition's owner. Gap is how long nobody owned it.
+// Takeover is a change of a partition's owner. Gap is how long the partition had no owner.
 type Takeover struct {
 	At         time.Time     `json:"at"`
 	Partition  int           `json:"partition"`
@@ -83,21 +84,21 @@
 	HandedOver bool          `json:"handed_over"`
 }
 
-// Second is what happened in a second of the day.
+// Second summarizes one second of the logs.
 type Second struct {
 	At       time.Time `json:"at"`
 	Accepted int       `json:"taken"`
 	Refused  int       `json:"refused"`
 	Started  int       `json:"began"`
-	// WaitMS is the 95th percentile of how long the jobs that began had waited.
+	// WaitMS is the 95th percentile of the waits of the jobs that started.
 	WaitMS float64 `json:"wait_ms"`
-	// Ended counts jobs that were completed.
+	// Ended counts completed jobs.
 	Ended  int      `json:"ended"`
 	Events []string `json:"events,omitempty"`
 }
 
-// Build explains what was read. A job that begins slow or more after it was taken counts as
-// late. ok is false if there is no line of a node.
+// Build returns the report on log. A job that starts slowAfter or more after its acceptance
+// counts as late. ok is false if the log has no line of a node.
 func Build(log *Log, slowAfter time.Duration) (r Report, ok bool) {
 	if len(log.Lines) == 0 {
 		return Report{}, false
@@ -124,24 +125,24 @@
 	return len(seen)
 }
 
-// Answers to calls, as HTTP gives them.
+// HTTP status codes and the method that submits jobs.
 const (
 	firstNonSuccessStatus = 300
 	firstErrorStatus      = 400
 	submitMethod          = "POST"
 )
 
-// isRefusal tells whether a line is an answer that turns a call away.
+// isRefusal reports whether l is an error answer to a call.
 func (l Line) isRefusal() bool {
 	return l.Message == "answered" && l.Status >= firstErrorStatus
 }
 
-// isAcceptedJob tells whether a line is the answer that a job was taken.
+// isAcceptedJob reports whether l is an answer that accepts a job.
 func (l Line) isAcceptedJob() bool {
 	return l.Message == "answered" && l.Method == submitMethod && l.Status < firstNonSuccessStatus && l.Job != ""
 }
 
-// countJobs counts jobs. An end may be told twice, by two owners: the last one holds.
+// countJobs counts the jobs. Two owners may log the end of one job; the last line counts.
 func countJobs(lines []Line) Jobs {
 	accepted, ends := map[string]bool{}, map[string]Line{}
 	var startDelays []float64
@@ -189,7 +190,7 @@
 	return math.Round(stat.Quantile(p, stat.Empirical, sorted, nil))
 }
 
-// refusalCause reads the cause from the reason that the caller was told.
+// refusalCause derives the cause from the beginning of the reason in the answer.
 func refusalCause(reason string) Cause {
 	switch {
 	case strings.HasPrefix(reason, "the store "):
@@ -208,7 +209,7 @@
 		if !l.isRefusal() {
 			continue
 		}
-		reason, _, _ := strings.Cut(l.Reason, ":") // what follows is of one call
+		reason, _, _ := strings.Cut(l.Reason, ":") // the rest differs from call to call
 		i := slices.IndexFunc(all, func(r Refusal) bool {
 			return r.Method == l.Method && r.Status == l.Status && r.Reason == reason
 		})
@@ -223,8 +224,8 @@
 	return all
 }
 
-// groupSlowStarts counts the jobs that began late. Lines on a job's start name its queue; those on
-// answers tell whose service that is.
+// groupSlowStarts counts the jobs that started late, by cause and service. A line on a start names
+// only the job's queue; the queue's service is taken from the lines on answers.
 func groupSlowStarts(lines []Line, c *conditions, slowAfter time.Duration) []SlowStart {
 	services := map[string]string{}
 	for _, l := range lines {
--- a/internal/dayreport/seconds.go
+++ b/internal/dayreport/seconds.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// secondStats collects what happened in one second.
+// secondStats accumulates the events of one second.
 type secondStats struct {
 	Second
 	waits            []float64
-	nodesStarted     int // nodes
-	storeLost        int // nodes that lost it
-	storeRecovered   int
-	overloadedOwners int // owners
+	nodesStarted     int
+	storeLost        int // nodes
+	storeRecovered   int // nodes
+	overloadedOwners int
 	takeovers        int
 	longestGap       time.Duration
 	vmsMoved         int
@@ -22,7 +22,7 @@
 	otherEvents      []string
 }
 
-// groupBySecond puts the lines on a time line, without the seconds in which nothing happened.
+// groupBySecond summarizes the lines second by second. Seconds without events are left out.
 func groupBySecond(lines []Line, takeovers []Takeover) []Second {
 	var all []*secondStats
 	at := func(t time.Time) *secondStats {
@@ -89,14 +89,14 @@
 	}
 }
 
-// addWave notes how far a wave is, in place of what was noted of it in the second before.
+// addWave records the progress of a wave. It replaces an earlier progress in the same second.
 func (m *secondStats) addWave(l Line) {
 	name := fmt.Sprintf("wave %d ", l.Wave)
 	m.otherEvents = slices.DeleteFunc(m.otherEvents, func(text string) bool { return strings.HasPrefix(text, name) })
 	m.otherEvents = append(m.otherEvents, fmt.Sprintf("%s%s, %d VMs done", name, l.State, l.Done))
 }
 
-// addConfiguration notes a configuration; each node writes the line.
+// addConfiguration records a new configuration once, although each node logs it.
 func (m *secondStats) addConfiguration(version int64) {
 	text := fmt.Sprintf("configuration %d in force", version)
 	if !slices.Contains(m.otherEvents, text) {
@@ -104,7 +104,7 @@
 	}
 }
 
-// result returns the second with its events as text.
+// result returns the summary of the second, with its events as text.
 func (m *secondStats) result() Second {
 	s := m.Second
 	s.WaitMS = percentilesOf(m.waits).P95
