--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -5,19 +5,20 @@
 	"sync/atomic"
 )
 
-// maxBufferedLines is how many lines wait for a slow reader of standard output.
+// maxBufferedLines is how many lines are buffered for a slow reader of standard
+// output.
 const maxBufferedLines = 2048
 
-// Async is a writer that never blocks: lines that come faster than the reader
-// takes them are dropped and counted, so that a log that nobody reads can't hold
-// up the work that it tells of.
+// Async is a writer that never blocks. It drops and counts lines that the
+// underlying writer is too slow for, so that a blocked log reader can't stall
+// the process.
 type Async struct {
 	lines   chan []byte
 	done    chan struct{}
 	dropped atomic.Int64
 }
 
-// NewAsync returns a writer that hands lines to out.
+// NewAsync returns an Async that writes to out. Close must be called to stop it.
 func NewAsync(out io.Writer) *Async {
 	a := &Async{lines: make(chan []byte, maxBufferedLines), done: make(chan struct{})}
 	go a.writeLoop(out)
@@ -33,7 +34,8 @@
 	}
 }
 
-// Write takes one line.
+// Write buffers one line, or drops it if the buffer is full. It never returns an
+// error.
 func (a *Async) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	select {
@@ -44,10 +46,11 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines were lost.
+// Dropped returns the number of lines that were dropped or could not be written.
 func (a *Async) Dropped() int64 { return a.dropped.Load() }
 
-// Close writes what waits. Write must not be called any more.
+// Close writes the buffered lines and waits for that. Write must not be called
+// afterwards.
 func (a *Async) Close() {
 	close(a.lines)
 	<-a.done
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging makes the daemons' loggers.
+// Package logging creates the loggers of the daemons.
 package logging
 
 import (
@@ -9,12 +9,12 @@
 	"github.com/yuccadrift/yuccadrift/internal/settings"
 )
 
-// timeFormat is RFC 3339 with milliseconds, enough to order events of one
-// process and short enough to read.
+// timeFormat is RFC 3339 with milliseconds, which is enough to order the events
+// of one process and keeps lines short.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// New returns a logger that writes to out and puts the node's ID and zone on
-// each line. The settings were checked, so an unknown level cannot occur.
+// New returns a logger that writes to out and adds the node's ID and zone to
+// each line. log.Level must be valid; the settings package checks it.
 func New(binary string, node settings.Node, log settings.Log, out io.Writer) hclog.Logger {
 	logger := hclog.New(&hclog.LoggerOptions{
 		Name:       binary,
--- a/internal/logstory/logstory.go
+++ b/internal/logstory/logstory.go
@@ -1,5 +1,5 @@
-// Package logstory picks the lines about one request, job, task, VM or worker
-// out of the logs of all nodes and tells them in order.
+// Package logstory extracts the lines on one request, job, task, VM or worker
+// from the logs of all nodes and writes them in the order of their times.
 package logstory
 
 import (
@@ -14,25 +14,26 @@
 	"github.com/pkg/errors"
 )
 
-// maxLineBytes bounds one line of a log, in bytes.
+// maxLineBytes bounds one line of a log.
 const maxLineBytes = 1 << 20
 
-// Line is one line of a log.
+// Line is one parsed line of a log.
 type Line struct {
 	At      time.Time
 	Node    string
 	Module  string
 	Message string
-	// Fields are the others, as name=value, sorted.
+	// Fields holds the remaining fields as name=value, sorted.
 	Fields []string
 }
 
-// omittedFields are the names that have a field of their own in Line, or say nothing.
+// omittedFields lists the JSON fields that Line.Fields leaves out: those with a
+// field of their own in Line, and the level and zone.
 var omittedFields = []string{"@timestamp", "@message", "@module", "@level", "node", "zone"}
 
-// Read returns the lines of a log that name id, in the order of the log. What
-// stands before the first brace of a line is passed over; lines that are no JSON
-// are left out.
+// Read returns the lines of a log that contain id, in the order of the log. Text
+// before the first brace of a line is ignored. Lines that are not JSON are left
+// out.
 func Read(r io.Reader, id string) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(r)
@@ -50,18 +51,18 @@
 			lines = append(lines, line)
 		}
 	}
-	return lines, errors.Wrap(scanner.Err(), "log")
+	return lines, errors.Wrap(scanner.Err(), "read log")
 }
 
 func parse(text string) (Line, bool) {
 	var fields map[string]any
 	decoder := json.NewDecoder(strings.NewReader(text))
-	decoder.UseNumber() // run numbers are long
+	decoder.UseNumber() // run numbers exceed the precision of float64
 	if err := decoder.Decode(&fields); err != nil {
 		return Line{}, false
 	}
 	stringField := func(name string) string {
-		value, _ := fields[name].(string) // "" if it is missing
+		value, _ := fields[name].(string) // "" if the field is missing
 		return value
 	}
 	line := Line{Node: stringField("node"), Module: stringField("@module"), Message: stringField("@message")}
@@ -79,14 +80,14 @@
 	return line, true
 }
 
-// Write tells lines of all nodes in the order of their times.
+// Write sorts lines by time and writes them to w, one per line.
 func Write(w io.Writer, lines []Line) error {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	for _, l := range lines {
 		_, err := fmt.Fprintf(w, "%s  %-14s %-10s %-18s %s\n",
 			l.At.Format("15:04:05.000"), l.Node, l.Module[strings.LastIndex(l.Module, ".")+1:], l.Message, strings.Join(l.Fields, " "))
 		if err != nil {
-			return errors.Wrap(err, "story")
+			return errors.Wrap(err, "write line")
 		}
 	}
 	return nil
--- a/internal/record/body.go
+++ b/internal/record/body.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Kinds of body, by subject.
+// Kinds of record bodies.
 const (
 	KindDocumentPublish Kind = "document.publish"
 	KindDocumentRemove  Kind = "document.remove"
@@ -59,9 +59,9 @@
 	KindClockWitness:    decoderOf[ClockWitness],
 }
 
-// DocumentPublish replaces a service's document. Subject: the service.
+// DocumentPublish creates or replaces a service's document. Subject: the service.
 type DocumentPublish struct {
-	// Text is the TOML document as its owner wrote it.
+	// Text is the TOML document, unchanged.
 	Text string `json:"text"`
 }
 
@@ -69,7 +69,7 @@
 // depend on the service.
 type DocumentRemove struct{}
 
-// VMRegister makes a VM of the platform's list known. Subject: the VM.
+// VMRegister adds a VM from the platform's list to the state. Subject: the VM.
 type VMRegister struct {
 	Zone         string `json:"zone"`
 	Rack         string `json:"rack"`
@@ -79,7 +79,7 @@
 	Accelerators int    `json:"accelerators"`
 }
 
-// DrainReason says why a VM is taken out of service.
+// DrainReason is the reason why a VM is taken out of service.
 type DrainReason string
 
 // Reasons of a drain.
@@ -89,49 +89,52 @@
 	DrainOperator    DrainReason = "operator"
 )
 
-// VMDrain is the decision to take a VM out of service. It is effective only
-// while its pool's availability budget allows one more unavailable VM.
+// VMDrain takes a VM out of service. It is effective only if the availability
+// budget of the VM's pool allows one more unavailable VM.
 type VMDrain struct {
 	Reason DrainReason `json:"reason"`
-	// Wave is the maintenance wave that the drain belongs to, or empty. With it
-	// the VM is rebooted once drained.
+	// Wave is the maintenance wave that the drain belongs to, or empty. A VM
+	// that is drained for a wave is rebooted.
 	Wave string `json:"wave,omitempty"`
-	// Target is the pool to join afterwards; empty keeps the pool. A drain with
-	// both Wave and Target makes one disturbance serve both.
+	// Target is the pool that the VM joins afterwards. If it is empty, the VM
+	// returns to its pool. With both Wave and Target, the VM is taken out of
+	// service only once for the reboot and the move.
 	Target string `json:"target,omitempty"`
-	// Release lets the VM leave its pool for the common reserve of free VMs. It
-	// excludes Target.
+	// Release moves the VM to the common reserve of free VMs. It excludes
+	// Target.
 	Release bool `json:"release,omitempty"`
 	// Estimate is how long the VM is expected to be unavailable.
 	Estimate time.Duration `json:"estimate"`
 }
 
-// VMPhase is where a VM is in its life.
+// VMPhase is a phase of a VM's lifecycle.
 type VMPhase string
 
-// Phases of a VM. A pool VM is serving, or on its way through a drain:
-// draining -> drained -> [rebooting] -> returning -> serving, with a move
-// draining -> drained -> [rebooting] -> released -> (join) -> returning -> serving,
-// and with a release draining -> drained -> [rebooting] -> free.
+// Phases of a VM. A VM of a pool is serving or passes through one of these
+// drains:
+//
+//	drain:   draining -> drained -> [rebooting] -> returning -> serving
+//	move:    draining -> drained -> [rebooting] -> released -> (join) -> returning -> serving
+//	release: draining -> drained -> [rebooting] -> free
 const (
 	PhaseFree      VMPhase = "free" // in no pool
 	PhaseServing   VMPhase = "serving"
 	PhaseDraining  VMPhase = "draining"
 	PhaseDrained   VMPhase = "drained"
 	PhaseRebooting VMPhase = "rebooting"
-	PhaseReleased  VMPhase = "released" // still charged to its old pool until the join
+	PhaseReleased  VMPhase = "released" // charged to its old pool until the join
 	PhaseReturning VMPhase = "returning"
 )
 
-// VMAdvance records that a VM reached the next phase of a drain, or, for
-// rebooting, the decision to reboot.
+// VMAdvance records that a VM reached the next phase of a drain. To
+// PhaseRebooting, it is the decision to reboot the VM.
 type VMAdvance struct {
 	To VMPhase `json:"to"`
 }
 
-// VMRedirect gives a drain in progress another end: the VM joins Target, or is
-// released, instead of going back to its pool. One disturbance then serves
-// both.
+// VMRedirect changes the destination of a drain in progress: the VM joins
+// Target or is released instead of returning to its pool. The VM then is not
+// drained a second time for the move.
 type VMRedirect struct {
 	Target  string `json:"target,omitempty"`
 	Release bool   `json:"release,omitempty"`
@@ -140,9 +143,9 @@
 // VMJoin puts a free or released VM into a pool.
 type VMJoin struct {
 	Pool string `json:"pool"`
-	// Want is how many VMs the author wants the pool to have. A join of a free
-	// VM that finds as many there is refused, so that two planners cannot fill
-	// one gap twice; 0 means no such check.
+	// Want is the number of VMs that the author wants the pool to have. The
+	// join of a free VM is refused if the pool has that many already, so that
+	// two planners cannot fill the same gap twice. 0 disables the check.
 	Want int `json:"want,omitempty"`
 }
 
@@ -151,21 +154,21 @@
 	Cause string `json:"cause"`
 }
 
-// VMUp records that a VM was seen healthy. It ends a failure or, from
+// VMUp records that a VM was found healthy. It ends a failure or, in phase
 // returning, a drain, and with it the charge to the pool's budget.
 type VMUp struct{}
 
 // VMGone records that the platform no longer has the VM.
 type VMGone struct{}
 
-// VMQuarantine sets a worker aside for job placement, or lets it back.
+// VMQuarantine excludes a worker from job placement, or readmits it.
 type VMQuarantine struct {
 	On bool `json:"on"`
-	// Evidence names the jobs whose failures led to it.
+	// Evidence lists the jobs whose failures led to the quarantine.
 	Evidence []string `json:"evidence,omitempty"`
 }
 
-// WaveStart begins a maintenance wave over pools. Subject: the wave.
+// WaveStart starts a maintenance wave over pools. Subject: the wave.
 type WaveStart struct {
 	Pools    []string  `json:"pools"`
 	Deadline time.Time `json:"deadline"`
@@ -188,36 +191,39 @@
 	Reason  string      `json:"reason,omitempty"`
 }
 
-// WaveSkip takes a VM out of a wave, as one that never came back or whose long
-// job may not be disturbed. Subject: the wave.
+// WaveSkip removes a VM from a wave, for example because it did not come back
+// or because its long job must not be interrupted. Subject: the wave.
 type WaveSkip struct {
 	VM     string `json:"vm"`
 	Reason string `json:"reason"`
 }
 
-// MemberJoin makes one run of an entry process a member. Subject: the member,
-// named by node and incarnation. A member with the same Address is removed: the
-// joining process has bound the address, so the older one cannot be running.
+// MemberJoin adds an entry process to the members. Subject: the member, named
+// by node and incarnation. A member with the same Address is removed: the
+// joining process has bound the address, so the earlier process cannot be
+// running.
 type MemberJoin struct {
 	Node    string `json:"node"`
 	Zone    string `json:"zone"`
 	Address string `json:"address"` // IP:port for entry peers
-	// AcksUntil is by when all leases have run out that the former process at
-	// the address acked, by their holders' wall clocks.
+	// AcksUntil is when the last lease expires that the earlier process at
+	// Address acknowledged, by the wall clocks of the lease holders.
 	AcksUntil time.Time `json:"acks_until"`
 }
 
-// MemberLeave is a planned leave, or an operator's word that the member is gone.
+// MemberLeave is a planned leave, or an operator's statement that the member
+// is gone.
 type MemberLeave struct {
-	// AcksUntil is by when all leases have run out that the member acked, by
-	// their holders' wall clocks; it acks none after this record was written.
-	// Zero when that is not known: electorates then keep the member.
+	// AcksUntil is when the last lease expires that the member acknowledged, by
+	// the wall clocks of the lease holders. The member acknowledges no lease
+	// after it wrote this record. If AcksUntil is zero, the time is unknown and
+	// the member stays in the electorates.
 	AcksUntil time.Time `json:"acks_until"`
 }
 
-// MemberRefresh sets the subject's electorate. Only the subject itself writes it
-// and it names the electorate outright, so a member always knows who can evict
-// it: while the record's outcome is unknown, the old electorate or this one.
+// MemberRefresh sets the subject's electorate. Only the subject writes it, and
+// it lists the whole electorate, so a member always knows who can evict it:
+// while the record's outcome is unknown, either the old electorate or this one.
 type MemberRefresh struct {
 	Electorate []string `json:"electorate"`
 }
@@ -227,101 +233,101 @@
 // checked, so that suspicions need not queue behind each other.
 type MemberSuspect struct {
 	By string `json:"by"`
-	// Seq rises with every suspect or trust record of By about the subject. A
-	// copy that surfaces after a later word of By has a lower Seq and is void.
+	// Seq increases with every suspect or trust record of By on the subject. A
+	// late copy has a lower Seq than By's latest record and is void.
 	Seq uint64 `json:"seq"`
-	// Until is when the last lease that By acked runs out, by the subject's own
-	// wall clock.
+	// Until is when the last lease that By acknowledged expires, by the
+	// subject's wall clock.
 	Until time.Time `json:"until"`
 }
 
-// MemberTrust takes By's suspicion back.
+// MemberTrust withdraws By's suspicion.
 type MemberTrust struct {
 	By  string `json:"by"`
 	Seq uint64 `json:"seq"`
 }
 
-// JobSubmit asks for a job. Subject: the job.
+// JobSubmit submits a job. Subject: the job.
 type JobSubmit struct {
-	Service      string        `json:"service"`     // whose pool runs it
-	Team         string        `json:"team"`        // whose quota it counts against
+	Service      string        `json:"service"`     // whose pool runs the job
+	Team         string        `json:"team"`        // whose quota the job counts against
 	MilliCores   int           `json:"milli_cores"` // thousandths of a core
 	MemoryMB     int           `json:"memory_mb"`
 	Accelerators int           `json:"accelerators"`
-	RunTime      time.Duration `json:"run_time"` // declared
+	RunTime      time.Duration `json:"run_time"` // as declared by the submitter
 	Urgent       bool          `json:"urgent"`
-	// Repeatable jobs may be started again after an unknown end.
+	// Repeatable jobs may be restarted if the outcome of a run is unknown.
 	Repeatable     bool `json:"repeatable"`
 	Checkpointable bool `json:"checkpointable"`
 }
 
-// JobPlace is the decision to start a job on a worker. Its offset is the
-// task's fencing token.
+// JobPlace starts a job on a worker. The record's offset is the task's fencing
+// token.
 type JobPlace struct {
 	Worker string `json:"worker"`
-	// MilliCores and MemoryMB are what is reserved, after correction by usage.
+	// MilliCores and MemoryMB are the reserved resources, corrected by the
+	// usage of earlier jobs.
 	MilliCores int `json:"milli_cores"`
 	MemoryMB   int `json:"memory_mb"`
 	// Attempt counts placements of the job from 1.
 	Attempt int `json:"attempt"`
 }
 
-// JobResult is how one attempt, or the whole job, ended.
+// JobResult is the result of one attempt or of the whole job.
 type JobResult string
 
-// Results of a job. One that was not started or was preempted goes back to the
-// queue; after a failure, lapse or stop a job does so only if it is repeatable,
-// and only a bounded number of times.
+// Results of a job. A job that was not started or was preempted returns to the
+// queue. After a failure, an expired lease or a stop it returns only if it is
+// repeatable, and only a limited number of times.
 const (
 	JobSucceeded   JobResult = "succeeded"
 	JobFailed      JobResult = "failed"
-	JobPreempted   JobResult = "preempted" // checkpointed to make room
+	JobPreempted   JobResult = "preempted" // checkpointed to free capacity
 	JobNotStarted  JobResult = "not-started"
-	JobLapsed      JobResult = "lapsed" // lease lapsed, end unknown
+	JobLapsed      JobResult = "lapsed" // lease expired, outcome unknown
 	JobUnplaceable JobResult = "unplaceable"
 	JobStopped     JobResult = "stopped" // after a cancellation
 )
 
-// JobEnd records the end of a placement, or that a job can never be placed.
+// JobEnd records the result of a placement, or that a job can never be placed.
 type JobEnd struct {
 	Result     JobResult `json:"result"`
 	Reason     string    `json:"reason,omitempty"`
 	Checkpoint string    `json:"checkpoint,omitempty"`
-	// PeakMilliCores and PeakMemoryMB are the most that usage reports showed
-	// the task to use; 0 when none came. Later jobs of its shape are sized by
-	// them.
+	// PeakMilliCores and PeakMemoryMB are the task's peak usage according to
+	// usage reports, 0 without a report. Later jobs of the same shape are sized
+	// by them.
 	PeakMilliCores int `json:"peak_milli_cores,omitempty"`
 	PeakMemoryMB   int `json:"peak_memory_mb,omitempty"`
 }
 
-// PreemptAction is how a placed job makes room.
+// PreemptAction is how a placed job frees capacity.
 type PreemptAction string
 
-// Ways to make room, and to take a throttling back.
+// Actions on a placed job. PreemptRestore undoes PreemptThrottle.
 const (
 	PreemptCheckpoint PreemptAction = "checkpoint"
 	PreemptThrottle   PreemptAction = "throttle"
 	PreemptRestore    PreemptAction = "restore"
 )
 
-// JobPreempt is the decision that a placed job makes room for urgent work or
-// for a drain. Its offset is the fencing token of the action on the task.
+// JobPreempt makes a placed job free capacity for an urgent job or for a drain.
+// The record's offset is the fencing token of the action on the task.
 type JobPreempt struct {
 	Action PreemptAction `json:"action"`
-	// MilliCores is what stays reserved after a throttle or restore.
+	// MilliCores is the reservation after a throttle or restore.
 	MilliCores int `json:"milli_cores,omitempty"`
-	// For names the urgent job or the VM that needs the room.
+	// For names the urgent job or the VM that the capacity is freed for.
 	For string `json:"for,omitempty"`
 }
 
-// JobCancel withdraws a job.
+// JobCancel cancels a job.
 type JobCancel struct {
 	Reason string `json:"reason,omitempty"`
 }
 
-// ClockWitness says no more than its record's author and time: what the
-// author's clock shows. Subject: clock and the author's node. Base is not
-// checked.
+// ClockWitness reports the author's clock: the record's Author and Time are its
+// whole content. Subject: clock and the author's node. Base is not checked.
 type ClockWitness struct{}
 
 // Kind implements Body.
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,6 +1,6 @@
 // Package record defines the records that the system appends to the platform's
-// log: one envelope and one typed body per kind. A record is a proposal; the
-// ledger decides at the record's offset whether it is effective.
+// log: one envelope and one typed body per kind. A record is a proposal. The
+// ledger decides at the record's offset whether it is effective or void.
 package record
 
 import (
@@ -15,10 +15,10 @@
 // that the subject was never written.
 type Revision uint64
 
-// SubjectKind names the kind of thing a record changes.
+// SubjectKind is the kind of object that a record changes.
 type SubjectKind string
 
-// Kinds of subject.
+// Kinds of subjects.
 const (
 	SubjectService SubjectKind = "service"
 	SubjectVM      SubjectKind = "vm"
@@ -28,46 +28,49 @@
 	SubjectClock   SubjectKind = "clock"
 )
 
-// Subject is the thing whose revision a record was decided on.
+// Subject is the object that a record changes and whose revision the record is
+// based on.
 type Subject struct {
 	Kind SubjectKind `json:"kind"`
 	Name string      `json:"name"`
 }
 
-// String returns kind and name joined by a slash.
+// String returns "kind/name".
 func (s Subject) String() string { return string(s.Kind) + "/" + s.Name }
 
 // Record is one entry of the log.
 //
-// Base is the revision of Subject that the author decided on; a record whose
-// Base is no longer current is void. For a subject that does not exist yet,
-// Base is 0 and Seen is the offset that the author had folded, which bounds how
-// late a copy of a creating record can take effect.
+// Base is the revision of Subject that the author's decision is based on. A
+// record whose Base is no longer current is void. For a subject that does not
+// exist yet, Base is 0, and Seen bounds how late a copy of the creating record
+// can take effect.
 type Record struct {
-	// ID is unique per decision (a ULID); a second copy of an ID is void.
+	// ID is a ULID, unique per decision. A second record with the same ID is
+	// void.
 	ID      string
 	Subject Subject
 	Base    Revision
-	// Seen is the highest offset that the author had folded.
+	// Seen is the highest offset that the author had applied.
 	Seen uint64
 	// Author is the node or operator that wrote the record.
 	Author string
-	// Time is the author's clock. It dates budget charges and reports and never
-	// decides an order; ledger.Clock says how a wrong one is met.
+	// Time is the author's wall clock. It dates budget charges and reports and
+	// never decides an order. ledger.Clock handles wrong clocks.
 	Time time.Time
 	Body Body
 }
 
-// Body is the typed content of a record.
+// Body is the typed body of a record.
 type Body interface {
-	// Kind names the body on the log.
+	// Kind returns the kind under which the body is encoded.
 	Kind() Kind
 }
 
-// Kind names a body type on the log.
+// Kind identifies a body type in the log.
 type Kind string
 
-// envelope is a record on the log. Encode writes its keys in this order.
+// envelope is the encoded form of a record. Encode writes the keys in this
+// order.
 type envelope[T any] struct {
 	ID      string    `json:"id"`
 	Subject Subject   `json:"subject"`
@@ -79,8 +82,8 @@
 	Body    *T        `json:"body"`
 }
 
-// Bounds of a record. The state keeps names of subjects, so without a bound
-// one bad writer could fill the memory of every node.
+// Limits of a record. The state keeps the names of subjects, so without a limit
+// a faulty writer could fill the memory of every node.
 const (
 	MaxSize = 2 << 20 // bytes of the encoded record
 	MaxName = 256     // bytes of ID, subject and author
@@ -88,14 +91,14 @@
 
 // Errors of Decode.
 var (
-	// ErrMalformed means that the bytes are no record envelope.
+	// ErrMalformed means that the data is not a valid record.
 	ErrMalformed = errors.New("malformed record")
-	// ErrUnknownKind means that the record's kind is not known to this build,
-	// as when a newer build shares the log.
+	// ErrUnknownKind means that this build does not know the record's kind, for
+	// example because a newer build writes to the same log.
 	ErrUnknownKind = errors.New("unknown record kind")
 )
 
-// Encode returns the record as one JSON object.
+// Encode returns r as one JSON object. It returns ErrMalformed if r has no body.
 func Encode(r Record) ([]byte, error) {
 	if r.Body == nil {
 		return nil, errors.Wrap(ErrMalformed, "no body")
@@ -113,8 +116,8 @@
 	return data, errors.Wrap(err, "encode record")
 }
 
-// Decode is the inverse of Encode. Its error is ErrMalformed or ErrUnknownKind;
-// every node gets the same error for the same bytes, so such a record is void
+// Decode is the inverse of Encode. It returns ErrMalformed or ErrUnknownKind.
+// All nodes get the same error for the same data, so such a record is void
 // everywhere.
 func Decode(data []byte) (Record, error) {
 	if len(data) > MaxSize {
@@ -135,12 +138,13 @@
 	return rec, nil
 }
 
-// encodedKindPrefix is what stands before the kind in what Encode writes. Inside a
-// string its quotes would be escaped.
+// encodedKindPrefix precedes the kind in the output of Encode. It cannot occur
+// within a JSON string, where its quotes are escaped.
 var encodedKindPrefix = []byte(`,"kind":"`)
 
-// kindOf returns the record's kind. It spares a pass over what Encode wrote;
-// decoderOf checks what was found so.
+// kindOf returns the record's kind. It first searches for encodedKindPrefix,
+// which saves a JSON pass over the output of Encode. The match may be a key of a
+// nested object, so decoderOf checks the kind again.
 func kindOf(data []byte) (Kind, error) {
 	if _, rest, ok := bytes.Cut(data, encodedKindPrefix); ok {
 		if name, _, ok := bytes.Cut(rest, []byte{'"'}); ok {
@@ -158,7 +162,7 @@
 	return e.Kind, nil
 }
 
-// decoderOf returns the decoder of records with a body of type T.
+// decoderOf decodes and validates a record with a body of type T.
 func decoderOf[T Body](data []byte) (Record, error) {
 	var e envelope[T]
 	if err := json.Unmarshal(data, &e); err != nil {
@@ -170,11 +174,11 @@
 	case max(len(e.ID), len(e.Subject.Kind), len(e.Subject.Name), len(e.Author)) > MaxName:
 		return Record{}, errors.Errorf("id, subject or author longer than %d bytes", MaxName)
 	case !ValidTime(e.Time):
-		return Record{}, errors.Errorf("time %s", e.Time)
+		return Record{}, errors.Errorf("time %s is out of range", e.Time)
 	case e.Body == nil:
 		return Record{}, errors.New("no body")
 	case e.Kind != (*e.Body).Kind():
-		return Record{}, errors.Errorf("its kind is %q", e.Kind)
+		return Record{}, errors.Errorf("envelope has kind %q", e.Kind)
 	}
 	return Record{
 		ID:      e.ID,
@@ -187,9 +191,9 @@
 	}, nil
 }
 
-// ValidTime reports whether a time can be written down in UTC. One of the year
-// 9999 with a zone west of Greenwich cannot; in the state it would keep every
-// node from encoding a snapshot.
+// ValidTime reports whether t can be encoded in UTC. A time late in the year
+// 9999 with a zone west of Greenwich cannot: once in the state, it would make
+// every node fail to encode a snapshot.
 func ValidTime(t time.Time) bool {
 	year := t.UTC().Year()
 	return year >= 1 && year <= 9999
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -60,8 +60,8 @@
 	assert.ErrorIs(t, err, ErrMalformed)
 }
 
-// The log is shared with other writers. Whatever stands on it, decoding ends
-// with a record that encodes to the same again, or with one of the two errors.
+// The log is shared with other writers and may contain any data. Decode must
+// return an error or a record that survives another encoding and decoding.
 func FuzzDecode(f *testing.F) {
 	for _, body := range []Body{VMRegister{Cores: 3}, WaveStart{Pools: []string{"a"}}, JobSubmit{Team: "t"}, MemberSuspect{By: "m"}} {
 		data, err := Encode(testRecord(body))
