--- a/internal/logstory/logstory.go
+++ b/internal/logstory/logstory.go
@@ -51,7 +51,7 @@
 			lines = append(lines, line)
 		}
 	}
-	return lines, errors.Wrap(scanner.Err(), "read log")
+	return lines, errors.Wrap(scanner.Err(), "log")
 }
 
 func parse(text string) (Line, bool) {
@@ -87,7 +87,7 @@
 		_, err := fmt.Fprintf(w, "%s  %-14s %-10s %-18s %s\n",
 			l.At.Format("15:04:05.000"), l.Node, l.Module[strings.LastIndex(l.Module, ".")+1:], l.Message, strings.Join(l.Fields, " "))
 		if err != nil {
-			return errors.Wrap(err, "write line")
+			return errors.Wrap(err, "story")
 		}
 	}
 	return nil
