--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves a daemon's operators over HTTP: metrics, health,
-// readiness and, where the settings allow it, profiles.
+// Package admin serves the admin endpoint of a daemon over HTTP: metrics,
+// health, readiness and, if the settings enable them, profiles.
 package admin
 
 import (
@@ -19,17 +19,17 @@
 	"github.com/yuccadrift/yuccadrift/internal/supervise"
 )
 
-// Bounds of one admin connection. They keep a stuck scraper from holding
-// connections; answers may take long, as a profile does.
+// Limits of one admin connection. They keep a stuck scraper from holding
+// connections. There is no write timeout, because a profile takes long.
 const (
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = time.Minute
 	maxHeaderBytes = 16 << 10
-	// shutdownTimeout is what answers in progress get when the daemon stops.
+	// shutdownTimeout bounds the answers in progress when the daemon stops.
 	shutdownTimeout = 2 * time.Second
 )
 
-// Config is what a Server serves.
+// Config configures a Server.
 type Config struct {
 	Listener  net.Listener
 	Registry  *prometheus.Registry
@@ -44,7 +44,7 @@
 	mux    *http.ServeMux
 }
 
-// New returns a Server on config.Listener, which it owns from then on.
+// New returns a Server on config.Listener. The Server owns the listener.
 func New(config Config) *Server {
 	s := &Server{config: config, mux: http.NewServeMux()}
 	s.mux.Handle("GET /metrics", promhttp.HandlerFor(config.Registry, promhttp.HandlerOpts{}))
@@ -58,13 +58,14 @@
 	return s
 }
 
-// Handle adds a page; it must be called before Serve.
+// Handle registers a handler for pattern. It must be called before Serve.
 func (s *Server) Handle(pattern string, handler http.Handler) {
 	s.mux.Handle(pattern, handler)
 }
 
-// Serve answers until ctx ends. It is a duty's Serve function. The listener
-// cannot be taken up again after a failure, so errors are fatal.
+// Serve answers requests until ctx ends. It is the Serve function of a
+// supervise.Duty. Errors are fatal, since the listener cannot be reused after a
+// failure.
 func (s *Server) Serve(ctx context.Context) error {
 	server := &http.Server{
 		Handler:           s.mux,
@@ -85,16 +86,18 @@
 	}
 }
 
-// shutdown lets answers in progress finish and then closes their connections.
+// shutdown waits up to shutdownTimeout for answers in progress and then closes
+// their connections.
 func shutdown(server *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
-		_ = server.Close() // the listener is closed already, only connections remain
+		_ = server.Close() // the listener is already closed, only connections remain
 	}
 }
 
-// readyz lists why the process is not ready, one reason a line.
+// readyz answers 200 if the process is ready, otherwise 503 with one reason per
+// line.
 func (s *Server) readyz(w http.ResponseWriter, _ *http.Request) {
 	reasons := s.config.Readiness.Reasons()
 	if len(reasons) == 0 {
@@ -115,5 +118,5 @@
 func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
-	_, _ = fmt.Fprintln(w, text) // a caller that left needs no answer
+	_, _ = fmt.Fprintln(w, text) // the client may have disconnected
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -14,8 +14,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/admin"
 )
 
-// startServer serves on a free port and returns the base URL, the readiness and what
-// stops the server and returns Serve's error.
+// startServer serves on a free port. It returns the base URL, the readiness and
+// a function that stops the server and returns Serve's error.
 func startServer(t *testing.T, profiles bool) (string, *admin.Readiness, func() error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -64,7 +64,7 @@
 	assert.Equal(t, http.StatusNotFound, status)
 	assert.ErrorIs(t, stop(), context.Canceled)
 	_, err := http.Get(base + "/healthz")
-	assert.Error(t, err, "the listener is closed after the stop")
+	assert.Error(t, err, "the listener must be closed after the stop")
 }
 
 func TestProfilesAreServedOnlyWhenEnabled(t *testing.T) {
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -20,13 +20,13 @@
 	return registry
 }
 
-// buildInfo is a gauge of constant 1 that carries the build in its labels, so
-// that a roll-out shows as a change of labels.
+// buildInfo returns a gauge of constant 1 with the build in its labels, so that
+// a roll-out shows as a change of labels.
 func buildInfo(binary string) prometheus.Collector {
 	version, revision := buildVersion()
 	gauge := prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "yuccadrift_build_info",
-		Help: "Constant 1, labelled with the build of this process.",
+		Help: "Constant 1, labeled with the build of this process.",
 		ConstLabels: prometheus.Labels{
 			"binary":     binary,
 			"version":    version,
@@ -38,8 +38,8 @@
 	return gauge
 }
 
-// buildVersion returns the module version and the commit, as far as they were stamped
-// into the binary.
+// buildVersion returns the module version and the commit, or "unknown" for what
+// the binary does not contain.
 func buildVersion() (version, revision string) {
 	version, revision = "unknown", "unknown"
 	info, ok := debug.ReadBuildInfo()
--- a/internal/admin/readiness.go
+++ b/internal/admin/readiness.go
@@ -5,35 +5,35 @@
 	"sync"
 )
 
-// Readiness collects why a process is not ready to serve. Each source (a duty,
-// a peer package) holds at most one reason. It is safe for concurrent use.
+// Readiness collects the reasons why a process is not ready to serve. Each
+// source (a duty or a package) has at most one reason. It is safe for concurrent
+// use.
 type Readiness struct {
 	mu      sync.Mutex
 	reasons map[string]string
 }
 
-// NewReadiness returns a Readiness without reasons: a process that reports
-// none is ready.
+// NewReadiness returns a Readiness without reasons, which means ready.
 func NewReadiness() *Readiness {
 	return &Readiness{reasons: map[string]string{}}
 }
 
-// Unready gives source's reason, in place of its earlier one.
+// Unready sets the reason of source. It replaces an earlier reason.
 func (r *Readiness) Unready(source, reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reasons[source] = reason
 }
 
-// Ready takes source's reason back.
+// Ready removes the reason of source.
 func (r *Readiness) Ready(source string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.reasons, source)
 }
 
-// Reasons returns "source: reason" lines in the order of their sources; none
-// means ready.
+// Reasons returns one "source: reason" line per source, sorted, or none if the
+// process is ready.
 func (r *Readiness) Reasons() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant stops the process on a broken invariant. Expected outcomes
-// are returned as values; only a state that the code holds to be impossible
-// comes here, since going on from it could break a promise to a caller.
+// Package invariant stops the process on a broken invariant. It is only for
+// states that the code considers impossible, since continuing from such a state
+// could break a guarantee to a caller. Expected failures are returned as values.
 package invariant
 
 import "fmt"
@@ -10,11 +10,11 @@
 	Reason string
 }
 
-// Error implements error; the runtime prints it when the process ends.
+// Error implements error. The runtime prints it when the process ends.
 func (v Violation) Error() string { return "broken invariant: " + v.Reason }
 
-// Check panics with a Violation when cond is false. The format and its
-// arguments give the reason.
+// Check panics with a Violation if cond is false. format and args give the
+// reason.
 func Check(cond bool, format string, args ...any) {
 	if !cond {
 		panic(Violation{Reason: fmt.Sprintf(format, args...)})
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -1,5 +1,5 @@
-// Package listen binds the addresses of a daemon and explains failures in the
-// operator's terms.
+// Package listen binds the addresses of a daemon. Its errors name the setting
+// and tell an operator how to fix it.
 package listen
 
 import (
@@ -15,13 +15,13 @@
 // Listener is a bound address.
 type Listener = net.Listener
 
-// TCP binds address. key is the setting that holds it. The error names the
-// setting and says what to do.
+// TCP listens on address. key is the setting that holds the address; errors name
+// it and say what to do.
 func TCP(ctx context.Context, key string, address tomlfile.Address) (net.Listener, error) {
 	return TCPText(ctx, key, address.String())
 }
 
-// TCPText is TCP for an address as text, an IP number and a port.
+// TCPText is like TCP for an address in the form "IP:port".
 func TCPText(ctx context.Context, key, address string) (Listener, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", address)
--- a/internal/supervise/supervise.go
+++ b/internal/supervise/supervise.go
@@ -1,6 +1,6 @@
-// Package supervise runs the duties of a daemon under suture: one goroutine
-// for each duty, restarted when it returns an error, and a process that ends
-// when an invariant is broken.
+// Package supervise runs the duties of a daemon, its long-running components,
+// under suture. Each duty runs in its own goroutine and is restarted when it
+// returns an error. A panic, such as a broken invariant, ends the process.
 package supervise
 
 import (
@@ -15,52 +15,54 @@
 	"github.com/thejerf/suture/v4"
 )
 
-// Restart policy of one duty: a first failure restarts it at once, further ones
-// within failureDecay wait for restartPause.
+// Restart policy of one duty: the first failure restarts it at once; while the
+// decaying count of failures exceeds failureThreshold, a restart waits for
+// restartBackoff.
 const (
 	failureThreshold = 1.0
-	failureDecay     = 10 // seconds in which the count of failures halves
+	failureDecay     = 10 // half-life of the failure count, in seconds
 	restartBackoff   = time.Second
 )
 
-// DefaultStopWithin is how long a duty may take to return once it was told to
-// stop.
+// DefaultStopWithin is how long a duty may take to return after its context
+// ended.
 const DefaultStopWithin = 5 * time.Second
 
-// stopMargin is what the tree waits longer than its slowest duty, so that the
-// duty's own supervisor can name it first.
+// stopMargin is how much longer the root supervisor waits than the supervisor of
+// the slowest duty, so that the latter reports the overdue duty by name first.
 const stopMargin = time.Second
 
 var (
-	// ErrStop is returned by a duty to stop all duties in good order, as after
-	// a drain. Run then returns nil.
-	ErrStop = errors.New("duty asks for an orderly stop")
-	// ErrDone is returned by a duty that has nothing left to do. It is not
-	// started again; the others go on.
+	// ErrStop is returned by a duty to shut all duties down gracefully, for
+	// example after a drain. Run then returns nil.
+	ErrStop = errors.New("duty requests a graceful shutdown")
+	// ErrDone is returned by a duty that has nothing left to do. The duty is not
+	// restarted; the other duties keep running.
 	ErrDone = errors.New("duty is done")
 
-	errReturnedEarly = errors.New("duty ended without a reason")
+	errReturnedEarly = errors.New("duty returned before its context ended")
 )
 
-// fatalError is an error that a restart cannot mend.
+// fatalError is an error that a restart cannot fix.
 type fatalError struct{ cause error }
 
 func (e fatalError) Error() string { return e.cause.Error() }
 func (e fatalError) Unwrap() error { return e.cause }
 
-// Fatal marks an error that a restart cannot mend, such as an address in use.
-// All duties stop and Run returns the error.
+// Fatal marks an error that a restart cannot fix, such as an address in use. All
+// duties are stopped and Run returns the error.
 func Fatal(err error) error { return fatalError{cause: err} }
 
-// Duty is one job of a daemon.
+// Duty is one long-running component of a daemon.
 type Duty struct {
 	Name string
-	// Serve runs until ctx ends. Any error but ErrStop, ErrDone and a Fatal one
-	// restarts it, and so does a nil return before ctx ended: a duty that
-	// silently stopped would leave its work undone. A panic ends the process.
+	// Serve runs until ctx ends. It is restarted after any error except ErrStop,
+	// ErrDone and Fatal errors, and also after a nil return before ctx ended,
+	// since the duty's work would otherwise stop unnoticed. A panic ends the
+	// process.
 	Serve func(ctx context.Context) error
 	// StopWithin bounds the time from the end of ctx to the return of Serve; 0
-	// stands for DefaultStopWithin.
+	// means DefaultStopWithin.
 	StopWithin time.Duration
 }
 
@@ -71,9 +73,9 @@
 	return d.StopWithin
 }
 
-// Run runs the duties until ctx ends, a duty returns ErrStop (nil is returned)
-// or a duty fails for good (its error is returned). Duties that did not stop in
-// time are named in the error.
+// Run runs the duties until ctx ends or a duty returns ErrStop or a Fatal error.
+// It returns the Fatal error, or an error that names the duties that did not
+// stop in time, or nil after ErrStop or when ctx was canceled.
 func Run(ctx context.Context, name string, logger hclog.Logger, duties ...Duty) error {
 	tree := &tree{logger: logger}
 	longestStop := time.Duration(0)
@@ -82,8 +84,8 @@
 	}
 	root := suture.New(name, tree.spec(longestStop+stopMargin))
 	for _, d := range duties {
-		// A supervisor for each duty keeps one that fails again and again from
-		// holding back the restarts of the others.
+		// Each duty has its own supervisor. With a shared one, a duty that keeps
+		// failing would delay the restarts of the others.
 		child := suture.New(d.Name, tree.spec(d.stopWithin()))
 		child.Add(&service{duty: d, tree: tree})
 		root.Add(child)
@@ -92,7 +94,7 @@
 	return tree.result(err)
 }
 
-// tree is what the supervisors of one Run share.
+// tree is the state that the supervisors of one Run share.
 type tree struct {
 	logger hclog.Logger
 
@@ -108,21 +110,21 @@
 		FailureDecay:     failureDecay,
 		FailureBackoff:   restartBackoff,
 		Timeout:          timeout,
-		// A recovered panic would let a process with a broken invariant answer
-		// callers from a state that nobody knows.
+		// After a recovered panic, a process with a broken invariant would answer
+		// callers from an undefined state.
 		PassThroughPanics: true,
 	}
 }
 
-// logEvent logs what suture reports.
+// logEvent logs suture's events and records the duties that did not stop in time.
 func (t *tree) logEvent(e suture.Event) {
 	switch e := e.(type) {
 	case suture.EventServiceTerminate:
 		t.logger.Warn("duty failed", "duty", e.ServiceName, "error", e.Err, "restarting", e.Restarting)
 	case suture.EventBackoff:
-		t.logger.Warn("duty fails repeatedly, pausing its restart", "duty", e.SupervisorName)
+		t.logger.Warn("duty fails repeatedly, delaying its restart", "duty", e.SupervisorName)
 	case suture.EventResume:
-		t.logger.Info("restarting duty after a pause", "duty", e.SupervisorName)
+		t.logger.Info("restarting duty after the delay", "duty", e.SupervisorName)
 	case suture.EventStopTimeout:
 		t.logger.Error("duty did not stop in time", "duty", e.ServiceName)
 		t.mu.Lock()
@@ -133,7 +135,7 @@
 	}
 }
 
-// setFatal keeps the first error that ends the tree.
+// setFatal records the error that Run returns. Later errors are ignored.
 func (t *tree) setFatal(duty string, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,7 +144,7 @@
 	}
 }
 
-// result turns the end of the root supervisor into what Run returns.
+// result returns Run's result, where err is the error of the root supervisor.
 func (t *tree) result(err error) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -158,13 +160,13 @@
 	return err
 }
 
-// service is a duty as suture sees it.
+// service adapts a Duty to suture.Service.
 type service struct {
 	duty Duty
 	tree *tree
 }
 
-// String names the duty in suture's events.
+// String returns the duty's name, which suture puts into its events.
 func (s *service) String() string { return s.duty.Name }
 
 // Serve implements suture.Service.
@@ -187,8 +189,8 @@
 	}
 }
 
-// logPanic puts the reason into the log, which may be all that outlives a VM
-// without disks, and lets the panic go on.
+// logPanic logs the reason of a panic and panics again. On a VM without disks
+// the log may be all that survives the process.
 func (s *service) logPanic() {
 	if reason := recover(); reason != nil {
 		s.tree.logger.Error("stopping on a panic", "duty", s.duty.Name, "reason", fmt.Sprint(reason))
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervise/supervise_test.go
@@ -18,7 +18,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/supervise"
 )
 
-// crashEnv makes the test binary run a duty that breaks an invariant.
+// crashEnv is the environment variable that makes the test binary call crash.
 const crashEnv = "YUCCADRIFT_TEST_CRASH"
 
 func TestMain(m *testing.M) {
@@ -28,8 +28,8 @@
 	os.Exit(m.Run())
 }
 
-// crash runs a duty that breaks an invariant. Only a supervisor that recovered
-// the panic starts the duty a second time; the process then ends with 0.
+// crash runs a duty that breaks an invariant. If a supervisor recovers the panic,
+// the duty starts a second time and the process exits with 0.
 func crash() {
 	starts := 0
 	logger := hclog.New(&hclog.LoggerOptions{Output: os.Stdout, JSONFormat: true})
@@ -51,10 +51,10 @@
 	}}
 }
 
-// A duty breaks an invariant while another works. Suture would recover the
-// panic and start the duty again, and the process would go on deciding from an
-// impossible state: the operator would see a warning at most. The process must
-// end, with the reason on stderr and in the log.
+// Guards against a process that keeps running after a broken invariant. By
+// default suture recovers the panic and restarts the duty, which would then
+// decide from an impossible state. The process must exit, with the reason on
+// stderr and in the log.
 func TestBrokenInvariantEndsProcessWithReason(t *testing.T) {
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
 	cmd.Env = append(os.Environ(), crashEnv+"=1")
@@ -65,12 +65,12 @@
 	require.ErrorAs(t, err, &exit)
 	assert.Equal(t, 2, exit.ExitCode())
 	assert.Contains(t, stderr.String(), "broken invariant: offset 3 below 5")
-	assert.Contains(t, stderr.String(), "supervise_test.crash.func1", "the stack shows where it broke")
+	assert.Contains(t, stderr.String(), "supervise_test.crash.func1", "the stack must show the failed check")
 	assert.Contains(t, stdout.String(), `"reason":"broken invariant: offset 3 below 5"`)
 }
 
-// A duty fails five times in a row. Its first restart comes at once, later ones
-// after a pause, while a duty beside it that fails once is not held back.
+// A duty fails repeatedly. Its first restart must be immediate and later ones
+// delayed, and the restart of another duty that fails once must not be delayed.
 func TestErrorsRestartDutyWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
