--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -10,16 +10,16 @@
 	"github.com/pkg/errors"
 )
 
-// Decode decodes data into a T. Keys that T does not know are problems. file
-// only names the text in problems. The value holds all that could be decoded,
-// also when there are problems.
+// Decode decodes data into a T. Keys that T does not have are problems. file is
+// only used as the name of the text in problems. If there are problems, the
+// value holds what could be decoded, and after a syntax error nothing.
 func Decode[T any](file string, data []byte) (T, Positions, Problems) {
 	var zero T
 	return DecodeOver(file, data, zero)
 }
 
-// DecodeOver is Decode with defaults for the keys that the text leaves out.
-// defaults must hold no map or slice that the text may set.
+// DecodeOver is like Decode with defaults for the keys that are not in the text.
+// defaults must not contain maps or slices that the text may set.
 func DecodeOver[T any](file string, data []byte, defaults T) (T, Positions, Problems) {
 	positions := indexKeys(file, data)
 	if positions.firstSyntaxError != nil {
@@ -52,17 +52,18 @@
 	return toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields().Decode(into)
 }
 
-// blankExpression overwrites the expression at offset with spaces, so that the next pass
-// decodes what follows. The decoder stops at the first value that it cannot
-// store; without this an operator would learn of one mistake per attempt. It
-// reports false when nothing was left to overwrite, which ends the passes.
+// blankExpression overwrites the expression at offset with spaces, so that the
+// next pass decodes what follows. Without it an operator would see one mistake
+// per attempt, because the decoder stops at the first value that it cannot
+// store. It returns false if there was nothing to overwrite, which ends the
+// passes.
 func (p Positions) blankExpression(data []byte, offset int) bool {
 	i := p.expressionAt(offset)
 	if i < 0 {
 		return false
 	}
 	start, end := p.expressions[i].start, p.expressions[i].end
-	if p.expressions[i].header != "" { // its keys would fall to the table in front
+	if p.expressions[i].header != "" { // its keys would otherwise belong to the previous table
 		for i++; i < len(p.expressions) && p.expressions[i].header == ""; i++ {
 			end = p.expressions[i].end
 		}
@@ -77,7 +78,7 @@
 	return changed
 }
 
-// unknownKey describes a key that value's type does not have.
+// unknownKey returns the problem of a key that value's type does not have.
 func (p Positions) unknownKey(err *toml.DecodeError, value any) Problem {
 	offset := p.offset(err)
 	expected := ""
@@ -87,8 +88,8 @@
 	return Problem{File: p.file, Line: p.lineAt(offset), Key: p.keyPathAt(offset, err.Key()), Wrong: "unknown key", Expected: expected}
 }
 
-// decodeError describes a key that stands twice or a value of the wrong type,
-// with its offset in rest.
+// decodeError returns the problem of a duplicate key or a value of the wrong
+// type, and its offset in rest.
 func (p Positions) decodeError(err error, rest []byte, value any) (Problem, int) {
 	var located *toml.DecodeError
 	var path []string
@@ -102,10 +103,11 @@
 	return Problem{File: p.file, Line: p.lineAt(offset), Key: p.keyAt(offset), Wrong: wrong, Expected: expected}, offset
 }
 
-// firstFailingOffset returns the offset of the first expression that value's type refuses.
-// The decoder hands on the error of an UnmarshalText method without a place
-// when the value is no string (window = 30). It works in the text's order, so
-// the shortest beginning that fails ends with the expression at fault.
+// firstFailingOffset returns the offset of the first expression that cannot be
+// decoded into value's type. It is needed if the value is not a string, as in
+// window = 30: the decoder then returns the error of an UnmarshalText method
+// without a position. The decoder works in the order of the text, so the shortest
+// prefix that fails ends with the failing expression.
 func (p Positions) firstFailingOffset(rest []byte, value any) int {
 	i := sort.Search(len(p.expressions), func(i int) bool {
 		target := reflect.New(reflect.TypeOf(value))
@@ -119,7 +121,7 @@
 	return p.expressions[i].start
 }
 
-// offset converts the 1-based row and column of err.
+// offset returns the offset of err's 1-based row and column.
 func (p Positions) offset(err *toml.DecodeError) int {
 	row, column := err.Position()
 	start := 0
--- a/internal/tomlfile/describe.go
+++ b/internal/tomlfile/describe.go
@@ -7,12 +7,13 @@
 	"strings"
 )
 
-// mismatchPattern matches the decoder's message for a value of the wrong type, such
-// as "cannot decode TOML string into int". Other messages are kept as they are.
+// mismatchPattern matches the decoder's message on a value of the wrong type,
+// such as "cannot decode TOML string into int". Other messages are reported
+// unchanged.
 var mismatchPattern = regexp.MustCompile(`^cannot decode TOML (.+) into (?:struct field \S+ of type )?(\S+)$`)
 
-// describeMismatch turns the decoder's message on the key at path into what is wrong
-// and what is expected.
+// describeMismatch converts the decoder's message on the key at path into the
+// Wrong and Expected texts of a Problem.
 func describeMismatch(message string, value any, path []string) (wrong, expected string) {
 	m := mismatchPattern.FindStringSubmatch(message)
 	if m == nil {
@@ -21,9 +22,9 @@
 	return "is of type " + m[1], tomlType(m[2], typeAt(value, path))
 }
 
-// tomlType names the TOML type that decodes into goType, the name of the type
-// that refused the value. at is the type of the whole key, or nil; it tells
-// what a named type such as "settings.LogFormat" is.
+// tomlType returns the TOML type that decodes into goType, the name of the Go
+// type in the decoder's message. keyType is the Go type of the whole key, or
+// nil; it resolves named types such as "settings.LogFormat".
 func tomlType(goType string, keyType reflect.Type) string {
 	switch {
 	case goType == reflect.TypeFor[Duration]().String():
@@ -69,7 +70,7 @@
 	return t
 }
 
-// knownKeys lists the keys of the table that holds the last part of path.
+// knownKeys returns the keys of the table that contains the last part of path.
 func knownKeys(value any, path []string) []string {
 	t := typeAt(value, path[:max(0, len(path)-1)])
 	if t == nil || elementType(t).Kind() != reflect.Struct {
@@ -93,8 +94,8 @@
 	return reflect.StructField{}, false
 }
 
-// keyOf returns the TOML key of a field; it is empty for embedded structs,
-// whose fields stand for themselves, and for fields kept out of the file.
+// keyOf returns the TOML key of a field. It returns "" for embedded structs,
+// whose fields are listed separately, and for fields that are not decoded.
 func keyOf(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("toml"), ",")
 	switch {
@@ -109,7 +110,7 @@
 	}
 }
 
-// elementType strips pointers, slices and maps.
+// elementType returns the type below all pointers, slices and maps of t.
 func elementType(t reflect.Type) reflect.Type {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice || t.Kind() == reflect.Map {
 		t = t.Elem()
--- a/internal/tomlfile/positions.go
+++ b/internal/tomlfile/positions.go
@@ -9,38 +9,38 @@
 	"github.com/pkg/errors"
 )
 
-// keyPosition is where one key, table or array element starts.
+// keyPosition is the offset at which a key, table or array element starts.
 type keyPosition struct {
 	key    string
 	offset int
 }
 
-// expression is one top-level expression: a key with its value or a header.
+// expression is a top-level expression: a key with its value, or a table header.
 type expression struct {
 	start, end int
-	header     string // path of the table that a header opens, else empty
+	header     string // path of the table that a header opens, otherwise empty
 }
 
-// Positions finds the place of keys in one TOML text. Keys are dotted paths;
-// elements of arrays and of arrays of tables carry an index, such as
-// "pool.size" or "route[1].path".
+// Positions maps the keys of one TOML text to their positions. Keys are dotted
+// paths such as "pool.size"; elements of arrays and of arrays of tables have an
+// index, such as "route[1].path".
 type Positions struct {
 	file             string
 	data             []byte
 	keys             []keyPosition
 	firstIndex       map[string]int // key -> index into keys
 	expressions      []expression
-	firstSyntaxError *Problem // the syntax error that ended the text early
+	firstSyntaxError *Problem // the syntax error at which parsing stopped
 }
 
-// Has tells whether the text holds the key.
+// Has reports whether the text contains the key.
 func (p Positions) Has(key string) bool {
 	_, ok := p.firstIndex[key]
 	return ok
 }
 
-// Line returns the 1-based line of the key. A key that is absent has the line
-// of its nearest table that is present, or 1.
+// Line returns the 1-based line of the key. For a missing key it returns the
+// line of the closest enclosing table that is present, or 1.
 func (p Positions) Line(key string) int {
 	for key != "" {
 		if i, ok := p.firstIndex[key]; ok {
@@ -51,7 +51,7 @@
 	return 1
 }
 
-// Problem returns a mistake found at key.
+// Problem returns a problem at the line of key.
 func (p Positions) Problem(key, wrong, expected string) Problem {
 	return Problem{File: p.file, Line: p.Line(key), Key: key, Wrong: wrong, Expected: expected}
 }
@@ -60,8 +60,8 @@
 	return 1 + bytes.Count(p.data[:offset], []byte{'\n'})
 }
 
-// keyAt returns the last key that starts at or before offset, or the table
-// that is opened there.
+// keyAt returns the last key that starts at or before offset, or the table whose
+// header is there.
 func (p Positions) keyAt(offset int) string {
 	if i := p.expressionAt(offset); i >= 0 && p.expressions[i].header != "" {
 		return p.expressions[i].header
@@ -76,8 +76,8 @@
 	return key
 }
 
-// keyPathAt returns the key that starts at offset and ends with the last part of
-// path: "a.b" is noted twice, as "a" and as "a.b".
+// keyPathAt returns the first key at or after offset that ends with the last
+// part of path. The dotted key "a.b" is recorded twice, as "a" and as "a.b".
 func (p Positions) keyPathAt(offset int, path []string) string {
 	if i := p.expressionAt(offset); i < 0 || p.expressions[i].header != "" || len(path) == 0 {
 		return p.keyAt(offset)
@@ -90,7 +90,7 @@
 	return p.keyAt(offset)
 }
 
-// expressionAt returns the index of the expression that covers offset, or -1.
+// expressionAt returns the index of the expression that contains offset, or -1.
 func (p Positions) expressionAt(offset int) int {
 	for i, e := range p.expressions {
 		if e.start <= offset && offset < e.end {
@@ -100,7 +100,7 @@
 	return -1
 }
 
-// parent cuts the last element off a key path.
+// parent returns the path without its last element.
 func parent(key string) string {
 	if strings.HasSuffix(key, "]") {
 		return key[:strings.LastIndexByte(key, '[')]
@@ -111,15 +111,15 @@
 	return ""
 }
 
-// indexer walks the expressions of a text and notes where each key starts.
+// indexer walks the expressions of a text and records where each key starts.
 type indexer struct {
 	positions *Positions
-	elements  map[string]int // path of an array of tables -> elements so far
+	elements  map[string]int // path of an array of tables to the number of its elements so far
 	table     string         // path of the current table
 }
 
-// indexKeys parses data and returns the places of all keys in front of the first
-// syntax error, if there is one.
+// indexKeys parses data and returns the positions of all keys up to the first
+// syntax error.
 func indexKeys(file string, data []byte) Positions {
 	p := Positions{file: file, data: data, firstIndex: map[string]int{}}
 	in := indexer{positions: &p, elements: map[string]int{}}
@@ -138,7 +138,8 @@
 	return p
 }
 
-// parseError returns the error that stopped parser, or nil at the text's end.
+// parseError returns the error that stopped parser, or nil if it reached the end
+// of the text.
 func parseError(file string, parser *unstable.Parser) *Problem {
 	err := parser.Error()
 	if err == nil {
@@ -164,7 +165,7 @@
 	}
 }
 
-// header notes a [table] or [[array of tables]] and makes it the current one.
+// header records a [table] or [[array of tables]] and makes it the current table.
 func (in *indexer) header(node *unstable.Node, array bool) {
 	path, start := "", -1
 	for it := node.Key(); it.Next(); {
@@ -187,8 +188,8 @@
 	in.positions.expressions = append(in.positions.expressions, expression{start: lineStart, header: path})
 }
 
-// keyValue notes a key below prefix and all keys inside its value. It returns
-// where the key starts.
+// keyValue records a key below prefix and all keys within its value. It returns
+// the offset of the key.
 func (in *indexer) keyValue(prefix string, node *unstable.Node) int {
 	path, start := prefix, -1
 	for it := node.Key(); it.Next(); {
@@ -213,7 +214,7 @@
 		i := 0
 		for it := node.Children(); it.Next(); i++ {
 			element := fmt.Sprintf("%s[%d]", path, i)
-			if it.Node().Kind != unstable.Array { // the parser gives arrays no place
+			if it.Node().Kind != unstable.Array { // the parser has no offset for arrays
 				in.record(element, int(it.Node().Raw.Offset))
 			}
 			in.value(element, it.Node())
--- a/internal/tomlfile/problem.go
+++ b/internal/tomlfile/problem.go
@@ -1,6 +1,6 @@
-// Package tomlfile decodes TOML text strictly and reports every mistake at
-// once, each with its file, line and key. Settings, service documents and the
-// stand-in share it. It reads no file and holds no state.
+// Package tomlfile strictly decodes TOML text and reports all mistakes at once,
+// each with its file, line and key. It is used for settings, service documents
+// and the stand-in's configuration. It reads no files and holds no state.
 package tomlfile
 
 import (
@@ -15,12 +15,13 @@
 	Line     int    // 1-based
 	Key      string // dotted path such as "route[1].path"; empty for a syntax error
 	Wrong    string // what is wrong, such as `"fast" is not a duration`
-	Expected string // what would be right; empty when Wrong says it all
-	// Malformed marks a syntax error: the text after Line was not read.
+	Expected string // the accepted values; empty if Wrong is sufficient
+	// Malformed marks a syntax error. The text after Line was not decoded.
 	Malformed bool
 }
 
-// String returns "file:line: key: wrong, expected what".
+// String returns "file:line: key: wrong, expected ...", without the parts that
+// are empty.
 func (p Problem) String() string {
 	text := fmt.Sprintf("%s:%d: ", p.File, p.Line)
 	if p.Key != "" {
@@ -34,14 +35,15 @@
 }
 
 // MaxProblems is how many mistakes of one text are reported. The decoder stops
-// at each, so a text with thousands would be read thousands of times; a service
-// document is read by every node as it folds the log.
+// at each mistake and is run again, so without a limit a text with thousands of
+// mistakes would be decoded thousands of times. Every node decodes each service
+// document when it applies the log.
 const MaxProblems = 100
 
-// Problems are the mistakes of one text, in the order of its lines.
+// Problems lists the mistakes of one text in the order of its lines.
 type Problems []Problem
 
-// Error returns one problem a line.
+// Error returns one problem per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -50,8 +52,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns nil when there is no problem. It spares callers the typed nil
-// that a plain conversion to error would give.
+// Err returns ps as an error, or nil if there is no problem. A direct conversion
+// of empty Problems to error would not be nil.
 func (ps Problems) Err() error {
 	if len(ps) == 0 {
 		return nil
@@ -59,22 +61,22 @@
 	return ps
 }
 
-// Malformed tells whether the text broke off at a syntax error. Checks for
-// missing keys are meaningless then.
+// Malformed reports whether decoding ended at a syntax error. In that case a
+// check for missing keys is meaningless.
 func (ps Problems) Malformed() bool {
 	return slices.ContainsFunc(ps, func(p Problem) bool { return p.Malformed })
 }
 
-// Has tells whether key has a problem. Its value then may be a default that the
-// text never named, so a check of another key against it would mislead.
+// Has reports whether key has a problem. Its value may then be a default that is
+// not in the text, so a problem found by comparing another key with it would be
+// misleading.
 func (ps Problems) Has(key string) bool {
 	return slices.ContainsFunc(ps, func(p Problem) bool { return p.Key == key })
 }
 
-// Add takes p in, in line order, unless MaxProblems were found. A key that has
-// a problem already keeps its first one: a value that could not be decoded
-// still holds its default, and a second complaint about that default would
-// mislead.
+// Add inserts p in line order. It ignores p if there are MaxProblems already or
+// if p.Key has a problem: a value that could not be decoded still holds its
+// default, and a second problem on that default would be misleading.
 func (ps *Problems) Add(p Problem) {
 	if len(*ps) >= MaxProblems {
 		return
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -119,8 +119,8 @@
 	assert.Equal(t, "[::1]:80", address.String())
 }
 
-// An operator's file may hold anything; whatever it holds, decoding ends and
-// every problem lies on a line of the file.
+// An operator's file may contain any data. Decode must always return, and every
+// problem must be on a line of the file.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{"a = 1\n[b]\nc = [1, {d = 2}]", "[[route]]\npath = 1", "[route]\nx=", "zones = [[]]", "\"\" = 1", "budget = 3\n[budget.window]\n"} {
 		f.Add([]byte(seed))
--- a/internal/tomlfile/values.go
+++ b/internal/tomlfile/values.go
@@ -8,14 +8,15 @@
 	"github.com/pkg/errors"
 )
 
-// What the two value types accept, for messages.
+// Descriptions of the accepted values, for messages.
 const (
 	durationForm = `a duration with its unit in quotes, such as "250ms" or "1h30m"`
 	addressForm  = `an IP number and port in quotes, such as "10.0.0.1:7400"`
 )
 
-// Duration is a time.Duration written as a string with its unit ("250ms"). It
-// is a struct because the decoder would take a bare integer for nanoseconds.
+// Duration is a time.Duration that is written as a string with a unit, such as
+// "250ms". It is a struct because the decoder would accept a plain integer for a
+// time.Duration, as nanoseconds.
 type Duration struct{ time.Duration }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -33,9 +34,9 @@
 	return []byte(d.String()), nil
 }
 
-// Address is an IP number with a port. Host names are refused: a daemon learns
-// its addresses from its settings only, and a name server that is down or stale
-// would otherwise decide where requests go.
+// Address is an IP address with a port. Host names are rejected: a daemon takes
+// its addresses only from its settings, and with host names a DNS server that is
+// down or stale would decide where requests go.
 type Address struct{ netip.AddrPort }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// ParseAddress parses "IP:port"; IPv6 numbers stand in brackets.
+// ParseAddress parses "IP:port". IPv6 addresses must be in brackets.
 func ParseAddress(text string) (Address, error) {
 	parsed, err := netip.ParseAddrPort(text)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return Address{parsed}, nil
 }
 
-// addressProblem tells an operator which part of the text is no address.
+// addressProblem returns why text is not an address.
 func addressProblem(text string) string {
 	if _, err := netip.ParseAddr(text); err == nil {
 		return "without a port"
@@ -72,7 +73,7 @@
 	return "not an address"
 }
 
-// splitPort cuts text at its last colon and strips brackets from the host.
+// splitPort splits text at the last colon and strips brackets from the host.
 func splitPort(text string) (host, port string) {
 	host = text
 	if i := strings.LastIndexByte(text, ':'); i >= 0 {
@@ -81,8 +82,8 @@
 	return strings.Trim(host, "[]"), port
 }
 
-// isHostName tells whether host holds a letter and only the characters of a
-// host name.
+// isHostName reports whether host contains a letter and only characters that are
+// valid in a host name.
 func isHostName(host string) bool {
 	hasLetter := false
 	for _, r := range host {
