--- a/cmd/yuccadrift-load/jobs.go
+++ b/cmd/yuccadrift-load/jobs.go
@@ -14,16 +14,16 @@
 func jobsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "jobs",
-		Usage: "send jobs to the queues of nodes and wait until all are completed",
+		Usage: "submit jobs to the queues of nodes and wait until all are completed",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "target", Usage: "`IP:PORT` of a node's callers' address (repeatable)", Required: true},
 			&cli.StringFlag{Name: "host", Usage: "`HOST` of the queues", Required: true},
 			&cli.StringSliceFlag{Name: "queue", Usage: "path `PREFIX` of a queue (repeatable)", Required: true},
 			&cli.IntFlag{Name: "jobs", Usage: "`N` jobs", Value: 200},
-			&cli.FloatFlag{Name: "rate", Usage: "jobs a second", Value: 20},
-			&cli.DurationFlag{Name: "takes", Usage: "what a task takes", Value: 200 * time.Millisecond},
-			&cli.DurationFlag{Name: "patience", Usage: "how long a job may take", Value: 30 * time.Second},
-			&cli.Uint64Flag{Name: "seed", Usage: "fixes the jobs", Value: 1},
+			&cli.FloatFlag{Name: "rate", Usage: "jobs per second", Value: 20},
+			&cli.DurationFlag{Name: "takes", Usage: "duration of a task", Value: 200 * time.Millisecond},
+			&cli.DurationFlag{Name: "patience", Usage: "how long to wait for a job's completion", Value: 30 * time.Second},
+			&cli.Uint64Flag{Name: "seed", Usage: "determines the IDs and sizes of the jobs", Value: 1},
 		},
 		Action: runJobs,
 	}
--- a/cmd/yuccadrift-load/main.go
+++ b/cmd/yuccadrift-load/main.go
@@ -21,8 +21,8 @@
 	return &cli.Command{
 		Name:  "yuccadrift-load",
 		Usage: "send a bounded load to entry VMs on this machine and check every answer",
-		Description: `A route is a list of key=value: name, path, rate (requests a second), work, reply
-and body (bytes), keyed (true for not-repeatable routes), deadline.
+		Description: `A route is a list of key=value: name, path, rate (requests per second), work, reply
+and body (bytes), keyed (true for routes that are not repeatable), deadline.
 
 Example:
    yuccadrift-load --target 127.0.0.1:8080 --duration 10s \
@@ -32,13 +32,13 @@
 			&cli.StringSliceFlag{Name: "target", Usage: "`IP:PORT` of an entry VM's callers' address (repeatable)"},
 			&cli.StringSliceFlag{Name: "route", Usage: "a kind of request (repeatable)"},
 			&cli.DurationFlag{Name: "duration", Usage: "how long requests are sent", Value: 10 * time.Second},
-			&cli.DurationFlag{Name: "warm", Usage: "first part that is not counted", Value: time.Second},
-			&cli.IntFlag{Name: "in-flight", Usage: "most requests under way", Value: 5000},
-			&cli.IntFlag{Name: "retries", Usage: "attempts after unknown or not-run"},
-			&cli.Uint64Flag{Name: "seed", Usage: "fixes the arrivals", Value: 1},
+			&cli.DurationFlag{Name: "warm", Usage: "warm-up at the start, not counted", Value: time.Second},
+			&cli.IntFlag{Name: "in-flight", Usage: "maximum number of requests in flight", Value: 5000},
+			&cli.IntFlag{Name: "retries", Usage: "retries after unknown, not-run or a broken connection"},
+			&cli.Uint64Flag{Name: "seed", Usage: "determines the arrival times and targets", Value: 1},
 			&cli.BoolFlag{Name: "json", Usage: "print JSON instead of a table"},
 		},
-		// A comma separates the parts of one route, not routes.
+		// Commas separate the parts of one route, not several routes.
 		DisableSliceFlagSeparator: true,
 		Action:                    run,
 		Commands:                  []*cli.Command{jobsCommand()},
@@ -74,7 +74,7 @@
 		err = report.WriteTable(os.Stdout)
 	}
 	if err == nil && report.Wrong() > 0 {
-		return errors.New("wrong answers: of other requests, or partial ones that look whole")
+		return errors.New("wrong answers: for other requests, partial but complete-looking, or without an outcome")
 	}
 	return err
 }
--- a/internal/load/jobs.go
+++ b/internal/load/jobs.go
@@ -17,25 +17,25 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// JobPlan is a load of jobs.
+// JobPlan describes a load of jobs.
 type JobPlan struct {
-	Targets           []string // callers' addresses of nodes
-	Host              string   // of the queues
-	Queues            []string // path prefixes
+	Targets           []string // callers' addresses of nodes (IP:port)
+	Host              string   // Host header of the queues
+	Queues            []string // path prefixes of the queues; a job's ID is appended
 	Jobs              int
-	Rate              float64 // jobs a second
+	Rate              float64 // jobs per second
 	TaskDuration      time.Duration
-	CompletionTimeout time.Duration // for all jobs to be completed, after the last was sent
+	CompletionTimeout time.Duration // for each job, from its acceptance
 	Seed              uint64
 }
 
-// JobReport is what came of it.
+// JobReport is the result of a load of jobs.
 type JobReport struct {
 	Sent, Accepted, Refused, Completed, Incomplete int
-	Slowest                                        time.Duration // from the first try until shown as completed
+	Slowest                                        time.Duration // longest time from the first attempt until shown as completed
 }
 
-// Times of a caller of jobs.
+// Timeouts, intervals and attempts of calls.
 const (
 	jobCallTimeout      = 4 * time.Second
 	submitRetryInterval = 200 * time.Millisecond
@@ -43,17 +43,18 @@
 	maxSubmitAttempts   = 20
 )
 
-// maxFirstStepTasks is how many tasks the first step of a job has at most.
+// maxFirstStepTasks bounds the number of tasks in the first step of a job.
 const maxFirstStepTasks = 5
 
-// jobSpec is a job of two steps.
+// jobSpec returns a job of two steps: width tasks, then one task that depends on
+// them.
 func (p JobPlan) jobSpec(width int) workload.Spec {
 	first := workload.Step{Count: width, Resources: workload.Resources{CPU: 1000, MemoryMB: 500}, EstimateMS: p.TaskDuration.Milliseconds()}
 	second := workload.Step{Count: 1, Resources: workload.Resources{CPU: 2000, MemoryMB: 500}, EstimateMS: p.TaskDuration.Milliseconds(), DependsOn: []int{0}}
 	return workload.Spec{Payload: p.TaskDuration.String(), Steps: []workload.Step{first, second}}
 }
 
-// jobClient submits jobs and asks for them.
+// jobClient submits jobs and polls their states.
 type jobClient struct {
 	plan   JobPlan
 	client *http.Client
@@ -62,8 +63,9 @@
 	report JobReport
 }
 
-// RunJobs sends jobs and waits until each is shown as completed, asking another
-// node with the same ID after anything but an answer that it was taken.
+// RunJobs submits jobs and waits until each is shown as completed or its time is
+// over. A job that no node has accepted yet is submitted again to the next node,
+// with the same ID. RunJobs returns an error if plan is incomplete or ctx ends.
 func RunJobs(ctx context.Context, plan JobPlan) (JobReport, error) {
 	if len(plan.Targets) == 0 || len(plan.Queues) == 0 || plan.Jobs < 1 || plan.Rate <= 0 {
 		return JobReport{}, errors.New("a load of jobs needs targets, queues, jobs and a rate")
@@ -87,7 +89,7 @@
 	return c.report, ctx.Err()
 }
 
-// runJob takes one job from its submission to its end.
+// runJob submits one job, waits for its completion and counts the result.
 func (c *jobClient) runJob(ctx context.Context, i int, path string, body []byte) {
 	startedAt := time.Now()
 	accepted := c.submit(ctx, i, path, body)
@@ -145,7 +147,8 @@
 	return false
 }
 
-// call sends one call; the status is 0 without an answer.
+// call sends one request to the n-th target, modulo their number, and returns
+// the status and body of the answer. The status is 0 without a complete answer.
 func (c *jobClient) call(ctx context.Context, method string, n int, path string, body []byte) (int, []byte) {
 	target := c.plan.Targets[n%len(c.plan.Targets)]
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+target+path, bytes.NewReader(body))
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -15,7 +15,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// answers maps a path to an entry's good or bad conduct.
+// answers maps a path to an entry VM's correct or faulty answer.
 var answers = map[string]http.HandlerFunc{
 	"/good": func(w http.ResponseWriter, r *http.Request) { writeWholeAnswer(w, r, outcome.Ran) },
 	"/other": func(w http.ResponseWriter, r *http.Request) {
@@ -65,8 +65,9 @@
 	}
 }
 
-// The generator must see each broken promise: another request's answer, a partial
-// one that passes as whole, and one without an outcome.
+// The generator must detect each violated guarantee: an answer to another
+// request, a partial answer that looks complete, and an answer without an
+// outcome.
 func TestAnswersAreClassified(t *testing.T) {
 	mux := http.NewServeMux()
 	for path, answer := range answers {
@@ -91,8 +92,8 @@
 	}
 }
 
-// A retry carries the key of its first attempt and counts up; a fresh key would
-// run a booking twice.
+// A retry must carry the key of the first attempt and an increased attempt
+// number. With a new key, a booking would run twice.
 func TestRetryReusesKey(t *testing.T) {
 	var keys sync.Map
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -121,9 +122,9 @@
 	require.NoError(t, ok.Check())
 	for name, mutate := range map[string]func(*Plan){
 		"another machine": func(p *Plan) { p.Targets = []string{"10.0.0.1:80"} },
-		"a name":          func(p *Plan) { p.Targets = []string{"localhost:80"} },
+		"a host name":     func(p *Plan) { p.Targets = []string{"localhost:80"} },
 		"too long":        func(p *Plan) { p.Duration = time.Hour },
-		"too much":        func(p *Plan) { p.Routes = []Route{{Path: "/s/x", Rate: 1e9}} },
+		"too many":        func(p *Plan) { p.Routes = []Route{{Path: "/s/x", Rate: 1e9}} },
 		"unbounded":       func(p *Plan) { p.InFlight = 0 },
 	} {
 		p := ok
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -1,6 +1,6 @@
 // Package load sends a bounded, open-loop load of callers' requests and checks
-// every answer. Latency counts from the moment a request was due, so that a
-// stalled system does not hide its own delay by holding the generator back.
+// every answer. Latency is measured from the time at which a request was due, so
+// that a stalled system does not hide its delay by slowing the generator down.
 package load
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of a plan. They keep a typing mistake from taking the machine.
+// Limits of a plan. They keep a typing mistake from overloading the machine.
 const (
 	MaxRequests = 5_000_000
 	MaxDuration = 15 * time.Minute
@@ -18,44 +18,47 @@
 	maxRetries  = 5
 )
 
-// Route is one kind of request in the mix.
+// Route is one kind of request of a plan.
 type Route struct {
 	Name string
-	// Path begins with the service's name.
+	// Path begins with "/" and the service's name.
 	Path string
-	// Rate is in requests a second over all targets.
+	// Rate is the number of requests per second over all targets.
 	Rate float64
-	// Work is how long the stand-in's backend server is asked to take.
+	// Work is the processing time that is requested of the stand-in's backend
+	// server.
 	Work time.Duration
-	// ReplyBytes is the size of the answer asked for.
+	// ReplyBytes is the requested size of the answer's body.
 	ReplyBytes int
 	// BodyBytes is the size of the request's body.
 	BodyBytes int
-	// Keyed requests carry a fresh key each, the same one on every retry.
+	// Keyed requests carry a new key each, and the same key on every retry.
 	Keyed bool
-	// Deadline is sent along; 0 leaves the route's own.
+	// Deadline is sent with each request; 0 sends none, so the route's default
+	// applies.
 	Deadline time.Duration
 }
 
 // Plan is one run of the generator.
 type Plan struct {
-	// Targets are IP:port of entry VMs, used in turn.
+	// Targets are the IP:port of entry VMs. Each request goes to a random target
+	// and its retries to the next ones in turn.
 	Targets  []string
 	Routes   []Route
 	Duration time.Duration
-	// Warm is the first part of Duration, which is not counted.
+	// Warm is the warm-up at the start of Duration. Its requests are not counted.
 	Warm time.Duration
-	// InFlight bounds requests under way; one that is due beyond it is counted
-	// as not sent.
+	// InFlight bounds the requests in flight. A request that is due beyond it is
+	// counted as not sent.
 	InFlight int
-	// Retries is how often a request is sent again after unknown or not-run, as
-	// docs/callers.md tells callers to.
+	// Retries is how often a request is retried after unknown, not-run or a
+	// broken connection, as docs/callers.md tells callers to do.
 	Retries int
-	// Seed fixes the arrivals.
+	// Seed determines the arrival times and targets.
 	Seed uint64
 }
 
-// Check returns what is wrong with the plan.
+// Check returns an error if the plan is incomplete or exceeds a limit.
 func (p Plan) Check() error {
 	if len(p.Targets) == 0 || len(p.Routes) == 0 {
 		return errors.New("a plan needs a target and a route")
@@ -63,18 +66,18 @@
 	for _, target := range p.Targets {
 		addr, err := netip.ParseAddrPort(target)
 		if err != nil || !addr.Addr().IsLoopback() {
-			return errors.Errorf("target %q: load goes to loopback addresses (IP:port) only", target)
+			return errors.Errorf("target %q: must be a loopback address (IP:port)", target)
 		}
 	}
 	total := 0.0
 	for _, r := range p.Routes {
 		if r.Rate < 0 || r.Path == "" || r.Path[0] != '/' {
-			return errors.Errorf("route %q: needs a path that begins with / and a rate of 0 or more", r.Name)
+			return errors.Errorf("route %q: must have a path that begins with / and a rate of at least 0", r.Name)
 		}
 		total += r.Rate
 	}
 	if p.Duration <= 0 || p.Duration > MaxDuration || p.Warm < 0 || p.Warm >= p.Duration {
-		return errors.Errorf("duration %s with warm-up %s: must be over the warm-up and at most %s", p.Duration, p.Warm, MaxDuration)
+		return errors.Errorf("duration %s with warm-up %s: must exceed the warm-up and be at most %s", p.Duration, p.Warm, MaxDuration)
 	}
 	if n := total * p.Duration.Seconds(); n < 1 || n > MaxRequests {
 		return errors.Errorf("%.0f requests: must be 1 to %d", n, MaxRequests)
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -15,31 +15,32 @@
 	"github.com/yuccadrift/yuccadrift/internal/outcome"
 )
 
-// Range of the histograms.
+// Range and precision of the latency histograms, in microseconds.
 const (
 	histogramMax    = int64(15 * time.Minute / time.Microsecond)
 	histogramDigits = 3
 )
 
-// Counts counts requests by how they ended for the caller.
+// Counts counts requests by their result as seen by the caller.
 type Counts struct {
-	Sent    int `json:"sent"` // due after the warm-up, first attempts
-	Good    int `json:"good"` // whole answer below 500
+	Sent    int `json:"sent"` // requests due after the warm-up, without retries
+	Good    int `json:"good"` // complete answer, status below 500
 	Failed  int `json:"failed"`
 	NotRun  int `json:"not_run"`
 	Unknown int `json:"unknown"`
-	// Broken connections and answers that broke off, seen as such by the caller.
+	// Broken counts failed connections and answers that were cut off, which the
+	// caller can detect.
 	Broken int `json:"broken"`
-	// Wrong answers: another request's, partial but passing as whole, or without
-	// an outcome. Any is a broken promise.
+	// Wrong counts answers to another request, partial answers that look complete,
+	// and answers without an outcome. Each is a violated guarantee.
 	Wrong   int `json:"wrong"`
 	Retries int `json:"retries"`
-	NotSent int `json:"not_sent"` // over the bound on requests in flight
-	// Reasons counts the answers of the system's own by reason.
+	NotSent int `json:"not_sent"` // due beyond the limit of requests in flight
+	// Reasons counts the answers that carry a reason of the system, by reason.
 	Reasons map[outcome.Reason]int `json:"reasons,omitempty"`
 }
 
-// RouteReport is what became of one route's requests. Latencies are of good
+// RouteReport is the result of one route's requests. Latencies are those of good
 // answers.
 type RouteReport struct {
 	Name string `json:"name"`
@@ -49,17 +50,17 @@
 	P90           time.Duration `json:"p90"`
 	P99           time.Duration `json:"p99"`
 	Max           time.Duration `json:"max"`
-	// P99NotRun is how long callers waited for a "not-run".
+	// P99NotRun is the 99th percentile of the latencies of not-run answers.
 	P99NotRun time.Duration `json:"p99_not_run"`
 }
 
-// Report is one run's result.
+// Report is the result of a plan.
 type Report struct {
-	Seconds float64       `json:"seconds"` // counted
+	Seconds float64       `json:"seconds"` // duration without the warm-up
 	Routes  []RouteReport `json:"routes"`
 }
 
-// Route returns the report of a route by name.
+// Route returns the report of the named route, or an empty one.
 func (r Report) Route(name string) RouteReport {
 	for _, route := range r.Routes {
 		if route.Name == name {
@@ -69,7 +70,7 @@
 	return RouteReport{}
 }
 
-// Wrong returns the number of wrong answers.
+// Wrong returns the number of wrong answers over all routes.
 func (r Report) Wrong() int {
 	n := 0
 	for _, route := range r.Routes {
@@ -78,7 +79,7 @@
 	return n
 }
 
-// WriteTable writes the report for people.
+// WriteTable writes the report as text for a terminal.
 func (r Report) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "route\tsent\tgood\tgood/s\tfailed\tnot-run\tunknown\tbroken\twrong\tretries\tnot sent\tp50\tp99\tmax\t")
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// recorder collects one route's results.
+// recorder collects the results of one route. It is safe for concurrent use.
 type recorder struct {
 	mu     sync.Mutex
 	counts Counts
@@ -141,10 +142,10 @@
 	}
 }
 
-// recordLatency adds a time that was brought into the histogram's range.
+// recordLatency adds us, which must be within the histogram's range.
 func recordLatency(h *hdrhistogram.Histogram, us int64) {
 	err := h.RecordValue(us)
-	invariant.Check(err == nil, "a time of %d us is out of the histogram's range: %v", us, err)
+	invariant.Check(err == nil, "latency of %d us is out of the histogram's range: %v", us, err)
 }
 
 func (r *recorder) notSent() {
--- a/internal/load/route.go
+++ b/internal/load/route.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// ParseRoute reads "key=value,key=value" with the keys name, path, rate, work,
-// reply, body, keyed and deadline.
+// ParseRoute parses "key=value,key=value" with the keys name, path, rate, work,
+// reply, body, keyed and deadline. The default name is the path.
 func ParseRoute(text string) (Route, error) {
 	var r Route
 	for part := range strings.SplitSeq(text, ",") {
@@ -43,7 +43,7 @@
 	case "keyed":
 		r.Keyed, err = strconv.ParseBool(value)
 	default:
-		err = errors.New("not a key of a route")
+		err = errors.New("unknown key")
 	}
 	return err
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -16,13 +16,14 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// attemptTimeout bounds one attempt whose route sets no deadline.
+// attemptTimeout bounds one attempt.
 const attemptTimeout = 5 * time.Minute
 
-// retryInterval is waited between attempts, besides what Retry-After says.
+// retryInterval is the time between attempts, in addition to Retry-After.
 const retryInterval = 20 * time.Millisecond
 
-// Run carries the plan out and waits for its last answer.
+// Run sends the requests of the plan and waits for all answers. It returns an
+// error if the plan is invalid or ctx ends.
 func Run(ctx context.Context, p Plan) (Report, error) {
 	if err := p.Check(); err != nil {
 		return Report{}, err
@@ -52,8 +53,8 @@
 	requests sync.WaitGroup
 }
 
-// generateArrivals starts the route's requests at random, independent moments (a Poisson
-// process), whether or not earlier ones were answered.
+// generateArrivals starts the route's requests at the times of a Poisson process,
+// whether or not earlier requests were answered.
 func (g *generator) generateArrivals(ctx context.Context, route Route, rec *recorder, rnd *rand.Rand) {
 	if route.Rate == 0 {
 		return
@@ -100,17 +101,18 @@
 	}
 }
 
-// attempt is how one attempt ended.
+// attempt is the result of one attempt.
 type attempt struct {
 	outcome    outcome.Outcome
 	reason     outcome.Reason
-	failed     bool // answer of 500 and up
+	failed     bool // status of at least 500
 	broken     bool
 	wrong      bool
 	retryAfter time.Duration // Retry-After
 }
 
-// send sends one request with its retries, each at the next target.
+// send sends one request and retries it at the next targets. It returns the last
+// attempt and the number of retries.
 func (g *generator) send(ctx context.Context, route Route, target string) (last attempt, retries int) {
 	key := ""
 	if route.Keyed {
@@ -147,7 +149,7 @@
 	if err != nil {
 		return attempt{broken: true}
 	}
-	req.GetBody = nil // the client must not send a request twice by itself
+	req.GetBody = nil // keeps the client from resending a request by itself
 	route.setHeaders(req.Header, key, n)
 	req.Header.Set(standin.HeaderEcho, echo)
 	res, err := g.client.Do(req)
@@ -176,7 +178,7 @@
 	}
 }
 
-// checkAnswer checks an answer that looks whole.
+// checkAnswer classifies an answer that was read to its end.
 func checkAnswer(route Route, res *http.Response, body []byte, echo string) attempt {
 	a := attempt{
 		outcome: outcome.Outcome(res.Header.Get(outcome.HeaderOutcome)),
