--- a/internal/dayreport/conditions.go
+++ b/internal/dayreport/conditions.go
@@ -63,8 +63,8 @@
 	vmsInTransit     map[string][]span // by pool
 }
 
-// ownership tracks the owners of the partitions of the jobs topic.
-type ownership struct {
+// ownershipTracker tracks the owners of the partitions of the jobs topic.
+type ownershipTracker struct {
 	owner       map[int]string    // the node that took it over last
 	leftAt      map[int]time.Time // when that node left it, from its "partition left" line
 	lastLineAt  map[string]time.Time
@@ -80,7 +80,7 @@
 		ownerOverloaded:  map[int][]span{},
 		vmsInTransit:     map[string][]span{},
 	}
-	o := &ownership{owner: map[int]string{}, leftAt: map[int]time.Time{}, lastLineAt: map[string]time.Time{}, firstLineAt: lines[0].At}
+	ownership := &ownershipTracker{owner: map[int]string{}, leftAt: map[int]time.Time{}, lastLineAt: map[string]time.Time{}, firstLineAt: lines[0].At}
 	storeLostAt := map[string]time.Time{}
 	var takeovers []Takeover
 	for _, l := range lines {
@@ -90,7 +90,7 @@
 		}
 		switch l.Message {
 		case "started":
-			o.nodeRestarted(l.Node)
+			ownership.recordRestart(l.Node)
 		case "store does not answer":
 			storeLostAt[l.Node] = l.At.Add(-time.Duration(l.SinceMS) * time.Millisecond)
 		case "owner is behind":
@@ -100,13 +100,13 @@
 				c.vmsInTransit[l.Pool] = append(c.vmsInTransit[l.Pool], span{l.At, l.At.Add(vmTransitTime)})
 			}
 		case "partition left":
-			o.partitionLeft(l)
+			ownership.recordLeave(l)
 		case "partition taken over":
-			t := o.takenOverBy(l)
+			t := ownership.recordTakeover(l)
 			c.ownerUnavailable[l.Partition] = append(c.ownerUnavailable[l.Partition], span{t.At.Add(-t.Gap), t.At})
 			takeovers = append(takeovers, t)
 		}
-		o.lastLineAt[l.Node] = l.At
+		ownership.lastLineAt[l.Node] = l.At
 	}
 	last := lines[len(lines)-1].At
 	for node, since := range storeLostAt {
@@ -115,9 +115,9 @@
 	return c, takeovers
 }
 
-// nodeRestarted records that a new process of a node has started. Each partition that the
+// recordRestart records that a new process of a node has started. Each partition that the
 // previous process owned and did not leave counts as left at that process's last line.
-func (o *ownership) nodeRestarted(node string) {
+func (o *ownershipTracker) recordRestart(node string) {
 	for partition, owner := range o.owner {
 		if _, ok := o.leftAt[partition]; owner == node && !ok {
 			o.leftAt[partition] = o.lastLineAt[node]
@@ -125,17 +125,17 @@
 	}
 }
 
-// partitionLeft records that a node left a partition. The line is ignored if another node has
+// recordLeave records that a node left a partition. The line is ignored if another node has
 // taken the partition over already.
-func (o *ownership) partitionLeft(l Line) {
+func (o *ownershipTracker) recordLeave(l Line) {
 	if o.owner[l.Partition] == l.Node {
 		o.leftAt[l.Partition] = l.At
 	}
 }
 
-// takenOverBy records that a node took a partition over and returns the takeover. The gap begins
+// recordTakeover records that a node took a partition over and returns the takeover. The gap begins
 // when the previous owner left the partition or, if it did not log that, at its last line.
-func (o *ownership) takenOverBy(l Line) Takeover {
+func (o *ownershipTracker) recordTakeover(l Line) Takeover {
 	since := o.firstLineAt
 	if before, ok := o.owner[l.Partition]; ok {
 		since = o.lastLineAt[before]
--- a/internal/dayreport/dayreport_test.go
+++ b/internal/dayreport/dayreport_test.go
@@ -67,7 +67,7 @@
 
 // A late start is attributed to the condition that held longest during the job's wait.
 func TestSlowStartIsAttributedToLongestCondition(t *testing.T) {
-	begins := func(seconds float64, ageMS string) string {
+	firstPlaced := func(seconds float64, ageMS string) string {
 		return logLine(seconds, "n-2", "first-placed", `"job":"a","queue":"q","partition":4,"age_ms":`+ageMS)
 	}
 	owned := logLine(1, "n-2", "partition taken over", `"partition":4,"handed_over":true`)
@@ -76,47 +76,47 @@
 		lines []string
 		cause dayreport.Cause
 	}{
-		{"no condition held", []string{owned, begins(20, "3000")}, dayreport.NoFreeCapacity},
+		{"no condition held", []string{owned, firstPlaced(20, "3000")}, dayreport.NoFreeCapacity},
 		{"the owner's store was unavailable", []string{
 			owned, logLine(17, "n-2", "store does not answer", `"since_ms":1000`),
-			logLine(19, "n-2", "store answers again", `"away_ms":3000`), begins(20, "3000"),
+			logLine(19, "n-2", "store answers again", `"away_ms":3000`), firstPlaced(20, "3000"),
 		}, dayreport.StoreUnavailable},
 		{"another node's store was unavailable", []string{
-			owned, logLine(17, "n-1", "store does not answer", `"since_ms":1000`), begins(20, "3000"),
+			owned, logLine(17, "n-1", "store does not answer", `"since_ms":1000`), firstPlaced(20, "3000"),
 		}, dayreport.NoFreeCapacity},
 		{"the partition had no owner", []string{
 			owned, logLine(17, "n-2", "partition left", `"partition":4,"status":"ok"`),
-			logLine(19, "n-2", "partition taken over", `"partition":4`), begins(20, "3000"),
+			logLine(19, "n-2", "partition taken over", `"partition":4`), firstPlaced(20, "3000"),
 		}, dayreport.OwnerUnavailable},
 		{"the owner was killed", []string{
 			owned, logLine(17, "n-2", "ended", `"job":"b","reason":"completed"`),
-			logLine(19, "n-2", "started", `"partitions":12`), logLine(19.5, "n-2", "partition taken over", `"partition":4`), begins(20, "3000"),
+			logLine(19, "n-2", "started", `"partitions":12`), logLine(19.5, "n-2", "partition taken over", `"partition":4`), firstPlaced(20, "3000"),
 		}, dayreport.OwnerUnavailable},
 		{"the owner was overloaded", []string{
-			owned, logLine(18, "n-2", "owner is behind", `"partition":4,"delay_ms":900`), begins(20, "3000"),
+			owned, logLine(18, "n-2", "owner is behind", `"partition":4,"delay_ms":900`), firstPlaced(20, "3000"),
 		}, dayreport.OwnerOverloaded},
 		{"VMs were in transit, and the store was unavailable for a shorter time", []string{
 			owned, logLine(17, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`),
-			logLine(18, "n-2", "store does not answer", `"since_ms":0`), logLine(18.5, "n-2", "store answers again", ""), begins(20, "3000"),
+			logLine(18, "n-2", "store does not answer", `"since_ms":0`), logLine(18.5, "n-2", "store answers again", ""), firstPlaced(20, "3000"),
 		}, dayreport.VMsInTransit},
 		{"VMs were ordered for another pool, or refused", []string{
 			owned, logLine(17, "n-2", "VM ordered", `"pool":"returns","outcome":"ok","maintain":false`),
-			logLine(17, "n-2", "VM ordered", `"pool":"booking","outcome":"busy","maintain":false`), begins(20, "3000"),
+			logLine(17, "n-2", "VM ordered", `"pool":"booking","outcome":"busy","maintain":false`), firstPlaced(20, "3000"),
 		}, dayreport.NoFreeCapacity},
 		{"VMs were in transit for less than the minimum share of the wait", []string{
-			owned, logLine(14.5, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`), begins(20, "3000"),
+			owned, logLine(14.5, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`), firstPlaced(20, "3000"),
 		}, dayreport.NoFreeCapacity},
 		{"the owner was overloaded for two seconds, with one line each, and VMs were in transit for a shorter time", []string{
 			owned, logLine(18.3, "n-2", "owner is behind", `"partition":4,"delay_ms":900`),
 			logLine(19.31, "n-2", "owner is behind", `"partition":4,"delay_ms":900`),
-			logLine(18.5, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`), begins(20, "3000"),
+			logLine(18.5, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`), firstPlaced(20, "3000"),
 		}, dayreport.OwnerOverloaded},
 	} {
 		r := buildReport(t, append([]string{acceptedJob(0.5, "a")}, c.lines...)...)
 		require.Len(t, r.SlowStarts, 1, c.name)
 		assert.Equal(t, dayreport.SlowStart{Cause: c.cause, Service: "booking", Count: 1, MaxMS: 3000}, r.SlowStarts[0], c.name)
 	}
-	assert.Empty(t, buildReport(t, owned, begins(20, "999")).SlowStarts, "in time")
+	assert.Empty(t, buildReport(t, owned, firstPlaced(20, "999")).SlowStarts, "in time")
 }
 
 // A previous owner may log "partition left" after the next owner's "partition taken over". Guards
@@ -149,10 +149,10 @@
 }
 
 func TestUnreadableLinesAreCountedAndReported(t *testing.T) {
-	whole := logLine(1, "n-1", "ended", `"job":"a","reason":"completed"`)
-	text := "\n" + "panic: not of a node\n" + "  1.25 entry-1 " + whole + whole[:40] + "\n" +
+	validLine := logLine(1, "n-1", "ended", `"job":"a","reason":"completed"`)
+	text := "\n" + "panic: not of a node\n" + "  1.25 entry-1 " + validLine + validLine[:40] + "\n" +
 		`{"level":"info"}` + "\n" + `{"@timestamp":"yesterday","@message":"ended"}` + "\n" +
-		strings.Repeat("x", 3<<20) + "\n" + whole + whole[:len(whole)-5]
+		strings.Repeat("x", 3<<20) + "\n" + validLine + validLine[:len(validLine)-5]
 	var log dayreport.Log
 	require.NoError(t, log.Read(strings.NewReader(text), "n.log"))
 	assert.Len(t, log.Lines, 2)
--- a/internal/dayreport/page.go
+++ b/internal/dayreport/page.go
@@ -87,16 +87,16 @@
 func callsPlot(r Report) (*plot.Plot, error) {
 	p := newPlot("jobs a second")
 	err := plotutil.AddLines(p,
-		"taken", points(r, func(s Second) float64 { return float64(s.Accepted) }),
-		"completed", points(r, func(s Second) float64 { return float64(s.Ended) }),
-		"calls refused", points(r, func(s Second) float64 { return float64(s.Refused) }))
+		"taken", pointsPerSecond(r, func(s Second) float64 { return float64(s.Accepted) }),
+		"completed", pointsPerSecond(r, func(s Second) float64 { return float64(s.Ended) }),
+		"calls refused", pointsPerSecond(r, func(s Second) float64 { return float64(s.Refused) }))
 	return p, err
 }
 
 // waitPlot plots how long jobs waited for their first start, and the takeovers of partitions.
 func waitPlot(r Report) (*plot.Plot, error) {
 	p := newPlot("wait for the first start, 95th percentile, s")
-	wait := points(r, func(s Second) float64 { return s.WaitMS / 1000 })
+	wait := pointsPerSecond(r, func(s Second) float64 { return s.WaitMS / 1000 })
 	if err := plotutil.AddLines(p, "wait", wait); err != nil {
 		return nil, err
 	}
@@ -127,8 +127,8 @@
 	return p
 }
 
-// points returns one point per second, 0 for seconds without events.
-func points(r Report, value func(Second) float64) plotter.XYs {
+// pointsPerSecond returns one point per second, 0 for seconds without events.
+func pointsPerSecond(r Report, value func(Second) float64) plotter.XYs {
 	first := r.From.Truncate(time.Second)
 	all := make(plotter.XYs, int(r.To.Sub(first).Seconds())+1)
 	for i := range all {
--- a/internal/load/jobs.go
+++ b/internal/load/jobs.go
@@ -116,10 +116,10 @@
 	})
 }
 
-func (c *jobClient) update(add func(r *JobReport)) {
+func (c *jobClient) update(change func(r *JobReport)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	add(&c.report)
+	change(&c.report)
 }
 
 func (c *jobClient) submit(ctx context.Context, i int, path string, body []byte) bool {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -86,12 +86,12 @@
 	}
 }
 
-func sleepUntil(ctx context.Context, at time.Time) bool {
-	left := time.Until(at)
-	if left <= 0 {
+func sleepUntil(ctx context.Context, deadline time.Time) bool {
+	remaining := time.Until(deadline)
+	if remaining <= 0 {
 		return ctx.Err() == nil
 	}
-	timer := time.NewTimer(left)
+	timer := time.NewTimer(remaining)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -162,8 +162,8 @@
 	return e.Kind, nil
 }
 
-// decoderOf decodes and validates a record with a body of type T.
-func decoderOf[T Body](data []byte) (Record, error) {
+// decodeAs decodes and validates a record with a body of type T.
+func decodeAs[T Body](data []byte) (Record, error) {
 	var e envelope[T]
 	if err := json.Unmarshal(data, &e); err != nil {
 		return Record{}, err
