--- a/internal/dayreport/conditions.go
+++ b/internal/dayreport/conditions.go
@@ -63,7 +63,7 @@
 	vmsInTransit     map[string][]span // by pool
 }
 
-// ownershipTracker tracks the owners of the partitions of the jobs topic.
+// ownershipTracker follows the owners of the partitions of the jobs topic.
 type ownershipTracker struct {
 	owner       map[int]string    // the node that took it over last
 	leftAt      map[int]time.Time // when that node left it, from its "partition left" line
@@ -134,7 +134,8 @@
 }
 
 // recordTakeover records that a node took a partition over and returns the takeover. The gap begins
-// when the previous owner left the partition or, if it did not log that, at its last line.
+// when the previous owner left the partition or, if it did not log that, at its last line. Without
+// a previous owner it begins at the first line of the logs.
 func (o *ownershipTracker) recordTakeover(l Line) Takeover {
 	since := o.firstLineAt
 	if before, ok := o.owner[l.Partition]; ok {
--- a/internal/dayreport/lines.go
+++ b/internal/dayreport/lines.go
@@ -54,8 +54,8 @@
 	Kind string `json:"what"` // "foreign" or "cut"
 }
 
-// Kinds of unreadable lines: lines of other programs, and lines that are too long or end within
-// their JSON object.
+// Kinds of unreadable lines: lines of other programs, and lines that are too long or whose JSON
+// is invalid, usually because it was cut off.
 const (
 	foreign   = "foreign"
 	truncated = "cut"
--- a/internal/dayreport/page.go
+++ b/internal/dayreport/page.go
@@ -85,7 +85,7 @@
 
 // callsPlot plots accepted and completed jobs and refused calls per second.
 func callsPlot(r Report) (*plot.Plot, error) {
-	p := newPlot("jobs a second")
+	p := newPlot("jobs per second")
 	err := plotutil.AddLines(p,
 		"taken", pointsPerSecond(r, func(s Second) float64 { return float64(s.Accepted) }),
 		"completed", pointsPerSecond(r, func(s Second) float64 { return float64(s.Ended) }),
--- a/internal/dayreport/seconds.go
+++ b/internal/dayreport/seconds.go
@@ -114,7 +114,7 @@
 	}{
 		{m.nodesStarted, "nodes started"},
 		{m.storeLost, "nodes lost the store"},
-		{m.storeRecovered, "nodes have it again"},
+		{m.storeRecovered, "nodes regained the store"},
 		{m.overloadedOwners, "owners behind"},
 		{m.vmsMoved, "VMs moved"},
 		{m.vmsMaintained, "VMs maintained"},
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -108,7 +108,7 @@
 	failed     bool // status of at least 500
 	broken     bool
 	wrong      bool
-	retryAfter time.Duration // Retry-After
+	retryAfter time.Duration // from the Retry-After header
 }
 
 // send sends one request and retries it at the next targets. It returns the last
--- a/internal/record/body.go
+++ b/internal/record/body.go
@@ -234,7 +234,7 @@
 type MemberSuspect struct {
 	By string `json:"by"`
 	// Seq increases with every suspect or trust record of By on the subject. A
-	// late copy has a lower Seq than By's latest record and is void.
+	// copy that appears after a later record of By has a lower Seq and is void.
 	Seq uint64 `json:"seq"`
 	// Until is when the last lease that By acknowledged expires, by the
 	// subject's wall clock.
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -144,7 +144,7 @@
 
 // kindOf returns the record's kind. It first searches for encodedKindPrefix,
 // which saves a JSON pass over the output of Encode. The match may be a key of a
-// nested object, so decoderOf checks the kind again.
+// nested object, so decodeAs checks the kind again.
 func kindOf(data []byte) (Kind, error) {
 	if _, rest, ok := bytes.Cut(data, encodedKindPrefix); ok {
 		if name, _, ok := bytes.Cut(rest, []byte{'"'}); ok {
