--- a/internal/record/body.go
+++ b/internal/record/body.go
@@ -122,7 +122,7 @@
 	PhaseDraining  VMPhase = "draining"
 	PhaseDrained   VMPhase = "drained"
 	PhaseRebooting VMPhase = "rebooting"
-	PhaseReleased  VMPhase = "released" // charged to its old pool until the join
+	PhaseReleased  VMPhase = "released" // charged to its previous pool until the join
 	PhaseReturning VMPhase = "returning"
 )
 
@@ -230,7 +230,7 @@
 
 // MemberSuspect records that member By cannot reach the subject. The subject is
 // evicted once a strict majority of its electorate suspects it. Base is not
-// checked, so that suspicions need not queue behind each other.
+// checked, so that concurrent suspicions do not make each other void.
 type MemberSuspect struct {
 	By string `json:"by"`
 	// Seq increases with every suspect or trust record of By on the subject. A
