--- a/internal/dayreport/dayreport_test.go
+++ b/internal/dayreport/dayreport_test.go
@@ -13,8 +13,8 @@
 
 var noon = time.Date(2026, 1, 2, 12, 0, 0, 0, time.UTC)
 
-// at returns a node's line, after seconds of the day.
-func at(seconds float64, node, message, fields string) string {
+// logLine returns a line that a node logs seconds after noon.
+func logLine(seconds float64, node, message, fields string) string {
 	t := noon.Add(time.Duration(seconds * float64(time.Second))).Format("2006-01-02T15:04:05.000Z")
 	if fields != "" {
 		fields = "," + fields
@@ -22,154 +22,154 @@
 	return `{"@level":"info","@message":"` + message + `","@module":"yuccadrift-node.x","@timestamp":"` + t + `","node":"` + node + `"` + fields + "}\n"
 }
 
-func explain(t *testing.T, lines ...string) dayreport.Report {
+func buildReport(t *testing.T, lines ...string) dayreport.Report {
 	var log dayreport.Log
 	require.NoError(t, log.Read(strings.NewReader(strings.Join(lines, "")), "all.log"))
-	r, ok := dayreport.Of(&log, time.Second)
+	r, ok := dayreport.Build(&log, time.Second)
 	require.True(t, ok)
 	return r
 }
 
-// taken is the answer that a job was taken, of the service booking.
-func taken(seconds float64, job string) string {
-	return at(seconds, "n-1", "answered", `"method":"POST","status":200,"job":"`+job+`","queue":"q","service":"booking"`)
+// acceptedJob returns the line on an answer that accepts a job of the service booking.
+func acceptedJob(seconds float64, job string) string {
+	return logLine(seconds, "n-1", "answered", `"method":"POST","status":200,"job":"`+job+`","queue":"q","service":"booking"`)
 }
 
-func TestJobsAreCountedByTheirLastEnd(t *testing.T) {
-	r := explain(t,
-		taken(0, "a"), taken(0, "b"), taken(0, "c"), taken(0, "d"),
-		at(1, "n-1", "ended", `"job":"a","reason":"completed","age_ms":900`),
-		at(2, "n-2", "ended", `"job":"a","reason":"completed","age_ms":1900`),
-		at(2, "n-2", "ended", `"job":"b","reason":"failed","age_ms":1900`),
-		at(2, "n-2", "ended", `"job":"c","reason":"cancelled","age_ms":1900`))
-	assert.Equal(t, 4, r.Jobs.Taken)
+func TestLastEndOfJobIsCounted(t *testing.T) {
+	r := buildReport(t,
+		acceptedJob(0, "a"), acceptedJob(0, "b"), acceptedJob(0, "c"), acceptedJob(0, "d"),
+		logLine(1, "n-1", "ended", `"job":"a","reason":"completed","age_ms":900`),
+		logLine(2, "n-2", "ended", `"job":"a","reason":"completed","age_ms":1900`),
+		logLine(2, "n-2", "ended", `"job":"b","reason":"failed","age_ms":1900`),
+		logLine(2, "n-2", "ended", `"job":"c","reason":"cancelled","age_ms":1900`))
+	assert.Equal(t, 4, r.Jobs.Accepted)
 	assert.Equal(t, []int{1, 1, 1, 1}, []int{r.Jobs.Completed, r.Jobs.Failed, r.Jobs.Cancelled, r.Jobs.Open})
-	assert.InDelta(t, 1900, r.Jobs.Ended.Most, 0)
+	assert.InDelta(t, 1900, r.Jobs.Ended.Max, 0)
 }
 
-func TestRefusalsAreGroupedByWhatCallersWereTold(t *testing.T) {
+func TestRefusalsAreGroupedByReason(t *testing.T) {
 	refused := func(seconds float64, status, reason string) string {
-		return at(seconds, "n-1", "answered", `"method":"POST","status":`+status+`,"reason":"`+reason+`"`)
+		return logLine(seconds, "n-1", "answered", `"method":"POST","status":`+status+`,"reason":"`+reason+`"`)
 	}
-	r := explain(t,
+	r := buildReport(t,
 		refused(1, "503", "the store is away, the request was not taken: timeout 17"),
 		refused(3, "503", "the store is away, the request was not taken: timeout 18"),
 		refused(2, "503", "the owner of the service can't be asked"),
 		refused(2, "404", "no such job"))
 	require.Len(t, r.Refusals, 3)
 	store := r.Refusals[0]
-	assert.Equal(t, dayreport.StoreAway, store.Cause)
+	assert.Equal(t, dayreport.StoreUnavailable, store.Cause)
 	assert.Equal(t, 2, store.Count)
 	assert.Equal(t, []time.Time{noon.Add(time.Second), noon.Add(3 * time.Second)}, []time.Time{store.First, store.Last})
-	assert.Equal(t, dayreport.OwnerAway, r.Refusals[1].Cause)
-	assert.Equal(t, dayreport.Other, r.Refusals[2].Cause)
+	assert.Equal(t, dayreport.OwnerUnavailable, r.Refusals[1].Cause)
+	assert.Equal(t, dayreport.OtherCause, r.Refusals[2].Cause)
 }
 
-// A job that began late waited for what held longest meanwhile.
-func TestLateJobsArePutDownToWhatHeldLongest(t *testing.T) {
-	begins := func(seconds float64, ageMS string) string {
-		return at(seconds, "n-2", "first-placed", `"job":"a","queue":"q","partition":4,"age_ms":`+ageMS)
+// A late start is attributed to the condition that held longest during the job's wait.
+func TestSlowStartIsAttributedToLongestCondition(t *testing.T) {
+	firstPlaced := func(seconds float64, ageMS string) string {
+		return logLine(seconds, "n-2", "first-placed", `"job":"a","queue":"q","partition":4,"age_ms":`+ageMS)
 	}
-	owned := at(1, "n-2", "partition taken over", `"partition":4,"handed_over":true`)
+	owned := logLine(1, "n-2", "partition taken over", `"partition":4,"handed_over":true`)
 	for _, c := range []struct {
 		name  string
 		lines []string
 		cause dayreport.Cause
 	}{
-		{"nothing else", []string{owned, begins(20, "3000")}, dayreport.Full},
-		{"its owner had no store", []string{
-			owned, at(17, "n-2", "store does not answer", `"since_ms":1000`),
-			at(19, "n-2", "store answers again", `"away_ms":3000`), begins(20, "3000"),
-		}, dayreport.StoreAway},
-		{"another node had no store", []string{
-			owned, at(17, "n-1", "store does not answer", `"since_ms":1000`), begins(20, "3000"),
-		}, dayreport.Full},
-		{"nobody owned its partition", []string{
-			owned, at(17, "n-2", "partition left", `"partition":4,"status":"ok"`),
-			at(19, "n-2", "partition taken over", `"partition":4`), begins(20, "3000"),
-		}, dayreport.OwnerAway},
-		{"its owner was killed", []string{
-			owned, at(17, "n-2", "ended", `"job":"b","reason":"completed"`),
-			at(19, "n-2", "started", `"partitions":12`), at(19.5, "n-2", "partition taken over", `"partition":4`), begins(20, "3000"),
-		}, dayreport.OwnerAway},
-		{"its owner was behind", []string{
-			owned, at(18, "n-2", "owner is behind", `"partition":4,"delay_ms":900`), begins(20, "3000"),
-		}, dayreport.OwnerBehind},
-		{"VMs were on their way, and the store away for less long", []string{
-			owned, at(17, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`),
-			at(18, "n-2", "store does not answer", `"since_ms":0`), at(18.5, "n-2", "store answers again", ""), begins(20, "3000"),
-		}, dayreport.VMsComing},
-		{"VMs went elsewhere", []string{
-			owned, at(17, "n-2", "VM ordered", `"pool":"returns","outcome":"ok","maintain":false`),
-			at(17, "n-2", "VM ordered", `"pool":"booking","outcome":"busy","maintain":false`), begins(20, "3000"),
-		}, dayreport.Full},
-		{"VMs were on their way for a second, then there was no room", []string{
-			owned, at(14.5, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`), begins(20, "3000"),
-		}, dayreport.Full},
-		{"its owner was behind for two seconds, with a line for each, and VMs were on their way for less", []string{
-			owned, at(18.3, "n-2", "owner is behind", `"partition":4,"delay_ms":900`),
-			at(19.31, "n-2", "owner is behind", `"partition":4,"delay_ms":900`),
-			at(18.5, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`), begins(20, "3000"),
-		}, dayreport.OwnerBehind},
+		{"no condition held", []string{owned, firstPlaced(20, "3000")}, dayreport.NoFreeCapacity},
+		{"the owner's store was unavailable", []string{
+			owned, logLine(17, "n-2", "store does not answer", `"since_ms":1000`),
+			logLine(19, "n-2", "store answers again", `"away_ms":3000`), firstPlaced(20, "3000"),
+		}, dayreport.StoreUnavailable},
+		{"another node's store was unavailable", []string{
+			owned, logLine(17, "n-1", "store does not answer", `"since_ms":1000`), firstPlaced(20, "3000"),
+		}, dayreport.NoFreeCapacity},
+		{"the partition had no owner", []string{
+			owned, logLine(17, "n-2", "partition left", `"partition":4,"status":"ok"`),
+			logLine(19, "n-2", "partition taken over", `"partition":4`), firstPlaced(20, "3000"),
+		}, dayreport.OwnerUnavailable},
+		{"the owner was killed", []string{
+			owned, logLine(17, "n-2", "ended", `"job":"b","reason":"completed"`),
+			logLine(19, "n-2", "started", `"partitions":12`), logLine(19.5, "n-2", "partition taken over", `"partition":4`), firstPlaced(20, "3000"),
+		}, dayreport.OwnerUnavailable},
+		{"the owner was overloaded", []string{
+			owned, logLine(18, "n-2", "owner is behind", `"partition":4,"delay_ms":900`), firstPlaced(20, "3000"),
+		}, dayreport.OwnerOverloaded},
+		{"VMs were in transit, and the store was unavailable for a shorter time", []string{
+			owned, logLine(17, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`),
+			logLine(18, "n-2", "store does not answer", `"since_ms":0`), logLine(18.5, "n-2", "store answers again", ""), firstPlaced(20, "3000"),
+		}, dayreport.VMsInTransit},
+		{"VMs were ordered for another pool, or refused", []string{
+			owned, logLine(17, "n-2", "VM ordered", `"pool":"returns","outcome":"ok","maintain":false`),
+			logLine(17, "n-2", "VM ordered", `"pool":"booking","outcome":"busy","maintain":false`), firstPlaced(20, "3000"),
+		}, dayreport.NoFreeCapacity},
+		{"VMs were in transit for less than the minimum share of the wait", []string{
+			owned, logLine(14.5, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`), firstPlaced(20, "3000"),
+		}, dayreport.NoFreeCapacity},
+		{"the owner was overloaded for two seconds, with one line each, and VMs were in transit for a shorter time", []string{
+			owned, logLine(18.3, "n-2", "owner is behind", `"partition":4,"delay_ms":900`),
+			logLine(19.31, "n-2", "owner is behind", `"partition":4,"delay_ms":900`),
+			logLine(18.5, "n-2", "VM ordered", `"pool":"booking","outcome":"ok","maintain":false`), firstPlaced(20, "3000"),
+		}, dayreport.OwnerOverloaded},
 	} {
-		r := explain(t, append([]string{taken(0.5, "a")}, c.lines...)...)
-		require.Len(t, r.Slow, 1, c.name)
-		assert.Equal(t, dayreport.Slow{Cause: c.cause, Service: "booking", Count: 1, MostMS: 3000}, r.Slow[0], c.name)
+		r := buildReport(t, append([]string{acceptedJob(0.5, "a")}, c.lines...)...)
+		require.Len(t, r.SlowStarts, 1, c.name)
+		assert.Equal(t, dayreport.SlowStart{Cause: c.cause, Service: "booking", Count: 1, MaxMS: 3000}, r.SlowStarts[0], c.name)
 	}
-	assert.Empty(t, explain(t, owned, begins(20, "999")).Slow, "in time")
+	assert.Empty(t, buildReport(t, owned, firstPlaced(20, "999")).SlowStarts, "in time")
 }
 
-// Guards against a partition that counts as without an owner since the word of the owner
-// before, which came after the next one's.
-func TestWordOfALeavingOwnerMayComeLate(t *testing.T) {
-	r := explain(t,
-		at(1, "n-1", "partition taken over", `"partition":4`),
-		at(9, "n-1", "ended", `"job":"a","reason":"completed"`),
-		at(9.2, "n-2", "partition taken over", `"partition":4,"handed_over":true`),
-		at(9.3, "n-1", "partition left", `"partition":4,"status":"ok"`),
-		at(30, "n-2", "ended", `"job":"b","reason":"completed"`),
-		at(30.4, "n-1", "partition taken over", `"partition":4`))
+// A previous owner may log "partition left" after the next owner's "partition taken over". Guards
+// against a gap that is counted from that late line.
+func TestGapIgnoresLateLeaveOfPreviousOwner(t *testing.T) {
+	r := buildReport(t,
+		logLine(1, "n-1", "partition taken over", `"partition":4`),
+		logLine(9, "n-1", "ended", `"job":"a","reason":"completed"`),
+		logLine(9.2, "n-2", "partition taken over", `"partition":4,"handed_over":true`),
+		logLine(9.3, "n-1", "partition left", `"partition":4,"status":"ok"`),
+		logLine(30, "n-2", "ended", `"job":"b","reason":"completed"`),
+		logLine(30.4, "n-1", "partition taken over", `"partition":4`))
 	require.Len(t, r.Takeovers, 3)
 	assert.Equal(t, 200*time.Millisecond, r.Takeovers[1].Gap)
 	assert.Equal(t, 400*time.Millisecond, r.Takeovers[2].Gap)
 }
 
-func TestSecondsTellWhatHappenedMeanwhile(t *testing.T) {
-	r := explain(t,
-		at(0.1, "n-1", "started", ""), at(0.2, "n-2", "started", ""),
-		at(0.3, "n-1", "configuration in force", `"version":7`), at(0.4, "n-2", "configuration in force", `"version":7`),
-		at(1.1, "n-1", "wave", `"wave":2,"state":"running","done":1`), at(1.2, "n-1", "wave", `"wave":2,"state":"running","done":2`),
-		taken(1.5, "a"), at(1.6, "n-1", "first-placed", `"job":"a","queue":"q","age_ms":100`),
-		at(3.0, "n-1", "worker-synced", ""))
-	require.Len(t, r.Seconds, 2, "a second without any of this is left out")
+func TestEventsAreGroupedBySecond(t *testing.T) {
+	r := buildReport(t,
+		logLine(0.1, "n-1", "started", ""), logLine(0.2, "n-2", "started", ""),
+		logLine(0.3, "n-1", "configuration in force", `"version":7`), logLine(0.4, "n-2", "configuration in force", `"version":7`),
+		logLine(1.1, "n-1", "wave", `"wave":2,"state":"running","done":1`), logLine(1.2, "n-1", "wave", `"wave":2,"state":"running","done":2`),
+		acceptedJob(1.5, "a"), logLine(1.6, "n-1", "first-placed", `"job":"a","queue":"q","age_ms":100`),
+		logLine(3.0, "n-1", "worker-synced", ""))
+	require.Len(t, r.Seconds, 2, "a second without events is left out")
 	assert.Equal(t, []string{"nodes started: 2", "configuration 7 in force"}, r.Seconds[0].Events)
 	assert.Equal(t, []string{"wave 2 running, 2 VMs done"}, r.Seconds[1].Events)
-	assert.Equal(t, 1, r.Seconds[1].Taken)
+	assert.Equal(t, 1, r.Seconds[1].Accepted)
 	assert.InDelta(t, 100, r.Seconds[1].WaitMS, 0)
 }
 
-func TestLinesThatCannotBeReadAreCountedAndNamed(t *testing.T) {
-	whole := at(1, "n-1", "ended", `"job":"a","reason":"completed"`)
-	text := "\n" + "panic: not of a node\n" + "  1.25 entry-1 " + whole + whole[:40] + "\n" +
+func TestUnreadableLinesAreCountedAndReported(t *testing.T) {
+	validLine := logLine(1, "n-1", "ended", `"job":"a","reason":"completed"`)
+	text := "\n" + "panic: not of a node\n" + "  1.25 entry-1 " + validLine + validLine[:40] + "\n" +
 		`{"level":"info"}` + "\n" + `{"@timestamp":"yesterday","@message":"ended"}` + "\n" +
-		strings.Repeat("x", 3<<20) + "\n" + whole + whole[:len(whole)-5]
+		strings.Repeat("x", 3<<20) + "\n" + validLine + validLine[:len(validLine)-5]
 	var log dayreport.Log
 	require.NoError(t, log.Read(strings.NewReader(text), "n.log"))
 	assert.Len(t, log.Lines, 2)
 	assert.Equal(t, 3, log.Foreign)
-	assert.Equal(t, 3, log.Cut)
+	assert.Equal(t, 3, log.Truncated)
 	assert.Equal(t, []dayreport.Problem{
-		{File: "n.log", Line: 2, What: "foreign"}, {File: "n.log", Line: 4, What: "cut"}, {File: "n.log", Line: 5, What: "foreign"},
-		{File: "n.log", Line: 6, What: "foreign"}, {File: "n.log", Line: 7, What: "cut"},
-	}, log.Problems, "five of a file are named")
+		{File: "n.log", Line: 2, Kind: "foreign"}, {File: "n.log", Line: 4, Kind: "cut"}, {File: "n.log", Line: 5, Kind: "foreign"},
+		{File: "n.log", Line: 6, Kind: "foreign"}, {File: "n.log", Line: 7, Kind: "cut"},
+	}, log.Problems, "five unreadable lines of a file are listed")
 
-	_, ok := dayreport.Of(&dayreport.Log{Foreign: 3}, time.Second)
+	_, ok := dayreport.Build(&dayreport.Log{Foreign: 3}, time.Second)
 	assert.False(t, ok)
 }
 
-func TestPageStandsAlone(t *testing.T) {
-	r := explain(t, taken(0, "a"), at(2, "n-1", "partition taken over", `"partition":4`),
-		at(2, "n-1", "answered", `"method":"GET","status":404,"reason":"<script>no such job"`))
+func TestPageReferencesNothingExternal(t *testing.T) {
+	r := buildReport(t, acceptedJob(0, "a"), logLine(2, "n-1", "partition taken over", `"partition":4`),
+		logLine(2, "n-1", "answered", `"method":"GET","status":404,"reason":"<script>no such job"`))
 	var page strings.Builder
 	require.NoError(t, dayreport.WritePage(&page, r))
 	assert.Equal(t, 2, strings.Count(page.String(), "<svg"))
@@ -179,26 +179,26 @@
 	}
 }
 
-// Guards against a page that takes all memory, as one line has a time of its own.
-func TestLinesThatLieFarApartAreNotPlotted(t *testing.T) {
-	r := explain(t, taken(0, "a"), taken(1e9, "b"))
+// Guards against a plot that uses up all memory because one line has a time far from the others.
+func TestLogsOverADayAreNotPlotted(t *testing.T) {
+	r := buildReport(t, acceptedJob(0, "a"), acceptedJob(1e9, "b"))
 	var page strings.Builder
 	require.NoError(t, dayreport.WritePage(&page, r))
 	assert.NotContains(t, page.String(), "<svg")
 	assert.Contains(t, page.String(), "more than a day apart")
 }
 
-// FuzzRead reads any text as a log and explains what is in it.
+// FuzzRead reads any text as a log and builds the report on it.
 func FuzzRead(f *testing.F) {
-	f.Add(taken(0, "a") + at(1, "n-1", "first-placed", `"job":"a","age_ms":5000,"partition":2`))
-	f.Add(at(1, "n-1", "VM ordered", `"pool":3,"outcome":"ok"`) + "{")
-	f.Add(at(-1e7, "", "partition taken over", `"partition":-1`) + at(1e7, "", "started", ""))
+	f.Add(acceptedJob(0, "a") + logLine(1, "n-1", "first-placed", `"job":"a","age_ms":5000,"partition":2`))
+	f.Add(logLine(1, "n-1", "VM ordered", `"pool":3,"outcome":"ok"`) + "{")
+	f.Add(logLine(-1e7, "", "partition taken over", `"partition":-1`) + logLine(1e7, "", "started", ""))
 	f.Fuzz(func(t *testing.T, text string) {
 		var log dayreport.Log
 		if err := log.Read(strings.NewReader(text), "fuzz"); err != nil {
 			t.Fatal(err)
 		}
-		if r, ok := dayreport.Of(&log, time.Second); ok && len(r.Seconds) > r.Lines {
+		if r, ok := dayreport.Build(&log, time.Second); ok && len(r.Seconds) > r.Lines {
 			t.Error("more seconds than lines")
 		}
 	})
--- a/internal/dayreport/page.go
+++ b/internal/dayreport/page.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	_ "embed" // the page
+	_ "embed" // for page.html
 	"html/template"
 	"image/color"
 	"io"
@@ -21,7 +21,8 @@
 	plotHeight = 7 * vg.Centimeter
 )
 
-// maxPlotted is the longest time that is plotted, second by second.
+// maxPlotted is the longest time that is plotted. A plot has one point per second, so a single
+// line with a wrong time would otherwise use up all memory.
 const maxPlotted = 24 * time.Hour
 
 //go:embed page.html
@@ -32,23 +33,23 @@
 	"round": func(d time.Duration) string { return d.Round(time.Millisecond).String() },
 }).Parse(pageText))
 
-// pageData is what the page is made of.
+// pageData is the data of the page template.
 type pageData struct {
 	Report
 	Plots []template.HTML
 }
 
-// WritePage writes a report as one HTML page that needs nothing else.
+// WritePage writes the report as one self-contained HTML page.
 func WritePage(w io.Writer, r Report) error {
-	plots, err := plotsOf(r)
+	plots, err := renderPlots(r)
 	if err != nil {
 		return err
 	}
 	return errors.Wrap(page.Execute(w, pageData{Report: r, Plots: plots}), "page")
 }
 
-// plotsOf draws the plots, none where the lines lie too far apart.
-func plotsOf(r Report) ([]template.HTML, error) {
+// renderPlots returns the plots as SVG, or none if the report covers more than maxPlotted.
+func renderPlots(r Report) ([]template.HTML, error) {
 	if r.To.Sub(r.From) > maxPlotted {
 		return nil, nil
 	}
@@ -58,7 +59,7 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "plot")
 		}
-		svg, err := svgOf(p)
+		svg, err := renderSVG(p)
 		if err != nil {
 			return nil, err
 		}
@@ -67,8 +68,9 @@
 	return all, nil
 }
 
-// svgOf draws a plot. The text of a plot is this package's own, and numbers.
-func svgOf(p *plot.Plot) (template.HTML, error) {
+// renderSVG returns a plot as an SVG element. It is safe to embed unescaped: the text in a plot
+// consists of constants of this package and numbers.
+func renderSVG(p *plot.Plot) (template.HTML, error) {
 	to, err := p.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
 		return "", errors.Wrap(err, "plot")
@@ -77,24 +79,24 @@
 	if _, err := to.WriteTo(&out); err != nil {
 		return "", errors.Wrap(err, "plot")
 	}
-	_, svg, _ := bytes.Cut(out.Bytes(), []byte("<svg")) // without the declaration, which stands in no page
+	_, svg, _ := bytes.Cut(out.Bytes(), []byte("<svg")) // drops the XML declaration, which HTML doesn't allow
 	return template.HTML("<svg" + string(svg)), nil     //nolint:gosec // see above
 }
 
-// callsPlot shows what became of calls.
+// callsPlot plots accepted and completed jobs and refused calls per second.
 func callsPlot(r Report) (*plot.Plot, error) {
-	p := newPlot("jobs a second")
+	p := newPlot("jobs per second")
 	err := plotutil.AddLines(p,
-		"taken", points(r, func(s Second) float64 { return float64(s.Taken) }),
-		"completed", points(r, func(s Second) float64 { return float64(s.Ended) }),
-		"calls refused", points(r, func(s Second) float64 { return float64(s.Refused) }))
+		"taken", pointsPerSecond(r, func(s Second) float64 { return float64(s.Accepted) }),
+		"completed", pointsPerSecond(r, func(s Second) float64 { return float64(s.Ended) }),
+		"calls refused", pointsPerSecond(r, func(s Second) float64 { return float64(s.Refused) }))
 	return p, err
 }
 
-// waitPlot shows how long jobs waited, and the changes of owners.
+// waitPlot plots how long jobs waited for their first start, and the takeovers of partitions.
 func waitPlot(r Report) (*plot.Plot, error) {
 	p := newPlot("wait for the first start, 95th percentile, s")
-	wait := points(r, func(s Second) float64 { return s.WaitMS / 1000 })
+	wait := pointsPerSecond(r, func(s Second) float64 { return s.WaitMS / 1000 })
 	if err := plotutil.AddLines(p, "wait", wait); err != nil {
 		return nil, err
 	}
@@ -125,8 +127,8 @@
 	return p
 }
 
-// points are a value of each second, 0 where nothing happened.
-func points(r Report, value func(Second) float64) plotter.XYs {
+// pointsPerSecond returns one point per second, 0 for seconds without events.
+func pointsPerSecond(r Report, value func(Second) float64) plotter.XYs {
 	first := r.From.Truncate(time.Second)
 	all := make(plotter.XYs, int(r.To.Sub(first).Seconds())+1)
 	for i := range all {
--- a/internal/logstory/logstory.go
+++ b/internal/logstory/logstory.go
@@ -1,5 +1,5 @@
-// Package logstory picks the lines about one request, job, task, VM or worker
-// out of the logs of all nodes and tells them in order.
+// Package logstory extracts the lines on one request, job, task, VM or worker
+// from the logs of all nodes and writes them in the order of their times.
 package logstory
 
 import (
@@ -14,29 +14,30 @@
 	"github.com/pkg/errors"
 )
 
-// maxLine bounds one line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds one line of a log.
+const maxLineBytes = 1 << 20
 
-// Line is one line of a log.
+// Line is one parsed line of a log.
 type Line struct {
 	At      time.Time
 	Node    string
 	Module  string
 	Message string
-	// Fields are the others, as name=value, sorted.
+	// Fields holds the remaining fields as name=value, sorted.
 	Fields []string
 }
 
-// frame are the names that have a field of their own in Line, or say nothing.
-var frame = []string{"@timestamp", "@message", "@module", "@level", "node", "zone"}
+// omittedFields lists the JSON fields that Line.Fields leaves out: those with a
+// field of their own in Line, and the level and zone.
+var omittedFields = []string{"@timestamp", "@message", "@module", "@level", "node", "zone"}
 
-// Read returns the lines of a log that name id, in the order of the log. What
-// stands before the first brace of a line is passed over; lines that are no JSON
-// are left out.
+// Read returns the lines of a log that contain id, in the order of the log. Text
+// before the first brace of a line is ignored. Lines that are not JSON are left
+// out.
 func Read(r io.Reader, id string) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Text()
 		if !strings.Contains(text, id) {
@@ -56,22 +57,22 @@
 func parse(text string) (Line, bool) {
 	var fields map[string]any
 	decoder := json.NewDecoder(strings.NewReader(text))
-	decoder.UseNumber() // run numbers are long
+	decoder.UseNumber() // run numbers exceed the precision of float64
 	if err := decoder.Decode(&fields); err != nil {
 		return Line{}, false
 	}
-	word := func(name string) string {
-		value, _ := fields[name].(string) // "" if it is missing
+	stringField := func(name string) string {
+		value, _ := fields[name].(string) // "" if the field is missing
 		return value
 	}
-	line := Line{Node: word("node"), Module: word("@module"), Message: word("@message")}
-	at, err := time.Parse(time.RFC3339, word("@timestamp"))
+	line := Line{Node: stringField("node"), Module: stringField("@module"), Message: stringField("@message")}
+	at, err := time.Parse(time.RFC3339, stringField("@timestamp"))
 	if err != nil {
 		return Line{}, false
 	}
 	line.At = at
 	for name, value := range fields {
-		if !slices.Contains(frame, name) && value != "" && value != nil {
+		if !slices.Contains(omittedFields, name) && value != "" && value != nil {
 			line.Fields = append(line.Fields, fmt.Sprintf("%s=%v", name, value))
 		}
 	}
@@ -79,7 +80,7 @@
 	return line, true
 }
 
-// Write tells lines of all nodes in the order of their times.
+// Write sorts lines by time and writes them to w, one per line.
 func Write(w io.Writer, lines []Line) error {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	for _, l := range lines {
