--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -74,8 +74,8 @@
 	PendingAfter time.Duration // after which the node replies that the outcome is pending
 }
 
-// StoreReply is the reply of another node to a StoreRequest.
-type StoreReply struct {
+// StoreResponse is the reply of another node to a StoreRequest.
+type StoreResponse struct {
 	Status      platform.StoreStatus
 	Pending     bool // the outcome is open; the request may be repeated
 	Unavailable bool // the node does not reach the store
@@ -93,7 +93,7 @@
 	Others() []string
 	// Store asks a node to store a record through its own connection to the store. If the
 	// request was certainly not sent, Store returns StoreRefused and an error.
-	Store(ctx context.Context, address string, q StoreRequest) (StoreReply, error)
+	Store(ctx context.Context, address string, q StoreRequest) (StoreResponse, error)
 }
 
 // Router stores records. It is safe for concurrent use.
@@ -221,12 +221,12 @@
 		}
 		wasPending := false
 		for {
-			reply, err := r.relay(ctx, address, partition, record)
-			if err == nil && reply.Pending {
+			response, err := r.relay(ctx, address, partition, record)
+			if err == nil && response.Pending {
 				wasPending = true
 				continue
 			}
-			return r.relayOutcome(reply, err, wasPending)
+			return r.relayOutcome(response, err, wasPending)
 		}
 	}
 }
@@ -235,12 +235,12 @@
 // node has replied before that the outcome was pending: a refusal then says nothing about
 // the earlier request, so the outcome is unknown. After a refusal by a fast store other
 // routes are tried, since the store may reject that node and serve this one.
-func (r *Router) relayOutcome(reply StoreReply, err error, wasPending bool) outcome {
-	res := outcome{status: reply.Status, err: err, skipOtherRoutes: err == nil && !reply.Unavailable}
-	if err == nil && reply.Status != platform.StoreOK {
-		res.err = errors.New(reply.Reason)
+func (r *Router) relayOutcome(response StoreResponse, err error, wasPending bool) outcome {
+	res := outcome{status: response.Status, err: err, skipOtherRoutes: err == nil && !response.Unavailable}
+	if err == nil && response.Status != platform.StoreOK {
+		res.err = errors.New(response.Reason)
 	}
-	if err != nil && reply.Status != platform.StoreRefused {
+	if err != nil && response.Status != platform.StoreRefused {
 		res.status = platform.StoreUnknown
 	}
 	if res.status == platform.StoreRefused {
@@ -252,21 +252,21 @@
 	return res
 }
 
-func (r *Router) relay(ctx context.Context, address string, partition int, record workload.Record) (StoreReply, error) {
+func (r *Router) relay(ctx context.Context, address string, partition int, record workload.Record) (StoreResponse, error) {
 	q := StoreRequest{Partition: partition, Record: record, PendingAfter: relayPendingAfter}
 	if r.local.IsSlow() {
 		q.PendingAfter = slowRelayPendingAfter
 	}
 	relayCtx, cancel := context.WithTimeout(ctx, q.PendingAfter+relayTransferMargin)
 	defer cancel()
-	reply, err := r.peers.Store(relayCtx, address, q)
+	response, err := r.peers.Store(relayCtx, address, q)
 	switch {
 	case err != nil && ctx.Err() == nil:
 		r.backOff(address, err)
-	case err == nil && reply.Unavailable:
-		r.backOff(address, errors.New(reply.Reason))
+	case err == nil && response.Unavailable:
+		r.backOff(address, errors.New(response.Reason))
 	}
-	return reply, err
+	return response, err
 }
 
 func (r *Router) isUsable(address string) bool {
@@ -294,16 +294,16 @@
 
 // Serve stores a record for another node. It uses this node's own connection only: relaying
 // the record further could loop.
-func (r *Router) Serve(ctx context.Context, q StoreRequest) StoreReply {
+func (r *Router) Serve(ctx context.Context, q StoreRequest) StoreResponse {
 	if err := r.local.CheckAvailable(); err != nil {
-		return StoreReply{Status: platform.StoreRefused, Unavailable: true, Reason: err.Error()}
+		return StoreResponse{Status: platform.StoreRefused, Unavailable: true, Reason: err.Error()}
 	}
 	pendingTimer := time.NewTimer(min(max(0, q.PendingAfter), slowRelayPendingAfter))
 	defer pendingTimer.Stop()
 	status, pending, err := r.local.Store(ctx, q.Partition, q.Record, pendingTimer.C)
-	reply := StoreReply{Status: status, Pending: pending}
+	response := StoreResponse{Status: status, Pending: pending}
 	if err != nil {
-		reply.Reason = err.Error()
+		response.Reason = err.Error()
 	}
-	return reply
+	return response
 }
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -97,9 +97,9 @@
 func (n *node) CheckAvailable() error { return n.unavailable }
 func (n *node) IsSlow() bool          { return n.hedger.IsSlow() }
 
-// group is the nodes of a test. owner is the address of the partition's owner; if it is ""
+// cluster is the nodes of a test. owner is the address of the partition's owner; if it is ""
 // each node stores for itself.
-type group struct {
+type cluster struct {
 	nodes []*node
 	owner string
 }
@@ -108,22 +108,22 @@
 
 // peerView implements intake.Peers for one node of a group.
 type peerView struct {
-	group *group
-	self  string
+	cluster *cluster
+	self    string
 }
 
 func (v peerView) Owner(int) string {
-	if v.group.owner == v.self {
+	if v.cluster.owner == v.self {
 		return ""
 	}
-	return v.group.owner
+	return v.cluster.owner
 }
 
 func (v peerView) Self() string { return v.self }
 
 func (v peerView) Others() []string {
 	var others []string
-	for i := range v.group.nodes {
+	for i := range v.cluster.nodes {
 		if address(i) != v.self {
 			others = append(others, address(i))
 		}
@@ -131,29 +131,29 @@
 	return others
 }
 
-func (v peerView) Store(ctx context.Context, to string, q intake.StoreRequest) (intake.StoreReply, error) {
-	for i, n := range v.group.nodes {
+func (v peerView) Store(ctx context.Context, to string, q intake.StoreRequest) (intake.StoreResponse, error) {
+	for i, n := range v.cluster.nodes {
 		if address(i) != to {
 			continue
 		}
 		if n.frozen {
 			<-ctx.Done()
-			return intake.StoreReply{}, ctx.Err()
+			return intake.StoreResponse{}, ctx.Err()
 		}
 		return n.router.Serve(ctx, q), nil
 	}
-	return intake.StoreReply{Status: platform.StoreRefused}, errors.New("connection refused")
+	return intake.StoreResponse{Status: platform.StoreRefused}, errors.New("connection refused")
 }
 
-func newGroup(size int, store joblog.Store, owner string) *group {
-	g := &group{owner: owner}
+func newCluster(size int, store joblog.Store, owner string) *cluster {
+	c := &cluster{owner: owner}
 	for i := range size {
 		hedger := hedge.New()
 		n := &node{acceptor: joblog.NewAcceptor(store, hedger, nil), hedger: hedger}
-		n.router = intake.New(n, peerView{g, address(i)}, hclog.NewNullLogger())
-		g.nodes = append(g.nodes, n)
+		n.router = intake.New(n, peerView{c, address(i)}, hclog.NewNullLogger())
+		c.nodes = append(c.nodes, n)
 	}
-	return g
+	return c
 }
 
 // storeQuiesceTime is long enough for the store to complete all appends in flight.
@@ -188,17 +188,17 @@
 // submitToSlowStore submits jobs at all nodes in turn while the store is slow, and counts
 // those accepted within promptLimit.
 func submitToSlowStore(t *testing.T, owner string) (acceptedPromptly, all int) {
-	g := newGroup(slowStoreNodes, newSerialStore(slowAppendTime), owner)
+	c := newCluster(slowStoreNodes, newSerialStore(slowAppendTime), owner)
 	var callers sync.WaitGroup
 	var mu sync.Mutex
 	for began := time.Now(); time.Since(began) < submitDuration; all++ {
-		n, record := g.nodes[all%slowStoreNodes], cancelRecord(all)
+		n, record := c.nodes[all%slowStoreNodes], cancelRecord(all)
 		callers.Go(func() {
 			ctx, cancel := context.WithTimeout(t.Context(), callerTimeout)
 			defer cancel()
-			came := time.Now()
+			submittedAt := time.Now()
 			status, _ := n.router.Accept(ctx, 0, record)
-			if status == platform.StoreOK && time.Since(came) <= promptLimit {
+			if status == platform.StoreOK && time.Since(submittedAt) <= promptLimit {
 				mu.Lock()
 				acceptedPromptly++
 				mu.Unlock()
@@ -229,12 +229,12 @@
 func TestNodesRefusedByStoreAcceptJobsThroughPeers(t *testing.T) {
 	for _, owner := range []string{address(0), address(5)} { // rejected and not rejected
 		runInVirtualTime(t, func(t *testing.T) {
-			g := newGroup(9, newSerialStore(2*time.Millisecond), owner)
-			for _, n := range g.nodes[:3] {
+			c := newCluster(9, newSerialStore(2*time.Millisecond), owner)
+			for _, n := range c.nodes[:3] {
 				n.unavailable = errors.New("node is rejected")
 			}
 			for i := range 90 {
-				status, err := g.nodes[i%3].router.Accept(t.Context(), 0, cancelRecord(i))
+				status, err := c.nodes[i%3].router.Accept(t.Context(), 0, cancelRecord(i))
 				assert.Equal(t, platform.StoreOK, status, "%v", err)
 			}
 		})
@@ -245,14 +245,14 @@
 // don't, since the node stores for itself during the backoff.
 func TestFrozenOwnerDelaysOnlyFirstCaller(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
-		g := newGroup(3, newSerialStore(2*time.Millisecond), address(0))
-		g.nodes[0].frozen = true
+		c := newCluster(3, newSerialStore(2*time.Millisecond), address(0))
+		c.nodes[0].frozen = true
 		began := time.Now()
-		status, _ := g.nodes[1].router.Accept(t.Context(), 0, cancelRecord(1))
+		status, _ := c.nodes[1].router.Accept(t.Context(), 0, cancelRecord(1))
 		assert.Equal(t, platform.StoreOK, status)
 		assert.Less(t, time.Since(began), 500*time.Millisecond)
 		began = time.Now()
-		status, _ = g.nodes[1].router.Accept(t.Context(), 0, cancelRecord(2))
+		status, _ = c.nodes[1].router.Accept(t.Context(), 0, cancelRecord(2))
 		assert.Equal(t, platform.StoreOK, status)
 		assert.Less(t, time.Since(began), 10*time.Millisecond)
 	})
@@ -263,12 +263,12 @@
 func TestRequestIsRefusedImmediatelyWhenNoNodeReachesStore(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
 		store := newSerialStore(2 * time.Millisecond)
-		g := newGroup(4, store, address(2))
-		for _, n := range g.nodes {
+		c := newCluster(4, store, address(2))
+		for _, n := range c.nodes {
 			n.unavailable = errors.New("away")
 		}
 		began := time.Now()
-		status, err := g.nodes[0].router.Accept(t.Context(), 0, cancelRecord(1))
+		status, err := c.nodes[0].router.Accept(t.Context(), 0, cancelRecord(1))
 		assert.Equal(t, platform.StoreRefused, status)
 		assert.Error(t, err)
 		assert.Zero(t, time.Since(began))
@@ -297,10 +297,10 @@
 func TestUnknownOutcomeIsRetriedWithinCallerTimeout(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
 		store := &lossyStore{newSerialStore(2 * time.Millisecond), 3}
-		g := newGroup(2, store, address(1))
+		c := newCluster(2, store, address(1))
 		ctx, cancel := context.WithTimeout(t.Context(), callerTimeout)
 		defer cancel()
-		status, err := g.nodes[0].router.Accept(ctx, 0, cancelRecord(1))
+		status, err := c.nodes[0].router.Accept(ctx, 0, cancelRecord(1))
 		assert.Equal(t, platform.StoreOK, status, "%v", err)
 		assert.Len(t, store.keys, 1)
 	})
@@ -311,10 +311,10 @@
 func TestUnknownOutcomeIsNeverReportedAsRefusal(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
 		store := &lossyStore{newSerialStore(2 * time.Millisecond), 1 << 20}
-		g := newGroup(2, store, address(1))
+		c := newCluster(2, store, address(1))
 		ctx, cancel := context.WithTimeout(t.Context(), callerTimeout)
 		defer cancel()
-		status, _ := g.nodes[0].router.Accept(ctx, 0, cancelRecord(1))
+		status, _ := c.nodes[0].router.Accept(ctx, 0, cancelRecord(1))
 		assert.Equal(t, platform.StoreUnknown, status)
 		assert.Len(t, store.keys, 1)
 	})
@@ -322,12 +322,12 @@
 
 // A caller repeats its request at several nodes. All copies go through the owner and join
 // the append in flight.
-func TestSameRequestAtSeveralNodesIsStoredOnce(t *testing.T) {
+func TestSameRequestAtSeveralNodesIsStoredUnderOneKey(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
 		store := newSerialStore(slowAppendTime)
-		g := newGroup(3, store, address(0))
+		c := newCluster(3, store, address(0))
 		var callers sync.WaitGroup
-		for _, n := range g.nodes {
+		for _, n := range c.nodes {
 			callers.Go(func() {
 				status, _ := n.router.Accept(t.Context(), 0, cancelRecord(7))
 				assert.Equal(t, platform.StoreOK, status)
@@ -345,8 +345,8 @@
 	runInVirtualTime(t, func(t *testing.T) {
 		const nodes = 44
 		store := newSerialStore(slowAppendTime)
-		g := newGroup(nodes, store, "node-gone")
-		for _, n := range g.nodes { // each node has measured the slow store
+		c := newCluster(nodes, store, "node-gone")
+		for _, n := range c.nodes { // each node has measured the slow store
 			status, err := n.hedger.Write(t.Context(), func(context.Context) (platform.StoreStatus, error) {
 				time.Sleep(slowAppendTime)
 				return platform.StoreOK, nil
@@ -355,7 +355,7 @@
 		}
 		var callers sync.WaitGroup
 		began := time.Now()
-		for i, n := range g.nodes {
+		for i, n := range c.nodes {
 			callers.Go(func() {
 				status, err := n.router.Accept(t.Context(), 0, cancelRecord(i))
 				assert.Equal(t, platform.StoreOK, status, "%v", err)
--- a/internal/joblog/acceptor.go
+++ b/internal/joblog/acceptor.go
@@ -57,7 +57,7 @@
 type storeRequest struct {
 	record  workload.Record
 	encoded platform.KeyedRecord
-	callers int
+	waiters int
 	done    chan struct{} // closed once status and err are set
 	status  platform.StoreStatus
 	err     error
@@ -80,19 +80,19 @@
 	if err != nil {
 		return platform.StoreInvalid, false, err
 	}
-	entry, err := a.enqueue(partition, r, platform.KeyedRecord{Key: key, Value: value})
+	req, err := a.enqueue(partition, r, platform.KeyedRecord{Key: key, Value: value})
 	if err != nil {
 		return platform.StoreRefused, false, err
 	}
 	select {
-	case <-entry.done:
-		return entry.status, false, entry.err
+	case <-req.done:
+		return req.status, false, req.err
 	case <-pendingAfter:
-		a.detachCaller(entry)
+		a.detachWaiter(req)
 		return platform.StoreUnknown, true, nil
 	case <-ctx.Done():
 	}
-	if a.withdraw(partition, entry) {
+	if a.withdraw(partition, req) {
 		return platform.StoreRefused, false, errors.New("the request's time ended before it was sent to the store")
 	}
 	return platform.StoreUnknown, false, ctx.Err()
@@ -108,41 +108,41 @@
 		q = &partitionQueue{byKey: map[string]*storeRequest{}}
 		a.queues[partition] = q
 	}
-	if existing := q.byKey[encoded.Key]; existing != nil {
-		existing.callers++
-		return existing, nil
+	if req := q.byKey[encoded.Key]; req != nil {
+		req.waiters++
+		return req, nil
 	}
 	if len(q.waiting) >= maxQueuedRecords {
 		return nil, errors.Errorf("%d records are waiting for the store already", len(q.waiting))
 	}
-	entry := &storeRequest{record: r, encoded: encoded, callers: 1, done: make(chan struct{})}
-	q.waiting = append(q.waiting, entry)
-	q.byKey[encoded.Key] = entry
+	req := &storeRequest{record: r, encoded: encoded, waiters: 1, done: make(chan struct{})}
+	q.waiting = append(q.waiting, req)
+	q.byKey[encoded.Key] = req
 	if q.appendsInFlight < maxAppendsInFlight {
 		q.appendsInFlight++
 		go a.appendQueued(partition, q)
 	}
-	return entry, nil
+	return req, nil
 }
 
-// detachCaller records that a caller no longer waits. The record stays in the queue.
-func (a *Acceptor) detachCaller(entry *storeRequest) {
+// detachWaiter records that a caller no longer waits. The record stays in the queue.
+func (a *Acceptor) detachWaiter(req *storeRequest) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	entry.callers--
+	req.waiters--
 }
 
 // withdraw detaches a caller and removes the record if it is in no append and no other
 // caller waits for it. It reports whether the record was removed.
-func (a *Acceptor) withdraw(partition int, entry *storeRequest) bool {
+func (a *Acceptor) withdraw(partition int, req *storeRequest) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	entry.callers--
+	req.waiters--
 	q := a.queues[partition]
-	for i, w := range q.waiting {
-		if w == entry && entry.callers == 0 {
+	for i, queued := range q.waiting {
+		if queued == req && req.waiters == 0 {
 			q.waiting = append(q.waiting[:i:i], q.waiting[i+1:]...)
-			delete(q.byKey, entry.encoded.Key)
+			delete(q.byKey, req.encoded.Key)
 			return true
 		}
 	}
@@ -158,9 +158,9 @@
 		}
 		encoded := make([]platform.KeyedRecord, len(batch))
 		records := make([]workload.Record, len(batch))
-		for i, w := range batch {
-			encoded[i] = w.encoded
-			records[i] = w.record
+		for i, req := range batch {
+			encoded[i] = req.encoded
+			records[i] = req.record
 		}
 		part := platform.Partition{Topic: JobsTopic, Part: partition}
 		// The calls have their own timeouts. A caller that gives up must not cancel the
@@ -179,10 +179,10 @@
 func (a *Acceptor) completeBatch(q *partitionQueue, batch []*storeRequest, status platform.StoreStatus, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, w := range batch {
-		w.status, w.err = status, err
-		delete(q.byKey, w.encoded.Key)
-		close(w.done)
+	for _, req := range batch {
+		req.status, req.err = status, err
+		delete(q.byKey, req.encoded.Key)
+		close(req.done)
 	}
 }
 
@@ -203,8 +203,8 @@
 // batchSize returns how many of the waiting records go into one append, at least one.
 func batchSize(waiting []*storeRequest) int {
 	bytes := 0
-	for i, w := range waiting {
-		bytes += len(w.encoded.Key) + len(w.encoded.Value)
+	for i, req := range waiting {
+		bytes += len(req.encoded.Key) + len(req.encoded.Value)
 		if i == maxBatchRecords || i > 0 && bytes > maxBatchBytes {
 			return i
 		}
--- a/internal/node/intake.go
+++ b/internal/node/intake.go
@@ -64,22 +64,22 @@
 	return others
 }
 
-func (p storePeers) Store(ctx context.Context, address string, q intake.StoreRequest) (intake.StoreReply, error) {
+func (p storePeers) Store(ctx context.Context, address string, q intake.StoreRequest) (intake.StoreResponse, error) {
 	key, value, err := q.Record.Encode()
 	if err != nil {
-		return intake.StoreReply{Status: platform.StoreInvalid, Reason: err.Error()}, nil
+		return intake.StoreResponse{Status: platform.StoreInvalid, Reason: err.Error()}, nil
 	}
-	answer, err := p.owners.clients.Call(ctx, address, nodepeer.MethodStore, nodepeer.Request{Partition: q.Partition, RecordKey: key, RecordValue: value, PendingAfterMS: q.PendingAfter.Milliseconds()})
+	response, err := p.owners.clients.Call(ctx, address, nodepeer.MethodStore, nodepeer.Request{Partition: q.Partition, RecordKey: key, RecordValue: value, PendingAfterMS: q.PendingAfter.Milliseconds()})
 	switch {
 	case errors.Is(err, nodepeer.ErrNotSent):
-		return intake.StoreReply{Status: platform.StoreRefused}, err
+		return intake.StoreResponse{Status: platform.StoreRefused}, err
 	case err != nil:
-		return intake.StoreReply{Status: platform.StoreUnknown}, err
-	case answer.StoreResult == nil:
-		return intake.StoreReply{Status: platform.StoreUnknown}, errors.Errorf("response of node %s has no store result", address)
+		return intake.StoreResponse{Status: platform.StoreUnknown}, err
+	case response.StoreResult == nil:
+		return intake.StoreResponse{Status: platform.StoreUnknown}, errors.Errorf("response of node %s has no store result", address)
 	}
-	s := answer.StoreResult
-	return intake.StoreReply{Status: s.Status, Pending: s.Pending, Unavailable: s.Unavailable, Reason: s.Reason}, nil
+	s := response.StoreResult
+	return intake.StoreResponse{Status: s.Status, Pending: s.Pending, Unavailable: s.Unavailable, Reason: s.Reason}, nil
 }
 
 // Accept stores a record of a caller's request in the partition of its service.
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -15,18 +15,18 @@
 
 // LastJoin asks the node at an address for its last join that the store answered.
 func (m memberClient) LastJoin(ctx context.Context, address string) (ownership.LastJoin, error) {
-	answer, err := m.clients.Call(ctx, address, nodepeer.MethodMembership, nodepeer.Request{})
+	response, err := m.clients.Call(ctx, address, nodepeer.MethodMembership, nodepeer.Request{})
 	if err != nil {
 		return ownership.LastJoin{}, err
 	}
-	if answer.LastJoin == nil {
+	if response.LastJoin == nil {
 		return ownership.LastJoin{}, errors.Errorf("response of node %s has no last join", address)
 	}
-	return ownership.LastJoin{Never: answer.LastJoin.Never, Age: time.Duration(answer.LastJoin.AgeMS) * time.Millisecond, Owned: answer.LastJoin.Owned}, nil
+	return ownership.LastJoin{Never: response.LastJoin.Never, Age: time.Duration(response.LastJoin.AgeMS) * time.Millisecond, Owned: response.LastJoin.Owned}, nil
 }
 
-// Membership returns this node's last join to another node.
-func (o *ownerDirectory) Membership(context.Context, nodepeer.Request) (nodepeer.Response, error) {
+// ServeMembership returns this node's last join to another node.
+func (o *ownerDirectory) ServeMembership(context.Context, nodepeer.Request) (nodepeer.Response, error) {
 	last := o.manager.LastJoin()
 	return nodepeer.Response{LastJoin: &nodepeer.LastJoin{Never: last.Never, AgeMS: last.Age.Milliseconds(), Owned: last.Owned}}, nil
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -71,8 +71,8 @@
 	peerPortOffset    = 1
 )
 
-// peerAddress returns the address of the peer port at an offset.
-func peerAddress(s platform.Settings, offset int) string {
+// addressAt returns the address of the peer port at an offset.
+func addressAt(s platform.Settings, offset int) string {
 	return fmt.Sprintf("%s:%d", s.IP, s.PeerPorts[0]+offset)
 }
 
@@ -142,7 +142,7 @@
 // initPeering creates the components that share the work among the nodes.
 func (n *Node) initPeering(hedger *hedge.Hedger) {
 	s, logger := n.settings, n.logger
-	self := peerAddress(s, peerPortOffset)
+	self := addressAt(s, peerPortOffset)
 	n.owners = &ownerDirectory{partitions: s.Store.Partitions, selfAddress: self, clients: nodepeer.NewClients(), local: map[int]*owner.Owner{}, reports: map[int]owner.HandoverReport{}}
 	n.manager = ownership.New(n.store, ownership.Config{
 		Node:         s.Node,
@@ -151,7 +151,7 @@
 		MinTTL:       s.Store.MinMemberTTL,
 		Topics:       []string{joblog.JobsTopic, joblog.FleetTopic},
 		Partitions:   s.Store.Partitions,
-		HasWork:      n.isInUse,
+		HasWork:      n.hasWork,
 		UniqueID:     func() string { return ulid.Make().String() },
 		MemberClient: memberClient{n.owners.clients},
 		SuspendedFor: n.suspendedFor,
@@ -190,7 +190,7 @@
 	if err != nil {
 		return err
 	}
-	metricsListener, err := listen.TCPText(ctx, "address for metrics", peerAddress(s, metricsPortOffset))
+	metricsListener, err := listen.TCPText(ctx, "address for metrics", addressAt(s, metricsPortOffset))
 	if err != nil {
 		return err
 	}
@@ -220,15 +220,15 @@
 	if p.Topic != joblog.JobsTopic {
 		return n.runFleetOwner(ctx, p.Part, epoch)
 	}
-	if !n.awaitInUse(ctx, p) {
+	if !n.awaitWork(ctx, p) {
 		return ctx.Err()
 	}
-	defer n.registry.Acquire()()
-	owned := owner.New(n.ownerDeps, p.Part, epoch)
-	n.owners.setLocalOwner(p.Part, owned)
-	defer n.owners.removeLocalOwner(p.Part, owned)
-	err := owned.Run(ctx)
-	if report, ok := owned.HandoverReport(); ok {
+	defer n.registry.AddUser()()
+	localOwner := owner.New(n.ownerDeps, p.Part, epoch)
+	n.owners.setLocalOwner(p.Part, localOwner)
+	defer n.owners.removeLocalOwner(p.Part, localOwner)
+	err := localOwner.Run(ctx)
+	if report, ok := localOwner.HandoverReport(); ok {
 		n.owners.keepReport(p.Part, report)
 	}
 	return err
@@ -257,11 +257,11 @@
 	}, partition, epoch).Run(ctx)
 }
 
-// inUseCheckInterval is the interval of checks whether a partition is in use.
-const inUseCheckInterval = 100 * time.Millisecond
+// workCheckInterval is the interval of checks whether a partition is in use.
+const workCheckInterval = 100 * time.Millisecond
 
-// isInUse reports whether a partition is the fleet's or has the jobs of a configured service.
-func (n *Node) isInUse(p platform.Partition) bool {
+// hasWork reports whether a partition is the fleet's or has the jobs of a configured service.
+func (n *Node) hasWork(p platform.Partition) bool {
 	if p.Topic != joblog.JobsTopic {
 		return p.Part == fleetPartition
 	}
@@ -271,15 +271,15 @@
 	})
 }
 
-// awaitInUse waits until a partition is in use. It returns false if ctx ends before.
-func (n *Node) awaitInUse(ctx context.Context, p platform.Partition) bool {
+// awaitWork waits until a partition is in use. It returns false if ctx ends before.
+func (n *Node) awaitWork(ctx context.Context, p platform.Partition) bool {
 	for ctx.Err() == nil {
-		if n.isInUse(p) {
+		if n.hasWork(p) {
 			return true
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(inUseCheckInterval):
+		case <-time.After(workCheckInterval):
 		}
 	}
 	return false
@@ -294,7 +294,7 @@
 		{Name: "ownership", Serve: n.manager.Run},
 		{Name: "peers", Serve: n.servePeers, StopWithin: n.settings.Bounds.ShutdownGrace},
 		{Name: "admin", Serve: n.admin.Serve},
-		{Name: "reload", Serve: func(ctx context.Context) error { return n.reload(ctx, path, hangups) }},
+		{Name: "reload", Serve: func(ctx context.Context) error { return n.checkSettingsOnHangup(ctx, path, hangups) }},
 	}
 }
 
@@ -326,9 +326,9 @@
 	return hangups
 }
 
-// reload checks the settings file at each SIGHUP. The identity and the addresses of a process
+// checkSettingsOnHangup checks the settings file at each SIGHUP. The identity and the addresses of a process
 // can't change while it runs, so the settings take effect at the next start.
-func (n *Node) reload(ctx context.Context, path string, hangups <-chan os.Signal) error {
+func (n *Node) checkSettingsOnHangup(ctx context.Context, path string, hangups <-chan os.Signal) error {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/node/owners.go
+++ b/internal/node/owners.go
@@ -43,16 +43,16 @@
 	return o.local[partition]
 }
 
-func (o *ownerDirectory) setLocalOwner(partition int, own *owner.Owner) {
+func (o *ownerDirectory) setLocalOwner(partition int, localOwner *owner.Owner) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.local[partition] = own
+	o.local[partition] = localOwner
 }
 
-func (o *ownerDirectory) removeLocalOwner(partition int, own *owner.Owner) {
+func (o *ownerDirectory) removeLocalOwner(partition int, localOwner *owner.Owner) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.local[partition] == own {
+	if o.local[partition] == localOwner {
 		delete(o.local, partition)
 	}
 }
@@ -60,9 +60,9 @@
 // call calls the owner of a partition until it answers or ctx ends.
 func (o *ownerDirectory) call(ctx context.Context, m nodepeer.Method, req nodepeer.Request) (nodepeer.Response, bool) {
 	for refreshOwner := false; ctx.Err() == nil; refreshOwner = true {
-		answer, ok := o.callOnce(ctx, m, req, refreshOwner)
-		if ok && answer.IsOwner {
-			return answer, true
+		response, ok := o.callOnce(ctx, m, req, refreshOwner)
+		if ok && response.IsOwner {
+			return response, true
 		}
 		wait.Pause(ctx, ownerCallRetryInterval)
 	}
@@ -73,15 +73,15 @@
 	ctx, cancel := context.WithTimeout(ctx, ownerCallTimeout)
 	defer cancel()
 	if o.localOwner(req.Partition) != nil {
-		answer, err := o.serveLocal(ctx, m, req)
-		return answer, err == nil
+		response, err := o.serveLocal(ctx, m, req)
+		return response, err == nil
 	}
 	address := o.manager.Owner(ctx, platform.Partition{Topic: joblog.JobsTopic, Part: req.Partition}, refreshOwner)
 	if address == "" || address == o.selfAddress {
 		return nodepeer.Response{}, false
 	}
-	answer, err := o.clients.Call(ctx, address, m, req)
-	return answer, err == nil
+	response, err := o.clients.Call(ctx, address, m, req)
+	return response, err == nil
 }
 
 // State returns the state of a job.
@@ -126,18 +126,18 @@
 func (o *ownerDirectory) serveLocal(ctx context.Context, m nodepeer.Method, req nodepeer.Request) (nodepeer.Response, error) {
 	switch m {
 	case nodepeer.MethodJobState:
-		return o.JobState(ctx, req)
+		return o.ServeJobState(ctx, req)
 	case nodepeer.MethodWaiting:
-		return o.serveWaiting(ctx, req)
+		return o.localWaitingJobs(ctx, req)
 	case nodepeer.MethodLoads:
-		return o.Loads(ctx, req)
+		return o.ServeLoads(ctx, req)
 	default:
-		return o.Drain(ctx, req)
+		return o.ServeDrain(ctx, req)
 	}
 }
 
-// JobState serves MethodJobState.
-func (o *ownerDirectory) JobState(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
+// ServeJobState serves MethodJobState.
+func (o *ownerDirectory) ServeJobState(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
 	localOwner := o.localOwner(req.Partition)
 	if localOwner == nil {
 		return nodepeer.Response{}, nil
@@ -146,7 +146,7 @@
 	return nodepeer.Response{IsOwner: ok, Known: s.Known, State: s.State}, nil
 }
 
-func (o *ownerDirectory) serveWaiting(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
+func (o *ownerDirectory) localWaitingJobs(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
 	localOwner := o.localOwner(req.Partition)
 	if localOwner == nil {
 		return nodepeer.Response{}, nil
@@ -155,8 +155,8 @@
 	return nodepeer.Response{IsOwner: ok, Waiting: n}, nil
 }
 
-// Drain serves MethodDrain.
-func (o *ownerDirectory) Drain(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
+// ServeDrain serves MethodDrain.
+func (o *ownerDirectory) ServeDrain(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
 	localOwner := o.localOwner(req.Partition)
 	if localOwner == nil {
 		return nodepeer.Response{}, nil
@@ -165,8 +165,8 @@
 	return nodepeer.Response{IsOwner: ok, Drained: state != workload.NotDrained, DrainConfirmed: state == workload.Drained}, nil
 }
 
-// Loads serves MethodLoads.
-func (o *ownerDirectory) Loads(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
+// ServeLoads serves MethodLoads.
+func (o *ownerDirectory) ServeLoads(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
 	localOwner := o.localOwner(req.Partition)
 	if localOwner == nil {
 		return nodepeer.Response{}, nil
@@ -181,17 +181,17 @@
 	intake *intake.Router
 }
 
-// Store serves MethodStore. It rejects records that are no caller's request.
-func (p peerHandler) Store(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
+// ServeStore serves MethodStore. It rejects records that are no caller's request.
+func (p peerHandler) ServeStore(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
 	record, ok, err := workload.DecodeRecord(req.RecordKey, req.RecordValue)
 	if err != nil || !ok || record.Submission == nil && !record.Cancel {
 		return nodepeer.Response{StoreResult: &nodepeer.StoreResult{Status: platform.StoreInvalid, Reason: "not a record of a caller's request"}}, nil
 	}
-	reply := p.intake.Serve(ctx, intake.StoreRequest{Partition: req.Partition, Record: record, PendingAfter: time.Duration(req.PendingAfterMS) * time.Millisecond})
-	return nodepeer.Response{StoreResult: &nodepeer.StoreResult{Status: reply.Status, Pending: reply.Pending, Unavailable: reply.Unavailable, Reason: reply.Reason}}, nil
+	response := p.intake.Serve(ctx, intake.StoreRequest{Partition: req.Partition, Record: record, PendingAfter: time.Duration(req.PendingAfterMS) * time.Millisecond})
+	return nodepeer.Response{StoreResult: &nodepeer.StoreResult{Status: response.Status, Pending: response.Pending, Unavailable: response.Unavailable, Reason: response.Reason}}, nil
 }
 
-// Waiting serves MethodWaiting.
-func (p peerHandler) Waiting(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
-	return p.ownerDirectory.serveWaiting(ctx, req)
+// ServeWaiting serves MethodWaiting.
+func (p peerHandler) ServeWaiting(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
+	return p.ownerDirectory.localWaitingJobs(ctx, req)
 }
--- a/internal/node/release.go
+++ b/internal/node/release.go
@@ -29,50 +29,50 @@
 	})
 }
 
-// reportBelow returns the report of the last local owner of a partition if its epoch is lower
+// reportBeforeEpoch returns the report of the last local owner of a partition if its epoch is lower
 // than epoch.
-func (o *ownerDirectory) reportBelow(partition int, epoch int64) (owner.HandoverReport, bool) {
+func (o *ownerDirectory) reportBeforeEpoch(partition int, epoch int64) (owner.HandoverReport, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	r, ok := o.reports[partition]
 	return r, ok && r.Epoch < epoch
 }
 
-// Release serves MethodRelease: it stops the local owner of a partition and returns that
+// ServeRelease serves MethodRelease: it stops the local owner of a partition and returns that
 // owner's report to the next owner.
-func (o *ownerDirectory) Release(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
+func (o *ownerDirectory) ServeRelease(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
 	o.manager.StopOwnerBelow(ctx, platform.Partition{Topic: joblog.JobsTopic, Part: req.Partition}, req.Epoch)
-	report, ok := o.reportBelow(req.Partition, req.Epoch)
+	report, ok := o.reportBeforeEpoch(req.Partition, req.Epoch)
 	if !ok {
 		return nodepeer.Response{}, nil
 	}
-	var answer nodepeer.Response
+	var response nodepeer.Response
 	for _, r := range report.Records {
 		key, value, err := r.Encode()
 		if err != nil {
 			return nodepeer.Response{}, err
 		}
-		answer.HandoverRecords = append(answer.HandoverRecords, nodepeer.StoredRecord{Key: key, Value: value})
+		response.HandoverRecords = append(response.HandoverRecords, nodepeer.StoredRecord{Key: key, Value: value})
 	}
-	return answer, nil
+	return response, nil
 }
 
 // releasePredecessor asks the node at an address to stop an earlier owner of a partition. It
 // returns the records that this owner could not store, nil if the node knows no such owner.
 func (o *ownerDirectory) releasePredecessor(ctx context.Context, address string, partition int, epoch int64) ([]workload.Record, error) {
 	req := nodepeer.Request{Partition: partition, Epoch: epoch}
-	var answer nodepeer.Response
+	var response nodepeer.Response
 	var err error
 	if address == o.selfAddress {
-		answer, err = o.Release(ctx, req)
+		response, err = o.ServeRelease(ctx, req)
 	} else {
-		answer, err = o.clients.Call(ctx, address, nodepeer.MethodRelease, req)
+		response, err = o.clients.Call(ctx, address, nodepeer.MethodRelease, req)
 	}
 	if err != nil {
 		return nil, err
 	}
 	var records []workload.Record
-	for _, stored := range answer.HandoverRecords {
+	for _, stored := range response.HandoverRecords {
 		r, ok, err := workload.DecodeRecord(stored.Key, stored.Value)
 		if err != nil {
 			return nil, err
--- a/internal/nodepeer/nodepeer.go
+++ b/internal/nodepeer/nodepeer.go
@@ -96,13 +96,13 @@
 
 // Handler serves the calls of other nodes.
 type Handler interface {
-	JobState(ctx context.Context, req Request) (Response, error)
-	Waiting(ctx context.Context, req Request) (Response, error)
-	Drain(ctx context.Context, req Request) (Response, error)
-	Loads(ctx context.Context, req Request) (Response, error)
-	Store(ctx context.Context, req Request) (Response, error)
-	Membership(ctx context.Context, req Request) (Response, error)
-	Release(ctx context.Context, req Request) (Response, error)
+	ServeJobState(ctx context.Context, req Request) (Response, error)
+	ServeWaiting(ctx context.Context, req Request) (Response, error)
+	ServeDrain(ctx context.Context, req Request) (Response, error)
+	ServeLoads(ctx context.Context, req Request) (Response, error)
+	ServeStore(ctx context.Context, req Request) (Response, error)
+	ServeMembership(ctx context.Context, req Request) (Response, error)
+	ServeRelease(ctx context.Context, req Request) (Response, error)
 }
 
 // Method is the name of a gRPC method.
@@ -142,8 +142,8 @@
 			if err := decode(&req); err != nil {
 				return nil, err
 			}
-			answer, err := invoke(srv.(Handler), ctx, req)
-			return &answer, err
+			response, err := invoke(srv.(Handler), ctx, req)
+			return &response, err
 		},
 	}
 }
@@ -155,13 +155,13 @@
 		ServiceName: serviceName,
 		HandlerType: (*Handler)(nil),
 		Methods: []grpc.MethodDesc{
-			methodDesc(MethodJobState, Handler.JobState),
-			methodDesc(MethodWaiting, Handler.Waiting),
-			methodDesc(MethodDrain, Handler.Drain),
-			methodDesc(MethodLoads, Handler.Loads),
-			methodDesc(MethodStore, Handler.Store),
-			methodDesc(MethodMembership, Handler.Membership),
-			methodDesc(MethodRelease, Handler.Release),
+			methodDesc(MethodJobState, Handler.ServeJobState),
+			methodDesc(MethodWaiting, Handler.ServeWaiting),
+			methodDesc(MethodDrain, Handler.ServeDrain),
+			methodDesc(MethodLoads, Handler.ServeLoads),
+			methodDesc(MethodStore, Handler.ServeStore),
+			methodDesc(MethodMembership, Handler.ServeMembership),
+			methodDesc(MethodRelease, Handler.ServeRelease),
 		},
 	}, h)
 	ended := make(chan error, 1)
@@ -194,17 +194,17 @@
 	if err != nil {
 		return Response{}, err
 	}
-	var answer Response
+	var response Response
 	var sentTo peer.Peer // stays empty if the request was not sent
-	err = conn.Invoke(ctx, "/"+serviceName+"/"+string(m), &req, &answer, grpc.CallContentSubtype("json"), grpc.Peer(&sentTo))
+	err = conn.Invoke(ctx, "/"+serviceName+"/"+string(m), &req, &response, grpc.CallContentSubtype("json"), grpc.Peer(&sentTo))
 	if err != nil && ctx.Err() != nil {
 		// The connection may be silent; the next call gets a new one.
 		c.discard(address, conn)
 	}
 	if err != nil && sentTo.Addr == nil {
-		return answer, errors.Wrapf(ErrNotSent, "ask %s: %v", address, err)
+		return response, errors.Wrapf(ErrNotSent, "ask %s: %v", address, err)
 	}
-	return answer, errors.Wrapf(err, "ask %s", address)
+	return response, errors.Wrapf(err, "ask %s", address)
 }
 
 func (c *Clients) conn(address string) (*grpc.ClientConn, error) {
--- a/internal/owner/handover.go
+++ b/internal/owner/handover.go
@@ -99,7 +99,7 @@
 	if err != nil {
 		return batch, predecessorState{}, err
 	}
-	handover, lastTakeover := lastHandover(batch)
+	handover, lastTakeover := predecessorHandover(batch)
 	if handover != nil || lastTakeover == nil || lastTakeover.Address == "" {
 		return batch, predecessorState{handover: handover}, nil
 	}
@@ -145,9 +145,9 @@
 	return nil
 }
 
-// lastHandover returns the last owner's takeover record and its handover, nil if it left
+// predecessorHandover returns the last owner's takeover record and its handover, nil if it left
 // none. A handover of an earlier owner doesn't count: later owners have started more runs.
-func lastHandover(batch platform.Batch) (*workload.Handover, *workload.Takeover) {
+func predecessorHandover(batch platform.Batch) (*workload.Handover, *workload.Takeover) {
 	records, _ := joblog.Decode(batch) // applyBatch logs the errors
 	var handover *workload.Handover
 	var lastTakeover *workload.Takeover
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -38,19 +38,19 @@
 	return platform.Batch{Records: s.records}, platform.StoreOK, nil
 }
 
-const previousAddress = "10.0.0.2:7061"
+const predecessorAddress = "10.0.0.2:7061"
 
 // newTakingOverOwner returns an owner of epoch 9 that takes over from an owner of epoch 7.
 // release is the reply of that owner's node.
 func newTakingOverOwner(t *testing.T, release func(store *memoryStore) ([]workload.Record, error)) *Owner {
 	store := &memoryStore{}
-	store.put(t, workload.Record{Takeover: &workload.Takeover{Epoch: 7, Address: previousAddress}})
+	store.put(t, workload.Record{Takeover: &workload.Takeover{Epoch: 7, Address: predecessorAddress}})
 	return &Owner{
 		epoch:  9,
 		logger: hclog.NewNullLogger(),
 		log:    joblog.New(store, nil, joblog.JobsTopic, 0),
 		deps: Deps{ReleasePredecessor: func(_ context.Context, address string, _ int, epoch int64) ([]workload.Record, error) {
-			assert.Equal(t, previousAddress, address)
+			assert.Equal(t, predecessorAddress, address)
 			assert.Equal(t, int64(9), epoch)
 			return release(store)
 		}},
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -21,9 +21,9 @@
 
 // Intervals, timeouts and sizes of an owner.
 const (
-	// minStepPause is the pause after each step. Events that arrive meanwhile share the next
+	// stepPause is the pause after each step. Events that arrive meanwhile share the next
 	// step, which bounds the processor time under load.
-	minStepPause = 3 * time.Millisecond
+	stepPause = 3 * time.Millisecond
 	// tickInterval is the interval of steps without events.
 	tickInterval = 50 * time.Millisecond
 	inboxSize    = 1024
@@ -313,7 +313,7 @@
 		o.execute(ctx, orders)
 		o.deps.Metrics.observeCounts(core.Counts, &o.observedCounts)
 		o.logOverload(core)
-		wait.Pause(ctx, minStepPause)
+		wait.Pause(ctx, stepPause)
 	}
 }
 
--- a/internal/owner/unresolved.go
+++ b/internal/owner/unresolved.go
@@ -14,12 +14,12 @@
 // in maintenance, then a registered worker that the list of VMs doesn't name is stale: no
 // VM is left that it could run on.
 func unresolvedWorkers(registered []workload.Worker, vms []workload.VM, sparePool string, ownsService func(service string) bool) []string {
-	listedWorkers := map[string]bool{}
+	workersOnVMs := map[string]bool{}
 	allVMsAccountedFor := len(vms) > 0
 	var unresolved []string
 	for _, vm := range vms {
 		if vm.Worker != "" {
-			listedWorkers[vm.Worker] = true
+			workersOnVMs[vm.Worker] = true
 		}
 		if vm.Worker != "" && ownsService(vm.Pool) {
 			unresolved = append(unresolved, vm.Worker)
@@ -30,7 +30,7 @@
 		}
 	}
 	for _, w := range registered {
-		if ownsService(w.Service) && !listedWorkers[w.ID] && !allVMsAccountedFor {
+		if ownsService(w.Service) && !workersOnVMs[w.ID] && !allVMsAccountedFor {
 			unresolved = append(unresolved, w.ID)
 		}
 	}
--- a/internal/registry/follower.go
+++ b/internal/registry/follower.go
@@ -46,9 +46,9 @@
 	return &Follower{source: source, logger: logger, view: NewView(), nextOffset: -1, rejected: map[string]bool{}, wake: make(chan struct{}, 1)}
 }
 
-// Acquire marks the list as in use until release is called. Only nodes that send orders to
+// AddUser marks the list as in use until release is called. Only nodes that send orders to
 // workers read it.
-func (f *Follower) Acquire() (release func()) {
+func (f *Follower) AddUser() (removeUser func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.users++
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -12,16 +12,16 @@
 // about 2 s. A removal in that time does not mean that the worker is gone.
 const reregistrationTime = 2300 * time.Millisecond
 
-// minOutageDuration is the gap between successful reads in which entries may have expired.
-const minOutageDuration = 500 * time.Millisecond
+// minReadGap is the gap between successful reads in which entries may have expired.
+const minReadGap = 500 * time.Millisecond
 
 // View holds the registered workers. All times are passed in by the caller.
 type View struct {
 	workers map[string]workload.Worker
 	// removed holds the IDs of workers whose entries are gone and may come back.
-	removed       map[string]bool
-	lastReadAt    time.Time
-	outageEndedAt time.Time // of the latest outage
+	removed        map[string]bool
+	lastReadAt     time.Time
+	readGapEndedAt time.Time // of the latest outage
 }
 
 // NewView returns an empty view.
@@ -31,8 +31,8 @@
 
 // RecordSuccessfulRead records that a read succeeded at now.
 func (v *View) RecordSuccessfulRead(now time.Time) {
-	if !v.lastReadAt.IsZero() && now.Sub(v.lastReadAt) > minOutageDuration {
-		v.outageEndedAt = now
+	if !v.lastReadAt.IsZero() && now.Sub(v.lastReadAt) > minReadGap {
+		v.readGapEndedAt = now
 	}
 	v.lastReadAt = now
 }
@@ -74,7 +74,7 @@
 // IsComplete reports whether the list has all live workers: a read has succeeded, and no
 // outage has ended within reregistrationTime.
 func (v *View) IsComplete(now time.Time) bool {
-	return !v.lastReadAt.IsZero() && (v.outageEndedAt.IsZero() || now.Sub(v.outageEndedAt) > reregistrationTime)
+	return !v.lastReadAt.IsZero() && (v.readGapEndedAt.IsZero() || now.Sub(v.readGapEndedAt) > reregistrationTime)
 }
 
 // List returns the workers that count as registered at now. Removed workers count until the
