--- a/internal/owner/ask.go
+++ b/internal/owner/ask.go
@@ -35,8 +35,8 @@
 	Stale bool
 }
 
-// unknownJobMaxReadAge is the maximum age of the last read of the partition at which a job
-// that is not in it counts as nonexistent. An accepted job must be known within 3 s.
+// unknownJobMaxReadAge is the maximum age of the last read of the partition at which an
+// unknown job counts as nonexistent. An accepted job must be known within 3 s.
 const unknownJobMaxReadAge = 2200 * time.Millisecond
 
 // mayHaveBeenReplaced reports whether the node's membership may have lapsed. Another owner
--- a/internal/owner/ask_test.go
+++ b/internal/owner/ask_test.go
@@ -20,7 +20,7 @@
 )
 
 // newAnsweringOwner returns an owner that answers queries until the test ends. *ownedUntil
-// is the time until which the group has confirmed its ownership.
+// is the result of Deps.OwnedUntil.
 func newAnsweringOwner(t *testing.T, ownedUntil *time.Time) *Owner {
 	o := &Owner{inbox: make(chan event, inboxSize), loaded: make(chan struct{})}
 	o.deps.OwnedUntil = func(int) time.Time { return *ownedUntil }
--- a/internal/owner/authority.go
+++ b/internal/owner/authority.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// refreshAuthority returns the time until which the owner may start tasks and renew leases.
-// It logs when the membership may have lapsed, when the authority ends, and when the
-// membership is confirmed again.
+// refreshAuthority returns when the owner's authority ends. It logs when the membership may
+// have lapsed, when the authority has ended, and when the membership is confirmed again.
 func (o *Owner) refreshAuthority() time.Time {
 	until := o.deps.AuthorityUntil(o.partition)
 	now := time.Now()
--- a/internal/owner/confirmed.go
+++ b/internal/owner/confirmed.go
@@ -7,17 +7,17 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// confirmedWorkers delivers a list of workers only after the group has confirmed the
-// ownership by a join that was sent after the list was read. An owner that was replaced
+// confirmedWorkers delivers a list of workers only after the membership group has confirmed
+// the ownership by a join that was sent after the list was read. An owner that was replaced
 // without knowing it could otherwise start a task on a worker that registered since. The
-// next owner may not have polled that worker yet, so the worker would still accept the
-// order and the task would run twice. With the rule the next owner reads the list after
-// that join, finds the worker on it and polls that worker before it starts anything.
+// successor may not have polled that worker yet, so the worker would still accept the order
+// and the task would run twice. With the rule the successor reads the list after that join,
+// finds the worker on it and polls the worker before it starts anything.
 //
 // A list that was read before the ownership began is not delivered either. A node that
 // owned nothing for a while has not read the list since, so it may show workers as ready
-// that have announced long ago that they leave. After a handover nothing else waits for a
-// later read.
+// that have announced long ago that they leave. A takeover with a handover does not wait
+// for a later read by other means.
 type confirmedWorkers struct {
 	ownedSince              time.Time         // when the ownership began
 	deliveredVersion        int64             // version of the list delivered last
--- a/internal/owner/confirmed_test.go
+++ b/internal/owner/confirmed_test.go
@@ -10,10 +10,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/registry"
 )
 
-// A worker registers while another node takes the partition over and the old owner does not
-// know it yet. The old owner must not send orders to that worker, which the new owner may
-// not have polled: a list counts only after a join sent after its read has confirmed the
-// ownership, and that join never succeeds.
+// A worker registers while another node takes the partition over and the replaced owner does
+// not know it yet. The replaced owner must not send orders to that worker, which its
+// successor may not have polled: a list counts only after a join sent after its read has
+// confirmed the ownership, and that join never succeeds.
 func TestWorkerListIsDeliveredOnlyAfterALaterConfirmation(t *testing.T) {
 	start := time.UnixMilli(1_700_000_000_000)
 	snap := registry.Snapshot{Version: 1, ReadAnsweredAt: start, Workers: workersWithIDs("w-1")}
@@ -60,8 +60,8 @@
 }
 
 // A node that owned a service long ago has not read the list of workers since; one of them
-// is leaving meanwhile. After a handover the node may start tasks at once, so with the old
-// list a task would begin on that worker seconds after it must get none.
+// is leaving meanwhile. After a handover the node may start tasks immediately, so with the
+// old list a task would start on that worker seconds after it must get none.
 func TestWorkerListReadBeforeTakeoverIsNotDelivered(t *testing.T) {
 	begin := time.UnixMilli(1_700_000_000_000)
 	takenOverAt := begin.Add(10 * time.Second)
--- a/internal/owner/executor.go
+++ b/internal/owner/executor.go
@@ -5,8 +5,8 @@
 // maxIdleGoroutines bounds the goroutines kept without a call, some 8 KB of memory each.
 const maxIdleGoroutines = 128
 
-// executor runs each call at once on a goroutine of its own and reuses idle goroutines. A
-// new goroutine for each call grows its stack anew each time, which took a twelfth of an
+// executor runs each call immediately on a goroutine of its own and reuses idle goroutines.
+// A new goroutine for each call grows its stack anew each time, which took a twelfth of an
 // owner's processor time at peak load.
 type executor struct {
 	calls     chan func()
--- a/internal/owner/handover.go
+++ b/internal/owner/handover.go
@@ -16,19 +16,20 @@
 const (
 	// handoverWriteTimeout bounds the last writes of an owner.
 	handoverWriteTimeout = 400 * time.Millisecond
-	// releaseTimeout bounds the request to the previous owner's node. A takeover without its
-	// reply waits about as long for a list of workers.
+	// releaseTimeout bounds the request to the predecessor's node. Without a response the
+	// takeover waits about as long once more, for the next read of the list of workers; only
+	// if the reads fail does it wait for workerListTimeout.
 	releaseTimeout = 300 * time.Millisecond
 )
 
-// HandoverReport holds the handover and the unstored progress of an owner that could not
-// store them: a later owner had fenced it, or the store did not answer.
+// HandoverReport holds the handover and the progress that an owner did not store: a later
+// owner had requested its stop, it had stepped down, or the write failed.
 type HandoverReport struct {
 	Epoch   int64
 	Records []workload.Record
 }
 
-// HandoverReport returns the records that the owner could not store. It must be called after
+// HandoverReport returns the records that the owner did not store. It must be called after
 // Run has returned. ok is false if there is no report.
 func (o *Owner) HandoverReport() (r HandoverReport, ok bool) {
 	if o.handoverReport == nil {
@@ -37,7 +38,8 @@
 	return *o.handoverReport, true
 }
 
-// preserveHandover stores a handover, or keeps it for the next owner's release request.
+// preserveHandover stores a handover, or keeps it as a report for the successor's release
+// request. An owner that was superseded or has stepped down doesn't try to store it.
 func (o *Owner) preserveHandover(ctx context.Context, core *scheduler.Core) {
 	superseded := errors.Is(context.Cause(ctx), ownership.ErrSuperseded)
 	if core.StepDownReason() == "" && !superseded && o.storeHandover(core) {
@@ -50,9 +52,10 @@
 	}
 }
 
-// storeHandover stores the runs, including those whose orders are in flight. Without a
-// handover the next owner waits until their leases expire. storeHandover reports whether
-// nothing remains to be reported to a successor.
+// storeHandover stores the unstored progress and, if the runs are known completely, the
+// handover, which lists all runs including those whose orders are in flight. Without a
+// handover the successor waits until their leases expire. storeHandover returns false if
+// the records could not be stored.
 func (o *Owner) storeHandover(core *scheduler.Core) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), handoverWriteTimeout)
 	defer cancel()
@@ -69,14 +72,16 @@
 		return false
 	}
 	status, err := o.log.Write(ctx, o.epoch, core.NextWriteSequence(), records)
+	// The line is logged for a failed write, too; status shows whether the records are stored.
 	o.logger.Info("partition left", "records", len(records), "status", status.String(), "error", err)
 	return status == platform.StoreOK
 }
 
-// predecessorState is the state that the previous owner left. It is empty if unknown.
+// predecessorState is the state that the predecessor, the owner with the next lower epoch,
+// left. It is empty if unknown.
 type predecessorState struct {
 	handover *workload.Handover
-	// unstoredProgress is the progress of jobs that the previous owner could not store.
+	// unstoredProgress is the progress of jobs that the predecessor did not store.
 	unstoredProgress map[workload.JobID]*workload.Progress
 }
 
@@ -90,10 +95,10 @@
 	}
 }
 
-// readPartition reads the partition, and the previous owner's state from the store or
-// otherwise from that owner's node. The previous owner may have started tasks of jobs that
-// were stored after the first read, so the partition is read again once that owner has
-// stopped.
+// readPartition reads the partition. It reads the predecessor's state from the store or, if
+// the store has no handover, from the predecessor's node. The predecessor may have started
+// tasks of jobs that were stored after the first read, so the partition is read again once
+// the predecessor has stopped.
 func (o *Owner) readPartition(ctx context.Context) (platform.Batch, predecessorState, error) {
 	batch, err := o.readSnapshot(ctx)
 	if err != nil {
@@ -111,8 +116,8 @@
 	return batch, predecessor, err
 }
 
-// releasePredecessor asks the node of the previous owner to stop that owner and to return
-// its handover. It returns false unless the handover is of exactly that owner.
+// releasePredecessor asks the predecessor's node to stop the predecessor and to return its
+// handover. It returns false unless the handover has the epoch of lastTakeover.
 func (o *Owner) releasePredecessor(ctx context.Context, lastTakeover *workload.Takeover) (predecessorState, bool) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
@@ -120,10 +125,10 @@
 	handover := findHandover(records)
 	switch {
 	case err != nil:
-		o.logger.Info("previous owner gave no report", "address", lastTakeover.Address, "previous", lastTakeover.Epoch, "error", err)
+		o.logger.Info("release request to the previous owner failed", "address", lastTakeover.Address, "previous", lastTakeover.Epoch, "error", err)
 		return predecessorState{}, false
 	case handover == nil || handover.Epoch != lastTakeover.Epoch:
-		o.logger.Info("previous owner is unknown at its node", "address", lastTakeover.Address, "previous", lastTakeover.Epoch)
+		o.logger.Info("node has no handover of the previous owner", "address", lastTakeover.Address, "previous", lastTakeover.Epoch)
 		return predecessorState{}, false
 	}
 	predecessor := predecessorState{handover: handover, unstoredProgress: map[workload.JobID]*workload.Progress{}}
@@ -145,8 +150,9 @@
 	return nil
 }
 
-// predecessorHandover returns the last owner's takeover record and its handover, nil if it left
-// none. A handover of an earlier owner doesn't count: later owners have started more runs.
+// predecessorHandover returns the predecessor's handover and its takeover record, nil if
+// there is none. A handover of any earlier owner doesn't count: later owners have started
+// more runs.
 func predecessorHandover(batch platform.Batch) (*workload.Handover, *workload.Takeover) {
 	records, _ := joblog.Decode(batch) // applyBatch logs the errors
 	var handover *workload.Handover
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -15,7 +15,7 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// memoryStore keeps one partition in memory.
+// memoryStore serves a fixed list of records to Newest. Append and Read have no effect.
 type memoryStore struct{ records []platform.KeyedRecord }
 
 func (s *memoryStore) put(t *testing.T, records ...workload.Record) {
@@ -41,7 +41,7 @@
 const predecessorAddress = "10.0.0.2:7061"
 
 // newTakingOverOwner returns an owner of epoch 9 that takes over from an owner of epoch 7.
-// release is the reply of that owner's node.
+// release is called for the release request and returns the records of the response.
 func newTakingOverOwner(t *testing.T, release func(store *memoryStore) ([]workload.Record, error)) *Owner {
 	store := &memoryStore{}
 	store.put(t, workload.Record{Takeover: &workload.Takeover{Epoch: 7, Address: predecessorAddress}})
@@ -57,9 +57,9 @@
 	}
 }
 
-// Guards against a task that runs twice: the previous owner started it after the first read
-// of the partition, of a job that was stored in between. Without a second read the new owner
-// would start the task again as soon as it reads the job.
+// Guards against running a task twice if the predecessor started it for a job stored after
+// the first read of the partition. Without a second read the new owner would start the task
+// again as soon as it reads the job.
 func TestPartitionIsReadAgainAfterPredecessorReported(t *testing.T) {
 	sub := &workload.Submission{Service: "booking", Queue: "queue", Spec: workload.Spec{Steps: []workload.Step{{Count: 1}}}}
 	o := newTakingOverOwner(t, func(store *memoryStore) ([]workload.Record, error) {
@@ -77,15 +77,15 @@
 	assert.Contains(t, predecessor.unstoredProgress, endedJob)
 }
 
-// Guards against treating the handover of an earlier owner, or none, as the list of all runs:
-// a later owner has started more.
+// Guards against accepting a missing handover, or the handover of an owner before the
+// predecessor, as the list of all runs: the predecessor has started more.
 func TestOnlyDirectPredecessorsReportIsAccepted(t *testing.T) {
 	for name, release := range map[string]func(*memoryStore) ([]workload.Record, error){
-		"handover of an earlier owner": func(*memoryStore) ([]workload.Record, error) {
+		"handover of an owner before the predecessor": func(*memoryStore) ([]workload.Record, error) {
 			return []workload.Record{{Handover: &workload.Handover{Epoch: 5}}}, nil
 		},
-		"owner unknown at its node": func(*memoryStore) ([]workload.Record, error) { return nil, nil },
-		"no answer":                 func(*memoryStore) ([]workload.Record, error) { return nil, errors.New("timeout") },
+		"node has no handover": func(*memoryStore) ([]workload.Record, error) { return nil, nil },
+		"no response":          func(*memoryStore) ([]workload.Record, error) { return nil, errors.New("timeout") },
 	} {
 		_, predecessor, err := newTakingOverOwner(t, release).readPartition(t.Context())
 		require.NoError(t, err)
--- a/internal/owner/metrics.go
+++ b/internal/owner/metrics.go
@@ -36,12 +36,12 @@
 		}, []string{"work"}),
 		maxEventDelay: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "yuccadrift_owner_delay_seconds",
-			Help:    "Longest time that an event waited for its owner, per interval of one second, in seconds.",
+			Help:    "Longest time from an event until its owner applied it, per interval of one second, in seconds.",
 			Buckets: []float64{0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 3, 10},
 		}),
 		maxStepTime: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "yuccadrift_owner_step_seconds",
-			Help:    "Longest step of an owner, per interval of one second, in seconds.",
+			Help:    "Longest step of an owner's scheduler core, per interval of one second, in seconds.",
 			Buckets: []float64{0.0002, 0.0005, 0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1},
 		}),
 	}
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -10,8 +10,8 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// execute logs the decisions and carries out the orders of a step without blocking the
-// loop. The core bounds the orders in flight to each worker, and so the goroutines here.
+// execute logs the decisions and carries out the orders of a step of the core without
+// blocking the loop. The core bounds the orders in flight to each worker, and so the goroutines here.
 func (o *Owner) execute(ctx context.Context, orders scheduler.Orders) {
 	for _, decision := range orders.Decisions {
 		o.logDecision(decision)
--- a/internal/owner/overload.go
+++ b/internal/owner/overload.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// overloadDelay is the wait of an event beyond which the owner counts as overloaded.
-	// Pauses of the process are usually shorter, and half of the shortest objective is 300 ms.
+	// overloadDelay is the delay of an event beyond which the owner counts as overloaded: more
+	// than the usual pauses of the process, and less than half of the shortest completion
+	// objective of a job, 300 ms.
 	overloadDelay = 250 * time.Millisecond
 	// overloadTruncatedShare is the share of truncated plans beyond which the owner counts as
 	// overloaded: a burst that it can handle truncates only some plans.
@@ -18,25 +19,25 @@
 	loadInterval = time.Second
 )
 
-// loadStats measures over an interval whether an owner keeps up with its events.
+// loadStats measures over an interval whether an owner is overloaded.
 type loadStats struct {
 	beganAt        time.Time
-	maxEventDelay  time.Duration // longest wait of an event in the inbox
-	maxStepTime    time.Duration
+	maxEventDelay  time.Duration // longest time from an event's occurrence until it is applied
+	maxStepTime    time.Duration // of a step of the core
 	plans          int
 	truncatedPlans int
 	wasOverloaded  bool // in the previous interval
 }
 
-// recordEventDelay records the delay of an event that is applied to the core at now.
+// recordEventDelay records the delay of an event that the core applies at now.
 func (l *loadStats) recordEventDelay(occurredAt, now time.Time) {
 	l.maxEventDelay = max(l.maxEventDelay, now.Sub(occurredAt))
 }
 
-// recordStepTime records the duration of a step.
+// recordStepTime records the duration of a step of the core.
 func (l *loadStats) recordStepTime(took time.Duration) { l.maxStepTime = max(l.maxStepTime, took) }
 
-// isOverloaded reports whether the owner did not keep up: events waited for it, or most
+// isOverloaded reports whether the owner was overloaded: events were applied late, or most
 // plans were truncated because too many starts were unanswered. Jobs then wait although
 // workers have free capacity.
 func (l *loadStats) isOverloaded() bool {
@@ -48,8 +49,8 @@
 	return loadStats{beganAt: now, wasOverloaded: l.isOverloaded()}
 }
 
-// logOverload logs once an interval while the owner is overloaded, and once when it keeps up
-// again. The values distinguish an owner that lacks processor time (free capacity, long
+// logOverload logs once an interval while the owner is overloaded, and once when it no
+// longer is. The values distinguish an owner that lacks processor time (free capacity, long
 // steps) from a service without free capacity.
 func (o *Owner) logOverload(core *scheduler.Core) {
 	now := time.Now()
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,5 +1,10 @@
 // Package owner runs the scheduler core of one partition: it reads the partition's jobs,
 // applies all events to the core one after the other, and carries out the core's orders.
+//
+// A partition has one owner after the other. The owners before and after an owner are its
+// predecessor and its successor; "earlier" and "later" mean any owner with a lower or higher
+// epoch. An owner's authority is its right to start tasks and renew leases. It ends some
+// time after the membership group could have assigned the partition to a successor.
 package owner
 
 import (
@@ -21,23 +26,24 @@
 
 // Intervals, timeouts and sizes of an owner.
 const (
-	// stepPause is the pause after each step. Events that arrive meanwhile share the next
-	// step, which bounds the processor time under load.
+	// stepPause is the pause after each step of the core. Events that arrive meanwhile share
+	// the next step, which bounds the processor time under load.
 	stepPause = 3 * time.Millisecond
-	// tickInterval is the interval of steps without events.
+	// tickInterval is the interval of steps of the core without events.
 	tickInterval = 50 * time.Millisecond
 	inboxSize    = 1024
 	// tailReadWait is how long a read of the partition waits for a record.
 	tailReadWait      = time.Second
 	readRetryInterval = 100 * time.Millisecond
-	// tailReadPause is the pause after a read that returned records. It saves calls: without
-	// it each record, also the owner's own, would cost a read. Most jobs are stored through
-	// this node and known before they are read.
+	// tailReadPause is the pause after a read that returned records. It batches the reads of a
+	// busy partition: without it each record, also the owner's own, would cost a read. The
+	// delay rarely matters, since most jobs are stored through this node, which applies them
+	// directly.
 	tailReadPause = 100 * time.Millisecond
 	// writeRetryInterval is the pause before a write is sent again.
 	writeRetryInterval = 100 * time.Millisecond
-	// workerListTimeout is how long a new owner waits for a list of workers that was read
-	// after it fenced earlier owners.
+	// workerListTimeout bounds how long a new owner without a handover waits for a list of
+	// workers that was read after the owner fenced earlier owners.
 	workerListTimeout = 3 * time.Second
 	fenceTimeout      = 10 * time.Second
 )
@@ -79,21 +85,21 @@
 	// ConfirmingJoinSentAt returns when the latest join that confirmed the ownership of a
 	// partition was sent: no other node had taken the partition over before.
 	ConfirmingJoinSentAt func(partition int) time.Time
-	// OwnedUntil returns the time until which no other node can own a partition, unless the
-	// group reassigns all partitions.
+	// OwnedUntil returns the time until which the membership group can't give a partition to
+	// another node because of missed joins. The group may still reassign it in a rebalance.
 	OwnedUntil func(partition int) time.Time
-	// AuthorityUntil returns the time until which the owner of a partition may start tasks
-	// and renew leases.
+	// AuthorityUntil returns when the authority of the owner of a partition ends.
 	AuthorityUntil func(partition int) time.Time
-	// MaxOwnerOverlap is how long the authority may last after a successor has begun.
+	// MaxOwnerOverlap is how long the authority may last after a successor has learned that
+	// the partition is assigned to it.
 	MaxOwnerOverlap time.Duration
-	// RequestJoin requests a join, which confirms the ownership, at once.
+	// RequestJoin requests an immediate join, which confirms the ownership.
 	RequestJoin func()
 	// Address is this node's address for other nodes.
 	Address string
-	// ReleasePredecessor asks the node at an address to stop an owner of a partition with a
-	// lower epoch than epoch. It returns the records that this owner could not store, nil if
-	// the node knows no such owner.
+	// ReleasePredecessor asks the node at address to stop its owner of the partition if that
+	// owner's epoch is lower than epoch. It returns the records that the stopped owner did
+	// not store, nil if the node has none.
 	ReleasePredecessor func(ctx context.Context, address string, partition int, epoch int64) ([]workload.Record, error)
 	// Partitions is the number of partitions of the topic of jobs.
 	Partitions int
@@ -128,15 +134,15 @@
 	observedCounts    scheduler.Counts
 	load              loadStats
 	countsAtLoadStart scheduler.Counts // when the interval of load began
-	// lastReadSentAt is when the latest read of the partition was sent whose records were
-	// applied.
+	// lastReadSentAt is the time as of which the partition is known: when the latest applied
+	// read was sent, initially when Run began.
 	lastReadSentAt time.Time
 	// membershipUnconfirmed is set while the membership may have lapsed, authorityLapsed while
-	// nothing may be started or renewed.
+	// the owner has no authority.
 	membershipUnconfirmed, authorityLapsed bool
 	// lastWrite is the latest write, which may be in flight.
 	lastWrite      scheduler.WriteOrder
-	handoverReport *HandoverReport // set before Run returns if the handover could not be stored
+	handoverReport *HandoverReport // set before Run returns if the handover was not stored
 }
 
 // New returns the owner of a partition. epoch must be greater than the epochs of all earlier
@@ -214,9 +220,8 @@
 	return platform.Batch{}, ctx.Err()
 }
 
-// newCore returns the scheduler core. Without a handover the core starts with unresolved
-// workers: the registered workers and those on the list of VMs, which may run what an
-// earlier owner started.
+// newCore returns the scheduler core. Without a handover the core starts with the unresolved
+// workers, which may run tasks of an earlier owner.
 func (o *Owner) newCore(ctx context.Context, fencedAt time.Time, hasHandover bool) *scheduler.Core {
 	cfg := scheduler.Settings{
 		Address:            o.deps.Address,
@@ -244,7 +249,8 @@
 	return scheduler.New(cfg, fencedAt, unresolved, mayBeIncomplete)
 }
 
-// sparePool returns the name of the spare pool, "" if there is none.
+// sparePool returns the name of the spare pool, "" if there is none. The VMs of a service
+// form the pool of the same name; those of the standby service are the spare pool.
 func (o *Owner) sparePool() string {
 	config := o.deps.Published.Config()
 	if config == nil {
@@ -269,9 +275,9 @@
 	}
 }
 
-// ownsService reports whether a service's jobs are in the partition. A service that the
-// configuration doesn't name has none: a foreign registry entry may name it, and waiting for
-// a worker that never answers would delay a takeover by a lease.
+// ownsService reports whether a service's jobs are in the partition. Services that are not
+// configured are not owned: the registry may have stray entries that name them, and waiting
+// for a worker that never answers would delay a takeover by a lease.
 func (o *Owner) ownsService(service string) bool {
 	if config := o.deps.Published.Config(); config != nil && !config.HasService(service) {
 		return false
@@ -288,7 +294,7 @@
 	}
 }
 
-// loop applies events and steps the core.
+// loop applies events and steps the core until ctx ends or the core steps down.
 func (o *Owner) loop(ctx context.Context, core *scheduler.Core) error {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
--- a/internal/owner/tail.go
+++ b/internal/owner/tail.go
@@ -34,8 +34,8 @@
 }
 
 // HandleStored applies records that this node has stored in the partition. The tail reads
-// them as well; HandleStored makes them known some milliseconds earlier, or some hundred if
-// the store is slow. If the inbox is full they are left to the tail.
+// them as well; HandleStored makes them known some milliseconds earlier, or some hundred
+// milliseconds if the store is slow. If the inbox is full they are left to the tail.
 func (o *Owner) HandleStored(records []workload.Record) {
 	select {
 	case o.inbox <- newEvent(func(c *scheduler.Core, now time.Time) { applyRecords(c, records, now) }):
@@ -45,7 +45,7 @@
 }
 
 // restoreProgress restores the progress that earlier owners stored. It skips jobs in
-// reported, of which the previous owner has reported later progress. It is not used for
+// reported, of which the predecessor has reported later progress. It is not used for
 // records that the tail reads back: the core's own state is newer than those.
 func restoreProgress(core *scheduler.Core, batch platform.Batch, reported map[workload.JobID]*workload.Progress) {
 	records, _ := joblog.Decode(batch) // applyBatch has logged the errors
--- a/internal/owner/unresolved.go
+++ b/internal/owner/unresolved.go
@@ -4,15 +4,16 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// unresolvedWorkers returns the workers that may run what an earlier owner started: the
-// workers on the list of VMs and the registered workers. ownsService reports whether a
-// service's jobs are in the partition.
+// unresolvedWorkers returns the IDs of the workers that may run tasks of an earlier owner:
+// those that a VM lists, and registered workers that are not stale. ownsService reports
+// whether a service's jobs are in the partition; a service's VMs form the pool of the same
+// name.
 //
 // Registry entries outlive their workers by some seconds, mainly those of VMs that were
 // just moved or maintained. Such a worker never answers, and waiting for it would delay
-// all jobs by a lease. If each VM outside of the spare pool has a worker, or is moving or
-// in maintenance, then a registered worker that the list of VMs doesn't name is stale: no
-// VM is left that it could run on.
+// all jobs by a lease. A registered worker that no VM lists is stale if every VM is
+// accounted for: none is down, and each VM outside the spare pool has a worker, is moving
+// or is in maintenance. Then no VM is left that the worker could run on.
 func unresolvedWorkers(registered []workload.Worker, vms []workload.VM, sparePool string, ownsService func(service string) bool) []string {
 	workersOnVMs := map[string]bool{}
 	allVMsAccountedFor := len(vms) > 0
--- a/internal/owner/unresolved_test.go
+++ b/internal/owner/unresolved_test.go
@@ -18,8 +18,9 @@
 	return list
 }
 
-// All nodes were killed and the next owner finds entries of VMs that moved away a second
-// ago. Each VM has a worker or is moving, so the entries are stale and no job waits for them.
+// All nodes were killed, and the new owner finds registry entries of VMs that moved away a
+// second ago. Each VM has a worker or is moving, so the entries are stale and no job waits
+// for them.
 func TestStaleEntriesWithoutVMAreNotUnresolved(t *testing.T) {
 	vms := []workload.VM{
 		{ID: "vm-1", Pool: "booking", State: workload.VMUp, Worker: "w-1"},
