--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -1,5 +1,5 @@
-// Package front serves the callers of job queues: it stores what they submit and cancel, and
-// queries the owners for the states of jobs and queues.
+// Package front is the HTTP server for the callers of job queues: it stores what they submit
+// and cancel, and queries the owners for the states of jobs and queues.
 package front
 
 import (
@@ -22,9 +22,10 @@
 const (
 	// defaultCallerTimeout applies if the request has no timeout.
 	defaultCallerTimeout = 3 * time.Second
-	// responseMargin is reserved of the caller's timeout for sending the response.
+	// responseMargin is the part of the caller's timeout that is reserved for sending the
+	// response. It is also the shortest timeout with which a request is handled.
 	responseMargin = 100 * time.Millisecond
-	// storeRetryInterval is the pause before a refused record is stored again.
+	// storeRetryInterval is the pause before a refused record is tried again.
 	storeRetryInterval = 60 * time.Millisecond
 	// maxRefusalRetryTime is how long a refused record is retried. A caller that is refused
 	// early can try elsewhere.
@@ -42,7 +43,7 @@
 	Accept(ctx context.Context, service string, r workload.Record) (platform.StoreStatus, error)
 }
 
-// Owners queries the owners of jobs. ok is false if no owner gave an answer.
+// Owners queries the owners of jobs. ok is false if no owner answered.
 type Owners interface {
 	State(ctx context.Context, service string, id workload.JobID) (state workload.JobState, known, ok bool)
 	WaitingJobs(ctx context.Context, service, queue string) (n int, ok bool)
@@ -192,8 +193,8 @@
 // storeRecord stores a record before the caller gets a response. If the record is certainly
 // not stored the response is a refusal, after which the caller can try elsewhere. If it may
 // still be stored the response is a gateway timeout: after a refusal the job could run
-// although its caller was told that it won't. Jobs retries an unknown outcome as long as the
-// caller waits.
+// although its caller was told that it won't. h.Jobs.Accept retries an unknown outcome as
+// long as the caller waits.
 func (h *Handler) storeRecord(ctx context.Context, req *request, r workload.Record) response {
 	for {
 		status, err := h.Jobs.Accept(ctx, req.queue.Service, r)
--- a/internal/node/intake.go
+++ b/internal/node/intake.go
@@ -87,8 +87,8 @@
 	return n.intake.Accept(ctx, n.owners.partitionOf(service), r)
 }
 
-// onStored passes records that were just stored to the partition's owner if this node owns
-// the partition. The owner then need not wait until it reads them.
+// onStored passes records that were just stored to the partition's owner if it is on this
+// node. The owner then need not wait until it reads them.
 func (n *Node) onStored(partition int, records []workload.Record) {
 	if localOwner := n.owners.localOwner(partition); localOwner != nil {
 		localOwner.HandleStored(records)
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -10,7 +10,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/ownership"
 )
 
-// memberClient queries the other members of the group.
+// memberClient queries the other members of the membership group.
 type memberClient struct{ clients *nodepeer.Clients }
 
 // LastJoin asks the node at an address for its last join that the store answered.
@@ -25,7 +25,7 @@
 	return ownership.LastJoin{Never: response.LastJoin.Never, Age: time.Duration(response.LastJoin.AgeMS) * time.Millisecond, Owned: response.LastJoin.Owned}, nil
 }
 
-// ServeMembership returns this node's last join to another node.
+// ServeMembership serves MethodMembership: it returns this node's last join.
 func (o *ownerDirectory) ServeMembership(context.Context, nodepeer.Request) (nodepeer.Response, error) {
 	last := o.manager.LastJoin()
 	return nodepeer.Response{LastJoin: &nodepeer.LastJoin{Never: last.Never, AgeMS: last.Age.Milliseconds(), Owned: last.Owned}}, nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,7 @@
-// Package node assembles the process that runs on each entry VM.
+// Package node assembles the process that runs on each entry VM. Its parts are the front (the
+// HTTP server for callers), the server for other nodes, the membership and the owners of the
+// partitions that the membership group has assigned to the node, and the followers of the
+// store that the owners and the front read.
 package node
 
 import (
@@ -60,18 +63,18 @@
 	front        *front.Server
 	admin        *admin.Server
 	peerListener listen.Listener
-	// frontCtx ends once the front has stopped serving callers.
+	// frontCtx ends once the front, the HTTP server for callers, has stopped.
 	frontCtx       context.Context
 	cancelFrontCtx context.CancelFunc
 }
 
-// Ports of the process, as offsets from its first peer port.
+// Ports of the process for metrics and for other nodes, as offsets from its first peer port.
 const (
 	metricsPortOffset = 0
 	peerPortOffset    = 1
 )
 
-// addressAt returns the address of the peer port at an offset.
+// addressAt returns the address of the port at an offset from the first peer port.
 func addressAt(s platform.Settings, offset int) string {
 	return fmt.Sprintf("%s:%d", s.IP, s.PeerPorts[0]+offset)
 }
@@ -93,7 +96,7 @@
 		return err
 	}
 	logger.Info("started", "took", time.Since(began).String(), "callers", s.CallerAddress, "store", s.Store.Address, "partitions", s.Store.Partitions)
-	context.AfterFunc(ctx, func() { logger.Info("told to stop, requests in progress are completed") })
+	context.AfterFunc(ctx, func() { logger.Info("shutting down, requests in progress are completed") })
 	err = supervise.Run(ctx, binary, logger, n.duties(path, hangups)...)
 	logger.Info("stopped", "dropped_lines", async.Dropped(), "error", fmt.Sprint(err))
 	return err
@@ -139,7 +142,7 @@
 	return n, n.openListeners(ctx, metrics)
 }
 
-// initPeering creates the components that share the work among the nodes.
+// initPeering creates the components that assign partitions to nodes and call other nodes.
 func (n *Node) initPeering(hedger *hedge.Hedger) {
 	s, logger := n.settings, n.logger
 	self := addressAt(s, peerPortOffset)
@@ -215,7 +218,8 @@
 	return n.storeHealth.check()
 }
 
-// runOwner runs the owner of a partition that the group has assigned to this node.
+// runOwner runs the owner of a partition that the membership group has assigned to this node.
+// The owner of a partition of jobs starts once the partition has work.
 func (n *Node) runOwner(ctx context.Context, p platform.Partition, epoch int64) error {
 	if p.Topic != joblog.JobsTopic {
 		return n.runFleetOwner(ctx, p.Part, epoch)
@@ -257,10 +261,10 @@
 	}, partition, epoch).Run(ctx)
 }
 
-// workCheckInterval is the interval of checks whether a partition is in use.
+// workCheckInterval is the interval of checks whether a partition has work.
 const workCheckInterval = 100 * time.Millisecond
 
-// hasWork reports whether a partition is the fleet's or has the jobs of a configured service.
+// hasWork reports whether a partition is the fleet's or holds the jobs of a configured service.
 func (n *Node) hasWork(p platform.Partition) bool {
 	if p.Topic != joblog.JobsTopic {
 		return p.Part == fleetPartition
@@ -271,7 +275,7 @@
 	})
 }
 
-// awaitWork waits until a partition is in use. It returns false if ctx ends before.
+// awaitWork waits until a partition has work. It returns false if ctx ends before.
 func (n *Node) awaitWork(ctx context.Context, p platform.Partition) bool {
 	for ctx.Err() == nil {
 		if n.hasWork(p) {
@@ -285,7 +289,8 @@
 	return false
 }
 
-// duties returns the supervised goroutines of the process.
+// duties returns the duties of the process, which are goroutines that supervise.Run starts,
+// restarts and stops.
 func (n *Node) duties(path string, hangups <-chan os.Signal) []supervise.Duty {
 	return []supervise.Duty{
 		{Name: "front", Serve: n.serveFront, StopWithin: n.settings.Bounds.ShutdownGrace},
@@ -304,8 +309,8 @@
 }
 
 // servePeers serves other nodes until the last caller of this node has its response. If it
-// stopped earlier, records that others store through this node would have an open outcome,
-// and all other nodes would call the store at once.
+// stopped earlier, the outcome of records that others store through this node would be
+// unknown, and all other nodes would call the store simultaneously.
 func (n *Node) servePeers(ctx context.Context) error {
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -318,7 +323,7 @@
 }
 
 // notifyHangups catches SIGHUP for the whole life of the process. An uncaught SIGHUP, for
-// example during the shutdown, would end the process at once and cut off all requests in
+// example during the shutdown, would end the process immediately and cut off all requests in
 // progress.
 func notifyHangups() <-chan os.Signal {
 	hangups := make(chan os.Signal, 1)
@@ -326,8 +331,9 @@
 	return hangups
 }
 
-// checkSettingsOnHangup checks the settings file at each SIGHUP. The identity and the addresses of a process
-// can't change while it runs, so the settings take effect at the next start.
+// checkSettingsOnHangup checks the settings file at each SIGHUP and logs the result. It applies
+// nothing: the identity and the addresses of a process can't change while it runs, so settings
+// take effect at the next start only.
 func (n *Node) checkSettingsOnHangup(ctx context.Context, path string, hangups <-chan os.Signal) error {
 	for {
 		select {
--- a/internal/node/owners.go
+++ b/internal/node/owners.go
@@ -25,7 +25,9 @@
 	ownerCallRetryInterval = 80 * time.Millisecond
 )
 
-// ownerDirectory finds and calls the owner of a service's jobs, on this or another node.
+// ownerDirectory finds and calls the owner of a service's jobs, on this or another node. It
+// also serves such calls of other nodes to the owners on this node (the methods Serve...), and
+// keeps the reports of stopped owners for their successors (release.go).
 type ownerDirectory struct {
 	partitions  int
 	selfAddress string // this node's address for other nodes
@@ -33,8 +35,8 @@
 	manager     *ownership.Manager
 
 	mu      sync.Mutex
-	local   map[int]*owner.Owner
-	reports map[int]owner.HandoverReport // by partition, of the last local owner that could not store its handover
+	local   map[int]*owner.Owner         // by partition
+	reports map[int]owner.HandoverReport // by partition, of the last local owner that did not store its handover
 }
 
 func (o *ownerDirectory) localOwner(partition int) *owner.Owner {
@@ -181,11 +183,11 @@
 	intake *intake.Router
 }
 
-// ServeStore serves MethodStore. It rejects records that are no caller's request.
+// ServeStore serves MethodStore. It rejects records other than submissions and cancellations.
 func (p peerHandler) ServeStore(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
 	record, ok, err := workload.DecodeRecord(req.RecordKey, req.RecordValue)
 	if err != nil || !ok || record.Submission == nil && !record.Cancel {
-		return nodepeer.Response{StoreResult: &nodepeer.StoreResult{Status: platform.StoreInvalid, Reason: "not a record of a caller's request"}}, nil
+		return nodepeer.Response{StoreResult: &nodepeer.StoreResult{Status: platform.StoreInvalid, Reason: "record is neither a submission nor a cancellation"}}, nil
 	}
 	response := p.intake.Serve(ctx, intake.StoreRequest{Partition: req.Partition, Record: record, PendingAfter: time.Duration(req.PendingAfterMS) * time.Millisecond})
 	return nodepeer.Response{StoreResult: &nodepeer.StoreResult{Status: response.Status, Pending: response.Pending, Unavailable: response.Unavailable, Reason: response.Reason}}, nil
--- a/internal/node/release.go
+++ b/internal/node/release.go
@@ -11,8 +11,8 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// reportRetention is how long a report is kept for a successor. The successor asks for it
-// when it takes over, which the store may delay by an outage.
+// reportRetention is how long a report is kept for the successor. The successor asks for it
+// when it takes over; an outage of the store can delay that.
 const reportRetention = 30 * time.Second
 
 // keepReport keeps the report of a local owner for its successor.
@@ -29,8 +29,8 @@
 	})
 }
 
-// reportBeforeEpoch returns the report of the last local owner of a partition if its epoch is lower
-// than epoch.
+// reportBeforeEpoch returns the report of the last local owner of a partition if that owner's
+// epoch is lower than epoch.
 func (o *ownerDirectory) reportBeforeEpoch(partition int, epoch int64) (owner.HandoverReport, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -38,8 +38,9 @@
 	return r, ok && r.Epoch < epoch
 }
 
-// ServeRelease serves MethodRelease: it stops the local owner of a partition and returns that
-// owner's report to the next owner.
+// ServeRelease serves MethodRelease: it stops the local owner of a partition if its epoch is
+// lower than the requesting owner's, and returns the report of the last local owner with a
+// lower epoch.
 func (o *ownerDirectory) ServeRelease(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
 	o.manager.StopOwnerBelow(ctx, platform.Partition{Topic: joblog.JobsTopic, Part: req.Partition}, req.Epoch)
 	report, ok := o.reportBeforeEpoch(req.Partition, req.Epoch)
@@ -57,8 +58,9 @@
 	return response, nil
 }
 
-// releasePredecessor asks the node at an address to stop an earlier owner of a partition. It
-// returns the records that this owner could not store, nil if the node knows no such owner.
+// releasePredecessor asks the node at address to stop its owner of the partition if that
+// owner's epoch is lower than epoch. It returns the records that the stopped owner did not
+// store, nil if the node has none.
 func (o *ownerDirectory) releasePredecessor(ctx context.Context, address string, partition int, epoch int64) ([]workload.Record, error) {
 	req := nodepeer.Request{Partition: partition, Epoch: epoch}
 	var response nodepeer.Response
--- a/internal/node/storehealth.go
+++ b/internal/node/storehealth.go
@@ -15,8 +15,8 @@
 const storeLostAfter = 1500 * time.Millisecond
 
 // failFastAfter is the time since the store's last answer after which the node makes no more
-// calls on behalf of callers. Its own calls go on and detect when the store is back. A slow
-// store answers within half of this time.
+// calls on behalf of callers. Its own calls go on and detect when the store answers again. A
+// slow store answers within half of this time.
 const failFastAfter = 900 * time.Millisecond
 
 // storeHealth tracks whether the store answers this node. It is safe for concurrent use.
--- a/internal/nodepeer/nodepeer.go
+++ b/internal/nodepeer/nodepeer.go
@@ -23,12 +23,12 @@
 
 // Timeouts of connections between nodes.
 const (
-	// keepaliveInterval and keepaliveTimeout detect a silent connection.
+	// keepaliveInterval and keepaliveTimeout detect a dead connection.
 	keepaliveInterval = 10 * time.Second // the shortest that grpc allows
 	keepaliveTimeout  = time.Second
 	idleTimeout       = 30 * time.Second
 	minConnectTimeout = 500 * time.Millisecond
-	// closeDelay is how long a connection that may be silent stays open for the other calls
+	// closeDelay is how long a connection that may be dead stays open for the other calls
 	// on it. The longest of them, storing a record while the store is slow, takes up to 1.1 s.
 	closeDelay = 1500 * time.Millisecond
 )
@@ -49,14 +49,16 @@
 	// RecordKey and RecordValue are the record to be stored.
 	RecordKey      string `json:"rk,omitempty"`
 	RecordValue    []byte `json:"rv,omitempty"`
-	PendingAfterMS int64  `json:"rw,omitempty"` // after which the node replies that the outcome is pending
+	PendingAfterMS int64  `json:"rw,omitempty"` // after which the node responds that the outcome is pending
 	Epoch          int64  `json:"ep,omitempty"` // of the requesting owner
 }
 
 // Response holds the results of all methods.
 type Response struct {
-	IsOwner bool              `json:"o"` // the node owns the partition and has read it
-	Known   bool              `json:"k,omitempty"`
+	// IsOwner is set if the node owns the partition, has read it and is certain of the results
+	// below. ServeStore, ServeMembership and ServeRelease don't set it.
+	IsOwner bool              `json:"o"`
+	Known   bool              `json:"k,omitempty"` // the job exists
 	State   workload.JobState `json:"s,omitempty"`
 	Waiting int               `json:"w,omitempty"`
 	// Drained is set if the worker runs nothing. DrainConfirmed is set if in addition its
@@ -67,8 +69,8 @@
 	StoreResult    *StoreResult           `json:"st,omitempty"`
 	// LastJoin is the last join of the node's process, whatever the process owns.
 	LastJoin *LastJoin `json:"lj,omitempty"`
-	// HandoverRecords are the records that an earlier owner of the partition could not store,
-	// nil if the node knows no such owner.
+	// HandoverRecords are the records that the node's stopped owner of the partition did not
+	// store, nil if the node has none.
 	HandoverRecords []StoredRecord `json:"rp,omitempty"`
 }
 
@@ -82,7 +84,7 @@
 type LastJoin struct {
 	Never bool  `json:"n,omitempty"`
 	AgeMS int64 `json:"a"` // time since the answer
-	// Owned are the partitions that the group has assigned to the process.
+	// Owned are the partitions that the membership group has assigned to the process.
 	Owned []platform.Partition `json:"h,omitempty"`
 }
 
@@ -94,7 +96,7 @@
 	Reason      string               `json:"r,omitempty"`
 }
 
-// Handler serves the calls of other nodes.
+// Handler serves the calls of other nodes: ServeJobState serves MethodJobState, and so on.
 type Handler interface {
 	ServeJobState(ctx context.Context, req Request) (Response, error)
 	ServeWaiting(ctx context.Context, req Request) (Response, error)
@@ -112,12 +114,13 @@
 const (
 	MethodJobState Method = "JobState"
 	MethodWaiting  Method = "Waiting"
-	MethodDrain    Method = "Evacuate"
+	MethodDrain    Method = "Evacuate" // the name on the wire, kept for nodes of earlier versions
 	MethodLoads    Method = "Loads"
 	MethodStore    Method = "Store"
 	// MethodMembership returns the last join of the node's process.
 	MethodMembership Method = "Membership"
-	// MethodRelease stops an earlier owner and returns the records that it could not store.
+	// MethodRelease stops the node's owner of a partition if its epoch is lower than the
+	// requesting owner's, and returns the records that it did not store.
 	MethodRelease Method = "Release"
 )
 
@@ -198,7 +201,7 @@
 	var sentTo peer.Peer // stays empty if the request was not sent
 	err = conn.Invoke(ctx, "/"+serviceName+"/"+string(m), &req, &response, grpc.CallContentSubtype("json"), grpc.Peer(&sentTo))
 	if err != nil && ctx.Err() != nil {
-		// The connection may be silent; the next call gets a new one.
+		// The connection may be dead; the next call gets a new one.
 		c.discard(address, conn)
 	}
 	if err != nil && sentTo.Addr == nil {
