--- a/internal/hedge/hedge.go
+++ b/internal/hedge/hedge.go
@@ -29,11 +29,11 @@
 	// latencyDecay is the share of the difference by which a shorter latency lowers the
 	// estimate. A longer latency replaces the estimate.
 	latencyDecay = 0.1
-	// maxHedgeDeferral is the time after the latest call beyond which a further call is no
-	// longer deferred. Until then it is deferred until the store answers a call that was sent
-	// later than the latest. When the store has just become slow, all answers are late
-	// together and repeated calls only lengthen its queue. A slow store usually answers within
-	// this time.
+	// maxHedgeDeferral is the time after the latest call of a write beyond which a further
+	// call is no longer deferred. Before, it is deferred unless the store has answered a call,
+	// also of another write, that was sent after the latest one. When the store has just
+	// become slow, all answers are late together and repeated calls only lengthen its queue. A
+	// slow store usually answers within this time.
 	maxHedgeDeferral = 700 * time.Millisecond
 	// deferralCheckInterval is the interval of checks whether the deferral has ended: short
 	// compared with minHedgeDelay.
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -341,7 +341,7 @@
 
 // The owner is lost while the store is slow. If each node appended for itself, as many
 // appends would wait as there are nodes: the store refuses those that wait over 2 s, and the
-// next owner can't fence. The nodes must agree on one writer in place of the owner.
+// successor can't fence the lost owner. The nodes must agree on one writer in its place.
 func TestNodesAgreeOnOneWriterInPlaceOfLostOwner(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
 		const nodes = 44
--- a/internal/node/owners.go
+++ b/internal/node/owners.go
@@ -148,6 +148,7 @@
 	return nodepeer.Response{IsOwner: ok, Known: s.Known, State: s.State}, nil
 }
 
+// localWaitingJobs returns the response to MethodWaiting of an owner on this node.
 func (o *ownerDirectory) localWaitingJobs(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
 	localOwner := o.localOwner(req.Partition)
 	if localOwner == nil {
--- a/internal/owner/handover.go
+++ b/internal/owner/handover.go
@@ -77,8 +77,7 @@
 	return status == platform.StoreOK
 }
 
-// predecessorState is the state that the predecessor, the owner with the next lower epoch,
-// left. It is empty if unknown.
+// predecessorState is the state that the predecessor left. It is empty if unknown.
 type predecessorState struct {
 	handover *workload.Handover
 	// unstoredProgress is the progress of jobs that the predecessor did not store.
--- a/internal/owner/overload.go
+++ b/internal/owner/overload.go
@@ -8,8 +8,8 @@
 
 const (
 	// overloadDelay is the delay of an event beyond which the owner counts as overloaded: more
-	// than the usual pauses of the process, and less than half of the shortest completion
-	// objective of a job, 300 ms.
+	// than the usual pauses of the process, and less than 300 ms, half of the shortest
+	// completion objective of a job.
 	overloadDelay = 250 * time.Millisecond
 	// overloadTruncatedShare is the share of truncated plans beyond which the owner counts as
 	// overloaded: a burst that it can handle truncates only some plans.
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -3,8 +3,8 @@
 //
 // A partition has one owner after the other. The owners before and after an owner are its
 // predecessor and its successor; "earlier" and "later" mean any owner with a lower or higher
-// epoch. An owner's authority is its right to start tasks and renew leases. It ends some
-// time after the membership group could have assigned the partition to a successor.
+// epoch. An owner's authority is its right to start tasks and renew leases;
+// Deps.AuthorityUntil returns when it ends.
 package owner
 
 import (
