--- a/internal/hedge/hedge.go
+++ b/internal/hedge/hedge.go
@@ -30,10 +30,10 @@
 	// estimate. A longer latency replaces the estimate.
 	latencyDecay = 0.1
 	// maxHedgeDeferral is the time after the latest call of a write beyond which a further
-	// call is no longer deferred. Before, it is deferred unless the store has answered a call,
-	// also of another write, that was sent after the latest one. When the store has just
-	// become slow, all answers are late together and repeated calls only lengthen its queue. A
-	// slow store usually answers within this time.
+	// call is no longer deferred. Before, it is deferred unless the store has answered any
+	// call of this node that was sent after that one. When the store has just become slow, all
+	// answers are late together and repeated calls only lengthen its queue. A slow store
+	// usually answers within this time.
 	maxHedgeDeferral = 700 * time.Millisecond
 	// deferralCheckInterval is the interval of checks whether the deferral has ended: short
 	// compared with minHedgeDelay.
