--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -97,33 +97,33 @@
 func (n *node) CheckAvailable() error { return n.unavailable }
 func (n *node) IsSlow() bool          { return n.hedger.IsSlow() }
 
-// group is the nodes of a test. owner is the address of the partition's owner; if it is ""
+// cluster is the nodes of a test. owner is the address of the partition's owner; if it is ""
 // each node stores for itself.
-type group struct {
+type cluster struct {
 	nodes []*node
 	owner string
 }
 
 func address(i int) string { return fmt.Sprint("node-", i) }
 
-// peerView implements intake.Peers for one node of a group.
+// peerView implements intake.Peers for one node of a cluster.
 type peerView struct {
-	group *group
-	self  string
+	cluster *cluster
+	self    string
 }
 
 func (v peerView) Owner(int) string {
-	if v.group.owner == v.self {
+	if v.cluster.owner == v.self {
 		return ""
 	}
-	return v.group.owner
+	return v.cluster.owner
 }
 
 func (v peerView) Self() string { return v.self }
 
 func (v peerView) Others() []string {
 	var others []string
-	for i := range v.group.nodes {
+	for i := range v.cluster.nodes {
 		if address(i) != v.self {
 			others = append(others, address(i))
 		}
@@ -131,29 +131,29 @@
 	return others
 }
 
-func (v peerView) Store(ctx context.Context, to string, q intake.StoreRequest) (intake.StoreReply, error) {
-	for i, n := range v.group.nodes {
+func (v peerView) Store(ctx context.Context, to string, q intake.StoreRequest) (intake.StoreResponse, error) {
+	for i, n := range v.cluster.nodes {
 		if address(i) != to {
 			continue
 		}
 		if n.frozen {
 			<-ctx.Done()
-			return intake.StoreReply{}, ctx.Err()
+			return intake.StoreResponse{}, ctx.Err()
 		}
 		return n.router.Serve(ctx, q), nil
 	}
-	return intake.StoreReply{Status: platform.StoreRefused}, errors.New("connection refused")
+	return intake.StoreResponse{Status: platform.StoreRefused}, errors.New("connection refused")
 }
 
-func newGroup(size int, store joblog.Store, owner string) *group {
-	g := &group{owner: owner}
+func newCluster(size int, store joblog.Store, owner string) *cluster {
+	c := &cluster{owner: owner}
 	for i := range size {
 		hedger := hedge.New()
 		n := &node{acceptor: joblog.NewAcceptor(store, hedger, nil), hedger: hedger}
-		n.router = intake.New(n, peerView{g, address(i)}, hclog.NewNullLogger())
-		g.nodes = append(g.nodes, n)
+		n.router = intake.New(n, peerView{c, address(i)}, hclog.NewNullLogger())
+		c.nodes = append(c.nodes, n)
 	}
-	return g
+	return c
 }
 
 // storeQuiesceTime is long enough for the store to complete all appends in flight.
@@ -173,32 +173,33 @@
 }
 
 // Load while the store is slow: one queue receives some 40 jobs a second at nine nodes, and
-// each append takes 150 ms, 70 times as long as usual.
+// each append occupies the store for 150 ms, 70 times as long as usual (2 ms, without the
+// network).
 const (
 	slowStoreNodes = 9
 	slowAppendTime = 150 * time.Millisecond
 	submitInterval = 25 * time.Millisecond // between two jobs
 	submitDuration = 4 * time.Second
 	callerTimeout  = 2900 * time.Millisecond
-	// promptLimit is the acceptance time after which a short job can still meet its objective
-	// of some 2 s.
+	// promptLimit is the longest acceptance time with which a short job can still meet its
+	// objective of some 2 s.
 	promptLimit = 900 * time.Millisecond
 )
 
 // submitToSlowStore submits jobs at all nodes in turn while the store is slow, and counts
 // those accepted within promptLimit.
 func submitToSlowStore(t *testing.T, owner string) (acceptedPromptly, all int) {
-	g := newGroup(slowStoreNodes, newSerialStore(slowAppendTime), owner)
+	c := newCluster(slowStoreNodes, newSerialStore(slowAppendTime), owner)
 	var callers sync.WaitGroup
 	var mu sync.Mutex
 	for began := time.Now(); time.Since(began) < submitDuration; all++ {
-		n, record := g.nodes[all%slowStoreNodes], cancelRecord(all)
+		n, record := c.nodes[all%slowStoreNodes], cancelRecord(all)
 		callers.Go(func() {
 			ctx, cancel := context.WithTimeout(t.Context(), callerTimeout)
 			defer cancel()
-			came := time.Now()
+			submittedAt := time.Now()
 			status, _ := n.router.Accept(ctx, 0, record)
-			if status == platform.StoreOK && time.Since(came) <= promptLimit {
+			if status == platform.StoreOK && time.Since(submittedAt) <= promptLimit {
 				mu.Lock()
 				acceptedPromptly++
 				mu.Unlock()
@@ -211,9 +212,9 @@
 }
 
 // A slow store processes the appends to a partition one at a time. If each node appends for
-// itself, nine appends wait at any time, callers get no answer for over a second, and
-// repeated calls lengthen the queue. Through the owner at most its own append is ahead of a
-// job.
+// itself, nine appends wait at any time, callers get no response for over a second, and
+// repeated calls lengthen the queue. Through the owner only its own appends, at most two at
+// a time, are ahead of a job.
 func TestJobsAreAcceptedPromptlyThroughOwnerOfSlowStore(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
 		alone, all := submitToSlowStore(t, "")
@@ -229,30 +230,30 @@
 func TestNodesRefusedByStoreAcceptJobsThroughPeers(t *testing.T) {
 	for _, owner := range []string{address(0), address(5)} { // rejected and not rejected
 		runInVirtualTime(t, func(t *testing.T) {
-			g := newGroup(9, newSerialStore(2*time.Millisecond), owner)
-			for _, n := range g.nodes[:3] {
+			c := newCluster(9, newSerialStore(2*time.Millisecond), owner)
+			for _, n := range c.nodes[:3] {
 				n.unavailable = errors.New("node is rejected")
 			}
 			for i := range 90 {
-				status, err := g.nodes[i%3].router.Accept(t.Context(), 0, cancelRecord(i))
+				status, err := c.nodes[i%3].router.Accept(t.Context(), 0, cancelRecord(i))
 				assert.Equal(t, platform.StoreOK, status, "%v", err)
 			}
 		})
 	}
 }
 
-// The owner is frozen. The first caller waits for the timeout of one request; later callers
-// don't, since the node stores for itself during the backoff.
+// The owner's node is frozen. The first caller waits for the timeout of one request; later
+// callers don't, since the node that they ask stores for itself during the backoff.
 func TestFrozenOwnerDelaysOnlyFirstCaller(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
-		g := newGroup(3, newSerialStore(2*time.Millisecond), address(0))
-		g.nodes[0].frozen = true
+		c := newCluster(3, newSerialStore(2*time.Millisecond), address(0))
+		c.nodes[0].frozen = true
 		began := time.Now()
-		status, _ := g.nodes[1].router.Accept(t.Context(), 0, cancelRecord(1))
+		status, _ := c.nodes[1].router.Accept(t.Context(), 0, cancelRecord(1))
 		assert.Equal(t, platform.StoreOK, status)
 		assert.Less(t, time.Since(began), 500*time.Millisecond)
 		began = time.Now()
-		status, _ = g.nodes[1].router.Accept(t.Context(), 0, cancelRecord(2))
+		status, _ = c.nodes[1].router.Accept(t.Context(), 0, cancelRecord(2))
 		assert.Equal(t, platform.StoreOK, status)
 		assert.Less(t, time.Since(began), 10*time.Millisecond)
 	})
@@ -263,12 +264,12 @@
 func TestRequestIsRefusedImmediatelyWhenNoNodeReachesStore(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
 		store := newSerialStore(2 * time.Millisecond)
-		g := newGroup(4, store, address(2))
-		for _, n := range g.nodes {
+		c := newCluster(4, store, address(2))
+		for _, n := range c.nodes {
 			n.unavailable = errors.New("away")
 		}
 		began := time.Now()
-		status, err := g.nodes[0].router.Accept(t.Context(), 0, cancelRecord(1))
+		status, err := c.nodes[0].router.Accept(t.Context(), 0, cancelRecord(1))
 		assert.Equal(t, platform.StoreRefused, status)
 		assert.Error(t, err)
 		assert.Zero(t, time.Since(began))
@@ -291,16 +292,16 @@
 	return status, err
 }
 
-// All answers to one append are lost. The caller would be told that the outcome is unknown
-// and would not ask again. Instead the record is stored again under the same key, which has
-// no second effect, while the caller still waits.
+// The store's answers to three successive appends are lost. Instead of reporting an unknown
+// outcome, after which the caller would not ask again, the router stores the record again
+// under the same key, which has no second effect, while the caller still waits.
 func TestUnknownOutcomeIsRetriedWithinCallerTimeout(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
 		store := &lossyStore{newSerialStore(2 * time.Millisecond), 3}
-		g := newGroup(2, store, address(1))
+		c := newCluster(2, store, address(1))
 		ctx, cancel := context.WithTimeout(t.Context(), callerTimeout)
 		defer cancel()
-		status, err := g.nodes[0].router.Accept(ctx, 0, cancelRecord(1))
+		status, err := c.nodes[0].router.Accept(ctx, 0, cancelRecord(1))
 		assert.Equal(t, platform.StoreOK, status, "%v", err)
 		assert.Len(t, store.keys, 1)
 	})
@@ -311,23 +312,23 @@
 func TestUnknownOutcomeIsNeverReportedAsRefusal(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
 		store := &lossyStore{newSerialStore(2 * time.Millisecond), 1 << 20}
-		g := newGroup(2, store, address(1))
+		c := newCluster(2, store, address(1))
 		ctx, cancel := context.WithTimeout(t.Context(), callerTimeout)
 		defer cancel()
-		status, _ := g.nodes[0].router.Accept(ctx, 0, cancelRecord(1))
+		status, _ := c.nodes[0].router.Accept(ctx, 0, cancelRecord(1))
 		assert.Equal(t, platform.StoreUnknown, status)
 		assert.Len(t, store.keys, 1)
 	})
 }
 
-// A caller repeats its request at several nodes. All copies go through the owner and join
-// the append in flight.
-func TestSameRequestAtSeveralNodesIsStoredOnce(t *testing.T) {
+// A caller sends the same request to several nodes at the same time. Each request succeeds,
+// and the store holds one record.
+func TestSameRequestAtSeveralNodesIsStoredUnderOneKey(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
 		store := newSerialStore(slowAppendTime)
-		g := newGroup(3, store, address(0))
+		c := newCluster(3, store, address(0))
 		var callers sync.WaitGroup
-		for _, n := range g.nodes {
+		for _, n := range c.nodes {
 			callers.Go(func() {
 				status, _ := n.router.Accept(t.Context(), 0, cancelRecord(7))
 				assert.Equal(t, platform.StoreOK, status)
@@ -340,13 +341,13 @@
 
 // The owner is lost while the store is slow. If each node appended for itself, as many
 // appends would wait as there are nodes: the store refuses those that wait over 2 s, and the
-// next owner can't fence. The nodes must agree on one writer in place of the owner.
+// successor can't fence the lost owner. The nodes must agree on one writer in its place.
 func TestNodesAgreeOnOneWriterInPlaceOfLostOwner(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T) {
 		const nodes = 44
 		store := newSerialStore(slowAppendTime)
-		g := newGroup(nodes, store, "node-gone")
-		for _, n := range g.nodes { // each node has measured the slow store
+		c := newCluster(nodes, store, "node-gone")
+		for _, n := range c.nodes { // each node has measured the slow store
 			status, err := n.hedger.Write(t.Context(), func(context.Context) (platform.StoreStatus, error) {
 				time.Sleep(slowAppendTime)
 				return platform.StoreOK, nil
@@ -355,7 +356,7 @@
 		}
 		var callers sync.WaitGroup
 		began := time.Now()
-		for i, n := range g.nodes {
+		for i, n := range c.nodes {
 			callers.Go(func() {
 				status, err := n.router.Accept(t.Context(), 0, cancelRecord(i))
 				assert.Equal(t, platform.StoreOK, status, "%v", err)
--- a/internal/joblog/acceptor.go
+++ b/internal/joblog/acceptor.go
@@ -20,12 +20,12 @@
 	// the store accepts in one call. The store refuses a larger call as a whole, and a single
 	// job may have a quarter of a MB.
 	maxBatchBytes = 1 << 20
-	// maxAppendsInFlight bounds the concurrent appends to a partition. An answer travels as
-	// long as the append itself takes, so with a second append in flight a record waits half
-	// as long for its turn. More would lengthen the store's queue for the owner's writes.
+	// maxAppendsInFlight bounds the concurrent appends to a partition. The round trip takes
+	// about as long as the append, so a second append in flight keeps the store busy and halves
+	// the wait. More would lengthen the store's queue for the owner's writes.
 	maxAppendsInFlight = 2
-	// maxQueuedRecords bounds the records that wait for one partition: what a slow store
-	// accepts in some 2 s. Usual jobs of 1.3 kB then take 1.4 MB of memory.
+	// maxQueuedRecords bounds the waiting records of one partition, without those in flight:
+	// what a slow store accepts in some 2 s. Usual jobs of 1.3 kB then take 1.4 MB of memory.
 	maxQueuedRecords = 1024
 )
 
@@ -52,12 +52,12 @@
 	appendsInFlight int
 }
 
-// storeRequest is one record with an open outcome. Several callers may wait for it: a
-// repeated request joins the one in flight.
+// storeRequest is one record that is to be stored. Several calls of Store may wait for its
+// outcome: a repeated request joins the one that waits or is in flight.
 type storeRequest struct {
 	record  workload.Record
 	encoded platform.KeyedRecord
-	callers int
+	waiters int
 	done    chan struct{} // closed once status and err are set
 	status  platform.StoreStatus
 	err     error
@@ -73,33 +73,34 @@
 
 // Store stores a record of a caller's request. Storing it twice is harmless: the first
 // submission of an ID counts. StoreRefused means that the record certainly is not and will
-// not be stored. If pendingAfter fires while the outcome is open, Store returns with pending
-// set; the caller may call again for the outcome. A nil pendingAfter never fires.
+// not be stored. If pendingAfter fires before the outcome is known, Store returns with
+// pending set, and the record is still stored; a further call of Store waits for the outcome.
+// A nil pendingAfter never fires.
 func (a *Acceptor) Store(ctx context.Context, partition int, r workload.Record, pendingAfter <-chan time.Time) (status platform.StoreStatus, pending bool, err error) {
 	key, value, err := r.Encode()
 	if err != nil {
 		return platform.StoreInvalid, false, err
 	}
-	entry, err := a.enqueue(partition, r, platform.KeyedRecord{Key: key, Value: value})
+	req, err := a.enqueue(partition, r, platform.KeyedRecord{Key: key, Value: value})
 	if err != nil {
 		return platform.StoreRefused, false, err
 	}
 	select {
-	case <-entry.done:
-		return entry.status, false, entry.err
+	case <-req.done:
+		return req.status, false, req.err
 	case <-pendingAfter:
-		a.detachCaller(entry)
+		a.detachWaiter(req)
 		return platform.StoreUnknown, true, nil
 	case <-ctx.Done():
 	}
-	if a.withdraw(partition, entry) {
-		return platform.StoreRefused, false, errors.New("the request's time ended before it was sent to the store")
+	if a.withdraw(partition, req) {
+		return platform.StoreRefused, false, errors.New("the request timed out before it was sent to the store")
 	}
 	return platform.StoreUnknown, false, ctx.Err()
 }
 
 // enqueue adds a record to the queue and returns its request. If a record with the same key
-// is waiting or in flight already, the caller joins that request.
+// is waiting or in flight already, enqueue returns that request with one more waiter.
 func (a *Acceptor) enqueue(partition int, r workload.Record, encoded platform.KeyedRecord) (*storeRequest, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -108,41 +109,41 @@
 		q = &partitionQueue{byKey: map[string]*storeRequest{}}
 		a.queues[partition] = q
 	}
-	if existing := q.byKey[encoded.Key]; existing != nil {
-		existing.callers++
-		return existing, nil
+	if req := q.byKey[encoded.Key]; req != nil {
+		req.waiters++
+		return req, nil
 	}
 	if len(q.waiting) >= maxQueuedRecords {
 		return nil, errors.Errorf("%d records are waiting for the store already", len(q.waiting))
 	}
-	entry := &storeRequest{record: r, encoded: encoded, callers: 1, done: make(chan struct{})}
-	q.waiting = append(q.waiting, entry)
-	q.byKey[encoded.Key] = entry
+	req := &storeRequest{record: r, encoded: encoded, waiters: 1, done: make(chan struct{})}
+	q.waiting = append(q.waiting, req)
+	q.byKey[encoded.Key] = req
 	if q.appendsInFlight < maxAppendsInFlight {
 		q.appendsInFlight++
 		go a.appendQueued(partition, q)
 	}
-	return entry, nil
+	return req, nil
 }
 
-// detachCaller records that a caller no longer waits. The record stays in the queue.
-func (a *Acceptor) detachCaller(entry *storeRequest) {
+// detachWaiter records that a waiter no longer waits. The record stays in the queue.
+func (a *Acceptor) detachWaiter(req *storeRequest) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	entry.callers--
+	req.waiters--
 }
 
-// withdraw detaches a caller and removes the record if it is in no append and no other
-// caller waits for it. It reports whether the record was removed.
-func (a *Acceptor) withdraw(partition int, entry *storeRequest) bool {
+// withdraw detaches a waiter and removes the record if it is in no append and no other
+// waiter is left. It reports whether the record was removed.
+func (a *Acceptor) withdraw(partition int, req *storeRequest) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	entry.callers--
+	req.waiters--
 	q := a.queues[partition]
-	for i, w := range q.waiting {
-		if w == entry && entry.callers == 0 {
+	for i, queued := range q.waiting {
+		if queued == req && req.waiters == 0 {
 			q.waiting = append(q.waiting[:i:i], q.waiting[i+1:]...)
-			delete(q.byKey, entry.encoded.Key)
+			delete(q.byKey, req.encoded.Key)
 			return true
 		}
 	}
@@ -158,13 +159,13 @@
 		}
 		encoded := make([]platform.KeyedRecord, len(batch))
 		records := make([]workload.Record, len(batch))
-		for i, w := range batch {
-			encoded[i] = w.encoded
-			records[i] = w.record
+		for i, req := range batch {
+			encoded[i] = req.encoded
+			records[i] = req.record
 		}
 		part := platform.Partition{Topic: JobsTopic, Part: partition}
-		// The calls have their own timeouts. A caller that gives up must not cancel the
-		// append of the others.
+		// The calls have their own timeouts. A waiter that gives up must not cancel the append,
+		// which has records of others.
 		status, err := a.hedger.Write(context.Background(), func(ctx context.Context) (platform.StoreStatus, error) {
 			return a.store.Append(ctx, part, nil, encoded...)
 		})
@@ -175,14 +176,14 @@
 	}
 }
 
-// completeBatch sets the outcome of a batch and wakes its callers.
+// completeBatch sets the outcome of a batch and wakes its waiters.
 func (a *Acceptor) completeBatch(q *partitionQueue, batch []*storeRequest, status platform.StoreStatus, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, w := range batch {
-		w.status, w.err = status, err
-		delete(q.byKey, w.encoded.Key)
-		close(w.done)
+	for _, req := range batch {
+		req.status, req.err = status, err
+		delete(q.byKey, req.encoded.Key)
+		close(req.done)
 	}
 }
 
@@ -203,8 +204,8 @@
 // batchSize returns how many of the waiting records go into one append, at least one.
 func batchSize(waiting []*storeRequest) int {
 	bytes := 0
-	for i, w := range waiting {
-		bytes += len(w.encoded.Key) + len(w.encoded.Value)
+	for i, req := range waiting {
+		bytes += len(req.encoded.Key) + len(req.encoded.Value)
 		if i == maxBatchRecords || i > 0 && bytes > maxBatchBytes {
 			return i
 		}
--- a/internal/node/release.go
+++ b/internal/node/release.go
@@ -11,8 +11,8 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// reportRetention is how long a report is kept for a successor. The successor asks for it
-// when it takes over, which the store may delay by an outage.
+// reportRetention is how long a report is kept for the successor. The successor asks for it
+// when it takes over; an outage of the store can delay that.
 const reportRetention = 30 * time.Second
 
 // keepReport keeps the report of a local owner for its successor.
@@ -29,50 +29,52 @@
 	})
 }
 
-// reportBelow returns the report of the last local owner of a partition if its epoch is lower
-// than epoch.
-func (o *ownerDirectory) reportBelow(partition int, epoch int64) (owner.HandoverReport, bool) {
+// reportBeforeEpoch returns the report of the last local owner of a partition if that owner's
+// epoch is lower than epoch.
+func (o *ownerDirectory) reportBeforeEpoch(partition int, epoch int64) (owner.HandoverReport, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	r, ok := o.reports[partition]
 	return r, ok && r.Epoch < epoch
 }
 
-// Release serves MethodRelease: it stops the local owner of a partition and returns that
-// owner's report to the next owner.
-func (o *ownerDirectory) Release(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
+// ServeRelease serves MethodRelease: it stops the local owner of a partition if its epoch is
+// lower than the requesting owner's, and returns the report of the last local owner with a
+// lower epoch.
+func (o *ownerDirectory) ServeRelease(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
 	o.manager.StopOwnerBelow(ctx, platform.Partition{Topic: joblog.JobsTopic, Part: req.Partition}, req.Epoch)
-	report, ok := o.reportBelow(req.Partition, req.Epoch)
+	report, ok := o.reportBeforeEpoch(req.Partition, req.Epoch)
 	if !ok {
 		return nodepeer.Response{}, nil
 	}
-	var answer nodepeer.Response
+	var response nodepeer.Response
 	for _, r := range report.Records {
 		key, value, err := r.Encode()
 		if err != nil {
 			return nodepeer.Response{}, err
 		}
-		answer.HandoverRecords = append(answer.HandoverRecords, nodepeer.StoredRecord{Key: key, Value: value})
+		response.HandoverRecords = append(response.HandoverRecords, nodepeer.StoredRecord{Key: key, Value: value})
 	}
-	return answer, nil
+	return response, nil
 }
 
-// releasePredecessor asks the node at an address to stop an earlier owner of a partition. It
-// returns the records that this owner could not store, nil if the node knows no such owner.
+// releasePredecessor asks the node at address to stop its owner of the partition if that
+// owner's epoch is lower than epoch. It returns the records that the stopped owner did not
+// store, nil if the node has none.
 func (o *ownerDirectory) releasePredecessor(ctx context.Context, address string, partition int, epoch int64) ([]workload.Record, error) {
 	req := nodepeer.Request{Partition: partition, Epoch: epoch}
-	var answer nodepeer.Response
+	var response nodepeer.Response
 	var err error
 	if address == o.selfAddress {
-		answer, err = o.Release(ctx, req)
+		response, err = o.ServeRelease(ctx, req)
 	} else {
-		answer, err = o.clients.Call(ctx, address, nodepeer.MethodRelease, req)
+		response, err = o.clients.Call(ctx, address, nodepeer.MethodRelease, req)
 	}
 	if err != nil {
 		return nil, err
 	}
 	var records []workload.Record
-	for _, stored := range answer.HandoverRecords {
+	for _, stored := range response.HandoverRecords {
 		r, ok, err := workload.DecodeRecord(stored.Key, stored.Value)
 		if err != nil {
 			return nil, err
