--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -91,9 +91,9 @@
 	drainState                        workload.DrainState
 	drainRequestedAt, drainStateSince time.Time
 	moveExpiresAt                     time.Time // a move that has not been ordered by then is dropped
-	// hasBeenListedAway is set once a list requested after the order was accepted has shown the VM
+	// hasBeenListedUnavailable is set once a list requested after the order was accepted has shown the VM
 	// as away. Then the VM may come back with a worker of the same ID.
-	hasBeenListedAway bool
+	hasBeenListedUnavailable bool
 }
 
 // waveProgress is what is known of a wave.
@@ -245,7 +245,7 @@
 // Step returns the actions that are due.
 func (c *Core) Step(now time.Time) []Action {
 	c.actions = nil
-	c.finishReturned(now)
+	c.finishOperations(now)
 	if len(c.vms) > 0 {
 		c.planWaves(now)
 		c.planMoves(now)
@@ -255,8 +255,8 @@
 	return c.actions
 }
 
-// finishReturned ends operations whose VM is back, or has been away for longer than expected.
-func (c *Core) finishReturned(now time.Time) {
+// finishOperations ends operations whose VM is back, or has been away for longer than expected.
+func (c *Core) finishOperations(now time.Time) {
 	for id, op := range c.operations {
 		if op.phase != phaseAwaitingReturn {
 			continue
@@ -267,10 +267,10 @@
 			expectedTime = c.settings.MigrationTime
 		}
 		if known && vm.State != workload.VMUp && c.vmListRequestedAt.After(op.phaseSince) {
-			op.hasBeenListedAway = true
+			op.hasBeenListedUnavailable = true
 		}
 		isBack := c.vmListRequestedAt.After(op.phaseSince.Add(expectedTime)) && known && vm.State == workload.VMUp &&
-			(vm.Pool == c.sparePool || vm.Worker != "" && (vm.Worker != op.worker || op.hasBeenListedAway))
+			(vm.Pool == c.sparePool || vm.Worker != "" && (vm.Worker != op.worker || op.hasBeenListedUnavailable))
 		if isBack || now.Sub(op.phaseSince) > expectedTime+returnGracePeriod {
 			delete(c.operations, id)
 		}
--- a/internal/fleet/core_test.go
+++ b/internal/fleet/core_test.go
@@ -41,8 +41,8 @@
 	return out
 }
 
-func newWave(n int64, limit int, vms ...string) workload.Wave {
-	return workload.Wave{Number: n, VMs: vms, Window: 20 * time.Second, MaxConcurrent: limit}
+func newWave(n int64, maxConcurrent int, vms ...string) workload.Wave {
+	return workload.Wave{Number: n, VMs: vms, Window: 20 * time.Second, MaxConcurrent: maxConcurrent}
 }
 
 // Guards against tasks being ended by an order: a VM may be ordered only once its worker's owner has reported
@@ -90,7 +90,7 @@
 }
 
 // No more VMs than the wave's MaxConcurrent may be away at once, from the order until they are seen back.
-func TestWaveNeverExceedsItsCap(t *testing.T) {
+func TestWaveNeverExceedsItsMaxConcurrent(t *testing.T) {
 	c := newCore()
 	ids := []string{"vm-1", "vm-2", "vm-3", "vm-4", "vm-5"}
 	c.SetWaves([]workload.Wave{{Number: 1, VMs: ids, Window: time.Second, MaxConcurrent: 2}}, startTime)
@@ -102,7 +102,7 @@
 		return vms
 	}
 	c.SetVMs(list("a-"), startTime)
-	away := map[string]bool{}
+	unavailable := map[string]bool{}
 	for at := time.Duration(0); at < 1900*time.Millisecond; at += 100 * time.Millisecond {
 		now := startTime.Add(at)
 		for _, a := range c.Step(now) {
@@ -110,13 +110,13 @@
 			case fleet.DrainWorker:
 				c.HandleDrainResult(a.VM, a.Worker, workload.Drained, now)
 			case fleet.MaintainVM:
-				away[a.VM] = true
+				unavailable[a.VM] = true
 				c.HandleOrderResult(a.VM, fleet.OrderAccepted, now)
 			}
 		}
-		require.LessOrEqual(t, len(away), 2)
+		require.LessOrEqual(t, len(unavailable), 2)
 	}
-	require.Len(t, away, 2)
+	require.Len(t, unavailable, 2)
 	later := startTime.Add(3 * time.Second)
 	c.SetVMs(list("b-"), later)
 	assert.NotEmpty(t, c.Step(later), "the next two must follow")
@@ -188,9 +188,9 @@
 	assert.Equal(t, workload.WaveCompleted, stored[0].State)
 }
 
-func newLoad(service string, used, waiting int, arrivedCoreMS int64, workers map[string]workload.WorkerLoad) workload.ServiceLoad {
+func newLoad(pool string, used, waiting int, arrivedCoreMS int64, workers map[string]workload.WorkerLoad) workload.ServiceLoad {
 	return workload.ServiceLoad{
-		Service:       service,
+		Service:       pool,
 		Reserved:      workload.Resources{CPU: used},
 		PendingDemand: workload.Resources{CPU: waiting},
 		ArrivedWork:   workload.Work{CoreMS: arrivedCoreMS},
@@ -199,7 +199,7 @@
 }
 
 // A pool in demand gets spare VMs first, then idle VMs of other pools. VMs with long-running tasks stay.
-func TestPoolInDemandGetsSpareThenIdleVMs(t *testing.T) {
+func TestPoolShortOfVMsGetsSpareThenIdleVMs(t *testing.T) {
 	c := newCore()
 	c.SetVMs([]workload.VM{
 		upVM("vm-1", "booking", "w-1"), upVM("vm-2", "booking", "w-2"),
@@ -220,7 +220,7 @@
 
 // Guards against one pool taking all VMs: two pools ask for more than there is, one of them for far more. Both
 // must get as many, and a third pool keeps the little that it needs.
-func TestPoolsInDemandShareScarceVMsEqually(t *testing.T) {
+func TestPoolsShareScarceVMsEqually(t *testing.T) {
 	c := newCore()
 	c.SetConfig(&workload.Config{Version: 1, Services: []workload.Service{{Name: "booking"}, {Name: "fitting"}, {Name: "returns"}, {Name: "spare", Standby: true}}})
 	var vms []workload.VM
@@ -282,13 +282,13 @@
 
 // Guards against a wave exceeding its cap after its owner is killed with VMs of the wave away. The new owner must
 // count the VMs that the list shows as away, and those ordered so recently that the list may not show it yet.
-func TestNewOwnerCountsVMsUnderMaintenanceTowardTheCap(t *testing.T) {
+func TestNewOwnerCountsVMsUnderMaintenanceTowardMaxConcurrent(t *testing.T) {
 	c := newCore()
 	c.RecordEarlierOrder("vm-2", 1, startTime.Add(-50*time.Millisecond))
 	c.SetWaves([]workload.Wave{{Number: 1, VMs: []string{"vm-1", "vm-2", "vm-3", "vm-4"}, Window: time.Second, MaxConcurrent: 2}}, startTime)
-	away := upVM("vm-1", "booking", "")
-	away.State = workload.VMMaintenance
-	c.SetVMs([]workload.VM{away, upVM("vm-2", "booking", "w-2"), upVM("vm-3", "booking", "w-3"), upVM("vm-4", "booking", "w-4")}, startTime)
+	inMaintenance := upVM("vm-1", "booking", "")
+	inMaintenance.State = workload.VMMaintenance
+	c.SetVMs([]workload.VM{inMaintenance, upVM("vm-2", "booking", "w-2"), upVM("vm-3", "booking", "w-3"), upVM("vm-4", "booking", "w-4")}, startTime)
 	actions := c.Step(startTime.Add(100 * time.Millisecond))
 	assert.Empty(t, actionsWithVerb(actions, fleet.DrainWorker))
 	assert.Empty(t, actionsWithVerb(actions, fleet.MaintainVM))
--- a/internal/fleet/drained_test.go
+++ b/internal/fleet/drained_test.go
@@ -73,9 +73,9 @@
 	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-1"), upVM("vm-2", "booking", "w-2")}, stale)
 	assert.Empty(t, actionsWithVerb(c.Step(stale), fleet.DrainWorker), "no list has shown the VM as away, so this list may lag")
 
-	away := upVM("vm-1", "booking", "")
-	away.State = workload.VMMaintenance
-	c.SetVMs([]workload.VM{away, upVM("vm-2", "booking", "w-2")}, stale.Add(100*time.Millisecond))
+	inMaintenance := upVM("vm-1", "booking", "")
+	inMaintenance.State = workload.VMMaintenance
+	c.SetVMs([]workload.VM{inMaintenance, upVM("vm-2", "booking", "w-2")}, stale.Add(100*time.Millisecond))
 	assert.Empty(t, actionsWithVerb(c.Step(stale.Add(100*time.Millisecond)), fleet.DrainWorker))
 
 	back := stale.Add(500 * time.Millisecond)
--- a/internal/fleet/labels.go
+++ b/internal/fleet/labels.go
@@ -11,19 +11,19 @@
 // startMovesForUnmetRequirements moves VMs to pools whose tasks wait for a label or size that none
 // of their free VMs has. The pool's load alone would bring any VMs; these tasks can't use those and
 // would wait however many came. It starts at most limit moves and returns how many it has started.
-func (c *Core) startMovesForUnmetRequirements(balances []poolBalance, limit int, now time.Time) int {
+func (c *Core) startMovesForUnmetRequirements(plans []poolPlan, limit int, now time.Time) int {
 	started := 0
-	for i := range balances {
-		b := &balances[i]
+	for i := range plans {
+		b := &plans[i]
 		l := c.poolLoads[b.pool]
 		for _, requirement := range l.load.UnmetRequirements {
 			for n := c.vmsRequired(b.pool, requirement) - c.vmsInTransit(b.pool, requirement, now); n > 0 && started < limit; n-- {
-				vm, ok := c.findCapableVM(b.pool, requirement, balances, now)
+				vm, ok := c.findCapableVM(b.pool, requirement, plans, now)
 				if !ok {
 					break
 				}
-				c.startMove(vm, b.pool, balances, now, fmt.Sprintf("%s has no free capacity for tasks with label %q", b.pool, requirement.Label))
-				b.keepFromSpare = max(b.keepFromSpare, b.vms) // the pool must not send another VM away for it
+				c.startMove(vm, b.pool, plans, now, fmt.Sprintf("%s has no free capacity for tasks with label %q", b.pool, requirement.Label))
+				b.minBeforeReturning = max(b.minBeforeReturning, b.vms) // the pool must not send another VM away for it
 				started++
 			}
 		}
@@ -61,7 +61,7 @@
 // findCapableVM finds a VM outside of a pool that meets the pool's requirement: a spare VM, otherwise
 // the VM with the least in use. If the pool has feasible workers already, other pools give a VM only
 // if they have more than they need or nothing runs on it.
-func (c *Core) findCapableVM(pool string, requirement workload.UnmetRequirement, balances []poolBalance, now time.Time) (workload.VM, bool) {
+func (c *Core) findCapableVM(pool string, requirement workload.UnmetRequirement, plans []poolPlan, now time.Time) (workload.VM, bool) {
 	for _, vm := range c.vms {
 		if c.isAvailableSpare(vm, now) && vm.CanRun(requirement, c.effectiveCapacity(vm)) {
 			return vm, true
@@ -70,7 +70,7 @@
 	var leastUsed workload.VM
 	found := false
 	leastUse := 0.0
-	for _, b := range balances {
+	for _, b := range plans {
 		l := c.poolLoads[b.pool]
 		if b.pool == pool || requirement.Label != "" && l.load.DemandByLabel[requirement.Label].CPU > 0 {
 			continue // that pool would take the VM back at once, and each move costs seconds
@@ -80,7 +80,7 @@
 				continue
 			}
 			use := l.utilization(vm)
-			if !requirement.NoFeasibleWorker && b.vms <= b.keepFromPools && use > 0 {
+			if !requirement.NoFeasibleWorker && b.vms <= b.minBeforeDonating && use > 0 {
 				continue
 			}
 			if !found || use < leastUse {
--- a/internal/fleet/moves.go
+++ b/internal/fleet/moves.go
@@ -111,10 +111,10 @@
 // vmsNeeded returns how many VMs a service needs for what it runs, for what arrives at a rate, for what
 // waits, and for what will wait by the time VMs that are ordered now arrive.
 func (l *poolLoad) vmsNeeded(rate float64, size workload.Resources) int {
-	currentVMs := shareOf(l.load.Reserved.Add(l.load.PendingDemand).Add(l.load.UpcomingDemand), size)
+	knownDemandVMs := shareOf(l.load.Reserved.Add(l.load.PendingDemand).Add(l.load.UpcomingDemand), size)
 	arrivingVMs := l.demand.vmsForRate(rate, size)
 	backlogVMs := shareOf(l.load.PendingDemand, size) + max(0, arrivingVMs-l.usableWorkers())*moveLeadTime.Seconds()
-	n := int(math.Ceil(headroomFactor * max(currentVMs, arrivingVMs+backlogVMs/backlogTargetTime.Seconds())))
+	n := int(math.Ceil(headroomFactor * max(knownDemandVMs, arrivingVMs+backlogVMs/backlogTargetTime.Seconds())))
 	return max(n, l.minVMs())
 }
 
@@ -158,13 +158,13 @@
 	return workload.Resources{CPU: total.CPU / n, MemoryMB: total.MemoryMB / n}
 }
 
-// poolBalance is what a pool has and what it needs.
-type poolBalance struct {
-	pool          string
-	vms           int // usable VMs that are there or in transit
-	needed        int // VMs needed now
-	keepFromPools int // VMs needed within poolReleaseDelay; other pools get none of these
-	keepFromSpare int // VMs needed within spareReleaseDelay; the spare pool gets none of these
+// poolPlan is what a pool has and what it needs.
+type poolPlan struct {
+	pool               string
+	vms                int // usable VMs that are there or in transit
+	needed             int // VMs needed now
+	minBeforeDonating  int // VMs needed within poolReleaseDelay; other pools get none of these
+	minBeforeReturning int // VMs needed within spareReleaseDelay; the spare pool gets none of these
 	// minVMs is the least number of VMs, which includes those for long-running tasks.
 	minVMs int
 	// isBelowMin is set if vms is below minVMs. Such pools come first; otherwise large pools in
@@ -175,9 +175,9 @@
 // planMoves moves VMs to the pools that need them, from the spare pool and from pools that need them
 // less, and returns VMs that their pool does not need to the spare pool.
 func (c *Core) planMoves(now time.Time) {
-	balances := c.balances(now)
-	limitToFairShare(balances, c.availableSpares(now))
-	slices.SortFunc(balances, func(a, b poolBalance) int {
+	plans := c.poolPlans(now)
+	limitToFairShare(plans, c.availableSpares(now))
+	slices.SortFunc(plans, func(a, b poolPlan) int {
 		if a.isBelowMin != b.isBelowMin {
 			if a.isBelowMin {
 				return -1
@@ -193,55 +193,55 @@
 			moves++
 		}
 	}
-	moves += c.startMovesForUnmetRequirements(balances, maxMoves-moves, now)
-	for _, b := range balances {
+	moves += c.startMovesForUnmetRequirements(plans, maxMoves-moves, now)
+	for _, b := range plans {
 		for missing := b.needed - b.vms; missing > 0 && moves < maxMoves; missing-- {
-			vm, ok := c.findDonor(balances, b.pool, now)
+			vm, ok := c.findVMFor(plans, b.pool, now)
 			if !ok {
 				break
 			}
-			c.startMove(vm, b.pool, balances, now, fmt.Sprintf("%s has %d usable VMs and needs %d", b.pool, b.vms, b.needed))
+			c.startMove(vm, b.pool, plans, now, fmt.Sprintf("%s has %d usable VMs and needs %d", b.pool, b.vms, b.needed))
 			moves++
 		}
 	}
 	if c.sparePool == "" {
 		return
 	}
-	for i := range balances {
-		for balances[i].vms > balances[i].keepFromSpare && moves < maxMoves {
-			vm, ok := c.leastUsedVM(balances[i].pool, true, now)
+	for i := range plans {
+		for plans[i].vms > plans[i].minBeforeReturning && moves < maxMoves {
+			vm, ok := c.leastUsedVM(plans[i].pool, true, now)
 			if !ok {
 				break
 			}
-			b := balances[i]
-			c.startMove(vm, c.sparePool, balances, now, fmt.Sprintf("%s has %d usable VMs and has needed %d for a while", b.pool, b.vms, b.keepFromSpare))
+			b := plans[i]
+			c.startMove(vm, c.sparePool, plans, now, fmt.Sprintf("%s has %d usable VMs and has needed %d for a while", b.pool, b.vms, b.minBeforeReturning))
 			moves++
 		}
 	}
 }
 
-func (c *Core) startMove(vm workload.VM, targetPool string, balances []poolBalance, now time.Time, reason string) {
+func (c *Core) startMove(vm workload.VM, targetPool string, plans []poolPlan, now time.Time, reason string) {
 	c.operations[vm.ID] = &operation{vm: vm.ID, reason: reason, sourcePool: vm.Pool, worker: vm.Worker, targetPool: targetPool, phaseSince: now, moveExpiresAt: now.Add(moveDrainTimeout)}
-	for i := range balances {
-		if balances[i].pool == vm.Pool {
-			balances[i].vms--
+	for i := range plans {
+		if plans[i].pool == vm.Pool {
+			plans[i].vms--
 		}
-		if balances[i].pool == targetPool {
-			balances[i].vms++
+		if plans[i].pool == targetPool {
+			plans[i].vms++
 		}
 	}
 }
 
-// balances returns the balances of all pools but the spare pool whose load is not older than maxLoadAge.
-func (c *Core) balances(now time.Time) []poolBalance {
-	var list []poolBalance
+// poolPlans returns the balances of all pools but the spare pool whose load is not older than maxLoadAge.
+func (c *Core) poolPlans(now time.Time) []poolPlan {
+	var list []poolPlan
 	for pool, l := range c.poolLoads {
 		if pool == c.sparePool || now.Sub(l.receivedAt) > maxLoadAge {
 			continue
 		}
-		b := poolBalance{pool: pool, minVMs: l.minVMs()}
+		b := poolPlan{pool: pool, minVMs: l.minVMs()}
 		for _, vm := range c.vms {
-			n := c.countFor(vm, pool, now)
+			n := c.countToward(vm, pool, now)
 			b.vms += n
 			if op := c.operations[vm.ID]; n > 0 && op != nil && op.wave != 0 && op.hadLongRunning {
 				// This VM is or will soon be under maintenance, and its long-running tasks need another VM
@@ -250,25 +250,25 @@
 				b.minVMs++
 			}
 		}
-		b.needed, b.keepFromPools, b.keepFromSpare = max(l.forecastNeed, b.minVMs), b.minVMs, b.minVMs
+		b.needed, b.minBeforeDonating, b.minBeforeReturning = max(l.forecastNeed, b.minVMs), b.minVMs, b.minVMs
 		for _, n := range l.needHistory {
-			b.keepFromSpare = max(b.keepFromSpare, n.vms)
+			b.minBeforeReturning = max(b.minBeforeReturning, n.vms)
 			if now.Sub(n.at) <= poolReleaseDelay {
-				b.keepFromPools = max(b.keepFromPools, n.vms)
+				b.minBeforeDonating = max(b.minBeforeDonating, n.vms)
 			}
 		}
 		b.isBelowMin = b.vms < b.minVMs
 		if now.Sub(l.firstReceivedAt) < spareReleaseDelay {
-			b.keepFromSpare = max(b.keepFromSpare, b.vms) // not known for long enough to count as idle
+			b.minBeforeReturning = max(b.minBeforeReturning, b.vms) // not known for long enough to count as idle
 		}
 		list = append(list, b)
 	}
 	return list
 }
 
-// countFor returns 1 if a pool has a VM, or will have it when the current operation ends, and 0
+// countToward returns 1 if a pool has a VM, or will have it when the current operation ends, and 0
 // otherwise.
-func (c *Core) countFor(vm workload.VM, pool string, now time.Time) int {
+func (c *Core) countToward(vm workload.VM, pool string, now time.Time) int {
 	op := c.operations[vm.ID]
 	if op != nil && op.wave == 0 {
 		if op.targetPool == pool {
@@ -303,8 +303,8 @@
 
 // isAvailableSpare reports whether a VM is in the spare pool and can be ordered now.
 func (c *Core) isAvailableSpare(vm workload.VM, now time.Time) bool {
-	isAway := vm.State == workload.VMMoving || vm.State == workload.VMMaintenance
-	return c.sparePool != "" && vm.Pool == c.sparePool && c.operations[vm.ID] == nil && !isAway && c.canOrder(vm.ID, now)
+	isUnavailable := vm.State == workload.VMMoving || vm.State == workload.VMMaintenance
+	return c.sparePool != "" && vm.Pool == c.sparePool && c.operations[vm.ID] == nil && !isUnavailable && c.canOrder(vm.ID, now)
 }
 
 func (c *Core) availableSpares(now time.Time) int {
@@ -317,15 +317,15 @@
 	return n
 }
 
-// findDonor finds a VM for a pool: a spare VM, otherwise the least used VM of a pool that has more than
+// findVMFor finds a VM for a pool: a spare VM, otherwise the least used VM of a pool that has more than
 // it needs.
-func (c *Core) findDonor(balances []poolBalance, targetPool string, now time.Time) (workload.VM, bool) {
+func (c *Core) findVMFor(plans []poolPlan, targetPool string, now time.Time) (workload.VM, bool) {
 	if vm, ok := c.bestSpareVM(targetPool, now); ok {
 		return vm, true
 	}
-	for i := len(balances) - 1; i >= 0; i-- {
-		b := balances[i]
-		if b.pool == targetPool || b.vms <= b.keepFromPools {
+	for i := len(plans) - 1; i >= 0; i-- {
+		b := plans[i]
+		if b.pool == targetPool || b.vms <= b.minBeforeDonating {
 			continue
 		}
 		if vm, ok := c.leastUsedVM(b.pool, false, now); ok {
--- a/internal/fleet/ration.go
+++ b/internal/fleet/ration.go
@@ -4,28 +4,28 @@
 // equal share until the pools that claim less have what they claim. Without the limit the pool that is
 // furthest behind would take every VM and keep it, and the others would serve nothing in the meantime; a
 // forecast that is far too high would do the same. spares is the number of available spare VMs.
-func limitToFairShare(balances []poolBalance, spares int) {
+func limitToFairShare(plans []poolPlan, spares int) {
 	remaining := spares
-	for _, b := range balances {
+	for _, b := range plans {
 		remaining += b.vms
 	}
-	unsatisfied := make([]*poolBalance, 0, len(balances))
-	for i := range balances {
-		unsatisfied = append(unsatisfied, &balances[i])
+	unsatisfied := make([]*poolPlan, 0, len(plans))
+	for i := range plans {
+		unsatisfied = append(unsatisfied, &plans[i])
 	}
 	for len(unsatisfied) > 0 {
 		share := remaining / len(unsatisfied)
-		var aboveShare []*poolBalance
+		var aboveShare []*poolPlan
 		for _, b := range unsatisfied {
-			if b.claim() <= share {
-				remaining -= b.claim()
+			if b.targetVMs() <= share {
+				remaining -= b.targetVMs()
 			} else {
 				aboveShare = append(aboveShare, b)
 			}
 		}
 		if len(aboveShare) == len(unsatisfied) {
 			for _, b := range aboveShare {
-				b.limitClaim(share)
+				b.limitTarget(share)
 			}
 			return
 		}
@@ -33,12 +33,12 @@
 	}
 }
 
-// claim returns how many VMs the pool asks for or keeps from other pools.
-func (b *poolBalance) claim() int { return max(b.needed, b.keepFromPools) }
+// targetVMs returns how many VMs the pool asks for or keeps from other pools.
+func (b *poolPlan) targetVMs() int { return max(b.needed, b.minBeforeDonating) }
 
-// limitClaim reduces the claim to share, but not below minVMs.
-func (b *poolBalance) limitClaim(share int) {
+// limitTarget reduces the claim to share, but not below minVMs.
+func (b *poolPlan) limitTarget(share int) {
 	limit := max(share, b.minVMs)
 	b.needed = min(b.needed, limit)
-	b.keepFromPools = min(b.keepFromPools, limit)
+	b.minBeforeDonating = min(b.minBeforeDonating, limit)
 }
--- a/internal/fleet/waves.go
+++ b/internal/fleet/waves.go
@@ -61,15 +61,15 @@
 		}
 		pendingByPool[vm.Pool] = append(pendingByPool[vm.Pool], vm)
 	}
-	capLeft := s.wave.MaxConcurrent - c.vmsUnderMaintenance(s, now)
+	concurrencyLeft := s.wave.MaxConcurrent - c.vmsUnderMaintenance(s, now)
 	for _, pool := range slices.Sorted(maps.Keys(pendingByPool)) {
-		for ; capLeft > 0 && startedByPool[pool] < maxLongRunningDrainsPerPool; startedByPool[pool]++ {
+		for ; concurrencyLeft > 0 && startedByPool[pool] < maxLongRunningDrainsPerPool; startedByPool[pool]++ {
 			vm, ok := c.cheapestVM(pendingByPool[pool], now)
 			if !ok {
 				break
 			}
 			c.startMaintenance(s, vm, now)
-			capLeft--
+			concurrencyLeft--
 		}
 	}
 }
@@ -156,8 +156,8 @@
 	return pending[best], true
 }
 
-// absentVMCost is added to the cost of a VM for each VM of its pool with an operation under way.
-const absentVMCost = 1.0
+// unavailableVMCost is added to the cost of a VM for each VM of its pool with an operation under way.
+const unavailableVMCost = 1.0
 
 // maintenanceCost returns the cost of a VM's absence. It is 0 for a VM without a worker and for a spare VM.
 // For others it grows with the utilization, the long-running tasks and the operations on VMs of the pool.
@@ -172,7 +172,7 @@
 	}
 	for _, op := range c.operations {
 		if op.sourcePool == vm.Pool {
-			cost += absentVMCost
+			cost += unavailableVMCost
 		}
 	}
 	return cost
--- a/internal/fleet/waves_test.go
+++ b/internal/fleet/waves_test.go
@@ -14,7 +14,7 @@
 // Guards against a wave that stands still for more than three seconds after each change of the fleet's owner, and ends
 // late. At a peak the previous owner has moved two thirds of the VMs. The new owner must leave them alone for a while,
 // but must not count them as away for maintenance.
-func TestEarlierMovesDoNotCountTowardTheWavesCap(t *testing.T) {
+func TestEarlierMovesDoNotCountTowardMaxConcurrent(t *testing.T) {
 	const vms, moved = 60, 40
 	c := newCore()
 	var list []workload.VM
@@ -34,7 +34,7 @@
 
 // An owner of an earlier version did not store for which wave it ordered a VM. The order may belong to this wave, so
 // the VM must count toward its cap.
-func TestEarlierOrderOfUnknownWaveCountsTowardTheCap(t *testing.T) {
+func TestEarlierOrderOfUnknownWaveCountsTowardMaxConcurrent(t *testing.T) {
 	c := newCore()
 	c.RecordEarlierOrder("vm-1", fleet.UnknownWave, startTime.Add(-50*time.Millisecond))
 	c.SetWaves([]workload.Wave{{Number: 1, VMs: []string{"vm-1", "vm-2"}, Window: time.Second, MaxConcurrent: 1}}, startTime)
@@ -70,7 +70,7 @@
 	c.SetWaves([]workload.Wave{{Number: 1, VMs: ids, Window: duration, MaxConcurrent: 40}}, startTime)
 	ordered := map[string]bool{}
 	var movingWorker string // the worker whose long-running tasks move
-	var movedAt time.Time
+	var moveEndsAt time.Time
 	for at := time.Duration(0); at < duration; at += 100 * time.Millisecond {
 		now := startTime.Add(at)
 		c.SetVMs(list, now)
@@ -80,9 +80,9 @@
 			case fleet.DrainWorker:
 				w := workers[a.Worker]
 				if w.LongRunningRuns > 0 && movingWorker == "" {
-					movingWorker, movedAt = a.Worker, now.Add(moveTime)
+					movingWorker, moveEndsAt = a.Worker, now.Add(moveTime)
 				}
-				if a.Worker == movingWorker && !now.Before(movedAt) {
+				if a.Worker == movingWorker && !now.Before(moveEndsAt) {
 					w.LongRunningRuns = 0
 					workers[a.Worker] = w
 					movingWorker = ""
--- a/internal/fleetowner/actions.go
+++ b/internal/fleetowner/actions.go
@@ -66,7 +66,7 @@
 // orders of two holders for one VM must not follow each other closely. A VM without a stored order may
 // be ordered at once.
 type storedOrder struct {
-	AnnouncedAtMS int64 `json:"at"` // Unix time in ms, by the owner's clock
+	OrderedAtMS int64 `json:"at"` // Unix time in ms, by the owner's clock
 	// Wave is the number of the wave that the VM was ordered for, 0 for a move. Owners of earlier
 	// versions did not store it.
 	Wave int64 `json:"wave"`
@@ -74,7 +74,7 @@
 
 // storeAndOrder stores that a VM will be ordered, and then orders it.
 func (o *Owner) storeAndOrder(ctx context.Context, a fleet.Action) {
-	value, err := json.Marshal(storedOrder{AnnouncedAtMS: time.Now().UnixMilli(), Wave: a.Wave})
+	value, err := json.Marshal(storedOrder{OrderedAtMS: time.Now().UnixMilli(), Wave: a.Wave})
 	if err == nil {
 		err = o.writer.put(ctx, vmKeyPrefix+a.VM, value)
 	}
--- a/internal/fleetowner/fleetowner.go
+++ b/internal/fleetowner/fleetowner.go
@@ -201,7 +201,7 @@
 		if err := json.Unmarshal(r.Value, &stored); err != nil {
 			return errors.Wrap(err, "order")
 		}
-		core.RecordEarlierOrder(vm, stored.Wave, time.UnixMilli(stored.AnnouncedAtMS))
+		core.RecordEarlierOrder(vm, stored.Wave, time.UnixMilli(stored.OrderedAtMS))
 		return nil
 	}
 	number, ok := strings.CutPrefix(r.Key, waveKeyPrefix)
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -13,21 +13,21 @@
 // memberClient queries the other members of the group.
 type memberClient struct{ clients *nodepeer.Clients }
 
-// LastJoin asks the node at an address for its last join that the store answered.
-func (m memberClient) LastJoin(ctx context.Context, address string) (ownership.LastJoin, error) {
+// JoinStatus asks the node at an address for its last join that the store answered.
+func (m memberClient) JoinStatus(ctx context.Context, address string) (ownership.JoinStatus, error) {
 	answer, err := m.clients.Call(ctx, address, nodepeer.MethodMembership, nodepeer.Request{})
 	if err != nil {
-		return ownership.LastJoin{}, err
+		return ownership.JoinStatus{}, err
 	}
 	if answer.LastJoin == nil {
-		return ownership.LastJoin{}, errors.Errorf("response of node %s has no last join", address)
+		return ownership.JoinStatus{}, errors.Errorf("response of node %s has no last join", address)
 	}
-	return ownership.LastJoin{Never: answer.LastJoin.Never, Age: time.Duration(answer.LastJoin.AgeMS) * time.Millisecond, Owned: answer.LastJoin.Owned}, nil
+	return ownership.JoinStatus{Never: answer.LastJoin.Never, Age: time.Duration(answer.LastJoin.AgeMS) * time.Millisecond, Owned: answer.LastJoin.Owned}, nil
 }
 
 // Membership returns this node's last join to another node.
 func (o *ownerDirectory) Membership(context.Context, nodepeer.Request) (nodepeer.Response, error) {
-	last := o.manager.LastJoin()
+	last := o.manager.JoinStatus()
 	return nodepeer.Response{LastJoin: &nodepeer.LastJoin{Never: last.Never, AgeMS: last.Age.Milliseconds(), Owned: last.Owned}}, nil
 }
 
--- a/internal/node/release.go
+++ b/internal/node/release.go
@@ -41,7 +41,7 @@
 // Release serves MethodRelease: it stops the local owner of a partition and returns that
 // owner's report to the next owner.
 func (o *ownerDirectory) Release(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
-	o.manager.StopOwnerBelow(ctx, platform.Partition{Topic: joblog.JobsTopic, Part: req.Partition}, req.Epoch)
+	o.manager.StopRunnerBeforeEpoch(ctx, platform.Partition{Topic: joblog.JobsTopic, Part: req.Partition}, req.Epoch)
 	report, ok := o.reportBelow(req.Partition, req.Epoch)
 	if !ok {
 		return nodepeer.Response{}, nil
--- a/internal/ownership/authority.go
+++ b/internal/ownership/authority.go
@@ -21,13 +21,13 @@
 
 // MemberClient queries other members of the group.
 type MemberClient interface {
-	// LastJoin asks the node at an address when the store last answered one of its joins. An error
+	// JoinStatus asks the node at an address when the store last answered one of its joins. An error
 	// means that the node did not answer.
-	LastJoin(ctx context.Context, address string) (LastJoin, error)
+	JoinStatus(ctx context.Context, address string) (JoinStatus, error)
 }
 
-// LastJoin states when the store last answered a join of a process.
-type LastJoin struct {
+// JoinStatus states when the store last answered a join of a process.
+type JoinStatus struct {
 	Never bool
 	Age   time.Duration // since the answer
 	// Owned are the partitions that the group has given to the process.
@@ -96,22 +96,22 @@
 	return until
 }
 
-// LastJoin returns the answer for another member: when the store last answered a join of this process.
-func (m *Manager) LastJoin() LastJoin {
+// JoinStatus returns the answer for another member: when the store last answered a join of this process.
+func (m *Manager) JoinStatus() JoinStatus {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.lastJoinAnsweredAt.IsZero() {
-		return LastJoin{Never: true}
+		return JoinStatus{Never: true}
 	}
-	return LastJoin{Age: time.Since(m.lastJoinAnsweredAt), Owned: slices.Collect(maps.Keys(m.owned))}
+	return JoinStatus{Age: time.Since(m.lastJoinAnsweredAt), Owned: slices.Collect(maps.Keys(m.owned))}
 }
 
 // memberAnswer is what another member has answered while joins of this process had no answer.
 type memberAnswer struct {
-	askedAt         instant // of the latest query whose answer ruled the member out as a successor
-	joinSentAt      instant // latest answered join of this process at that time; the answer counts for this join only
-	isQueryInFlight bool
-	vetoReason      string // why the member may be a successor, "" if it can't be or has not been asked
+	askedAt                 instant // of the latest query whose answer ruled the member out as a successor
+	joinSentAt              instant // latest answered join of this process at that time; the answer counts for this join only
+	isQueryInFlight         bool
+	possibleSuccessorReason string // why the member may be a successor, "" if it can't be or has not been asked
 }
 
 // queryMembers asks the other members, while joins have no answer, whether one of them may be a successor
@@ -124,7 +124,7 @@
 		for _, address := range m.membersToQuery() {
 			queries.Go(func() { m.queryMember(ctx, address) })
 		}
-		m.logCertainty()
+		m.logConfirmationChange()
 	}
 }
 
@@ -169,33 +169,33 @@
 	ctx, cancel := context.WithTimeout(ctx, memberQueryTimeout)
 	defer cancel()
 	askedAt := m.currentInstant()
-	lastJoin, err := m.memberClient.LastJoin(ctx, address)
+	status, err := m.memberClient.JoinStatus(ctx, address)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	answer := m.memberAnswers[address]
 	answer.isQueryInFlight = false
 	if err != nil {
-		answer.vetoReason = "does not answer: " + err.Error()
+		answer.possibleSuccessorReason = "does not answer: " + err.Error()
 		return
 	}
 	answer.askedAt, answer.joinSentAt = askedAt, m.lastAnsweredJoinSentAt
-	if answer.vetoReason = m.vetoReason(lastJoin); answer.vetoReason != "" {
+	if answer.possibleSuccessorReason = m.possibleSuccessorReason(status); answer.possibleSuccessorReason != "" {
 		answer.askedAt = instant{}
 	}
-	m.noSuccessorAsOf = m.earliestAnsweredQuery()
+	m.noSuccessorAsOf = m.allRuledOutAt()
 }
 
-// vetoReason returns why a member may own a partition that this process owns, "" if it can't. It must be
+// possibleSuccessorReason returns why a member may own a partition that this process owns, "" if it can't. It must be
 // called with mu held.
-func (m *Manager) vetoReason(lastJoin LastJoin) string {
-	answeredAt := time.Now().Add(-lastJoin.Age)
+func (m *Manager) possibleSuccessorReason(status JoinStatus) string {
+	answeredAt := time.Now().Add(-status.Age)
 	switch {
-	case lastJoin.Never || !answeredAt.After(m.suspendAdjustedTime(m.lastAnsweredJoinSentAt)):
+	case status.Never || !answeredAt.After(m.suspendAdjustedTime(m.lastAnsweredJoinSentAt)):
 		return "" // a later join confirmed the partitions to this process
 	case answeredAt.After(m.ttlExpiresAt(m.lastAnsweredJoinSentAt)):
 		return "has joined meanwhile"
 	}
-	for _, p := range lastJoin.Owned {
+	for _, p := range status.Owned {
 		if m.owned[p] != nil {
 			return "owns a partition, too" // the group has reassigned it
 		}
@@ -203,10 +203,10 @@
 	return ""
 }
 
-// earliestAnsweredQuery returns the earliest of the instants at which the other members were last asked with
+// allRuledOutAt returns the earliest of the instants at which the other members were last asked with
 // an answer that rules them out as successors. It returns zero if a member has not given such an answer
 // since the latest answered join. It must be called with mu held.
-func (m *Manager) earliestAnsweredQuery() instant {
+func (m *Manager) allRuledOutAt() instant {
 	var earliest instant
 	for _, address := range m.otherAddresses() {
 		answer := m.memberAnswers[address]
@@ -220,44 +220,44 @@
 	return earliest
 }
 
-// logCertainty logs when the other members confirm that none of them is a successor, and when one of them
+// logConfirmationChange logs when the other members confirm that none of them is a successor, and when one of them
 // may be.
-func (m *Manager) logCertainty() {
+func (m *Manager) logConfirmationChange() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	membershipExpiresAt := m.ttlExpiresAt(m.lastAnsweredJoinSentAt)
 	if m.lastAnsweredJoinSentAt.at.IsZero() || len(m.owned) == 0 || time.Now().Before(membershipExpiresAt) {
-		m.loggedCertainty = confirmedByJoin
+		m.loggedConfirmation = confirmedByJoin
 		return
 	}
-	certainty := confirmedByMembers
+	confirmation := confirmedByMembers
 	reason := ""
 	if !time.Now().Before(m.ttlExpiresAt(m.noSuccessorAsOf)) {
-		certainty = unconfirmed
+		confirmation = unconfirmed
 		for _, address := range m.otherAddresses() {
-			if answer := m.memberAnswers[address]; answer != nil && answer.vetoReason != "" {
-				reason = address + " " + answer.vetoReason
+			if answer := m.memberAnswers[address]; answer != nil && answer.possibleSuccessorReason != "" {
+				reason = address + " " + answer.possibleSuccessorReason
 				break
 			}
 		}
 	}
-	if certainty == m.loggedCertainty {
+	if confirmation == m.loggedConfirmation {
 		return
 	}
-	m.loggedCertainty = certainty
+	m.loggedConfirmation = confirmation
 	sinceJoinMS := time.Since(m.lastAnsweredJoinSentAt.at).Milliseconds()
-	if certainty == confirmedByMembers {
+	if confirmation == confirmedByMembers {
 		m.logger.Info("store answers no member, partitions are kept", "since_ms", sinceJoinMS)
 		return
 	}
 	m.logger.Warn("another member may own the partitions", "reason", reason, "since_ms", sinceJoinMS)
 }
 
-// ownershipCertainty is how it is known, for the log, that no other member owns the partitions.
-type ownershipCertainty int
+// ownershipConfirmation is how it is known, for the log, that no other member owns the partitions.
+type ownershipConfirmation int
 
 const (
-	confirmedByJoin    ownershipCertainty = iota // by an answered join
-	confirmedByMembers                           // by the answers of all other members
+	confirmedByJoin    ownershipConfirmation = iota // by an answered join
+	confirmedByMembers                              // by the answers of all other members
 	unconfirmed
 )
--- a/internal/ownership/authority_test.go
+++ b/internal/ownership/authority_test.go
@@ -35,7 +35,7 @@
 // the first node and its partitions.
 func withRunningCluster(t *testing.T, scenario func(c *cluster, n *clusterNode, owned []platform.Partition)) {
 	runCluster(t, 3, 0, func(c *cluster) {
-		c.start(anyNode)
+		c.start(allNodes)
 		c.awaitOwned(true)
 		time.Sleep(2 * time.Second)
 		owned := c.partitionsOf(c.nodes[0])
@@ -148,7 +148,7 @@
 
 // Guards against an owner that goes on under its old epoch after another node has owned the partition in between:
 // workers that the other node never reached would accept its orders.
-func TestPartitionThatMayHavePassedOnIsRestartedWithANewEpoch(t *testing.T) {
+func TestPartitionThatMayHaveBeenReassignedIsRestartedWithANewEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &scriptedStore{gen: 3, parts: []platform.Partition{{Topic: "jobs"}}}
 		var mu sync.Mutex
@@ -217,7 +217,7 @@
 
 // Guards against an owner that goes on beside the later owner that requested its stop, and against an owner that is
 // started again by an older answer of the group.
-func TestOwnerIsStoppedForALaterOne(t *testing.T) {
+func TestRunnerIsStoppedForALaterOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		part := platform.Partition{Topic: "jobs"}
 		store := &scriptedStore{gen: 3, parts: []platform.Partition{part}}
@@ -248,9 +248,9 @@
 			return epochs
 		}
 		require.Equal(t, []int64{3}, started())
-		m.StopOwnerBelow(t.Context(), part, 3)
+		m.StopRunnerBeforeEpoch(t.Context(), part, 3)
 		require.Empty(t, causes, "an owner with the same epoch is not a later one")
-		m.StopOwnerBelow(t.Context(), part, 5)
+		m.StopRunnerBeforeEpoch(t.Context(), part, 5)
 		require.Equal(t, []error{ErrSuperseded}, causes)
 		assert.Equal(t, []int64{3}, started(), "the group's answers are older than the owner that requested the stop")
 		store.set(6, false)
@@ -273,10 +273,10 @@
 	s.joinAnsweredAt, s.owned = joinAnsweredAt, owned
 }
 
-func (s *memberStub) LastJoin(context.Context, string) (LastJoin, error) {
+func (s *memberStub) JoinStatus(context.Context, string) (JoinStatus, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return LastJoin{Age: time.Since(s.joinAnsweredAt), Owned: s.owned}, nil
+	return JoinStatus{Age: time.Since(s.joinAnsweredAt), Owned: s.owned}, nil
 }
 
 // Guards against an owner that goes on while the store is down for all, although the group had assigned its partition
--- a/internal/ownership/cluster_test.go
+++ b/internal/ownership/cluster_test.go
@@ -45,15 +45,15 @@
 // clusterMemberClient is a node's connection to the other nodes.
 type clusterMemberClient struct{ c *cluster }
 
-func (l clusterMemberClient) LastJoin(ctx context.Context, address string) (LastJoin, error) {
+func (l clusterMemberClient) JoinStatus(ctx context.Context, address string) (JoinStatus, error) {
 	for _, n := range l.c.nodes {
 		if n.name+":1" == address && !n.isSilent.Load() {
 			time.Sleep(time.Millisecond)
-			return n.manager.LastJoin(), nil
+			return n.manager.JoinStatus(), nil
 		}
 	}
 	<-ctx.Done()
-	return LastJoin{}, ctx.Err()
+	return JoinStatus{}, ctx.Err()
 }
 
 // Sizes of the simulated fleets. Fifteen of a hundred VMs are strong, as where an operator adds small VMs to serve
@@ -76,8 +76,8 @@
 
 	mu               sync.Mutex
 	ownerByPartition map[platform.Partition]*clusterNode
-	ownerStarts      map[platform.Partition]int // of partitions with work
-	weakOwnerStarts  int                        // of partitions with work, on weak VMs
+	runnerStarts     map[platform.Partition]int // of partitions with work
+	weakRunnerStarts int                        // of partitions with work, on weak VMs
 }
 
 type clusterNode struct {
@@ -97,7 +97,7 @@
 // runCluster runs a scenario with a fleet of strong and weak VMs in a synctest bubble.
 func runCluster(t *testing.T, strong, weak int, scenario func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &cluster{t: t, group: newStickyGroup(partitionsPerTopic), ownerByPartition: map[platform.Partition]*clusterNode{}, ownerStarts: map[platform.Partition]int{}}
+		c := &cluster{t: t, group: newStickyGroup(partitionsPerTopic), ownerByPartition: map[platform.Partition]*clusterNode{}, runnerStarts: map[platform.Partition]int{}}
 		for i := range strong + weak {
 			n := &clusterNode{name: fmt.Sprintf("node-%04d", i), milliCores: weakMilliCores}
 			if i < strong {
@@ -131,13 +131,13 @@
 	n.ended = make(chan struct{})
 	ctx, cancel := context.WithCancel(c.t.Context())
 	n.cancel = cancel
-	own := func(ctx context.Context, p platform.Partition, _ int64) error {
+	runPartition := func(ctx context.Context, p platform.Partition, _ int64) error {
 		c.mu.Lock()
 		c.ownerByPartition[p] = n
 		if hasWork(p) {
-			c.ownerStarts[p]++
+			c.runnerStarts[p]++
 			if !c.isStrong(n) {
-				c.weakOwnerStarts++
+				c.weakRunnerStarts++
 			}
 		}
 		c.mu.Unlock()
@@ -159,7 +159,7 @@
 			n.memberships++
 			return strconv.Itoa(n.memberships)
 		},
-	}, own)
+	}, runPartition)
 	n.manager = m
 	go func() {
 		defer close(n.ended)
@@ -220,16 +220,16 @@
 	return time.Since(began)
 }
 
-// takeOwnerStarts returns the owner starts since the last call: the most of any partition with work, and all on weak
+// takeRunnerStarts returns the owner starts since the last call: the most of any partition with work, and all on weak
 // VMs.
-func (c *cluster) takeOwnerStarts() (most, weak int) {
+func (c *cluster) takeRunnerStarts() (maxStarts, weakStarts int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, n := range c.ownerStarts {
-		most = max(most, n)
+	for _, n := range c.runnerStarts {
+		maxStarts = max(maxStarts, n)
 	}
-	weak = c.weakOwnerStarts
-	clear(c.ownerStarts)
-	c.weakOwnerStarts = 0
-	return most, weak
+	weakStarts = c.weakRunnerStarts
+	clear(c.runnerStarts)
+	c.weakRunnerStarts = 0
+	return maxStarts, weakStarts
 }
--- a/internal/ownership/owned.go
+++ b/internal/ownership/owned.go
@@ -21,7 +21,7 @@
 // applyAssignment starts and stops owners according to the answer to a join sent at sentAt. isNewGeneration
 // states whether the generation differs from that of the answer before. It must be called with mu held.
 func (m *Manager) applyAssignment(ctx context.Context, a platform.Assignment, sentAt instant, isNewGeneration bool) {
-	if time.Now().Before(m.ownersStartFrom) {
+	if time.Now().Before(m.runnersStartFrom) {
 		m.releasedGeneration = m.generation
 		return // other members are about to join, and the next assignment will differ
 	}
@@ -32,22 +32,22 @@
 		}
 		listed[p] = true
 		if own := m.owned[p]; own != nil && isNewGeneration && sentAt.at.After(m.ttlExpiresAt(own.confirmingJoinSentAt)) {
-			m.handOver(p, own, a.Generation, "another member may have owned it since")
+			m.stopReassigned(p, own, a.Generation, "another member may have owned it since")
 		}
 		switch {
-		case m.stoppingOwners[p] != nil:
+		case m.stoppingRunners[p] != nil:
 			continue // it is started again once the previous owner has recorded its runs
 		case a.Generation < m.supersededBelow[p]:
 			continue // the answer is older than the owner that requested the stop
 		}
 		if m.owned[p] == nil {
-			m.owned[p] = m.startOwner(ctx, p, a.Generation)
+			m.owned[p] = m.startRunner(ctx, p, a.Generation)
 		}
 		m.owned[p].confirmingJoinSentAt = sentAt
 	}
 	for p, own := range m.owned {
 		if !listed[p] {
-			m.handOver(p, own, a.Generation, "the group gave it to another member")
+			m.stopReassigned(p, own, a.Generation, "the group gave it to another member")
 		}
 	}
 	if m.stoppingCount == 0 {
@@ -55,17 +55,17 @@
 	}
 }
 
-// handOver stops the owner of a partition that passes on. It must be called with mu held.
-func (m *Manager) handOver(p platform.Partition, own *ownedPartition, generation int64, reason string) {
+// stopReassigned stops the owner of a partition that passes on. It must be called with mu held.
+func (m *Manager) stopReassigned(p platform.Partition, own *ownedPartition, generation int64, reason string) {
 	m.logger.Info("partition handed over", "topic", p.Topic, "partition", p.Part, "generation", generation, "reason", reason)
-	m.stopOwner(p, own, nil)
+	m.stopRunner(p, own, nil)
 }
 
-// stopOwner stops the owner of a partition with a cause. It must be called with mu held.
-func (m *Manager) stopOwner(p platform.Partition, own *ownedPartition, cause error) {
+// stopRunner stops the owner of a partition with a cause. It must be called with mu held.
+func (m *Manager) stopRunner(p platform.Partition, own *ownedPartition, cause error) {
 	own.cancel(cause)
 	delete(m.owned, p)
-	m.stoppingOwners[p] = own
+	m.stoppingRunners[p] = own
 	m.stoppingCount++
 	go m.releaseOnceStopped(p, own)
 }
@@ -78,7 +78,7 @@
 	<-own.stopped
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.stoppingOwners, p)
+	delete(m.stoppingRunners, p)
 	m.stoppingCount--
 	if m.stoppingCount == 0 {
 		m.releasedGeneration = m.generation
@@ -86,7 +86,7 @@
 	}
 }
 
-func (m *Manager) startOwner(ctx context.Context, p platform.Partition, epoch int64) *ownedPartition {
+func (m *Manager) startRunner(ctx context.Context, p platform.Partition, epoch int64) *ownedPartition {
 	ctx, cancel := context.WithCancelCause(ctx)
 	own := &ownedPartition{epoch: epoch, cancel: cancel, stopped: make(chan struct{})}
 	go func() {
@@ -106,14 +106,14 @@
 // ErrSuperseded is the cause with which an owner is stopped at the request of a later owner.
 var ErrSuperseded = errors.New("a later owner has taken the partition over")
 
-// StopOwnerBelow stops the owner of a partition in this process if its epoch is below epoch, and waits until it
+// StopRunnerBeforeEpoch stops the owner of a partition in this process if its epoch is below epoch, and waits until it
 // has stopped or ctx ends.
-func (m *Manager) StopOwnerBelow(ctx context.Context, p platform.Partition, epoch int64) {
+func (m *Manager) StopRunnerBeforeEpoch(ctx context.Context, p platform.Partition, epoch int64) {
 	m.mu.Lock()
 	m.supersededBelow[p] = max(m.supersededBelow[p], epoch)
 	own := m.owned[p]
 	if own == nil {
-		own = m.stoppingOwners[p]
+		own = m.stoppingRunners[p]
 	}
 	if own == nil || own.epoch >= epoch {
 		m.mu.Unlock()
@@ -121,7 +121,7 @@
 	}
 	if m.owned[p] == own {
 		m.logger.Info("partition handed over", "topic", p.Topic, "partition", p.Part, "epoch", epoch, "reason", "its next owner asks for it")
-		m.stopOwner(p, own, ErrSuperseded)
+		m.stopRunner(p, own, ErrSuperseded)
 	}
 	m.mu.Unlock()
 	select {
@@ -130,18 +130,18 @@
 	}
 }
 
-// stopAllOwners stops the owners of all owned partitions and waits until they have stopped, by which time they
+// stopAllRunners stops the owners of all owned partitions and waits until they have stopped, by which time they
 // have recorded their runs. It does not wait for owners that were being stopped before.
-func (m *Manager) stopAllOwners() {
+func (m *Manager) stopAllRunners() {
 	m.mu.Lock()
-	var stopped []*ownedPartition
+	var stopping []*ownedPartition
 	for p, own := range m.owned {
 		own.cancel(nil)
-		stopped = append(stopped, own)
+		stopping = append(stopping, own)
 		delete(m.owned, p)
 	}
 	m.mu.Unlock()
-	for _, own := range stopped {
+	for _, own := range stopping {
 		<-own.stopped
 	}
 }
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -100,16 +100,16 @@
 	lastJoinAnsweredAt     time.Time                // when the store last answered any join
 	memberAnswers          map[string]*memberAnswer // by address
 	noSuccessorAsOf        instant                  // when all other members were last known to be no successors
-	loggedCertainty        ownershipCertainty       // as last logged
+	loggedConfirmation     ownershipConfirmation    // as last logged
 	owned                  map[platform.Partition]*ownedPartition
 	supersededBelow        map[platform.Partition]int64           // epoch of the latest owner that requested a stop
-	stoppingOwners         map[platform.Partition]*ownedPartition // owners that are being stopped
+	stoppingRunners        map[platform.Partition]*ownedPartition // owners that are being stopped
 	owners                 map[platform.Partition]memberInfo
 	ownersReadSentAt       time.Time
 	mustRejoin             bool // the process must join under a new name
 	yieldPolicy            yieldPolicy
 	capacityHint           capacityHint
-	ownersStartFrom        time.Time // no owner is started before
+	runnersStartFrom       time.Time // no owner is started before
 }
 
 // Config configures a Manager.
@@ -156,7 +156,7 @@
 		joinSlots:       make(chan struct{}, maxJoinsInFlight),
 		joinRequested:   make(chan struct{}, 1),
 		owned:           map[platform.Partition]*ownedPartition{},
-		stoppingOwners:  map[platform.Partition]*ownedPartition{},
+		stoppingRunners: map[platform.Partition]*ownedPartition{},
 		supersededBelow: map[platform.Partition]int64{},
 		owners:          map[platform.Partition]memberInfo{},
 		memberAnswers:   map[string]*memberAnswer{},
@@ -197,7 +197,7 @@
 			m.rejoinIfFenced(ctx)
 			m.startJoin(ctx)
 		case isMember:
-			m.withdraw()
+			m.leaveToYield()
 			isMember = false
 		}
 		select {
@@ -264,7 +264,7 @@
 	if !mustRejoin {
 		return
 	}
-	m.stopAllOwners()
+	m.stopAllRunners()
 	if _, err := m.store.Leave(ctx, groupName, oldName); err != nil {
 		m.logger.Debug("old membership can't be left, it lapses by itself", "member", oldName, "error", err)
 	}
@@ -294,7 +294,7 @@
 
 // leaveGroup stops all owners and leaves the group, so that other members need not wait for the TTL.
 func (m *Manager) leaveGroup() {
-	m.stopAllOwners()
+	m.stopAllRunners()
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	if status, err := m.store.Leave(ctx, groupName, m.memberName); status != platform.StoreOK {
--- a/internal/ownership/scale_test.go
+++ b/internal/ownership/scale_test.go
@@ -11,7 +11,7 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-func anyNode(*clusterNode) bool { return true }
+func allNodes(*clusterNode) bool { return true }
 
 // maxTimeToOwned is the target time from the start of the nodes until strong VMs own all partitions with work.
 const maxTimeToOwned = 500 * time.Millisecond
@@ -34,24 +34,24 @@
 func TestStrongVMsOwnPartitionsAfterALossOfAllNodes(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, strong, weak int) {
 		runCluster(t, strong, weak, func(c *cluster) {
-			c.start(anyNode)
+			c.start(allNodes)
 			assert.LessOrEqual(t, c.awaitOwned(true), maxTimeToOwned, "first start")
 			time.Sleep(5 * time.Second)
-			c.takeOwnerStarts()
+			c.takeRunnerStarts()
 			calls := c.group.callWeight
 			time.Sleep(10 * time.Second)
 			perNode := (c.group.callWeight - calls) / float64(len(c.nodes)) / 10
 			assert.LessOrEqual(t, perNode, 3.0, "calls per node and second at rest")
 			for range 2 {
-				c.kill(anyNode)
+				c.kill(allNodes)
 				time.Sleep(outageTime)
-				c.start(anyNode)
+				c.start(allNodes)
 				assert.LessOrEqual(t, c.awaitOwned(true), maxTimeToOwned)
 				time.Sleep(5 * time.Second)
 				assert.True(t, c.isAllOwned(true))
-				changes, byWeak := c.takeOwnerStarts()
-				assert.LessOrEqual(t, changes, 2, "owners of a partition")
-				assert.Zero(t, byWeak, "partitions that a weak VM owned")
+				maxStarts, weakStarts := c.takeRunnerStarts()
+				assert.LessOrEqual(t, maxStarts, 2, "owners of a partition")
+				assert.Zero(t, weakStarts, "partitions that a weak VM owned")
 			}
 		})
 	})
@@ -62,9 +62,9 @@
 func TestWeakVMsYieldDuringARollingRestartOfStrongOnes(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, strong, weak int) {
 		runCluster(t, strong, weak, func(c *cluster) {
-			c.start(anyNode)
+			c.start(allNodes)
 			time.Sleep(5 * time.Second)
-			c.takeOwnerStarts()
+			c.takeRunnerStarts()
 			for _, n := range c.nodes[:min(strong, 20)] {
 				this := func(x *clusterNode) bool { return x == n }
 				c.stop(this)
@@ -73,8 +73,8 @@
 			}
 			time.Sleep(time.Second)
 			assert.True(t, c.isAllOwned(true))
-			_, byWeak := c.takeOwnerStarts()
-			assert.Zero(t, byWeak, "partitions that a weak VM owned")
+			_, weakStarts := c.takeRunnerStarts()
+			assert.Zero(t, weakStarts, "partitions that a weak VM owned")
 		})
 	})
 }
@@ -86,20 +86,20 @@
 	const lease = 3500 * time.Millisecond
 	forEachFleetSize(t, func(t *testing.T, strong, weak int) {
 		runCluster(t, strong, weak, func(c *cluster) {
-			c.start(anyNode)
+			c.start(allNodes)
 			time.Sleep(5 * time.Second)
 			lost := func(n *clusterNode) bool { return c.isStrong(n) && n != c.nodes[0] }
 			c.kill(lost)
 			assert.LessOrEqual(t, c.awaitOwned(false), lease)
 			time.Sleep(6 * time.Second)
 			assert.True(t, c.isAllOwned(false))
-			c.takeOwnerStarts()
+			c.takeRunnerStarts()
 			c.start(lost)
 			assert.LessOrEqual(t, c.awaitOwned(true), memberTTL+yieldingCheckInterval)
 			time.Sleep(3 * time.Second)
 			assert.True(t, c.isAllOwned(true))
-			changes, _ := c.takeOwnerStarts()
-			assert.LessOrEqual(t, changes, 4, "owners of a partition")
+			maxStarts, _ := c.takeRunnerStarts()
+			assert.LessOrEqual(t, maxStarts, 4, "owners of a partition")
 		})
 	})
 }
@@ -108,12 +108,12 @@
 func TestVMsOfOneSizeOwnAtOnceAfterALossOfAllNodes(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, strong, weak int) {
 		runCluster(t, 0, strong+weak, func(c *cluster) {
-			c.start(anyNode)
+			c.start(allNodes)
 			assert.LessOrEqual(t, c.awaitOwned(false), maxInitialWait, "first start")
 			time.Sleep(5 * time.Second)
-			c.kill(anyNode)
+			c.kill(allNodes)
 			time.Sleep(outageTime)
-			c.start(anyNode)
+			c.start(allNodes)
 			assert.LessOrEqual(t, c.awaitOwned(false), maxTimeToOwned)
 		})
 	})
@@ -123,7 +123,7 @@
 // them: OwnedUntil must have ended by the time the other node is assigned the partition.
 func TestOwnedUntilEndsBeforeAnotherMemberOwns(t *testing.T) {
 	runCluster(t, 2, 0, func(c *cluster) {
-		c.start(anyNode)
+		c.start(allNodes)
 		c.awaitOwned(true)
 		time.Sleep(2 * time.Second)
 		cutOff, other := c.nodes[0], c.nodes[1]
@@ -138,14 +138,14 @@
 		require.NotEmpty(t, owned)
 		cutOff.isCut.Store(true)
 		assert.True(t, cutOff.manager.OwnedUntil(owned[0]).After(time.Now()), "the node has only just been cut off")
-		for passed := 0; passed < len(owned); time.Sleep(time.Millisecond) {
-			passed = 0
+		for reassigned := 0; reassigned < len(owned); time.Sleep(time.Millisecond) {
+			reassigned = 0
 			for _, p := range owned {
 				c.mu.Lock()
-				hasPassed := c.ownerByPartition[p] == other
+				isReassigned := c.ownerByPartition[p] == other
 				c.mu.Unlock()
-				if hasPassed {
-					passed++
+				if isReassigned {
+					reassigned++
 					require.False(t, cutOff.manager.OwnedUntil(p).After(time.Now()), "partition %v has passed on", p)
 				}
 			}
--- a/internal/ownership/watch.go
+++ b/internal/ownership/watch.go
@@ -41,7 +41,7 @@
 	now := time.Now()
 	m.yieldPolicy.start(m.milliCores, now)
 	if len(m.owners) == 0 {
-		m.ownersStartFrom = now.Add(initialGatherTime)
+		m.runnersStartFrom = now.Add(initialGatherTime)
 		time.AfterFunc(initialGatherTime, m.RequestJoin)
 	}
 }
@@ -102,9 +102,9 @@
 	return m.yieldPolicy.isYielding
 }
 
-// withdraw leaves the group. It waits for joins in flight: a join that arrived after the leave would give
+// leaveToYield leaves the group. It waits for joins in flight: a join that arrived after the leave would give
 // partitions to a member that runs none. The next membership has another name for the same reason.
-func (m *Manager) withdraw() {
+func (m *Manager) leaveToYield() {
 	for range maxJoinsInFlight {
 		m.joinSlots <- struct{}{}
 	}
--- a/internal/ownership/yield.go
+++ b/internal/ownership/yield.go
@@ -68,10 +68,10 @@
 }
 
 // applyCapacityHint adjusts joinAt to the capacity of the last owners in millicores, 0 if there is no record.
-func (p *yieldPolicy) applyCapacityHint(ownMilliCores, lastMilliCores int) {
+func (p *yieldPolicy) applyCapacityHint(ownMilliCores, previousMilliCores int) {
 	switch {
-	case lastMilliCores == 0:
-	case lastMilliCores >= strongerFactor*ownMilliCores:
+	case previousMilliCores == 0:
+	case previousMilliCores >= strongerFactor*ownMilliCores:
 		p.joinAt = p.startedAt.Add(strongerStartTimeout)
 	default:
 		p.joinAt = p.startedAt
