--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -1,28 +1,30 @@
 // Package fleet decides which VMs go through maintenance and which VMs move to another pool.
 //
 // Core is a pure state machine. The fleet's owner (package fleetowner) feeds it the waves, the
-// list of VMs, the loads of the services and the results of calls, and carries out the Actions
-// that Step returns.
+// list of VMs, the loads of the pools and the results of calls, and carries out the Actions that
+// Step returns.
 //
-// A VM is drained before it is ordered away: the owner of its worker lets short tasks finish,
-// moves tasks that have a checkpoint, and keeps to the MaxUnavailable of long-running tasks. An
-// order is given only while the worker is known to run nothing. Spare VMs are off and need no
-// drain.
+// Each service has one pool of VMs, with the same name. VMs of the spare pool are off.
 //
-// A maintenance wave has as many VMs in work at once as it needs to be done within waveTargetShare
-// of its window, at most its MaxConcurrent. VMs with long-running tasks begin first, a few per
-// pool at once, because they can only be drained one after another. Of the others, the VM whose
-// absence costs least comes next. A wave is completed once every VM of it that is listed has had
-// its maintenance ordered, or rejected by the platform as not applicable.
+// A VM is drained before it is moved or maintained: the owner of its worker lets short tasks
+// finish, moves tasks that have a checkpoint, and keeps to the MaxUnavailable of long-running
+// tasks. An order is given only while the worker is known to run nothing. Spare VMs need no drain.
 //
-// Moves follow the need of the pools. The need of a pool is computed from its load and from the
+// A maintenance wave has as many VMs under maintenance at once as it needs to be done within
+// waveTargetShare of its window, at most its MaxConcurrent. VMs with long-running tasks begin
+// first, a few per pool at once, because they can only be drained one after another. Of the
+// others, the VM that its pool can best do without comes next. A wave is completed once every VM
+// of it that is listed has had its maintenance ordered, or rejected by the platform as not
+// applicable.
+//
+// Moves follow the number of VMs that each pool needs, which is computed from its load and from the
 // rate at which jobs arrive. If there are too few VMs for all, each pool is limited to its fair
-// share. Pools whose tasks wait for a label or size that no free VM of theirs has get such VMs.
-// Other pools in need get spare VMs first, then the least used VMs of pools that have more than
-// they have needed lately. VMs with long-running tasks are not moved. A VM that its pool has not
-// needed for a while returns to the spare pool.
+// share. If a pool's tasks wait for a label or size that none of its free VMs has, the pool gets a
+// matching VM first. Other pools that are short of VMs get spare VMs, then the least used VMs of
+// pools that have more than they have needed lately. VMs with long-running tasks are not moved. A
+// VM that its pool has not needed for a while returns to the spare pool.
 //
-// A new owner leaves VMs that an earlier owner has ordered alone for EarlierOrderQuietPeriod.
+// A new owner gives no order for a VM within EarlierOrderQuietPeriod of an earlier owner's order.
 package fleet
 
 import (
@@ -37,28 +39,28 @@
 type Settings struct {
 	MigrationTime   time.Duration // duration of a VM's move to another pool
 	MaintenanceTime time.Duration // duration of a VM's maintenance
-	// EarlierOrderQuietPeriod is how long a new owner leaves a VM alone that an earlier owner has
-	// ordered. The platform requires this time between orders of two holders for one VM.
+	// EarlierOrderQuietPeriod is how long a new owner gives no order for a VM after an earlier
+	// owner's order. The platform requires this time between orders of two holders for one VM.
 	EarlierOrderQuietPeriod time.Duration
 }
 
 // Time limits of decisions.
 const (
-	// returnGracePeriod is how much longer than its order takes a VM may need to come back and to
-	// appear in the list.
+	// returnGracePeriod is how much longer than its move or maintenance a VM may take to come back
+	// and to be listed.
 	returnGracePeriod = 4 * time.Second
-	// inFlightOrderSlack is added to the quiet period for an order of the earlier owner that was
-	// in flight at the takeover.
+	// inFlightOrderSlack is added to the quiet period because an order of the earlier owner may have
+	// been in flight at the takeover.
 	inFlightOrderSlack = 500 * time.Millisecond
-	// maxClockSkew is how far the clocks of two nodes may be apart.
+	// maxClockSkew is the largest assumed difference between the clocks of two nodes.
 	maxClockSkew = 2500 * time.Millisecond
 	// orderRetryInterval is the pause after an order that was not accepted.
 	orderRetryInterval = 400 * time.Millisecond
 	// waveTargetShare is the share of a wave's window within which the wave should be done. The
-	// rest is reserve for disturbances.
+	// rest of the window is a reserve for failures and slow drains.
 	waveTargetShare = 0.6
-	// drainAndReturnTime is how long draining a VM for maintenance and its return take, without
-	// the maintenance itself.
+	// drainAndReturnTime is how long a VM is unavailable for its drain and its return, without the
+	// maintenance itself.
 	drainAndReturnTime = 2 * time.Second
 	// slowDrainThreshold is how long a VM may take to be drained before its wave takes another VM
 	// into maintenance in addition.
@@ -70,7 +72,7 @@
 
 const (
 	phaseDraining       operationPhase = iota
-	phaseOrderInFlight                 // an order is in flight
+	phaseOrderInFlight                 // the order has not been answered
 	phaseAwaitingReturn                // the order was accepted, the VM is not back yet
 )
 
@@ -87,19 +89,19 @@
 	phaseSince     time.Time // start of the phase
 	retryAt        time.Time
 	// drainState is the answer of the worker's owner to the drain request sent at drainRequestedAt.
-	// All requests since drainStateSince had the same answer.
+	// All requests since drainStateSince have had the same answer.
 	drainState                        workload.DrainState
 	drainRequestedAt, drainStateSince time.Time
 	moveExpiresAt                     time.Time // a move that has not been ordered by then is dropped
-	// hasBeenListedUnavailable is set once a list requested after the order was accepted has shown the VM
-	// as away. Then the VM may come back with a worker of the same ID.
+	// hasBeenListedUnavailable is set once a list requested after the order was accepted has shown
+	// the VM in another state than up. Then the VM may come back with a worker of the same ID.
 	hasBeenListedUnavailable bool
 }
 
 // waveProgress is what is known of a wave.
 type waveProgress struct {
 	wave          workload.Wave
-	firstSeenAt   time.Time //
+	firstSeenAt   time.Time // when this owner first learned of the wave
 	doneVMs       map[string]bool
 	reportedState workload.WaveState
 }
@@ -139,7 +141,7 @@
 type Action struct {
 	Verb    Verb
 	VM      string
-	Pool    string // pool of the worker for DrainWorker, target pool for MoveVM
+	Pool    string // for DrainWorker the pool of the worker, for MoveVM the target pool
 	Worker  string
 	Wave    int64
 	State   workload.WaveState
@@ -191,7 +193,7 @@
 // earlierOrder is an earlier owner's order for a VM.
 type earlierOrder struct {
 	wave       int64     // 0 for a move, UnknownWave if it is unknown
-	quietUntil time.Time // the VM is left alone until then
+	quietUntil time.Time // no order is given for the VM before then
 }
 
 // UnknownWave stands for the wave of an order whose purpose is unknown.
@@ -232,7 +234,7 @@
 	c.workerFirstListedAt = firstListedAt
 }
 
-// SetConfig sets the spare pool from the services; there may be none.
+// SetConfig sets the spare pool from the configuration. There may be none.
 func (c *Core) SetConfig(config *workload.Config) {
 	c.sparePool = ""
 	for _, s := range config.Services {
@@ -255,7 +257,8 @@
 	return c.actions
 }
 
-// finishOperations ends operations whose VM is back, or has been away for longer than expected.
+// finishOperations ends operations whose VM is back, and those whose VM is not back returnGracePeriod
+// after it was expected.
 func (c *Core) finishOperations(now time.Time) {
 	for id, op := range c.operations {
 		if op.phase != phaseAwaitingReturn {
@@ -295,7 +298,7 @@
 		case vm.Pool == c.sparePool || vm.Worker == op.worker && c.isDrained(op, now):
 			c.issueOrder(op, now) // spare VMs are off and run nothing
 		case vm.Worker == "":
-			// The list lags: the VM's worker may already run tasks.
+			// The VM's worker may already run tasks, and the list may not show it yet.
 		default:
 			if op.worker != vm.Worker {
 				op.worker = vm.Worker
@@ -306,10 +309,10 @@
 	}
 }
 
-// isDrained reports whether the worker of a VM certainly runs nothing. If the worker's process
-// has not answered lately, its successor may already run tasks on the VM that an order would
-// end, and the list lags. DrainedUnconfirmed therefore counts only with a recent list that was
-// requested after the first such answer.
+// isDrained reports whether the worker of a VM is known to run nothing. DrainedUnconfirmed means
+// that the worker's process has not answered lately. A replacement worker may already run tasks on
+// the VM, and the list may not show it yet. DrainedUnconfirmed therefore counts only with a recent
+// list that was requested after the first such answer.
 func (c *Core) isDrained(op *operation, now time.Time) bool {
 	if now.Sub(op.drainRequestedAt) >= drainStateValidity {
 		return false
@@ -318,12 +321,12 @@
 		op.drainState == workload.DrainedUnconfirmed && c.vmListRequestedAt.After(op.drainStateSince) && now.Sub(c.vmListRequestedAt) < maxVMListAge
 }
 
-// maxVMListAge is how old the list may be for the worker that it names to be the one on the VM:
-// a new worker takes longer to start, to register and to get its first task.
+// maxVMListAge is the maximum age of a VM list that is trusted to name the VM's current worker. A
+// new worker takes longer to start, to register and to get its first task.
 const maxVMListAge = 600 * time.Millisecond
 
-// drainStateValidity is how long a drain state counts after its request. The worker's owner keeps
-// the worker closed to new tasks for longer than this after the last drain request.
+// drainStateValidity is how long a drain state counts after its request. The worker's owner starts
+// no task on the worker for longer than this after the last drain request.
 const drainStateValidity = time.Second
 
 func (c *Core) issueOrder(op *operation, now time.Time) {
@@ -340,8 +343,8 @@
 }
 
 // HandleDrainResult records the answer to a DrainWorker requested at requestedAt. The answer's age
-// counts from the request: if it counted from the arrival, a process that stood still in between
-// would treat the answer as fresh although the worker is open again and runs tasks.
+// counts from the request. If it counted from the arrival, a process that was suspended in between
+// would treat the answer as fresh although the worker accepts tasks again and runs some.
 func (c *Core) HandleDrainResult(vm, worker string, state workload.DrainState, requestedAt time.Time) {
 	op := c.operations[vm]
 	if op == nil || op.phase != phaseDraining || op.worker != worker {
@@ -361,7 +364,7 @@
 const (
 	OrderAccepted       OrderResult = iota
 	OrderRefused                    // not carried out, may be retried
-	OrderInvalid                    // not applicable, or no longer
+	OrderInvalid                    // no longer applicable, or never was
 	OrderOutcomeUnknown             // may have been carried out
 )
 
@@ -381,7 +384,7 @@
 			c.dirtyWaves[op.wave] = true
 		}
 	case OrderRefused, OrderOutcomeUnknown:
-		// Repeating an order that was carried out is answered as accepted.
+		// If the order was carried out, its repetition is answered as accepted.
 		op.phase = phaseDraining
 		op.drainState = workload.NotDrained
 		op.retryAt = now.Add(orderRetryInterval)
--- a/internal/fleet/core_test.go
+++ b/internal/fleet/core_test.go
@@ -68,8 +68,8 @@
 	assert.Equal(t, startTime.Add(1500*time.Millisecond), orders[0].ValidUntil, "the drain state must count for a second")
 }
 
-// Guards against tasks being ended by an order because the list lags: a VM that is just back shows no worker
-// yet, although tasks may run on it.
+// Guards against tasks being ended by an order because the list is out of date: it shows a VM that has just
+// come back without a worker, although tasks may run on it.
 func TestVMWithoutListedWorkerIsNotOrdered(t *testing.T) {
 	c := newCore()
 	c.SetWaves([]workload.Wave{newWave(1, 1, "vm-1")}, startTime)
@@ -89,7 +89,8 @@
 	assert.Zero(t, orders[0].ValidUntil)
 }
 
-// No more VMs than the wave's MaxConcurrent may be away at once, from the order until they are seen back.
+// At most MaxConcurrent VMs of a wave may be under maintenance at once, from the order until a list shows the VM
+// as back.
 func TestWaveNeverExceedsItsMaxConcurrent(t *testing.T) {
 	c := newCore()
 	ids := []string{"vm-1", "vm-2", "vm-3", "vm-4", "vm-5"}
@@ -119,7 +120,7 @@
 	require.Len(t, unavailable, 2)
 	later := startTime.Add(3 * time.Second)
 	c.SetVMs(list("b-"), later)
-	assert.NotEmpty(t, c.Step(later), "the next two must follow")
+	assert.NotEmpty(t, c.Step(later), "the next VMs must follow")
 }
 
 // A wave is completed once each of its listed VMs has begun its maintenance, and not before.
@@ -155,8 +156,8 @@
 	assert.Len(t, actionsWithVerb(c.Step(later), fleet.MaintainVM), 1)
 }
 
-// Two holders must not order one VM closely one after the other. A new owner must leave alone the VMs that the
-// owner before it ordered recently, and only these.
+// The platform requires a pause between orders of two holders for one VM. A new owner must give no order for the
+// VMs that the owner before it ordered recently, and only for these.
 func TestNewOwnerDoesNotReorderRecentlyOrderedVMs(t *testing.T) {
 	c := newCore()
 	c.RecordEarlierOrder("vm-1", 1, startTime.Add(-100*time.Millisecond))
@@ -198,7 +199,7 @@
 	}
 }
 
-// A pool in demand gets spare VMs first, then idle VMs of other pools. VMs with long-running tasks stay.
+// A pool that is short of VMs gets spare VMs first, then idle VMs of other pools. VMs with long-running tasks stay.
 func TestPoolShortOfVMsGetsSpareThenIdleVMs(t *testing.T) {
 	c := newCore()
 	c.SetVMs([]workload.VM{
@@ -218,8 +219,8 @@
 	assert.Equal(t, "vm-4", drains[0].VM)
 }
 
-// Guards against one pool taking all VMs: two pools ask for more than there is, one of them for far more. Both
-// must get as many, and a third pool keeps the little that it needs.
+// Guards against one pool taking all VMs: two pools need more VMs than there are, one of them far more. Both must
+// get the same number, and a third pool must keep the few that it needs.
 func TestPoolsShareScarceVMsEqually(t *testing.T) {
 	c := newCore()
 	c.SetConfig(&workload.Config{Version: 1, Services: []workload.Service{{Name: "booking"}, {Name: "fitting"}, {Name: "returns"}, {Name: "spare", Standby: true}}})
@@ -280,8 +281,9 @@
 	assert.Equal(t, "booking", moves[0].Pool)
 }
 
-// Guards against a wave exceeding its cap after its owner is killed with VMs of the wave away. The new owner must
-// count the VMs that the list shows as away, and those ordered so recently that the list may not show it yet.
+// Guards against a wave exceeding its MaxConcurrent after its owner is killed while VMs of the wave are under
+// maintenance. The new owner must count the VMs that the list shows as under maintenance, and those ordered so
+// recently that the list may not show it yet.
 func TestNewOwnerCountsVMsUnderMaintenanceTowardMaxConcurrent(t *testing.T) {
 	c := newCore()
 	c.RecordEarlierOrder("vm-2", 1, startTime.Add(-50*time.Millisecond))
@@ -294,8 +296,8 @@
 	assert.Empty(t, actionsWithVerb(actions, fleet.MaintainVM))
 }
 
-// Guards against a drain that never ends: the task on the VM waits until another task of its step is back, which
-// finds no free capacity in the pool. The pool must get another VM, as the VM being drained serves nobody.
+// Guards against a drain that never ends: the task on the VM waits until another task of its step runs again, which
+// finds no free capacity in the pool. The pool must get another VM, since the VM being drained accepts no tasks.
 func TestPoolGetsAnotherVMWhenOneCannotBeDrained(t *testing.T) {
 	c := newCore()
 	vms := []workload.VM{upVM("vm-1", "booking", "w-1"), upVM("vm-2", "booking", "w-2"), upVM("vm-3", "spare", "")}
@@ -321,7 +323,7 @@
 }
 
 // Guards against jobs waiting because the workers of a pool report that half of their capacity is gone for a while,
-// while the list of VMs still shows the usual capacity. The pool must get more VMs, and its workers count as fuller.
+// while the list of VMs still shows the full capacity. Its workers count as fuller, and the pool must get more VMs.
 func TestPoolWithShrunkWorkersGetsMoreVMs(t *testing.T) {
 	half := workload.Resources{CPU: vmSize.CPU / 2, MemoryMB: vmSize.MemoryMB / 2}
 	movesWith := func(size workload.Resources, shrunk *workload.Resources) int {
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -15,15 +15,15 @@
 	// that the rate has changed. At five samples a second, a random fluctuation is mistaken for a
 	// change about once a minute.
 	significanceLevel = 0.004
-	// maxRateWindow is the longest time over which the rate is computed; 1.2 s earned less on four
-	// of five days. arrivalRetention is how long samples are kept.
+	// maxRateWindow is the longest time over which the rate is computed: over a shorter one, random
+	// fluctuation of the rate causes needless moves. arrivalRetention is how long samples are kept.
 	maxRateWindow    = 3 * time.Second
 	arrivalRetention = 4 * time.Second
 	// smallSampleJobs is the number of jobs below which a new, higher rate is computed from one job
-	// less: the window begins where jobs came close together and so counts one too many.
+	// less. A window that is chosen because many jobs arrived in it overestimates the rate.
 	smallSampleJobs = 8
-	// meanWorkWindowJobs is the number of jobs over which the mean work of a job is averaged. Jobs
-	// of one service differ in size by several times.
+	// meanWorkWindowJobs is the number of jobs over which the work of a job is averaged. The largest
+	// jobs of a service are several times as large as its smallest.
 	meanWorkWindowJobs = 24
 )
 
@@ -40,7 +40,8 @@
 	// fluctuation.
 	minTrendJobs = 4
 	// minTrendSigmas is by how many standard deviations the window must have more arrivals than the
-	// one before. Random fluctuation reaches it in one sample of fifteen, which costs a few moves.
+	// one before. Random fluctuation exceeds it in one sample of fifteen, and the pool then gets VMs
+	// that it does not need.
 	minTrendSigmas = 1.5
 	// maxTrendFactor bounds the forecast, as a multiple of the current rate. A peak rises to its
 	// full rate within about 2 s, of which trendWindow is seen.
@@ -48,12 +49,12 @@
 )
 
 // demand estimates the rate at which jobs arrive at a pool. It models arrivals as a Poisson
-// process whose rate is constant for a time and then jumps, as where services peak one after
-// another. A jump shows within a few hundred milliseconds.
+// process whose rate is constant for a time and then jumps, because the demand of a service rises
+// and falls suddenly. A jump is detected within a few hundred milliseconds.
 type demand struct {
 	samples   []arrivalSample
 	rate      float64   // jobs per second
-	rateSince time.Time // the rate is computed from the jobs that arrived after this
+	rateSince time.Time // the rate is computed from the jobs that have arrived since
 	// meanJobWork is the moving average of the work of a job.
 	meanJobWork struct{ coreMS, mbMS, jobs float64 }
 }
@@ -163,7 +164,8 @@
 	return max(d.rate, min(maxTrendFactor*recentRate, recentRate+slope*(recentSeconds/2+horizon.Seconds())))
 }
 
-// vmsForRate returns how many VMs of a size are filled by jobs that arrive at a rate.
+// vmsForRate returns the number of VMs of the given size that jobs arriving at the given rate keep
+// busy.
 func (d *demand) vmsForRate(rate float64, size workload.Resources) float64 {
 	cores := rate * d.meanJobWork.coreMS / float64(max(1, size.CPU))
 	memory := rate * d.meanJobWork.mbMS / 1000 / float64(max(1, size.MemoryMB))
--- a/internal/fleet/demand_test.go
+++ b/internal/fleet/demand_test.go
@@ -10,8 +10,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// The load of a service with one peak: nearly nothing, then within 2 s a full rate of short jobs that one pool can't
-// serve, and as quickly nothing again. By the work of a job and the size of a VM, the full rate fills 24 VMs.
+// The arrivals at a pool with one peak: the rate rises from baseRate to fullRate within riseTime, and falls as quickly.
+// By the work of a job and the size of a VM, fullRate keeps 24 VMs busy.
 const (
 	baseRate       = 0.6  // jobs per second
 	fullRate       = 46.0 // jobs per second
@@ -62,8 +62,8 @@
 
 const demandSeeds = 200
 
-// Guards against VMs that come too late for a peak: they take over two seconds to come and short jobs wait for them,
-// so most of them must be requested while the rate is still rising.
+// Guards against VMs that come too late for a peak: a VM takes over two seconds to come, and short jobs wait for it, so
+// most of the VMs must be requested while the rate is still rising.
 func TestRisingDemandIsForecastWhileItRises(t *testing.T) {
 	late := 0
 	for seed := range uint64(demandSeeds) {
@@ -97,8 +97,8 @@
 	assert.LessOrEqual(t, over, samples/20)
 }
 
-// Guards against VMs being kept after a peak: the fall must be detected soon, so that the VMs can go to the service
-// whose peak begins.
+// Guards against VMs being kept after a peak: the fall must be detected soon, so that the VMs can go to the pool whose
+// peak begins.
 func TestFallOfDemandIsDetectedSoon(t *testing.T) {
 	late := 0
 	for seed := range uint64(demandSeeds) {
--- a/internal/fleet/drained_test.go
+++ b/internal/fleet/drained_test.go
@@ -11,9 +11,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Guards against an order ending the tasks of a worker's successor: the worker has crashed and its owner reports it
-// as drained without an answer of it, while the list, which lags, still names it. The VM may be ordered only on a
-// list that was requested later.
+// Guards against an order ending the tasks of a replacement worker: the worker has crashed and its owner reports it
+// as drained without an answer from it, while the list, which is out of date, still names it. The VM may be ordered
+// only on a list that was requested later.
 func TestUnconfirmedDrainNeedsALaterVMList(t *testing.T) {
 	c := newCore()
 	c.SetWaves([]workload.Wave{newWave(1, 1, "vm-1")}, startTime)
@@ -44,7 +44,7 @@
 }
 
 // Guards against tasks being ended by an order because a worker has exited while VMs can't be listed: its owner has
-// just found that out and reports the worker as drained, and an older load still names it.
+// just detected the exit and reports the worker as drained, and an older load still names the worker.
 func TestExitedWorkerIsNotTreatedAsPresentByAnOlderLoad(t *testing.T) {
 	c := newCore()
 	c.SetWaves([]workload.Wave{newWave(1, 1, "vm-1")}, startTime)
@@ -58,8 +58,8 @@
 	assert.Len(t, actionsWithVerb(c.Step(later.Add(200*time.Millisecond)), fleet.MaintainVM), 1, "a later list names the worker")
 }
 
-// Guards against a wave that stands still for seconds, and a pool that misses a VM, because a VM comes back with a
-// worker of the same ID. The list has shown it as away in between.
+// Guards against a wave that makes no progress for seconds, and a pool that lacks a VM, because a VM comes back with a
+// worker of the same ID. A list in between has shown the VM as under maintenance.
 func TestVMThatReturnsWithTheSameWorkerIDIsRecognized(t *testing.T) {
 	c := newCore()
 	c.SetWaves([]workload.Wave{newWave(1, 1, "vm-1", "vm-2")}, startTime)
@@ -71,7 +71,7 @@
 
 	stale := startTime.Add(maintenanceTime + 100*time.Millisecond)
 	c.SetVMs([]workload.VM{upVM("vm-1", "booking", "w-1"), upVM("vm-2", "booking", "w-2")}, stale)
-	assert.Empty(t, actionsWithVerb(c.Step(stale), fleet.DrainWorker), "no list has shown the VM as away, so this list may lag")
+	assert.Empty(t, actionsWithVerb(c.Step(stale), fleet.DrainWorker), "no list has shown the VM as under maintenance, so this list may be out of date")
 
 	inMaintenance := upVM("vm-1", "booking", "")
 	inMaintenance.State = workload.VMMaintenance
--- a/internal/fleet/labels.go
+++ b/internal/fleet/labels.go
@@ -9,21 +9,21 @@
 )
 
 // startMovesForUnmetRequirements moves VMs to pools whose tasks wait for a label or size that none
-// of their free VMs has. The pool's load alone would bring any VMs; these tasks can't use those and
-// would wait however many came. It starts at most limit moves and returns how many it has started.
+// of the pool's free VMs has. The pool's load alone would bring VMs of any kind, which these tasks
+// can't use. It starts at most limit moves and returns how many it has started.
 func (c *Core) startMovesForUnmetRequirements(plans []poolPlan, limit int, now time.Time) int {
 	started := 0
 	for i := range plans {
-		b := &plans[i]
-		l := c.poolLoads[b.pool]
+		p := &plans[i]
+		l := c.poolLoads[p.pool]
 		for _, requirement := range l.load.UnmetRequirements {
-			for n := c.vmsRequired(b.pool, requirement) - c.vmsInTransit(b.pool, requirement, now); n > 0 && started < limit; n-- {
-				vm, ok := c.findCapableVM(b.pool, requirement, plans, now)
+			for n := c.vmsRequired(p.pool, requirement) - c.vmsInTransit(p.pool, requirement, now); n > 0 && started < limit; n-- {
+				vm, ok := c.findCapableVM(p.pool, requirement, plans, now)
 				if !ok {
 					break
 				}
-				c.startMove(vm, b.pool, plans, now, fmt.Sprintf("%s has no free capacity for tasks with label %q", b.pool, requirement.Label))
-				b.minBeforeReturning = max(b.minBeforeReturning, b.vms) // the pool must not send another VM away for it
+				c.startMove(vm, p.pool, plans, now, fmt.Sprintf("%s has no free capacity for tasks with label %q", p.pool, requirement.Label))
+				p.minBeforeReturning = max(p.minBeforeReturning, p.vms) // the pool returns no other VM in exchange
 				started++
 			}
 		}
@@ -59,8 +59,8 @@
 }
 
 // findCapableVM finds a VM outside of a pool that meets the pool's requirement: a spare VM, otherwise
-// the VM with the least in use. If the pool has feasible workers already, other pools give a VM only
-// if they have more than they need or nothing runs on it.
+// the VM with the lowest utilization. If the pool already has a worker that meets the requirement,
+// another pool gives a VM only if it has more than minBeforeDonating or nothing is in use on the VM.
 func (c *Core) findCapableVM(pool string, requirement workload.UnmetRequirement, plans []poolPlan, now time.Time) (workload.VM, bool) {
 	for _, vm := range c.vms {
 		if c.isAvailableSpare(vm, now) && vm.CanRun(requirement, c.effectiveCapacity(vm)) {
@@ -70,17 +70,17 @@
 	var leastUsed workload.VM
 	found := false
 	leastUse := 0.0
-	for _, b := range plans {
-		l := c.poolLoads[b.pool]
-		if b.pool == pool || requirement.Label != "" && l.load.DemandByLabel[requirement.Label].CPU > 0 {
-			continue // that pool would take the VM back at once, and each move costs seconds
+	for _, p := range plans {
+		l := c.poolLoads[p.pool]
+		if p.pool == pool || requirement.Label != "" && l.load.DemandByLabel[requirement.Label].CPU > 0 {
+			continue // that pool would take the VM back at once, and each move takes seconds
 		}
 		for _, vm := range c.vms {
-			if vm.Pool != b.pool || !vm.CanRun(requirement, c.effectiveCapacity(vm)) || !c.isMovable(vm, l, now) {
+			if vm.Pool != p.pool || !vm.CanRun(requirement, c.effectiveCapacity(vm)) || !c.isMovable(vm, l, now) {
 				continue
 			}
 			use := l.utilization(vm)
-			if !requirement.NoFeasibleWorker && b.vms <= b.minBeforeDonating && use > 0 {
+			if !requirement.NoFeasibleWorker && p.vms <= p.minBeforeDonating && use > 0 {
 				continue
 			}
 			if !found || use < leastUse {
@@ -91,8 +91,8 @@
 	return leastUsed, found
 }
 
-// bestSpareVM finds the spare VM whose labels, such as its kind or its rack, are in the highest demand
-// in a pool; any spare VM if no label is in demand.
+// bestSpareVM finds the spare VM for whose labels, such as its kind or its rack, the waiting tasks of
+// a pool ask for the most processor time. If they ask for no label, it returns any spare VM.
 func (c *Core) bestSpareVM(pool string, now time.Time) (workload.VM, bool) {
 	var best workload.VM
 	found := false
--- a/internal/fleet/labels_test.go
+++ b/internal/fleet/labels_test.go
@@ -24,8 +24,8 @@
 	return workers
 }
 
-// Guards against a task waiting for ever for a kind of VM that its pool doesn't have: the pool's load asks for no more
-// VMs. The pool must get one VM of that kind, here from another pool that needs it little, and no second one.
+// Guards against a task waiting forever for a kind of VM that its pool doesn't have: by its load, the pool needs no more
+// VMs. The pool must get exactly one VM of that kind, here the least used VM of another pool.
 func TestPoolGetsOneVMForAnUnmetRequirement(t *testing.T) {
 	c := newCore()
 	c.SetVMs([]workload.VM{
@@ -51,8 +51,8 @@
 	assert.Equal(t, "booking", moves[0].Pool)
 }
 
-// A pool needs another VM, and most of its waiting tasks have their data in one rack. The spare VM of that rack must
-// come: on other VMs these tasks take twice as long.
+// A pool needs another VM, and most of its waiting tasks have their data in one rack. It must get the spare VM of that
+// rack: on other VMs these tasks take twice as long.
 func TestSpareVMInTheRackOfTheDataIsMovedFirst(t *testing.T) {
 	c := newCore()
 	c.SetVMs([]workload.VM{
@@ -67,8 +67,8 @@
 	assert.Equal(t, "vm-4", moves[0].VM)
 }
 
-// Most waiting tasks of a pool need VMs of one label. The pool's VMs of that label are full, its others idle. It must
-// get idle VMs of that label from another pool, as many as the waiting tasks fill.
+// Most waiting tasks of a pool need VMs with one label. The pool's VMs with that label are full, its others idle. It
+// must get idle VMs with that label from another pool, as many as the waiting tasks need.
 func TestPoolGetsMoreVMsOfTheLabelThatIsFull(t *testing.T) {
 	c := newCore()
 	vms := []workload.VM{
--- a/internal/fleet/moves.go
+++ b/internal/fleet/moves.go
@@ -10,24 +10,24 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Parameters of moves between pools. The cost of a VM in a pool for one second, and the cost of a
-// move, are each weighted as a fifteenth of what a well used VM earns in a second. So a pool in demand
-// gets VMs early and amply, and keeps them for a while.
+// Parameters of moves between pools. A move costs as much as a VM in a pool does in one second, and
+// the work that a well used VM does in that second is worth 15 times as much. So a pool gets VMs as
+// soon as its load is forecast to need them, a few more than the forecast, and keeps them for a while.
 const (
-	// headroomFactor multiplies the expected need of a pool.
+	// headroomFactor multiplies the number of VMs that a pool is computed to need.
 	headroomFactor = 1.1
 	// moveLeadTime is the time from an order to a worker that runs tasks: the drain, the migration
 	// and the registration of the new worker.
 	moveLeadTime = 2300 * time.Millisecond
 	// backlogTargetTime is the time within which waiting work should be served.
 	backlogTargetTime = time.Second
-	// poolReleaseDelay is how long a pool keeps VMs that it has needed. A need that returns within
-	// this time costs no move.
+	// poolReleaseDelay is how long a pool that has needed VMs keeps them from other pools. If it
+	// needs them again within this time, no move is necessary.
 	poolReleaseDelay = 1200 * time.Millisecond
-	// spareReleaseDelay is how long a pool keeps VMs that only the spare pool would get. Sending a
-	// VM there and back costs about as much as an idle VM does in 4 s.
+	// spareReleaseDelay is how long a pool that has needed VMs keeps them if no other pool needs
+	// them. A VM that is returned too early costs two moves, and moveLeadTime until it is back.
 	spareReleaseDelay = 4 * time.Second
-	// minPoolVMs is the least number of VMs that a pool keeps.
+	// minPoolVMs is the least number of VMs of a pool.
 	minPoolVMs = 2
 	// spreadReserveVMs is how many VMs a pool has beyond those over which its long-running tasks
 	// must be spread, so that one of them can be replaced at once.
@@ -39,8 +39,8 @@
 	// workerJoinTimeout is how long a worker may take from the first list that names it to its first
 	// answer to the owner of its service. After that a worker without an answer counts as lost.
 	workerJoinTimeout = 3 * time.Second
-	// drainGracePeriod is how long a VM may take to be drained before its pool no longer counts it.
-	// Most VMs are drained, and back, sooner than another VM could come.
+	// drainGracePeriod is how long a VM may take to be drained before it no longer counts toward its
+	// pool. Most VMs are drained, and back, sooner than another VM could come.
 	drainGracePeriod = 1200 * time.Millisecond
 	// maxLoadAge is the age up to which a pool's load is used for decisions.
 	maxLoadAge = 1500 * time.Millisecond
@@ -53,8 +53,8 @@
 	firstReceivedAt time.Time // when the first load was received
 	demand          demand
 	needHistory     []needSample // of the last spareReleaseDelay
-	// forecastNeed is how many VMs the pool needs if demand goes on rising. VMs are brought for the
-	// forecast, but not kept for it.
+	// forecastNeed is how many VMs the pool needs if demand goes on rising. The pool gets VMs for the
+	// forecast, but does not keep VMs for it.
 	forecastNeed int
 }
 
@@ -64,7 +64,7 @@
 	vms int
 }
 
-// utilization returns the share of a VM that is in use.
+// utilization returns the share of a VM's capacity that is reserved.
 func (l *poolLoad) utilization(vm workload.VM) float64 {
 	w := l.load.Workers[vm.Worker]
 	if w.ReducedCapacity != nil {
@@ -90,7 +90,7 @@
 	)
 }
 
-// SetLoad records the load of a service as reported by its owner.
+// SetLoad records the load of a pool as reported by the owner of its service's jobs.
 func (c *Core) SetLoad(load workload.ServiceLoad, now time.Time) {
 	l := c.poolLoads[load.Service]
 	if l == nil {
@@ -101,15 +101,19 @@
 	l.receivedAt = now
 	size := c.meanCapacity(load.Service)
 	if l.demand.observe(load.ArrivedWork, now) {
-		l.needHistory = nil // what was needed before the fall is stale
+		l.needHistory = nil // the samples from before the fall are stale
 	}
 	l.needHistory = append(l.needHistory, needSample{at: now, vms: l.vmsNeeded(l.demand.rate, size)})
 	l.forecastNeed = max(l.needHistory[len(l.needHistory)-1].vms, l.vmsNeeded(l.demand.forecastRate(moveLeadTime), size))
 	l.needHistory = slices.DeleteFunc(l.needHistory, func(n needSample) bool { return now.Sub(n.at) > spareReleaseDelay })
 }
 
-// vmsNeeded returns how many VMs a service needs for what it runs, for what arrives at a rate, for what
-// waits, and for what will wait by the time VMs that are ordered now arrive.
+// vmsNeeded returns how many VMs of the given size a pool needs: headroomFactor times the larger of
+//   - the VMs for the known demand: running, pending and upcoming tasks
+//   - the VMs that jobs arriving at the given rate keep busy, and those that serve within
+//     backlogTargetTime the pending tasks and the work that queues up before VMs ordered now arrive
+//
+// It returns minVMs if that is more.
 func (l *poolLoad) vmsNeeded(rate float64, size workload.Resources) int {
 	knownDemandVMs := shareOf(l.load.Reserved.Add(l.load.PendingDemand).Add(l.load.UpcomingDemand), size)
 	arrivingVMs := l.demand.vmsForRate(rate, size)
@@ -128,7 +132,7 @@
 	return float64(n)
 }
 
-// minVMs returns how many VMs a service needs at least, also for its long-running tasks.
+// minVMs returns the least number of VMs of a pool, including those for its long-running tasks.
 func (l *poolLoad) minVMs() int {
 	if l.load.MinWorkers == 0 {
 		return minPoolVMs
@@ -136,8 +140,8 @@
 	return max(minPoolVMs, l.load.MinWorkers+spreadReserveVMs)
 }
 
-// meanCapacity returns the mean capacity of a pool's workers as reported by the pool's owner, otherwise
-// the mean of the pool's VMs, otherwise the mean of all VMs.
+// meanCapacity returns the mean capacity of a pool's workers if it was reported with the pool's load,
+// otherwise the mean of the pool's VMs, otherwise the mean of all VMs.
 func (c *Core) meanCapacity(pool string) workload.Resources {
 	if l := c.poolLoads[pool]; l != nil && l.load.MeanWorkerCapacity != (workload.Resources{}) {
 		return l.load.MeanWorkerCapacity
@@ -158,22 +162,22 @@
 	return workload.Resources{CPU: total.CPU / n, MemoryMB: total.MemoryMB / n}
 }
 
-// poolPlan is what a pool has and what it needs.
+// poolPlan is how many VMs a pool has, needs and keeps.
 type poolPlan struct {
 	pool               string
-	vms                int // usable VMs that are there or in transit
-	needed             int // VMs needed now
-	minBeforeDonating  int // VMs needed within poolReleaseDelay; other pools get none of these
-	minBeforeReturning int // VMs needed within spareReleaseDelay; the spare pool gets none of these
+	vms                int // VMs counted toward the pool, see countToward
+	needed             int // VMs that the pool needs by the forecast
+	minBeforeDonating  int // VMs needed in the last poolReleaseDelay; other pools get VMs beyond these
+	minBeforeReturning int // VMs needed in the last spareReleaseDelay; the spare pool gets VMs beyond these
 	// minVMs is the least number of VMs, which includes those for long-running tasks.
 	minVMs int
-	// isBelowMin is set if vms is below minVMs. Such pools come first; otherwise large pools in
-	// demand would take all VMs.
+	// isBelowMin is set if vms is below minVMs. Such pools come first; otherwise the pools that lack
+	// the most VMs would take them all.
 	isBelowMin bool
 }
 
-// planMoves moves VMs to the pools that need them, from the spare pool and from pools that need them
-// less, and returns VMs that their pool does not need to the spare pool.
+// planMoves starts moves of VMs to the pools that are short of them, from the spare pool and from pools
+// that have more than they have needed lately, and moves of VMs that no pool needs to the spare pool.
 func (c *Core) planMoves(now time.Time) {
 	plans := c.poolPlans(now)
 	limitToFairShare(plans, c.availableSpares(now))
@@ -194,13 +198,13 @@
 		}
 	}
 	moves += c.startMovesForUnmetRequirements(plans, maxMoves-moves, now)
-	for _, b := range plans {
-		for missing := b.needed - b.vms; missing > 0 && moves < maxMoves; missing-- {
-			vm, ok := c.findVMFor(plans, b.pool, now)
+	for _, p := range plans {
+		for missing := p.needed - p.vms; missing > 0 && moves < maxMoves; missing-- {
+			vm, ok := c.findVMFor(plans, p.pool, now)
 			if !ok {
 				break
 			}
-			c.startMove(vm, b.pool, plans, now, fmt.Sprintf("%s has %d usable VMs and needs %d", b.pool, b.vms, b.needed))
+			c.startMove(vm, p.pool, plans, now, fmt.Sprintf("%s counts %d VMs and needs %d", p.pool, p.vms, p.needed))
 			moves++
 		}
 	}
@@ -213,8 +217,8 @@
 			if !ok {
 				break
 			}
-			b := plans[i]
-			c.startMove(vm, c.sparePool, plans, now, fmt.Sprintf("%s has %d usable VMs and has needed %d for a while", b.pool, b.vms, b.minBeforeReturning))
+			p := plans[i]
+			c.startMove(vm, c.sparePool, plans, now, fmt.Sprintf("%s counts %d VMs and has needed %d for a while", p.pool, p.vms, p.minBeforeReturning))
 			moves++
 		}
 	}
@@ -232,42 +236,43 @@
 	}
 }
 
-// poolPlans returns the balances of all pools but the spare pool whose load is not older than maxLoadAge.
+// poolPlans returns the plans of all pools with a recent load, except the spare pool.
 func (c *Core) poolPlans(now time.Time) []poolPlan {
 	var list []poolPlan
 	for pool, l := range c.poolLoads {
 		if pool == c.sparePool || now.Sub(l.receivedAt) > maxLoadAge {
 			continue
 		}
-		b := poolPlan{pool: pool, minVMs: l.minVMs()}
+		p := poolPlan{pool: pool, minVMs: l.minVMs()}
 		for _, vm := range c.vms {
 			n := c.countToward(vm, pool, now)
-			b.vms += n
+			p.vms += n
 			if op := c.operations[vm.ID]; n > 0 && op != nil && op.wave != 0 && op.hadLongRunning {
 				// This VM is or will soon be under maintenance, and its long-running tasks need another VM
-				// for seconds. With only minVMs they would wait for each other, and the wave's next VMs
-				// would wait for them.
-				b.minVMs++
+				// for seconds. With only minVMs, the tasks of two such VMs would wait for each other, and
+				// the wave's next VMs would wait for them.
+				p.minVMs++
 			}
 		}
-		b.needed, b.minBeforeDonating, b.minBeforeReturning = max(l.forecastNeed, b.minVMs), b.minVMs, b.minVMs
+		p.needed, p.minBeforeDonating, p.minBeforeReturning = max(l.forecastNeed, p.minVMs), p.minVMs, p.minVMs
 		for _, n := range l.needHistory {
-			b.minBeforeReturning = max(b.minBeforeReturning, n.vms)
+			p.minBeforeReturning = max(p.minBeforeReturning, n.vms)
 			if now.Sub(n.at) <= poolReleaseDelay {
-				b.minBeforeDonating = max(b.minBeforeDonating, n.vms)
+				p.minBeforeDonating = max(p.minBeforeDonating, n.vms)
 			}
 		}
-		b.isBelowMin = b.vms < b.minVMs
+		p.isBelowMin = p.vms < p.minVMs
 		if now.Sub(l.firstReceivedAt) < spareReleaseDelay {
-			b.minBeforeReturning = max(b.minBeforeReturning, b.vms) // not known for long enough to count as idle
+			p.minBeforeReturning = max(p.minBeforeReturning, p.vms) // loads have not been received for long enough
 		}
-		list = append(list, b)
+		list = append(list, p)
 	}
 	return list
 }
 
-// countToward returns 1 if a pool has a VM, or will have it when the current operation ends, and 0
-// otherwise.
+// countToward returns 1 if a VM counts toward a pool, 0 otherwise. A VM that is being moved counts
+// toward the target pool. Other VMs count toward their own pool, also under maintenance, except those
+// that have been draining for longer than drainGracePeriod and those without a usable worker.
 func (c *Core) countToward(vm workload.VM, pool string, now time.Time) int {
 	op := c.operations[vm.ID]
 	if op != nil && op.wave == 0 {
@@ -291,8 +296,9 @@
 	return 0
 }
 
-// hasUsableWorker reports whether the worker of a VM is usable for its pool or has only just been
-// listed. The platform lists VMs as up whose worker has crashed or is cut off.
+// hasUsableWorker reports whether the worker of a VM is usable according to its pool's load, or was
+// first listed less than workerJoinTimeout ago. The list alone is not enough: the platform lists VMs as
+// up whose worker has crashed or is cut off.
 func (c *Core) hasUsableWorker(vm workload.VM, now time.Time) bool {
 	if now.Sub(c.workerFirstListedAt[vm.Worker]) < workerJoinTimeout {
 		return true
@@ -318,25 +324,25 @@
 }
 
 // findVMFor finds a VM for a pool: a spare VM, otherwise the least used VM of a pool that has more than
-// it needs.
+// its minBeforeDonating.
 func (c *Core) findVMFor(plans []poolPlan, targetPool string, now time.Time) (workload.VM, bool) {
 	if vm, ok := c.bestSpareVM(targetPool, now); ok {
 		return vm, true
 	}
 	for i := len(plans) - 1; i >= 0; i-- {
-		b := plans[i]
-		if b.pool == targetPool || b.vms <= b.minBeforeDonating {
+		p := plans[i]
+		if p.pool == targetPool || p.vms <= p.minBeforeDonating {
 			continue
 		}
-		if vm, ok := c.leastUsedVM(b.pool, false, now); ok {
+		if vm, ok := c.leastUsedVM(p.pool, false, now); ok {
 			return vm, true
 		}
 	}
 	return workload.VM{}, false
 }
 
-// isMovable reports whether a VM may be taken from its pool, whose load is l: its worker is usable and
-// has no long-running task, which would have to be stopped.
+// isMovable reports whether a VM may be taken from its pool, whose load is l. Its worker must be usable
+// and have no long-running task, which a move would stop.
 func (c *Core) isMovable(vm workload.VM, l *poolLoad, now time.Time) bool {
 	if vm.State != workload.VMUp || vm.Worker == "" || c.operations[vm.ID] != nil || !c.canOrder(vm.ID, now) {
 		return false
@@ -345,8 +351,8 @@
 	return known && load.Usable && load.LongRunningRuns == 0
 }
 
-// leastUsedVM finds the movable VM of a pool that can be drained soonest: the VM with the least in use.
-// With onlyIdle, nothing at all may run on it.
+// leastUsedVM finds the movable VM of a pool with the lowest utilization, which takes the least time to
+// drain. With onlyIdle, it considers only VMs on which nothing runs.
 func (c *Core) leastUsedVM(pool string, onlyIdle bool, now time.Time) (workload.VM, bool) {
 	l := c.poolLoads[pool]
 	if l == nil || now.Sub(l.receivedAt) > maxLoadAge {
--- a/internal/fleet/ration.go
+++ b/internal/fleet/ration.go
@@ -1,13 +1,13 @@
 package fleet
 
-// limitToFairShare limits the claims of pools if there are too few VMs for all: no pool gets more than an
-// equal share until the pools that claim less have what they claim. Without the limit the pool that is
-// furthest behind would take every VM and keep it, and the others would serve nothing in the meantime; a
-// forecast that is far too high would do the same. spares is the number of available spare VMs.
+// limitToFairShare limits the targets of pools if there are too few VMs for all. Pools whose target is
+// below an equal share get their target, and the other pools share the remaining VMs equally. Without the
+// limit, the pool that lacks the most VMs, or one whose forecast is far too high, would take every VM and
+// keep it, and the others would serve nothing in the meantime. spares is the number of available spare VMs.
 func limitToFairShare(plans []poolPlan, spares int) {
 	remaining := spares
-	for _, b := range plans {
-		remaining += b.vms
+	for _, p := range plans {
+		remaining += p.vms
 	}
 	unsatisfied := make([]*poolPlan, 0, len(plans))
 	for i := range plans {
@@ -16,16 +16,16 @@
 	for len(unsatisfied) > 0 {
 		share := remaining / len(unsatisfied)
 		var aboveShare []*poolPlan
-		for _, b := range unsatisfied {
-			if b.targetVMs() <= share {
-				remaining -= b.targetVMs()
+		for _, p := range unsatisfied {
+			if p.targetVMs() <= share {
+				remaining -= p.targetVMs()
 			} else {
-				aboveShare = append(aboveShare, b)
+				aboveShare = append(aboveShare, p)
 			}
 		}
 		if len(aboveShare) == len(unsatisfied) {
-			for _, b := range aboveShare {
-				b.limitTarget(share)
+			for _, p := range aboveShare {
+				p.limitTarget(share)
 			}
 			return
 		}
@@ -33,12 +33,12 @@
 	}
 }
 
-// targetVMs returns how many VMs the pool asks for or keeps from other pools.
-func (b *poolPlan) targetVMs() int { return max(b.needed, b.minBeforeDonating) }
+// targetVMs returns how many VMs the pool gets, or keeps if other pools are short of VMs.
+func (p *poolPlan) targetVMs() int { return max(p.needed, p.minBeforeDonating) }
 
-// limitTarget reduces the claim to share, but not below minVMs.
-func (b *poolPlan) limitTarget(share int) {
-	limit := max(share, b.minVMs)
-	b.needed = min(b.needed, limit)
-	b.minBeforeDonating = min(b.minBeforeDonating, limit)
+// limitTarget reduces the target to share, but not below minVMs.
+func (p *poolPlan) limitTarget(share int) {
+	limit := max(share, p.minVMs)
+	p.needed = min(p.needed, limit)
+	p.minBeforeDonating = min(p.minBeforeDonating, limit)
 }
--- a/internal/fleet/waves.go
+++ b/internal/fleet/waves.go
@@ -9,8 +9,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// planWaves takes VMs into maintenance, as many at once as each wave needs to finish in time and as its
-// MaxConcurrent allows.
+// planWaves starts the maintenance of VMs, as many at once as each wave needs to finish in time, at most
+// its MaxConcurrent.
 func (c *Core) planWaves(now time.Time) {
 	for _, n := range c.waveNumbers() {
 		s := c.waves[n]
@@ -39,14 +39,15 @@
 }
 
 // maxLongRunningDrainsPerPool is how many VMs with long-running tasks are drained at once in each pool.
-// MaxUnavailable lets a step miss only a task or two at a time, so such VMs are drained one after another
-// however many are closed. The second and third VM let steps move that have no task on the first.
+// MaxUnavailable lets only a task or two of a step be unavailable at a time, so such VMs are drained one
+// after another, however many drains have begun. With three, steps without a task on the first VM can move
+// their tasks away from the others meanwhile.
 const maxLongRunningDrainsPerPool = 3
 
-// startLongRunningMaintenance takes VMs with long-running tasks into maintenance from the start of the
-// wave. Draining one takes about a second, during which others of its pool must wait. As the costliest VMs
-// they would otherwise come last and end long after the others: 25 of them in a pool take 25 s, whatever
-// time the wave has left.
+// startLongRunningMaintenance starts the maintenance of VMs with long-running tasks from the start of the
+// wave. Draining one takes about a second, during which others of its pool must wait: 25 of them in a pool
+// take 25 s. As the VMs with the highest maintenanceCost they would otherwise come last, and end after the
+// wave's window.
 func (c *Core) startLongRunningMaintenance(s *waveProgress, pending []workload.VM, now time.Time) {
 	pendingByPool := map[string][]workload.VM{}
 	startedByPool := map[string]int{}
@@ -87,10 +88,11 @@
 	return pending
 }
 
-// WorkersByPool are the workers whose VMs have not begun their maintenance, by pool.
+// WorkersByPool lists workers by their pool.
 type WorkersByPool map[string][]string
 
-// WorkersDueForMaintenance returns the workers that must leave because of a wave.
+// WorkersDueForMaintenance returns the workers whose VMs belong to a wave and have not had their maintenance
+// ordered.
 func (c *Core) WorkersDueForMaintenance() WorkersByPool {
 	workers := WorkersByPool{}
 	for _, s := range c.waves {
@@ -103,8 +105,9 @@
 	return workers
 }
 
-// targetConcurrency returns how many VMs of a wave must be in work at once for it to be done within
-// waveTargetShare of its window, and no more: each VM takes capacity from its pool.
+// targetConcurrency returns how many VMs of a wave must be under maintenance at once for the wave to be done
+// within waveTargetShare of its window, at most MaxConcurrent. It is not higher than necessary because each
+// VM takes capacity from its pool.
 func (c *Core) targetConcurrency(s *waveProgress, vmsLeft int, now time.Time) int {
 	targetTime := time.Duration(float64(s.wave.Window) * waveTargetShare)
 	timeLeft := max(time.Second, targetTime-now.Sub(s.firstSeenAt))
@@ -113,16 +116,17 @@
 	slowDrains := 0
 	for _, op := range c.operations {
 		if op.wave == s.wave.Number && op.phase == phaseDraining && now.Sub(op.phaseSince) > slowDrainThreshold {
-			slowDrains++ // the VM waits for tasks on others; another VM goes on meanwhile
+			slowDrains++ // the drain waits for tasks on other VMs; another VM is maintained meanwhile
 		}
 	}
 	return min(n+slowDrains, max(1, s.wave.MaxConcurrent))
 }
 
-// vmsUnderMaintenance returns how many VMs of a wave are away or about to be. VMs that an earlier owner
-// ordered for the wave count as well: by the list, or, if the order is too recent for the list, by the
-// record stored before the order. An earlier owner's moves don't count: at a peak it may just have moved
-// more VMs than MaxConcurrent, and the wave would stand still for seconds after each change of owner.
+// vmsUnderMaintenance returns how many VMs of a wave are under maintenance or being drained for it. VMs that
+// an earlier owner ordered for the wave count as well: by the list, or, if the order is too recent for the
+// list, by the record stored before the order. An earlier owner's moves don't count: at a peak it may just
+// have moved more VMs than MaxConcurrent, and the wave would make no progress for seconds after each change
+// of owner.
 func (c *Core) vmsUnderMaintenance(s *waveProgress, now time.Time) int {
 	n, count := s.wave.Number, 0
 	for _, id := range s.wave.VMs {
@@ -138,7 +142,7 @@
 // canBelongTo reports whether the order may have been given for a wave.
 func (o earlierOrder) canBelongTo(wave int64) bool { return o.wave == wave || o.wave == UnknownWave }
 
-// cheapestVM returns the VM that can be ordered now and whose absence costs least.
+// cheapestVM returns the VM with the lowest maintenanceCost of those that can be ordered now.
 func (c *Core) cheapestVM(pending []workload.VM, now time.Time) (workload.VM, bool) {
 	best, lowestCost := -1, 0.0
 	for i, vm := range pending {
@@ -156,11 +160,13 @@
 	return pending[best], true
 }
 
-// unavailableVMCost is added to the cost of a VM for each VM of its pool with an operation under way.
+// unavailableVMCost is added to the maintenanceCost of a VM for each VM of its pool with an operation under
+// way.
 const unavailableVMCost = 1.0
 
-// maintenanceCost returns the cost of a VM's absence. It is 0 for a VM without a worker and for a spare VM.
-// For others it grows with the utilization, the long-running tasks and the operations on VMs of the pool.
+// maintenanceCost returns a measure of what the pool of a VM loses while the VM is unavailable. It is 0 for a
+// VM without a worker and for a spare VM. For others it grows with the utilization, the number of
+// long-running tasks and the operations on VMs of the pool.
 func (c *Core) maintenanceCost(vm workload.VM) float64 {
 	if vm.Worker == "" || vm.Pool == c.sparePool {
 		return 0
@@ -183,7 +189,7 @@
 	for _, n := range c.waveNumbers() {
 		s := c.waves[n]
 		if s.wave.VMs == nil {
-			continue // only an earlier owner's record of it was read so far
+			continue // only an earlier owner's record of the wave has been read so far
 		}
 		state := workload.WaveRunning
 		if len(c.vms) > 0 && len(c.pendingVMs(s)) == 0 && !c.hasOrderInFlight(n) {
@@ -222,5 +228,5 @@
 	return numbers
 }
 
-// HandleStoreFailure records that the state of a wave could not be stored. It is stored again.
+// HandleStoreFailure records that the progress of a wave could not be stored. The next Step stores it again.
 func (c *Core) HandleStoreFailure(wave int64) { c.dirtyWaves[wave] = true }
--- a/internal/fleet/waves_test.go
+++ b/internal/fleet/waves_test.go
@@ -11,9 +11,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Guards against a wave that stands still for more than three seconds after each change of the fleet's owner, and ends
-// late. At a peak the previous owner has moved two thirds of the VMs. The new owner must leave them alone for a while,
-// but must not count them as away for maintenance.
+// A new owner must give no order for VMs that the previous owner has just moved, but must not count them as under
+// maintenance. Otherwise a wave makes no progress for more than three seconds after a change of owner at a peak, when
+// two thirds of the VMs have just been moved, and ends late.
 func TestEarlierMovesDoNotCountTowardMaxConcurrent(t *testing.T) {
 	const vms, moved = 60, 40
 	c := newCore()
@@ -33,7 +33,7 @@
 }
 
 // An owner of an earlier version did not store for which wave it ordered a VM. The order may belong to this wave, so
-// the VM must count toward its cap.
+// the VM must count toward its MaxConcurrent.
 func TestEarlierOrderOfUnknownWaveCountsTowardMaxConcurrent(t *testing.T) {
 	c := newCore()
 	c.RecordEarlierOrder("vm-1", fleet.UnknownWave, startTime.Add(-50*time.Millisecond))
@@ -42,10 +42,9 @@
 	assert.Empty(t, actionsWithVerb(c.Step(startTime.Add(100*time.Millisecond)), fleet.DrainWorker))
 }
 
-// Guards against a few of some hundred VMs being left over at the end of each wave. A pool's long-running tasks run on
-// 20 of its VMs. Their steps may miss one task at a time, and a stopped task is back after a second, so these VMs can
-// only be drained one after another. As the costliest VMs they came last, when all others were done at three fifths of
-// the wave's time, and needed more than the rest of it. The wave must order all VMs within its window.
+// A wave must order the maintenance of all VMs within its window, also if 20 of them have long-running tasks. Only one
+// task of a step may be unavailable at a time, and a stopped task runs again after a second, so these VMs can only be
+// drained one after another. If they began after the others, the rest of the window would be too short.
 func TestVMsWithLongRunningTasksAreMaintainedInTime(t *testing.T) {
 	const (
 		longRunningVMs = 20
@@ -97,7 +96,7 @@
 				c.HandleOrderResult(a.VM, fleet.OrderAccepted, now)
 			}
 		}
-		for i, vm := range list { // the VM comes back with a new worker in time
+		for i, vm := range list { // an ordered VM comes back at once with a new worker
 			if ordered[vm.ID] && vm.Worker == "w-"+vm.ID {
 				list[i].Worker = "new-" + vm.ID
 				workers["new-"+vm.ID] = workload.WorkerLoad{Usable: true}
@@ -107,9 +106,9 @@
 	assert.Len(t, ordered, longRunningVMs+otherVMs)
 }
 
-// Guards against the last VMs of a wave being maintained one at a time, every two seconds. A pool has one VM beyond
-// those over which its long-running tasks must be spread. While a VM is maintained, that spare VM runs its tasks, and no
-// other VM can be drained. The pool must get another VM for each such VM that is away.
+// A pool must get another VM for each of its VMs with long-running tasks that is under maintenance. It has one VM beyond
+// those over which these tasks must be spread. While a VM is maintained, that extra VM runs its tasks, and without
+// another one no further VM could be drained: the wave would end with one VM at a time, every two seconds.
 func TestPoolGetsAVMForEachMaintainedOneWithLongRunningTasks(t *testing.T) {
 	const spread = 4
 	c := newCore()
