--- a/internal/fleetowner/actions.go
+++ b/internal/fleetowner/actions.go
@@ -30,12 +30,12 @@
 	}
 }
 
-// unconfirmedDrainRetryDelay is how long an idle worker, which its owner polls only once it is being
-// drained, takes to answer.
+// unconfirmedDrainRetryDelay is how long an idle worker takes to answer its owner, which polls it only
+// once it is being drained.
 const unconfirmedDrainRetryDelay = 30 * time.Millisecond
 
 // drainWorker requests the drain of a worker, and once more if the worker's process has not answered
-// lately: a repetition at the next step would be late for a pool that waits for the VM.
+// lately: at the next step, the repetition would delay a pool that waits for the VM.
 func (o *Owner) drainWorker(ctx context.Context, a fleet.Action) {
 	state, requestedAt := o.requestDrain(ctx, a)
 	if state == workload.DrainedUnconfirmed {
@@ -62,9 +62,9 @@
 // vmKeyPrefix begins the keys of stored orders.
 const vmKeyPrefix = "vm/"
 
-// storedOrder is stored before a VM is ordered. A later owner leaves the VM alone for a while after it:
-// orders of two holders for one VM must not follow each other closely. A VM without a stored order may
-// be ordered at once.
+// storedOrder is stored before a VM is ordered. A later owner gives no order for the VM for a while after
+// it, because the platform requires a pause between orders of two holders for one VM. A VM without a stored
+// order may be ordered at once.
 type storedOrder struct {
 	OrderedAtMS int64 `json:"at"` // Unix time in ms, by the owner's clock
 	// Wave is the number of the wave that the VM was ordered for, 0 for a move. Owners of earlier
@@ -87,15 +87,16 @@
 	o.startCall(ctx, func(ctx context.Context) { o.orderVM(ctx, a) })
 }
 
-// orderVM orders a VM unless orderBlockedReason returns a reason: while the order was being stored the
-// store may have been away, or the call may have waited for a slot. By then the worker is open again,
-// and the order would end its tasks.
+// orderVM orders a VM unless orderBlockedReason returns a reason. The store may have been unavailable while
+// the order was being stored, or the call may have waited for a slot. By then the worker may accept tasks
+// again, and the order would end them.
 func (o *Owner) orderVM(ctx context.Context, a fleet.Action) {
 	if reason := o.orderBlockedReason(a, time.Now()); reason != "" {
 		o.logger.Info("VM not ordered", "vm", a.VM, "wave", a.Wave, "pool", a.Pool, "reason", reason)
 		o.enqueue(ctx, func(c *fleet.Core, now time.Time) { c.HandleOrderResult(a.VM, fleet.OrderRefused, now) })
 		return
 	}
+	// The platform calls the owner the holder, and its epoch the token.
 	holder := platform.Holder{Node: o.deps.Node, Token: o.epoch}
 	var status platform.VMOrderStatus
 	var err error
@@ -104,6 +105,7 @@
 	} else {
 		status, err = o.deps.Machines.Move(ctx, holder, a.VM, a.Pool)
 	}
+	// Logged also for orders that were refused or failed; the outcome tells them apart.
 	o.logger.Info("VM ordered", "vm", a.VM, "maintain", a.Verb == fleet.MaintainVM, "wave", a.Wave, "pool", a.Pool,
 		"reason", a.Reason, "outcome", status.String(), "error", err)
 	if status == platform.VMOrderFenced {
@@ -113,12 +115,13 @@
 	o.enqueue(ctx, func(c *fleet.Core, now time.Time) { c.HandleOrderResult(a.VM, orderResultOf(status), now) })
 }
 
-// orderBlockedReason returns why an order may not be sent any more, "" if it may. A later owner counts
-// a VM as ordered from the stored time of the order on, and would not notice an order sent much later.
+// orderBlockedReason returns why an order must not be sent any more, "" if it may be sent. A later owner
+// counts the quiet period of the VM from the stored time of the order, and would not detect an order that
+// is sent much later.
 func (o *Owner) orderBlockedReason(a fleet.Action, now time.Time) string {
 	switch {
 	case !a.ValidUntil.IsZero() && hasPassed(a.ValidUntil, now):
-		return "the drain state is too old by " + now.Sub(a.ValidUntil).String()
+		return "the drain state has been invalid for " + now.Sub(a.ValidUntil).String()
 	case o.deps.OwnedUntil != nil && !now.Before(o.deps.OwnedUntil()):
 		return "another node may own the fleet"
 	}
@@ -126,8 +129,8 @@
 }
 
 // hasPassed reports whether t has passed by the monotonic clock or by the wall clock. The monotonic clock
-// does not count the time for which a VM was suspended. A wall clock that was set forward costs one
-// more drain request.
+// does not count the time for which a VM was suspended. If the wall clock was set forward, the order is
+// refused and costs one more drain request.
 func hasPassed(t, now time.Time) bool {
 	return now.After(t) || now.Round(0).After(t.Round(0))
 }
@@ -148,7 +151,7 @@
 func (o *Owner) loseOwnership(err error) {
 	select {
 	case o.ownershipLost <- err:
-	default: // one reason is enough
+	default: // Run returns on the first error
 	}
 }
 
@@ -166,7 +169,7 @@
 	}
 	status, err := o.deps.Store.WriteWaveState(ctx, a.Wave, a.State)
 	if status != platform.StoreOK {
-		o.logger.Warn("state of a wave can't be stored yet", "wave", a.Wave, "status", status.String(), "error", err)
+		o.logger.Warn("failed to store the state of a wave, retrying", "wave", a.Wave, "status", status.String(), "error", err)
 		wait.Pause(ctx, writeRetryInterval)
 		o.enqueue(ctx, func(c *fleet.Core, _ time.Time) { c.HandleStoreFailure(a.Wave) })
 		return
--- a/internal/fleetowner/actions_test.go
+++ b/internal/fleetowner/actions_test.go
@@ -71,23 +71,24 @@
 	return len(machines.movedAt)
 }
 
-// Guards against an order that ends tasks because the store was away for seconds while the order was being stored. By
-// then the worker is open again and has tasks, among them a long-running one whose step may miss no more. The order
-// must not be sent.
+// Guards against an order that ends tasks because the store was unavailable for seconds while the order was being
+// stored. By then the worker accepts tasks again and runs some, which may include a long-running task whose step has
+// reached its MaxUnavailable. The order must not be sent.
 func TestOrderIsNotSentOnAStaleDrainState(t *testing.T) {
 	inASecond := func(now time.Time) time.Time { return now.Add(time.Second) }
 	assert.Zero(t, runMove(t, 4*time.Second, inASecond))
 	assert.Equal(t, 1, runMove(t, 20*time.Millisecond, inASecond))
 }
 
-// A VM of the spare pool is off and can't have got tasks meanwhile.
+// A VM of the spare pool is off and can't have been assigned tasks meanwhile.
 func TestOrderForASpareVMIsSentHoweverLate(t *testing.T) {
 	never := func(time.Time) time.Time { return time.Time{} }
 	assert.Equal(t, 1, runMove(t, 4*time.Second, never))
 }
 
-// Guards against an order from an owner that has a successor by then, because its process stood still or the store was
-// away after the order was stored. The successor would count the VM as back, and order other VMs of its wave as well.
+// Guards against an order from an owner that has been replaced by then, because its process was suspended or the store
+// was unavailable after the order was stored. The next owner would count the VM as back, and order other VMs of its wave
+// in addition.
 func TestOrderIsNotSentOnceAnotherNodeMayOwnTheFleet(t *testing.T) {
 	for latency, ordered := range map[time.Duration]int{4 * time.Second: 0, 20 * time.Millisecond: 1} {
 		machines := &moveRecorder{}
@@ -117,8 +118,8 @@
 	return nil, false
 }
 
-// Guards against an order that ends tasks because the fleet's owner stood still between a drain request and its answer.
-// By then the worker is open again and has tasks. The age of the answer must count from the request.
+// Guards against an order that ends tasks because the fleet's owner was suspended between a drain request and its
+// answer. By then the worker accepts tasks again and runs some. The age of the answer must count from the request.
 func TestDrainStateAgeCountsFromTheRequest(t *testing.T) {
 	for latency, ordered := range map[time.Duration]int{1600 * time.Millisecond: 0, 20 * time.Millisecond: 1} {
 		synctest.Test(t, func(t *testing.T) {
@@ -144,7 +145,7 @@
 	}
 }
 
-// After a suspension only the wall clock has advanced. Times without a monotonic reading stand for that here.
+// After a suspension only the wall clock has advanced. Times without a monotonic reading simulate this.
 func TestTimeHasPassedByEitherClock(t *testing.T) {
 	now := time.Now()
 	assert.False(t, hasPassed(now.Add(time.Second), now))
@@ -169,8 +170,8 @@
 	return workload.Drained, true
 }
 
-// Guards against a pool waiting a step longer for each VM with an idle worker: the worker's owner polls it only once it
-// is being drained.
+// Guards against a pool waiting a step longer for each VM with an idle worker, which its owner polls only once the
+// worker is being drained.
 func TestIdleWorkersVMIsOrderedAtTheNextStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := New(Deps{Services: idleService{answersFrom: &time.Time{}}, Logger: hclog.NewNullLogger()}, 0, 7)
--- a/internal/fleetowner/fleetowner.go
+++ b/internal/fleetowner/fleetowner.go
@@ -6,12 +6,12 @@
 // is the fencing token of this owner's writes and orders. At the takeover the Owner fences the
 // fleet's log with it, so that the store refuses writes of earlier owners, and restores the waves
 // and orders that they stored. Each order for a VM carries the token, and a VM that has seen a
-// higher one refuses the order. An Owner that is refused for its token stops: Run returns
-// ErrOwnershipLost.
+// higher one refuses the order. When a write or an order is refused because of its token, Run
+// returns ErrOwnershipLost.
 //
-// An order for a VM is stored before it is sent. A later owner leaves that VM alone for a while
-// and counts it as away. An order is not sent once the VM's drain state is too old or another
-// node may own the fleet.
+// An order for a VM is stored before it is sent. For a while after it, a later owner gives no order
+// for that VM, and counts it toward the MaxConcurrent of the wave that it was ordered for. An order
+// is not sent once the VM's drain state is too old or another node may own the fleet.
 package fleetowner
 
 import (
@@ -40,14 +40,15 @@
 	// vmListIntervalIdle otherwise. Each list is a call with a cost.
 	vmListIntervalBusy = 400 * time.Millisecond
 	vmListIntervalIdle = 2 * time.Second
-	// loadInterval is the pause between requests for the services' loads.
+	// loadInterval is the pause between requests for the loads of the pools.
 	loadInterval          = 200 * time.Millisecond
 	takeoverRetryInterval = 200 * time.Millisecond
 	inboxSize             = 256
 	maxCallsInFlight      = 32
 )
 
-// ErrOwnershipLost is returned by Run when a later owner was seen or a record can't be stored any more.
+// ErrOwnershipLost is returned by Run when the store or a VM has seen a later owner, or the owner's records
+// can no longer be stored.
 var ErrOwnershipLost = errors.New("ownership of the fleet is lost")
 
 // Machines lists VMs and sends orders for them.
@@ -57,7 +58,7 @@
 	Maintain(ctx context.Context, h platform.Holder, vm string, wave int64) (platform.VMOrderStatus, error)
 }
 
-// Services calls the owners of the services' jobs.
+// Services calls the owners of the services' jobs. A service and its pool of VMs have the same name.
 type Services interface {
 	RequestDrain(ctx context.Context, service, worker string) (v workload.DrainState, ok bool)
 	LoadsOf(ctx context.Context, service string, leaving []string) ([]workload.ServiceLoad, bool)
@@ -167,13 +168,13 @@
 			return errors.Wrap(ErrOwnershipLost, "a later owner has fenced the fleet")
 		}
 		if status != platform.StoreOK {
-			o.logger.Warn("fleet can't be fenced yet", "status", status.String(), "error", err)
+			o.logger.Warn("fleet can't be fenced, retrying", "status", status.String(), "error", err)
 			wait.Pause(ctx, takeoverRetryInterval)
 			continue
 		}
 		batch, status, err := o.log.Snapshot(ctx)
 		if status != platform.StoreOK {
-			o.logger.Warn("stored waves can't be read yet", "status", status.String(), "error", err)
+			o.logger.Warn("stored waves can't be read, retrying", "status", status.String(), "error", err)
 			wait.Pause(ctx, takeoverRetryInterval)
 			continue
 		}
@@ -190,7 +191,7 @@
 			continue
 		}
 		if err := restoreRecord(core, r, now); err != nil {
-			o.logger.Error("stored record of the fleet can't be read and is left out", "key", r.Key, "error", err)
+			o.logger.Error("stored record of the fleet can't be decoded and is ignored", "key", r.Key, "error", err)
 		}
 	}
 }
@@ -233,7 +234,7 @@
 	}
 }
 
-// refresh requests the list of VMs and the services' loads when they are due.
+// refresh requests the list of VMs and the loads of the pools when they are due.
 func (o *Owner) refresh(ctx context.Context, core *fleet.Core, config *workload.Config, now time.Time) {
 	listInterval := vmListIntervalIdle
 	if core.NeedsFrequentVMLists() {
@@ -286,8 +287,8 @@
 	})
 }
 
-// readLoads requests the loads of the services from their owners, and informs them which workers are due
-// for maintenance.
+// readLoads requests the load of each pool from the owners of its service's jobs, and tells them which of its
+// workers are due for maintenance.
 func (o *Owner) readLoads(ctx context.Context, config *workload.Config, workersDue fleet.WorkersByPool) {
 	var all []workload.ServiceLoad
 	for _, s := range config.Services {
--- a/internal/fleetowner/writer.go
+++ b/internal/fleetowner/writer.go
@@ -11,22 +11,22 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// maxPendingWrites bounds the writes that wait, and the records of one call.
+// maxPendingWrites bounds the pending writes, and the records of one call.
 const maxPendingWrites = 512
 
 // writeRetryInterval is the pause before a write is repeated.
 const writeRetryInterval = 100 * time.Millisecond
 
 // pendingWrite is a record to be stored. done receives nil once the record is stored, or an error if this
-// owner can't store it any more.
+// owner can no longer store it.
 type pendingWrite struct {
 	record platform.KeyedRecord
 	done   chan error
 }
 
-// writer stores the owner's records, and batches the records that wait into one call. A write without an
-// answer is repeated with its sequence number until its outcome is known: to skip it would leave a
-// gap in the sequence, after which the store accepts no further write of this owner.
+// writer stores the owner's records. It batches the pending records into one call. A write without an
+// answer is repeated with its sequence number until its outcome is known. Skipping it would leave a gap in
+// the sequence, after which the store accepts no further write of this owner.
 type writer struct {
 	log    *joblog.Log
 	epoch  int64
@@ -68,7 +68,7 @@
 	}
 }
 
-// nextBatch waits for a record and returns all records that wait. It returns nil once ctx has ended.
+// nextBatch waits for a record and returns all pending records. It returns nil once ctx has ended.
 func (w *writer) nextBatch(ctx context.Context) []pendingWrite {
 	var batch []pendingWrite
 	select {
@@ -101,7 +101,7 @@
 		case platform.StoreFenced, platform.StoreOutOfSequence, platform.StoreInvalid:
 			return err
 		}
-		w.logger.Debug("records of the fleet can't be stored yet", "sequence", sequence, "status", status.String(), "error", err)
+		w.logger.Debug("failed to store records of the fleet, retrying", "sequence", sequence, "status", status.String(), "error", err)
 		wait.Pause(ctx, writeRetryInterval)
 	}
 	return ctx.Err()
