--- a/internal/ownership/authority.go
+++ b/internal/ownership/authority.go
@@ -11,30 +11,32 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// A node without an answer from the store can't tell whether it is cut off, and its partitions were given
-// to others, or the store is down for all, where tasks must go on running. It asks the other members: a
-// successor is one of them, and the store has answered a join of it.
+// The authority over a partition is the right to start its tasks and to renew their leases.
+//
+// A node without answers from the store is either cut off, and its partitions may have been reassigned, or
+// the store is down for everyone, and its tasks must keep running. To tell these apart it asks the other
+// members when the store last answered them: a successor is a member to which the store has answered a join.
 
 // memberQueryTimeout bounds a query to another member, which answers from memory. It leaves time to act on
-// the answer before the authority that it gives ends.
+// the answer before the authority that results from it ends.
 const memberQueryTimeout = 800 * time.Millisecond
 
-// MemberClient queries other members of the group.
+// MemberClient queries other members.
 type MemberClient interface {
-	// JoinStatus asks the node at an address when the store last answered one of its joins. An error
-	// means that the node did not answer.
+	// JoinStatus returns the join status of the node at an address. An error means that the node did not
+	// answer.
 	JoinStatus(ctx context.Context, address string) (JoinStatus, error)
 }
 
-// JoinStatus states when the store last answered a join of a process.
+// JoinStatus states when the store last answered a join of a node, and the partitions that the node owns.
 type JoinStatus struct {
-	Never bool
-	Age   time.Duration // since the answer
-	// Owned are the partitions that the group has given to the process.
+	Never bool          // the store has not answered a join of this node yet
+	Age   time.Duration // time since the last answer
 	Owned []platform.Partition
 }
 
-// instant is a monotonic time, with the total time for which the machine had been suspended by then.
+// instant is a monotonic time and the total time for which the machine had been suspended by then. The
+// monotonic clock stops during a suspension.
 type instant struct {
 	at           time.Time
 	suspendedFor time.Duration
@@ -44,8 +46,8 @@
 	return instant{at: time.Now(), suspendedFor: m.suspendedFor()}
 }
 
-// suspendAdjustedTime returns when an instant was on a monotonic clock that counts the suspensions since.
-// It returns zero for the zero instant.
+// suspendAdjustedTime converts an instant to the current monotonic clock, counting time suspended since as
+// elapsed. It returns zero for the zero instant.
 func (m *Manager) suspendAdjustedTime(i instant) time.Time {
 	if i.at.IsZero() {
 		return time.Time{}
@@ -61,13 +63,13 @@
 	return m.suspendAdjustedTime(i).Add(m.ttl)
 }
 
-// TTL returns the time without a join after which the group gives a member's partitions to others.
+// TTL returns the time without a join after which the group assigns a member's partitions to others.
 func (m *Manager) TTL() time.Duration { return m.ttl }
 
-// OwnedUntil returns until when the group can't give a partition to another member because of missing
-// joins: a TTL after the latest join that confirmed the partition was sent. It returns zero if the
-// partition isn't owned. The group may also reassign partitions at any time, which the next join,
-// joinInterval later, shows.
+// OwnedUntil returns the time until which the group can't reassign a partition because of missing joins: a
+// TTL after the latest join that confirmed the partition was sent. It returns zero if this node doesn't own
+// the partition. The group may also reassign partitions for other reasons at any time; this node learns of
+// that from its next join, joinInterval later.
 func (m *Manager) OwnedUntil(p platform.Partition) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -77,11 +79,11 @@
 	return time.Time{}
 }
 
-// AuthorityUntil returns until when the owner of a partition may start tasks and renew leases: a TTL after
-// the latest join that confirmed the partition was sent, or after the last time at which all other members
-// were asked and none of them could be a successor. So the authority ends at most a TTL after a successor
-// learns of its own ownership, however the group assigns partitions. It returns zero if the partition isn't
-// owned.
+// AuthorityUntil returns the time until which this node has the authority over a partition. That is a TTL
+// after the latest join that confirmed the partition was sent or, if later, a TTL after the last time at
+// which all other members were asked and none of them could be a successor. So the authority ends at most a
+// TTL after a successor learns that it owns the partition, however the group assigns partitions.
+// AuthorityUntil returns zero if this node doesn't own the partition.
 func (m *Manager) AuthorityUntil(p platform.Partition) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -96,7 +98,7 @@
 	return until
 }
 
-// JoinStatus returns the answer for another member: when the store last answered a join of this process.
+// JoinStatus returns the join status of this node, as the answer to another member's query.
 func (m *Manager) JoinStatus() JoinStatus {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -106,16 +108,16 @@
 	return JoinStatus{Age: time.Since(m.lastJoinAnsweredAt), Owned: slices.Collect(maps.Keys(m.owned))}
 }
 
-// memberAnswer is what another member has answered while joins of this process had no answer.
+// memberAnswer is what another member has answered while the store did not answer this node.
 type memberAnswer struct {
 	askedAt                 instant // of the latest query whose answer ruled the member out as a successor
-	joinSentAt              instant // latest answered join of this process at that time; the answer counts for this join only
+	joinSentAt              instant // latest answered join of this node at that time; the answer counts for this join only
 	isQueryInFlight         bool
-	possibleSuccessorReason string // why the member may be a successor, "" if it can't be or has not been asked
+	possibleSuccessorReason string // "" if the member can't be a successor or has not been asked
 }
 
-// queryMembers asks the other members, while joins have no answer, whether one of them may be a successor
-// of this process. It returns once ctx has ended.
+// queryMembers asks the other members, while joins are not answered, whether one of them may be a successor
+// of this node. It returns once ctx has ended.
 func (m *Manager) queryMembers(ctx context.Context) {
 	var queries sync.WaitGroup
 	defer queries.Wait()
@@ -148,13 +150,13 @@
 		}
 	}
 	if len(others) == 0 {
-		m.noSuccessorAsOf = m.currentInstant() // there is no other member
+		m.noSuccessorAsOf = m.currentInstant() // without other members there is no successor
 	}
 	return addresses
 }
 
-// otherAddresses returns the addresses of the other members as last read from the group. It must be called
-// with mu held.
+// otherAddresses returns the addresses of the other members that owned a partition at the last read. It must
+// be called with mu held.
 func (m *Manager) otherAddresses() []string {
 	var addresses []string
 	for _, member := range m.owningMembers() {
@@ -185,27 +187,31 @@
 	m.noSuccessorAsOf = m.allRuledOutAt()
 }
 
-// possibleSuccessorReason returns why a member may own a partition that this process owns, "" if it can't. It must be
+// possibleSuccessorReason returns why another member may own a partition that this node owns, "" if it can't.
+// It can't if the store has not answered it since the latest answered join of this node. It can't either if
+// the store has answered it within the TTL of that join and it owns none of this node's partitions: if the
+// group has reassigned a partition in that time, the new owner states that it owns it. The method must be
 // called with mu held.
 func (m *Manager) possibleSuccessorReason(status JoinStatus) string {
 	answeredAt := time.Now().Add(-status.Age)
 	switch {
 	case status.Never || !answeredAt.After(m.suspendAdjustedTime(m.lastAnsweredJoinSentAt)):
-		return "" // a later join confirmed the partitions to this process
+		return "" // a later join confirmed the partitions to this node
 	case answeredAt.After(m.ttlExpiresAt(m.lastAnsweredJoinSentAt)):
-		return "has joined meanwhile"
+		return "has joined since the TTL expired"
 	}
 	for _, p := range status.Owned {
 		if m.owned[p] != nil {
-			return "owns a partition, too" // the group has reassigned it
+			return "owns a partition of this node" // the group has reassigned it
 		}
 	}
 	return ""
 }
 
-// allRuledOutAt returns the earliest of the instants at which the other members were last asked with
-// an answer that rules them out as successors. It returns zero if a member has not given such an answer
-// since the latest answered join. It must be called with mu held.
+// allRuledOutAt returns the latest instant as of which all other members are known to be no successors. For
+// each member that is when it was last asked with an answer that rules it out, and the earliest of these
+// counts. allRuledOutAt returns zero if a member has not given such an answer since the latest answered join
+// of this node. It must be called with mu held.
 func (m *Manager) allRuledOutAt() instant {
 	var earliest instant
 	for _, address := range m.otherAddresses() {
@@ -220,8 +226,8 @@
 	return earliest
 }
 
-// logConfirmationChange logs when the other members confirm that none of them is a successor, and when one of them
-// may be.
+// logConfirmationChange logs, while the store doesn't answer, when the other members confirm that none of
+// them is a successor, and when one of them may be.
 func (m *Manager) logConfirmationChange() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -253,7 +259,8 @@
 	m.logger.Warn("another member may own the partitions", "reason", reason, "since_ms", sinceJoinMS)
 }
 
-// ownershipConfirmation is how it is known, for the log, that no other member owns the partitions.
+// ownershipConfirmation states what confirms that no other member owns this node's partitions. It is used
+// for the log only.
 type ownershipConfirmation int
 
 const (
--- a/internal/ownership/authority_test.go
+++ b/internal/ownership/authority_test.go
@@ -14,7 +14,7 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// partitionsOf returns the partitions that a node runs.
+// partitionsOf returns the partitions for which a node has runners.
 func (c *cluster) partitionsOf(n *clusterNode) []platform.Partition {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -36,7 +36,7 @@
 func withRunningCluster(t *testing.T, scenario func(c *cluster, n *clusterNode, owned []platform.Partition)) {
 	runCluster(t, 3, 0, func(c *cluster) {
 		c.start(allNodes)
-		c.awaitOwned(true)
+		c.awaitOwned(true /* byStrong */)
 		time.Sleep(2 * time.Second)
 		owned := c.partitionsOf(c.nodes[0])
 		require.NotEmpty(t, owned)
@@ -44,8 +44,8 @@
 	})
 }
 
-// Guards against two owners that both keep tasks running: an owner that is cut off from the store must not keep its
-// authority for longer than its successor assumes.
+// Guards against two owners that both keep tasks running: the authority of an owner that is cut off from the store must
+// end within a TTL of its successor's start, as the successor assumes.
 func TestAuthorityEndsWithinATTLOfASuccessorsStart(t *testing.T) {
 	withRunningCluster(t, func(c *cluster, n *clusterNode, owned []platform.Partition) {
 		n.isCut.Store(true)
@@ -59,7 +59,7 @@
 	})
 }
 
-// Guards against all tasks lapsing while the store is down for all, when no successor can arise.
+// Guards against all tasks lapsing while the store is down for everyone: no member can become a successor then.
 func TestAuthorityLastsWhileTheStoreIsDownForAll(t *testing.T) {
 	withRunningCluster(t, func(c *cluster, n *clusterNode, owned []platform.Partition) {
 		for _, other := range c.nodes {
@@ -91,7 +91,7 @@
 }
 
 // Guards against an owner that keeps its authority after its machine was suspended: its monotonic clock doesn't count
-// that time, in which its partitions have passed on.
+// that time, in which its partitions have been reassigned.
 func TestSuspensionEndsAuthorityAndOwnership(t *testing.T) {
 	withRunningCluster(t, func(c *cluster, n *clusterNode, owned []platform.Partition) {
 		n.isCut.Store(true)
@@ -101,7 +101,7 @@
 		n.isCut.Store(false)
 		time.Sleep(joinInterval + 10*storeLatency)
 		for _, p := range c.partitionsOf(n) {
-			assert.True(t, hasAuthority(n, p), "the node has joined since")
+			assert.True(t, hasAuthority(n, p), "the node has joined since then")
 		}
 	})
 }
@@ -146,8 +146,8 @@
 	return platform.Batch{}, platform.StoreOK, nil
 }
 
-// Guards against an owner that goes on under its old epoch after another node has owned the partition in between:
-// workers that the other node never reached would accept its orders.
+// Guards against an owner that keeps its old epoch after another node has owned the partition in between: workers that
+// the other node never reached would accept the owner's orders.
 func TestPartitionThatMayHaveBeenReassignedIsRestartedWithANewEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &scriptedStore{gen: 3, parts: []platform.Partition{{Topic: "jobs"}}}
@@ -156,7 +156,7 @@
 		stopped := 0
 		run := func(ctx context.Context, _ platform.Partition, epoch int64) error {
 			mu.Lock()
-			assert.Equal(t, len(epochs), stopped, "the previous owner must have stopped")
+			assert.Equal(t, len(epochs), stopped, "the previous runner must have stopped")
 			epochs = append(epochs, epoch)
 			mu.Unlock()
 			<-ctx.Done()
@@ -192,7 +192,7 @@
 }
 
 // Guards against an owner that treats the answers of some members as those of all: one member has reached the store
-// again and owns its partitions now.
+// again and owns the partitions now.
 func TestAuthorityEndsWhenOneMemberReachesTheStoreAgain(t *testing.T) {
 	for which := 1; which <= 2; which++ {
 		withRunningCluster(t, func(c *cluster, n *clusterNode, owned []platform.Partition) {
@@ -215,8 +215,8 @@
 	}
 }
 
-// Guards against an owner that goes on beside the later owner that requested its stop, and against an owner that is
-// started again by an older answer of the group.
+// Guards against a runner that is not stopped at the request of a later owner, and against a runner that is started
+// again because of an older answer of the group.
 func TestRunnerIsStoppedForALaterOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		part := platform.Partition{Topic: "jobs"}
@@ -252,7 +252,7 @@
 		require.Empty(t, causes, "an owner with the same epoch is not a later one")
 		m.StopRunnerBeforeEpoch(t.Context(), part, 5)
 		require.Equal(t, []error{ErrSuperseded}, causes)
-		assert.Equal(t, []int64{3}, started(), "the group's answers are older than the owner that requested the stop")
+		assert.Equal(t, []int64{3}, started(), "the group's answers are older than the later owner")
 		store.set(6, false)
 		assert.Equal(t, []int64{3, 6}, started())
 		cancel()
@@ -260,7 +260,7 @@
 	})
 }
 
-// memberStub answers for the only other member.
+// memberStub is the client of the only other member.
 type memberStub struct {
 	mu             sync.Mutex
 	joinAnsweredAt time.Time
@@ -279,8 +279,8 @@
 	return JoinStatus{Age: time.Since(s.joinAnsweredAt), Owned: s.owned}, nil
 }
 
-// Guards against an owner that goes on while the store is down for all, although the group had assigned its partition
-// to another member just before. That member has joined in time as well.
+// Guards against an owner that keeps its authority while the store is down for everyone, although the group assigned its
+// partition to another member just before. The store has answered that member within the TTL of the owner's last join.
 func TestAuthorityEndsWhenAnotherMemberOwnsThePartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		part := platform.Partition{Topic: "jobs"}
@@ -305,7 +305,7 @@
 		assert.True(t, time.Now().Before(m.AuthorityUntil(part)))
 		other.set(time.Now().Add(-time.Hour), part)
 		time.Sleep(m.TTL() + joinInterval)
-		assert.True(t, time.Now().Before(m.AuthorityUntil(part)), "the other member has not received the partition in a join yet")
+		assert.True(t, time.Now().Before(m.AuthorityUntil(part)), "the other member has not joined since this node did")
 		other.set(down, part)
 		time.Sleep(m.TTL() + joinInterval)
 		assert.False(t, time.Now().Before(m.AuthorityUntil(part)))
--- a/internal/ownership/capacity.go
+++ b/internal/ownership/capacity.go
@@ -11,26 +11,26 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// The members keep one small record on the store: the capacity of the owners. After a loss of all nodes
-// nobody owns anything, and a VM that reads the owners learns nothing; from the record, weak VMs know that
-// stronger ones are about to start. The record is only a hint. Owners that are seen count for more, so a
-// stale record costs a VM that starts strongerStartTimeout at most.
+// The members keep one small record on the store: the capacity of the owners. After a loss of all nodes no
+// partition has an owner, and a VM that reads the owners learns nothing. From the record, weak VMs know that
+// stronger ones are about to start. The record is only a hint: the owners that are listed take precedence, so
+// a stale record delays a VM's first join by strongerStartTimeout at most.
 const (
 	capacityTopic = "keyed.members"
 	capacityKey   = "strength"
 	// capacityDecreaseDelay is how long the owners must have had less capacity than is stored before the
-	// lower value is stored: strong owners that are replaced or cut off are back sooner.
+	// lower value is stored. Strong owners that are replaced or cut off are back sooner.
 	capacityDecreaseDelay = 10 * time.Second
 )
 
 // capacityRecord is the stored record.
 type capacityRecord struct {
-	// MilliCores is the processor time, in millicores, that minStrongerMembers of the owners have at
-	// least.
+	// MilliCores is the processor time, in millicores, that at least minStrongerMembers of the owners
+	// have.
 	MilliCores int `json:"milli_cores"`
 }
 
-// capacityHint is what this process knows of the stored record. It is not safe for concurrent use.
+// capacityHint is what this node knows of the stored record. It is not safe for concurrent use.
 type capacityHint struct {
 	isRead           bool
 	storedMilliCores int // 0 if there is no record
@@ -56,12 +56,12 @@
 	}
 	batch, status, err := m.store.Newest(ctx, capacityPartition)
 	if status != platform.StoreOK {
-		m.logger.Debug("capacity of the last owners can't be read yet", "status", status.String(), "error", err)
+		m.logger.Debug("failed to read the capacity of the previous owners, retrying", "status", status.String(), "error", err)
 		return
 	}
 	milliCores, err := decodeCapacity(batch)
 	if err != nil {
-		m.logger.Error("record of the last owners' capacity can't be decoded and is ignored", "error", err)
+		m.logger.Error("failed to decode the capacity of the previous owners, ignoring it", "error", err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -84,8 +84,8 @@
 	return milliCores, nil
 }
 
-// storeCapacityHint stores the capacity of the owners if it has changed. Only the owner of the first
-// partition does so.
+// storeCapacityHint stores the capacity of the owners if it has changed and this node owns the first
+// partition of the first topic.
 func (m *Manager) storeCapacityHint(ctx context.Context, now time.Time) {
 	m.mu.Lock()
 	milliCores := m.ownersCapacity()
@@ -96,12 +96,12 @@
 	}
 	value, err := json.Marshal(capacityRecord{MilliCores: milliCores})
 	if err != nil {
-		m.logger.Error("capacity of the owners can't be encoded", "error", err)
+		m.logger.Error("failed to encode the capacity of the owners", "error", err)
 		return
 	}
 	status, err := m.store.Append(ctx, capacityPartition, nil, platform.KeyedRecord{Key: capacityKey, Value: value})
 	if status != platform.StoreOK {
-		m.logger.Debug("capacity of the owners can't be stored yet", "status", status.String(), "error", err)
+		m.logger.Debug("failed to store the capacity of the owners, retrying", "status", status.String(), "error", err)
 		return
 	}
 	m.logger.Info("capacity of the owners stored", "milli_cores", milliCores)
@@ -110,8 +110,8 @@
 	m.capacityHint.storedMilliCores = milliCores
 }
 
-// ownersCapacity returns the processor time, in millicores, that minStrongerMembers of the owning members
-// have at least, 0 if there are fewer members. It must be called with mu held.
+// ownersCapacity returns the processor time, in millicores, that at least minStrongerMembers of the members
+// with a partition have, 0 if there are fewer members. It must be called with mu held.
 func (m *Manager) ownersCapacity() int {
 	var milliCores []int
 	for _, o := range m.owningMembers() {
--- a/internal/ownership/cluster_test.go
+++ b/internal/ownership/cluster_test.go
@@ -15,7 +15,7 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// storeLink is a node's connection to the store. Nothing passes while the node is cut off or killed.
+// storeLink is a node's connection to the store. Calls get no answer while the node is cut off or killed.
 type storeLink struct {
 	*stickyGroup
 	isCut *atomic.Bool
@@ -56,8 +56,8 @@
 	return JoinStatus{}, ctx.Err()
 }
 
-// Sizes of the simulated fleets. Fifteen of a hundred VMs are strong, as where an operator adds small VMs to serve
-// callers.
+// Sizes of the simulated fleets. Fifteen of a hundred VMs are strong, as in a fleet to which an operator has added many
+// small VMs to serve callers.
 const (
 	strongMilliCores   = 800
 	weakMilliCores     = 192
@@ -87,7 +87,7 @@
 	cancel         context.CancelFunc
 	manager        *Manager
 	isCut          *atomic.Bool
-	isSilent       atomic.Bool  // the node answers no other node
+	isSilent       atomic.Bool  // the node does not answer other nodes
 	suspendedNanos atomic.Int64 // total time for which the machine was suspended
 	ended          chan struct{}
 }
@@ -198,7 +198,7 @@
 	return c.ownerByPartition[p]
 }
 
-// isAllOwned reports whether each partition with work has an owner, with byStrong one on a strong VM.
+// isAllOwned reports whether each partition with work has an owner. With byStrong, only owners on strong VMs count.
 func (c *cluster) isAllOwned(byStrong bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -211,7 +211,7 @@
 	return true
 }
 
-// awaitOwned waits until isAllOwned, for at most 20 s, and returns how long that took.
+// awaitOwned waits until isAllOwned(byStrong), for at most 20 s, and returns how long that took.
 func (c *cluster) awaitOwned(byStrong bool) time.Duration {
 	began := time.Now()
 	for !c.isAllOwned(byStrong) && time.Since(began) < 20*time.Second {
@@ -220,8 +220,8 @@
 	return time.Since(began)
 }
 
-// takeRunnerStarts returns the owner starts since the last call: the most of any partition with work, and all on weak
-// VMs.
+// takeRunnerStarts returns the runner starts of partitions with work since the last call: maxStarts is the most of one
+// partition, weakStarts the total on weak VMs.
 func (c *cluster) takeRunnerStarts() (maxStarts, weakStarts int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/ownership/name.go
+++ b/internal/ownership/name.go
@@ -6,8 +6,8 @@
 )
 
 // memberNameSeparator joins the parts of a member's name: the node, its address for other nodes, a part that
-// makes the name unique to this process, and the VM's processor time in millicores. A process that reads the
-// owners learns all of it without another call.
+// makes the name unique to one membership of the node, and the VM's processor time in millicores. A node that
+// reads the owners learns all of these without another call.
 const memberNameSeparator = "|"
 
 const memberNameParts = 4
@@ -23,8 +23,8 @@
 	return strings.Join([]string{c.Node, c.Address, c.UniqueID(), strconv.Itoa(c.MilliCores)}, memberNameSeparator)
 }
 
-// parseMemberName parses a member's name. ok is false for "", where nobody owns the partition, and for a name
-// that no node of this version uses.
+// parseMemberName parses a member's name. ok is false for "", the owner of a partition without one, and for a
+// name that a node of this version doesn't use.
 func parseMemberName(name string) (p memberInfo, ok bool) {
 	parts := strings.Split(name, memberNameSeparator)
 	if len(parts) != memberNameParts {
--- a/internal/ownership/owned.go
+++ b/internal/ownership/owned.go
@@ -9,17 +9,18 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// ownedPartition is a partition that this process owns, with its running owner.
+// ownedPartition is a partition that this node owns, or whose runner is still stopping.
 type ownedPartition struct {
 	epoch   int64
-	cancel  context.CancelCauseFunc
-	stopped chan struct{}
+	cancel  context.CancelCauseFunc // ends the context of the runner
+	stopped chan struct{}           // closed once the runner has returned
 	// confirmingJoinSentAt is when the latest join was sent whose answer listed the partition.
 	confirmingJoinSentAt instant
 }
 
-// applyAssignment starts and stops owners according to the answer to a join sent at sentAt. isNewGeneration
-// states whether the generation differs from that of the answer before. It must be called with mu held.
+// applyAssignment starts and stops runners according to the answer to a join sent at sentAt. isNewGeneration
+// states whether the generation differs from that of the answer before. The generation of the assignment is
+// the epoch of the runners that it starts. It must be called with mu held.
 func (m *Manager) applyAssignment(ctx context.Context, a platform.Assignment, sentAt instant, isNewGeneration bool) {
 	if time.Now().Before(m.runnersStartFrom) {
 		m.releasedGeneration = m.generation
@@ -36,9 +37,9 @@
 		}
 		switch {
 		case m.stoppingRunners[p] != nil:
-			continue // it is started again once the previous owner has recorded its runs
+			continue // a new runner is started once the previous one has recorded its runs
 		case a.Generation < m.supersededBelow[p]:
-			continue // the answer is older than the owner that requested the stop
+			continue // the answer is older than the later owner that requested the stop
 		}
 		if m.owned[p] == nil {
 			m.owned[p] = m.startRunner(ctx, p, a.Generation)
@@ -47,7 +48,7 @@
 	}
 	for p, own := range m.owned {
 		if !listed[p] {
-			m.stopReassigned(p, own, a.Generation, "the group gave it to another member")
+			m.stopReassigned(p, own, a.Generation, "the group has reassigned it")
 		}
 	}
 	if m.stoppingCount == 0 {
@@ -55,13 +56,14 @@
 	}
 }
 
-// stopReassigned stops the owner of a partition that passes on. It must be called with mu held.
+// stopReassigned stops the runner of a partition that was or may have been reassigned. It must be called with
+// mu held.
 func (m *Manager) stopReassigned(p platform.Partition, own *ownedPartition, generation int64, reason string) {
 	m.logger.Info("partition handed over", "topic", p.Topic, "partition", p.Part, "generation", generation, "reason", reason)
 	m.stopRunner(p, own, nil)
 }
 
-// stopRunner stops the owner of a partition with a cause. It must be called with mu held.
+// stopRunner stops the runner of a partition with a cause. It must be called with mu held.
 func (m *Manager) stopRunner(p platform.Partition, own *ownedPartition, cause error) {
 	own.cancel(cause)
 	delete(m.owned, p)
@@ -70,10 +72,10 @@
 	go m.releaseOnceStopped(p, own)
 }
 
-// releaseOnceStopped reports to the group, as soon as no owner is stopping any more, the generation in which
-// this process lost the partitions. The group gives them to others once it receives that generation. If it
-// received it earlier, the next owner would fence this one before it has recorded its runs, and would have
-// to wait for their leases: seconds instead of about 60 ms.
+// releaseOnceStopped waits until a runner has stopped. Once none is stopping any more, it reports to the group
+// the latest generation. On receiving it, the group assigns the partitions that this node lost by then to
+// their successors. If it received the generation earlier, the successor would fence the runner before the
+// runner has recorded its runs, and would have to wait for their leases: seconds instead of about 60 ms.
 func (m *Manager) releaseOnceStopped(p platform.Partition, own *ownedPartition) {
 	<-own.stopped
 	m.mu.Lock()
@@ -86,6 +88,7 @@
 	}
 }
 
+// startRunner starts the runner of a partition. If the runner returns before ctx has ended, the node rejoins.
 func (m *Manager) startRunner(ctx context.Context, p platform.Partition, epoch int64) *ownedPartition {
 	ctx, cancel := context.WithCancelCause(ctx)
 	own := &ownedPartition{epoch: epoch, cancel: cancel, stopped: make(chan struct{})}
@@ -103,11 +106,11 @@
 	return own
 }
 
-// ErrSuperseded is the cause with which an owner is stopped at the request of a later owner.
-var ErrSuperseded = errors.New("a later owner has taken the partition over")
+// ErrSuperseded is the cause with which a runner is stopped at the request of a later owner.
+var ErrSuperseded = errors.New("a later owner takes the partition over")
 
-// StopRunnerBeforeEpoch stops the owner of a partition in this process if its epoch is below epoch, and waits until it
-// has stopped or ctx ends.
+// StopRunnerBeforeEpoch stops the runner of a partition on this node if its epoch is below epoch, the epoch of the
+// later owner that requests the stop. It waits until the runner has stopped or ctx ends.
 func (m *Manager) StopRunnerBeforeEpoch(ctx context.Context, p platform.Partition, epoch int64) {
 	m.mu.Lock()
 	m.supersededBelow[p] = max(m.supersededBelow[p], epoch)
@@ -120,7 +123,7 @@
 		return
 	}
 	if m.owned[p] == own {
-		m.logger.Info("partition handed over", "topic", p.Topic, "partition", p.Part, "epoch", epoch, "reason", "its next owner asks for it")
+		m.logger.Info("partition handed over", "topic", p.Topic, "partition", p.Part, "epoch", epoch, "reason", "a later owner takes the partition over")
 		m.stopRunner(p, own, ErrSuperseded)
 	}
 	m.mu.Unlock()
@@ -130,8 +133,8 @@
 	}
 }
 
-// stopAllRunners stops the owners of all owned partitions and waits until they have stopped, by which time they
-// have recorded their runs. It does not wait for owners that were being stopped before.
+// stopAllRunners stops the runners of all owned partitions and waits until they have recorded their runs and
+// stopped. It does not wait for runners that were being stopped before.
 func (m *Manager) stopAllRunners() {
 	m.mu.Lock()
 	var stopping []*ownedPartition
--- a/internal/ownership/owners.go
+++ b/internal/ownership/owners.go
@@ -9,7 +9,7 @@
 )
 
 // Owner returns the address of the node that owns a partition, "" if none is known. refresh requests a new read
-// because the known owner has proved wrong.
+// of the owners, for a caller that has found the known owner to be wrong.
 func (m *Manager) Owner(ctx context.Context, p platform.Partition, refresh bool) string {
 	m.mu.Lock()
 	unknown := m.owners[p].address == ""
@@ -25,7 +25,7 @@
 }
 
 // CachedOwner returns the address of the node that owned a partition at the last read, "" if none is known. It
-// doesn't wait: if the last read is too old it starts another one in the background.
+// doesn't wait: if the last read is older than maxOwnersAge, it starts another one in the background.
 func (m *Manager) CachedOwner(p platform.Partition) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -35,7 +35,7 @@
 	return m.owners[p].address
 }
 
-// OwnerAddresses returns the addresses of the nodes that owned something at the last read.
+// OwnerAddresses returns the addresses of the nodes that owned a partition at the last read.
 func (m *Manager) OwnerAddresses() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -48,13 +48,13 @@
 	return list
 }
 
-// readOwners reads who owns what, unless a read was sent less than maxAge ago. It returns false if its own read
-// failed, and true otherwise, also if the earlier read has failed or has no answer yet.
+// readOwners reads the owners of the partitions, unless a read was sent less than maxAge ago. It returns false if
+// its own read failed, and true otherwise, also if the earlier read has failed or has not been answered yet.
 func (m *Manager) readOwners(ctx context.Context, maxAge time.Duration) bool {
 	m.mu.Lock()
 	isStale := time.Since(m.ownersReadSentAt) > maxAge
 	if isStale {
-		m.ownersReadSentAt = time.Now() // other callers use the known owners meanwhile
+		m.ownersReadSentAt = time.Now() // concurrent callers use the known owners
 	}
 	m.mu.Unlock()
 	if !isStale {
@@ -62,7 +62,7 @@
 	}
 	list, status, err := m.store.Owners(ctx, groupName)
 	if status != platform.StoreOK {
-		m.logger.Debug("owners can't be read", "status", status.String(), "error", err)
+		m.logger.Debug("failed to read the owners of the partitions", "status", status.String(), "error", err)
 		return false
 	}
 	m.mu.Lock()
@@ -76,7 +76,7 @@
 	return true
 }
 
-// owningMembers returns the members that own something, each once. It must be called with mu held.
+// owningMembers returns the members that own a partition of any topic, each once. It must be called with mu held.
 func (m *Manager) owningMembers() []memberInfo {
 	seen := map[string]bool{}
 	var list []memberInfo
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -1,27 +1,28 @@
 // Package ownership assigns the partitions of jobs and of the fleet to the nodes.
 //
 // Each node that does not yield is a member of one group on the platform's store. It joins every
-// joinInterval, and the answer lists the partitions that the group assigns to it. A Manager runs an
-// owner for each of them. If a partition passes on, the owner is stopped and records its runs; only
-// then does the process report the generation in which it lost the partition, upon which the group
-// gives the partition to the next member.
+// joinInterval, and the answer lists the partitions that the group assigns to it: the node owns
+// them. A Manager starts a runner for each of them. If a partition is reassigned, its runner is
+// stopped and records its runs. Only then does the node report the generation in which it lost the
+// partition, whereupon the group assigns the partition to the successor.
 //
 // The group may reassign partitions at any time, so an assignment is only a hint. What keeps two
-// owners apart is the epoch: the generation of the group in which it gave the partition to this
-// process. No other owner of the partition has the same epoch, and the store and the workers refuse
-// lower ones.
+// owners apart is the epoch. An owner's epoch is the generation of the assignment that gave it the
+// partition. No other owner of the partition has the same epoch, and the store and the workers
+// refuse lower ones.
 //
-// An owner may start tasks and renew leases until AuthorityUntil: for a TTL after a join that
-// confirmed the partition was sent or, while the store doesn't answer, for a TTL after all other
-// members were asked and none of them could be a successor. So tasks go on running while the store
-// is down for all, and an owner that alone is cut off from the store loses its authority in time.
+// An owner has the authority to start tasks and renew leases until AuthorityUntil: for a TTL after a
+// join that confirmed the partition was sent or, while the store doesn't answer, for a TTL after all
+// other members were asked and none of them could be a successor. So tasks keep running while the
+// store is down for everyone, and an owner that alone is cut off from the store loses its authority
+// in time.
 //
-// The group assigns partitions evenly, whatever processor time a member has. The owner of a service
-// in demand needs more of it than a weak VM has, which would serve its callers late. A weak VM
-// therefore yields: it doesn't join, or leaves the group, while at least minStrongerMembers with
-// strongerFactor times its processor time own something. It joins if they are lost. A member's name
-// states its processor time, and a record on the store states the capacity of the last owners for
-// the start after a loss of all nodes.
+// The group assigns partitions evenly, whatever processor time a member has. The owner of a busy
+// service needs more of it than a weak VM has, which would answer its callers late. A weak VM
+// therefore yields: it doesn't join, or leaves the group, while at least minStrongerMembers members
+// with strongerFactor times its processor time own partitions, also of announcementTopic. It joins
+// once they are lost. A member's name states its processor time, and a record on the store states
+// the capacity of the previous owners for the start after a loss of all nodes.
 package ownership
 
 import (
@@ -40,20 +41,21 @@
 const (
 	// joinInterval is the pause between joins; several fit into the TTL.
 	joinInterval = 200 * time.Millisecond
-	// memberTTL is the time without a join after which a member's partitions go to others, unless
-	// the store's minimum is longer. Five joins fit into it; a store 90 times as slow as usual
-	// answers each within 0.4 s, and joins overlap. Together with the takeover it must stay within
-	// a lease. Each 0.35 s less gained 0.02 on a day with faults.
+	// memberTTL is the time without a join after which a member's partitions are reassigned, unless
+	// the store's minimum is longer. Five joins fit into it, even with a store 90 times as slow as
+	// usual, which answers each within 0.4 s, because joins overlap. The TTL plus the time of a
+	// takeover must be shorter than a lease. The shorter the TTL, the sooner a lost member's tasks
+	// have an owner again.
 	memberTTL = 1150 * time.Millisecond
-	// maxOwnersAge is the age up to which the known owners are used. A request that shows them to
-	// be wrong has them read again at once, but not more often than minOwnersReadInterval.
+	// maxOwnersAge is the age up to which the known owners are used. A caller that has found them
+	// to be wrong has them read again at once, but not more often than minOwnersReadInterval.
 	maxOwnersAge          = time.Second
 	minOwnersReadInterval = 150 * time.Millisecond
 )
 
 const groupName = "yuccadrift"
 
-// maxJoinsInFlight bounds the joins in flight; about as many begin within the timeout of one.
+// maxJoinsInFlight bounds the joins in flight. About as many are sent within the timeout of one.
 const maxJoinsInFlight = 6
 
 // Store is the part of the platform's store that a Manager uses.
@@ -65,11 +67,12 @@
 	Newest(ctx context.Context, p platform.Partition) (platform.Batch, platform.StoreStatus, error)
 }
 
-// Runner is the owner of a partition. It must return once ctx has ended; ctx ends when the process loses the
-// partition. If it returns before, the process joins the group anew.
+// Runner runs the owner of a partition with an epoch, the generation of the assignment. It must return once ctx
+// has ended; ctx ends when the node loses the partition. If it returns earlier, the node rejoins the group as a
+// new member.
 type Runner func(ctx context.Context, p platform.Partition, epoch int64) error
 
-// Manager keeps this process a member of the group and runs the owners of its partitions. It is safe for
+// Manager keeps this node a member of the group and runs the owners of its partitions. It is safe for
 // concurrent use.
 type Manager struct {
 	store         Store
@@ -82,9 +85,9 @@
 	newMemberName func() string // returns another name at each call
 
 	address      string       // for other nodes
-	memberClient MemberClient // nil if other members can't be asked
+	memberClient MemberClient // nil if other members can't be queried
 	suspendedFor func() time.Duration
-	milliCores   int     // of this process's VM
+	milliCores   int     // processor time of this VM, 0 if unknown
 	checkJitter  float64 // from 0 to 1, differs between nodes
 	ttl          time.Duration
 
@@ -94,22 +97,22 @@
 	mu                     sync.Mutex
 	memberName             string
 	generation             int64                    // the latest one received
-	releasedGeneration     int64                    // the latest one whose lost partitions have no running owner here
-	stoppingCount          int                      // owners that are being stopped
+	releasedGeneration     int64                    // the latest one whose lost partitions have no runner here
+	stoppingCount          int                      // runners that are being stopped
 	lastAnsweredJoinSentAt instant                  // when the latest answered join was sent
 	lastJoinAnsweredAt     time.Time                // when the store last answered any join
 	memberAnswers          map[string]*memberAnswer // by address
 	noSuccessorAsOf        instant                  // when all other members were last known to be no successors
-	loggedConfirmation     ownershipConfirmation    // as last logged
+	loggedConfirmation     ownershipConfirmation    // as of the last log line
 	owned                  map[platform.Partition]*ownedPartition
-	supersededBelow        map[platform.Partition]int64           // epoch of the latest owner that requested a stop
-	stoppingRunners        map[platform.Partition]*ownedPartition // owners that are being stopped
+	supersededBelow        map[platform.Partition]int64           // epoch of the latest owner that has requested a stop
+	stoppingRunners        map[platform.Partition]*ownedPartition // runners that are being stopped
 	owners                 map[platform.Partition]memberInfo
 	ownersReadSentAt       time.Time
-	mustRejoin             bool // the process must join under a new name
+	mustRejoin             bool // the node must join under a new name
 	yieldPolicy            yieldPolicy
 	capacityHint           capacityHint
-	runnersStartFrom       time.Time // no owner is started before
+	runnersStartFrom       time.Time // no runner is started before
 }
 
 // Config configures a Manager.
@@ -126,17 +129,17 @@
 	Partitions int
 	// HasWork reports whether a partition has work now; nil means that all have.
 	HasWork func(platform.Partition) bool
-	// UniqueID must return a different text at each call: a restarted process with its old name would
-	// get the epoch of its predecessor.
+	// UniqueID must return a different text at each call, also after a restart: a restarted process with
+	// its old name would get the epoch of the process before it.
 	UniqueID func() string
-	// MemberClient asks other members; nil if they can't be asked.
+	// MemberClient queries other members; nil if they can't be queried.
 	MemberClient MemberClient
 	// SuspendedFor returns the total time for which the machine has been suspended; nil if that is unknown.
 	SuspendedFor func() time.Duration
 	Logger       hclog.Logger
 }
 
-// New returns a Manager that runs run for each partition that it owns.
+// New returns a Manager that calls run for each partition that the node owns.
 func New(store Store, c Config, run Runner) *Manager {
 	m := &Manager{
 		store:           store,
@@ -178,7 +181,7 @@
 	return float64(h.Sum32()) / math.MaxUint32
 }
 
-// Run keeps the membership until ctx ends. Then it stops all owners and leaves the group.
+// Run keeps the membership until ctx ends. Then it stops all runners and leaves the group.
 func (m *Manager) Run(ctx context.Context) error {
 	tick := time.NewTicker(joinInterval)
 	defer tick.Stop()
@@ -225,8 +228,8 @@
 	}()
 }
 
-// join joins once. Joins overlap: if they did not, a lost answer would delay the next join until the timeout,
-// and by then the membership would have lapsed.
+// join joins once. Joins overlap. Otherwise a lost answer would delay the next join until the timeout, and by
+// then the membership would have lapsed.
 func (m *Manager) join(ctx context.Context) {
 	m.mu.Lock()
 	member := platform.Member{Group: groupName, Name: m.memberName, Topics: m.joinTopics, TTL: m.ttl, Generation: m.releasedGeneration}
@@ -234,14 +237,14 @@
 	sentAt := m.currentInstant()
 	a, status, err := m.store.Join(ctx, member)
 	if status != platform.StoreOK {
-		m.logger.Debug("group can't be joined", "status", status.String(), "error", err)
+		m.logger.Debug("failed to join the group", "status", status.String(), "error", err)
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lastJoinAnsweredAt = time.Now()
 	if member.Name != m.memberName || sentAt.at.Before(m.lastAnsweredJoinSentAt.at) || ctx.Err() != nil {
-		return // a later join was answered before, or the membership has begun anew
+		return // a later join has been answered, or the node has a new membership
 	}
 	m.lastAnsweredJoinSentAt = sentAt
 	isNewGeneration := a.Generation != m.generation
@@ -249,8 +252,8 @@
 	m.applyAssignment(ctx, a, sentAt, isNewGeneration)
 }
 
-// rejoinIfFenced begins a new membership if an owner has ended by itself, as a fenced owner does: a later
-// generation gives it an epoch above the one that fenced it.
+// rejoinIfFenced begins a new membership if a runner has returned by itself, as that of a fenced owner does. The
+// next assignment has a later generation, and so an epoch above the one that fenced the owner.
 func (m *Manager) rejoinIfFenced(ctx context.Context) {
 	m.mu.Lock()
 	mustRejoin := m.mustRejoin
@@ -266,7 +269,7 @@
 	}
 	m.stopAllRunners()
 	if _, err := m.store.Leave(ctx, groupName, oldName); err != nil {
-		m.logger.Debug("old membership can't be left, it lapses by itself", "member", oldName, "error", err)
+		m.logger.Debug("failed to leave the old membership, it will lapse", "member", oldName, "error", err)
 	}
 }
 
@@ -278,8 +281,8 @@
 	}
 }
 
-// ConfirmingJoinSentAt returns when the latest join that confirmed a partition to this process was sent: no other
-// process has taken it over before that. It returns zero if the partition isn't owned.
+// ConfirmingJoinSentAt returns when the latest join that confirmed a partition to this node was sent. No other
+// node had taken the partition over before that. It returns zero if this node doesn't own the partition.
 func (m *Manager) ConfirmingJoinSentAt(p platform.Partition) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -289,15 +292,15 @@
 	return time.Time{}
 }
 
-// leaveTimeout bounds the last call of a process that stops.
+// leaveTimeout bounds the call by which a node leaves the group.
 const leaveTimeout = 500 * time.Millisecond
 
-// leaveGroup stops all owners and leaves the group, so that other members need not wait for the TTL.
+// leaveGroup stops all runners and leaves the group, so that other members need not wait for the TTL.
 func (m *Manager) leaveGroup() {
 	m.stopAllRunners()
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	if status, err := m.store.Leave(ctx, groupName, m.memberName); status != platform.StoreOK {
-		m.logger.Warn("group can't be left, the membership lapses by itself", "status", status.String(), "error", err)
+		m.logger.Warn("failed to leave the group, the membership will lapse", "status", status.String(), "error", err)
 	}
 }
--- a/internal/ownership/scale_test.go
+++ b/internal/ownership/scale_test.go
@@ -13,7 +13,7 @@
 
 func allNodes(*clusterNode) bool { return true }
 
-// maxTimeToOwned is the target time from the start of the nodes until strong VMs own all partitions with work.
+// maxTimeToOwned is the longest time from the end of the nodes' start until all partitions with work have owners.
 const maxTimeToOwned = 500 * time.Millisecond
 
 func forEachFleetSize(t *testing.T, scenario func(t *testing.T, strong, weak int)) {
@@ -27,15 +27,15 @@
 }
 
 // Guards against callers of a large fleet being hardly served for eight seconds after a loss of power. All VMs come
-// back within 0.3 s and see no owners, so all join, and the partitions pass from the first, strong member to weak
-// members that can't serve them and notice stronger ones only after seconds. Strong VMs must own the partitions with
-// work from the first assignment on, with at most one change of owner each, also after a second loss and for any
-// number of members.
+// back within 0.3 s and see no owners. If all joined, the partitions would be reassigned from the first, strong member
+// to weak members, which can't serve them and detect stronger ones only after seconds. Strong VMs must own the
+// partitions with work from the first assignment on, with at most one change of owner each, also after a second loss
+// and for any number of members. At rest, a node may make no more than three calls per second to the store.
 func TestStrongVMsOwnPartitionsAfterALossOfAllNodes(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, strong, weak int) {
 		runCluster(t, strong, weak, func(c *cluster) {
 			c.start(allNodes)
-			assert.LessOrEqual(t, c.awaitOwned(true), maxTimeToOwned, "first start")
+			assert.LessOrEqual(t, c.awaitOwned(true /* byStrong */), maxTimeToOwned, "first start")
 			time.Sleep(5 * time.Second)
 			c.takeRunnerStarts()
 			calls := c.group.callWeight
@@ -46,19 +46,19 @@
 				c.kill(allNodes)
 				time.Sleep(outageTime)
 				c.start(allNodes)
-				assert.LessOrEqual(t, c.awaitOwned(true), maxTimeToOwned)
+				assert.LessOrEqual(t, c.awaitOwned(true /* byStrong */), maxTimeToOwned)
 				time.Sleep(5 * time.Second)
-				assert.True(t, c.isAllOwned(true))
+				assert.True(t, c.isAllOwned(true /* byStrong */))
 				maxStarts, weakStarts := c.takeRunnerStarts()
-				assert.LessOrEqual(t, maxStarts, 2, "owners of a partition")
-				assert.Zero(t, weakStarts, "partitions that a weak VM owned")
+				assert.LessOrEqual(t, maxStarts, 2, "owner starts of one partition")
+				assert.Zero(t, weakStarts, "no weak VM may own a partition with work")
 			}
 		})
 	})
 }
 
 // Strong VMs are restarted one after another, as for a new version. No weak VM may own a partition with work at any
-// time: two strong VMs are always there.
+// time, because at least minStrongerMembers strong VMs are running.
 func TestWeakVMsYieldDuringARollingRestartOfStrongOnes(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, strong, weak int) {
 		runCluster(t, strong, weak, func(c *cluster) {
@@ -72,16 +72,16 @@
 				c.start(this)
 			}
 			time.Sleep(time.Second)
-			assert.True(t, c.isAllOwned(true))
+			assert.True(t, c.isAllOwned(true /* byStrong */))
 			_, weakStarts := c.takeRunnerStarts()
-			assert.Zero(t, weakStarts, "partitions that a weak VM owned")
+			assert.Zero(t, weakStarts, "no weak VM may own a partition with work")
 		})
 	})
 }
 
-// All strong VMs but one are lost at once. The weak VMs must take over within the lease of the runs. Once the strong
-// VMs are back, the weak ones must yield to them no later than if they had been killed at that moment, although there
-// are more members than partitions.
+// All strong VMs but one are lost at once. The weak VMs must take over within the lease of the runs. After the return of
+// the strong VMs they must own all partitions with work within memberTTL + yieldingCheckInterval, the time that a
+// takeover from lost members may take, although there are more members than partitions.
 func TestWeakVMsOwnOnlyWhileTheStrongAreLost(t *testing.T) {
 	const lease = 3500 * time.Millisecond
 	forEachFleetSize(t, func(t *testing.T, strong, weak int) {
@@ -90,41 +90,42 @@
 			time.Sleep(5 * time.Second)
 			lost := func(n *clusterNode) bool { return c.isStrong(n) && n != c.nodes[0] }
 			c.kill(lost)
-			assert.LessOrEqual(t, c.awaitOwned(false), lease)
+			assert.LessOrEqual(t, c.awaitOwned(false /* byStrong */), lease)
 			time.Sleep(6 * time.Second)
-			assert.True(t, c.isAllOwned(false))
+			assert.True(t, c.isAllOwned(false /* byStrong */))
 			c.takeRunnerStarts()
 			c.start(lost)
-			assert.LessOrEqual(t, c.awaitOwned(true), memberTTL+yieldingCheckInterval)
+			assert.LessOrEqual(t, c.awaitOwned(true /* byStrong */), memberTTL+yieldingCheckInterval)
 			time.Sleep(3 * time.Second)
-			assert.True(t, c.isAllOwned(true))
+			assert.True(t, c.isAllOwned(true /* byStrong */))
 			maxStarts, _ := c.takeRunnerStarts()
-			assert.LessOrEqual(t, maxStarts, 4, "owners of a partition")
+			assert.LessOrEqual(t, maxStarts, 4, "owner starts of one partition")
 		})
 	})
 }
 
-// In a fleet of VMs of one size, no VM may wait for stronger ones after a loss of all nodes.
+// In a fleet of VMs of one size, no VM may wait for stronger ones after a loss of all nodes. At the first start nothing
+// is known of previous owners, and a VM may wait for maxInitialWait.
 func TestVMsOfOneSizeOwnAtOnceAfterALossOfAllNodes(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, strong, weak int) {
 		runCluster(t, 0, strong+weak, func(c *cluster) {
 			c.start(allNodes)
-			assert.LessOrEqual(t, c.awaitOwned(false), maxInitialWait, "first start")
+			assert.LessOrEqual(t, c.awaitOwned(false /* byStrong */), maxInitialWait, "first start")
 			time.Sleep(5 * time.Second)
 			c.kill(allNodes)
 			time.Sleep(outageTime)
 			c.start(allNodes)
-			assert.LessOrEqual(t, c.awaitOwned(false), maxTimeToOwned)
+			assert.LessOrEqual(t, c.awaitOwned(false /* byStrong */), maxTimeToOwned)
 		})
 	})
 }
 
-// Guards against a node that is cut off from the store and answers questions about its jobs after another node owns
-// them: OwnedUntil must have ended by the time the other node is assigned the partition.
+// Guards against a node that is cut off from the store and answers requests about its jobs after another node owns
+// them: OwnedUntil must have passed by the time the other node is assigned the partition.
 func TestOwnedUntilEndsBeforeAnotherMemberOwns(t *testing.T) {
 	runCluster(t, 2, 0, func(c *cluster) {
 		c.start(allNodes)
-		c.awaitOwned(true)
+		c.awaitOwned(true /* byStrong */)
 		time.Sleep(2 * time.Second)
 		cutOff, other := c.nodes[0], c.nodes[1]
 		var owned []platform.Partition
@@ -146,7 +147,7 @@
 				c.mu.Unlock()
 				if isReassigned {
 					reassigned++
-					require.False(t, cutOff.manager.OwnedUntil(p).After(time.Now()), "partition %v has passed on", p)
+					require.False(t, cutOff.manager.OwnedUntil(p).After(time.Now()), "partition %v has been reassigned", p)
 				}
 			}
 		}
--- a/internal/ownership/stickygroup_test.go
+++ b/internal/ownership/stickygroup_test.go
@@ -8,9 +8,9 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// stickyGroup is a store with one group. It assigns partitions evenly and moves as few as possible. A partition of a
-// live member passes on once that member has received the generation that takes it away. Members whose TTL has
-// expired are not listed as owners.
+// stickyGroup is a store with one group. It assigns partitions evenly and reassigns as few as possible. A partition of a
+// live member is reassigned once that member has reported the generation in which it lost the partition. Members whose
+// TTL has expired are not listed as owners.
 type stickyGroup struct {
 	mu                 sync.Mutex
 	partitionsPerTopic int
@@ -20,7 +20,7 @@
 	gen                int64
 	owner              map[platform.Partition]string
 	target             map[platform.Partition]string
-	revokedIn          map[platform.Partition]int64 // the generation that takes a partition from its owner, 0 if none
+	revokedIn          map[platform.Partition]int64 // the generation in which the owner loses the partition, 0 if none
 	records            []platform.KeyedRecord
 	callWeight         float64
 }
--- a/internal/ownership/watch.go
+++ b/internal/ownership/watch.go
@@ -9,24 +9,24 @@
 
 // Pauses between checks of the owners.
 const (
-	// yieldingCheckInterval is the longest pause of a VM that yields. Together with the TTL of a lost
-	// member it stays within a lease.
+	// yieldingCheckInterval is the longest pause of a VM that yields. The TTL of a lost member plus
+	// this pause is shorter than a lease.
 	yieldingCheckInterval = 500 * time.Millisecond
-	// outrankedCheckInterval is the pause of a member that knows of stronger members: it can serve little,
-	// and must yield to them within about a second. That takes two checks, and twice as many if the group
-	// assigns it what another member has left.
+	// outrankedCheckInterval is the pause of a member that knows of stronger members. It may be too weak
+	// to serve its partitions, and must yield within about a second. That takes two checks, or four if the
+	// group assigns it the partitions of another member that has just yielded.
 	outrankedCheckInterval = 150 * time.Millisecond
 	// memberCheckInterval is the pause of any other member.
 	memberCheckInterval = time.Second
-	// initialGatherTime is how long a member waits before it starts owners if nobody owned anything; VMs
-	// that start together do so within this time. The first member to join is assigned all partitions,
-	// and each would pause twice: for its takeover, and when it passes on to a member that joined a moment
-	// later.
+	// initialGatherTime is how long a member waits before it starts runners if no partition had an owner
+	// at its first read. VMs that start together do so within this time. Otherwise the first member to
+	// join would start runners for all partitions, and the service of most would be interrupted twice: by
+	// the takeover, and when they are reassigned to members that join a moment later.
 	initialGatherTime = 300 * time.Millisecond
 )
 
-// awaitFirstOwnersRead reads the owners until the store answers: without a read, a VM would not know whether it
-// must yield.
+// awaitFirstOwnersRead reads the owners until the store answers, and starts the yield policy. Before the first
+// read, a VM doesn't know whether it must yield.
 func (m *Manager) awaitFirstOwnersRead(ctx context.Context) {
 	for ctx.Err() == nil && !m.readOwners(ctx, 0) {
 		wait.Pause(ctx, joinInterval)
@@ -34,7 +34,8 @@
 	m.startYieldPolicy()
 }
 
-// startYieldPolicy starts the yield policy after the first read of the owners.
+// startYieldPolicy starts the yield policy after the first read of the owners. If no partition has an owner, no
+// runner is started for initialGatherTime.
 func (m *Manager) startYieldPolicy() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -46,8 +47,7 @@
 	}
 }
 
-// watchOwners reads the owners and updates whether this VM yields, until ctx ends. A read that fails changes
-// nothing.
+// watchOwners reads the owners and updates whether this VM yields, until ctx ends. A failed read changes nothing.
 func (m *Manager) watchOwners(ctx context.Context) {
 	for ctx.Err() == nil {
 		m.readCapacityHint(ctx)
@@ -62,7 +62,7 @@
 	}
 }
 
-// updateYielding updates whether this VM yields from the known owners.
+// updateYielding decides from the known owners whether this VM yields, and requests a join if that has changed.
 func (m *Manager) updateYielding(now time.Time) {
 	m.mu.Lock()
 	s := m.snapshot()
@@ -82,8 +82,8 @@
 	defer m.mu.Unlock()
 	switch {
 	case m.yieldPolicy.isYielding:
-		// The pauses of the VMs differ: if the strong members are lost, some weak VMs join before others
-		// check, and these then see that enough members have joined.
+		// The pauses differ between VMs. If the strong members are lost, some weak VMs join before the
+		// others check, and the others then see that enough members have joined.
 		delay := yieldingCheckInterval - time.Duration(m.checkJitter*float64(yieldingCheckInterval/4))
 		if untilJoin := m.yieldPolicy.joinAt.Sub(now); untilJoin > 0 {
 			delay = min(delay, untilJoin)
@@ -102,8 +102,9 @@
 	return m.yieldPolicy.isYielding
 }
 
-// leaveToYield leaves the group. It waits for joins in flight: a join that arrived after the leave would give
-// partitions to a member that runs none. The next membership has another name for the same reason.
+// leaveToYield leaves the group and prepares the next membership. It waits for joins in flight: a join that
+// arrived after the leave would assign partitions to a member that has no runners. The next membership has
+// another name for the same reason.
 func (m *Manager) leaveToYield() {
 	for range maxJoinsInFlight {
 		m.joinSlots <- struct{}{}
--- a/internal/ownership/yield_test.go
+++ b/internal/ownership/yield_test.go
@@ -120,8 +120,8 @@
 	})
 }
 
-// Strong VMs are lost. The weak one must take over within a second of their removal from the list of owners: together
-// with their TTL that is within the lease of what they ran.
+// Strong VMs are lost. The weak one must take over within a second of their removal from the list of owners. Their TTL
+// plus this second is shorter than the lease of their runs.
 func TestWeakVMTakesOverWhenStrongOnesAreLost(t *testing.T) {
 	runWeakMember(t, []string{encodedName("s-1", "800"), encodedName("s-2", "800")}, func(g *fakeGroup, owns func() bool) {
 		time.Sleep(5 * time.Second)
@@ -131,8 +131,8 @@
 	})
 }
 
-// A weak VM was first, then strong ones come and stay. It must leave the group cleanly after two checks, and stay out.
-// Strong VMs that are gone again by its next check must change nothing.
+// A weak VM has joined first, then strong ones join. It must leave the group after two checks and not join again.
+// Strong members that only one check sees must change nothing.
 func TestWeakMemberYieldsOnceStrongOnesStay(t *testing.T) {
 	runWeakMember(t, nil, func(g *fakeGroup, owns func() bool) {
 		time.Sleep(3 * time.Second)
@@ -155,8 +155,8 @@
 	})
 }
 
-// VMs of one size must all join, also beside a single strong VM: it may be lost, and as the only owner it would carry
-// everything.
+// VMs of one size must all join, also beside a single strong VM: it may be lost, and as the only member it would own all
+// partitions.
 func TestVMsOfOneSizeJoin(t *testing.T) {
 	runWeakMember(t, []string{encodedName("n-1", "192"), encodedName("n-2", "192"), encodedName("s-1", "800")}, func(g *fakeGroup, owns func() bool) {
 		time.Sleep(10 * time.Second)
@@ -165,8 +165,8 @@
 	})
 }
 
-// The name of a member of another version states no processor time. It must not make a VM yield, and no address must
-// be taken from it.
+// The name of a member of another version may state no processor time. It must not make a VM yield, and its address
+// must not be used.
 func TestInvalidMemberNamesAreIgnored(t *testing.T) {
 	for _, name := range []string{"", "n|a:1|x", "n|a:1|x|many", "n|a:1|x|1|2"} {
 		_, ok := parseMemberName(name)
@@ -241,9 +241,9 @@
 	return list, platform.StoreOK, nil
 }
 
-// Guards against weak VMs that own all services for a whole day, with a quarter of the processor time that an owner in
-// its busy hour needs, while strong VMs idle. Forty-four VMs start, six of them strong and a little later, and the
-// group assigns 24 partitions, by chance none to the strong ones. The weak ones must see the strong ones and leave.
+// Guards against weak VMs that keep all partitions, with a quarter of the processor time that the owner of a busy
+// service needs, while strong VMs own none. Forty-four VMs start, the six strong ones a little later, and the group
+// assigns 24 partitions, by chance none to the strong ones. The weak VMs must see the strong ones and leave.
 func TestWeakVMsYieldToStrongOnesWithoutPartitions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const weak, strong = 38, 6
