--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -4,7 +4,7 @@
 // joinInterval, and the answer lists the partitions that the group assigns to it: the node owns
 // them. A Manager starts a runner for each of them. If a partition is reassigned, its runner is
 // stopped and records its runs. Only then does the node report the generation in which it lost the
-// partition, whereupon the group assigns the partition to the successor.
+// partition, and the group assigns the partition to the successor.
 //
 // The group may reassign partitions at any time, so an assignment is only a hint. What keeps two
 // owners apart is the epoch. An owner's epoch is the generation of the assignment that gave it the
--- a/internal/ownership/yield.go
+++ b/internal/ownership/yield.go
@@ -55,8 +55,9 @@
 	isYielding bool
 	// joinAt is when a VM that yields joins, unless it has another reason to stay out by then.
 	joinAt time.Time
-	// outrankedSince is since when a member has seen enough stronger members. idleSince is since when it has
-	// owned no work partition while these were saturated. They are zero while the condition doesn't hold.
+	// outrankedSince is the time since which a member has seen enough stronger members. idleSince is the time
+	// since which it has owned no work partition while these were saturated. They are zero while their
+	// condition doesn't hold.
 	outrankedSince, idleSince time.Time
 }
 
@@ -84,7 +85,7 @@
 	}
 }
 
-// update decides from a read of the owners.
+// update decides from a read of the owners whether the VM yields.
 func (p *yieldPolicy) update(s ownershipSnapshot, now time.Time) {
 	isOutranked := s.strongerMembers >= minStrongerMembers
 	if p.isYielding {
