--- a/internal/node/release.go
+++ b/internal/node/release.go
@@ -42,7 +42,7 @@
 // lower than the requesting owner's, and returns the report of the last local owner with a
 // lower epoch.
 func (o *ownerDirectory) ServeRelease(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
-	o.manager.StopOwnerBelow(ctx, platform.Partition{Topic: joblog.JobsTopic, Part: req.Partition}, req.Epoch)
+	o.manager.StopRunnerBeforeEpoch(ctx, platform.Partition{Topic: joblog.JobsTopic, Part: req.Partition}, req.Epoch)
 	report, ok := o.reportBeforeEpoch(req.Partition, req.Epoch)
 	if !ok {
 		return nodepeer.Response{}, nil
--- a/internal/ownership/owned.go
+++ b/internal/ownership/owned.go
@@ -9,19 +9,20 @@
 	"github.com/yuccadrift/yuccadrift/platform"
 )
 
-// ownedPartition is a partition that this process owns, with its running owner.
+// ownedPartition is a partition that this node owns, or whose runner is still stopping.
 type ownedPartition struct {
 	epoch   int64
-	cancel  context.CancelCauseFunc
-	stopped chan struct{}
+	cancel  context.CancelCauseFunc // ends the context of the runner
+	stopped chan struct{}           // closed once the runner has returned
 	// confirmingJoinSentAt is when the latest join was sent whose answer listed the partition.
 	confirmingJoinSentAt instant
 }
 
-// applyAssignment starts and stops owners according to the answer to a join sent at sentAt. isNewGeneration
-// states whether the generation differs from that of the answer before. It must be called with mu held.
+// applyAssignment starts and stops runners according to the answer to a join sent at sentAt. isNewGeneration
+// states whether the generation differs from that of the answer before. The generation of the assignment is
+// the epoch of the runners that it starts. It must be called with mu held.
 func (m *Manager) applyAssignment(ctx context.Context, a platform.Assignment, sentAt instant, isNewGeneration bool) {
-	if time.Now().Before(m.ownersStartFrom) {
+	if time.Now().Before(m.runnersStartFrom) {
 		m.releasedGeneration = m.generation
 		return // other members are about to join, and the next assignment will differ
 	}
@@ -32,22 +33,22 @@
 		}
 		listed[p] = true
 		if own := m.owned[p]; own != nil && isNewGeneration && sentAt.at.After(m.ttlExpiresAt(own.confirmingJoinSentAt)) {
-			m.handOver(p, own, a.Generation, "another member may have owned it since")
+			m.stopReassigned(p, own, a.Generation, "another member may have owned it since")
 		}
 		switch {
-		case m.stoppingOwners[p] != nil:
-			continue // it is started again once the previous owner has recorded its runs
+		case m.stoppingRunners[p] != nil:
+			continue // a new runner is started once the previous one has recorded its runs
 		case a.Generation < m.supersededBelow[p]:
-			continue // the answer is older than the owner that requested the stop
+			continue // the answer is older than the later owner that requested the stop
 		}
 		if m.owned[p] == nil {
-			m.owned[p] = m.startOwner(ctx, p, a.Generation)
+			m.owned[p] = m.startRunner(ctx, p, a.Generation)
 		}
 		m.owned[p].confirmingJoinSentAt = sentAt
 	}
 	for p, own := range m.owned {
 		if !listed[p] {
-			m.handOver(p, own, a.Generation, "the group gave it to another member")
+			m.stopReassigned(p, own, a.Generation, "the group has reassigned it")
 		}
 	}
 	if m.stoppingCount == 0 {
@@ -55,30 +56,31 @@
 	}
 }
 
-// handOver stops the owner of a partition that passes on. It must be called with mu held.
-func (m *Manager) handOver(p platform.Partition, own *ownedPartition, generation int64, reason string) {
+// stopReassigned stops the runner of a partition that was or may have been reassigned. It must be called with
+// mu held.
+func (m *Manager) stopReassigned(p platform.Partition, own *ownedPartition, generation int64, reason string) {
 	m.logger.Info("partition handed over", "topic", p.Topic, "partition", p.Part, "generation", generation, "reason", reason)
-	m.stopOwner(p, own, nil)
+	m.stopRunner(p, own, nil)
 }
 
-// stopOwner stops the owner of a partition with a cause. It must be called with mu held.
-func (m *Manager) stopOwner(p platform.Partition, own *ownedPartition, cause error) {
+// stopRunner stops the runner of a partition with a cause. It must be called with mu held.
+func (m *Manager) stopRunner(p platform.Partition, own *ownedPartition, cause error) {
 	own.cancel(cause)
 	delete(m.owned, p)
-	m.stoppingOwners[p] = own
+	m.stoppingRunners[p] = own
 	m.stoppingCount++
 	go m.releaseOnceStopped(p, own)
 }
 
-// releaseOnceStopped reports to the group, as soon as no owner is stopping any more, the generation in which
-// this process lost the partitions. The group gives them to others once it receives that generation. If it
-// received it earlier, the next owner would fence this one before it has recorded its runs, and would have
-// to wait for their leases: seconds instead of about 60 ms.
+// releaseOnceStopped waits until a runner has stopped. Once none is stopping any more, it reports to the group
+// the latest generation. On receiving it, the group assigns the partitions that this node lost by then to
+// their successors. If it received the generation earlier, the successor would fence the runner before the
+// runner has recorded its runs, and would have to wait for their leases: seconds instead of about 60 ms.
 func (m *Manager) releaseOnceStopped(p platform.Partition, own *ownedPartition) {
 	<-own.stopped
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.stoppingOwners, p)
+	delete(m.stoppingRunners, p)
 	m.stoppingCount--
 	if m.stoppingCount == 0 {
 		m.releasedGeneration = m.generation
@@ -86,7 +88,8 @@
 	}
 }
 
-func (m *Manager) startOwner(ctx context.Context, p platform.Partition, epoch int64) *ownedPartition {
+// startRunner starts the runner of a partition. If the runner returns before ctx has ended, the node rejoins.
+func (m *Manager) startRunner(ctx context.Context, p platform.Partition, epoch int64) *ownedPartition {
 	ctx, cancel := context.WithCancelCause(ctx)
 	own := &ownedPartition{epoch: epoch, cancel: cancel, stopped: make(chan struct{})}
 	go func() {
@@ -103,25 +106,25 @@
 	return own
 }
 
-// ErrSuperseded is the cause with which an owner is stopped at the request of a later owner.
-var ErrSuperseded = errors.New("a later owner has taken the partition over")
+// ErrSuperseded is the cause with which a runner is stopped at the request of a later owner.
+var ErrSuperseded = errors.New("a later owner takes the partition over")
 
-// StopOwnerBelow stops the owner of a partition in this process if its epoch is below epoch, and waits until it
-// has stopped or ctx ends.
-func (m *Manager) StopOwnerBelow(ctx context.Context, p platform.Partition, epoch int64) {
+// StopRunnerBeforeEpoch stops the runner of a partition on this node if its epoch is below epoch, the epoch of the
+// later owner that requests the stop. It waits until the runner has stopped or ctx ends.
+func (m *Manager) StopRunnerBeforeEpoch(ctx context.Context, p platform.Partition, epoch int64) {
 	m.mu.Lock()
 	m.supersededBelow[p] = max(m.supersededBelow[p], epoch)
 	own := m.owned[p]
 	if own == nil {
-		own = m.stoppingOwners[p]
+		own = m.stoppingRunners[p]
 	}
 	if own == nil || own.epoch >= epoch {
 		m.mu.Unlock()
 		return
 	}
 	if m.owned[p] == own {
-		m.logger.Info("partition handed over", "topic", p.Topic, "partition", p.Part, "epoch", epoch, "reason", "its next owner asks for it")
-		m.stopOwner(p, own, ErrSuperseded)
+		m.logger.Info("partition handed over", "topic", p.Topic, "partition", p.Part, "epoch", epoch, "reason", "a later owner takes the partition over")
+		m.stopRunner(p, own, ErrSuperseded)
 	}
 	m.mu.Unlock()
 	select {
@@ -130,18 +133,18 @@
 	}
 }
 
-// stopAllOwners stops the owners of all owned partitions and waits until they have stopped, by which time they
-// have recorded their runs. It does not wait for owners that were being stopped before.
-func (m *Manager) stopAllOwners() {
+// stopAllRunners stops the runners of all owned partitions and waits until they have recorded their runs and
+// stopped. It does not wait for runners that were being stopped before.
+func (m *Manager) stopAllRunners() {
 	m.mu.Lock()
-	var stopped []*ownedPartition
+	var stopping []*ownedPartition
 	for p, own := range m.owned {
 		own.cancel(nil)
-		stopped = append(stopped, own)
+		stopping = append(stopping, own)
 		delete(m.owned, p)
 	}
 	m.mu.Unlock()
-	for _, own := range stopped {
+	for _, own := range stopping {
 		<-own.stopped
 	}
 }
