--- a/internal/scheduler/advice.go
+++ b/internal/scheduler/advice.go
@@ -41,17 +41,17 @@
 
 // ensureAdvice reports whether the step may be placed, and requests advice if its queue requires it
 // and no worker that the step fits on has a valid ticket.
-func (c *Core) ensureAdvice(p *pool, s *step, now time.Time) bool {
+func (c *Core) ensureAdvice(p *placementPool, s *step, now time.Time) bool {
 	q := s.job.queue
 	if q == nil || q.Advice == nil {
 		return true
 	}
-	if s.tickets == nil {
-		s.tickets = &adviceState{ticketsByWorker: map[string]ticket{}, refusedWorkers: map[string]bool{}}
+	if s.advice == nil {
+		s.advice = &adviceState{ticketsByWorker: map[string]ticket{}, refusedWorkers: map[string]bool{}}
 	}
 	fits := func(w *worker) bool { return s.fitsOn(w, now) }
 	usable := slices.ContainsFunc(p.workers, fits) || slices.ContainsFunc(p.reservedForSuspects, fits)
-	if !usable && !s.tickets.requestInFlight && !now.Before(s.tickets.nextRequestAt) {
+	if !usable && !s.advice.requestInFlight && !now.Before(s.advice.nextRequestAt) {
 		c.requestAdvice(p, s)
 	}
 	return usable
@@ -59,15 +59,15 @@
 
 // requestAdvice requests tickets for workers with enough free capacity, for those approved before
 // first.
-func (c *Core) requestAdvice(p *pool, s *step) {
+func (c *Core) requestAdvice(p *placementPool, s *step) {
 	var known, unknown []string
 	for _, w := range slices.Concat(p.workers, p.reservedForSuspects) {
-		_, hasTicket := s.tickets.ticketsByWorker[w.info.ID]
+		_, hasTicket := s.advice.ticketsByWorker[w.info.ID]
 		switch {
 		case !s.spec.Reservation().FitsIn(w.free()):
 		case hasTicket:
 			known = append(known, w.info.ID)
-		case !s.tickets.refusedWorkers[w.info.ID]:
+		case !s.advice.refusedWorkers[w.info.ID]:
 			unknown = append(unknown, w.info.ID)
 		}
 	}
@@ -75,19 +75,19 @@
 	if len(workerIDs) == 0 {
 		return
 	}
-	s.tickets.requestInFlight = true
+	s.advice.requestInFlight = true
 	c.orders.AdviceRequests = append(c.orders.AdviceRequests, AdviceOrder{Step: s.taskKey(0), Workers: workerIDs[:min(len(workerIDs), maxAdviceWorkers)]})
 }
 
 // HandleAdviceResult records the outcome of an advice request.
 func (c *Core) HandleAdviceResult(r AdviceResult, now time.Time) {
 	s, _ := c.findTask(r.Order.Step)
-	if s == nil || s.tickets == nil {
+	if s == nil || s.advice == nil {
 		return
 	}
-	s.tickets.requestInFlight = false
+	s.advice.requestInFlight = false
 	if !r.OK {
-		s.tickets.nextRequestAt = now.Add(adviceRetryInterval)
+		s.advice.nextRequestAt = now.Add(adviceRetryInterval)
 		return
 	}
 	for _, id := range r.Order.Workers {
@@ -96,10 +96,10 @@
 		}
 		text, approved := r.Tickets[id]
 		if !approved {
-			s.tickets.refusedWorkers[id] = true
+			s.advice.refusedWorkers[id] = true
 			continue
 		}
-		s.tickets.ticketsByWorker[id] = ticket{text: text, validUntil: r.SentAt.Add(r.ValidFor)}
+		s.advice.ticketsByWorker[id] = ticket{text: text, validUntil: r.SentAt.Add(r.ValidFor)}
 	}
 	c.planStale = true
 }
@@ -107,10 +107,10 @@
 // validTicket returns the ticket for a worker if it is valid for longer than ticketExpiryMargin,
 // nil otherwise.
 func (s *step) validTicket(worker string, now time.Time) *ticket {
-	if s.tickets == nil {
+	if s.advice == nil {
 		return nil
 	}
-	t, ok := s.tickets.ticketsByWorker[worker]
+	t, ok := s.advice.ticketsByWorker[worker]
 	if !ok || !now.Before(t.validUntil.Add(-ticketExpiryMargin)) {
 		return nil
 	}
@@ -122,16 +122,16 @@
 func (c *Core) forgetAdvice(worker string) {
 	for _, j := range c.activeJobs {
 		for _, s := range j.steps {
-			if s.tickets != nil {
-				delete(s.tickets.ticketsByWorker, worker)
-				delete(s.tickets.refusedWorkers, worker)
+			if s.advice != nil {
+				delete(s.advice.ticketsByWorker, worker)
+				delete(s.advice.refusedWorkers, worker)
 			}
 		}
 	}
 }
 
 func (s *step) dropTicket(worker string) {
-	if s.tickets != nil {
-		delete(s.tickets.ticketsByWorker, worker)
+	if s.advice != nil {
+		delete(s.advice.ticketsByWorker, worker)
 	}
 }
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -94,9 +94,9 @@
 	shares        map[string]*queueShares // by queue
 	workers       map[string]*worker
 	sortedWorkers []*worker // by ID
-	// forgottenWorkerTokens are the last tokens of removed workers, by ID. A worker may come
+	// removedWorkerTokens are the last tokens of removed workers, by ID. A worker may come
 	// back under its ID.
-	forgottenWorkerTokens map[string]int64
+	removedWorkerTokens map[string]int64
 
 	// Authority. Tasks may be started and leases renewed until authorityUntil if
 	// authorityBounded is set, and without a bound otherwise.
@@ -142,8 +142,8 @@
 	stepsWithCrashes []*step
 	// serviceBusyUntil is until when a service counts as busy with tasks that are no suspects.
 	serviceBusyUntil map[string]time.Time
-	// suspectWritePending is set while changed crashes of tasks are not stored.
-	suspectWritePending bool
+	// crashWritePending is set while changed crashes of tasks are not stored.
+	crashWritePending bool
 
 	// planStale is set when something has changed that a plan depends on.
 	planStale bool
@@ -196,7 +196,7 @@
 		config:                &workload.Config{},
 		jobs:                  map[workload.JobID]*job{},
 		workers:               map[string]*worker{},
-		forgottenWorkerTokens: map[string]int64{},
+		removedWorkerTokens:   map[string]int64{},
 		serviceBusyUntil:      map[string]time.Time{},
 		dirtyJobs:             map[workload.JobID]*job{},
 		unresolvedWorkers:     map[string]bool{},
@@ -342,7 +342,7 @@
 		if !present[w.info.ID] {
 			w.unregistered = true
 		}
-		c.resolvePossibleCrash(w, now)
+		c.resolveProcessExit(w, now)
 	}
 	c.planStale = true
 }
@@ -362,7 +362,7 @@
 		return w
 	}
 	w := &worker{info: workload.Worker{ID: id}, token: c.settings.Epoch * tokensPerEpoch, bestEffortSpeedPercent: fullSpeedPercent, incarnationFirstSeenAt: now, unreachable: true, unregistered: true, incarnationUnresolved: true}
-	if last, ok := c.forgottenWorkerTokens[id]; ok {
+	if last, ok := c.removedWorkerTokens[id]; ok {
 		w.token = last
 		c.raiseToken(w)
 	}
@@ -403,7 +403,7 @@
 		}
 		delete(c.workers, w.info.ID)
 		delete(c.unresolvedWorkers, w.info.ID)
-		c.forgottenWorkerTokens[w.info.ID] = w.token
+		c.removedWorkerTokens[w.info.ID] = w.token
 		return true
 	})
 }
--- a/internal/scheduler/crash.go
+++ b/internal/scheduler/crash.go
@@ -8,9 +8,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// successorTimeout is how long a worker that may have crashed is remembered. Its successor answers
+// unconfirmedCrashTimeout is how long a worker that may have crashed is remembered. Its successor answers
 // after some seconds.
-const successorTimeout = 30 * time.Second
+const unconfirmedCrashTimeout = 30 * time.Second
 
 // handleProcessExit handles the end of a worker's process, which ended the given runs. It records a
 // crash unless another reason for the end is known.
@@ -41,37 +41,37 @@
 		c.removeRun(r)
 	}
 	for _, r := range w.blamedRuns {
-		c.giveUpIfProvenCause(r, now)
+		c.failJobIfProvenCause(r, now)
 	}
 }
 
-// recordPossibleCrash records an unconfirmed crash of a worker that refuses connections. The worker
+// recordUnconfirmedCrash records an unconfirmed crash of a worker that refuses connections. The worker
 // may be cut off and still run its tasks, so its runs stay until its leases expire, and the crash
 // proves nothing until a successor answers. The record is stored at once, because this owner may be
 // lost before that.
-func (c *Core) recordPossibleCrash(w *worker, now time.Time) {
+func (c *Core) recordUnconfirmedCrash(w *worker, now time.Time) {
 	if len(w.runs) == 0 || !w.crashUnconfirmedUntil.IsZero() || c.nonCrashReason(w, w.runs, now) != "" {
 		return
 	}
 	c.recordCrash(w, w.runs, true, now)
-	w.crashUnconfirmedUntil = now.Add(successorTimeout)
+	w.crashUnconfirmedUntil = now.Add(unconfirmedCrashTimeout)
 }
 
-// resolvePossibleCrash checks whether the list of workers, which lags behind, shows what happened
+// resolveProcessExit checks whether the list of workers, which lags behind, shows what happened
 // to a worker: its process ended for another reason than a crash, or a successor answers at its
 // address.
-func (c *Core) resolvePossibleCrash(w *worker, now time.Time) {
+func (c *Core) resolveProcessExit(w *worker, now time.Time) {
 	if len(w.blamedRuns) > 0 && c.listedNonCrashReason(w, w.blamedRuns) != "" {
 		c.retractWorkerCrash(w)
 		return
 	}
-	if w.unreachable && (len(w.runs) > 0 || now.Before(w.crashUnconfirmedUntil)) && c.hasSuccessor(w) {
+	if w.unreachable && (len(w.runs) > 0 || now.Before(w.crashUnconfirmedUntil)) && c.hasReplacement(w) {
 		c.handleReplaced(w, now)
 	}
 }
 
-// hasSuccessor reports whether another worker of the same service answers at the worker's address.
-func (c *Core) hasSuccessor(w *worker) bool {
+// hasReplacement reports whether another worker of the same service answers at the worker's address.
+func (c *Core) hasReplacement(w *worker) bool {
 	return slices.ContainsFunc(c.sortedWorkers, func(other *worker) bool {
 		return other != w && w.info.Address != "" && other.info.Address == w.info.Address && other.info.Service == w.info.Service && other.synced && !other.unreachable
 	})
@@ -91,8 +91,8 @@
 	}
 }
 
-// retractPossibleCrash retracts the possible crash recorded for a worker that has answered.
-func (c *Core) retractPossibleCrash(w *worker) {
+// retractUnconfirmedCrash retracts the possible crash recorded for a worker that has answered.
+func (c *Core) retractUnconfirmedCrash(w *worker) {
 	if !w.crashUnconfirmedUntil.IsZero() {
 		w.crashUnconfirmedUntil = time.Time{}
 		c.retractWorkerCrash(w)
@@ -162,10 +162,10 @@
 		crashes[i] = workload.Crash{
 			Worker: w.info.ID, Incarnation: r.incarnation, Address: w.info.Address, Run: r.number, DetectedAtMS: now.UnixMilli(), RunAgeMS: r.maxAgeAt(crashedAt).Milliseconds(),
 			LikelyCause: slices.Contains(likelyRuns, r),
-			SoleCause:   r.isOnlyCandidate(runs, crashedAt),
+			SoleCause:   r.isSoleCause(runs, crashedAt),
 			Unconfirmed: unconfirmed,
 
-			StartUnanswered: !r.startConfirmed && !r.restored,
+			StartUnanswered: !r.startConfirmed && !r.fromCrashRecord,
 			Inherited:       r.inherited,
 		}
 	}
@@ -198,14 +198,14 @@
 // are stored: otherwise, if it crashed the next worker too, each new owner would count its crashes
 // from zero.
 func (c *Core) queueCrashWrite(s *step, t *task) {
-	c.addCrashedStep(s)
+	c.trackStepWithCrashes(s)
 	t.crashesStoredInWrite = c.lastWriteSeq + 1
-	c.suspectWritePending = true
+	c.crashWritePending = true
 	c.dirtyJobs[s.job.id] = s.job
 }
 
-// addCrashedStep adds a step to those under whose tasks workers have crashed.
-func (c *Core) addCrashedStep(s *step) {
+// trackStepWithCrashes adds a step to those under whose tasks workers have crashed.
+func (c *Core) trackStepWithCrashes(s *step) {
 	if !s.hasCrashes {
 		s.hasCrashes = true
 		c.stepsWithCrashes = append(c.stepsWithCrashes, s)
@@ -231,10 +231,10 @@
 	})
 }
 
-// isOnlyCandidate reports whether none of the worker's other runs can have caused a crash at the
+// isSoleCause reports whether none of the worker's other runs can have caused a crash at the
 // given time. Runs that had made progress are ruled out only beside an isolated run, which crashes
 // its worker at once or not at all. A run that is not isolated must have a confirmed start.
-func (r *run) isOnlyCandidate(runs []*run, at time.Time) bool {
+func (r *run) isSoleCause(runs []*run, at time.Time) bool {
 	for _, other := range runs {
 		if !other.isSameTaskOrGang(r) && (!r.isolated || other.isCrashCandidate(at)) {
 			return false
@@ -257,8 +257,8 @@
 	return r.step == other.step && (r.index == other.index || r.step.spec.Gang)
 }
 
-// giveUpIfProvenCause fails the job of a run's task if the task is proven to crash its workers.
-func (c *Core) giveUpIfProvenCause(r *run, now time.Time) {
+// failJobIfProvenCause fails the job of a run's task if the task is proven to crash its workers.
+func (c *Core) failJobIfProvenCause(r *run, now time.Time) {
 	t, j := r.task(), r.step.job
 	if j.finalState.IsTerminal() || !t.isProvenCause(r.step.spec.LongRunning) {
 		return
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -10,7 +10,7 @@
 // placeGang starts all tasks of a gang at once, or none. Members that wait for others hold their
 // capacity and do no work, and the platform ends a gang that is not complete in time as `alone`,
 // which counts as aborted work.
-func (c *Core) placeGang(p *pool, s *step, now time.Time) {
+func (c *Core) placeGang(p *placementPool, s *step, now time.Time) {
 	for i := range s.tasks {
 		t := &s.tasks[i]
 		if len(t.runs) > 0 || now.Before(t.notBefore) {
@@ -100,7 +100,7 @@
 // assignInOneRack returns workers in one rack for all tasks of a gang, trying the rack of its data
 // first. It returns nil if the gang fits in no rack or asks for none. A gang without SameRack tries
 // one rack only, as it may be placed anywhere.
-func (s *step) assignInOneRack(p *pool, now time.Time) []*worker {
+func (s *step) assignInOneRack(p *placementPool, now time.Time) []*worker {
 	if !s.spec.SameRack && s.spec.DataRack == "" {
 		return nil
 	}
--- a/internal/scheduler/incarnation.go
+++ b/internal/scheduler/incarnation.go
@@ -150,7 +150,7 @@
 			lost = append(lost, r)
 		}
 	}
-	if len(lost) > 0 || w.hasBlamedRunsOfEarlierIncarnation() {
+	if len(lost) > 0 || w.hasUnconfirmedCrashOfEarlierIncarnation() {
 		c.handleProcessExit(w, lost, now)
 	}
 	if !w.restartDetectedAt.IsZero() {
@@ -159,9 +159,9 @@
 	}
 }
 
-// hasBlamedRunsOfEarlierIncarnation reports whether a crash of an earlier incarnation of the
+// hasUnconfirmedCrashOfEarlierIncarnation reports whether a crash of an earlier incarnation of the
 // worker is unconfirmed.
-func (w *worker) hasBlamedRunsOfEarlierIncarnation() bool {
+func (w *worker) hasUnconfirmedCrashOfEarlierIncarnation() bool {
 	return !w.crashUnconfirmedUntil.IsZero() && slices.ContainsFunc(w.blamedRuns, func(r *run) bool { return r.incarnation != 0 && r.incarnation != w.incarnation })
 }
 
--- a/internal/scheduler/isolation.go
+++ b/internal/scheduler/isolation.go
@@ -19,15 +19,15 @@
 	// serviceBusyDuration is how long a service counts as busy after tasks other than suspects have
 	// started or found no free capacity.
 	serviceBusyDuration = time.Second
-	// onlyCandidateRankPenalty lowers a suspect's rank for each crash that it alone can have
+	// soleCauseRankPenalty lowers a suspect's rank for each crash that it alone can have
 	// caused. waitRankDivisor is the part of its waiting time, as one in so many, that is added.
-	onlyCandidateRankPenalty = time.Second
-	waitRankDivisor          = 50
+	soleCauseRankPenalty = time.Second
+	waitRankDivisor      = 50
 	// suspectsLogInterval is the shortest time between two log lines on waiting suspects.
 	suspectsLogInterval = 2 * time.Second
-	// reservationTTL is how long a worker stays reserved for suspects after the last request. Each
+	// suspectReservationTTL is how long a worker stays reserved for suspects after the last request. Each
 	// plan with a waiting suspect renews it.
-	reservationTTL = 500 * time.Millisecond
+	suspectReservationTTL = 500 * time.Millisecond
 	// gangReservationTimeout is how long a gang with suspects waits for reserved workers. There may
 	// never be enough.
 	gangReservationTimeout = 3 * time.Second
@@ -77,7 +77,7 @@
 // placeSuspects starts suspects, each on a worker where it is the only crash candidate. The planned
 // worker is stored before the start. If this owner is lost before it has recorded the outcome, the
 // next owner asks what happened to that worker.
-func (c *Core) placeSuspects(pools map[string]*pool, now time.Time) {
+func (c *Core) placeSuspects(pools map[string]*placementPool, now time.Time) {
 	suspectCount, reservedCount := 0, 0
 	byService := c.suspectsByService(now)
 	for _, service := range slices.Sorted(maps.Keys(byService)) {
@@ -121,7 +121,7 @@
 
 // placeSuspect starts a suspect's isolated run as planned, or plans one if there is no plan or its
 // worker is no longer available.
-func (c *Core) placeSuspect(p *pool, x suspect, now time.Time) {
+func (c *Core) placeSuspect(p *placementPool, x suspect, now time.Time) {
 	s, t := x.step, x.task()
 	if !c.ensureAdvice(p, s, now) {
 		return
@@ -130,7 +130,7 @@
 		c.startIsolatedRun(s, x.index, t.checkpoint, now)
 		return
 	}
-	c.dropPendingCrashes(s, t)
+	c.dropIsolatedRunRecords(s, t)
 	w := p.bestReservedWorker(s, now)
 	if w == nil {
 		p.reserveForSuspects(s, now)
@@ -148,7 +148,7 @@
 }
 
 // canStartPlanned reports whether the worker of a planned isolated run is still available for it.
-func (p *pool) canStartPlanned(s *step, planned *plannedIsolatedRun, now time.Time) bool {
+func (p *placementPool) canStartPlanned(s *step, planned *plannedIsolatedRun, now time.Time) bool {
 	w := planned.worker
 	return planned.incarnation == w.incarnation && slices.Contains(p.reservedForSuspects, w) && s.fitsOn(w, now) && w.hasNoCrashCandidate(now)
 }
@@ -156,7 +156,7 @@
 // planIsolatedRun plans an isolated run on a worker and queues the plan to be stored.
 func (c *Core) planIsolatedRun(w *worker, s *step, t *task, runNumber int64, now time.Time) {
 	t.plannedIsolatedRun = &plannedIsolatedRun{worker: w, incarnation: w.incarnation, runNumber: runNumber}
-	w.isolatedRunPlannedUntil = now.Add(reservationTTL)
+	w.isolatedRunPlannedUntil = now.Add(suspectReservationTTL)
 	w.reservedForSuspectsUntil = w.isolatedRunPlannedUntil
 	t.addCrash(workload.Crash{Worker: w.info.ID, Incarnation: w.incarnation, Address: w.info.Address, Run: runNumber, DetectedAtMS: now.UnixMilli(), IsolatedRunPending: true})
 	c.queueCrashWrite(s, t)
@@ -172,8 +172,8 @@
 	c.startRun(planned.worker, s, index, planned.runNumber, checkpoint, now).isolated = true
 }
 
-// dropPendingCrashes drops an isolated run that was only planned or that ended without a crash.
-func (c *Core) dropPendingCrashes(s *step, t *task) {
+// dropIsolatedRunRecords drops an isolated run that was only planned or that ended without a crash.
+func (c *Core) dropIsolatedRunRecords(s *step, t *task) {
 	t.plannedIsolatedRun = nil
 	countBefore := len(t.crashes)
 	t.crashes = slices.DeleteFunc(t.crashes, func(crash workload.Crash) bool { return crash.IsolatedRunPending })
@@ -182,8 +182,8 @@
 	}
 }
 
-// restoreOpenCrash restores a crash record that an earlier owner left unresolved.
-func (c *Core) restoreOpenCrash(s *step, index int, crash workload.Crash) {
+// restoreRunFromCrashRecord restores a crash record that an earlier owner left unresolved.
+func (c *Core) restoreRunFromCrashRecord(s *step, index int, crash workload.Crash) {
 	w := c.ensureWorker(crash.Worker, c.tookOverAt)
 	if w.info.Address == "" {
 		// The worker may no longer be listed. A successor at its address shows that it is gone.
@@ -195,7 +195,7 @@
 	r := &run{
 		step: s, index: index, number: crash.Run, worker: w, incarnation: crash.Incarnation, state: runUnanswered,
 		stateChangedAt: c.tookOverAt, orderedAt: c.tookOverAt, orderedSpeedPercent: fullSpeedPercent,
-		isolated: crash.IsolatedRunPending, restored: true,
+		isolated: crash.IsolatedRunPending, fromCrashRecord: true,
 		mayBeStoppingUntil: c.tookOverAt.Add(c.settings.MaxStopDuration + stopSlack),
 	}
 	if crash.IsolatedRunPending {
@@ -203,7 +203,7 @@
 	}
 	if crash.Unconfirmed {
 		w.blamedRuns = append(w.blamedRuns, r)
-		w.crashUnconfirmedUntil = c.tookOverAt.Add(successorTimeout)
+		w.crashUnconfirmedUntil = c.tookOverAt.Add(unconfirmedCrashTimeout)
 		return
 	}
 	w.extendLease(earlierLeaseExpiry(c.settings, c.tookOverAt))
@@ -214,13 +214,13 @@
 func (c *Core) endIsolatedRun(r *run) {
 	if r.isolated {
 		r.isolated = false
-		c.dropPendingCrashes(r.step, r.task())
+		c.dropIsolatedRunRecords(r.step, r.task())
 	}
 }
 
 // bestReservedWorker returns the ready reserved worker with the fewest runs that fits the step, nil
 // if there is none.
-func (p *pool) bestReservedWorker(s *step, now time.Time) *worker {
+func (p *placementPool) bestReservedWorker(s *step, now time.Time) *worker {
 	var best *worker
 	for _, w := range p.readyReservedWorkers(now) {
 		if s.fitsOn(w, now) && (best == nil || len(w.runs) < len(best.runs)) {
@@ -231,7 +231,7 @@
 }
 
 // contains reports whether a worker is in the pool, reserved for suspects or not.
-func (p *pool) contains(w *worker) bool {
+func (p *placementPool) contains(w *worker) bool {
 	return slices.Contains(p.reservedForSuspects, w) || slices.Contains(p.workers, w)
 }
 
@@ -239,22 +239,22 @@
 // reserves one more worker up to maxReserved. If no reserved worker could run them, for example
 // because none has the required label, it exceeds the bound: the suspects would otherwise wait
 // forever.
-func (p *pool) reserveForSuspects(s *step, now time.Time) {
+func (p *placementPool) reserveForSuspects(s *step, now time.Time) {
 	capable := 0
 	for _, w := range p.reservedForSuspects {
 		if s.canEventuallyRunOn(w) {
-			w.reservedForSuspectsUntil = now.Add(reservationTTL)
+			w.reservedForSuspectsUntil = now.Add(suspectReservationTTL)
 			capable++
 		}
 	}
-	if capable > 0 && len(p.reservedForSuspects) >= p.maxReserved(now) {
+	if capable > 0 && len(p.reservedForSuspects) >= p.maxReservedForSuspects(now) {
 		return
 	}
 	i := p.leastLoadedIndex(s)
 	if i < 0 {
 		return
 	}
-	p.workers[i].reservedForSuspectsUntil = now.Add(reservationTTL)
+	p.workers[i].reservedForSuspectsUntil = now.Add(suspectReservationTTL)
 	p.reservedForSuspects = append(p.reservedForSuspects, p.workers[i])
 	p.removeAt(i)
 }
@@ -271,7 +271,7 @@
 		switch {
 		case crash.Cleared || crash.IsolatedRunPending:
 		case crash.SoleCause:
-			rank -= onlyCandidateRankPenalty
+			rank -= soleCauseRankPenalty
 		default:
 			rank = max(rank, time.Duration(crash.RunAgeMS)*time.Millisecond)
 		}
@@ -289,8 +289,8 @@
 	c.recordDecision(Decision{Verb: "suspects-wait", Reason: fmt.Sprintf("%d tasks that may crash workers wait for an isolated run, %d workers are reserved for suspects", waiting, reserved), AlwaysLogged: true})
 }
 
-// maxReserved returns how many workers may be reserved for suspects.
-func (p *pool) maxReserved(now time.Time) int {
+// maxReservedForSuspects returns how many workers may be reserved for suspects.
+func (p *placementPool) maxReservedForSuspects(now time.Time) int {
 	workerCount := len(p.workers) + len(p.reservedForSuspects)
 	if now.Before(p.busyUntil) {
 		return max(1, workerCount/busyReserveDivisor)
@@ -300,7 +300,7 @@
 
 // readyReservedWorkers returns the reserved workers that have no crash candidate and no planned
 // isolated run.
-func (p *pool) readyReservedWorkers(now time.Time) []*worker {
+func (p *placementPool) readyReservedWorkers(now time.Time) []*worker {
 	var ready []*worker
 	for _, w := range p.reservedForSuspects {
 		if w.hasNoCrashCandidate(now) && !now.Before(w.isolatedRunPlannedUntil) {
@@ -313,7 +313,7 @@
 // placeGangWithSuspects starts a gang with suspects: the suspects on reserved workers, the other
 // members anywhere. A crash ends the whole gang, and the crashed worker shows which members ran
 // there.
-func (c *Core) placeGangWithSuspects(p *pool, s *step, now time.Time) {
+func (c *Core) placeGangWithSuspects(p *placementPool, s *step, now time.Time) {
 	var suspects, others []int
 	for i := range s.tasks {
 		t := &s.tasks[i]
@@ -347,7 +347,7 @@
 }
 
 // canStartPlannedGang reports whether the suspects of a gang can be started as planned.
-func (p *pool) canStartPlannedGang(s *step, suspects []int, now time.Time) bool {
+func (p *placementPool) canStartPlannedGang(s *step, suspects []int, now time.Time) bool {
 	var plannedWorkers []*worker
 	for _, i := range suspects {
 		plan := s.tasks[i].plannedIsolatedRun
@@ -363,7 +363,7 @@
 
 // planGangSuspects plans the workers for the suspects of a gang. Several suspects may share a
 // worker. After gangReservationTimeout any worker of the pool is used.
-func (c *Core) planGangSuspects(p *pool, s *step, suspects []int, now time.Time) {
+func (c *Core) planGangSuspects(p *placementPool, s *step, suspects []int, now time.Time) {
 	if s.waitingForIsolationSince.IsZero() {
 		s.waitingForIsolationSince = now
 	}
@@ -380,7 +380,7 @@
 	}
 	runNumber := s.nextRunNumber(c.settings.Epoch)
 	for k, i := range suspects {
-		c.dropPendingCrashes(s, &s.tasks[i])
+		c.dropIsolatedRunRecords(s, &s.tasks[i])
 		c.planIsolatedRun(assigned[k], s, &s.tasks[i], runNumber, now)
 	}
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -44,11 +44,11 @@
 	lastRunSeq             int64          // of this epoch's run numbers
 	liveRunsByWorker       map[string]int // by worker ID
 	checkpoint             string         // newest of any task; a gang restarts from it
-	tickets                *adviceState   // nil before its queue needed advice
+	advice                 *adviceState   // nil before its queue needed advice
 	occurrenceRanked       bool           // of an occurrence's first step: the occurrence is in the ranking
-	// share is the share of the occurrence's size, nil before it is ranked and for
+	// sizeStats is the share of the occurrence's size, nil before it is ranked and for
 	// long-running tasks.
-	share *sizeShare
+	sizeStats *sizeStats
 }
 
 // task is one task of a step. It is idle, and waits for a start, while it is not done and has
@@ -214,11 +214,11 @@
 
 // restoreCrashes restores the stored crashes of a task.
 func (c *Core) restoreCrashes(s *step, index int, crashes []workload.Crash) {
-	c.addCrashedStep(s)
+	c.trackStepWithCrashes(s)
 	s.tasks[index].crashes = crashes
 	for _, crash := range crashes {
 		if (crash.IsolatedRunPending || crash.Unconfirmed) && !s.job.restoredProgress.FinalState.IsTerminal() {
-			c.restoreOpenCrash(s, index, crash)
+			c.restoreRunFromCrashRecord(s, index, crash)
 		}
 	}
 }
--- a/internal/scheduler/orders.go
+++ b/internal/scheduler/orders.go
@@ -165,8 +165,8 @@
 	}
 	c.pendingWrite = nil
 	c.storedWriteSeq = c.lastWriteSeq
-	if c.suspectWritePending {
-		c.suspectWritePending = false
+	if c.crashWritePending {
+		c.crashWritePending = false
 		c.planStale = true
 		c.ranking.tryAll = true // suspects may start even if their service has no room for other tasks
 	}
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -16,7 +16,7 @@
 	c.Counts.Plans++
 	c.refreshRanking(now)
 	r := &c.ranking
-	pools := c.poolsByService(now)
+	pools := c.placementPoolsByService(now)
 	r.beginPlan(pools)
 	c.placeSuspects(pools, now)
 	for _, cand := range r.candidates {
@@ -52,8 +52,8 @@
 			c.preempt(pool, cand, s, now)
 		}
 		if cand.class <= classStarved {
-			if lacksCapacity && (s.spec.LongRunning || !pool.hasTaskReservation) {
-				pool.reserveWorkerFor(s)
+			if lacksCapacity && (s.spec.LongRunning || !pool.hasHeldWorker) {
+				pool.holdWorkerFor(s)
 			}
 			continue
 		}
@@ -90,7 +90,7 @@
 }
 
 // placeStep starts the idle tasks of a step as far as there is free capacity, a gang as a whole.
-func (c *Core) placeStep(p *pool, s *step, now time.Time) {
+func (c *Core) placeStep(p *placementPool, s *step, now time.Time) {
 	hasSuspects := s.idleSuspectCount() > 0
 	if !hasSuspects && !s.spec.Reservation().FitsIn(p.maxFree) {
 		return
--- a/internal/scheduler/pollresult.go
+++ b/internal/scheduler/pollresult.go
@@ -84,7 +84,7 @@
 	}
 	w.connectionRefused = r.Answer.Status == workload.WorkerConnRefused
 	if w.connectionRefused {
-		c.recordPossibleCrash(w, now)
+		c.recordUnconfirmedCrash(w, now)
 	}
 }
 
@@ -119,7 +119,7 @@
 	w.unreachable = false
 	w.connectionRefused = false
 	w.entryMismatch = false
-	c.retractPossibleCrash(w)
+	c.retractUnconfirmedCrash(w)
 	w.nextPollAt = now.Add(minPollInterval + time.Duration(len(c.sortedWorkers))*pollIntervalPerWorker)
 	for _, e := range r.Report.Exited {
 		if e.Sequence > w.lastExitSeen {
@@ -142,7 +142,7 @@
 	if !w.synced {
 		w.synced = true
 		delete(c.unresolvedWorkers, w.info.ID)
-		c.withdrawSilentLosses(w)
+		c.retractSilentLosses(w)
 		c.recordDecision(Decision{Verb: "worker-synced", Worker: w.info.ID, Reason: "answered under the owner's token", Age: now.Sub(w.incarnationFirstSeenAt)})
 	}
 	c.throttleBestEffort(w, now)
@@ -153,7 +153,7 @@
 func (c *Core) handleListedRun(w *worker, listed workload.ListedRun, sentAt, now time.Time) {
 	r := w.findRun(listed.Task, listed.Run)
 	if r == nil {
-		r = c.adoptRun(w, listed, now)
+		r = c.addListedRun(w, listed, now)
 		if r == nil {
 			return
 		}
@@ -177,15 +177,15 @@
 	}
 }
 
-// adoptRun adds a listed run that an earlier owner started. It stops a run that is not
+// addListedRun adds a listed run that an earlier owner started. It stops a run that is not
 // needed, and returns nil if the run's task is unknown.
-func (c *Core) adoptRun(w *worker, listed workload.ListedRun, now time.Time) *run {
+func (c *Core) addListedRun(w *worker, listed workload.ListedRun, now time.Time) *run {
 	s, t := c.findTask(listed.Task)
 	if s == nil {
 		c.orders.Stops = append(c.orders.Stops, StopOrder{Worker: w.info, Task: listed.Task, Run: listed.Run, Token: w.token})
 		return nil
 	}
-	r := &run{step: s, index: listed.Task.Index, number: listed.Run, worker: w, incarnation: w.incarnation, state: runRunning, stateChangedAt: now, orderedAt: now, orderedSpeedPercent: fullSpeedPercent, inherited: true, adopted: true, mayBeStoppingUntil: now.Add(c.settings.MaxStopDuration + stopSlack)}
+	r := &run{step: s, index: listed.Task.Index, number: listed.Run, worker: w, incarnation: w.incarnation, state: runRunning, stateChangedAt: now, orderedAt: now, orderedSpeedPercent: fullSpeedPercent, inherited: true, fromListOnly: true, mayBeStoppingUntil: now.Add(c.settings.MaxStopDuration + stopSlack)}
 	if !s.spec.Speculative {
 		c.dropEarlierRuns(t, listed.Run)
 	}
@@ -209,7 +209,7 @@
 // may have been lost before it stored that.
 func (c *Core) dropEarlierRuns(t *task, number int64) {
 	for _, r := range slices.Clone(t.runs) {
-		if r.number < number && r.state == runUnanswered && (r.inherited || r.restored) {
+		if r.number < number && r.state == runUnanswered && (r.inherited || r.fromCrashRecord) {
 			c.recordDecision(Decision{Verb: "run-over", Job: r.step.job.id, Task: r.taskKey().String(), Worker: r.worker.info.ID, Run: r.number, Reason: "a later run of the task is listed"})
 			c.removeRun(r)
 		}
@@ -230,7 +230,7 @@
 			c.sendStop(r, now)
 		case r.state == runStopping && !r.stopConfirmed:
 			c.sendStop(r, now)
-		case r.startConfirmed && !r.adopted:
+		case r.startConfirmed && !r.fromListOnly:
 			c.handleUnreadExit(r, now)
 		default:
 			c.removeRun(r)
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -7,8 +7,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// pool is the workers of a service that accept starts.
-type pool struct {
+// placementPool is the workers of a service that accept starts.
+type placementPool struct {
 	workers []*worker
 	// reservedForSuspects are the workers that accept only suspects. They are not in workers.
 	reservedForSuspects []*worker
@@ -16,25 +16,25 @@
 	busyUntil time.Time
 	// requiredLabels are the labels that the service's jobs require.
 	requiredLabels     []string
-	hasTaskReservation bool // a worker is reserved for a task that fits nowhere
+	hasHeldWorker      bool // a worker is reserved for a task that fits nowhere
 	preemptionSearches int  // in this plan, for steps that are not long-running
-	// lowestPreemptiblePriority is the priority of the least urgent preemptible runs,
+	// maxPreemptiblePriority is the priority of the least urgent preemptible runs,
 	// unknownPriority until it is determined.
-	lowestPreemptiblePriority int
+	maxPreemptiblePriority int
 	// maxFree is the largest free amount of each resource on any of the workers. Tasks that exceed
 	// it are skipped without a check of each worker.
 	maxFree workload.Resources
 }
 
-func (c *Core) poolsByService(now time.Time) map[string]*pool {
-	pools := map[string]*pool{}
+func (c *Core) placementPoolsByService(now time.Time) map[string]*placementPool {
+	pools := map[string]*placementPool{}
 	for _, w := range c.sortedWorkers {
 		if !w.canAcceptStarts(now) {
 			continue
 		}
 		p := pools[w.info.Service]
 		if p == nil {
-			p = &pool{requiredLabels: c.requiredLabels[w.info.Service], lowestPreemptiblePriority: unknownPriority, busyUntil: c.serviceBusyUntil[w.info.Service]}
+			p = &placementPool{requiredLabels: c.requiredLabels[w.info.Service], maxPreemptiblePriority: unknownPriority, busyUntil: c.serviceBusyUntil[w.info.Service]}
 			pools[w.info.Service] = p
 		}
 		if w.isReservedForSuspects(now) {
@@ -49,22 +49,22 @@
 	return pools
 }
 
-func (p *pool) updateMaxFree() {
+func (p *placementPool) updateMaxFree() {
 	p.maxFree = workload.Resources{}
 	for _, w := range p.workers {
 		p.maxFree = p.maxFree.Max(w.free())
 	}
 }
 
-// reserveWorkerFor reserves a worker for a step whose task must start and fits nowhere: in this
+// holdWorkerFor reserves a worker for a step whose task must start and fits nowhere: in this
 // plan the worker gets no task of lower rank. Without the reservation smaller tasks take all
 // capacity that is freed, and a large task waits forever. The least loaded worker is reserved. It
 // gets nothing new, so it stays the least loaded from plan to plan.
 //
 // Only one starved job at a time reserves a worker. Otherwise each of them would close one, and a
 // service with more starved jobs than workers would stand still beside its own free capacity.
-func (p *pool) reserveWorkerFor(s *step) {
-	p.hasTaskReservation = true
+func (p *placementPool) holdWorkerFor(s *step) {
+	p.hasHeldWorker = true
 	if best := p.leastLoadedIndex(s); best >= 0 {
 		p.removeAt(best)
 	}
@@ -72,7 +72,7 @@
 
 // leastLoadedIndex returns the index of the least loaded worker that could run a task of the step
 // once its finite runs have ended, -1 if there is none.
-func (p *pool) leastLoadedIndex(s *step) int {
+func (p *placementPool) leastLoadedIndex(s *step) int {
 	best := -1
 	for i, w := range p.workers {
 		if !s.canEventuallyRunOn(w) {
@@ -95,7 +95,7 @@
 }
 
 // removeAt excludes a worker from the starts of this plan.
-func (p *pool) removeAt(i int) {
+func (p *placementPool) removeAt(i int) {
 	p.workers = slices.Delete(p.workers, i, i+1)
 	p.updateMaxFree()
 }
@@ -124,7 +124,7 @@
 // bestWorker returns the worker with the highest score for a task, nil if it fits nowhere. It
 // prefers workers near the task's data, workers where the task has not just failed, and workers
 // that are left with the least free capacity, so that large tasks still fit elsewhere.
-func (p *pool) bestWorker(s *step, t *task, now time.Time) *worker {
+func (p *placementPool) bestWorker(s *step, t *task, now time.Time) *worker {
 	var best *worker
 	var bestScore float64
 	for _, w := range p.workers {
@@ -139,7 +139,7 @@
 			if now.Before(t.avoidUntil) && !s.spec.LongRunning {
 				continue
 			}
-			score -= recentFailurePenalty
+			score -= lastFailurePenalty
 		}
 		if best == nil || score > bestScore {
 			best, bestScore = w, score
@@ -149,7 +149,7 @@
 }
 
 // hasRequiredLabel reports whether a worker has a label that some jobs require.
-func (p *pool) hasRequiredLabel(w *worker) bool {
+func (p *placementPool) hasRequiredLabel(w *worker) bool {
 	return slices.ContainsFunc(p.requiredLabels, w.info.HasLabel)
 }
 
@@ -161,14 +161,14 @@
 	if s.spec.MaxPerWorker > 0 && s.liveRunsByWorker[w.info.ID] >= s.spec.MaxPerWorker {
 		return false
 	}
-	return s.validTicket(w.info.ID, now) != nil || s.tickets == nil
+	return s.validTicket(w.info.ID, now) != nil || s.advice == nil
 }
 
 // Weights of a worker's score. localityWeight outweighs any difference in utilization.
 const (
-	localityWeight       = 10.0
-	noServingTaskWeight  = 2.0 // for a best-effort task on a worker without a serving task
-	recentFailurePenalty = 5.0 // for the worker where the task failed last
+	localityWeight      = 10.0
+	noServingTaskWeight = 2.0 // for a best-effort task on a worker without a serving task
+	lastFailurePenalty  = 5.0 // for the worker where the task failed last
 	// requiredLabelPenalty keeps tasks that may run anywhere off workers with a label that others
 	// require. Otherwise they fill these workers up while other workers are idle. It outweighs
 	// colocationWeight, because long-running tasks would occupy the workers for good.
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -38,7 +38,7 @@
 // preempt stops runs of less urgent queues if a step's tasks find no free capacity. Otherwise a
 // long-running task that has to restart, or an urgent job, waits on a full service until less
 // urgent work has ended.
-func (c *Core) preempt(p *pool, cand candidate, s *step, now time.Time) {
+func (c *Core) preempt(p *placementPool, cand candidate, s *step, now time.Time) {
 	if s.waitingForCapacitySince.IsZero() {
 		s.waitingForCapacitySince = now
 	}
@@ -49,7 +49,7 @@
 	if cand.class > classOnTime || s.spec.Gang || s.spec.BestEffortCPU || now.Before(s.waitingForCapacitySince.Add(delay)) || now.Before(s.nextPreemptionSearchAt) {
 		return
 	}
-	if c.lowestPreemptiblePriority(p) <= cand.priority || !s.spec.LongRunning && p.preemptionSearches >= maxPreemptionSearches {
+	if c.maxPreemptiblePriority(p) <= cand.priority || !s.spec.LongRunning && p.preemptionSearches >= maxPreemptionSearches {
 		return
 	}
 	if !s.spec.LongRunning {
@@ -78,22 +78,22 @@
 	}
 }
 
-// lowestPreemptiblePriority returns the priority of the least urgent preemptible runs of a pool,
+// maxPreemptiblePriority returns the priority of the least urgent preemptible runs of a pool,
 // which is the highest number, 0 if there are none.
-func (c *Core) lowestPreemptiblePriority(p *pool) int {
-	if p.lowestPreemptiblePriority != unknownPriority {
-		return p.lowestPreemptiblePriority
+func (c *Core) maxPreemptiblePriority(p *placementPool) int {
+	if p.maxPreemptiblePriority != unknownPriority {
+		return p.maxPreemptiblePriority
 	}
-	p.lowestPreemptiblePriority = 0
+	p.maxPreemptiblePriority = 0
 	for _, w := range p.workers {
 		c.Counts.PlacementChecks += len(w.runs)
 		for _, r := range w.runs {
-			if c.isPreemptible(r, p.lowestPreemptiblePriority) {
-				p.lowestPreemptiblePriority = r.step.job.queue.Priority
+			if c.isPreemptible(r, p.maxPreemptiblePriority) {
+				p.maxPreemptiblePriority = r.step.job.queue.Priority
 			}
 		}
 	}
-	return p.lowestPreemptiblePriority
+	return p.maxPreemptiblePriority
 }
 
 // preemptionVictims returns the runs to stop on a worker so that a task of the step fits, and the
@@ -147,7 +147,7 @@
 
 // tasksFittingAfterStops returns how many tasks of the step fit once the runs that are being
 // stopped have ended.
-func (p *pool) tasksFittingAfterStops(s *step) int {
+func (p *placementPool) tasksFittingAfterStops(s *step) int {
 	fitting := 0
 	for _, w := range p.workers {
 		free := w.free()
--- a/internal/scheduler/rank.go
+++ b/internal/scheduler/rank.go
@@ -40,7 +40,7 @@
 	class          rankClass
 	priority       int
 	objectiveStart time.Time // when the time to its target began to count
-	servedShare    float64   // of its job size, 0 if it can't be completed in time
+	servedRatio    float64   // of its job size, 0 if it can't be completed in time
 	remainingWork  float64   // estimated core-seconds
 }
 
--- a/internal/scheduler/ranking.go
+++ b/internal/scheduler/ranking.go
@@ -40,7 +40,7 @@
 
 // servicePlan is the state of a service with waiting jobs in the current plan.
 type servicePlan struct {
-	pool *pool // nil if none of its workers accepts starts
+	pool *placementPool // nil if none of its workers accepts starts
 	// minDemand is the smallest demand of any task for each resource on its own.
 	minDemand         workload.Resources
 	consecutiveMisses int // steps in a row that found no free capacity
@@ -79,7 +79,7 @@
 	limitStarvedPerService(added)
 	slices.SortStableFunc(added, compareCandidates)
 	for _, cand := range added {
-		c.assignServedShare(&cand)
+		c.assignServedRatio(&cand)
 		position, _ := slices.BinarySearchFunc(r.candidates, cand, compareCandidates)
 		r.candidates = slices.Insert(r.candidates, position, cand)
 	}
@@ -113,15 +113,15 @@
 	limitStarvedPerService(r.candidates)
 	slices.SortStableFunc(r.candidates, compareCandidates)
 	for i := range r.candidates {
-		c.assignServedShare(&r.candidates[i])
+		c.assignServedRatio(&r.candidates[i])
 	}
 	slices.SortStableFunc(r.candidates, compareCandidates)
 }
 
-// assignServedShare sets the served share of a candidate that can be completed in time.
-func (c *Core) assignServedShare(cand *candidate) {
-	if share := cand.steps[0].share; share != nil && cand.class == classOnTime {
-		cand.servedShare = share.nextServedShare(cand.remainingWork)
+// assignServedRatio sets the served share of a candidate that can be completed in time.
+func (c *Core) assignServedRatio(cand *candidate) {
+	if stats := cand.steps[0].sizeStats; stats != nil && cand.class == classOnTime {
+		cand.servedRatio = stats.nextServedRatio(cand.remainingWork)
 	}
 }
 
@@ -148,23 +148,23 @@
 
 // countOccurrenceArrival counts an occurrence as arrived when it is first ranked.
 func (c *Core) countOccurrenceArrival(cand candidate) {
-	if cand.steps[0].share != nil || cand.class == classLongRunning {
+	if cand.steps[0].sizeStats != nil || cand.class == classLongRunning {
 		return
 	}
 	queue := cand.job.submission.Queue
 	if c.shares[queue] == nil {
 		c.shares[queue] = &queueShares{}
 	}
-	share := c.shares[queue].addArrival(cand.remainingWork)
+	stats := c.shares[queue].addArrival(cand.remainingWork)
 	for _, s := range cand.steps {
-		s.share = share
+		s.sizeStats = stats
 	}
 }
 
 // recordStarted counts the work of started tasks of a candidate that can be completed in time.
 func (cand candidate) recordStarted(s *step, tasks int) {
-	if s.share != nil && cand.class == classOnTime {
-		s.share.startedWork += float64(tasks) * coreSeconds(s.spec, estimate(s.spec))
+	if s.sizeStats != nil && cand.class == classOnTime {
+		s.sizeStats.startedWork += float64(tasks) * coreSeconds(s.spec, estimate(s.spec))
 	}
 }
 
@@ -173,7 +173,7 @@
 	return cmp.Or(
 		cmp.Compare(a.class, b.class),
 		cmp.Compare(a.priority, b.priority),
-		cmp.Compare(a.servedShare, b.servedShare),
+		cmp.Compare(a.servedRatio, b.servedRatio),
 		cmp.Compare(a.remainingWork, b.remainingWork),
 	)
 }
@@ -185,7 +185,7 @@
 }
 
 // beginPlan sets the services' pools for a new plan.
-func (r *ranking) beginPlan(pools map[string]*pool) {
+func (r *ranking) beginPlan(pools map[string]*placementPool) {
 	for service, plan := range r.services {
 		plan.pool = pools[service]
 		plan.consecutiveMisses = 0
--- a/internal/scheduler/share.go
+++ b/internal/scheduler/share.go
@@ -36,25 +36,25 @@
 // size or kind from 0.45 to 0.56 of its credit, in the mean of 25 runs.
 type queueShares struct {
 	meanWork float64 // core-seconds of a job
-	sizes    [sizeCount]sizeShare
+	sizes    [sizeCount]sizeStats
 }
 
-// sizeShare is the recent work of one job size, in core-seconds.
-type sizeShare struct {
+// sizeStats is the recent work of one job size, in core-seconds.
+type sizeStats struct {
 	arrivedWork, startedWork float64
 	rankedAhead              float64 // of the waiting jobs ranked so far
 }
 
 // addArrival records the work of a job that waits for its first start and returns the share of its
 // size.
-func (q *queueShares) addArrival(work float64) *sizeShare {
+func (q *queueShares) addArrival(work float64) *sizeStats {
 	if q.meanWork == 0 {
 		q.meanWork = work
 	}
 	q.meanWork += (work - q.meanWork) / meanWindowJobs
-	share := &q.sizes[q.sizeOf(work)]
-	share.arrivedWork += work
-	return share
+	stats := &q.sizes[q.sizeOf(work)]
+	stats.arrivedWork += work
+	return stats
 }
 
 func (q *queueShares) sizeOf(work float64) jobSize {
@@ -83,11 +83,11 @@
 // minArrivedWork keeps the served share defined for a size of which nothing has arrived recently.
 const minArrivedWork = 0.001
 
-// nextServedShare returns the share of its size's work that will have been started when a job's
+// nextServedRatio returns the share of its size's work that will have been started when a job's
 // turn comes. Lower shares go first. It must be called for the jobs of a size in their order within
 // the size.
-func (s *sizeShare) nextServedShare(work float64) float64 {
-	servedShare := (s.startedWork + s.rankedAhead) / max(s.arrivedWork, minArrivedWork)
+func (s *sizeStats) nextServedRatio(work float64) float64 {
+	servedRatio := (s.startedWork + s.rankedAhead) / max(s.arrivedWork, minArrivedWork)
 	s.rankedAhead += work
-	return servedShare
+	return servedRatio
 }
--- a/internal/scheduler/silence.go
+++ b/internal/scheduler/silence.go
@@ -39,9 +39,9 @@
 		}
 		t.addCrash(workload.Crash{
 			Worker: w.info.ID, Incarnation: r.incarnation, Address: w.info.Address, Run: r.number, DetectedAtMS: now.UnixMilli(), RunAgeMS: age.Milliseconds(),
-			SoleCause: r.isolated && r.isOnlyCandidate(runs, silentSince), WorkerWentSilent: true,
+			SoleCause: r.isolated && r.isSoleCause(runs, silentSince), WorkerWentSilent: true,
 		})
-		c.addCrashedStep(r.step)
+		c.trackStepWithCrashes(r.step)
 		if r.isolated || len(t.crashes) > 1 {
 			c.queueCrashWrite(r.step, t) // a single loss proves nothing, and there may be hundreds
 		}
@@ -51,9 +51,9 @@
 	return blamed
 }
 
-// withdrawSilentLosses removes the crashes that were recorded for the silence of a worker's
+// retractSilentLosses removes the crashes that were recorded for the silence of a worker's
 // process that answers again: it was partitioned.
-func (c *Core) withdrawSilentLosses(w *worker) {
+func (c *Core) retractSilentLosses(w *worker) {
 	for _, s := range c.stepsWithCrashes {
 		for i := range s.tasks {
 			c.retractCrashes(s, &s.tasks[i], func(own workload.Crash) bool {
--- a/internal/scheduler/speculation.go
+++ b/internal/scheduler/speculation.go
@@ -17,17 +17,17 @@
 		return
 	}
 	c.lastSpeculationAt = now
-	var pools map[string]*pool
+	var pools map[string]*placementPool
 	for _, j := range c.activeJobs {
 		if j.finalState.IsTerminal() || j.liveRuns == 0 {
 			continue
 		}
 		for _, s := range j.steps {
-			if !s.spec.Speculative || s.spec.LongRunning || s.spec.Gang || s.tickets != nil {
+			if !s.spec.Speculative || s.spec.LongRunning || s.spec.Gang || s.advice != nil {
 				continue
 			}
 			if pools == nil {
-				pools = c.poolsByService(now)
+				pools = c.placementPoolsByService(now)
 			}
 			if p := pools[j.submission.Service]; p != nil {
 				c.startSpeculativeCopiesOf(p, s, now)
@@ -46,7 +46,7 @@
 	return w.unreachable && (w.connectionRefused || now.Before(w.unreachableSince.Add(maxCrashDetectionDelay)))
 }
 
-func (c *Core) startSpeculativeCopiesOf(p *pool, s *step, now time.Time) {
+func (c *Core) startSpeculativeCopiesOf(p *placementPool, s *step, now time.Time) {
 	stragglerAge := time.Duration(float64(estimate(s.spec)) * speculativeCopyFactor)
 	for i := range s.tasks {
 		t := &s.tasks[i]
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -76,16 +76,16 @@
 
 	// Origin of a run that an earlier owner ordered.
 
-	// restored is set if the run is known from a stored crash of its task.
-	restored bool
+	// fromCrashRecord is set if the run is known from a stored crash of its task.
+	fromCrashRecord bool
 	// isolationPlannedAt is when an earlier owner planned the run as an isolated run, zero for
 	// other runs. The run started later than that.
 	isolationPlannedAt time.Time
 	// inherited is set if the run is known from a handover or a worker's list. The run is
 	// older than orderedAt.
 	inherited bool
-	// adopted is set if the run is known from a worker's list only.
-	adopted bool
+	// fromListOnly is set if the run is known from a worker's list only.
+	fromListOnly bool
 }
 
 func (r *run) taskKey() workload.TaskKey { return r.step.taskKey(r.index) }
