--- a/internal/scheduler/crash.go
+++ b/internal/scheduler/crash.go
@@ -8,15 +8,16 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// unconfirmedCrashTimeout is how long a worker that may have crashed is remembered. Its successor answers
-// after some seconds.
+// unconfirmedCrashTimeout is how long a worker with an unconfirmed crash is kept. After a crash its
+// replacement answers within some seconds.
 const unconfirmedCrashTimeout = 30 * time.Second
 
-// handleProcessExit handles the end of a worker's process, which ended the given runs. It records a
-// crash unless another reason for the end is known.
+// handleProcessExit handles the end of a worker's process and of the given runs on it. It is called
+// when another process answers in its place: the next incarnation of the worker, or a replacement at
+// its address. It records a crash unless another reason for the end is known.
 func (c *Core) handleProcessExit(w *worker, runs []*run, now time.Time) {
 	delete(c.unresolvedWorkers, w.info.ID)
-	reason := "another incarnation answers"
+	reason := "another process answers"
 	nonCrashReason := c.nonCrashReason(w, runs, now)
 	switch {
 	case nonCrashReason != "":
@@ -45,10 +46,10 @@
 	}
 }
 
-// recordUnconfirmedCrash records an unconfirmed crash of a worker that refuses connections. The worker
-// may be cut off and still run its tasks, so its runs stay until its leases expire, and the crash
-// proves nothing until a successor answers. The record is stored at once, because this owner may be
-// lost before that.
+// recordUnconfirmedCrash records an unconfirmed crash of a worker that refuses connections. The
+// worker may be partitioned and still run its tasks. So its runs are kept until its leases expire,
+// and the crash proves nothing until another process answers in its place. The record is stored
+// immediately, because this owner may be lost before that.
 func (c *Core) recordUnconfirmedCrash(w *worker, now time.Time) {
 	if len(w.runs) == 0 || !w.crashUnconfirmedUntil.IsZero() || c.nonCrashReason(w, w.runs, now) != "" {
 		return
@@ -57,9 +58,10 @@
 	w.crashUnconfirmedUntil = now.Add(unconfirmedCrashTimeout)
 }
 
-// resolveProcessExit checks whether the list of workers, which lags behind, shows what happened
-// to a worker: its process ended for another reason than a crash, or a successor answers at its
-// address.
+// resolveProcessExit determines from the list of workers how a worker's process ended. It retracts
+// the crash recorded for the worker, confirmed or not, if the list shows another reason for the end.
+// It handles the end of the process if the worker is unreachable, has runs or an unconfirmed crash,
+// and a replacement answers. The list of workers is some hundred milliseconds old.
 func (c *Core) resolveProcessExit(w *worker, now time.Time) {
 	if len(w.blamedRuns) > 0 && c.listedNonCrashReason(w, w.blamedRuns) != "" {
 		c.retractWorkerCrash(w)
@@ -70,14 +72,15 @@
 	}
 }
 
-// hasReplacement reports whether another worker of the same service answers at the worker's address.
+// hasReplacement reports whether another worker of the same service answers polls at the worker's
+// address.
 func (c *Core) hasReplacement(w *worker) bool {
 	return slices.ContainsFunc(c.sortedWorkers, func(other *worker) bool {
 		return other != w && w.info.Address != "" && other.info.Address == w.info.Address && other.info.Service == w.info.Service && other.synced && !other.unreachable
 	})
 }
 
-// confirmCrash confirms the possible crash recorded for a worker.
+// confirmCrash confirms the unconfirmed crash of a worker.
 func (c *Core) confirmCrash(w *worker) {
 	c.Counts.WorkerCrashes++
 	for _, r := range w.blamedRuns {
@@ -91,7 +94,7 @@
 	}
 }
 
-// retractUnconfirmedCrash retracts the possible crash recorded for a worker that has answered.
+// retractUnconfirmedCrash retracts the unconfirmed crash of a worker that has answered.
 func (c *Core) retractUnconfirmedCrash(w *worker) {
 	if !w.crashUnconfirmedUntil.IsZero() {
 		w.crashUnconfirmedUntil = time.Time{}
@@ -100,7 +103,7 @@
 }
 
 // nonCrashReason returns why the end of a worker's process is not a crash, "" if no such reason is
-// known. Tasks are not blamed for workers that leave, are drained or were cut off.
+// known. Tasks are not blamed for workers that leave, are drained or were partitioned.
 func (c *Core) nonCrashReason(w *worker, runs []*run, now time.Time) string {
 	switch {
 	case now.Before(w.drainUntil):
@@ -111,8 +114,8 @@
 	return c.listedNonCrashReason(w, runs)
 }
 
-// listedNonCrashReason is nonCrashReason based only on the list of workers, which lags by some
-// hundred milliseconds. It concerns the incarnation that had the runs.
+// listedNonCrashReason is nonCrashReason based only on the list of workers, which is some hundred
+// milliseconds old. It concerns the incarnation that had the runs.
 func (c *Core) listedNonCrashReason(w *worker, runs []*run) string {
 	incarnation := w.incarnation
 	if len(runs) > 0 {
@@ -144,9 +147,10 @@
 	})
 }
 
-// recordCrash records a crash of the worker with the tasks that may have caused it: with the
-// isolated run if there was one, otherwise with all runs. unconfirmed is set if the worker may only
-// have been cut off.
+// recordCrash records a crash of the worker with the tasks that may have caused it: those of the
+// isolated runs if there were any, otherwise those of all runs. It skips tasks that are done or
+// whose job has ended, and tasks that had made progress before, were restarted only recently and
+// are no likely cause. unconfirmed is set if the worker may be partitioned rather than crashed.
 func (c *Core) recordCrash(w *worker, runs []*run, unconfirmed bool, now time.Time) {
 	w.blamedRuns = nil // those of an earlier incarnation
 	if !unconfirmed {
@@ -176,7 +180,7 @@
 			continue
 		}
 		if t.madeProgress && !crashes[i].LikelyCause && crashes[i].RunAgeMS < minProgressTime.Milliseconds() {
-			continue // it has started before without a crash
+			continue // an earlier run of it did not crash its worker
 		}
 		t.addCrash(crashes[i])
 		c.queueCrashWrite(r.step, t)
@@ -195,8 +199,8 @@
 }
 
 // queueCrashWrite queues the crashes of a task to be stored. The task does not start before they
-// are stored: otherwise, if it crashed the next worker too, each new owner would count its crashes
-// from zero.
+// are stored. Otherwise a new owner would not know of the crashes, and a task that crashes its
+// workers would be started by each owner anew.
 func (c *Core) queueCrashWrite(s *step, t *task) {
 	c.trackStepWithCrashes(s)
 	t.crashesStoredInWrite = c.lastWriteSeq + 1
@@ -204,7 +208,7 @@
 	c.dirtyJobs[s.job.id] = s.job
 }
 
-// trackStepWithCrashes adds a step to those under whose tasks workers have crashed.
+// trackStepWithCrashes adds a step to stepsWithCrashes.
 func (c *Core) trackStepWithCrashes(s *step) {
 	if !s.hasCrashes {
 		s.hasCrashes = true
@@ -231,9 +235,10 @@
 	})
 }
 
-// isSoleCause reports whether none of the worker's other runs can have caused a crash at the
-// given time. Runs that had made progress are ruled out only beside an isolated run, which crashes
-// its worker at once or not at all. A run that is not isolated must have a confirmed start.
+// isSoleCause reports whether r is the only one of the worker's runs that can have caused a crash at
+// the given time. If r is isolated, other runs that are not crash candidates are ignored, because an
+// isolated run crashes its worker soon after its start or not at all. Otherwise r must have a
+// confirmed start, and any run of another task or gang rules it out.
 func (r *run) isSoleCause(runs []*run, at time.Time) bool {
 	for _, other := range runs {
 		if !other.isSameTaskOrGang(r) && (!r.isolated || other.isCrashCandidate(at)) {
@@ -243,21 +248,22 @@
 	return r.startConfirmed || r.isolated
 }
 
-// isCrashCandidate reports whether a run can have caused a crash at the given time. A task that has
-// made progress before, even on a worker that others crashed, is not a candidate because of a
-// recent start.
+// isCrashCandidate reports whether a run can have caused a crash at the given time. A run of a
+// suspect can. Another run can until its start is confirmed and it has lasted for minProgressTime,
+// unless an earlier run of its task made progress, even on a worker that other tasks crashed.
 func (r *run) isCrashCandidate(at time.Time) bool {
 	t := r.task()
 	return t.isSuspect() || !t.madeProgress && (!r.startConfirmed || at.Sub(r.orderedAt) < minProgressTime)
 }
 
-// isSameTaskOrGang reports whether two runs belong to one task or one gang. Their job fails
-// whichever of them is to blame.
+// isSameTaskOrGang reports whether two runs belong to one task or one gang. Whichever of them caused
+// a crash, the same job fails.
 func (r *run) isSameTaskOrGang(other *run) bool {
 	return r.step == other.step && (r.index == other.index || r.step.spec.Gang)
 }
 
-// failJobIfProvenCause fails the job of a run's task if the task is proven to crash its workers.
+// failJobIfProvenCause fails the job of a run's task if the task is proven to crash its workers. The
+// logged number counts all recorded crashes of the task, also those that don't count as proof.
 func (c *Core) failJobIfProvenCause(r *run, now time.Time) {
 	t, j := r.task(), r.step.job
 	if j.finalState.IsTerminal() || !t.isProvenCause(r.step.spec.LongRunning) {
@@ -265,16 +271,16 @@
 	}
 	c.Counts.CrashingJobs++
 	c.recordDecision(Decision{Verb: "given-up", Job: j.id, Task: r.taskKey().String(), Worker: r.worker.info.ID, Run: r.number,
-		Reason: fmt.Sprintf("%d workers have crashed under it", len(t.crashes)), AlwaysLogged: true})
+		Reason: fmt.Sprintf("it crashes its workers, %d crashes are recorded", len(t.crashes)), AlwaysLogged: true})
 	crashes := t.crashes
 	c.completeJob(j, workload.Failed, now)
 	c.retractUnlikelyCrashes(crashes)
 }
 
-// retractUnlikelyCrashes retracts the given crashes from tasks that were unlikely causes, once the
-// cause is proven. Long-running tasks run beside many tasks that crash workers and would become
-// suspects for that alone. Likely causes keep their records, because two tasks may have crashed one
-// worker.
+// retractUnlikelyCrashes retracts the given crashes from the tasks that were unlikely causes, once
+// the cause is proven. Otherwise a long-running task, whose workers many other tasks crash in time,
+// would become a suspect for that alone. Likely causes keep their records, because two tasks may
+// have crashed one worker.
 func (c *Core) retractUnlikelyCrashes(crashes []workload.Crash) {
 	for _, j := range c.activeJobs {
 		for _, s := range j.steps {
@@ -301,8 +307,8 @@
 	}
 }
 
-// retractWorkerCrash retracts the crash of a worker from all tasks that were blamed for it, because
-// the worker did not crash.
+// retractWorkerCrash retracts the crash recorded for a worker that did not crash from all tasks that
+// were blamed for it.
 func (c *Core) retractWorkerCrash(w *worker) {
 	for _, r := range w.blamedRuns {
 		c.retractCrashes(r.step, r.task(), func(own workload.Crash) bool { return own.Worker == w.info.ID && own.Incarnation == r.incarnation })
@@ -311,8 +317,8 @@
 	c.planStale = true
 }
 
-// recordRunProgress records that a poll sent at pollSentAt found the run at work. It clears the
-// task once the run has lasted for requiredRunTime.
+// recordRunProgress records that the worker listed the run in answer to a poll sent at pollSentAt. It
+// clears the task once the run has lasted for requiredRunTime.
 func (c *Core) recordRunProgress(r *run, pollSentAt time.Time) {
 	t := r.task()
 	t.madeProgress = t.madeProgress || !pollSentAt.Before(r.orderedAt.Add(minProgressTime))
@@ -333,5 +339,5 @@
 		t.crashes[i].Cleared = true
 	}
 	c.queueCrashWrite(r.step, t)
-	c.recordDecision(Decision{Verb: "cleared", Job: r.step.job.id, Task: r.taskKey().String(), Worker: r.worker.info.ID, Run: r.number, Reason: "made progress after a worker crashed under it"})
+	c.recordDecision(Decision{Verb: "cleared", Job: r.step.job.id, Task: r.taskKey().String(), Worker: r.worker.info.ID, Run: r.number, Reason: "made progress after a crash of its worker"})
 }
--- a/internal/scheduler/isolation.go
+++ b/internal/scheduler/isolation.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// busyReserveDivisor bounds the workers reserved for suspects, as one in so many of a service's
-	// workers, while the service is busy with other tasks. idleReserveDivisor is the bound while it
-	// is not.
+	// At most 1/busyReserveDivisor of a service's workers are reserved for suspects while the
+	// service is busy with other tasks, 1/idleReserveDivisor while it is not, and one worker in any
+	// case.
 	busyReserveDivisor = 4
 	idleReserveDivisor = 2
 	// serviceBusyDuration is how long a service counts as busy after tasks other than suspects have
 	// started or found no free capacity.
 	serviceBusyDuration = time.Second
-	// soleCauseRankPenalty lowers a suspect's rank for each crash that it alone can have
-	// caused. waitRankDivisor is the part of its waiting time, as one in so many, that is added.
+	// soleCauseRankPenalty lowers a suspect's rank for each crash that only it can have caused.
+	// 1/waitRankDivisor of its waiting time is added to its rank.
 	soleCauseRankPenalty = time.Second
 	waitRankDivisor      = 50
 	// suspectsLogInterval is the shortest time between two log lines on waiting suspects.
 	suspectsLogInterval = 2 * time.Second
-	// suspectReservationTTL is how long a worker stays reserved for suspects after the last request. Each
-	// plan with a waiting suspect renews it.
+	// suspectReservationTTL is how long a worker stays reserved for suspects after the last request.
+	// Each plan with a waiting suspect renews the reservation.
 	suspectReservationTTL = 500 * time.Millisecond
 	// gangReservationTimeout is how long a gang with suspects waits for reserved workers. There may
 	// never be enough.
@@ -40,7 +40,8 @@
 	runNumber   int64
 }
 
-// isReservedForSuspects reports whether the worker accepts only suspects.
+// isReservedForSuspects reports whether only suspects may start on the worker: it is reserved for
+// them or has an isolated run.
 func (w *worker) isReservedForSuspects(now time.Time) bool {
 	if now.Before(w.reservedForSuspectsUntil) {
 		return true
@@ -54,8 +55,8 @@
 }
 
 // hasNoCrashCandidate reports whether no run on the worker could be blamed for a crash now, because
-// all have made progress. Unless a suspect runs there or a start is unconfirmed, that is so a
-// second after the last start at the latest, however long the runs take.
+// all their tasks have made progress. Unless a suspect runs there or a start is unconfirmed, that is
+// true at the latest a second after the last start, however long the runs take.
 func (w *worker) hasNoCrashCandidate(now time.Time) bool {
 	for _, r := range w.runs {
 		if r.isolated || r.isCrashCandidate(now) {
@@ -76,7 +77,7 @@
 
 // placeSuspects starts suspects, each on a worker where it is the only crash candidate. The planned
 // worker is stored before the start. If this owner is lost before it has recorded the outcome, the
-// next owner asks what happened to that worker.
+// next owner restores the run on that worker and determines the outcome.
 func (c *Core) placeSuspects(pools map[string]*placementPool, now time.Time) {
 	suspectCount, reservedCount := 0, 0
 	byService := c.suspectsByService(now)
@@ -153,7 +154,9 @@
 	return planned.incarnation == w.incarnation && slices.Contains(p.reservedForSuspects, w) && s.fitsOn(w, now) && w.hasNoCrashCandidate(now)
 }
 
-// planIsolatedRun plans an isolated run on a worker and queues the plan to be stored.
+// planIsolatedRun plans an isolated run on a worker and queues the plan to be stored. The plan is
+// stored as a crash record with IsolatedRunPending: no crash has happened, and DetectedAtMS is the
+// time of the planning. If the worker crashes, the record of the crash replaces it.
 func (c *Core) planIsolatedRun(w *worker, s *step, t *task, runNumber int64, now time.Time) {
 	t.plannedIsolatedRun = &plannedIsolatedRun{worker: w, incarnation: w.incarnation, runNumber: runNumber}
 	w.isolatedRunPlannedUntil = now.Add(suspectReservationTTL)
@@ -172,7 +175,8 @@
 	c.startRun(planned.worker, s, index, planned.runNumber, checkpoint, now).isolated = true
 }
 
-// dropIsolatedRunRecords drops an isolated run that was only planned or that ended without a crash.
+// dropIsolatedRunRecords drops a task's planned isolated run and the records with IsolatedRunPending.
+// It is called when the plan is abandoned and when the run has ended without a crash.
 func (c *Core) dropIsolatedRunRecords(s *step, t *task) {
 	t.plannedIsolatedRun = nil
 	countBefore := len(t.crashes)
@@ -182,11 +186,14 @@
 	}
 }
 
-// restoreRunFromCrashRecord restores a crash record that an earlier owner left unresolved.
+// restoreRunFromCrashRecord restores the run of a stored crash record whose outcome is unknown: the
+// record of a pending isolated run or of an unconfirmed crash. A run with an unconfirmed crash is not
+// added to the worker's runs.
 func (c *Core) restoreRunFromCrashRecord(s *step, index int, crash workload.Crash) {
 	w := c.ensureWorker(crash.Worker, c.tookOverAt)
 	if w.info.Address == "" {
-		// The worker may no longer be listed. A successor at its address shows that it is gone.
+		// The worker may no longer be listed. A replacement at its address shows that its process
+		// has ended.
 		w.info = workload.Worker{ID: crash.Worker, Address: crash.Address, Service: s.job.submission.Service}
 	}
 	if w.findRun(s.taskKey(index), crash.Run) != nil {
@@ -207,7 +214,7 @@
 		return
 	}
 	w.extendLease(earlierLeaseExpiry(c.settings, c.tookOverAt))
-	w.addRun(r) // it counts as running until the worker has answered or is gone
+	w.addRun(r) // it counts as live until the worker has answered or its leases have expired
 }
 
 // endIsolatedRun records that an isolated run has ended without a crash of its worker.
@@ -230,15 +237,15 @@
 	return best
 }
 
-// contains reports whether a worker is in the pool, reserved for suspects or not.
+// contains reports whether a worker is in the placement pool, reserved for suspects or not.
 func (p *placementPool) contains(w *worker) bool {
 	return slices.Contains(p.reservedForSuspects, w) || slices.Contains(p.workers, w)
 }
 
 // reserveForSuspects renews the reservations of workers that could run the step's suspects and
-// reserves one more worker up to maxReserved. If no reserved worker could run them, for example
-// because none has the required label, it exceeds the bound: the suspects would otherwise wait
-// forever.
+// reserves one more worker up to maxReservedForSuspects. If no reserved worker could run them, for
+// example because none has the required label, it exceeds the bound. Otherwise the suspects would
+// wait forever.
 func (p *placementPool) reserveForSuspects(s *step, now time.Time) {
 	capable := 0
 	for _, w := range p.reservedForSuspects {
@@ -260,10 +267,14 @@
 }
 
 // suspectRank returns the rank of a suspect; higher ranks start first. Suspects that are the least
-// likely to crash a worker come first: most of them are cleared within half a second, while one
-// that crashes its worker takes it away for seconds. Tasks that crash workers do so at their start, so
-// a longer run before the crash raises the rank, and each crash that the task alone can have caused
-// lowers it. Waiting raises it too, so that no suspect waits forever.
+// likely to crash a worker come first: most of them are cleared within half a second, while a suspect
+// that crashes its worker makes that worker unavailable for seconds.
+//
+// The rank starts at zero and is computed over the uncleared crashes, oldest first. A crash that only
+// the task can have caused lowers it by soleCauseRankPenalty. Any other crash raises it to the age of
+// the run at the crash if it is lower, because tasks that crash workers do so at their start. So such
+// a crash cancels the penalties of earlier ones. Finally 1/waitRankDivisor of the time since the
+// latest crash or planned isolated run is added, so that no suspect waits forever.
 func (t *task) suspectRank(now time.Time) time.Duration {
 	rank, latestCrashMS := time.Duration(0), int64(0)
 	for _, crash := range t.crashes {
@@ -279,8 +290,10 @@
 	return rank + now.Sub(time.UnixMilli(latestCrashMS))/waitRankDivisor
 }
 
-// logWaitingSuspects logs at intervals how many suspects wait. Nothing else shows why their jobs
-// make no progress.
+// logWaitingSuspects logs, at most every suspectsLogInterval, how many suspects the plan had to place
+// and how many workers are reserved for them. Nothing else shows why the suspects' jobs make no
+// progress. The number includes suspects that the plan has just started and leaves out gangs. A plan
+// that ends early because startsInFlight is full logs nothing.
 func (c *Core) logWaitingSuspects(waiting, reserved int, now time.Time) {
 	if waiting == 0 || now.Before(c.suspectsLoggedAt.Add(suspectsLogInterval)) {
 		return
@@ -289,7 +302,7 @@
 	c.recordDecision(Decision{Verb: "suspects-wait", Reason: fmt.Sprintf("%d tasks that may crash workers wait for an isolated run, %d workers are reserved for suspects", waiting, reserved), AlwaysLogged: true})
 }
 
-// maxReservedForSuspects returns how many workers may be reserved for suspects.
+// maxReservedForSuspects returns how many workers of the placement pool may be reserved for suspects.
 func (p *placementPool) maxReservedForSuspects(now time.Time) int {
 	workerCount := len(p.workers) + len(p.reservedForSuspects)
 	if now.Before(p.busyUntil) {
@@ -362,7 +375,7 @@
 }
 
 // planGangSuspects plans the workers for the suspects of a gang. Several suspects may share a
-// worker. After gangReservationTimeout any worker of the pool is used.
+// worker. After gangReservationTimeout it uses any workers that are not reserved.
 func (c *Core) planGangSuspects(p *placementPool, s *step, suspects []int, now time.Time) {
 	if s.waitingForIsolationSince.IsZero() {
 		s.waitingForIsolationSince = now
