--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -7,25 +7,27 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// placementPool is the workers of a service that accept starts.
+// placementPool contains the workers of a service that accept starts, for one plan.
 type placementPool struct {
 	workers []*worker
-	// reservedForSuspects are the workers that accept only suspects. They are not in workers.
+	// reservedForSuspects are the workers on which only suspects may start. They are not in workers.
 	reservedForSuspects []*worker
 	// busyUntil is until when the service counts as busy with tasks other than suspects.
 	busyUntil time.Time
-	// requiredLabels are the labels that the service's jobs require.
+	// requiredLabels are the labels that jobs of the service have required so far.
 	requiredLabels     []string
-	hasHeldWorker      bool // a worker is reserved for a task that fits nowhere
-	preemptionSearches int  // in this plan, for steps that are not long-running
-	// maxPreemptiblePriority is the priority of the least urgent preemptible runs,
-	// unknownPriority until it is determined.
+	hasHeldWorker      bool // holdWorkerFor was called, whether or not it found a worker
+	preemptionSearches int  // of this plan for steps that are not long-running
+	// maxPreemptiblePriority is the highest priority number of any preemptible run, that of the
+	// least urgent ones; unknownPriority until it is determined.
 	maxPreemptiblePriority int
 	// maxFree is the largest free amount of each resource on any of the workers. Tasks that exceed
 	// it are skipped without a check of each worker.
 	maxFree workload.Resources
 }
 
+// placementPoolsByService returns the placement pool of each service that has a worker that accepts
+// starts.
 func (c *Core) placementPoolsByService(now time.Time) map[string]*placementPool {
 	pools := map[string]*placementPool{}
 	for _, w := range c.sortedWorkers {
@@ -56,13 +58,13 @@
 	}
 }
 
-// holdWorkerFor reserves a worker for a step whose task must start and fits nowhere: in this
-// plan the worker gets no task of lower rank. Without the reservation smaller tasks take all
-// capacity that is freed, and a large task waits forever. The least loaded worker is reserved. It
-// gets nothing new, so it stays the least loaded from plan to plan.
+// holdWorkerFor holds a worker for a long-running or starved step that lacks capacity: no later
+// candidate of this plan is placed on that worker. Otherwise smaller tasks would take all capacity
+// that is freed, and a large task would wait forever. It holds the least loaded worker, which gets
+// no new runs and so stays the least loaded from plan to plan.
 //
-// Only one starved job at a time reserves a worker. Otherwise each of them would close one, and a
-// service with more starved jobs than workers would stand still beside its own free capacity.
+// A starved step holds a worker only if no other step does. Otherwise every worker of the service
+// could be held while its capacity is idle.
 func (p *placementPool) holdWorkerFor(s *step) {
 	p.hasHeldWorker = true
 	if best := p.leastLoadedIndex(s); best >= 0 {
@@ -71,7 +73,7 @@
 }
 
 // leastLoadedIndex returns the index of the least loaded worker that could run a task of the step
-// once its finite runs have ended, -1 if there is none.
+// once the worker's finite runs have ended, -1 if there is none.
 func (p *placementPool) leastLoadedIndex(s *step) int {
 	best := -1
 	for i, w := range p.workers {
@@ -100,8 +102,8 @@
 	p.updateMaxFree()
 }
 
-// reservedByLongRunning returns what long-running tasks have reserved. They don't free it on their
-// own.
+// reservedByLongRunning returns the resources reserved by long-running tasks, which don't free them
+// on their own.
 func (w *worker) reservedByLongRunning() workload.Resources {
 	var sum workload.Resources
 	for _, r := range w.runs {
@@ -121,9 +123,10 @@
 
 func (w *worker) free() workload.Resources { return w.info.Capacity.Sub(w.reserved) }
 
-// bestWorker returns the worker with the highest score for a task, nil if it fits nowhere. It
-// prefers workers near the task's data, workers where the task has not just failed, and workers
-// that are left with the least free capacity, so that large tasks still fit elsewhere.
+// bestWorker returns the worker with the highest score for a task, nil if it fits nowhere. It prefers
+// workers near the task's data and the most utilized ones, so that large tasks still fit elsewhere.
+// The worker where the task failed last gets lastFailurePenalty, and is excluded until avoidUntil
+// unless the task is long-running.
 func (p *placementPool) bestWorker(s *step, t *task, now time.Time) *worker {
 	var best *worker
 	var bestScore float64
@@ -153,7 +156,8 @@
 	return slices.ContainsFunc(p.requiredLabels, w.info.HasLabel)
 }
 
-// fitsOn reports whether a worker may run a task of the step now.
+// fitsOn reports whether a worker may run a task of the step now. A step without placement advice may
+// run on any worker; one with advice needs a valid ticket.
 func (s *step) fitsOn(w *worker, now time.Time) bool {
 	if w.ordersInFlight >= maxOrdersPerWorker || !s.spec.Reservation().FitsIn(w.free()) || !w.info.HasLabel(s.spec.RequiredLabel) {
 		return false
@@ -187,7 +191,8 @@
 	}
 	utilization := w.utilization()
 	if s.spec.BestEffortCPU {
-		// It uses what other tasks leave over, and it disturbs serving tasks on its worker.
+		// It uses processor time that other tasks leave over, and it slows down serving tasks on
+		// its worker.
 		score -= utilization
 		if !w.hasServingTask() {
 			score += noServingTaskWeight
@@ -207,7 +212,7 @@
 	return score + utilization
 }
 
-// utilization returns the larger of the reserved shares of processors and memory.
+// utilization returns the larger of the reserved fractions of processors and memory.
 func (w *worker) utilization() float64 {
 	cpu := float64(w.reserved.CPU) / float64(max(1, w.info.Capacity.CPU))
 	memory := float64(w.reserved.MemoryMB) / float64(max(1, w.info.Capacity.MemoryMB))
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -11,33 +11,33 @@
 // Limits of preemption.
 const (
 	// preemptionDelay is how long an urgent task waits for free capacity before other runs are
-	// stopped for it. Most capacity is freed sooner without a stop, and a stop takes as long again.
+	// stopped for it. Capacity is mostly freed sooner without a stop, and stopping a run takes about
+	// as long as this delay.
 	preemptionDelay = 250 * time.Millisecond
-	// longRunningPreemptionDelay is the same for a long-running task, which earns credit by the
-	// second, so that a short wait costs little.
+	// longRunningPreemptionDelay is the same for a long-running task. It earns credit for each second
+	// that it runs, so a short delay costs little.
 	longRunningPreemptionDelay = time.Second
-	// maxLossRatio is the largest loss of work by a preemption, as a share of the estimated work of
-	// the task that it is made for.
+	// maxLossRatio is the largest loss of work by a preemption, as a fraction of the estimated work
+	// of the preempting task.
 	maxLossRatio = 0.5
-	// maxLossForLongRunning is the largest loss for a long-running task in core-seconds: about what
-	// one does in four seconds.
+	// maxLossForLongRunning is the largest loss for a long-running task in core-seconds: about 4 s of
+	// a typical long-running task.
 	maxLossForLongRunning = 20.0
 	// maxPreemptionSearches bounds the steps for which one plan searches for preemptible runs, in
-	// each service. A search examines all runs of the service. Without the bound a plan costs as
-	// much as there are steps waiting, and an owner with a hundred of them does little else.
-	// Long-running steps are few and must start within seconds, so they are not counted.
+	// each service. A search examines all runs of the service. Without the bound the cost of a plan
+	// grows with the number of waiting steps: an owner with a hundred of them spends most of its time
+	// on searches. Long-running steps are few and must start within seconds, so they are not counted.
 	maxPreemptionSearches = 4
-	// preemptionSearchInterval is how long a step waits after a search that found nothing. It
-	// equals preemptionDelay, so that the searches of successive plans reach all steps.
+	// preemptionSearchInterval is how long a step pauses after a search that found nothing, so that
+	// later plans search for other steps.
 	preemptionSearchInterval = preemptionDelay
-	// unknownPriority is the lowestPreemptiblePriority of a pool for which it is not determined
-	// yet.
+	// unknownPriority is the maxPreemptiblePriority of a placement pool before it is determined.
 	unknownPriority = -1
 )
 
-// preempt stops runs of less urgent queues if a step's tasks find no free capacity. Otherwise a
-// long-running task that has to restart, or an urgent job, waits on a full service until less
-// urgent work has ended.
+// preempt stops runs of less urgent queues if a step's tasks find no free capacity. Otherwise, in a
+// full service, an urgent job or a long-running task that has to restart would wait until less urgent
+// work has ended.
 func (c *Core) preempt(p *placementPool, cand candidate, s *step, now time.Time) {
 	if s.waitingForCapacitySince.IsZero() {
 		s.waitingForCapacitySince = now
@@ -78,8 +78,8 @@
 	}
 }
 
-// maxPreemptiblePriority returns the priority of the least urgent preemptible runs of a pool,
-// which is the highest number, 0 if there are none.
+// maxPreemptiblePriority returns the highest priority number of any preemptible run in the placement
+// pool, 0 if there is none. A lower number is more urgent.
 func (c *Core) maxPreemptiblePriority(p *placementPool) int {
 	if p.maxPreemptiblePriority != unknownPriority {
 		return p.maxPreemptiblePriority
@@ -121,8 +121,10 @@
 	return nil, 0
 }
 
-// isPreemptible reports whether a run may be stopped for a task of the given priority. Long-running
-// tasks have a budget of their own, and stopping a member of a gang would end the others.
+// isPreemptible reports whether a run may be stopped for a task of the given priority: the run is in
+// runRunning and its queue is less urgent. Long-running tasks are excluded, as their MaxUnavailable
+// limits the stops; members of gangs, as stopping one would end the others; and steps that allow
+// speculative copies.
 func (c *Core) isPreemptible(r *run, priority int) bool {
 	spec := r.step.spec
 	if r.state != runRunning || spec.LongRunning || spec.Gang || spec.Speculative {
@@ -132,8 +134,8 @@
 	return q != nil && q.Priority > priority
 }
 
-// unsavedWork returns the core-seconds of work that are lost if the run is stopped now. A stop
-// leaves a checkpoint if the task makes them.
+// unsavedWork returns the core-seconds of work that are lost if the run is stopped now: none if the
+// task makes checkpoints, because a stop leaves one.
 func (r *run) unsavedWork(now time.Time) float64 {
 	if r.step.spec.Checkpoints {
 		return 0
--- a/internal/scheduler/ranking.go
+++ b/internal/scheduler/ranking.go
@@ -9,8 +9,9 @@
 )
 
 const (
-	// minRankInterval is the shortest time between two rankings of all jobs. Ranks change with time
-	// in steps of an objective, 600 ms and more.
+	// minRankInterval is the shortest time between two rankings of all jobs. The passing of time
+	// changes a job's rank only when the job exceeds its target, which is 600 ms or more, or a limit
+	// derived from it.
 	minRankInterval = 100 * time.Millisecond
 	// rankIntervalPerJob is added for each job in the ranking. Ranking a job takes about 0.5 us, so
 	// rankings use a fortieth of a core at most.
@@ -23,11 +24,11 @@
 
 // ranking is the list of jobs that have tasks to place, in the order in which they are placed.
 //
-// It is kept between plans. If each plan ranked all jobs, a start would cost as much as there are
-// jobs waiting: an owner that falls behind would plan ever more slowly, beside workers with free
-// capacity, until no more jobs arrive. With 2,000 jobs waiting a start examined 157,790 jobs,
-// workers and runs. With the kept list, what waits beyond maxConsecutiveMisses costs nothing
-// between two rankings.
+// It is kept between plans. If each plan ranked all jobs, the cost of a start would grow with the
+// number of waiting jobs: an overloaded owner would plan ever more slowly, though workers have free
+// capacity, until no more jobs arrive. With 2,000 jobs waiting, a start examined 157,790 jobs,
+// workers and runs. With the kept list, the steps that a plan skips after maxConsecutiveMisses cost
+// nothing between two rankings.
 type ranking struct {
 	candidates []candidate
 	services   map[string]*servicePlan
@@ -41,7 +42,7 @@
 // servicePlan is the state of a service with waiting jobs in the current plan.
 type servicePlan struct {
 	pool *placementPool // nil if none of its workers accepts starts
-	// minDemand is the smallest demand of any task for each resource on its own.
+	// minDemand is, for each resource separately, the smallest demand of any ranked task.
 	minDemand         workload.Resources
 	consecutiveMisses int // steps in a row that found no free capacity
 	// hasStarved is set while the list has a candidate of the service in classStarved.
@@ -49,9 +50,9 @@
 }
 
 // refreshRanking ranks all jobs again if the last ranking is stale or old enough, and otherwise
-// inserts new ones. Credit falls at the target of a job, ends at maxLateFactor times the target and
-// is earned by whole jobs. So among jobs that can be completed in time the one with the least
-// remaining work comes first, within its size.
+// inserts new ones. Only completed jobs earn credit: full credit until the job's target, less until
+// maxLateFactor times the target, then none. So among jobs of one size that can be completed in time
+// the one with the least remaining work comes first.
 func (c *Core) refreshRanking(now time.Time) {
 	r := &c.ranking
 	interval := minRankInterval + time.Duration(len(r.candidates))*rankIntervalPerJob
@@ -85,8 +86,8 @@
 	}
 }
 
-// rankAll rebuilds the list. Served shares are assigned in the order of remaining work within each
-// size, so the list is sorted before and after.
+// rankAll rebuilds the list. Served ratios are assigned in the order of remaining work within each
+// size, so the list is sorted both before and after that.
 func (c *Core) rankAll(now time.Time) {
 	r := &c.ranking
 	for _, cand := range r.candidates {
@@ -118,7 +119,7 @@
 	slices.SortStableFunc(r.candidates, compareCandidates)
 }
 
-// assignServedRatio sets the served share of a candidate that can be completed in time.
+// assignServedRatio sets the served ratio of a candidate that can be completed in time.
 func (c *Core) assignServedRatio(cand *candidate) {
 	if stats := cand.steps[0].sizeStats; stats != nil && cand.class == classOnTime {
 		cand.servedRatio = stats.nextServedRatio(cand.remainingWork)
@@ -161,14 +162,15 @@
 	}
 }
 
-// recordStarted counts the work of started tasks of a candidate that can be completed in time.
+// recordStarted counts the work of a candidate's started tasks if the candidate can be completed in
+// time.
 func (cand candidate) recordStarted(s *step, tasks int) {
 	if s.sizeStats != nil && cand.class == classOnTime {
 		s.sizeStats.startedWork += float64(tasks) * coreSeconds(s.spec, estimate(s.spec))
 	}
 }
 
-// compareCandidates orders candidates by class, priority, served share and remaining work.
+// compareCandidates orders candidates by class, priority, served ratio and remaining work.
 func compareCandidates(a, b candidate) int {
 	return cmp.Or(
 		cmp.Compare(a.class, b.class),
@@ -184,7 +186,7 @@
 	c.ranking.toInsert = append(c.ranking.toInsert, s)
 }
 
-// beginPlan sets the services' pools for a new plan.
+// beginPlan sets the services' placement pools for a new plan.
 func (r *ranking) beginPlan(pools map[string]*placementPool) {
 	for service, plan := range r.services {
 		plan.pool = pools[service]
@@ -192,7 +194,7 @@
 	}
 }
 
-// canPlaceMore reports whether a plan should go on with a service because one of its tasks may fit.
+// canPlaceMore reports whether a plan must try more steps of a service because a task may still fit.
 func (r *ranking) canPlaceMore(plan *servicePlan) bool {
 	return plan.pool != nil && (r.tryAll || plan.consecutiveMisses < maxConsecutiveMisses && plan.minDemand.FitsIn(plan.pool.maxFree))
 }
