--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -9,28 +9,29 @@
 // state, and a new owner rebuilds it from them.
 //
 // A run is one run of a task on one worker, from its start order until it is known to have
-// ended. What decides its fate:
+// ended. These terms explain when runs start and end:
 //
 //   - Lease: a run lives only until its lease expires. Starts and polls grant leases, and an
 //     owner may send them only while its authority lasts. The runs on a worker that does
-//     not answer are over once the last lease that the worker may have got has expired on
-//     every clock, and their tasks may start elsewhere (poll.go, authority.go).
+//     not answer have ended once the last lease that the worker may have got has expired on
+//     every clock. Then their tasks may start elsewhere (poll.go, authority.go).
 //   - Fencing token: a worker refuses an order with a lower token than it has seen. A new
 //     owner polls each worker with its own token before it starts anything there. After
 //     the answer no order of an earlier owner has an effect on that worker, and the answer
 //     lists all its runs.
 //   - Incarnation: one process of a worker. A restarted worker may keep its ID, but has lost
-//     its runs, exits and tokens. Each incarnation gets a token of its own (incarnation.go).
+//     its runs, exits and the token that it had seen. Each incarnation gets its own token
+//     (incarnation.go).
 //   - Poll: renews the leases on a worker and lists its runs and exits. Only a poll shows
 //     that a run has ended by itself (poll.go, pollresult.go).
 //   - Suspect: a task that may have crashed its worker. It is quarantined: its next run is an
 //     isolated run, on a worker where no other task can cause a crash. The suspect is
 //     cleared by progress, or its job fails after repeated crashes (suspect.go, crash.go,
 //     isolation.go, silence.go).
-//   - Preemption and drain: the owner stops a run to make room for a more urgent task, or
+//   - Preemption and drain: the owner stops a run to free capacity for a more urgent task, or
 //     because its VM will be ordered away (preempt.go, drain.go).
-//   - Backlog: ready tasks without a run wait, ranked by what their jobs can still achieve
-//     (ranking.go, place.go).
+//   - Backlog: ready tasks without a run wait, ranked mainly by whether their jobs can still be
+//     completed in time (ranking.go, rank.go, place.go).
 package scheduler
 
 import (
@@ -43,13 +44,14 @@
 
 // Settings configures a Core.
 type Settings struct {
-	// Epoch is unique to this ownership and higher than all earlier ones.
+	// Epoch identifies this ownership of the partition. It is higher than all earlier epochs.
 	Epoch int64
 	// Address is where the owner's node answers other nodes.
 	Address string
 	// LeaseDuration is the duration of the leases that the owner grants.
 	LeaseDuration time.Duration
-	// MaxOwnerOverlap is how long an owner may go on after its successor has started.
+	// MaxOwnerOverlap is how long an owner may still start tasks and renew leases after the next
+	// owner has started.
 	MaxOwnerOverlap time.Duration
 	// MaxLeaseDuration is the longest lease that a worker accepts, whatever an order asks for.
 	MaxLeaseDuration time.Duration
@@ -64,7 +66,7 @@
 }
 
 const (
-	// maxClockDrift is how much a worker's clock may be slow, as a share of elapsed time;
+	// maxClockDrift is by how much a worker's clock may be slow, as a fraction of elapsed time;
 	// the platform states 2%.
 	maxClockDrift = 0.03
 	// leaseExpirySlack is added to a lease before it counts as expired. It covers the
@@ -108,8 +110,8 @@
 	// earlierLeasesExpireAt is when the last lease of an earlier owner has expired. Until
 	// then a worker that has not answered this owner may run any task.
 	earlierLeasesExpireAt time.Time
-	// unresolvedWorkers may run tasks that an earlier owner started, and have not answered
-	// this owner yet. It is empty if the earlier owner left a handover.
+	// unresolvedWorkers are the IDs of workers that may run tasks of an earlier owner and have
+	// not answered this owner yet. It is empty if the earlier owner left a handover.
 	unresolvedWorkers map[string]bool
 	// workerListIncomplete is set if unresolvedWorkers may lack some workers.
 	workerListIncomplete bool
@@ -127,6 +129,8 @@
 	foreignAddresses map[string]bool
 
 	// Demand, by service.
+
+	// arrivedWork is the work of all jobs that have arrived so far.
 	arrivedWork map[string]workload.Work
 	// requiredLabels are the labels that the jobs of a service have required so far.
 	requiredLabels map[string][]string
@@ -138,17 +142,17 @@
 
 	// Suspects.
 
-	// stepsWithCrashes are the steps whose tasks have lost a worker to a crash.
+	// stepsWithCrashes are the steps whose tasks have or had crash records.
 	stepsWithCrashes []*step
 	// serviceBusyUntil is until when a service counts as busy with tasks that are no suspects.
 	serviceBusyUntil map[string]time.Time
-	// crashWritePending is set while changed crashes of tasks are not stored.
+	// crashWritePending is set while changed crash records are not stored.
 	crashWritePending bool
 
 	// planStale is set when something has changed that a plan depends on.
 	planStale bool
-	// stalledUntil is until when this process counts as stalled after a long pause between
-	// steps: the silence of workers proves nothing until then.
+	// Until stalledUntil this process counts as stalled, after a long pause between steps, and
+	// the silence of workers proves nothing.
 	stalledUntil     time.Time
 	takeoverComplete bool // starts no longer wait for the runs of an earlier owner
 
@@ -171,8 +175,8 @@
 	WorkerRestarts, UnreadExits int
 	// DuplicateRuns counts runs that were found beside another run of their task.
 	DuplicateRuns int
-	// IsolatedRuns counts the starts of suspects, ClearedSuspects the suspects that made
-	// progress, CrashingJobs the jobs that failed because a task of theirs crashes workers.
+	// IsolatedRuns counts the starts of isolated runs, ClearedSuspects the suspects that made
+	// progress, CrashingJobs the jobs that failed because one of their tasks crashes workers.
 	IsolatedRuns, ClearedSuspects, CrashingJobs int
 	// ExtraPolls counts polls that were sent while the answer of another was overdue.
 	ExtraPolls int
@@ -184,8 +188,8 @@
 	Plans, TruncatedPlans int
 }
 
-// New returns a core that takes over at now. unresolved are the IDs of workers that may run
-// tasks of an earlier owner. listIncomplete states that there may be more of them.
+// New returns a Core for an owner that takes over at now. unresolved are the IDs of workers that
+// may run tasks of an earlier owner. listIncomplete states that there may be more such workers.
 func New(settings Settings, now time.Time, unresolved []string, listIncomplete bool) *Core {
 	if settings.GangTimeout == 0 {
 		settings.GangTimeout = defaultGangTimeout
@@ -302,8 +306,8 @@
 }
 
 // JobState returns the state of a job for callers. ok is false if there is no such job. A
-// terminal state is returned only once it is stored: otherwise a caller could learn of an
-// end that is lost with this owner, and the next owner would run the job again.
+// terminal state is returned only once it is stored. Otherwise a caller could see a state that
+// is lost with this owner, and the next owner would run the job again.
 func (c *Core) JobState(id workload.JobID) (s workload.JobState, ok bool) {
 	j, ok := c.jobs[id]
 	if !ok || j.submission == nil {
@@ -390,9 +394,9 @@
 	return orders
 }
 
-// removeGoneWorkers removes workers that are not registered and run nothing. A worker that
-// is being drained is kept: it may not be registered yet, and would get starts as soon as
-// it is.
+// removeGoneWorkers removes workers that are not registered and run nothing. A worker that is
+// being drained is kept: it may not be registered yet, and without its drain it would get
+// starts as soon as it is. A worker with an unconfirmed crash is kept, too.
 func (c *Core) removeGoneWorkers(now time.Time) {
 	c.sortedWorkers = slices.DeleteFunc(c.sortedWorkers, func(w *worker) bool {
 		if !w.unregistered || len(w.runs) > 0 || now.Before(w.drainUntil) || now.Before(w.crashUnconfirmedUntil) {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -18,7 +18,7 @@
 	steps            []*step
 	remainingTasks   int  // tasks that are not done, long-running ones included
 	liveRuns         int  // runs that are not known to have ended
-	started          bool // a task of it has been started
+	started          bool // one of its tasks has been started
 	cancelRequested  bool
 	finalState       workload.JobState // "" until the job ends
 	completedAtMS    int64
@@ -35,7 +35,7 @@
 	tasks                   []task
 	doneCount               int
 	idleCount               int       // tasks that are not done and have no run
-	hasCrashes              bool      // its tasks have lost workers to crashes
+	hasCrashes              bool      // its tasks have or had crash records
 	waitingForCapacitySince time.Time // since when idle tasks find no free capacity, zero if they don't wait
 	// waitingForIsolationSince is since when a gang waits for workers for its suspects.
 	waitingForIsolationSince time.Time
@@ -44,10 +44,10 @@
 	lastRunSeq             int64          // of this epoch's run numbers
 	liveRunsByWorker       map[string]int // by worker ID
 	checkpoint             string         // newest of any task; a gang restarts from it
-	advice                 *adviceState   // nil before its queue needed advice
-	occurrenceRanked       bool           // of an occurrence's first step: the occurrence is in the ranking
-	// sizeStats is the share of the occurrence's size, nil before it is ranked and for
-	// long-running tasks.
+	advice                 *adviceState   // nil if no advice is needed: any worker may run it
+	occurrenceRanked       bool           // set on an occurrence's first step while the occurrence is ranked
+	// sizeStats is the record of the occurrence's job size in its queue, nil before the
+	// occurrence is ranked and for long-running jobs.
 	sizeStats *sizeStats
 }
 
@@ -58,8 +58,9 @@
 	runs         []*run  // not known to have ended
 	failedRuns   []int64 // numbers of runs that failed by the task's own fault
 	madeProgress bool    // a run of it ran for minProgressTime, or it was cleared
-	// crashes are the crashes of workers that ran the task, latest last. They are stored by
-	// the write with sequence crashesStoredInWrite.
+	// crashes are the recorded crashes of workers that ran the task, latest last, and the
+	// record of a planned isolated run. The write with sequence crashesStoredInWrite stores
+	// them.
 	crashes              []workload.Crash
 	crashesStoredInWrite int64
 	// plannedIsolatedRun is an isolated run that starts once the plan is stored, nil if none
@@ -212,7 +213,7 @@
 	}
 }
 
-// restoreCrashes restores the stored crashes of a task.
+// restoreCrashes restores the stored crash records of a task.
 func (c *Core) restoreCrashes(s *step, index int, crashes []workload.Crash) {
 	c.trackStepWithCrashes(s)
 	s.tasks[index].crashes = crashes
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -46,8 +46,8 @@
 	worker      *worker
 	incarnation int64 // of the worker that the run was ordered to; 0 if unknown
 	state       runState
-	// stateChangedAt is when state was set or confirmed last. A poll that was sent earlier
-	// proves nothing against it.
+	// stateChangedAt is when state was set or confirmed last. A poll that was sent earlier can't
+	// disprove it.
 	stateChangedAt time.Time
 	orderedAt      time.Time
 
@@ -57,7 +57,7 @@
 	stopConfirmed   bool // the worker has accepted a stop: the run can't start any more
 	stoppedForDrain bool // it was stopped to drain its worker
 
-	// Until mayBeStoppingUntil a stop of an earlier owner may still be ending the run: a
+	// Until mayBeStoppingUntil the run may be stopping on an order of an earlier owner: a
 	// worker lists a run as running until it has ended. confirmedRunning is set once the run
 	// is listed in answer to a poll that was sent later.
 	mayBeStoppingUntil time.Time
@@ -74,24 +74,24 @@
 	// isolated is set for an isolated run of a suspect until the run makes progress or ends.
 	isolated bool
 
-	// Origin of a run that an earlier owner ordered.
+	// Origin of a run that an earlier owner ordered: either fromCrashRecord or inherited is set.
 
-	// fromCrashRecord is set if the run is known from a stored crash of its task.
+	// fromCrashRecord is set if the run was restored from a stored crash record of its task.
 	fromCrashRecord bool
 	// isolationPlannedAt is when an earlier owner planned the run as an isolated run, zero for
 	// other runs. The run started later than that.
 	isolationPlannedAt time.Time
-	// inherited is set if the run is known from a handover or a worker's list. The run is
-	// older than orderedAt.
+	// inherited is set if the run was restored from a handover or found in a worker's list. The
+	// run is older than orderedAt.
 	inherited bool
-	// fromListOnly is set if the run is known from a worker's list only.
+	// fromListOnly is set if the inherited run was found in a worker's list and no handover had it.
 	fromListOnly bool
 }
 
 func (r *run) taskKey() workload.TaskKey { return r.step.taskKey(r.index) }
 func (r *run) task() *task               { return &r.step.tasks[r.index] }
 
-// worker is a worker as its owner knows it: the process at its address, the leases that it
+// worker is what the owner knows of a worker: the process at its address, the leases that it
 // may hold, its polls and its runs.
 type worker struct {
 	info workload.Worker // its entry in the registry
@@ -145,19 +145,22 @@
 	unreachable       bool
 	unreachableSince  time.Time
 	connectionRefused bool // the connection of the last poll was refused
-	// replaced is set once another incarnation has answered at the worker's address.
+	// replaced is set once another process has answered at the worker's address: a new
+	// incarnation of the worker or another worker. The worker is not polled until its entry
+	// changes.
 	replaced bool
 
 	// Crashes and suspects.
 
-	// blamedRuns are the runs to which the worker's crash is attributed. Until
-	// crashUnconfirmedUntil the worker may be partitioned rather than crashed, and is kept.
+	// blamedRuns are the runs whose tasks have a record of the worker's crash. Until
+	// crashUnconfirmedUntil the crash is unconfirmed, as the worker may be partitioned rather
+	// than crashed, and the worker is kept; zero if there is no unconfirmed crash.
 	blamedRuns            []*run
 	crashUnconfirmedUntil time.Time
-	// reservedForSuspectsUntil is until when the worker gets no starts but of suspects.
+	// Until reservedForSuspectsUntil only suspects may start on the worker.
 	reservedForSuspectsUntil time.Time
-	// isolatedRunPlannedUntil is until when the worker waits for a suspect whose planned
-	// isolated run is being stored.
+	// Until isolatedRunPlannedUntil the worker waits for a suspect whose planned isolated run
+	// is being stored.
 	isolatedRunPlannedUntil time.Time
 
 	// lastUnansweredPollSentAt is when the latest poll without an answer was sent.
@@ -172,16 +175,16 @@
 
 	// Runs.
 
-	// lateStartUntil is until when a start without an answer may still be carried out.
+	// Until lateStartUntil a start without an answer may still be carried out.
 	lateStartUntil time.Time
 	reserved       workload.Resources // by runs
 	runs           []*run
 
 	// Drain, throttling and backoff.
 
-	// drainUntil is until when the worker is drained. Whoever drains it renews the request.
+	// Until drainUntil the worker is being drained. The requester renews the drain.
 	drainUntil             time.Time
-	maintenanceDueUntil    time.Time // its VM is due for maintenance
+	maintenanceDueUntil    time.Time // until then its VM counts as due for maintenance
 	bestEffortSpeedPercent int       // speed of its best-effort tasks
 	speedChangedAt         time.Time
 	failures               failureTracker
@@ -197,8 +200,8 @@
 }
 
 // allowAck allows the acknowledgement of exits up to a sequence number. If that covers all
-// exits that were read, the worker is polled immediately: while exits were unacknowledged it
-// would have answered each poll without waiting, so polls were delayed.
+// exits that were read, the worker is polled immediately. Its polls were delayed until now,
+// because a worker with unacknowledged exits answers each poll without waiting.
 func (w *worker) allowAck(exitNumber int64) {
 	if exitNumber <= w.ackAllowed {
 		return
