--- a/internal/scheduler/incarnation.go
+++ b/internal/scheduler/incarnation.go
@@ -17,20 +17,20 @@
 // Orders that were in flight to the previous process may reach the new one. Three rules make
 // them harmless:
 //
-//   - Each incarnation has its own fencing token. The worker refuses earlier orders once it
-//     has carried out a poll with the new token, and no task starts there before the owner
-//     has that poll's list.
-//   - An acknowledgement is sent only shortly after a list of the same incarnation. The new
-//     process would apply it to its own exits and drop them unread.
-//   - A run that was ordered earlier counts as lost only once that list shows that the run
-//     isn't there.
-
-// maxAckReportAge is the maximum age of a worker's list when an acknowledgement is sent. A
-// process takes longer to crash and restart.
+//   - Each incarnation has its own fencing token. The worker refuses earlier orders once it has
+//     carried out a poll with the new token, and no task starts there before the owner has the
+//     list in that poll's answer.
+//   - An acknowledgement is sent only shortly after a list of the same incarnation. Otherwise a
+//     new process could apply it to its own exits and drop them unread.
+//   - A run that was ordered earlier counts as lost only once the new incarnation's first list
+//     shows that the run isn't there.
+
+// maxAckReportAge is the maximum age of a worker's list when an acknowledgement is sent. A crash
+// and restart take longer, so the acknowledgement reaches the process that sent the list.
 const maxAckReportAge = 200 * time.Millisecond
 
 // minClockRegression is how far a worker's clock must go back to count as a restart if the
-// incarnation is unknown. Answers that overtake each other cause smaller steps.
+// incarnation is unknown. Answers that arrive out of order cause smaller steps.
 const minClockRegression = time.Second
 
 // isOtherIncarnation reports whether a list comes from another incarnation than the known one.
@@ -41,11 +41,11 @@
 	return r.Answer.ClockMS != 0 && w.clockMS-r.Answer.ClockMS > minClockRegression.Milliseconds()
 }
 
-// entryMatchesReports reports whether a worker's entry and its lists name the same
-// incarnation, as far as both state one. If they differ, one of them is stale.
+// entryMatchesReports reports whether a worker's entry and its lists name the same incarnation.
+// An unknown incarnation matches any. If they differ, the entry or the latest list is stale.
 //
 // A task starts only if they match. The owner gets new entries only while its ownership is
-// confirmed. So an owner that was replaced without knowing it can't start tasks on an
+// confirmed. So an owner that has lost its ownership without knowing it can't start tasks on an
 // incarnation that the next owner has not polled.
 func (w *worker) entryMatchesReports() bool {
 	return w.info.Incarnation == 0 || w.incarnation == 0 || w.info.Incarnation == w.incarnation
@@ -53,6 +53,7 @@
 
 // updateEntry applies a worker's registry entry. The entry may be older or newer than the
 // worker's lists, or come from another writer, so a new incarnation in it only causes a poll.
+// If the worker was replaced, a change of its entry counts as a restart.
 func (c *Core) updateEntry(w *worker, entry workload.Worker, now time.Time) {
 	previous := w.info
 	w.info = entry
@@ -70,7 +71,8 @@
 	}
 }
 
-// handleRestart records that a worker's process has restarted under its ID.
+// handleRestart records that a worker has restarted under its ID, and resets what is known of its
+// previous process. Its runs are kept until the first list of the new incarnation.
 func (c *Core) handleRestart(w *worker, incarnation int64, reason string, now time.Time) {
 	c.Counts.WorkerRestarts++
 	c.recordDecision(Decision{Verb: "worker-restarted", Worker: w.info.ID, Reason: reason, Age: now.Sub(w.lastPollAnsweredAt), AlwaysLogged: true})
@@ -108,8 +110,8 @@
 	}
 }
 
-// raiseToken gives a worker the next fencing token. Without a token left in its epoch the
-// owner steps down; the next owner has new ones.
+// raiseToken gives a worker the next fencing token. If the epoch has no token left, the owner
+// steps down; the next owner has a new epoch.
 func (c *Core) raiseToken(w *worker) {
 	if w.token+1 >= (c.settings.Epoch+1)*tokensPerEpoch {
 		c.StepDown("no fencing token is left for worker " + w.info.ID)
@@ -154,7 +156,7 @@
 		c.handleProcessExit(w, lost, now)
 	}
 	if !w.restartDetectedAt.IsZero() {
-		// An order with a lease by the previous process's clock may have arrived.
+		// An order with a lease on the previous process's clock may have reached the new process.
 		w.extendLease(now.Add(leaseExpiryDelay(c.settings.MaxLeaseDuration)))
 	}
 }
@@ -190,8 +192,8 @@
 
 // handleUnreadExit handles a run that has vanished from its worker without a listed exit: the
 // exit was acknowledged before an owner read it. The task may be done, so it must not start
-// again unless it may run more than once. As its result will never be known, its job fails;
-// otherwise the job would never end.
+// again unless it is long-running or speculative. Its result will never be known, so its job
+// fails; otherwise the job would never end.
 func (c *Core) handleUnreadExit(r *run, now time.Time) {
 	c.Counts.UnreadExits++
 	c.recordDecision(Decision{Verb: "end-unread", Job: r.step.job.id, Task: r.taskKey().String(), Worker: r.worker.info.ID, Run: r.number, Reason: "the worker lists neither the run nor its end", Age: now.Sub(r.orderedAt), AlwaysLogged: true})
--- a/internal/scheduler/orders.go
+++ b/internal/scheduler/orders.go
@@ -91,9 +91,9 @@
 	lastExitSeen int64
 }
 
-// minWriteInterval is the shortest time between two writes. Tasks end by the hundred a
-// second, and a worker is not polled again within minPollInterval anyway. The end of a job
-// is stored immediately, as its caller waits for it.
+// minWriteInterval is the shortest time between two writes. Hundreds of tasks may end each
+// second, and a worker is not polled again within minPollInterval anyway. The end of a job is
+// stored immediately, as its caller waits for it.
 const minWriteInterval = 20 * time.Millisecond
 
 // orderWrite orders a write of all changed records, one write at a time. Exits that arrive
@@ -168,7 +168,7 @@
 	if c.crashWritePending {
 		c.crashWritePending = false
 		c.planStale = true
-		c.ranking.tryAll = true // suspects may start even if their service has no room for other tasks
+		c.ranking.tryAll = true // suspects may start even if their service has no free capacity for other tasks
 	}
 	c.takeoverStored = true
 }
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -34,7 +34,7 @@
 }
 
 // placeCandidate places the tasks of a candidate's ready steps as far as they fit. For tasks that
-// don't fit it tries preemption and, for long-running and starved candidates, reserves a worker.
+// don't fit it tries preemption and, for long-running and starved candidates, holds a worker.
 func (c *Core) placeCandidate(cand candidate, now time.Time) {
 	pool := cand.servicePlan.pool
 	for _, s := range cand.steps {
@@ -65,15 +65,15 @@
 	}
 }
 
-// maxPlanInterval is the longest time between two plans while nothing changes. Due times and
-// backoffs expire without a message.
+// maxPlanInterval is the longest time between two plans while nothing changes. Due times are
+// reached and backoffs end without an event.
 const maxPlanInterval = 100 * time.Millisecond
 
 // isPlacementBlocked reports whether runs of an earlier owner may still be unknown. Starting a task
 // then could run it twice.
 func (c *Core) isPlacementBlocked(now time.Time) bool {
 	if !c.takeoverStored {
-		return true // until it is stored, a later owner would treat an earlier owner's handover as complete
+		return true // until the takeover is stored, a later owner would treat an earlier owner's handover as complete
 	}
 	if !now.Before(c.earlierLeasesExpireAt) {
 		return false
@@ -89,7 +89,8 @@
 	return false
 }
 
-// placeStep starts the idle tasks of a step as far as there is free capacity, a gang as a whole.
+// placeStep starts the idle tasks of a step as far as there is free capacity. A gang starts as a
+// whole or not at all. Suspects that are not in a gang are left to placeSuspects.
 func (c *Core) placeStep(p *placementPool, s *step, now time.Time) {
 	hasSuspects := s.idleSuspectCount() > 0
 	if !hasSuspects && !s.spec.Reservation().FitsIn(p.maxFree) {
--- a/internal/scheduler/poll.go
+++ b/internal/scheduler/poll.go
@@ -17,7 +17,7 @@
 	// startCheckPollWait replaces maxPollWait while it is unknown whether a run has started.
 	startCheckPollWait = 50 * time.Millisecond
 	// unackedPollInterval is the pause between polls of a worker whose exits can't be
-	// acknowledged yet, for example during an outage of the store: the worker answers each
+	// acknowledged yet, for example during an outage of the store. Such a worker answers each
 	// poll without waiting.
 	unackedPollInterval = 400 * time.Millisecond
 	// minPollInterval is the shortest pause between two polls. Exits that follow each other
@@ -44,16 +44,17 @@
 	exitEstimateSlack = 100 * time.Millisecond
 )
 
-// maxStepGap is the longest pause between two steps of a process that is not stalled.
+// maxStepGap is the pause between two steps above which this process counts as stalled.
 const maxStepGap = 400 * time.Millisecond
 
-// stallGracePeriod is how long the silence of workers proves nothing after a longer pause:
-// their answers may be waiting unread in this process.
+// stallGracePeriod is how long the process counts as stalled after such a pause. Until then the
+// silence of workers proves nothing: their answers may be waiting unread in this process.
 const stallGracePeriod = 2 * time.Second
 
-// silenceTimeout is how long a registered worker may be silent before its runs are dropped.
-// A crashed worker is unregistered after 4.5 s. A partitioned worker has most likely
-// completed its short tasks and lists their exits once it is reachable again.
+// silenceTimeout is how long a registered worker may be silent before its runs are dropped. It is
+// longer than the 4.5 s after which a crashed worker is unregistered. So a worker that is still
+// registered is most likely partitioned, has completed its short tasks, and lists their exits
+// once it is reachable again.
 const silenceTimeout = 10 * time.Second
 
 // detectStall sets stalledUntil after a pause between steps of more than maxStepGap.
@@ -66,17 +67,16 @@
 
 // expireRuns drops the runs on unreachable workers whose leases have expired.
 //
-// The runs are kept until a poll that was sent after the expiry has failed, too: a worker
-// that answers it may list runs as done, and a task that was started again meanwhile would
+// The runs are kept until a poll that was sent after the expiry has failed: a worker that
+// answers that poll may list runs as done, and a task that was started again meanwhile would
 // run twice. They are also kept while this process is stalled, when silence proves nothing,
-// and until silenceTimeout while the worker is registered: it is alive and will most likely
-// answer.
+// and until silenceTimeout while the worker is registered, as it will most likely answer.
 func (c *Core) expireRuns(now time.Time) {
 	for _, w := range c.sortedWorkers {
 		if !w.unreachable || now.Before(w.leasesExpireAt) || now.Before(c.stalledUntil) || c.mayOutliveLeases(w, now) {
 			continue
 		}
-		hasAddress := w.info.Address != "" // it has none if only an earlier owner has named it
+		hasAddress := w.info.Address != "" // a worker known only from an earlier owner's records has none
 		if hasAddress && (w.lastUnansweredPollSentAt.Before(w.leasesExpireAt) || !w.unregistered && now.Sub(w.lastPollAnsweredAt) < silenceTimeout) {
 			continue
 		}
@@ -89,8 +89,8 @@
 }
 
 // dropExpiredRuns drops the runs on a worker whose leases have expired. On a registered worker
-// it keeps runs of which neither a start nor a stop is confirmed: the start may be carried
-// out up to maxOrderDelay later, with its lease counted from then.
+// it keeps runs of which neither the start nor a stop is confirmed: the start may still be
+// carried out until maxOrderDelay after it was ordered, and its lease may count from then.
 func (c *Core) dropExpiredRuns(w *worker, now time.Time) {
 	expired := slices.DeleteFunc(slices.Clone(w.runs), func(r *run) bool {
 		return !r.startConfirmed && !r.stopConfirmed && !w.unregistered && now.Before(r.orderedAt.Add(maxOrderDelay+leaseExpiryDelay(c.settings.LeaseDuration)))
@@ -129,8 +129,8 @@
 			poll.AckedUpTo = w.ackAllowed
 		}
 		w.ackSent = poll.AckedUpTo
-		// A worker that may be gone gets no renewal: its tasks would have to wait for the
-		// longer lease to expire.
+		// A worker that may be gone gets no renewal. Otherwise its tasks would have to wait until
+		// the renewed lease expires before they start elsewhere.
 		inSync := w.synced && !w.unreachable && !w.entryMismatch
 		if len(w.runs) > 0 && inSync && c.hasAuthority(now) {
 			poll.LeaseExpiresAtMS = c.grantLease(w, now)
@@ -145,9 +145,10 @@
 	}
 }
 
-// sendExtraPoll sends another poll if the answer of the latest is overdue. Without it a lost
-// answer blocks polling until its timeout, the time of two or three short tasks: the worker's
-// exits stay unread, nothing starts in their place, and then the worker counts as silent.
+// sendExtraPoll sends another poll if the answer to the latest is overdue. Without it a lost
+// answer would block polling until the poll times out, as long as two or three short tasks take:
+// the worker's exits would stay unread, nothing would start in their place, and finally the
+// worker would count as silent.
 func (c *Core) sendExtraPoll(w *worker, now time.Time) {
 	if w.extraPollsInFlight >= maxExtraPollsPerWorker || now.Before(w.pollAnswerDueAt) || now.Before(c.stalledUntil) || c.extraPollsInFlight >= maxExtraPollsTotal {
 		return
@@ -185,8 +186,8 @@
 	return wait
 }
 
-// estimatedTimeToExit returns how long a run may go on, by its estimate. A run that has
-// exceeded its estimate by some time is expected to go on for as long again.
+// estimatedTimeToExit returns for how much longer the run is expected to take. A run that has
+// exceeded its estimate by some time is expected to take that time once more.
 func (r *run) estimatedTimeToExit(now time.Time) time.Duration {
 	rest := estimate(r.step.spec) - now.Sub(r.orderedAt)
 	return max(rest, -rest)
--- a/internal/scheduler/pollresult.go
+++ b/internal/scheduler/pollresult.go
@@ -31,9 +31,9 @@
 	if w == nil {
 		return
 	}
-	// An answer that a later one has overtaken is stale: runs that it lists may have ended,
-	// and the exits that it lists are listed again. An answer to a poll that was sent before
-	// a restart of the worker was detected is stale, too.
+	// An answer is stale if a poll that was sent later has already been answered: runs that it
+	// lists may have ended, and its exits will be listed again. An answer to a poll that was sent
+	// before a restart of the worker was detected is stale, too.
 	stale := r.SentAt.Before(w.lastAnsweredPollSentAt) || r.Token < w.token
 	if r.Extra {
 		w.extraPollsInFlight--
@@ -65,8 +65,8 @@
 	}
 }
 
-// isStaleReport reports whether a list is older than the last accepted one. An earlier poll
-// may wait longer at the worker, so that its list is the newer one.
+// isStaleReport reports whether a list is older by the worker's clock than the last accepted one.
+// The order of the polls does not show that, as an earlier poll may wait longer at the worker.
 func (w *worker) isStaleReport(r PollResult) bool {
 	return r.Answer.Status == workload.WorkerOK && r.Answer.ClockMS < w.lastReportClockMS && !w.isOtherIncarnation(r)
 }
@@ -96,8 +96,9 @@
 	}
 }
 
-// handleReplaced records that another incarnation answers at a worker's address: the worker's
-// process and its runs have ended. The worker is not polled again until its entry changes.
+// handleReplaced records that another process answers at a worker's address: a new incarnation or
+// another worker. So the worker's process and its runs have ended. The worker is not polled again
+// until its entry changes.
 func (c *Core) handleReplaced(w *worker, now time.Time) {
 	if w.replaced {
 		return
@@ -177,8 +178,9 @@
 	}
 }
 
-// addListedRun adds a listed run that an earlier owner started. It stops a run that is not
-// needed, and returns nil if the run's task is unknown.
+// addListedRun adds a run that an earlier owner started and this owner learns of from a worker's
+// list. It stops the run if the task is done, its job has ended or the task has another run. If the
+// task is unknown, it orders a stop and returns nil.
 func (c *Core) addListedRun(w *worker, listed workload.ListedRun, now time.Time) *run {
 	s, t := c.findTask(listed.Task)
 	if s == nil {
@@ -203,10 +205,10 @@
 	return r
 }
 
-// dropEarlierRuns removes runs of a task with a lower number that earlier owners left and no
-// worker has listed. A task starts again only once its previous run is known to be over, so
-// the listed run with the higher number proves that they are over. The owner that knew it
-// may have been lost before it stored that.
+// dropEarlierRuns removes a task's runs with lower numbers that earlier owners left and that no
+// worker has listed. A task starts again only once its previous run is known to have ended, so a
+// listed run with a higher number proves that the earlier ones have ended. The owner that knew of
+// their end may have been lost before it stored it.
 func (c *Core) dropEarlierRuns(t *task, number int64) {
 	for _, r := range slices.Clone(t.runs) {
 		if r.number < number && r.state == runUnanswered && (r.inherited || r.fromCrashRecord) {
@@ -224,8 +226,8 @@
 		}
 		switch {
 		case r.state == runUnanswered:
-			// The start has not been carried out yet. A stop that is accepted keeps it
-			// from being carried out later.
+			// The start has not been carried out yet. Once the worker has accepted a stop,
+			// it won't carry the start out later.
 			c.stopRun(r, "start without an answer")
 			c.sendStop(r, now)
 		case r.state == runStopping && !r.stopConfirmed:
@@ -293,14 +295,14 @@
 	}
 }
 
-// recordFailedRun records a run that failed by its task's own fault, and fails the job once
-// the queue's MaxAttempts is reached.
+// recordFailedRun records a run that failed by its task's own fault, and fails the job once the
+// task, or the gang as a whole, has failed MaxAttempts times. Long-running tasks have no limit.
 func (c *Core) recordFailedRun(w *worker, s *step, t *task, exit workload.RunExit, now time.Time) {
 	c.Counts.FailedRuns++
 	t.avoidWorker = w.info.ID
 	t.avoidUntil = now.Add(avoidWorkerDuration)
 	if s.spec.LongRunning {
-		return // no limit of attempts
+		return // its attempts are not limited
 	}
 	if slices.Contains(t.failedRuns, exit.Run) {
 		return
@@ -317,8 +319,8 @@
 	}
 }
 
-// avoidWorkerDuration is how long a task that failed on a worker waits for free capacity on
-// other workers. After that it may run there again: its failure may be its own fault.
+// avoidWorkerDuration is how long a finite task that failed on a worker starts only on other workers.
+// After that it may start there again, because the failure may be the task's own fault.
 const avoidWorkerDuration = time.Second
 
 // defaultMaxAttempts applies if the queue sets no limit or was removed while its jobs run.
