--- a/internal/scheduler/advice.go
+++ b/internal/scheduler/advice.go
@@ -7,17 +7,18 @@
 
 // Limits of advice requests.
 const (
-	// maxAdviceWorkers is how many workers one request names. Each delays the answer, and a few
-	// approved workers are enough.
+	// maxAdviceWorkers is the maximum number of workers that one request names. Each delays the
+	// answer, and a few approved workers are enough.
 	maxAdviceWorkers = 30
-	// ticketExpiryMargin is how long before its expiry a ticket is no longer used, because the
-	// start must arrive before.
+	// ticketExpiryMargin is how long before its expiry a ticket is no longer used, because the start
+	// must arrive before the ticket expires.
 	ticketExpiryMargin  = 300 * time.Millisecond
 	adviceRetryInterval = 300 * time.Millisecond
 )
 
-// adviceState is what is known of the workers that may run a step. Which workers may run it does
-// not change, but their tickets expire.
+// adviceState is the placement advice for a step: the workers that may run it, with their tickets,
+// and those that may not. Which workers may run a step does not change, but tickets expire. A step
+// without advice may run on any worker.
 type adviceState struct {
 	ticketsByWorker map[string]ticket
 	refusedWorkers  map[string]bool
@@ -57,8 +58,8 @@
 	return usable
 }
 
-// requestAdvice requests tickets for workers with enough free capacity, for those approved before
-// first.
+// requestAdvice requests tickets for workers with enough free capacity. Workers that were approved
+// before are named first.
 func (c *Core) requestAdvice(p *placementPool, s *step) {
 	var known, unknown []string
 	for _, w := range slices.Concat(p.workers, p.reservedForSuspects) {
--- a/internal/scheduler/authority.go
+++ b/internal/scheduler/authority.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// An owner that was replaced may not know it: it is partitioned from the store, or its process
-// is paused. Its leases keep runs alive on workers that its successor can't reach, while the
-// successor would start their tasks elsewhere. Two bounds, computed by both sides in the same
-// way, prevent such double runs:
+// An owner that has lost the partition to a next owner may not know it: it is partitioned from the
+// store, or its process is paused. Its leases keep runs alive on workers that the next owner can't
+// reach, while the next owner would start their tasks elsewhere. Two bounds, computed by both
+// owners in the same way, prevent such double runs:
 //
-//   - An owner starts tasks, renews leases and moves tasks only while it is certain that no
-//     successor has started, or that one started less than Settings.MaxOwnerOverlap ago.
-//   - A successor that can't reach a worker waits for MaxOwnerOverlap plus a lease.
+//   - An owner starts tasks, renews leases and moves tasks only while it is certain that no next
+//     owner has started, or that one started less than Settings.MaxOwnerOverlap ago.
+//   - A next owner that can't reach a worker waits for MaxOwnerOverlap plus a lease.
 //
 // A lease expires at a time on the worker's clock that is computed before the order is sent.
 // So an order that is sent late, for example by a paused process, does not extend the lease.
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -13,11 +13,11 @@
 // the progress that is not stored yet, and the handover with the remaining runs. It must be
 // called after the last Step, as each step may start runs.
 //
-// The progress is part of it because a task whose exit this owner has read has no remaining
-// run. A successor that knew only the remaining runs would start the task again immediately.
+// The progress is included because a task whose exit this owner has read has no remaining run.
+// A next owner that knew only the remaining runs would start the task again immediately.
 //
-// An owner that does not know yet what the previous owner left stores no handover, as it would
-// omit those runs.
+// An owner that does not know all runs of earlier owners yet stores no handover, as the handover
+// would omit those runs.
 func (c *Core) HandoverRecords(now time.Time) []workload.Record {
 	records := c.unstoredProgressRecords()
 	if c.isPlacementBlocked(now) {
@@ -55,7 +55,7 @@
 }
 
 // RestoreUnstoredProgress is RestoreProgress for progress that the previous owner could not
-// store. This owner stores it, and shows the end of the job once it is stored.
+// store. This owner stores it, and JobState returns a terminal state only after that.
 func (c *Core) RestoreUnstoredProgress(id workload.JobID, progress *workload.Progress) {
 	j := c.ensureJob(id)
 	storedState := j.storedState
@@ -78,7 +78,7 @@
 // RestoreHandover restores the runs of an earlier owner's handover. It must be called once the
 // jobs are known. The runs count as live until their worker answers or their leases expire.
 // Nothing else can run anywhere, so all other tasks may start immediately. Workers that were
-// being drained stay drained: a task that started on one would be lost with its VM.
+// being drained stay closed to starts: a task that started on one would be lost with its VM.
 func (c *Core) RestoreHandover(h *workload.Handover, now time.Time) {
 	for _, id := range h.DrainingWorkers {
 		c.ensureWorker(id, now).drainUntil = now.Add(drainRequestTTL)
@@ -95,7 +95,7 @@
 		}
 		w := c.ensureWorker(handedOver.Worker, now)
 		if r := w.findRun(key, handedOver.Run); r != nil {
-			r.startConfirmed = handedOver.StartConfirmed // an isolated run, restored from its stored crash
+			r.startConfirmed = handedOver.StartConfirmed // an isolated run, restored from its crash record
 			continue
 		}
 		w.extendLease(now.Add(leaseExpiryDelay(c.settings.LeaseDuration)))
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -61,7 +61,8 @@
 
 // suspectsPerVM is the number of suspects waiting for an isolated run for which a service
 // requests one more VM, up to as many VMs as it has workers. An isolated run that crashes its
-// worker takes that worker away for seconds, so a long queue takes minutes on a small service.
+// worker makes that worker unavailable for seconds, so without more VMs a long queue of suspects
+// would take minutes on a small service.
 const suspectsPerVM = 5
 
 // addSuspectDemand adds the demand of waiting suspects.
@@ -86,8 +87,8 @@
 	return w.synced && !w.unreachable && !w.info.Leaving && !now.Before(w.failures.suspendedUntil)
 }
 
-// loadReport returns the worker's load. Long-running runs are counted separately, as they are
-// the hardest to move.
+// loadReport returns the worker's load. Runs of long-running tasks are also counted separately, as
+// they are the hardest to move.
 func (w *worker) loadReport(now time.Time) workload.WorkerLoad {
 	l := workload.WorkerLoad{Usable: w.isUsable(now), Runs: len(w.runs), Reserved: w.reserved}
 	if capacity := w.info.Capacity; capacity != w.maxCapacity {
@@ -173,8 +174,8 @@
 const maxUnmetRequirements = 8
 
 // recordArrivedWork adds a new job to the arrived work of its service. It omits long-running
-// tasks, which show in the reserved resources, and repeated jobs, whose occurrences follow one
-// after the other and show in the pending and upcoming demand.
+// tasks, which are part of the reserved resources, and repeated jobs, whose occurrences follow one
+// after the other and are part of the pending and upcoming demand.
 func (c *Core) recordArrivedWork(j *job) {
 	if j.submission.Spec.Repeat > 0 {
 		return
--- a/internal/scheduler/silence.go
+++ b/internal/scheduler/silence.go
@@ -7,11 +7,11 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// A task may crash the VM of its worker. Then nothing refuses connections and no successor
-// appears at the address, so the loss looks like a partition, and one such loss proves
-// nothing: a partitioned zone loses hundreds of tasks at once. Repeated losses soon after
-// each start of one task do count. Several make the task a suspect, as for unlikely causes
-// of crashes (suspect.go); losses during its isolated runs prove it to be the cause.
+// A task may crash the VM of its worker. Then nothing refuses connections and no other process
+// answers at the address, so the loss looks like a partition. One such loss proves nothing: a
+// partition of a zone loses hundreds of runs at once. But losses count if each follows soon after
+// a start of the same task. minCrashesOfSuspect of them make the task a suspect (suspect.go), and
+// losses during its isolated runs prove that it crashes its workers.
 const (
 	// maxSilenceDelay is how long after a start the worker may have become silent for the
 	// loss to count. The poll that detects it has waited for an answer.
@@ -21,7 +21,8 @@
 )
 
 // recordSilentLosses records a crash for each of the expired runs on a worker that had started
-// within maxSilenceDelay before the worker became silent, and returns those runs.
+// within maxSilenceDelay before the worker became silent, and returns those runs. It skips
+// inherited runs, whose age is unknown, and all others if one was isolated.
 func (c *Core) recordSilentLosses(w *worker, runs []*run, now time.Time) (blamed []*run) {
 	if len(runs) == 0 || now.Before(w.drainUntil) || !w.crashUnconfirmedUntil.IsZero() || c.listedNonCrashReason(w, runs) != "" {
 		return nil
@@ -43,7 +44,7 @@
 		})
 		c.trackStepWithCrashes(r.step)
 		if r.isolated || len(t.crashes) > 1 {
-			c.queueCrashWrite(r.step, t) // a single loss proves nothing, and there may be hundreds
+			c.queueCrashWrite(r.step, t) // a first loss proves nothing, and there may be hundreds to store
 		}
 		r.isolated = false
 		blamed = append(blamed, r)
@@ -51,8 +52,8 @@
 	return blamed
 }
 
-// retractSilentLosses removes the crashes that were recorded for the silence of a worker's
-// process that answers again: it was partitioned.
+// retractSilentLosses retracts the crashes that were recorded for the silence of a worker whose
+// same incarnation answers again: it was partitioned.
 func (c *Core) retractSilentLosses(w *worker) {
 	for _, s := range c.stepsWithCrashes {
 		for i := range s.tasks {
--- a/internal/scheduler/suspect.go
+++ b/internal/scheduler/suspect.go
@@ -12,39 +12,45 @@
 // service. A crashed worker lists no exits, so the limit of attempts does not stop such a task.
 //
 // One crash proves nothing about any of the tasks that the worker ran. The tasks that had just
-// begun become suspects. Each suspect runs next on a worker where it is the only crash candidate
+// started become suspects. Each suspect runs next on a worker where it is the only crash candidate
 // (isolation.go), and only once the crash is stored, so that the count survives the loss of the
-// owner. Crashes of workers in isolated runs prove the task to be the cause. A task that makes
-// progress is cleared.
+// owner. Repeated crashes that only the task can have caused prove that it crashes its workers. A
+// task that makes progress is cleared.
+//
+// Terms: a crash candidate is a run that can have caused a crash at a given time. A likely cause is
+// a candidate that was ordered last or shortly before the crash. A sole cause is a run whose worker
+// had no other run that can have caused the crash.
 const (
 	// earlyCrash is the age of a run up to which it is a likely cause of its worker's crash.
 	earlyCrash = 300 * time.Millisecond
 	// minProgressTime is how long a run must last to be an unlikely cause of a crash.
 	minProgressTime = time.Second
-	// crashesToProve is how many crashes that the task alone can have caused prove it to be the
-	// cause. One may be the worker's own fault.
+	// crashesToProve is how many crashes that only the task can have caused prove that it crashes
+	// its workers. One may be the worker's own fault.
 	crashesToProve = 2
-	// laterCrashesPerEarlyCrash is how many later crashes weigh as much as an early one. Later
-	// crashes are those minIsolatedRunTime or more after the start, after an unanswered start, or
-	// under a run of an earlier owner. A worker that crashes on its own may do so by chance within
-	// a task's first second or two, but hardly repeatedly within its first half second.
+	// laterCrashesPerEarlyCrash is how many later crashes count as one early crash. A crash is a
+	// later one if it happened minIsolatedRunTime or more after the start, if the start was
+	// unanswered, or if the run was inherited from an earlier owner. A worker that crashes on its own
+	// may do so by chance within a task's first second or two, but hardly repeatedly within its first
+	// half second.
 	laterCrashesPerEarlyCrash = 3
-	// minCrashesOfSuspect is how many crashes make a task a suspect that had run for a while each
-	// time, beside likelier causes.
+	// minCrashesOfSuspect is the number of recorded crashes that make a task a suspect although it
+	// was a likely cause of none.
 	minCrashesOfSuspect = 3
-	// crashRetention is how long a crash counts. A long-running task lives through the ordinary
-	// crashes of months.
+	// crashRetention is how long a crash counts. A long-running task runs for months and sees many
+	// crashes that it did not cause.
 	crashRetention = 10 * time.Minute
 	// maxStoredCrashes bounds the crashes stored for one task.
 	maxStoredCrashes = 12
 	// minIsolatedRunTime is the shortest run time that clears a suspect. maxIsolatedRunTime is the
-	// longest that may be required, because the worker accepts nothing else meanwhile.
+	// longest that may be required, because only suspects may start on the worker meanwhile.
 	minIsolatedRunTime = 500 * time.Millisecond
 	maxIsolatedRunTime = 5 * time.Second
 )
 
-// isSuspect reports whether the task may have crashed the workers that it lost: it was a likely
-// cause of a crash, its isolated run is pending, or it was present at minCrashesOfSuspect crashes.
+// isSuspect reports whether the task may crash its workers: it was a likely cause of an uncleared
+// crash, its isolated run is pending, or it has minCrashesOfSuspect recorded crashes, at least one of
+// them uncleared.
 func (t *task) isSuspect() bool {
 	hasUncleared := false
 	for _, crash := range t.crashes {
@@ -59,7 +65,8 @@
 	return hasUncleared && len(t.crashes) >= minCrashesOfSuspect
 }
 
-// isProvenCause reports whether the recorded crashes prove the task to be their cause.
+// isProvenCause reports whether the recorded crashes prove that the task crashes its workers. Only
+// confirmed, uncleared crashes that only the task can have caused count.
 func (t *task) isProvenCause(longRunning bool) bool {
 	early, later, silent := 0, 0, 0
 	progressed := t.madeProgress
@@ -80,7 +87,7 @@
 		needed++ // it does not crash every worker at its start
 	}
 	if longRunning {
-		needed++ // it sees more random crashes, and its service ends with it
+		needed++ // it sees more crashes by chance, and its service ends with it
 	}
 	return early+later/laterCrashesPerEarlyCrash+silent/silentLossesPerCrash >= needed
 }
