--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -17,8 +17,8 @@
 	workerLeavingReason = "its worker is leaving"
 )
 
-// maxRemainingToFinish is the longest remaining time with which a task may finish rather than move.
-// A move costs a stop, a restart and the work since the last checkpoint.
+// maxRemainingToFinish is the longest estimated remaining time for which a task may finish rather
+// than move. A move costs a stop, a restart and the work since the last checkpoint.
 const maxRemainingToFinish = 1500 * time.Millisecond
 
 // Timing of polls to a draining worker that runs nothing. An idle worker is not polled otherwise.
@@ -102,8 +102,9 @@
 }
 
 // endDrain ends the drain of a worker. A drained worker has most likely left with its VM, though it
-// stays listed for some seconds, so one without runs counts as unreachable until it answers a poll.
-// A start there would be refused, which costs a task its backoff and a gang all its members.
+// stays listed for some seconds. So a worker without runs counts as unreachable until it answers a
+// poll. A start there would be refused: a task would have to wait for its backoff, and a gang would
+// be stopped as a whole.
 func (w *worker) endDrain() {
 	if w.drainUntil.IsZero() {
 		return
--- a/internal/scheduler/failuretracker.go
+++ b/internal/scheduler/failuretracker.go
@@ -6,9 +6,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Suspension of workers that fail the tasks they start. A few in a hundred tasks fail by their own
-// fault, so one failure is weak evidence against a worker. Several in a row within a short time, of
-// several jobs, are strong evidence.
+// Suspension of workers on which tasks fail. A few percent of the tasks fail by their own fault, so
+// one failure is weak evidence against a worker. Several consecutive failures of several jobs within
+// a short time are strong evidence.
 const (
 	minFailuresToSuspend = 3
 	minJobsToSuspend     = 2
--- a/internal/scheduler/starttracker.go
+++ b/internal/scheduler/starttracker.go
@@ -6,9 +6,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// overtakenThreshold is the number of starts by which an answered start must be later than an
-// unanswered one for the latter's answer to count as lost: as many as may be in flight. On
-// an overloaded node all answers are late, but arrive roughly in the order of their starts.
+// overtakenThreshold is the distance in starts after which an unanswered start is overtaken: its
+// answer counts as lost once a start that was sent that many starts later is answered. It equals
+// the number of starts that may be in flight. On an overloaded node all answers are late, but
+// arrive roughly in the order of their starts.
 const overtakenThreshold = maxStartsInFlight
 
 // overtakenStartTimeout is how long an overtaken start may be unanswered before its worker is
@@ -23,9 +24,9 @@
 }
 
 // startTracker counts the unanswered starts, which maxStartsInFlight bounds. Starts whose
-// answer counts as lost are not counted. An answer times out after a second, so at 1,600
-// starts a second one lost answer in twenty-five would use up the bound, and tasks would
-// wait beside free workers.
+// answer counts as lost are not counted. An answer times out after a second, so at 1,600 starts
+// a second a loss of one answer in 25 would use up the bound, and tasks would wait although
+// workers have free capacity.
 type startTracker struct {
 	unanswered   map[startID]int64 // sequence number of the start
 	queue        []sentStart       // unanswered starts in order, and some answered ones
--- a/internal/scheduler/throttle.go
+++ b/internal/scheduler/throttle.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Control of best-effort tasks beside serving tasks. The tail latency of a serving task must stay
-// under its target. The speed is cut at once and raised slowly, because an overshoot harms users
-// and a low speed costs only spare work.
+// Control of the speed of best-effort tasks on workers with serving tasks. The tail latency of a
+// serving task must stay under its target. The speed is cut immediately and raised slowly, because a
+// speed that is too high harms users, and one that is too low only delays best-effort work.
 const (
 	highTailRatio     = 0.85 // of tail latency to target; above it the speed is cut
 	lowTailRatio      = 0.6  // below it the speed is raised
