--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -22,8 +22,8 @@
 //   - Incarnation: one process of a worker. A restarted worker may keep its ID, but has lost
 //     its runs, exits and the token that it had seen. Each incarnation gets its own token
 //     (incarnation.go).
-//   - Poll: renews the leases on a worker and lists its runs and exits. Only a poll shows
-//     that a run has ended by itself (poll.go, pollresult.go).
+//   - Poll: renews the leases on a worker. The answer has the worker's list of its runs and
+//     exits. Only such a list shows that a run has ended by itself (poll.go, pollresult.go).
 //   - Suspect: a task that may have crashed its worker. It is quarantined: its next run is an
 //     isolated run, on a worker where no other task can cause a crash. The suspect is
 //     cleared by progress, or its job fails after repeated crashes (suspect.go, crash.go,
@@ -173,7 +173,7 @@
 	// WorkerRestarts counts workers that restarted under their ID, UnreadExits the runs that
 	// vanished from a worker that listed no exit of them.
 	WorkerRestarts, UnreadExits int
-	// DuplicateRuns counts runs that were found beside another run of their task.
+	// DuplicateRuns counts runs that were found while another run of their task was live.
 	DuplicateRuns int
 	// IsolatedRuns counts the starts of isolated runs, ClearedSuspects the suspects that made
 	// progress, CrashingJobs the jobs that failed because one of their tasks crashes workers.
--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -64,8 +64,8 @@
 const maintenanceMarkTTL = time.Second
 
 // SetDueForMaintenance marks the workers of a service whose VMs are due for maintenance. Their runs
-// go on, but long-running tasks that must move avoid these workers if they can: there each would
-// move a second time, and the budget of a step allows only one move after the other.
+// continue, but long-running tasks that must move avoid these workers if they can. There each would
+// have to move a second time, and MaxUnavailable allows a step few moves at a time.
 func (c *Core) SetDueForMaintenance(service string, ids []string, now time.Time) {
 	for _, id := range ids {
 		if w := c.workers[id]; w != nil && w.info.Service == service {
@@ -115,8 +115,8 @@
 	}
 }
 
-// shouldEvict reports whether a run must be stopped so that it continues elsewhere. The budget of a
-// long-running step applies only if its worker could otherwise go on.
+// shouldEvict reports whether a run must be stopped so that it continues elsewhere. MaxUnavailable of
+// a long-running step applies only while the worker itself is not leaving.
 func (r *run) shouldEvict(draining bool, now time.Time) bool {
 	spec := r.step.spec
 	if spec.LongRunning {
@@ -131,7 +131,7 @@
 
 // canRetryStop reports whether an unanswered stop may be sent again to a worker that still lists
 // the run. If a long-running task was stopped for a drain, another task of its step may have become
-// unavailable since, because its worker failed or left, so the budget is checked again.
+// unavailable since, because its worker failed or left, so MaxUnavailable is checked again.
 func (c *Core) canRetryStop(r *run, now time.Time) bool {
 	if r.stoppedForDrain && !c.hasAuthority(now) {
 		return false
--- a/internal/scheduler/incarnation.go
+++ b/internal/scheduler/incarnation.go
@@ -168,8 +168,9 @@
 }
 
 // mayOutliveLeases reports whether runs on a restarted worker may outlive the leases that
-// were granted. A start for the previous process may have reached the new one, whose clock
-// is behind; the worker then cuts the lease to MaxLeaseDuration.
+// were granted. A start that was sent to the previous process may have reached the new one. Its
+// lease then ends far in the future on the new process's clock, and the worker cuts it to
+// MaxLeaseDuration.
 func (c *Core) mayOutliveLeases(w *worker, now time.Time) bool {
 	return w.incarnationUnresolved && !w.restartDetectedAt.IsZero() && now.Before(w.restartDetectedAt.Add(leaseExpiryDelay(c.settings.MaxLeaseDuration)))
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -8,7 +8,7 @@
 )
 
 // job is an accepted job with all its steps. It ends when finalState is set. Callers see the
-// end once storedState is set, too.
+// end once storedState has the same value.
 type job struct {
 	id         workload.JobID
 	submission *workload.Submission // nil while only a cancellation or progress was read
--- a/internal/scheduler/speculation.go
+++ b/internal/scheduler/speculation.go
@@ -40,9 +40,9 @@
 // connection refused.
 const maxCrashDetectionDelay = time.Second
 
-// mayHaveCrashed reports whether a worker is unreachable and may have crashed. A copy of a task that
-// crashed it would crash the next worker, so its tasks get no copies. They start again once its leases
-// have expired.
+// mayHaveCrashed reports whether a worker is unreachable and may have crashed. A copy of a task
+// that crashed it would crash the next worker, so its tasks get no copies: they start again once
+// its leases have expired.
 func (w *worker) mayHaveCrashed(now time.Time) bool {
 	return w.unreachable && (w.connectionRefused || now.Before(w.unreachableSince.Add(maxCrashDetectionDelay)))
 }
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -132,8 +132,8 @@
 	// Polls.
 	pollInFlight bool
 	nextPollAt   time.Time
-	// pollAnswerDueAt is when the answer of the latest poll is overdue. extraPollsInFlight is
-	// the number of polls in flight beside the first.
+	// pollAnswerDueAt is when the answer to the latest poll is overdue. extraPollsInFlight is
+	// the number of extra polls in flight.
 	pollAnswerDueAt    time.Time
 	extraPollsInFlight int
 	// lastAnsweredPollSentAt is when the latest poll that got an answer was sent.
@@ -163,6 +163,8 @@
 	// is being stored.
 	isolatedRunPlannedUntil time.Time
 
+	// Answers and orders in flight.
+
 	// lastUnansweredPollSentAt is when the latest poll without an answer was sent.
 	lastUnansweredPollSentAt time.Time
 	lastPollAnsweredAt       time.Time
