--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -7,7 +7,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// placeGang starts all tasks of a gang at once, or none. Members that wait for others hold their
+// placeGang starts all tasks of a gang in one plan, or none. Members that wait for others reserve
 // capacity and do no work, and the platform ends a gang that is not complete in time as `alone`,
 // which counts as aborted work.
 func (c *Core) placeGang(p *placementPool, s *step, now time.Time) {
@@ -44,9 +44,9 @@
 }
 
 // stopIncompleteGangs stops gangs that won't be complete in time. If a member's start is refused,
-// for example by a worker that has just left, or gets no answer, the other members hold their
-// capacity and do no work until the platform's timeout ends them. An early stop costs only the stop
-// itself, and the gang starts again.
+// for example by a worker that has just left, or gets no answer, the other members would reserve
+// capacity and do no work until the platform's timeout ends them. After an early stop the gang starts
+// again sooner.
 func (c *Core) stopIncompleteGangs(now time.Time) {
 	c.formingGangs = slices.DeleteFunc(c.formingGangs, func(g formingGang) bool {
 		switch g.step.gangStatus(g.runNumber) {
--- a/internal/scheduler/rank.go
+++ b/internal/scheduler/rank.go
@@ -11,18 +11,18 @@
 type rankClass int
 
 const (
-	// classLongRunning: long-running tasks must start within seconds however full the service is,
-	// and there are few.
+	// classLongRunning: jobs with long-running tasks. There are few, and their tasks must start within
+	// seconds even if the service is full.
 	classLongRunning rankClass = iota
-	// classStarved: the oldest job of a service that has waited for starvationTimeout after its
-	// credit ended.
+	// classStarved: the oldest job of a service among those that have waited for starvationTimeout
+	// after they could no longer earn credit.
 	classStarved
 	classOnTime  // can still be completed within its target
 	classLate    // earns reduced credit
 	classExpired // earns no credit any more, but is still completed
 )
 
-// maxLateFactor is how many times its target a job may take to earn any credit.
+// maxLateFactor is the multiple of its target within which a job must be completed to earn credit.
 const maxLateFactor = 3
 
 // starvationTimeout is how long a job that can no longer earn credit waits before it is ranked as
