--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -17,8 +17,8 @@
 	workerLeavingReason = "its worker is leaving"
 )
 
-// maxRemainingToFinish is the longest remaining time with which a task may finish rather than move.
-// A move costs a stop, a restart and the work since the last checkpoint.
+// maxRemainingToFinish is the longest estimated remaining time for which a task may finish rather
+// than move. A move costs a stop, a restart and the work since the last checkpoint.
 const maxRemainingToFinish = 1500 * time.Millisecond
 
 // Timing of polls to a draining worker that runs nothing. An idle worker is not polled otherwise.
@@ -64,8 +64,8 @@
 const maintenanceMarkTTL = time.Second
 
 // SetDueForMaintenance marks the workers of a service whose VMs are due for maintenance. Their runs
-// go on, but long-running tasks that must move avoid these workers if they can: there each would
-// move a second time, and the budget of a step allows only one move after the other.
+// continue, but long-running tasks that must move avoid these workers if they can. There each would
+// have to move a second time, and MaxUnavailable allows a step few moves at a time.
 func (c *Core) SetDueForMaintenance(service string, ids []string, now time.Time) {
 	for _, id := range ids {
 		if w := c.workers[id]; w != nil && w.info.Service == service {
@@ -102,8 +102,9 @@
 }
 
 // endDrain ends the drain of a worker. A drained worker has most likely left with its VM, though it
-// stays listed for some seconds, so one without runs counts as unreachable until it answers a poll.
-// A start there would be refused, which costs a task its backoff and a gang all its members.
+// stays listed for some seconds. So a worker without runs counts as unreachable until it answers a
+// poll. A start there would be refused: a task would have to wait for its backoff, and a gang would
+// be stopped as a whole.
 func (w *worker) endDrain() {
 	if w.drainUntil.IsZero() {
 		return
@@ -114,8 +115,8 @@
 	}
 }
 
-// shouldEvict reports whether a run must be stopped so that it continues elsewhere. The budget of a
-// long-running step applies only if its worker could otherwise go on.
+// shouldEvict reports whether a run must be stopped so that it continues elsewhere. MaxUnavailable of
+// a long-running step applies only while the worker itself is not leaving.
 func (r *run) shouldEvict(draining bool, now time.Time) bool {
 	spec := r.step.spec
 	if spec.LongRunning {
@@ -130,7 +131,7 @@
 
 // canRetryStop reports whether an unanswered stop may be sent again to a worker that still lists
 // the run. If a long-running task was stopped for a drain, another task of its step may have become
-// unavailable since, because its worker failed or left, so the budget is checked again.
+// unavailable since, because its worker failed or left, so MaxUnavailable is checked again.
 func (c *Core) canRetryStop(r *run, now time.Time) bool {
 	if r.stoppedForDrain && !c.hasAuthority(now) {
 		return false
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -8,7 +8,7 @@
 )
 
 // job is an accepted job with all its steps. It ends when finalState is set. Callers see the
-// end once storedState is set, too.
+// end once storedState has the same value.
 type job struct {
 	id         workload.JobID
 	submission *workload.Submission // nil while only a cancellation or progress was read
@@ -18,7 +18,7 @@
 	steps            []*step
 	remainingTasks   int  // tasks that are not done, long-running ones included
 	liveRuns         int  // runs that are not known to have ended
-	started          bool // a task of it has been started
+	started          bool // one of its tasks has been started
 	cancelRequested  bool
 	finalState       workload.JobState // "" until the job ends
 	completedAtMS    int64
@@ -35,7 +35,7 @@
 	tasks                   []task
 	doneCount               int
 	idleCount               int       // tasks that are not done and have no run
-	hasCrashes              bool      // its tasks have lost workers to crashes
+	hasCrashes              bool      // its tasks have or had crash records
 	waitingForCapacitySince time.Time // since when idle tasks find no free capacity, zero if they don't wait
 	// waitingForIsolationSince is since when a gang waits for workers for its suspects.
 	waitingForIsolationSince time.Time
@@ -44,11 +44,11 @@
 	lastRunSeq             int64          // of this epoch's run numbers
 	liveRunsByWorker       map[string]int // by worker ID
 	checkpoint             string         // newest of any task; a gang restarts from it
-	tickets                *adviceState   // nil before its queue needed advice
-	occurrenceRanked       bool           // of an occurrence's first step: the occurrence is in the ranking
-	// share is the share of the occurrence's size, nil before it is ranked and for
-	// long-running tasks.
-	share *sizeShare
+	advice                 *adviceState   // nil if no advice is needed: any worker may run it
+	occurrenceRanked       bool           // set on an occurrence's first step while the occurrence is ranked
+	// sizeStats is the record of the occurrence's job size in its queue, nil before the
+	// occurrence is ranked and for long-running jobs.
+	sizeStats *sizeStats
 }
 
 // task is one task of a step. It is idle, and waits for a start, while it is not done and has
@@ -58,8 +58,9 @@
 	runs         []*run  // not known to have ended
 	failedRuns   []int64 // numbers of runs that failed by the task's own fault
 	madeProgress bool    // a run of it ran for minProgressTime, or it was cleared
-	// crashes are the crashes of workers that ran the task, latest last. They are stored by
-	// the write with sequence crashesStoredInWrite.
+	// crashes are the recorded crashes of workers that ran the task, latest last, and the
+	// record of a planned isolated run. The write with sequence crashesStoredInWrite stores
+	// them.
 	crashes              []workload.Crash
 	crashesStoredInWrite int64
 	// plannedIsolatedRun is an isolated run that starts once the plan is stored, nil if none
@@ -212,13 +213,13 @@
 	}
 }
 
-// restoreCrashes restores the stored crashes of a task.
+// restoreCrashes restores the stored crash records of a task.
 func (c *Core) restoreCrashes(s *step, index int, crashes []workload.Crash) {
-	c.addCrashedStep(s)
+	c.trackStepWithCrashes(s)
 	s.tasks[index].crashes = crashes
 	for _, crash := range crashes {
 		if (crash.IsolatedRunPending || crash.Unconfirmed) && !s.job.restoredProgress.FinalState.IsTerminal() {
-			c.restoreOpenCrash(s, index, crash)
+			c.restoreRunFromCrashRecord(s, index, crash)
 		}
 	}
 }
