--- a/internal/capacity/inforce_test.go
+++ b/internal/capacity/inforce_test.go
@@ -32,14 +32,14 @@
 	c := startCluster(b, 1000, inForceNodes, func(s *testkit.Standin) { h = seed(b, s) })
 	var clients []*operator.Client
 	for _, n := range c.Nodes {
-		client, err := operator.NewClient(n.EntryPeers())
+		client, err := operator.NewClient(n.EntryPeerAddress())
 		require.NoError(b, err)
 		defer client.Close()
 		clients = append(clients, client)
 	}
 	time.Sleep(settle)
 	if slow > 0 {
-		c.Standin.Order(standin.Fault{Kind: standin.LogSlow, DelayMS: slow.Milliseconds()})
+		c.Standin.InjectFaults(standin.Fault{Kind: standin.LogSlow, DelayMS: slow.Milliseconds()})
 	}
 	var took []time.Duration
 	for b.Loop() {
--- a/internal/capacity/node_test.go
+++ b/internal/capacity/node_test.go
@@ -142,13 +142,13 @@
 func startCluster(b *testing.B, vms, nodes int, before func(*testkit.Standin)) *testkit.Cluster {
 	all := []string{"zone-a", "zone-b", "zone-c", "zone-d", "zone-e", "zone-f"}
 	c := testkit.Start(b, testkit.Options{
-		Nodes:   nodeZones(nodes),
-		Fleet:   []testkit.Group{{Prefix: "vm", Count: vms, Zones: all, RackSize: fleet.PerRack, BootSeconds: 1}},
-		Entry:   testkit.Settings{"log.level": `"error"`},
-		Steward: testkit.Settings{"log.level": `"error"`, "planning.interval": `"1s"`, "planning.list_interval": `"2s"`},
-		Standin: testkit.Settings{"log_level": `"warn"`, "log.retention_entries": "1000000"},
-		Direct:  true,
-		Before:  before,
+		Nodes:       nodeZones(nodes),
+		Fleet:       []testkit.Group{{Prefix: "vm", Count: vms, Zones: all, RackSize: fleet.PerRack, BootSeconds: 1}},
+		Entry:       testkit.Settings{"log.level": `"error"`},
+		Steward:     testkit.Settings{"log.level": `"error"`, "planning.interval": `"1s"`, "planning.list_interval": `"2s"`},
+		Standin:     testkit.Settings{"log_level": `"warn"`, "log.retention_entries": "1000000"},
+		Direct:      true,
+		BeforeNodes: before,
 	})
 	c.AwaitReady()
 	return c
--- a/internal/follower/harness_test.go
+++ b/internal/follower/harness_test.go
@@ -29,13 +29,13 @@
 
 // link is one process's way to the log.
 type link struct {
-	*testkit.LogLine
+	*testkit.FaultyLog
 	// snapshotBytes counts what was read of the stream of snapshots.
 	snapshotBytes atomic.Int64
 }
 
 func (l *link) Read(ctx context.Context, name string, from platform.Offset, limit int, wait time.Duration) (platform.Batch, error) {
-	batch, err := l.LogLine.Read(ctx, name, from, limit, wait)
+	batch, err := l.FaultyLog.Read(ctx, name, from, limit, wait)
 	if name == snapshots {
 		for _, e := range batch.Entries {
 			l.snapshotBytes.Add(int64(len(e.Data)))
@@ -104,7 +104,7 @@
 
 // start runs a node until the test ends. change edits its settings.
 func start(t *testing.T, log *standin.Platform, name string, change func(*follower.Config, *link)) *node {
-	l := &link{LogLine: testkit.NewLogLine(log)}
+	l := &link{FaultyLog: testkit.NewFaultyLog(log)}
 	cfg := follower.Config{Log: l, Stream: stream, SnapshotStream: snapshots, Node: name, Logger: hclog.NewNullLogger()}
 	cfg.Appender = platform.NewAppender(l, stream, platform.AppenderOptions{})
 	if change != nil {
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -80,7 +80,7 @@
 // cluster is a set of nodes in one synctest bubble.
 type cluster struct {
 	t     *testing.T
-	log   *testkit.LogLine // of all nodes
+	log   *testkit.FaultyLog // of all nodes
 	net   *network
 	nodes map[string]*node
 }
@@ -119,7 +119,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{
 			t:     t,
-			log:   testkit.NewLogLine(standin.New(standin.Options{})),
+			log:   testkit.NewFaultyLog(standin.New(standin.Options{})),
 			net:   &network{listeners: map[string]chan net.Conn{}, cut: map[[2]string]bool{}, conns: map[[2]string][]net.Conn{}},
 			nodes: map[string]*node{},
 		}
--- a/internal/proof/bookings_test.go
+++ b/internal/proof/bookings_test.go
@@ -17,69 +17,69 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// bookings is a caller that sends bookings and remembers what it was told.
-type bookings struct {
-	t  testing.TB
-	c  *testkit.Cluster
-	mu sync.Mutex
-	// told holds the answers by key; an answer that never came has outcome "".
-	told map[string][]outcome.Outcome
+// bookingCaller is a caller that sends bookings and remembers what it was told.
+type bookingCaller struct {
+	t       testing.TB
+	cluster *testkit.Cluster
+	mu      sync.Mutex
+	// outcomes holds the answers by key; an answer that never came has outcome "".
+	outcomes map[string][]outcome.Outcome
 }
 
-func newBookings(t testing.TB, c *testkit.Cluster) *bookings {
-	return &bookings{t: t, c: c, told: map[string][]outcome.Outcome{}}
+func newBookingCaller(t testing.TB, c *testkit.Cluster) *bookingCaller {
+	return &bookingCaller{t: t, cluster: c, outcomes: map[string][]outcome.Outcome{}}
 }
 
-func (b *bookings) send(node *testkit.Node, key string, attempt int, work time.Duration) testkit.Answer {
+func (b *bookingCaller) send(node *testkit.Node, key string, attempt int, work time.Duration) testkit.Answer {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	a := node.Send(ctx, testkit.Request{
 		Path: "/booking/book", Key: key, Attempt: attempt, Work: work, Deadline: 4 * time.Second, ReplyBytes: 200,
 	})
-	told := a.Outcome
+	received := a.Outcome
 	if a.Err != nil {
-		told = ""
+		received = ""
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.told[key] = append(b.told[key], told)
+	b.outcomes[key] = append(b.outcomes[key], received)
 	return a
 }
 
-// check holds the promises against the backend servers' counts: no key ran
+// checkRuns holds the promises against the backend servers' counts: no key ran
 // twice, one told "ran" did, and one told nothing but "not-run" did not.
-func (b *bookings) check() {
+func (b *bookingCaller) checkRuns() {
 	b.t.Helper()
-	keys := b.c.Standin.Counters().Backends.Keys
-	for key, told := range b.told {
+	keys := b.cluster.Standin.Counters().Backends.Keys
+	for key, outcomes := range b.outcomes {
 		runs := keys[key].Runs
-		assert.LessOrEqual(b.t, runs, 1, "%s told %q", key, told)
-		if strings.Contains(fmt.Sprint(told), string(outcome.Ran)) {
-			assert.Equal(b.t, 1, runs, "%s told %q", key, told)
+		assert.LessOrEqual(b.t, runs, 1, "%s told %q", key, outcomes)
+		if strings.Contains(fmt.Sprint(outcomes), string(outcome.Ran)) {
+			assert.Equal(b.t, 1, runs, "%s told %q", key, outcomes)
 		}
-		if last := told[len(told)-1]; last == outcome.NotRun {
-			assert.Zero(b.t, runs, "%s told %q", key, told)
+		if last := outcomes[len(outcomes)-1]; last == outcome.NotRun {
+			assert.Zero(b.t, runs, "%s told %q", key, outcomes)
 		}
 	}
 }
 
-// counts returns how many keys had each outcome as their last.
-func (b *bookings) counts() map[outcome.Outcome]int {
+// countLastOutcomes returns how many keys had each outcome as their last.
+func (b *bookingCaller) countLastOutcomes() map[outcome.Outcome]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := map[outcome.Outcome]int{}
-	for _, told := range b.told {
-		n[told[len(told)-1]]++
+	for _, outcomes := range b.outcomes {
+		n[outcomes[len(outcomes)-1]]++
 	}
 	return n
 }
 
-// retriesOf bounds the attempts at one booking.
-const retriesOf = 8
+// maxBookingAttempts bounds the attempts at one booking.
+const maxBookingAttempts = 8
 
-// book sends bookings from workers until the returned function is called. vouch
+// start sends bookings from workers until the returned function is called. vouch
 // says that callers mark their first attempts.
-func (b *bookings) book(workers int, vouch bool) (stop func()) {
+func (b *bookingCaller) start(workers int, markFirst bool) (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	for w := range workers {
@@ -90,7 +90,7 @@
 				case <-done:
 					return
 				default:
-					b.one(random, vouch)
+					b.bookOnce(random, markFirst)
 				}
 			}
 		})
@@ -101,20 +101,20 @@
 	}
 }
 
-// one books once: it retries under the same key after a broken connection, goes
+// bookOnce books once: it retries under the same key after a broken connection, goes
 // on with a new key after "not-run", and ends at "ran" and "unknown".
-func (b *bookings) one(random *rand.Rand, vouch bool) {
+func (b *bookingCaller) bookOnce(random *rand.Rand, markFirst bool) {
 	key, attempt := testkit.Key(), 1
-	for range retriesOf {
-		node := b.c.Nodes[random.IntN(len(b.c.Nodes))]
+	for range maxBookingAttempts {
+		node := b.cluster.Nodes[random.IntN(len(b.cluster.Nodes))]
 		number := 0
-		if vouch || attempt > 1 {
+		if markFirst || attempt > 1 {
 			number = attempt
 		}
 		a := b.send(node, key, number, 20*time.Millisecond)
 		switch {
 		case errors.Is(a.Err, syscall.ECONNREFUSED): // nothing was sent
-			b.forget(key)
+			b.dropLastOutcome(key)
 		case a.Err != nil:
 			attempt++
 		case a.Outcome == outcome.NotRun:
@@ -126,13 +126,13 @@
 	}
 }
 
-// forget takes the latest attempt back, which never reached an entry VM.
-func (b *bookings) forget(key string) {
+// dropLastOutcome takes the latest attempt back, which never reached an entry VM.
+func (b *bookingCaller) dropLastOutcome(key string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if told := b.told[key]; len(told) > 1 {
-		b.told[key] = told[:len(told)-1]
+	if outcomes := b.outcomes[key]; len(outcomes) > 1 {
+		b.outcomes[key] = outcomes[:len(outcomes)-1]
 		return
 	}
-	delete(b.told, key)
+	delete(b.outcomes, key)
 }
--- a/internal/proof/claims_test.go
+++ b/internal/proof/claims_test.go
@@ -16,24 +16,24 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// members returns how many entry VMs are members by the log.
-func members(c *testkit.Cluster) int { return len(c.Standin.State().Members) }
+// memberCount returns how many entry VMs are members by the log.
+func memberCount(c *testkit.Cluster) int { return len(c.Standin.State().Members) }
 
-// settle waits until all nodes are members and grant claims.
-func settle(c *testkit.Cluster) {
-	c.Until("all entry VMs are members", func() bool { return members(c) == len(c.Nodes) })
-	granting(c)
+// awaitMembersAndGrants waits until all nodes are members and grant claims.
+func awaitMembersAndGrants(c *testkit.Cluster) {
+	c.Until("all entry VMs are members", func() bool { return memberCount(c) == len(c.Nodes) })
+	awaitGrants(c)
 }
 
 func claimsCluster(t *testing.T, nodes, vms int) *testkit.Cluster {
 	zones := []string{"a", "b", "c", "a", "b", "c", "a", "b"}
-	c := pool(t, vms, testkit.Options{Nodes: zones[:nodes]})
-	settle(c)
+	c := startPool(t, vms, testkit.Options{Nodes: zones[:nodes]})
+	awaitMembersAndGrants(c)
 	return c
 }
 
-// begun waits until the backend servers have begun to run all of the keys.
-func begun(c *testkit.Cluster, keys []string) {
+// awaitRunning waits until the backend servers have begun to run all of the keys.
+func awaitRunning(c *testkit.Cluster, keys []string) {
 	c.Until("the bookings run", func() bool {
 		counted := c.Standin.Counters().Backends.Keys
 		for _, k := range keys {
@@ -51,7 +51,7 @@
 // are told "unknown", which is the truth: no booking runs again.
 func TestEntryKilledBetweenRunAndAnswer(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
-	b := newBookings(t, c)
+	b := newBookingCaller(t, c)
 	var keys []string
 	var wg sync.WaitGroup
 	for i := range 12 {
@@ -66,17 +66,17 @@
 			}
 		})
 	}
-	begun(c, keys)
+	awaitRunning(c, keys)
 	c.Nodes[0].Kill()
 	wg.Wait()
-	c.Until("the killed VM is evicted", func() bool { return members(c) == 2 })
+	c.Until("the killed VM is evicted", func() bool { return memberCount(c) == 2 })
 	for i, key := range keys {
 		c.Until("an answer without a hand-over under way", func() bool {
 			a := b.send(c.Nodes[1+i%2], key, 3, 0)
 			return a.Outcome == outcome.Unknown && a.Reason != "claims-moving" && a.Reason != "claims-unreachable"
 		})
 	}
-	b.check()
+	b.checkRuns()
 	for _, n := range c.Nodes[1:] {
 		a := b.send(n, testkit.Key(), 1, 0)
 		assert.True(t, a.OK(), "%+v", a)
@@ -89,11 +89,11 @@
 func TestTwoRetriesAtTheSameInstant(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
 	for range 10 {
-		b := newBookings(t, c)
+		b := newBookingCaller(t, c)
 		key := testkit.Key()
 		ctx, leave := context.WithCancel(t.Context())
 		go c.Nodes[0].Send(ctx, testkit.Request{Path: "/booking/book", Key: key, Attempt: 1, Work: 300 * time.Millisecond, ReplyBytes: 200})
-		begun(c, []string{key})
+		awaitRunning(c, []string{key})
 		leave()
 		var wg sync.WaitGroup
 		for _, n := range c.Nodes[1:] {
@@ -104,7 +104,7 @@
 			})
 		}
 		wg.Wait()
-		b.check()
+		b.checkRuns()
 	}
 }
 
@@ -114,11 +114,11 @@
 // ran meanwhile runs again at its hands.
 func TestOwnerStoppedPastItsLease(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
-	stopped := c.Nodes[0]
+	paused := c.Nodes[0]
 	for round := range 3 {
-		b := newBookings(t, c)
-		stopped.Pause()
-		c.Until("the stopped VM is evicted", func() bool { return members(c) == 2 })
+		b := newBookingCaller(t, c)
+		paused.Pause()
+		c.Until("the stopped VM is evicted", func() bool { return memberCount(c) == 2 })
 		var keys []string
 		c.Until("others run bookings of all keys", func() bool {
 			for i := range 20 {
@@ -132,14 +132,14 @@
 		})
 		var wg sync.WaitGroup
 		for _, key := range keys {
-			wg.Go(func() { b.send(stopped, key, 2, 0) })
-			wg.Go(func() { b.send(stopped, testkit.Key(), 1, 0) })
+			wg.Go(func() { b.send(paused, key, 2, 0) })
+			wg.Go(func() { b.send(paused, testkit.Key(), 1, 0) })
 		}
-		stopped.Resume()
+		paused.Resume()
 		wg.Wait()
-		b.check()
-		c.Until(fmt.Sprintf("it is a member again, round %d", round), func() bool { return members(c) == 3 })
-		settle(c)
+		b.checkRuns()
+		c.Until(fmt.Sprintf("it is a member again, round %d", round), func() bool { return memberCount(c) == 3 })
+		awaitMembersAndGrants(c)
 	}
 }
 
@@ -148,7 +148,7 @@
 // a new key, others "unknown". Afterwards they find together again.
 func TestEntriesSplitFromEachOther(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
-	b := newBookings(t, c)
+	b := newBookingCaller(t, c)
 	c.Partition(c.Nodes[:1], c.Nodes[1:2], c.Nodes[2:])
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
@@ -173,8 +173,8 @@
 	close(stop)
 	wg.Wait()
 	c.HealPeers()
-	settle(c)
-	b.check()
+	awaitMembersAndGrants(c)
+	b.checkRuns()
 }
 
 // The log goes out, and then an entry VM is lost. Bookings go on at the others:
@@ -182,8 +182,8 @@
 // When the log is back, the lost VM is evicted and all keys are granted again.
 func TestBookingsWhileTheLogIsOut(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
-	b := newBookings(t, c)
-	c.Standin.Order(standin.Fault{Kind: standin.LogRefuse})
+	b := newBookingCaller(t, c)
+	c.Standin.InjectFaults(standin.Fault{Kind: standin.LogRefuse})
 	for i := range 30 {
 		a := b.send(c.Nodes[i%3], testkit.Key(), 1, 0)
 		assert.True(t, a.OK(), "%+v", a)
@@ -200,8 +200,8 @@
 	}
 	assert.Greater(t, ran, 10)
 	assert.Less(t, ran, 30)
-	c.Standin.Clear()
-	c.Until("the lost VM is evicted", func() bool { return members(c) == 2 })
+	c.Standin.ClearFaults()
+	c.Until("the lost VM is evicted", func() bool { return memberCount(c) == 2 })
 	c.Until("all keys are granted", func() bool {
 		for i := range 20 {
 			if a := b.send(c.Nodes[i%2], testkit.Key(), 1, 0); !a.OK() {
@@ -210,7 +210,7 @@
 		}
 		return true
 	})
-	b.check()
+	b.checkRuns()
 }
 
 // Callers book all the time, each retrying at another entry VM until it knows
@@ -218,21 +218,21 @@
 // Nothing runs twice; and stopping in order costs no caller an "unknown".
 func TestMembershipChangesUnderLoad(t *testing.T) {
 	c := claimsCluster(t, 4, 4)
-	b := newBookings(t, c)
-	load := b.book(8, true)
+	b := newBookingCaller(t, c)
+	stop := b.start(8, true)
 	for _, n := range c.Nodes[:2] {
 		n.Entry.Terminate()
 		require.NoError(t, n.Entry.Wait())
 		n.Entry.Start()
 		n.AwaitReady()
-		c.Until("it is a member", func() bool { return members(c) == 4 })
+		c.Until("it is a member", func() bool { return memberCount(c) == 4 })
 	}
-	assert.Zero(t, b.counts()[outcome.Unknown], "stopping in order")
+	assert.Zero(t, b.countLastOutcomes()[outcome.Unknown], "stopping in order")
 	c.Nodes[2].Kill()
-	c.Until("the killed VM is evicted", func() bool { return members(c) == 3 })
+	c.Until("the killed VM is evicted", func() bool { return memberCount(c) == 3 })
 	c.Nodes[2].Start()
-	c.Until("it is a member", func() bool { return members(c) == 4 })
-	load()
-	b.check()
-	t.Logf("bookings by the last answer: %v", b.counts())
+	c.Until("it is a member", func() bool { return memberCount(c) == 4 })
+	stop()
+	b.checkRuns()
+	t.Logf("bookings by the last answer: %v", b.countLastOutcomes())
 }
--- a/internal/proof/faults_budget_test.go
+++ b/internal/proof/faults_budget_test.go
@@ -11,23 +11,23 @@
 // poolAccount is the checker's own account of one pool, kept from the bodies of
 // effective records and not from the ledger's accounts.
 type poolAccount struct {
-	doc     servicedoc.Document
-	short   int
-	changed time.Time
-	charges []charge
+	doc       servicedoc.Document
+	missing   int
+	changedAt time.Time
+	shortages []shortage
 }
 
-// charge is a stretch of time in which VMs were missing to the declared size.
-type charge struct {
+// shortage is a stretch of time in which VMs were missing to the declared size.
+type shortage struct {
 	from, to time.Time
-	short    int
+	missing  int
 }
 
 // vmAccount is where one VM is.
 type vmAccount struct {
-	pool, rack string
-	out        bool // drained, or joined and not seen healthy yet
-	down       bool
+	pool, rack  string
+	unavailable bool // drained, or joined and not seen healthy yet
+	down        bool
 }
 
 // fleetAccount replays the effective records.
@@ -36,7 +36,7 @@
 	vms   map[string]*vmAccount
 }
 
-func (f *fleetAccount) apply(l logged) {
+func (f *fleetAccount) apply(l observedRecord) {
 	name := l.rec.Subject.Name
 	vm := f.vms[name]
 	switch b := l.rec.Body.(type) {
@@ -49,76 +49,76 @@
 	case record.VMRegister:
 		f.vms[name] = &vmAccount{rack: b.Rack}
 	case record.VMJoin:
-		vm.pool, vm.out = b.Pool, true
+		vm.pool, vm.unavailable = b.Pool, true
 	case record.VMDrain:
-		vm.out = true
+		vm.unavailable = true
 	case record.VMAdvance:
 		if b.To == record.PhaseFree {
-			vm.pool, vm.out = "", false
+			vm.pool, vm.unavailable = "", false
 		}
 	case record.VMDown:
 		vm.down = true
 	case record.VMUp:
-		vm.down, vm.out = false, false
+		vm.down, vm.unavailable = false, false
 	case record.VMGone:
 		delete(f.vms, name)
 	}
 	for pool := range f.pools {
-		f.settle(pool, l.rec.Time)
+		f.recordShortage(pool, l.rec.Time)
 	}
 }
 
-// settle books the time since the pool's last change.
-func (f *fleetAccount) settle(pool string, now time.Time) {
+// recordShortage books the time since the pool's last change.
+func (f *fleetAccount) recordShortage(pool string, now time.Time) {
 	p := f.pools[pool]
-	if p.short > 0 {
-		p.charges = append(p.charges, charge{from: p.changed, to: now, short: p.short})
+	if p.missing > 0 {
+		p.shortages = append(p.shortages, shortage{from: p.changedAt, to: now, missing: p.missing})
 	}
-	p.short, p.changed = max(0, p.doc.Pool.Size-f.serving(pool)), now
+	p.missing, p.changedAt = max(0, p.doc.Pool.Size-f.serving(pool)), now
 }
 
 func (f *fleetAccount) serving(pool string) int {
 	n := 0
 	for _, vm := range f.vms {
-		if vm.pool == pool && !vm.out && !vm.down {
+		if vm.pool == pool && !vm.unavailable && !vm.down {
 			n++
 		}
 	}
 	return n
 }
 
-// spent is the VM-seconds charged in the window before now.
-func (p *poolAccount) spent(now time.Time) float64 {
+// spentVMSeconds is the VM-seconds charged in the window before now.
+func (p *poolAccount) spentVMSeconds(now time.Time) float64 {
 	var sum float64
-	for _, c := range p.charges {
+	for _, c := range p.shortages {
 		from := c.from
 		if start := now.Add(-p.doc.Budget.Window); from.Before(start) {
 			from = start
 		}
-		sum += max(0, c.to.Sub(from).Seconds()) * float64(c.short)
+		sum += max(0, c.to.Sub(from).Seconds()) * float64(c.missing)
 	}
 	return sum
 }
 
-// racksOut counts the racks in which VMs of the pool are drained or down.
-func (f *fleetAccount) racksOut(pool string) map[string]int {
+// drainedPerRack counts the racks in which VMs of the pool are drained or down.
+func (f *fleetAccount) drainedPerRack(pool string) map[string]int {
 	racks := map[string]int{}
 	for _, vm := range f.vms {
-		if vm.pool == pool && vm.out && !vm.down {
+		if vm.pool == pool && vm.unavailable && !vm.down {
 			racks[vm.rack]++
 		}
 	}
 	return racks
 }
 
-// budgets: every drain that took effect fitted into its pool's budget: not too
+// checkBudgets: every drain that took effect fitted into its pool's budget: not too
 // many VMs missing at once, not two racks at a time where the document forbids
 // it, not more VM-seconds than allowed.
-func (e *evidence) budgets() promise {
-	p := promise{name: "each pool stays within its availability budget"}
+func (e *evidence) checkBudgets() guarantee {
+	p := guarantee{name: "each pool stays within its availability budget"}
 	f := &fleetAccount{pools: map[string]*poolAccount{}, vms: map[string]*vmAccount{}}
-	for _, l := range e.log {
-		if l.out.Status != ledger.Effective {
+	for _, l := range e.records {
+		if l.outcome.Status != ledger.Effective {
 			continue
 		}
 		if _, ok := l.rec.Body.(record.VMDrain); !ok {
@@ -134,10 +134,10 @@
 			continue
 		}
 		budget := account.doc.Budget
-		racks := f.racksOut(pool)
-		p.try(account.short <= budget.MaxUnavailable, "offset %d: drain of %s leaves %s short of %d VMs, allowed %d", l.offset, vm, pool, account.short, budget.MaxUnavailable)
-		p.try(!budget.OneDomain || account.short == 0 || len(racks) <= 1, "offset %d: drain of %s has VMs of %s out in racks %v", l.offset, vm, pool, racks)
-		p.try(account.spent(l.rec.Time) <= account.doc.AllowedSeconds(), "offset %d: drain of %s with %.0f of %.0f VM-seconds of %s spent", l.offset, vm, account.spent(l.rec.Time), account.doc.AllowedSeconds(), pool)
+		racks := f.drainedPerRack(pool)
+		p.check(account.missing <= budget.MaxUnavailable, "offset %d: drain of %s leaves %s short of %d VMs, allowed %d", l.offset, vm, pool, account.missing, budget.MaxUnavailable)
+		p.check(!budget.OneDomain || account.missing == 0 || len(racks) <= 1, "offset %d: drain of %s has VMs of %s out in racks %v", l.offset, vm, pool, racks)
+		p.check(account.spentVMSeconds(l.rec.Time) <= account.doc.AllowedSeconds(), "offset %d: drain of %s with %.0f of %.0f VM-seconds of %s spent", l.offset, vm, account.spentVMSeconds(l.rec.Time), account.doc.AllowedSeconds(), pool)
 	}
 	return p
 }
--- a/internal/proof/faults_chaos_test.go
+++ b/internal/proof/faults_chaos_test.go
@@ -13,21 +13,21 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// harm says what a fault does to one node.
-type harm string
+// nodeFault says what a fault does to one node.
+type nodeFault string
 
 const (
-	harmKilled  harm = "killed"
-	harmPaused  harm = "paused"
-	harmStopped harm = "stopped" // by SIGTERM, as planned
-	harmCut     harm = "cut off" // from the platform or from other nodes
+	nodeKilled   nodeFault = "killed"
+	nodePaused   nodeFault = "paused"
+	nodeStopped  nodeFault = "stopped" // by SIGTERM, as planned
+	nodeIsolated nodeFault = "cut off" // from the platform or from other nodes
 )
 
-// harmed is a stretch of time in which a node suffered a fault; to is zero while
+// faultInterval is a stretch of time in which a node suffered a fault; to is zero while
 // it lasts.
-type harmed struct {
+type faultInterval struct {
 	node     string
-	harm     harm
+	fault    nodeFault
 	from, to time.Time
 }
 
@@ -39,224 +39,224 @@
 
 // chaos makes faults, several at once.
 type chaos struct {
-	t       *testing.T
-	c       *testkit.Cluster
-	random  *rand.Rand
-	began   time.Time
-	victims []string // VMs that may crash
-	linked  []string // VMs behind links
-	// long sends a request that runs longer than a stopping process gives notice.
-	long func(*testkit.Node)
-	// pick returns a node as the balancer does.
-	pick func(random *rand.Rand, last *testkit.Node) *testkit.Node
-	// burst sends a request that has no room under overload.
-	burst func(*testkit.Node)
-
-	wg   sync.WaitGroup
-	mu   sync.Mutex
-	past []harmed
-	made map[string]int
-	busy map[string]bool // what suffers a fault now
+	t            *testing.T
+	cluster      *testkit.Cluster
+	random       *rand.Rand
+	startedAt    time.Time
+	crashableVMs []string // VMs that may crash
+	linkedVMs    []string // VMs behind links
+	// sendLong sends a request that runs longer than a stopping process gives notice.
+	sendLong func(*testkit.Node)
+	// pickNode returns a node as the balancer does.
+	pickNode func(random *rand.Rand, last *testkit.Node) *testkit.Node
+	// sendBurst sends a request that has no room under overload.
+	sendBurst func(*testkit.Node)
+
+	wg          sync.WaitGroup
+	mu          sync.Mutex
+	nodeFaults  []faultInterval
+	faultCounts map[string]int
+	faulty      map[string]bool // what suffers a fault now
 }
 
-func newChaos(t *testing.T, c *testkit.Cluster, seed uint64, victims, linked []string) *chaos {
+func newChaos(t *testing.T, c *testkit.Cluster, seed uint64, crashableVMs, linkedVMs []string) *chaos {
 	return &chaos{
-		t: t, c: c, random: rand.New(rand.NewPCG(seed, 1)), began: time.Now(),
-		victims: victims, linked: linked, made: map[string]int{}, busy: map[string]bool{},
+		t: t, cluster: c, random: rand.New(rand.NewPCG(seed, 1)), startedAt: time.Now(),
+		crashableVMs: crashableVMs, linkedVMs: linkedVMs, faultCounts: map[string]int{}, faulty: map[string]bool{},
 	}
 }
 
-func (x *chaos) say(format string, args ...any) {
-	x.t.Logf("%7.2fs %s", time.Since(x.began).Seconds(), fmt.Sprintf(format, args...))
+func (x *chaos) logf(format string, args ...any) {
+	x.t.Logf("%7.2fs %s", time.Since(x.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// between returns a random duration.
-func (x *chaos) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(x.random.Int64N(int64(most-least)))
+// randomDuration returns a random duration.
+func (x *chaos) randomDuration(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(x.random.Int64N(int64(longest-shortest)))
 }
 
 // run makes a fault every pause or so until the time is over, and returns when
 // all of them have ended.
-func (x *chaos) run(length, pause time.Duration) {
+func (x *chaos) run(duration, pause time.Duration) {
 	kinds := []func(){
-		x.killVM, x.killEntry, x.pauseVM, x.stopEntry, x.cutOffAll, x.cutOffOne, x.partition,
-		x.logFault, x.logFault, x.apiFault, x.backendFault, x.backendFault, x.crash, x.linkFault, x.overload,
+		x.killVM, x.killEntry, x.pauseVM, x.stopEntry, x.platformOutage, x.isolateFromPlatform, x.partition,
+		x.logFault, x.logFault, x.apiFault, x.backendFault, x.backendFault, x.crashBackendVM, x.linkFault, x.overload,
 	}
-	next := slices.Clone(kinds)
-	for end := time.Now().Add(length); time.Now().Before(end); {
-		if len(next) == 0 {
-			next = slices.Clone(kinds)
+	remaining := slices.Clone(kinds)
+	for end := time.Now().Add(duration); time.Now().Before(end); {
+		if len(remaining) == 0 {
+			remaining = slices.Clone(kinds)
 		}
-		i := x.random.IntN(len(next)) // each kind has its turn, so that short runs see all
-		next[i]()
-		next = slices.Delete(next, i, i+1)
-		time.Sleep(x.between(pause/2, 3*pause/2))
+		i := x.random.IntN(len(remaining)) // each kind has its turn, so that short runs see all
+		remaining[i]()
+		remaining = slices.Delete(remaining, i, i+1)
+		time.Sleep(x.randomDuration(pause/2, 3*pause/2))
 	}
 	x.wg.Wait()
-	x.c.HealPeers()
-	x.c.Standin.Clear()
-	x.say("all faults have ended")
+	x.cluster.HealPeers()
+	x.cluster.Standin.ClearFaults()
+	x.logf("all faults have ended")
 }
 
-// take marks a free subject as suffering a fault; most bounds how many of kind
+// reserve marks a free subject as suffering a fault; most bounds how many of kind
 // may at once.
-func (x *chaos) take(kind string, subjects []string, most int) (string, bool) {
+func (x *chaos) reserve(kind string, subjects []string, limit int) (string, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var free []string
-	suffering := 0
+	affected := 0
 	for _, s := range subjects {
-		if x.busy[kind+s] {
-			suffering++
+		if x.faulty[kind+s] {
+			affected++
 			continue
 		}
 		free = append(free, s)
 	}
-	if len(free) == 0 || suffering >= most {
+	if len(free) == 0 || affected >= limit {
 		return "", false
 	}
 	s := free[x.random.IntN(len(free))]
-	x.busy[kind+s] = true
+	x.faulty[kind+s] = true
 	return s, true
 }
 
-func (x *chaos) free(kind, subject string) {
+func (x *chaos) release(kind, subject string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	delete(x.busy, kind+subject)
+	delete(x.faulty, kind+subject)
 }
 
-// during counts a fault, and undoes it later. The random hold is drawn here, in
+// undoAfter counts a fault, and undoes it later. The random hold is drawn here, in
 // the order of the faults, so that a seed gives the same ones.
-func (x *chaos) during(name string, hold time.Duration, undo func()) {
+func (x *chaos) undoAfter(name string, delay time.Duration, undo func()) {
 	x.mu.Lock()
-	x.made[name]++
+	x.faultCounts[name]++
 	x.mu.Unlock()
-	x.say("%s for %s", name, hold.Round(time.Millisecond))
+	x.logf("%s for %s", name, delay.Round(time.Millisecond))
 	x.wg.Go(func() {
-		time.Sleep(hold)
+		time.Sleep(delay)
 		undo()
 	})
 }
 
-// harm notes that nodes suffer; the function returned ends it.
-func (x *chaos) harm(h harm, nodes ...*testkit.Node) (over func()) {
+// beginNodeFault notes that nodes suffer; the function returned ends it.
+func (x *chaos) beginNodeFault(h nodeFault, nodes ...*testkit.Node) (end func()) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	first := len(x.past)
+	first := len(x.nodeFaults)
 	for _, n := range nodes {
-		x.past = append(x.past, harmed{node: n.Name, harm: h, from: time.Now()})
+		x.nodeFaults = append(x.nodeFaults, faultInterval{node: n.Name, fault: h, from: time.Now()})
 	}
 	return func() {
 		x.mu.Lock()
 		defer x.mu.Unlock()
 		for i := range nodes {
-			x.past[first+i].to = time.Now()
+			x.nodeFaults[first+i].to = time.Now()
 		}
 	}
 }
 
-// node takes a node that suffers nothing; at most a third of them do at once.
-func (x *chaos) node() (*testkit.Node, func(), bool) {
+// reserveNode takes a node that suffers nothing; at most a third of them do at once.
+func (x *chaos) reserveNode() (*testkit.Node, func(), bool) {
 	var names []string
-	for _, n := range x.c.Nodes {
+	for _, n := range x.cluster.Nodes {
 		names = append(names, n.Name)
 	}
-	name, ok := x.take("node/", names, max(1, len(names)/3))
+	name, ok := x.reserve("node/", names, max(1, len(names)/3))
 	if !ok {
 		return nil, nil, false
 	}
-	n := x.c.Nodes[slices.Index(names, name)]
-	return n, func() { x.free("node/", name) }, true
+	n := x.cluster.Nodes[slices.Index(names, name)]
+	return n, func() { x.release("node/", name) }, true
 }
 
 func (x *chaos) killVM() {
-	n, free, ok := x.node()
+	n, release, ok := x.reserveNode()
 	if !ok {
 		return
 	}
-	over := x.harm(harmKilled, n)
+	endFault := x.beginNodeFault(nodeKilled, n)
 	n.Kill()
-	x.during("lose entry VM", x.between(500*time.Millisecond, 4*time.Second), func() {
+	x.undoAfter("lose entry VM", x.randomDuration(500*time.Millisecond, 4*time.Second), func() {
 		n.Start()
 		n.AwaitReady()
-		over()
-		free()
+		endFault()
+		release()
 	})
 }
 
 func (x *chaos) killEntry() {
-	n, free, ok := x.node()
+	n, release, ok := x.reserveNode()
 	if !ok {
 		return
 	}
-	over := x.harm(harmKilled, n)
+	endFault := x.beginNodeFault(nodeKilled, n)
 	n.Entry.Kill()
-	x.during("kill entry process", x.between(0, 2*time.Second), func() {
+	x.undoAfter("kill entry process", x.randomDuration(0, 2*time.Second), func() {
 		n.Entry.Start()
 		n.AwaitReady()
-		over()
-		free()
+		endFault()
+		release()
 	})
 }
 
 func (x *chaos) pauseVM() {
-	n, free, ok := x.node()
+	n, release, ok := x.reserveNode()
 	if !ok {
 		return
 	}
-	over := x.harm(harmPaused, n)
+	endFault := x.beginNodeFault(nodePaused, n)
 	n.Pause()
-	x.during("pause entry VM", x.between(300*time.Millisecond, 9*time.Second), func() {
+	x.undoAfter("pause entry VM", x.randomDuration(300*time.Millisecond, 9*time.Second), func() {
 		n.Resume()
-		over()
-		free()
+		endFault()
+		release()
 	})
 }
 
 func (x *chaos) stopEntry() {
-	n, free, ok := x.node()
+	n, release, ok := x.reserveNode()
 	if !ok {
 		return
 	}
-	over := x.harm(harmStopped, n)
+	endFault := x.beginNodeFault(nodeStopped, n)
 	for range inFlightAtStop {
-		x.wg.Go(func() { x.long(n) })
+		x.wg.Go(func() { x.sendLong(n) })
 	}
 	time.Sleep(inFlightPause) // the requests are on their way, without proof: a late one is refused
 	n.Entry.Terminate()
-	x.during("stop entry process (SIGTERM)", x.between(0, time.Second), func() {
+	x.undoAfter("stop entry process (SIGTERM)", x.randomDuration(0, time.Second), func() {
 		if err := n.Entry.Wait(); err != nil {
 			x.t.Errorf("%s: %v after SIGTERM", n.Name, err)
 		}
 		n.Entry.Start()
 		n.AwaitReady()
-		over()
-		free()
+		endFault()
+		release()
 	})
 }
 
-// cutOffAll is an outage of the platform.
-func (x *chaos) cutOffAll() {
-	if _, ok := x.take("outage/", []string{"all"}, 1); !ok {
+// platformOutage is an outage of the platform.
+func (x *chaos) platformOutage() {
+	if _, ok := x.reserve("outage/", []string{"all"}, 1); !ok {
 		return
 	}
-	over := x.harm(harmCut, x.c.Nodes...)
-	hole := x.random.IntN(2) == 0
-	for _, n := range x.c.Nodes {
-		x.cutPlatform(n, hole)
+	endFault := x.beginNodeFault(nodeIsolated, x.cluster.Nodes...)
+	blackhole := x.random.IntN(2) == 0
+	for _, n := range x.cluster.Nodes {
+		x.cutPlatform(n, blackhole)
 	}
-	x.during("platform outage", x.between(2*time.Second, 8*time.Second), func() {
-		for _, n := range x.c.Nodes {
+	x.undoAfter("platform outage", x.randomDuration(2*time.Second, 8*time.Second), func() {
+		for _, n := range x.cluster.Nodes {
 			n.HealPlatform()
 		}
-		over()
-		x.free("outage/", "all")
+		endFault()
+		x.release("outage/", "all")
 	})
 }
 
-func (x *chaos) cutPlatform(n *testkit.Node, hole bool) {
-	if !hole {
+func (x *chaos) cutPlatform(n *testkit.Node, blackhole bool) {
+	if !blackhole {
 		n.CutPlatform()
 		return
 	}
@@ -264,41 +264,41 @@
 	n.StewardPlatform.Blackhole()
 }
 
-func (x *chaos) cutOffOne() {
-	if _, ok := x.take("outage/", []string{"all"}, 1); !ok {
+func (x *chaos) isolateFromPlatform() {
+	if _, ok := x.reserve("outage/", []string{"all"}, 1); !ok {
 		return
 	}
-	n := x.c.Nodes[x.random.IntN(len(x.c.Nodes))]
-	over := x.harm(harmCut, n)
+	n := x.cluster.Nodes[x.random.IntN(len(x.cluster.Nodes))]
+	endFault := x.beginNodeFault(nodeIsolated, n)
 	x.cutPlatform(n, x.random.IntN(2) == 0)
-	x.during("one entry VM without platform", x.between(2*time.Second, 10*time.Second), func() {
+	x.undoAfter("one entry VM without platform", x.randomDuration(2*time.Second, 10*time.Second), func() {
 		n.HealPlatform()
-		over()
-		x.free("outage/", "all")
+		endFault()
+		x.release("outage/", "all")
 	})
 }
 
 func (x *chaos) partition() {
-	if _, ok := x.take("partition/", []string{"peers"}, 1); !ok {
+	if _, ok := x.reserve("partition/", []string{"peers"}, 1); !ok {
 		return
 	}
-	nodes := slices.Clone(x.c.Nodes)
+	nodes := slices.Clone(x.cluster.Nodes)
 	x.random.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
 	cut := 1 + x.random.IntN(len(nodes)-1)
-	over := x.harm(harmCut, x.c.Nodes...)
-	x.c.Partition(nodes[:cut], nodes[cut:])
-	x.during("partition of entry VMs", x.between(time.Second, 8*time.Second), func() {
-		x.c.HealPeers()
-		over()
-		x.free("partition/", "peers")
+	endFault := x.beginNodeFault(nodeIsolated, x.cluster.Nodes...)
+	x.cluster.Partition(nodes[:cut], nodes[cut:])
+	x.undoAfter("partition of entry VMs", x.randomDuration(time.Second, 8*time.Second), func() {
+		x.cluster.HealPeers()
+		endFault()
+		x.release("partition/", "peers")
 	})
 }
 
-// order orders a fault of the stand-in for a time.
-func (x *chaos) order(f standin.Fault, least, most time.Duration) {
-	hold := x.between(least, most)
-	ids := x.c.Standin.Order(f)
-	x.during(string(f.Kind), hold, func() { x.c.Standin.Clear(ids...) })
+// injectStandinFault orders a fault of the stand-in for a time.
+func (x *chaos) injectStandinFault(f standin.Fault, shortest, longest time.Duration) {
+	duration := x.randomDuration(shortest, longest)
+	ids := x.cluster.Standin.InjectFaults(f)
+	x.undoAfter(string(f.Kind), duration, func() { x.cluster.Standin.ClearFaults(ids...) })
 }
 
 func (x *chaos) logFault() {
@@ -309,7 +309,7 @@
 		{Kind: standin.LogRefuse, Target: "append"},
 		{Kind: standin.LogHang, Target: "append", Count: 1 + x.random.IntN(5)},
 	}
-	x.order(faults[x.random.IntN(len(faults))], time.Second, 5*time.Second)
+	x.injectStandinFault(faults[x.random.IntN(len(faults))], time.Second, 5*time.Second)
 }
 
 func (x *chaos) apiFault() {
@@ -320,7 +320,7 @@
 		{Kind: standin.ListLag, DelayMS: 2000 + x.random.Int64N(4000)},
 		{Kind: standin.BootSlow, DelayMS: 1000 + x.random.Int64N(3000), Count: 2},
 	}
-	x.order(faults[x.random.IntN(len(faults))], time.Second, 6*time.Second)
+	x.injectStandinFault(faults[x.random.IntN(len(faults))], time.Second, 6*time.Second)
 }
 
 // backendFault orders one fault of a backend server, or of all.
@@ -334,40 +334,40 @@
 		Count:   5 + x.random.IntN(30),
 		DelayMS: 100 + x.random.Int64N(2000),
 	}
-	x.order(f, 500*time.Millisecond, 4*time.Second)
+	x.injectStandinFault(f, 500*time.Millisecond, 4*time.Second)
 }
 
-// crash loses a VM with a backend server for some time.
-func (x *chaos) crash() {
-	vm, ok := x.take("vm/", x.victims, 2)
+// crashBackendVM loses a VM with a backend server for some time.
+func (x *chaos) crashBackendVM() {
+	vm, ok := x.reserve("vm/", x.crashableVMs, 2)
 	if !ok {
 		return
 	}
-	x.c.Standin.Order(standin.Fault{Kind: standin.VMCrash, Target: vm})
-	x.during("lose backend VM "+vm, x.between(time.Second, 8*time.Second), func() {
-		x.c.Standin.Order(standin.Fault{Kind: standin.VMRecover, Target: vm})
-		x.free("vm/", vm)
+	x.cluster.Standin.InjectFaults(standin.Fault{Kind: standin.VMCrash, Target: vm})
+	x.undoAfter("lose backend VM "+vm, x.randomDuration(time.Second, 8*time.Second), func() {
+		x.cluster.Standin.InjectFaults(standin.Fault{Kind: standin.VMRecover, Target: vm})
+		x.release("vm/", vm)
 	})
 }
 
 // overload has a crowd of callers ask at once for more than the slots hold.
 func (x *chaos) overload() {
 	const crowd = 300
-	x.during("overload", time.Second, func() {})
+	x.undoAfter("overload", time.Second, func() {})
 	for range crowd {
-		if n := x.pick(x.random, nil); n != nil {
-			x.wg.Go(func() { x.burst(n) })
+		if n := x.pickNode(x.random, nil); n != nil {
+			x.wg.Go(func() { x.sendBurst(n) })
 		}
 	}
 }
 
 // linkFault disturbs the way to one backend server.
 func (x *chaos) linkFault() {
-	vm, ok := x.take("link/", x.linked, 2)
+	vm, ok := x.reserve("link/", x.linkedVMs, 2)
 	if !ok {
 		return
 	}
-	link := x.c.Backends[vm]
+	link := x.cluster.Backends[vm]
 	kinds := map[string]func(){
 		"backend link passes nothing":    link.Blackhole,
 		"backend link loses replies":     link.BlackholeReplies,
@@ -377,8 +377,8 @@
 	names := slices.Sorted(maps.Keys(kinds))
 	name := names[x.random.IntN(len(names))]
 	kinds[name]()
-	x.during(name, x.between(time.Second, 5*time.Second), func() {
+	x.undoAfter(name, x.randomDuration(time.Second, 5*time.Second), func() {
 		link.Heal()
-		x.free("link/", vm)
+		x.release("link/", vm)
 	})
 }
--- a/internal/proof/faults_load_test.go
+++ b/internal/proof/faults_load_test.go
@@ -15,13 +15,13 @@
 
 // Bounds of the callers.
 const (
-	balancerPause  = 50 * time.Millisecond
-	callerPatience = 6 * time.Second // more than the deadline that callers give
-	callerDeadline = 3 * time.Second
-	maxAttempts    = 4
-	longRun        = 2 * time.Second // more than notice
-	notice         = "1s"            // of an entry process that stops
-	maxLatency     = int64(time.Minute / time.Microsecond)
+	readinessInterval = 50 * time.Millisecond
+	callerTimeout     = 6 * time.Second // more than the deadline that callers give
+	requestDeadline   = 3 * time.Second
+	maxAttempts       = 4
+	longRun           = 2 * time.Second // more than notice
+	drainNotice       = "1s"            // of an entry process that stops
+	maxLatency        = int64(time.Minute / time.Microsecond)
 )
 
 // route is what callers ask of a service.
@@ -52,19 +52,19 @@
 // attempt is one try of one request, as its caller saw it.
 type attempt struct {
 	route
-	key   string
-	node  string
-	began time.Time
-	ended time.Time
+	key       string
+	node      string
+	startedAt time.Time
+	endedAt   time.Time
 	testkit.Answer
 }
 
 // callers send requests through the nodes that a balancer takes for ready. They
 // try a request again under the same key, at another node, unless it ran.
 type callers struct {
-	c     *testkit.Cluster
-	ready []atomic.Bool
-	wg    sync.WaitGroup
+	cluster *testkit.Cluster
+	ready   []atomic.Bool
+	wg      sync.WaitGroup
 
 	mu       sync.Mutex
 	attempts []attempt
@@ -72,12 +72,12 @@
 }
 
 func startCallers(ctx context.Context, c *testkit.Cluster, routes []route, perRoute int, pause time.Duration, seed uint64) *callers {
-	cs := &callers{c: c, ready: make([]atomic.Bool, len(c.Nodes)), latency: map[string]*hdrhistogram.Histogram{}}
+	cs := &callers{cluster: c, ready: make([]atomic.Bool, len(c.Nodes)), latency: map[string]*hdrhistogram.Histogram{}}
 	for i, n := range c.Nodes {
 		cs.wg.Go(func() {
 			for ctx.Err() == nil {
 				cs.ready[i].Store(n.Ready())
-				time.Sleep(balancerPause)
+				time.Sleep(readinessInterval)
 			}
 		})
 	}
@@ -95,11 +95,11 @@
 	return cs
 }
 
-// pick returns a node that the balancer takes for ready, other than last where
+// pickNode returns a node that the balancer takes for ready, other than last where
 // there is another, or nil.
-func (cs *callers) pick(random *rand.Rand, last *testkit.Node) *testkit.Node {
+func (cs *callers) pickNode(random *rand.Rand, last *testkit.Node) *testkit.Node {
 	var ready []*testkit.Node
-	for i, n := range cs.c.Nodes {
+	for i, n := range cs.cluster.Nodes {
 		if cs.ready[i].Load() && n != last {
 			ready = append(ready, n)
 		}
@@ -113,7 +113,7 @@
 // request sends one request until it ran or the caller gives up. It finishes
 // after ctx has ended, so that every request has an end.
 func (cs *callers) request(ctx context.Context, r route, random *rand.Rand) {
-	req := testkit.Request{Path: "/" + r.service + r.path, Key: testkit.Key(), Deadline: callerDeadline}
+	req := testkit.Request{Path: "/" + r.service + r.path, Key: testkit.Key(), Deadline: requestDeadline}
 	req.Work = time.Duration(1+random.IntN(20)) * time.Millisecond
 	req.ReplyBytes = random.IntN(4096)
 	if r.long {
@@ -122,9 +122,9 @@
 	}
 	var last *testkit.Node
 	for n := 1; n <= maxAttempts; n++ {
-		node := cs.pick(random, last)
+		node := cs.pickNode(random, last)
 		if node == nil {
-			time.Sleep(balancerPause)
+			time.Sleep(readinessInterval)
 			return
 		}
 		last = node
@@ -140,22 +140,22 @@
 	}
 }
 
-// one sends one request of the booking service, whose end is not awaited by a
+// sendOne sends one request of the booking service, whose end is not awaited by a
 // retry.
-func (cs *callers) one(node *testkit.Node, path string, work time.Duration) {
+func (cs *callers) sendOne(node *testkit.Node, path string, work time.Duration) {
 	for _, r := range routes {
 		if r.service == "booking" && r.path == path {
-			cs.send(node, r, testkit.Request{Path: "/booking" + path, Key: testkit.Key(), Attempt: 1, Deadline: callerDeadline, Work: work})
+			cs.send(node, r, testkit.Request{Path: "/booking" + path, Key: testkit.Key(), Attempt: 1, Deadline: requestDeadline, Work: work})
 		}
 	}
 }
 
 func (cs *callers) send(node *testkit.Node, r route, req testkit.Request) attempt {
-	ctx, cancel := context.WithTimeout(context.Background(), callerPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
-	a := attempt{route: r, key: req.Key, node: node.Name, began: time.Now()}
+	a := attempt{route: r, key: req.Key, node: node.Name, startedAt: time.Now()}
 	a.Answer = node.Send(ctx, req)
-	a.ended = time.Now()
+	a.endedAt = time.Now()
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.attempts = append(cs.attempts, a)
@@ -176,5 +176,5 @@
 		h = hdrhistogram.New(1, maxLatency, digits)
 		cs.latency[class] = h
 	}
-	_ = h.RecordValue(a.Took.Microseconds()) // callerPatience is within its range
+	_ = h.RecordValue(a.Duration.Microseconds()) // callerPatience is within its range
 }
--- a/internal/proof/faults_long_test.go
+++ b/internal/proof/faults_long_test.go
@@ -29,14 +29,14 @@
 		},
 		// The pace of real stewards: at that of other tests 8 of them would check
 		// 108 VMs ten times a second.
-		steward:   testkit.Settings{"planning.interval": `"1s"`, "planning.list_interval": `"2s"`},
-		victims:   10,
-		length:    2 * time.Minute,
-		pause:     time.Second,
-		operators: 1500 * time.Millisecond,
-		perRoute:  3,
-		think:     50 * time.Millisecond,
-		waves:     [][]string{{"fitting", "preview"}, {"dispatch", "compare"}},
-		shift:     []string{"booking", "returns"},
+		steward:          testkit.Settings{"planning.interval": `"1s"`, "planning.list_interval": `"2s"`},
+		crashableVMs:     10,
+		duration:         2 * time.Minute,
+		faultInterval:    time.Second,
+		operatorInterval: 1500 * time.Millisecond,
+		callersPerRoute:  3,
+		thinkTime:        50 * time.Millisecond,
+		waves:            [][]string{{"fitting", "preview"}, {"dispatch", "compare"}},
+		permanentMove:    []string{"booking", "returns"},
 	})
 }
--- a/internal/proof/faults_stall_test.go
+++ b/internal/proof/faults_stall_test.go
@@ -15,17 +15,17 @@
 
 // Times of stalls.
 const (
-	stallTick = 50 * time.Millisecond
-	// stallShown is how long this process must have got no processor time to count as
+	stallCheckInterval = 50 * time.Millisecond
+	// minStall is how long this process must have got no processor time to count as
 	// stalled. Scheduling on a busy machine takes a few tenths of that.
-	stallShown = 2 * time.Second
+	minStall = 2 * time.Second
 )
 
 // stalls are the times in which the whole machine stood still, the processes of the run with
 // it. Each node was paused then, as by a fault.
 type stalls struct {
 	wg    sync.WaitGroup
-	found []harmed // of no node yet
+	found []faultInterval // of no node yet
 }
 
 // watchStalls watches until ctx ends.
@@ -33,10 +33,10 @@
 	s := &stalls{}
 	s.wg.Go(func() {
 		for last := time.Now(); ctx.Err() == nil; {
-			time.Sleep(stallTick)
+			time.Sleep(stallCheckInterval)
 			now := time.Now()
-			if now.Sub(last) > stallShown {
-				s.found = append(s.found, harmed{harm: harmPaused, from: last, to: now})
+			if now.Sub(last) > minStall {
+				s.found = append(s.found, faultInterval{fault: nodePaused, from: last, to: now})
 			}
 			last = now
 		}
@@ -44,8 +44,8 @@
 	return s
 }
 
-// harmed are the stalls as harms of each node, once the watch has ended.
-func (s *stalls) harmed(nodes []*testkit.Node) (all []harmed) {
+// onNodes are the stalls as harms of each node, once the watch has ended.
+func (s *stalls) onNodes(nodes []*testkit.Node) (all []faultInterval) {
 	s.wg.Wait()
 	for _, h := range s.found {
 		for _, n := range nodes {
@@ -65,18 +65,18 @@
 		time.Sleep(10 * time.Second)
 		cancel()
 		nodes := []*testkit.Node{{Name: "entry-1"}, {Name: "entry-2"}}
-		assert.Empty(t, s.harmed(nodes), "no stall")
+		assert.Empty(t, s.onNodes(nodes), "no stall")
 
 		began := time.Now()
-		s.found = []harmed{{harm: harmPaused, from: began, to: began.Add(5 * time.Second)}}
-		all := s.harmed(nodes)
+		s.found = []faultInterval{{fault: nodePaused, from: began, to: began.Add(5 * time.Second)}}
+		all := s.onNodes(nodes)
 		require.Len(t, all, 2)
-		e := &evidence{harmed: all, attempts: []attempt{
-			{node: "entry-2", began: began.Add(4 * time.Second), ended: began.Add(10 * time.Second), Answer: testkit.Answer{Err: context.DeadlineExceeded}},
-			{node: "entry-2", began: began.Add(6 * time.Second), ended: began.Add(12 * time.Second), Answer: testkit.Answer{Err: context.DeadlineExceeded}},
+		e := &evidence{nodeFaults: all, attempts: []attempt{
+			{node: "entry-2", startedAt: began.Add(4 * time.Second), endedAt: began.Add(10 * time.Second), Answer: testkit.Answer{Err: context.DeadlineExceeded}},
+			{node: "entry-2", startedAt: began.Add(6 * time.Second), endedAt: began.Add(12 * time.Second), Answer: testkit.Answer{Err: context.DeadlineExceeded}},
 		}}
-		p := e.always()
-		assert.Equal(t, 1, p.tried)
-		assert.Len(t, p.broken, 1, "it began after the stall")
+		p := e.checkLiveNodesAnswer()
+		assert.Equal(t, 1, p.cases)
+		assert.Len(t, p.violations, 1, "it began after the stall")
 	})
 }
--- a/internal/proof/faults_test.go
+++ b/internal/proof/faults_test.go
@@ -23,21 +23,21 @@
 
 // faultPlan describes a run of all faults at once.
 type faultPlan struct {
-	nodes     []string // zones
-	documents []string
-	fleet     []testkit.Group
-	steward   testkit.Settings
-	victims   int // VMs that may crash
-	length    time.Duration
-	pause     time.Duration // between faults
-	operators time.Duration // between operators' acts
-	perRoute  int           // callers
-	think     time.Duration // of a caller
-	waves     [][]string
-	// shift names two services of which the first gives VMs to the second for
+	nodes            []string // zones
+	documents        []string
+	fleet            []testkit.Group
+	steward          testkit.Settings
+	crashableVMs     int // VMs that may crash
+	duration         time.Duration
+	faultInterval    time.Duration // between faults
+	operatorInterval time.Duration // between operators' acts
+	callersPerRoute  int           // callers
+	thinkTime        time.Duration // of a caller
+	waves            [][]string
+	// permanentMove names two services of which the first gives VMs to the second for
 	// good; operators leave their sizes alone from then on. Without a free VM,
 	// and after the minute that a gap has to last, VMs are drained and moved.
-	shift []string
+	permanentMove []string
 }
 
 // A short form with few processes. Everything fails that can: processes and VMs
@@ -53,13 +53,13 @@
 			{Prefix: "rc", Count: 18, Zones: []string{"a", "b", "c"}, BootSeconds: 0.5},
 			{Prefix: "ln", Count: 6, Zones: []string{"a", "b", "c"}, BootSeconds: 0.5, Linked: true},
 		},
-		victims:   4,
-		length:    10 * time.Second,
-		pause:     600 * time.Millisecond,
-		operators: 500 * time.Millisecond,
-		perRoute:  3,
-		think:     20 * time.Millisecond,
-		waves:     [][]string{{"booking", "fitting"}},
+		crashableVMs:     4,
+		duration:         10 * time.Second,
+		faultInterval:    600 * time.Millisecond,
+		operatorInterval: 500 * time.Millisecond,
+		callersPerRoute:  3,
+		thinkTime:        20 * time.Millisecond,
+		waves:            [][]string{{"booking", "fitting"}},
 	})
 }
 
@@ -73,7 +73,7 @@
 	c := testkit.Start(t, testkit.Options{
 		Nodes:   plan.nodes,
 		Fleet:   plan.fleet,
-		Entry:   testkit.Settings{"drain.notice": `"` + notice + `"`},
+		Entry:   testkit.Settings{"drain.notice": `"` + drainNotice + `"`},
 		Steward: plan.steward,
 	})
 	texts := map[string]string{}
@@ -92,70 +92,70 @@
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w := startWatch(ctx, c)
-	stood := watchStalls(ctx)
+	observer := startObserver(ctx, c)
+	stalls := watchStalls(ctx)
 	begin := c.Standin.State().Offset
-	c.Until("the observer has read the log", func() bool { return w.offset() >= begin })
-	var whole, victims, linked []string
+	c.Until("the observer has read the log", func() bool { return observer.offset() >= begin })
+	var unlinkedVMs, crashableVMs, linkedVMs []string
 	for _, vm := range c.Standin.List().VMs {
 		if c.Backends[vm.ID] != nil {
-			linked = append(linked, vm.ID)
+			linkedVMs = append(linkedVMs, vm.ID)
 			continue
 		}
-		whole = append(whole, vm.ID)
+		unlinkedVMs = append(unlinkedVMs, vm.ID)
 	}
-	for i := range plan.victims {
-		victims = append(victims, whole[i*len(whole)/plan.victims])
+	for i := range plan.crashableVMs {
+		crashableVMs = append(crashableVMs, unlinkedVMs[i*len(unlinkedVMs)/plan.crashableVMs])
 	}
-	x := newChaos(t, c, seed, victims, linked)
-	used := slices.DeleteFunc(slices.Clone(routes), func(r route) bool { return texts[r.service] == "" })
-	busy, stop := context.WithCancel(ctx)
-	load := startCallers(busy, c, used, plan.perRoute, plan.think, seed)
-	x.long = func(n *testkit.Node) { load.one(n, "/audit", longRun) }
-	x.pick = load.pick
-	x.burst = func(n *testkit.Node) { load.one(n, "/reservations", 300*time.Millisecond) }
-	ops := startOperators(busy, c, w, texts, services, plan, seed)
+	x := newChaos(t, c, seed, crashableVMs, linkedVMs)
+	usedRoutes := slices.DeleteFunc(slices.Clone(routes), func(r route) bool { return texts[r.service] == "" })
+	loadCtx, stopLoad := context.WithCancel(ctx)
+	load := startCallers(loadCtx, c, usedRoutes, plan.callersPerRoute, plan.thinkTime, seed)
+	x.sendLong = func(n *testkit.Node) { load.sendOne(n, "/audit", longRun) }
+	x.pickNode = load.pickNode
+	x.sendBurst = func(n *testkit.Node) { load.sendOne(n, "/reservations", 300*time.Millisecond) }
+	ops := startOperators(loadCtx, c, observer, texts, services, plan, seed)
 	for i, pools := range plan.waves {
-		ops.wave("wave-"+strconv.Itoa(i), pools...)
+		ops.startWave("wave-"+strconv.Itoa(i), pools...)
 	}
-	x.run(plan.length, plan.pause)
-	healed := time.Now()
-	stop()
+	x.run(plan.duration, plan.faultInterval)
+	healedAt := time.Now()
+	stopLoad()
 	ops.wg.Wait()
 	load.wg.Wait()
-	end := w.offset()
-	var behind []string
+	end := observer.offset()
+	var notCaughtUp []string
 	defer func() {
-		for _, b := range behind {
+		for _, b := range notCaughtUp {
 			t.Log("behind: " + b)
 		}
 	}()
 	c.Until("every node is ready and at the end of the log", func() bool {
-		behind = w.behind(healed, end)
-		return len(behind) == 0
+		notCaughtUp = observer.notCaughtUp(healedAt, end)
+		return len(notCaughtUp) == 0
 	})
 	final := c.Standin.Counters()
 	cancel()
-	w.wg.Wait()
+	observer.pollers.Wait()
 
 	e := &evidence{
-		began: x.began, log: w.log, reports: w.reports, counters: w.counters,
-		attempts: load.attempts, harmed: append(x.past, stood.harmed(c.Nodes)...), operators: ops, final: final,
+		startedAt: x.startedAt, records: observer.records, statuses: observer.statuses, counters: observer.counters,
+		attempts: load.attempts, nodeFaults: append(x.nodeFaults, stalls.onNodes(c.Nodes)...), operators: ops, final: final,
 	}
-	describe(t, e, x, load, w)
-	promises := e.verdict()
-	printTable(t.Output(), promises)
-	for _, p := range promises {
-		for _, broken := range p.broken[:min(len(p.broken), 5)] {
+	logSummary(t, e, x, load, observer)
+	guarantees := e.checkAll()
+	printTable(t.Output(), guarantees)
+	for _, p := range guarantees {
+		for _, broken := range p.violations[:min(len(p.violations), 5)] {
 			t.Errorf("%s: %s", p.name, broken)
 		}
 	}
 }
 
-// describe prints what the run was made of.
-func describe(t *testing.T, e *evidence, x *chaos, load *callers, w *watch) {
-	for _, name := range slices.Sorted(maps.Keys(x.made)) {
-		t.Logf("%4d times: %s", x.made[name], name)
+// logSummary prints what the run was made of.
+func logSummary(t *testing.T, e *evidence, x *chaos, load *callers, observer *observer) {
+	for _, name := range slices.Sorted(maps.Keys(x.faultCounts)) {
+		t.Logf("%4d times: %s", x.faultCounts[name], name)
 	}
 	outcomes := map[outcome.Outcome]int{}
 	unknown := map[outcome.Reason]int{}
@@ -174,11 +174,11 @@
 		t.Logf("%s requests that ran: p50 %.1f ms, p99 %.1f ms, max %.1f ms", class,
 			float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, float64(h.Max())/1000)
 	}
-	t.Logf("%d documents accepted, %d publishes with unknown outcome, %d jobs", len(e.operators.accepted), e.operators.unsettled, e.operators.jobs)
+	t.Logf("%d documents accepted, %d publishes with unknown outcome, %d jobs", len(e.operators.accepted), e.operators.unknownOutcomes, e.operators.jobs)
 	drains := map[record.DrainReason]int{}
 	joins := 0
-	for _, l := range e.log {
-		if l.out.Status != ledger.Effective {
+	for _, l := range e.records {
+		if l.outcome.Status != ledger.Effective {
 			continue
 		}
 		switch b := l.rec.Body.(type) {
@@ -188,10 +188,10 @@
 			joins++
 		}
 	}
-	t.Logf("drains by reason %v, %d joins of pools, %d records", drains, joins, len(e.log))
+	t.Logf("drains by reason %v, %d joins of pools, %d records", drains, joins, len(e.records))
 	t.Logf("%d runs lost with their VM, %d abandoned ones cut, %.0f appends a second",
 		e.final.Backends.LostInFlight, e.final.Backends.CutAbandoned, e.final.Log.AppendsPerSecond)
-	w.view(func(s *ledger.State) {
+	observer.withState(func(s *ledger.State) {
 		for id, wave := range s.Waves {
 			counts := map[ledger.WaveProgress]int{}
 			for _, progress := range wave.VMs {
--- a/internal/proof/faults_watch_test.go
+++ b/internal/proof/faults_watch_test.go
@@ -17,60 +17,60 @@
 
 // Paces of the observers.
 const (
-	statusPause  = 200 * time.Millisecond
-	counterPause = 250 * time.Millisecond
-	askTimeout   = 300 * time.Millisecond
+	statusInterval  = 200 * time.Millisecond
+	counterInterval = 250 * time.Millisecond
+	statusTimeout   = 300 * time.Millisecond
 )
 
-// logged is one record of the log with its outcome and when it was seen, which
+// observedRecord is one record of the log with its outcome and when it was seen, which
 // is at or after it took effect; rec.Time is before.
-type logged struct {
-	at     time.Time
-	offset uint64
-	rec    record.Record
-	out    ledger.Outcome
+type observedRecord struct {
+	seenAt  time.Time
+	offset  uint64
+	rec     record.Record
+	outcome ledger.Outcome
 }
 
-// reported is one answer of a daemon about itself.
-type reported struct {
-	asked  time.Time
-	daemon string
-	node   string
+// statusReport is one answer of a daemon about itself.
+type statusReport struct {
+	askedAt time.Time
+	daemon  string
+	node    string
 	operator.Status
 }
 
-// counted is one look at the backend servers' counters.
-type counted struct {
-	asked time.Time
-	vms   map[string]standin.VMCounters
+// counterSnapshot is one look at the backend servers' counters.
+type counterSnapshot struct {
+	askedAt time.Time
+	vms     map[string]standin.VMCounters
 }
 
-// watch observes a cluster past all links: the log, each daemon's word about
+// observer observes a cluster past all links: the log, each daemon's word about
 // itself, and the backend servers' counters.
-type watch struct {
-	c  *testkit.Cluster
-	wg sync.WaitGroup
+type observer struct {
+	cluster *testkit.Cluster
+	pollers sync.WaitGroup
 
 	mu       sync.Mutex
 	state    *ledger.State
-	log      []logged
-	reports  []reported
-	counters []counted
+	records  []observedRecord
+	statuses []statusReport
+	counters []counterSnapshot
 }
 
-func startWatch(ctx context.Context, c *testkit.Cluster) *watch {
-	w := &watch{c: c, state: ledger.New()}
-	w.wg.Go(func() { w.followLog(ctx) })
-	w.wg.Go(func() { w.every(ctx, counterPause, w.count) })
+func startObserver(ctx context.Context, c *testkit.Cluster) *observer {
+	w := &observer{cluster: c, state: ledger.New()}
+	w.pollers.Go(func() { w.followLog(ctx) })
+	w.pollers.Go(func() { w.every(ctx, counterInterval, w.readCounters) })
 	for _, n := range c.Nodes {
-		for daemon, address := range map[string]string{n.Name: n.EntryPeers(), n.Name + "-steward": n.StewardPeers()} {
-			w.wg.Go(func() { w.askStatus(ctx, daemon, n.Name, address) })
+		for daemon, address := range map[string]string{n.Name: n.EntryPeerAddress(), n.Name + "-steward": n.StewardPeerAddress()} {
+			w.pollers.Go(func() { w.pollStatus(ctx, daemon, n.Name, address) })
 		}
 	}
 	return w
 }
 
-func (w *watch) every(ctx context.Context, pause time.Duration, look func()) {
+func (w *observer) every(ctx context.Context, pause time.Duration, observe func()) {
 	ticker := time.NewTicker(pause)
 	defer ticker.Stop()
 	for {
@@ -78,16 +78,16 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			look()
+			observe()
 		}
 	}
 }
 
-func (w *watch) followLog(ctx context.Context) {
-	const most = 1000
+func (w *observer) followLog(ctx context.Context) {
+	const limit = 1000
 	next := platform.Offset(1)
 	for ctx.Err() == nil {
-		batch, err := w.c.Standin.Client.Read(ctx, settings.DefaultStream, next, most, time.Second)
+		batch, err := w.cluster.Standin.Client.Read(ctx, settings.DefaultStream, next, limit, time.Second)
 		if err != nil {
 			continue // a fault of the log, or the end of the test
 		}
@@ -96,27 +96,27 @@
 	}
 }
 
-func (w *watch) fold(entries []platform.Entry) {
+func (w *observer) fold(entries []platform.Entry) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, e := range entries {
 		out := w.state.ApplyData(uint64(e.Offset), e.Data)
 		rec, err := record.Decode(e.Data)
 		if err == nil {
-			w.log = append(w.log, logged{at: time.Now(), offset: uint64(e.Offset), rec: rec, out: out})
+			w.records = append(w.records, observedRecord{seenAt: time.Now(), offset: uint64(e.Offset), rec: rec, outcome: out})
 		}
 	}
 }
 
-func (w *watch) askStatus(ctx context.Context, daemon, node, address string) {
+func (w *observer) pollStatus(ctx context.Context, daemon, node, address string) {
 	client, err := operator.NewClient(address)
 	if err != nil {
 		panic(err)
 	}
 	defer client.Close()
-	w.every(ctx, statusPause, func() {
+	w.every(ctx, statusInterval, func() {
 		asked := time.Now()
-		ctx, cancel := context.WithTimeout(ctx, askTimeout)
+		ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 		defer cancel()
 		status, err := client.Status(ctx)
 		if err != nil {
@@ -124,47 +124,47 @@
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.reports = append(w.reports, reported{asked: asked, daemon: daemon, node: node, Status: status})
+		w.statuses = append(w.statuses, statusReport{askedAt: asked, daemon: daemon, node: node, Status: status})
 	})
 }
 
-func (w *watch) count() {
+func (w *observer) readCounters() {
 	asked := time.Now()
-	vms := w.c.Standin.VMCounters()
+	vms := w.cluster.Standin.VMCounters()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.counters = append(w.counters, counted{asked: asked, vms: vms})
+	w.counters = append(w.counters, counterSnapshot{askedAt: asked, vms: vms})
 }
 
-// view calls f with the folded log.
-func (w *watch) view(f func(*ledger.State)) {
+// withState calls f with the folded log.
+func (w *observer) withState(f func(*ledger.State)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f(w.state)
 }
 
 // offset returns the end of the log.
-func (w *watch) offset() uint64 {
+func (w *observer) offset() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.state.Offset
 }
 
-// behind returns the daemons that have not said, asked after since, that they
+// notCaughtUp returns the daemons that have not said, asked after since, that they
 // are ready and act on offset.
-func (w *watch) behind(since time.Time, offset uint64) []string {
+func (w *observer) notCaughtUp(since time.Time, offset uint64) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	latest := map[string]reported{}
-	for _, r := range w.reports {
+	latest := map[string]statusReport{}
+	for _, r := range w.statuses {
 		latest[r.daemon] = r
 	}
 	var behind []string
-	for _, n := range w.c.Nodes {
+	for _, n := range w.cluster.Nodes {
 		for _, daemon := range []string{n.Name, n.Name + "-steward"} {
 			r := latest[daemon]
-			if r.asked.Before(since) || len(r.Unready) > 0 || r.ActingOffset < offset {
-				behind = append(behind, fmt.Sprintf("%s: asked %s, unready %q, acts on %d of %d", daemon, r.asked.Format(time.TimeOnly), r.Unready, r.ActingOffset, offset))
+			if r.askedAt.Before(since) || len(r.Unready) > 0 || r.ActingOffset < offset {
+				behind = append(behind, fmt.Sprintf("%s: asked %s, unready %q, acts on %d of %d", daemon, r.askedAt.Format(time.TimeOnly), r.Unready, r.ActingOffset, offset))
 			}
 		}
 	}
--- a/internal/proof/inforce_test.go
+++ b/internal/proof/inforce_test.go
@@ -19,29 +19,29 @@
 		Nodes: []string{"a", "b", "c", "d", "a", "b", "c", "d"},
 		Fleet: []testkit.Group{{Prefix: "vm", Count: 8, Zones: []string{"a", "b", "c", "d"}}},
 	})
-	c.Publish(document("booking", 8, 1))
+	c.Publish(testDocument("booking", 8, 1))
 	c.AwaitReady()
 	var nodes []string
 	for _, n := range c.Nodes {
-		nodes = append(nodes, n.EntryPeers(), n.StewardPeers())
+		nodes = append(nodes, n.EntryPeerAddress(), n.StewardPeerAddress())
 	}
 	var slowest []time.Duration
 	for i := 0; b.Loop(); i++ {
-		file := c.File("next.toml", document("booking", 8, 1+i%2)+fmt.Sprintf("# %d\n", i))
-		ran := c.Must("--output", "json", "--nodes", strings.Join(nodes, ","), "publish", "--wait-in-force", file)
+		file := c.WriteFile("next.toml", testDocument("booking", 8, 1+i%2)+fmt.Sprintf("# %d\n", i))
+		result := c.MustCommand("--output", "json", "--nodes", strings.Join(nodes, ","), "publish", "--wait-in-force", file)
 		var results []struct {
 			InForce []struct {
 				After time.Duration `json:"after_ns"`
 			} `json:"in_force"`
 		}
-		if err := json.Unmarshal([]byte(ran.Out), &results); err != nil || len(results[0].InForce) != len(nodes) {
-			b.Fatal(err, ran.Out)
+		if err := json.Unmarshal([]byte(result.Stdout), &results); err != nil || len(results[0].InForce) != len(nodes) {
+			b.Fatal(err, result.Stdout)
 		}
-		worst := time.Duration(0)
+		latest := time.Duration(0)
 		for _, n := range results[0].InForce {
-			worst = max(worst, n.After)
+			latest = max(latest, n.After)
 		}
-		slowest = append(slowest, worst)
+		slowest = append(slowest, latest)
 	}
 	slices.Sort(slowest)
 	b.ReportMetric(float64(slowest[len(slowest)/2])/1e6, "ms-p50")
--- a/internal/proof/jobs_test.go
+++ b/internal/proof/jobs_test.go
@@ -15,8 +15,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// urgentBound is how soon urgent work starts.
-const urgentBound = 6700 * time.Millisecond
+// urgentStartBound is how soon urgent work starts.
+const urgentStartBound = 6700 * time.Millisecond
 
 // jobsCluster starts entry VMs and one pool of four workers with 8 cores each
 // for jobs.
@@ -25,7 +25,7 @@
 		Nodes: []string{"a", "b", "c"}[:nodes],
 		Fleet: []testkit.Group{{Prefix: "vm", Count: 4, Zones: []string{"a", "b"}, RackSize: 2, Cores: 8, MemoryMB: 16384}},
 	})
-	c.Publish(document("export", 4, 1) + fmt.Sprintf(`
+	c.Publish(testDocument("export", 4, 1) + fmt.Sprintf(`
 [[quota]]
 team = "proof"
 cores = 32.0
@@ -39,16 +39,16 @@
 	return c
 }
 
-func submit(c *testkit.Cluster, name string, flags ...string) {
+func submitExportJob(c *testkit.Cluster, name string, flags ...string) {
 	args := append([]string{"jobs", "submit", "--service", "export", "--team", "proof", "--memory-mb", "64"}, flags...)
-	c.Must(append(args, name)...)
+	c.MustCommand(append(args, name)...)
 }
 
-// started returns how often a task of the job was started.
-func started(c *testkit.Cluster, job string) int { return c.Standin.Counters().JobStarts[job] }
+// startCount returns how often a task of the job was started.
+func startCount(c *testkit.Cluster, job string) int { return c.Standin.Counters().JobStarts[job] }
 
-// jobsEnded reports whether every job is over.
-func jobsEnded(c *testkit.Cluster) bool {
+// allJobsEnded reports whether every job is over.
+func allJobsEnded(c *testkit.Cluster) bool {
 	for _, j := range c.Standin.State().Jobs {
 		if !j.Ended() {
 			return false
@@ -63,14 +63,14 @@
 // a job whose start is in doubt ends as lapsed and is not started again.
 func TestExportsRunAtMostOnceThroughLostRepliesAndKills(t *testing.T) {
 	c := jobsCluster(t, 3, 3*time.Second)
-	c.Standin.Order(standin.Fault{Kind: standin.APILoseReply, Target: "start", Count: 12})
+	c.Standin.InjectFaults(standin.Fault{Kind: standin.APILoseReply, Target: "start", Count: 12})
 	const jobs = 24
 	for i := range jobs {
 		flags := []string{"--cores", "1", "--run-time", "2s"}
 		if i%3 == 0 {
 			flags = append(flags, "--repeatable")
 		}
-		submit(c, fmt.Sprintf("export-%02d", i), flags...)
+		submitExportJob(c, fmt.Sprintf("export-%02d", i), flags...)
 		if i%8 == 4 {
 			c.Nodes[i/8].Steward.Kill()
 		}
@@ -78,7 +78,7 @@
 			c.Nodes[i/8].Steward.Start()
 		}
 	}
-	c.Until("all jobs are over", func() bool { return jobsEnded(c) })
+	c.Until("all jobs are over", func() bool { return allJobsEnded(c) })
 	results := map[record.JobResult]int{}
 	starts := c.Standin.Counters().JobStarts
 	for id, j := range c.Standin.State().Jobs {
@@ -100,7 +100,7 @@
 func TestUrgentJobsStartWithinTheirBoundOnAFullPool(t *testing.T) {
 	c := jobsCluster(t, 3, 3*time.Second)
 	for i := range 4 {
-		submit(c, fmt.Sprintf("long-%d", i), "--cores", "8", "--run-time", "10m", "--repeatable", "--checkpointable")
+		submitExportJob(c, fmt.Sprintf("long-%d", i), "--cores", "8", "--run-time", "10m", "--repeatable", "--checkpointable")
 	}
 	c.Until("the pool is full", func() bool {
 		counters := c.Standin.Counters()
@@ -109,12 +109,12 @@
 	for i := range 3 {
 		c.Nodes[i].Steward.Kill()
 		name := fmt.Sprintf("urgent-%d", i)
-		submit(c, name, "--cores", "4", "--run-time", "1s", "--urgent", "--repeatable")
-		from := time.Now()
-		c.Until(name+" is started", func() bool { return started(c, name) > 0 })
-		took := time.Since(from)
+		submitExportJob(c, name, "--cores", "4", "--run-time", "1s", "--urgent", "--repeatable")
+		submittedAt := time.Now()
+		c.Until(name+" is started", func() bool { return startCount(c, name) > 0 })
+		took := time.Since(submittedAt)
 		t.Logf("%s started after %v with steward %d dead", name, took.Round(time.Millisecond), i)
-		assert.Less(t, took, urgentBound)
+		assert.Less(t, took, urgentStartBound)
 		c.Nodes[i].Steward.Start()
 	}
 }
@@ -126,22 +126,22 @@
 // plays the same in virtual time.
 func TestStewardStoppedPastTheLeaseStartsNoExportAgain(t *testing.T) {
 	c := jobsCluster(t, 1, 5*time.Second)
-	submit(c, "export", "--run-time", "20s")
-	submit(c, "report", "--run-time", "8s", "--repeatable")
-	c.Until("both run", func() bool { return started(c, "export")+started(c, "report") == 2 })
+	submitExportJob(c, "export", "--run-time", "20s")
+	submitExportJob(c, "report", "--run-time", "8s", "--repeatable")
+	c.Until("both run", func() bool { return startCount(c, "export")+startCount(c, "report") == 2 })
 	c.Nodes[0].Steward.Pause()
-	awaitLapse(t, c, "export", "report")
+	awaitTasksExpired(t, c, "export", "report")
 	c.Nodes[0].Steward.Resume()
-	c.Until("both are over", func() bool { return jobsEnded(c) })
+	c.Until("both are over", func() bool { return allJobsEnded(c) })
 	state := c.Standin.State()
 	assert.Equal(t, record.JobLapsed, state.Jobs["export"].Result)
-	assert.Equal(t, 1, started(c, "export"))
+	assert.Equal(t, 1, startCount(c, "export"))
 	assert.Equal(t, record.JobSucceeded, state.Jobs["report"].Result)
-	assert.Equal(t, 2, started(c, "report"))
+	assert.Equal(t, 2, startCount(c, "report"))
 }
 
-// awaitLapse waits until the platform has ended the jobs' tasks.
-func awaitLapse(t *testing.T, c *testkit.Cluster, jobs ...string) {
+// awaitTasksExpired waits until the platform has ended the jobs' tasks.
+func awaitTasksExpired(t *testing.T, c *testkit.Cluster, jobs ...string) {
 	state := c.Standin.State()
 	for _, id := range jobs {
 		worker := state.Jobs[id].Worker
@@ -163,7 +163,7 @@
 	c := jobsCluster(t, 2, 3*time.Second)
 	const jobs = 60
 	for i := range jobs {
-		submit(c, fmt.Sprintf("job-%02d", i), "--cores", "4", "--run-time", "5m", "--repeatable")
+		submitExportJob(c, fmt.Sprintf("job-%02d", i), "--cores", "4", "--run-time", "5m", "--repeatable")
 	}
 	state := c.Standin.State()
 	queued := 0
@@ -174,21 +174,21 @@
 	}
 	require.Positive(t, queued)
 	for i := range jobs {
-		c.Must("jobs", "cancel", fmt.Sprintf("job-%02d", i))
+		c.MustCommand("jobs", "cancel", fmt.Sprintf("job-%02d", i))
 	}
-	c.Until("all jobs are over", func() bool { return jobsEnded(c) })
+	c.Until("all jobs are over", func() bool { return allJobsEnded(c) })
 	state = c.Standin.State()
 	starts := c.Standin.Counters().JobStarts
-	never := 0
+	neverPlaced := 0
 	for id, j := range state.Jobs {
 		assert.Equal(t, ledger.JobCancelled, j.Status, id)
 		if j.Attempt == 0 {
-			never++
+			neverPlaced++
 			assert.Zero(t, starts[id], id)
 		}
 	}
-	t.Logf("%d jobs were queued at the first cancellation, %d were never placed, %d were started", queued, never, len(starts))
-	assert.Positive(t, never)
+	t.Logf("%d jobs were queued at the first cancellation, %d were never placed, %d were started", queued, neverPlaced, len(starts))
+	assert.Positive(t, neverPlaced)
 }
 
 // Stewards are replaced one after the other while exports come in. A steward
@@ -199,12 +199,12 @@
 	const jobs = 15
 	for i := range jobs {
 		steward := c.Nodes[i%3].Steward
-		submit(c, fmt.Sprintf("export-%02d", i), "--cores", "1", "--run-time", "1s")
+		submitExportJob(c, fmt.Sprintf("export-%02d", i), "--cores", "1", "--run-time", "1s")
 		steward.Terminate()
 		require.NoError(t, steward.Wait())
 		steward.Start()
 	}
-	c.Until("all jobs are over", func() bool { return jobsEnded(c) })
+	c.Until("all jobs are over", func() bool { return allJobsEnded(c) })
 	starts := c.Standin.Counters().JobStarts
 	for id, j := range c.Standin.State().Jobs {
 		assert.Equal(t, record.JobSucceeded, j.Result, "%s: %s", id, j.Reason)
--- a/internal/proof/loss_bench_test.go
+++ b/internal/proof/loss_bench_test.go
@@ -16,42 +16,42 @@
 // lost entry VM; in-flight is what it had under way when it was killed.
 func BenchmarkLossOfOneOfEight(b *testing.B) {
 	const vms, callers = 8, 64
-	for _, vouch := range []bool{true, false} {
-		b.Run(fmt.Sprintf("marked=%t", vouch), func(b *testing.B) {
+	for _, markFirst := range []bool{true, false} {
+		b.Run(fmt.Sprintf("marked=%t", markFirst), func(b *testing.B) {
 			for range b.N {
 				c := testkit.Start(b, testkit.Options{
 					Nodes: []string{"a", "b", "c", "a", "b", "c", "a", "b"},
 					Fleet: []testkit.Group{{Prefix: "vm", Count: 12, Zones: []string{"a", "b", "c"}}},
 				})
-				c.Publish(document("booking", 12, 1))
+				c.Publish(testDocument("booking", 12, 1))
 				awaitServing(c, "booking", 12)
 				c.AwaitReady()
-				c.Until("all entry VMs are members", func() bool { return members(c) == vms })
-				granting(c)
-				loseOne(b, c, callers, vouch)
+				c.Until("all entry VMs are members", func() bool { return memberCount(c) == vms })
+				awaitGrants(c)
+				killOneNode(b, c, callers, markFirst)
 			}
 		})
 	}
 }
 
-func loseOne(b *testing.B, c *testkit.Cluster, callers int, vouch bool) {
-	load := newBookings(b, c)
-	stop := load.book(callers, vouch)
+func killOneNode(b *testing.B, c *testkit.Cluster, callers int, markFirst bool) {
+	load := newBookingCaller(b, c)
+	stop := load.start(callers, markFirst)
 	time.Sleep(3 * time.Second) // a load that has settled, not a proof
-	before := load.counts()
+	before := load.countLastOutcomes()
 	lost := c.Nodes[5]
 	inFlight := callers / len(c.Nodes) // of the callers, each with one booking under way
 	killed := time.Now()
 	lost.Kill()
-	c.Until("the lost VM is evicted", func() bool { return members(c) == len(c.Nodes)-1 })
+	c.Until("the lost VM is evicted", func() bool { return memberCount(c) == len(c.Nodes)-1 })
 	b.ReportMetric(time.Since(killed).Seconds(), "s-to-eviction")
 	c.Nodes = append(c.Nodes[:5:5], c.Nodes[6:]...)
-	granting(c)
+	awaitGrants(c)
 	b.ReportMetric(time.Since(killed).Seconds(), "s-to-all-granted")
 	time.Sleep(2 * time.Second)
 	stop()
-	load.check()
-	after := load.counts()
+	load.checkRuns()
+	after := load.countLastOutcomes()
 	b.ReportMetric(float64(after[outcome.Unknown]-before[outcome.Unknown]), "unknown")
 	b.ReportMetric(float64(after[outcome.NotRun]-before[outcome.NotRun]), "not-run")
 	b.ReportMetric(float64(after[outcome.Ran]-before[outcome.Ran]), "ran")
@@ -59,8 +59,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// granting waits until bookings with many keys are granted at all nodes.
-func granting(c *testkit.Cluster) {
+// awaitGrants waits until bookings with many keys are granted at all nodes.
+func awaitGrants(c *testkit.Cluster) {
 	c.Until("all keys are granted", func() bool {
 		for range 8 {
 			for _, n := range c.Nodes {
--- a/internal/proof/outage_test.go
+++ b/internal/proof/outage_test.go
@@ -19,8 +19,8 @@
 // force; bookings, which it cannot claim, are told that they did not run. When
 // the platform is back it takes bookings too.
 func TestEntryReplacedDuringOutageServesOnItsPeersState(t *testing.T) {
-	c := pool(t, 3, testkit.Options{Nodes: []string{"a", "b", "a"}})
-	c.Publish("# the second revision\n" + document("booking", 3, 1))
+	c := startPool(t, 3, testkit.Options{Nodes: []string{"a", "b", "a"}})
+	c.Publish("# the second revision\n" + testDocument("booking", 3, 1))
 	revision := c.Standin.State().Services["booking"].Revision
 	for _, n := range c.Nodes {
 		c.Until(n.Name+" has the second revision", func() bool { return n.Status(t).Revision("booking") == revision })
@@ -36,7 +36,7 @@
 	key := testkit.Key()
 	a = replaced.Send(context.Background(), testkit.Request{Path: "/booking/book", Key: key, Attempt: 1})
 	assert.Equal(t, outcome.NotRun, a.Outcome)
-	assert.Zero(t, c.Standin.Key(key).Seen)
+	assert.Zero(t, c.Standin.KeyCounters(key).Seen)
 	for _, n := range c.Nodes {
 		n.HealPlatform()
 	}
@@ -51,19 +51,19 @@
 // drain from the log.
 func TestEntryCutOffFromThePlatformLearnsOfADrain(t *testing.T) {
 	const vm = "vm-01"
-	c := pool(t, 3, testkit.Options{Nodes: []string{"a", "b", "a"}})
-	cut, whole := c.Nodes[0], c.Nodes[2]
+	c := startPool(t, 3, testkit.Options{Nodes: []string{"a", "b", "a"}})
+	cut, connected := c.Nodes[0], c.Nodes[2]
 	cut.CutPlatform()
 	var long []<-chan testkit.Answer
 	for c.Standin.VMCounters()[vm].Runs == 0 {
-		long = append(long, together(whole, 1, func() testkit.Request {
-			return testkit.Request{Path: "/booking/book", Key: testkit.Key(), Work: leaveWithin + time.Second}
+		long = append(long, sendConcurrently(connected, 1, func() testkit.Request {
+			return testkit.Request{Path: "/booking/book", Key: testkit.Key(), Work: drainBound + time.Second}
 		}))
 		c.Until("the booking runs", func() bool { return c.Standin.Counters().Backends.Runs == len(long) })
 	}
-	c.Must("drain", vm)
+	c.MustCommand("drain", vm)
 	c.Until("the drain is effective", func() bool { return c.Standin.State().VMs[vm].Phase != record.PhaseServing })
-	last := time.Now().Add(leaveWithin)
+	last := time.Now().Add(drainBound)
 	for time.Now().Before(last) {
 		assert.True(t, cut.Send(context.Background(), testkit.Request{Path: "/booking/lookup"}).OK())
 	}
@@ -78,11 +78,11 @@
 	}
 }
 
-// revise publishes the next revision of the booking document and returns its
+// publishRevision publishes the next revision of the booking document and returns its
 // offset.
-func revise(c *testkit.Cluster, n *int) uint64 {
+func publishRevision(c *testkit.Cluster, n *int) uint64 {
 	*n++
-	c.Publish(fmt.Sprintf("# revision %d\n%s", *n, document("booking", 2, 1)))
+	c.Publish(fmt.Sprintf("# revision %d\n%s", *n, testDocument("booking", 2, 1)))
 	return uint64(c.Standin.State().Services["booking"].Revision)
 }
 
@@ -91,47 +91,47 @@
 // the platform and its peers. No daemon that is ready ever shows an older revision
 // after a newer one, and at the end all have the last.
 func TestNoDaemonReturnsToAnOlderRevision(t *testing.T) {
-	c := pool(t, 2, testkit.Options{Nodes: []string{"a", "b", "a"}})
+	c := startPool(t, 2, testkit.Options{Nodes: []string{"a", "b", "a"}})
 	ctx, cancel := context.WithCancel(context.Background())
-	w := startWatch(ctx, c)
-	defer func() { cancel(); w.wg.Wait() }()
-	everywhere := func(offset uint64) {
+	observer := startObserver(ctx, c)
+	defer func() { cancel(); observer.pollers.Wait() }()
+	awaitEverywhere := func(offset uint64) {
 		since := time.Now()
-		c.Until(fmt.Sprintf("all act on offset %d", offset), func() bool { return len(w.behind(since, offset)) == 0 })
+		c.Until(fmt.Sprintf("all act on offset %d", offset), func() bool { return len(observer.notCaughtUp(since, offset)) == 0 })
 	}
 	revisions := 0
-	revise(c, &revisions)
+	publishRevision(c, &revisions)
 
 	c.Nodes[0].Kill()
-	revise(c, &revisions)
+	publishRevision(c, &revisions)
 	c.Nodes[0].Start()
-	everywhere(revise(c, &revisions))
+	awaitEverywhere(publishRevision(c, &revisions))
 
 	for _, n := range c.Nodes {
 		n.CutPlatform()
 	}
-	missed := revise(c, &revisions) // no daemon can learn of it yet
+	missed := publishRevision(c, &revisions) // no daemon can learn of it yet
 	c.Nodes[1].Kill()
 	c.Nodes[1].Start()
 	c.Nodes[1].AwaitReady()
 	for _, n := range c.Nodes {
 		n.HealPlatform()
 	}
-	everywhere(missed)
+	awaitEverywhere(missed)
 
 	cut := c.Nodes[2]
 	cut.CutPlatform()
 	c.Partition([]*testkit.Node{cut}, c.Nodes[:2])
 	for range 3 {
-		revise(c, &revisions)
+		publishRevision(c, &revisions)
 	}
 	c.HealPeers()
 	cut.HealPlatform()
-	everywhere(revise(c, &revisions))
+	awaitEverywhere(publishRevision(c, &revisions))
 
 	cancel()
-	w.wg.Wait()
-	verdict := (&evidence{reports: w.reports}).neverOlder()
-	require.NotZero(t, verdict.tried)
-	assert.Empty(t, verdict.broken)
+	observer.pollers.Wait()
+	verdict := (&evidence{statuses: observer.statuses}).checkNoRevert()
+	require.NotZero(t, verdict.cases)
+	assert.Empty(t, verdict.violations)
 }
--- a/internal/proof/owner_bench_test.go
+++ b/internal/proof/owner_bench_test.go
@@ -23,38 +23,38 @@
 // variable OWNER_PROFILE a processor profile of the node is written to that file.
 func BenchmarkOwnerStarts(b *testing.B) {
 	const (
-		jobsPerS = 60
-		tasks    = 8
-		takes    = 800 * time.Millisecond
-		length   = 10 * time.Second
+		jobsPerS     = 60
+		tasks        = 8
+		taskDuration = 800 * time.Millisecond
+		loadDuration = 10 * time.Second
 	)
 	c := testkit.StartJobs(b, standin.Options{
 		Services: []string{"booking"}, PerService: 24, Capacity: workload.Resources{CPU: 64000, MemoryMB: 256000}, Partitions: 12,
 	}, 1)
-	spec := testkit.Chain(takes, tasks)
+	spec := testkit.Chain(taskDuration, tasks)
 	for range b.N {
 		doneBefore, cpuBefore := c.Platform.DoneTasks(), processorTime(b, c.Nodes[0].PID())
-		profile := profileOf(b, c.Nodes[0].Metrics, length-2*time.Second)
-		began := time.Now()
+		profile := startProfile(b, c.Nodes[0].Metrics, loadDuration-2*time.Second)
+		startedAt := time.Now()
 		tick := time.NewTicker(time.Second / jobsPerS)
-		for time.Since(began) < length {
+		for time.Since(startedAt) < loadDuration {
 			<-tick.C
 			id := c.NewID()
 			go c.Call(c.Nodes[0], http.MethodPost, standin.Prefix("booking")+string(id), testkit.Body(b, spec))
 		}
 		tick.Stop()
-		time.Sleep(2 * takes)
+		time.Sleep(2 * taskDuration)
 		cpu := processorTime(b, c.Nodes[0].PID()) - cpuBefore
 		done := c.Platform.DoneTasks() - doneBefore
 		require.NoError(b, <-profile)
 		b.ReportMetric(0, "ns/op")
-		b.ReportMetric(float64(done)/length.Seconds(), "starts/s")
+		b.ReportMetric(float64(done)/loadDuration.Seconds(), "starts/s")
 		b.ReportMetric(float64(cpu.Microseconds())/float64(done), "core-us/start")
 	}
 }
 
-// profileOf writes a processor profile of a node to the file that is asked for.
-func profileOf(b *testing.B, address string, length time.Duration) <-chan error {
+// startProfile writes a processor profile of a node to the file that is asked for.
+func startProfile(b *testing.B, address string, duration time.Duration) <-chan error {
 	done := make(chan error, 1)
 	file := os.Getenv("OWNER_PROFILE")
 	if file == "" {
@@ -62,7 +62,7 @@
 		return done
 	}
 	go func() {
-		resp, err := http.Get(fmt.Sprintf("http://%s/debug/pprof/profile?seconds=%d", address, int(length.Seconds())))
+		resp, err := http.Get(fmt.Sprintf("http://%s/debug/pprof/profile?seconds=%d", address, int(duration.Seconds())))
 		if err != nil {
 			done <- err
 			return
--- a/internal/proof/platformjobs_test.go
+++ b/internal/proof/platformjobs_test.go
@@ -15,8 +15,8 @@
 	"github.com/yuccadrift/yuccadrift/platform/standin"
 )
 
-// jobOptions is a small platform: two services and a spare pool.
-func jobOptions() standin.Options {
+// smallPlatform is a small platform: two services and a spare pool.
+func smallPlatform() standin.Options {
 	return standin.Options{
 		Services:   []string{"booking", "returns", "spare"},
 		Standby:    "spare",
@@ -26,19 +26,19 @@
 	}
 }
 
-// submitMany submits jobs of two steps to both services.
-func submitMany(c *testkit.JobCluster, n int, takes time.Duration) map[workload.JobID]string {
+// submitJobs submits jobs of two steps to both services.
+func submitJobs(c *testkit.JobCluster, n int, taskDuration time.Duration) map[workload.JobID]string {
 	jobs := map[workload.JobID]string{}
 	for i := range n {
 		id := c.NewID()
 		service := []string{"booking", "returns"}[i%2]
-		c.Submit(service, id, testkit.Chain(takes, 3, 2))
+		c.Submit(service, id, testkit.Chain(taskDuration, 3, 2))
 		jobs[id] = service
 	}
 	return jobs
 }
 
-func awaitAll(c *testkit.JobCluster, jobs map[workload.JobID]string) {
+func awaitCompleted(c *testkit.JobCluster, jobs map[workload.JobID]string) {
 	for id, service := range jobs {
 		c.AwaitState(service, id, workload.Completed)
 	}
@@ -49,17 +49,17 @@
 // two VMs are away at once, and the wave is said to be completed.
 func TestJobsRunThroughAWave(t *testing.T) {
 	t.Parallel()
-	c := testkit.StartJobs(t, jobOptions(), 3)
-	jobs := submitMany(c, 10, 80*time.Millisecond)
+	c := testkit.StartJobs(t, smallPlatform(), 3)
+	jobs := submitJobs(c, 10, 80*time.Millisecond)
 	var vms []string
 	for _, vm := range c.Platform.VMs() {
 		vms = append(vms, vm.ID)
 	}
 	require.NoError(t, c.Platform.PublishWave(1, vms, 20*time.Second, 2))
-	for id, service := range submitMany(c, 20, 120*time.Millisecond) {
+	for id, service := range submitJobs(c, 20, 120*time.Millisecond) {
 		jobs[id] = service
 	}
-	awaitAll(c, jobs)
+	awaitCompleted(c, jobs)
 	c.Until("the wave is completed", func() bool { return c.Platform.IsWaveCompleted(1) })
 	assert.Empty(t, c.Platform.Violations())
 	assert.Equal(t, len(jobs)*5, c.Platform.DoneTasks())
@@ -71,15 +71,15 @@
 // crashes, with the reason in the log; all others are completed.
 func TestJobThatCrashesItsWorkersFails(t *testing.T) {
 	t.Parallel()
-	c := testkit.StartJobs(t, jobOptions(), 2)
-	jobs := submitMany(c, 8, 200*time.Millisecond)
+	c := testkit.StartJobs(t, smallPlatform(), 2)
+	jobs := submitJobs(c, 8, 200*time.Millisecond)
 	id := c.NewID()
 	c.Submit("booking", id, workload.Spec{Payload: standin.CrashPayload, Steps: []workload.Step{{Count: 1, Resources: workload.Resources{CPU: 500, MemoryMB: 500}, EstimateMS: 100}}})
-	for other, service := range submitMany(c, 8, 200*time.Millisecond) {
+	for other, service := range submitJobs(c, 8, 200*time.Millisecond) {
 		jobs[other] = service
 	}
 	c.AwaitState("booking", id, workload.Failed)
-	awaitAll(c, jobs)
+	awaitCompleted(c, jobs)
 	crashes := c.Platform.CrashesByTask(string(id) + ".0.0.0")
 	assert.GreaterOrEqual(t, crashes, 2)
 	assert.LessOrEqual(t, crashes, 3)
@@ -91,20 +91,20 @@
 // is back. Others take over what it owned; each job is completed once.
 func TestOwnersKilledWhileJobsRun(t *testing.T) {
 	t.Parallel()
-	c := testkit.StartJobs(t, jobOptions(), 3)
+	c := testkit.StartJobs(t, smallPlatform(), 3)
 	jobs := map[workload.JobID]string{}
 	for _, n := range c.Nodes {
-		for id, service := range submitMany(c, 8, 300*time.Millisecond) {
+		for id, service := range submitJobs(c, 8, 300*time.Millisecond) {
 			jobs[id] = service
 		}
 		n.Kill()
-		for id, service := range submitMany(c, 4, 100*time.Millisecond) {
+		for id, service := range submitJobs(c, 4, 100*time.Millisecond) {
 			jobs[id] = service
 		}
 		n.Start()
 		c.AwaitReady()
 	}
-	awaitAll(c, jobs)
+	awaitCompleted(c, jobs)
 	assert.Empty(t, c.Platform.Violations())
 }
 
@@ -112,8 +112,8 @@
 // known to the processes that follow, and is finished.
 func TestAllNodesKilledAtOnce(t *testing.T) {
 	t.Parallel()
-	c := testkit.StartJobs(t, jobOptions(), 3)
-	jobs := submitMany(c, 8, 500*time.Millisecond)
+	c := testkit.StartJobs(t, smallPlatform(), 3)
+	jobs := submitJobs(c, 8, 500*time.Millisecond)
 	for _, n := range c.Nodes {
 		n.Kill()
 	}
@@ -121,23 +121,23 @@
 		n.Start()
 	}
 	c.AwaitReady()
-	awaitAll(c, jobs)
+	awaitCompleted(c, jobs)
 	assert.Empty(t, c.Platform.Violations())
 }
 
 // A node is told to stop while it answers callers and owns jobs. Its callers get
 // their answers, the process ends by itself with no error, and the jobs go on.
-func TestNodeStopsInGoodOrder(t *testing.T) {
+func TestNodeShutsDownGracefully(t *testing.T) {
 	t.Parallel()
-	c := testkit.StartJobs(t, jobOptions(), 2)
-	jobs := submitMany(c, 6, 400*time.Millisecond)
+	c := testkit.StartJobs(t, smallPlatform(), 2)
+	jobs := submitJobs(c, 6, 400*time.Millisecond)
 	c.Nodes[0].Terminate()
 	id := c.NewID()
 	status, body := c.Call(c.Nodes[0], http.MethodPost, standin.Prefix("booking")+string(id), testkit.Body(t, testkit.Chain(50*time.Millisecond, 1)))
 	assert.Equal(t, http.StatusOK, status, body)
 	jobs[id] = "booking"
 	require.NoError(t, c.Nodes[0].Wait())
-	awaitAll(c, jobs)
+	awaitCompleted(c, jobs)
 	assert.Empty(t, c.Platform.Violations())
 	assert.Contains(t, c.Nodes[0].Log(), `"@message":"stopped"`)
 }
@@ -147,7 +147,7 @@
 // where the signal's default action would end the process at once.
 func TestHangupWhileANodeStops(t *testing.T) {
 	t.Parallel()
-	c := testkit.StartJobs(t, jobOptions(), 1)
+	c := testkit.StartJobs(t, smallPlatform(), 1)
 	n := c.Nodes[0]
 	c.Platform.Store.SetFault(standin.LoseWriteAnswers, "")
 	id := c.NewID()
@@ -169,7 +169,7 @@
 // one job, whose tasks run once.
 func TestSameIDAtTwoNodes(t *testing.T) {
 	t.Parallel()
-	c := testkit.StartJobs(t, jobOptions(), 2)
+	c := testkit.StartJobs(t, smallPlatform(), 2)
 	id := c.NewID()
 	path := standin.Prefix("booking") + string(id)
 	body := testkit.Body(t, testkit.Chain(100*time.Millisecond, 3))
@@ -191,9 +191,9 @@
 // The store does nothing for a while, first saying so and then without an
 // answer. Callers are refused at once and told when to come back, and what was
 // refused never runs. Jobs that were taken before go on meanwhile.
-func TestRefusedJobsNeverRunWhileTheStoreIsAway(t *testing.T) {
+func TestRefusedJobsNeverRunWhileTheStoreIsUnavailable(t *testing.T) {
 	t.Parallel()
-	c := testkit.StartJobs(t, jobOptions(), 2)
+	c := testkit.StartJobs(t, smallPlatform(), 2)
 	running := c.NewID()
 	c.Submit("booking", running, testkit.Chain(300*time.Millisecond, 2, 2))
 	refused := map[workload.JobID]bool{}
@@ -212,8 +212,8 @@
 	last := c.NewID()
 	c.Submit("returns", last, testkit.Chain(50*time.Millisecond, 1))
 	c.AwaitState("returns", last, workload.Completed)
-	for id, certain := range refused {
-		if certain {
+	for id, wasRefused := range refused {
+		if wasRefused {
 			status, _ := c.Call(c.Nodes[1], http.MethodGet, standin.Prefix("returns")+string(id), "")
 			assert.Equal(t, http.StatusGone, status, "job %s was refused", id)
 		}
@@ -226,7 +226,7 @@
 // ID, and the job runs once.
 func TestLostAnswersOfTheStoreAreNoRefusals(t *testing.T) {
 	t.Parallel()
-	c := testkit.StartJobs(t, jobOptions(), 2)
+	c := testkit.StartJobs(t, smallPlatform(), 2)
 	c.Platform.Store.SetFault(standin.LoseWriteAnswers, "")
 	id := c.NewID()
 	path := standin.Prefix("booking") + string(id)
@@ -246,28 +246,28 @@
 // task runs in two places.
 func TestWorkersThatAnswerLateOrNever(t *testing.T) {
 	t.Parallel()
-	c := testkit.StartJobs(t, jobOptions(), 2)
+	c := testkit.StartJobs(t, smallPlatform(), 2)
 	vms := c.Platform.VMs()
-	jobs := submitMany(c, 4, 100*time.Millisecond)
+	jobs := submitJobs(c, 4, 100*time.Millisecond)
 	for i, fault := range []standin.WorkerFault{standin.DelayStarts, standin.LoseAnswers, standin.Unreachable} {
 		worker := vms[i].Worker
 		if worker == nil {
 			continue
 		}
 		worker.SetFault(fault)
-		for id, service := range submitMany(c, 6, 150*time.Millisecond) {
+		for id, service := range submitJobs(c, 6, 150*time.Millisecond) {
 			jobs[id] = service
 		}
 		worker.SetFault(standin.NoWorkerFault)
 	}
-	awaitAll(c, jobs)
+	awaitCompleted(c, jobs)
 	assert.Empty(t, c.Platform.Violations())
 }
 
 // A lasting job runs until it is cancelled, also when a worker under it crashes.
-func TestLastingJobRunsUntilItIsCancelled(t *testing.T) {
+func TestLongRunningJobRunsUntilItIsCancelled(t *testing.T) {
 	t.Parallel()
-	c := testkit.StartJobs(t, jobOptions(), 2)
+	c := testkit.StartJobs(t, smallPlatform(), 2)
 	id := c.NewID()
 	c.Submit("booking", id, workload.Spec{Payload: standin.Payload(0), Steps: []workload.Step{{
 		Count: 3, Resources: workload.Resources{CPU: 1000, MemoryMB: 500}, LongRunning: true, MaxUnavailable: 1, MaxPerWorker: 1,
@@ -292,8 +292,8 @@
 // leaves the last good state in force.
 func TestBadInputIsRefusedClearly(t *testing.T) {
 	t.Parallel()
-	c := testkit.StartJobs(t, jobOptions(), 1)
-	n := c.Nodes[0]
+	c := testkit.StartJobs(t, smallPlatform(), 1)
+	node := c.Nodes[0]
 	prefix := standin.Prefix("booking")
 	cases := []struct {
 		name, method, path, body string
@@ -310,20 +310,20 @@
 		{"unknown job", http.MethodGet, prefix + "00000000000000b0", "", http.StatusGone, "no such job"},
 	}
 	for _, tc := range cases {
-		status, body := c.Call(n, tc.method, tc.path, tc.body)
+		status, body := c.Call(node, tc.method, tc.path, tc.body)
 		assert.Equal(t, tc.status, status, tc.name)
 		assert.Contains(t, body, tc.says, tc.name)
 	}
 	require.NoError(t, c.Platform.PublishRaw("no configuration"))
 	c.Until("the bad configuration is logged", func() bool {
-		return strings.Contains(n.Log(), "published change can't be read, the last good state stays")
+		return strings.Contains(node.Log(), "published change can't be read, the last good state stays")
 	})
 	id := c.NewID()
 	c.Submit("booking", id, testkit.Chain(50*time.Millisecond, 1))
 	c.AwaitState("booking", id, workload.Completed)
 	require.NoError(t, c.Platform.Publish("returns"))
 	c.Until("the new queue is known", func() bool {
-		status, _ := c.Call(n, http.MethodGet, "/extra-0/", "")
+		status, _ := c.Call(node, http.MethodGet, "/extra-0/", "")
 		return status == http.StatusOK
 	})
 }
--- a/internal/proof/proof_test.go
+++ b/internal/proof/proof_test.go
@@ -19,8 +19,8 @@
 
 func TestMain(m *testing.M) { os.Exit(testkit.Main(m)) }
 
-// document returns a small service's document.
-func document(service string, size, maxUnavailable int) string {
+// testDocument returns a small service's document.
+func testDocument(service string, size, maxUnavailable int) string {
 	return fmt.Sprintf(`service = %q
 team = "proof"
 [pool]
@@ -56,9 +56,9 @@
 	})
 }
 
-// stream sends requests through all nodes, one after the other per worker, until
+// startStream sends requests through all nodes, one after the other per worker, until
 // stop is called, which returns the answers.
-func stream(c *testkit.Cluster, workers int, request func(worker, n int) testkit.Request) (stop func() []testkit.Answer) {
+func startStream(c *testkit.Cluster, workers int, request func(worker, n int) testkit.Request) (stop func() []testkit.Answer) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var mu sync.Mutex
 	var answers []testkit.Answer
@@ -90,18 +90,18 @@
 		Nodes: []string{"a", "b", "c"},
 		Fleet: []testkit.Group{{Prefix: "vm", Count: vms, Zones: []string{"a", "b", "c"}, BootSeconds: 0.3}},
 	})
-	c.Publish(document("booking", vms, 1))
+	c.Publish(testDocument("booking", vms, 1))
 	awaitServing(c, "booking", vms)
 	c.AwaitReady()
 
-	stop := stream(c, 6, func(worker, n int) testkit.Request {
+	stop := startStream(c, 6, func(worker, n int) testkit.Request {
 		r := testkit.Request{Path: "/booking/lookup", Key: testkit.Key(), Work: 20 * time.Millisecond, ReplyBytes: 100 + 997*n%100_000}
 		if worker%2 == 0 {
 			r.Path = "/booking/book"
 		}
 		return r
 	})
-	c.Must("wave", "start", "--pools", "booking", "--deadline", "1h")
+	c.MustCommand("wave", "start", "--pools", "booking", "--deadline", "1h")
 	c.Until("the wave is done", func() bool {
 		for _, w := range c.Standin.State().Waves {
 			return w.Status == ledger.WaveDone
--- a/internal/proof/request_bench_test.go
+++ b/internal/proof/request_bench_test.go
@@ -25,16 +25,16 @@
 	c := testkit.Start(b, testkit.Options{
 		Nodes: []string{"a"}, Fleet: []testkit.Group{{Prefix: "vm", Count: 2, Zones: []string{"a"}}},
 	})
-	c.Publish(document("booking", 2, 1))
+	c.Publish(testDocument("booking", 2, 1))
 	awaitServing(c, "booking", 2)
 	c.AwaitReady()
 	for range b.N {
-		before := resident(b, c.Nodes[0].Entry)
+		before := residentBytes(b, c.Nodes[0].Entry)
 		held := make([]net.Conn, 0, connections)
 		for range connections {
-			held = append(held, askOnce(b, c.Nodes[0].Callers()))
+			held = append(held, requestOnce(b, c.Nodes[0].CallerAddress()))
 		}
-		after := resident(b, c.Nodes[0].Entry)
+		after := residentBytes(b, c.Nodes[0].Entry)
 		b.ReportMetric(0, "ns/op")
 		b.ReportMetric(float64(before)/(1<<20), "MB-before")
 		b.ReportMetric(float64(after)/(1<<20), "MB-after")
@@ -45,8 +45,8 @@
 	}
 }
 
-// askOnce sends one request on a new connection and reads its answer.
-func askOnce(b *testing.B, address string) net.Conn {
+// requestOnce sends one request on a new connection and reads its answer.
+func requestOnce(b *testing.B, address string) net.Conn {
 	conn, err := net.Dial("tcp", address)
 	require.NoError(b, err)
 	_, err = fmt.Fprintf(conn, "GET /booking/lookup HTTP/1.1\r\nHost: %s\r\n\r\n", address)
@@ -59,13 +59,13 @@
 	return conn
 }
 
-var residentLine = regexp.MustCompile(`VmRSS:\s+(\d+) kB`)
+var residentPattern = regexp.MustCompile(`VmRSS:\s+(\d+) kB`)
 
-// resident is the memory of the process that is resident, in bytes.
-func resident(b *testing.B, p *testkit.Process) int64 {
+// residentBytes is the memory of the process that is resident, in bytes.
+func residentBytes(b *testing.B, p *testkit.Process) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.PID()))
 	require.NoError(b, err)
-	match := residentLine.FindStringSubmatch(strings.ReplaceAll(string(text), "\t", " "))
+	match := residentPattern.FindStringSubmatch(strings.ReplaceAll(string(text), "\t", " "))
 	require.NotNil(b, match)
 	kb, err := strconv.ParseInt(match[1], 10, 64)
 	require.NoError(b, err)
--- a/internal/proof/request_test.go
+++ b/internal/proof/request_test.go
@@ -13,19 +13,19 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// pool starts nodes and a service "booking" with vms VMs that serve.
-func pool(t *testing.T, vms int, opts testkit.Options) *testkit.Cluster {
+// startPool starts nodes and a service "booking" with vms VMs that serve.
+func startPool(t *testing.T, vms int, opts testkit.Options) *testkit.Cluster {
 	t.Helper()
 	opts.Fleet = []testkit.Group{{Prefix: "vm", Count: vms, Zones: []string{"a", "b"}, BootSeconds: 0.3}}
 	c := testkit.Start(t, opts)
-	c.Publish(document("booking", vms, 1))
+	c.Publish(testDocument("booking", vms, 1))
 	awaitServing(c, "booking", vms)
 	c.AwaitReady()
 	return c
 }
 
-// together sends n requests at once and returns the channel of their answers.
-func together(n *testkit.Node, count int, r func() testkit.Request) <-chan testkit.Answer {
+// sendConcurrently sends n requests at once and returns the channel of their answers.
+func sendConcurrently(n *testkit.Node, count int, r func() testkit.Request) <-chan testkit.Answer {
 	answers := make(chan testkit.Answer, count)
 	for range count {
 		go func() { answers <- n.Send(context.Background(), r()) }()
@@ -39,11 +39,11 @@
 // drained backend server gets nothing, and every caller still gets its answer.
 func TestEntryStoppedAcrossDrainSendsNothingToTheDrainedBackend(t *testing.T) {
 	const vms, callers = 4, 24
-	c := pool(t, vms, testkit.Options{Nodes: []string{"a", "b"}})
-	stopped := c.Nodes[1]
+	c := startPool(t, vms, testkit.Options{Nodes: []string{"a", "b"}})
+	paused := c.Nodes[1]
 	lookup := func() testkit.Request { return testkit.Request{Path: "/booking/lookup", Work: 20 * time.Millisecond} }
 	drained := ""
-	for answers := together(stopped, callers, lookup); drained == ""; { // a VM that the process does use
+	for answers := sendConcurrently(paused, callers, lookup); drained == ""; { // a VM that the process does use
 		a := <-answers
 		require.True(t, a.OK(), "%+v", a)
 		drained = a.VM
@@ -56,15 +56,15 @@
 		return n == callers
 	})
 
-	stopped.Entry.Pause()
-	const pause = 1500 * time.Millisecond // more than a stall of the machine
-	resume := time.After(pause)
-	c.Must("drain", drained)
+	paused.Entry.Pause()
+	const minPause = 1500 * time.Millisecond // more than a stall of the machine
+	resume := time.After(minPause)
+	c.MustCommand("drain", drained)
 	c.Until("the drain is effective", func() bool { return c.Standin.State().VMs[drained].Phase == record.PhaseDraining })
 	before := c.Standin.Counters().Backends.VMs[drained].Seen
-	answers := together(stopped, callers, lookup)
+	answers := sendConcurrently(paused, callers, lookup)
 	<-resume
-	stopped.Entry.Resume()
+	paused.Entry.Resume()
 	for range callers {
 		a := <-answers
 		assert.True(t, a.OK(), "%+v", a)
@@ -76,8 +76,8 @@
 // whole answer, and the process ends by itself without an error.
 func TestEntryToldToStopFinishesLongRequests(t *testing.T) {
 	const long = 6
-	c := pool(t, 2, testkit.Options{Nodes: []string{"a"}})
-	answers := together(c.Nodes[0], long, func() testkit.Request {
+	c := startPool(t, 2, testkit.Options{Nodes: []string{"a"}})
+	answers := sendConcurrently(c.Nodes[0], long, func() testkit.Request {
 		return testkit.Request{Path: "/booking/lookup", Work: 2 * time.Second, ReplyBytes: 200_000}
 	})
 	c.Until("they run", func() bool { return c.Standin.Counters().Backends.Runs == long })
@@ -102,7 +102,7 @@
 		"no byte passes":            (*testkit.Link).Blackhole,
 		"requests pass, no answers": (*testkit.Link).BlackholeReplies,
 	}
-	c := pool(t, 2, testkit.Options{Nodes: []string{"a", "b"}, BackendLinks: true})
+	c := startPool(t, 2, testkit.Options{Nodes: []string{"a", "b"}, BackendLinks: true})
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			key := testkit.Key()
@@ -114,10 +114,10 @@
 			}
 			check := func(a testkit.Answer) {
 				require.NoError(t, a.Err)
-				if k := c.Standin.Key(key); a.Outcome == outcome.NotRun {
+				if k := c.Standin.KeyCounters(key); a.Outcome == outcome.NotRun {
 					assert.Zero(t, k.Seen, "told not-run with reason %s", a.Reason)
 				}
-				assert.LessOrEqual(t, c.Standin.Key(key).Runs, 1)
+				assert.LessOrEqual(t, c.Standin.KeyCounters(key).Runs, 1)
 			}
 			for _, l := range c.Backends {
 				fault(l)
@@ -129,7 +129,7 @@
 			}
 			last := send(1, 3)
 			check(last)
-			assert.LessOrEqual(t, c.Standin.Key(key).Seen, 1)
+			assert.LessOrEqual(t, c.Standin.KeyCounters(key).Seen, 1)
 			if name == "refused" {
 				assert.True(t, last.OK(), "nothing was ever sent, so the retry may run: %+v", last)
 			}
@@ -143,8 +143,8 @@
 func TestDrainedBackendGetsNoNewWorkFromAnyEntry(t *testing.T) {
 	const vms = 3
 	const bound = 3 * time.Second
-	c := pool(t, vms, testkit.Options{Nodes: []string{"a", "b"}})
-	held := together(c.Nodes[0], 1, func() testkit.Request {
+	c := startPool(t, vms, testkit.Options{Nodes: []string{"a", "b"}})
+	held := sendConcurrently(c.Nodes[0], 1, func() testkit.Request {
 		return testkit.Request{Path: "/booking/lookup", Work: 2 * time.Second, ReplyBytes: 100_000}
 	})
 	drained := ""
@@ -156,12 +156,12 @@
 		}
 		return drained != ""
 	})
-	stop := stream(c, 8, func(int, int) testkit.Request {
+	stop := startStream(c, 8, func(int, int) testkit.Request {
 		return testkit.Request{Path: "/booking/lookup", Work: 10 * time.Millisecond, ReplyBytes: 1000}
 	})
 	c.Until("others run", func() bool { return c.Standin.Counters().Backends.Runs > 100 })
 
-	c.Must("drain", drained) // returns once the drain is effective
+	c.MustCommand("drain", drained) // returns once the drain is effective
 	effective := time.Now()
 	c.Until("its requests have ended", func() bool {
 		return c.Standin.State().VMs[drained].Phase != record.PhaseDraining
--- a/internal/proof/restart_test.go
+++ b/internal/proof/restart_test.go
@@ -22,16 +22,16 @@
 // exitPlatform is the command line's exit code when the platform is out of reach.
 const exitPlatform = 4
 
-// killAll kills every process of every entry VM while bookings run, and starts
+// restartAll kills every process of every entry VM while bookings run, and starts
 // them again. It returns the keys that were in flight.
-func killAll(t *testing.T, c *testkit.Cluster, b *bookings) (keys []string) {
+func restartAll(t *testing.T, c *testkit.Cluster, b *bookingCaller) (keys []string) {
 	var wg sync.WaitGroup
 	for i := range 12 {
 		key := testkit.Key()
 		keys = append(keys, key)
 		wg.Go(func() { assert.Error(t, b.send(c.Nodes[i%len(c.Nodes)], key, 1, 2*time.Second).Err) })
 	}
-	begun(c, keys)
+	awaitRunning(c, keys)
 	for _, n := range c.Nodes {
 		wg.Go(n.Kill)
 	}
@@ -51,8 +51,8 @@
 // than the new owners' start is refused as unknown.
 func TestAllEntryVMsRestartWithBookingsInFlight(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
-	b := newBookings(t, c)
-	keys := killAll(t, c, b)
+	b := newBookingCaller(t, c)
+	keys := restartAll(t, c, b)
 	var wg sync.WaitGroup
 	for i, key := range keys {
 		if i%2 == 0 {
@@ -61,12 +61,12 @@
 	}
 	wg.Wait()
 	c.AwaitReady()
-	settle(c)
+	awaitMembersAndGrants(c)
 	for i, key := range keys {
 		a := b.send(c.Nodes[(i+2)%3], key, 3, 0)
 		assert.Equal(t, outcome.Unknown, a.Outcome, "%s: %+v", a.Reason, a.Err)
 	}
-	b.check()
+	b.checkRuns()
 }
 
 // The same while the log is out: the new processes have nobody to take a state
@@ -76,17 +76,17 @@
 // back all goes on by itself.
 func TestAllEntryVMsRestartWhileTheLogIsOut(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
-	b := newBookings(t, c)
-	out := c.Standin.Order(standin.Fault{Kind: standin.LogRefuse, Target: settings.DefaultStream},
+	b := newBookingCaller(t, c)
+	outage := c.Standin.InjectFaults(standin.Fault{Kind: standin.LogRefuse, Target: settings.DefaultStream},
 		standin.Fault{Kind: standin.LogRefuse, Target: settings.DefaultSnapshotStream})
-	keys := killAll(t, c, b)
+	keys := restartAll(t, c, b)
 	var addresses []string
 	for _, n := range c.Nodes {
-		addresses = append(addresses, n.EntryPeers(), n.StewardPeers())
+		addresses = append(addresses, n.EntryPeerAddress(), n.StewardPeerAddress())
 	}
 	for _, address := range addresses {
-		c.Until(address+" says why it is not ready", func() bool { return len(unready(t, address)) > 0 })
-		assert.Contains(t, strings.Join(unready(t, address), "\n"), "log")
+		c.Until(address+" says why it is not ready", func() bool { return len(unreadyReasons(t, address)) > 0 })
+		assert.Contains(t, strings.Join(unreadyReasons(t, address), "\n"), "log")
 		assert.Zero(t, offsetOf(t, address))
 	}
 	for i, n := range c.Nodes {
@@ -97,23 +97,23 @@
 		fresh := b.send(n, testkit.Key(), 1, 0)
 		assert.Equal(t, outcome.NotRun, fresh.Outcome)
 	}
-	ran := c.Command("--nodes", strings.Join(addresses, ","), "status")
-	assert.Equal(t, exitPlatform, ran.Code, ran.ErrOut)
-	assert.Contains(t, ran.ErrOut, "cannot reach the platform")
-	assert.Equal(t, len(addresses), strings.Count(ran.Out, "never read the log"), ran.Out)
+	result := c.Command("--nodes", strings.Join(addresses, ","), "status")
+	assert.Equal(t, exitPlatform, result.ExitCode, result.Stderr)
+	assert.Contains(t, result.Stderr, "cannot reach the platform")
+	assert.Equal(t, len(addresses), strings.Count(result.Stdout, "never read the log"), result.Stdout)
 
-	c.Standin.Clear(out...)
+	c.Standin.ClearFaults(outage...)
 	c.AwaitReady()
-	settle(c)
+	awaitMembersAndGrants(c)
 	for i, key := range keys {
 		a := b.send(c.Nodes[i%3], key, 3, 0)
 		assert.Equal(t, outcome.Unknown, a.Outcome, "%s: %+v", a.Reason, a.Err)
 	}
-	b.check()
+	b.checkRuns()
 }
 
-// unready asks a process why it is not ready.
-func unready(t *testing.T, address string) []string {
+// unreadyReasons asks a process why it is not ready.
+func unreadyReasons(t *testing.T, address string) []string {
 	client, err := operator.NewClient(address)
 	require.NoError(t, err)
 	defer client.Close()
@@ -126,22 +126,22 @@
 	return s.Unready
 }
 
-// newest asks a node by all revisions' routes, over and over until ctx ends, and
+// queryNewestRevision asks a node by all revisions' routes, over and over until ctx ends, and
 // fails the test when an older one answers after a newer did. It returns the
 // newest that answered.
-func newest(ctx context.Context, t *testing.T, n *testkit.Node) (top int) {
+func queryNewestRevision(ctx context.Context, t *testing.T, n *testkit.Node) (newest int) {
 	for ctx.Err() == nil {
 		for i, path := range revisionPaths {
-			asked, cancel := context.WithTimeout(ctx, time.Second)
-			a := n.Send(asked, testkit.Request{Path: "/booking" + path})
+			reqCtx, cancel := context.WithTimeout(ctx, time.Second)
+			a := n.Send(reqCtx, testkit.Request{Path: "/booking" + path})
 			cancel()
 			if a.OK() {
-				assert.GreaterOrEqual(t, i, top, "%s answers by revision %d after %d", n.Name, i, top)
-				top = max(top, i)
+				assert.GreaterOrEqual(t, i, newest, "%s answers by revision %d after %d", n.Name, i, newest)
+				newest = max(newest, i)
 			}
 		}
 	}
-	return top
+	return newest
 }
 
 // revisionPaths are the routes that only one revision each has.
@@ -156,19 +156,19 @@
 // starts serves nothing until it has read the log to its end.
 func TestAcceptedConfigurationNeverReverts(t *testing.T) {
 	const vms = 4
-	c := pool(t, vms, testkit.Options{Nodes: []string{"a", "b", "c", "d"}})
-	kept, cut, restarted, stopped := c.Nodes[0], c.Nodes[1], c.Nodes[2], c.Nodes[3]
+	c := startPool(t, vms, testkit.Options{Nodes: []string{"a", "b", "c", "d"}})
+	healthy, cut, restarted, paused := c.Nodes[0], c.Nodes[1], c.Nodes[2], c.Nodes[3]
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
-	w := startWatch(ctx, c)
-	tops := make(chan int, len(c.Nodes))
+	observer := startObserver(ctx, c)
+	newestSeen := make(chan int, len(c.Nodes))
 	for _, n := range c.Nodes {
-		go func() { tops <- newest(ctx, t, n) }()
+		go func() { newestSeen <- queryNewestRevision(ctx, t, n) }()
 	}
 	publish := func(revision int) {
-		c.Publish(strings.Replace(document("booking", vms, 1), "/lookup", revisionPaths[revision], 1))
+		c.Publish(strings.Replace(testDocument("booking", vms, 1), "/lookup", revisionPaths[revision], 1))
 	}
-	acts := func(n *testkit.Node, revision int) {
+	awaitRevision := func(n *testkit.Node, revision int) {
 		c.Until(fmt.Sprintf("%s acts on revision %d", n.Name, revision), func() bool {
 			return n.Send(ctx, testkit.Request{Path: "/booking" + revisionPaths[revision]}).OK()
 		})
@@ -178,33 +178,33 @@
 		require.NoError(t, err)
 	}
 	cut.CutPlatform()
-	stopped.Pause()
+	paused.Pause()
 	publish(1)
-	acts(kept, 1)
-	acts(restarted, 1)
+	awaitRevision(healthy, 1)
+	awaitRevision(restarted, 1)
 	restarted.Kill()
 	publish(2)
-	slow := c.Standin.Order(standin.Fault{Kind: standin.LogSlow, Target: "read", DelayMS: 400})
+	slow := c.Standin.InjectFaults(standin.Fault{Kind: standin.LogSlow, Target: "read", DelayMS: 400})
 	restarted.Start()
 	publish(3)
-	acts(kept, 3)
-	acts(restarted, 3)
-	acts(cut, 3) // by way of its peers
-	c.Standin.Clear(slow...)
+	awaitRevision(healthy, 3)
+	awaitRevision(restarted, 3)
+	awaitRevision(cut, 3) // by way of its peers
+	c.Standin.ClearFaults(slow...)
 
-	back := time.Now()
-	stopped.Resume()
+	healedAt := time.Now()
+	paused.Resume()
 	cut.HealPlatform()
-	acts(stopped, 3)
+	awaitRevision(paused, 3)
 	offset := c.Standin.State().Offset
-	c.Until("all processes act on the third revision", func() bool { return len(w.behind(back, offset)) == 0 })
-	t.Logf("all have it %s after the faults ended", time.Since(back))
+	c.Until("all processes act on the third revision", func() bool { return len(observer.notCaughtUp(healedAt, offset)) == 0 })
+	t.Logf("all have it %s after the faults ended", time.Since(healedAt))
 	end()
-	w.wg.Wait()
+	observer.pollers.Wait()
 	for range c.Nodes {
-		assert.Equal(t, 3, <-tops)
+		assert.Equal(t, 3, <-newestSeen)
 	}
-	older := (&evidence{began: back, reports: w.reports}).neverOlder()
-	assert.Positive(t, older.tried)
-	assert.Zero(t, older.broken, "%+v", older)
+	verdict := (&evidence{startedAt: healedAt, statuses: observer.statuses}).checkNoRevert()
+	assert.Positive(t, verdict.cases)
+	assert.Zero(t, verdict.violations, "%+v", verdict)
 }
--- a/internal/proof/soak_test.go
+++ b/internal/proof/soak_test.go
@@ -19,22 +19,22 @@
 
 // Sizes of a soak.
 const (
-	soakNodes   = 3
-	soakCallers = 3
-	soakTrouble = 8 * time.Second // with faults
-	// soakKnown is how long after it was taken a job may be unknown to a node.
-	soakKnown = 3 * time.Second
-	// soakCrashing is of how many jobs one crashes its workers; there are six of them.
-	soakCrashing = 60
-	// soakAtOnce is how many seeds are played at once.
-	soakAtOnce = 4
+	soakNodes         = 3
+	soakCallers       = 3
+	soakFaultDuration = 8 * time.Second // with faults
+	// soakVisibilityDelay is how long after it was taken a job may be unknown to a node.
+	soakVisibilityDelay = 3 * time.Second
+	// soakJobsPerCrashJob is of how many jobs one crashes its workers; there are six of them.
+	soakJobsPerCrashJob = 60
+	// soakParallelism is how many seeds are played at once.
+	soakParallelism = 4
 )
 
 // soakSeed is a seed that each run of the tests plays, and the failure that it has shown and
 // guards against.
 type soakSeed struct {
-	seed   uint64
-	guards string
+	seed          uint64
+	guardsAgainst string
 }
 
 var soakSeeds = []soakSeed{
@@ -49,9 +49,9 @@
 	{9302, "the stand-in's workers answer after their end"},
 }
 
-// seedsOfSoak returns the seeds to play. YUCCADRIFT_SOAK_SEEDS=N plays N seeds that
+// seedsToRun returns the seeds to play. YUCCADRIFT_SOAK_SEEDS=N plays N seeds that
 // begin at YUCCADRIFT_SOAK_FIRST.
-func seedsOfSoak(t *testing.T) []soakSeed {
+func seedsToRun(t *testing.T) []soakSeed {
 	text := os.Getenv("YUCCADRIFT_SOAK_SEEDS")
 	if text == "" {
 		return soakSeeds
@@ -80,98 +80,98 @@
 // that was refused run, and
 // none shown as completed before all its tasks were; workers see no task twice.
 func TestSoak(t *testing.T) {
-	gate := make(chan struct{}, soakAtOnce)
-	for _, seed := range seedsOfSoak(t) {
+	running := make(chan struct{}, soakParallelism)
+	for _, seed := range seedsToRun(t) {
 		t.Run(fmt.Sprint("seed ", seed.seed), func(t *testing.T) {
 			t.Parallel()
-			t.Log("guards against: ", seed.guards)
-			gate <- struct{}{}
-			defer func() { <-gate }()
-			playSoak(t, seed.seed)
+			t.Log("guards against: ", seed.guardsAgainst)
+			running <- struct{}{}
+			defer func() { <-running }()
+			runSoak(t, seed.seed)
 		})
 	}
 }
 
-func playSoak(t *testing.T, seed uint64) {
-	s := &soak{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 0)), busy: map[string]bool{}, began: time.Now()}
-	s.c = testkit.StartLinkedJobs(t, jobOptions(), soakNodes)
+func runSoak(t *testing.T, seed uint64) {
+	s := &soak{t: t, seed: seed, faultRand: rand.New(rand.NewPCG(seed, 0)), faulty: map[string]bool{}, startedAt: time.Now()}
+	s.cluster = testkit.StartLinkedJobs(t, smallPlatform(), soakNodes)
 	var vms []string
-	for _, vm := range s.c.Platform.VMs() {
+	for _, vm := range s.cluster.Platform.VMs() {
 		vms = append(vms, vm.ID)
 	}
-	require.NoError(t, s.c.Platform.PublishWave(1, vms, 20*time.Second, 2))
+	require.NoError(t, s.cluster.Platform.PublishWave(1, vms, 20*time.Second, 2))
 	stop := make(chan struct{})
 	// Restarts of workers, and owners that are cut off, are drawn by themselves, so that the other choices of a seed stay
 	// as they are.
-	restarts := rand.New(rand.NewPCG(seed, 200))
-	cuts := rand.New(rand.NewPCG(seed, 300))
+	restartRand := rand.New(rand.NewPCG(seed, 200))
+	isolationRand := rand.New(rand.NewPCG(seed, 300))
 	var callers sync.WaitGroup
 	for i := range soakCallers {
-		callers.Go(func() { s.call(rand.New(rand.NewPCG(seed, uint64(i+1))), uint64(i+1), stop) })
+		callers.Go(func() { s.runCaller(rand.New(rand.NewPCG(seed, uint64(i+1))), uint64(i+1), stop) })
 	}
-	for until := time.Now().Add(soakTrouble); time.Now().Before(until); {
-		time.Sleep(s.between(100*time.Millisecond, 900*time.Millisecond))
-		s.trouble()
-		if restarts.IntN(3) == 0 {
-			s.restartWorker(restarts)
+	for until := time.Now().Add(soakFaultDuration); time.Now().Before(until); {
+		time.Sleep(s.randomDuration(100*time.Millisecond, 900*time.Millisecond))
+		s.injectFault()
+		if restartRand.IntN(3) == 0 {
+			s.restartWorker(restartRand)
 		}
-		if cuts.IntN(6) == 0 {
-			s.cutOwnerOff(cuts)
+		if isolationRand.IntN(6) == 0 {
+			s.isolateNode(isolationRand)
 		}
 	}
-	s.faults.Wait()
+	s.activeFaults.Wait()
 	close(stop)
 	callers.Wait()
-	s.calm()
-	s.finish()
+	s.awaitJobsSettled()
+	s.checkJobs()
 }
 
 // soakJob is a job as its caller knows it.
 type soakJob struct {
-	id      workload.JobID
-	service string
-	tasks   int
-	lasting bool
+	id          workload.JobID
+	service     string
+	tasks       int
+	longRunning bool
 
-	mu        sync.Mutex
-	crashes   bool // its task crashes each worker that starts it
-	maybe     bool // a call got no answer, or one that leaves open whether it was taken
-	accepted  time.Time
-	cancelled bool // a cancel was sent; whether it was taken is another matter
-	completed bool // was shown so
+	mu               sync.Mutex
+	crashesWorkers   bool // its task crashes each worker that starts it
+	possiblyAccepted bool // a call got no answer, or one that leaves open whether it was taken
+	acceptedAt       time.Time
+	cancelSent       bool // a cancel was sent; whether it was taken is another matter
+	shownCompleted   bool // was shown so
 }
 
 type soak struct {
-	t      *testing.T
-	c      *testkit.JobCluster
-	seed   uint64
-	rng    *rand.Rand // of the faults
-	began  time.Time
-	faults sync.WaitGroup
+	t            *testing.T
+	cluster      *testkit.JobCluster
+	seed         uint64
+	faultRand    *rand.Rand // of the faults
+	startedAt    time.Time
+	activeFaults sync.WaitGroup
 
-	mu     sync.Mutex
-	busy   map[string]bool // what suffers a fault now
-	jobs   []*soakJob
-	broken []string
+	mu         sync.Mutex
+	faulty     map[string]bool // what suffers a fault now
+	jobs       []*soakJob
+	violations []string
 }
 
-func (s *soak) between(low, high time.Duration) time.Duration {
-	return low + time.Duration(s.rng.Int64N(int64(high-low)))
+func (s *soak) randomDuration(low, high time.Duration) time.Duration {
+	return low + time.Duration(s.faultRand.Int64N(int64(high-low)))
 }
 
-// breaks notes what a caller must not see.
-func (s *soak) breaks(j *soakJob, what string) {
+// recordViolation notes what a caller must not see.
+func (s *soak) recordViolation(j *soakJob, what string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.broken = append(s.broken, fmt.Sprintf("%.2fs job %s: %s", time.Since(s.began).Seconds(), j.id, what))
+	s.violations = append(s.violations, fmt.Sprintf("%.2fs job %s: %s", time.Since(s.startedAt).Seconds(), j.id, what))
 }
 
-// call is one caller: it submits jobs, asks for their states and cancels some.
-func (s *soak) call(rng *rand.Rand, caller uint64, stop chan struct{}) {
-	var own []*soakJob
+// runCaller is one caller: it submits jobs, asks for their states and cancels some.
+func (s *soak) runCaller(rng *rand.Rand, caller uint64, stop chan struct{}) {
+	var ownJobs []*soakJob
 	// Jobs that crash workers are drawn by themselves, so that the other choices of a
 	// seed stay as they are.
-	crashing := rand.New(rand.NewPCG(s.seed, 100+caller))
+	crashRand := rand.New(rand.NewPCG(s.seed, 100+caller))
 	for n := uint64(1); ; n++ {
 		select {
 		case <-stop:
@@ -179,17 +179,17 @@
 		case <-time.After(time.Duration(rng.Int64N(int64(150 * time.Millisecond)))):
 		}
 		j := &soakJob{id: workload.JobID(fmt.Sprintf("%08x%08x", caller, n)), service: []string{"booking", "returns"}[rng.IntN(2)]}
-		j.crashes = crashing.IntN(soakCrashing) == 0
+		j.crashesWorkers = crashRand.IntN(soakJobsPerCrashJob) == 0
 		s.submit(j, rng)
-		own = append(own, j)
+		ownJobs = append(ownJobs, j)
 		s.mu.Lock()
 		s.jobs = append(s.jobs, j)
 		s.mu.Unlock()
 		for range 2 {
-			s.ask(own[rng.IntN(len(own))], s.c.Nodes[rng.IntN(len(s.c.Nodes))])
+			s.checkState(ownJobs[rng.IntN(len(ownJobs))], s.cluster.Nodes[rng.IntN(len(s.cluster.Nodes))])
 		}
 		if rng.IntN(10) == 0 {
-			s.cancel(own[rng.IntN(len(own))], s.c.Nodes[rng.IntN(len(s.c.Nodes))])
+			s.cancel(ownJobs[rng.IntN(len(ownJobs))], s.cluster.Nodes[rng.IntN(len(s.cluster.Nodes))])
 		}
 	}
 }
@@ -198,13 +198,13 @@
 func (s *soak) submit(j *soakJob, rng *rand.Rand) {
 	spec := testkit.Chain(time.Duration(20+rng.IntN(300))*time.Millisecond, 1+rng.IntN(4), 1+rng.IntN(3))
 	if rng.IntN(12) == 0 {
-		j.lasting = true
+		j.longRunning = true
 		spec = workload.Spec{Payload: standin.Payload(0), Steps: []workload.Step{{
 			Count: 3, Resources: workload.Resources{CPU: 500, MemoryMB: 500}, LongRunning: true, MaxUnavailable: 1, MaxPerWorker: 2,
 		}}}
 	}
-	if j.crashes {
-		j.lasting = false
+	if j.crashesWorkers {
+		j.longRunning = false
 		spec = workload.Spec{Payload: standin.CrashPayload, Steps: []workload.Step{{Count: 1, Resources: workload.Resources{CPU: 500, MemoryMB: 500}, EstimateMS: 100}}}
 	}
 	for _, step := range spec.Steps {
@@ -212,44 +212,44 @@
 	}
 	body := testkit.Body(s.t, spec)
 	for range 1 + rng.IntN(6) {
-		n := s.c.Nodes[rng.IntN(len(s.c.Nodes))]
-		status, _ := s.c.Call(n, http.MethodPost, standin.Prefix(j.service)+string(j.id), body)
+		n := s.cluster.Nodes[rng.IntN(len(s.cluster.Nodes))]
+		status, _ := s.cluster.Call(n, http.MethodPost, standin.Prefix(j.service)+string(j.id), body)
 		switch status {
 		case http.StatusOK:
 			j.mu.Lock()
-			j.accepted = time.Now()
+			j.acceptedAt = time.Now()
 			j.mu.Unlock()
 			return
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		default:
 			j.mu.Lock()
-			j.maybe = true
+			j.possiblyAccepted = true
 			j.mu.Unlock()
 		}
 	}
 }
 
-// ask asks a node for a job's state and checks the answer.
-func (s *soak) ask(j *soakJob, n *testkit.JobNode) {
-	asked := time.Now()
-	status, body := s.c.Call(n, http.MethodGet, standin.Prefix(j.service)+string(j.id), "")
+// checkState asks a node for a job's state and checks the answer.
+func (s *soak) checkState(j *soakJob, n *testkit.JobNode) {
+	askedAt := time.Now()
+	status, body := s.cluster.Call(n, http.MethodGet, standin.Prefix(j.service)+string(j.id), "")
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	taken := !j.accepted.IsZero() && asked.Sub(j.accepted) > soakKnown
+	mustBeKnown := !j.acceptedAt.IsZero() && askedAt.Sub(j.acceptedAt) > soakVisibilityDelay
 	switch {
-	case status == http.StatusGone && taken && !j.cancelled:
-		s.breaks(j, "is not known to "+n.Name+" though it was taken")
+	case status == http.StatusGone && mustBeKnown && !j.cancelSent:
+		s.recordViolation(j, "is not known to "+n.Name+" though it was taken")
 	case status != http.StatusOK:
 	case body == stateBody(workload.Completed):
-		j.completed = true
-		if done := s.c.Platform.DoneTasksOf(j.id); done < j.tasks {
-			s.breaks(j, fmt.Sprintf("is shown as completed by %s with %d of %d tasks done", n.Name, done, j.tasks))
+		j.shownCompleted = true
+		if done := s.cluster.Platform.DoneTasksOf(j.id); done < j.tasks {
+			s.recordViolation(j, fmt.Sprintf("is shown as completed by %s with %d of %d tasks done", n.Name, done, j.tasks))
 		}
-	case j.completed && !j.cancelled:
-		s.breaks(j, "was completed and is now "+body)
-	case body == stateBody(workload.Failed) && j.crashes:
-	case body == stateBody(workload.Cancelled) && !j.cancelled, body == stateBody(workload.Failed):
-		s.breaks(j, "has ended without cause: "+body)
+	case j.shownCompleted && !j.cancelSent:
+		s.recordViolation(j, "was completed and is now "+body)
+	case body == stateBody(workload.Failed) && j.crashesWorkers:
+	case body == stateBody(workload.Cancelled) && !j.cancelSent, body == stateBody(workload.Failed):
+		s.recordViolation(j, "has ended without cause: "+body)
 	}
 }
 
@@ -259,8 +259,8 @@
 // cancel without an answer, as its job may run on.
 func (s *soak) cancel(j *soakJob, n *testkit.JobNode) bool {
 	j.mu.Lock()
-	j.cancelled = true
+	j.cancelSent = true
 	j.mu.Unlock()
-	status, _ := s.c.Call(n, http.MethodDelete, standin.Prefix(j.service)+string(j.id), "")
+	status, _ := s.cluster.Call(n, http.MethodDelete, standin.Prefix(j.service)+string(j.id), "")
 	return status == http.StatusOK || status == http.StatusGone
 }
--- a/internal/proof/start_test.go
+++ b/internal/proof/start_test.go
@@ -23,26 +23,26 @@
 		Nodes: []string{"a", "b"},
 		Fleet: []testkit.Group{{Prefix: "vm", Count: 4, Zones: []string{"a", "b"}}},
 	})
-	c.Publish(document("booking", 4, 1))
+	c.Publish(testDocument("booking", 4, 1))
 	awaitServing(c, "booking", 4)
-	kept, fresh := c.Nodes[0], c.Nodes[1]
+	peer, restarted := c.Nodes[0], c.Nodes[1]
 	c.Until("both nodes have folded the same", func() bool {
-		return offsetOf(t, kept.EntryPeers()) == offsetOf(t, fresh.EntryPeers())
+		return offsetOf(t, peer.EntryPeerAddress()) == offsetOf(t, restarted.EntryPeerAddress())
 	})
-	out := c.Standin.Order(standin.Fault{Kind: standin.LogRefuse, Target: settings.DefaultStream},
+	outage := c.Standin.InjectFaults(standin.Fault{Kind: standin.LogRefuse, Target: settings.DefaultStream},
 		standin.Fault{Kind: standin.LogRefuse, Target: settings.DefaultSnapshotStream})
-	want := offsetOf(t, kept.EntryPeers())
+	want := offsetOf(t, peer.EntryPeerAddress())
 	require.NotZero(t, want)
 
-	fresh.Kill()
-	fresh.Start()
-	for _, address := range []string{fresh.EntryPeers(), fresh.StewardPeers()} {
+	restarted.Kill()
+	restarted.Start()
+	for _, address := range []string{restarted.EntryPeerAddress(), restarted.StewardPeerAddress()} {
 		c.Until(address+" has the state of its peer", func() bool { return offsetOf(t, address) >= want })
 	}
-	c.Standin.Clear(out...)
-	c.Publish(document("booking", 4, 2))
+	c.Standin.ClearFaults(outage...)
+	c.Publish(testDocument("booking", 4, 2))
 	published := c.Standin.State().Offset
-	for _, address := range []string{fresh.EntryPeers(), fresh.StewardPeers()} {
+	for _, address := range []string{restarted.EntryPeerAddress(), restarted.StewardPeerAddress()} {
 		c.Until(address+" follows the log", func() bool { return offsetOf(t, address) >= published })
 	}
 }
--- a/internal/proof/steward_test.go
+++ b/internal/proof/steward_test.go
@@ -12,10 +12,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// decisions counts the effective records of a kind by VM, as the log's fold has
+// countDecisions counts the effective records of a kind by VM, as the log's fold has
 // it; a VM's advances only to the phase to. void counts the records of any kind
 // about VMs that did not take effect: copies and rivals.
-func decisions(t *testing.T, c *testkit.Cluster, kind record.Kind, to record.VMPhase) (effective map[string]int, void int) {
+func countDecisions(t *testing.T, c *testkit.Cluster, kind record.Kind, to record.VMPhase) (effective map[string]int, void int) {
 	effective = map[string]int{}
 	state := ledger.New()
 	for _, e := range c.Standin.Entries() {
@@ -49,19 +49,19 @@
 		Nodes: []string{"a", "b", "c"},
 		Fleet: []testkit.Group{{Prefix: "vm", Count: vms, Zones: []string{"a", "b", "c"}, BootSeconds: 0.3}},
 	})
-	c.Publish(document("booking", vms, 2))
+	c.Publish(testDocument("booking", vms, 2))
 	awaitServing(c, "booking", vms)
-	c.Standin.Order(standin.Fault{Kind: standin.APILoseReply, Count: 6}, standin.Fault{Kind: standin.LogLoseReply, Count: 4})
+	c.Standin.InjectFaults(standin.Fault{Kind: standin.APILoseReply, Count: 6}, standin.Fault{Kind: standin.LogLoseReply, Count: 4})
 
-	c.Must("wave", "start", "--pools", "booking", "--deadline", "1h")
+	c.MustCommand("wave", "start", "--pools", "booking", "--deadline", "1h")
 	c.Until("a VM is out", func() bool { return c.Standin.State().Unavailability("booking").Serving < vms })
 	c.Nodes[0].Steward.Kill()
 	c.Nodes[1].Steward.Pause()
-	c.Until("another VM is back", func() bool { return back(c) >= 2 })
+	c.Until("another VM is back", func() bool { return countBack(c) >= 2 })
 	c.Nodes[1].Steward.Resume()
-	c.Until("the wave is done", func() bool { return back(c) == vms })
+	c.Until("the wave is done", func() bool { return countBack(c) == vms })
 
-	effective, void := decisions(t, c, record.KindVMAdvance, record.PhaseRebooting)
+	effective, void := countDecisions(t, c, record.KindVMAdvance, record.PhaseRebooting)
 	t.Logf("%d records about VMs were void", void)
 	counters := c.Standin.Counters()
 	require.Len(t, counters.Reboots, vms)
@@ -71,8 +71,8 @@
 	}
 }
 
-// back counts the VMs that came back in the latest wave.
-func back(c *testkit.Cluster) int {
+// countBack counts the VMs that came back in the latest wave.
+func countBack(c *testkit.Cluster) int {
 	n := 0
 	for _, w := range c.Standin.State().Waves {
 		for _, progress := range w.VMs {
@@ -97,13 +97,13 @@
 		Fleet:   []testkit.Group{{Prefix: "vm", Count: vms, Zones: []string{"a", "b"}, BootSeconds: 0.3}},
 		Steward: testkit.Settings{"peers.seeds": "[]", "node.id": `"entry-1"`},
 	})
-	c.Publish(document("booking", vms, 1))
+	c.Publish(testDocument("booking", vms, 1))
 	awaitServing(c, "booking", vms)
-	c.Must("wave", "start", "--pools", "booking", "--deadline", "1h")
-	c.Until("the wave is done", func() bool { return back(c) == vms })
+	c.MustCommand("wave", "start", "--pools", "booking", "--deadline", "1h")
+	c.Until("the wave is done", func() bool { return countBack(c) == vms })
 
-	drains, void := decisions(t, c, record.KindVMDrain, "")
-	reboots, _ := decisions(t, c, record.KindVMAdvance, record.PhaseRebooting)
+	drains, void := countDecisions(t, c, record.KindVMDrain, "")
+	reboots, _ := countDecisions(t, c, record.KindVMAdvance, record.PhaseRebooting)
 	assert.Positive(t, void, "the stewards did race")
 	counters := c.Standin.Counters()
 	assert.Len(t, drains, vms)
--- a/internal/proof/traces_test.go
+++ b/internal/proof/traces_test.go
@@ -21,13 +21,13 @@
 	"github.com/yuccadrift/yuccadrift/internal/trace"
 )
 
-// recordInto names the directory that TestRecordTraces writes traces into. It
+// traceDirVariable names the directory that TestRecordTraces writes traces into. It
 // is not set in CI: recorded traces are committed and replayed by
 // internal/trace, so that a new build is held against an old run.
-const recordInto = "YUCCADRIFT_RECORD_TRACES"
+const traceDirVariable = "YUCCADRIFT_RECORD_TRACES"
 
-// jobTerms are the lines of a document that let team proof run jobs.
-const jobTerms = `[[quota]]
+// jobSections are the lines of a document that let team proof run jobs.
+const jobSections = `[[quota]]
 team = "proof"
 cores = 256.0
 memory_mb = 65536
@@ -41,8 +41,8 @@
 // small.
 const requestPause = 100 * time.Millisecond
 
-// rig is a cluster whose run is being recorded.
-type rig struct {
+// recording is a cluster whose run is being recorded.
+type recording struct {
 	*testkit.Cluster
 	t   *testing.T
 	vms int
@@ -56,7 +56,7 @@
 	name string
 	note string
 	opts testkit.Options
-	run  func(r *rig)
+	run  func(r *recording)
 }
 
 var scenarios = []scenario{
@@ -66,10 +66,10 @@
 	{"outage-rejoin", "nobody reaches the platform for 25 s, which stand for hours: 60 leases of 0.4 s; an operator aborts the wave and publishes meanwhile; then all rejoin", testkit.Options{
 		Entry: testkit.Settings{"claims.lease": `"400ms"`, "claims.clock_allowance": `"100ms"`},
 	}, outageRejoin},
-	{"paused-holder", "an entry VM is paused past its lease, evicted, and wakes up", testkit.Options{}, pausedHolder},
+	{"paused-holder", "an entry VM is paused past its lease, evicted, and wakes up", testkit.Options{}, pausedOwner},
 	{"lapsed-lease", "all stewards are paused past the leases of two jobs, one of them repeatable", testkit.Options{}, lapsedLease},
 	{"cancellation-burst", "most of a burst of jobs is cancelled at once", testkit.Options{}, cancellationBurst},
-	{"black-hole-worker", "one worker fails every task at once and is set aside", testkit.Options{}, blackHoleWorker},
+	{"black-hole-worker", "one worker fails every task at once and is set aside", testkit.Options{}, failingWorker},
 	{"retention-gap", "a node is cut off for longer than the log retains", testkit.Options{
 		Standin: testkit.Settings{"log.retention_entries": "150"},
 	}, retentionGap},
@@ -80,9 +80,9 @@
 //
 //	YUCCADRIFT_RECORD_TRACES=$PWD/testdata/traces go test ./internal/proof -run TestRecordTraces
 func TestRecordTraces(t *testing.T) {
-	dir := os.Getenv(recordInto)
+	dir := os.Getenv(traceDirVariable)
 	if dir == "" {
-		t.Skipf("records only when %s names a directory", recordInto)
+		t.Skipf("records only when %s names a directory", traceDirVariable)
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) { recordScenario(t, dir, s) })
@@ -95,7 +95,7 @@
 		s.opts.Nodes = []string{"a", "b", "c"}
 	}
 	s.opts.Fleet = []testkit.Group{{Prefix: "vm", Count: vms, Zones: []string{"a", "b"}, BootSeconds: 0.3}}
-	r := &rig{Cluster: testkit.Start(t, s.opts), t: t, vms: vms, requests: map[string]trace.Request{}}
+	r := &recording{Cluster: testkit.Start(t, s.opts), t: t, vms: vms, requests: map[string]trace.Request{}}
 	file := filepath.Join(dir, s.name+".jsonl.gz")
 	out, err := os.Create(file)
 	require.NoError(t, err)
@@ -106,7 +106,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- rec.Follow(ctx) }()
 
-	r.Publish(document("booking", vms, 4) + jobTerms)
+	r.Publish(testDocument("booking", vms, 4) + jobSections)
 	awaitServing(r.Cluster, "booking", vms)
 	s.run(r)
 	cancel()
@@ -129,12 +129,12 @@
 	t.Logf("%s: %d entries, %d VM events, %d requests, %v", s.name, result.Entries, result.VMEvents, result.Requests, result.Statuses)
 }
 
-// load sends lookups through all nodes until the returned function is called.
-func (r *rig) load() (stop func()) {
-	return r.send("/booking/lookup", true)
+// startLookups sends lookups through all nodes until the returned function is called.
+func (r *recording) startLookups() (stop func()) {
+	return r.startRequests("/booking/lookup", true)
 }
 
-func (r *rig) send(path string, repeatable bool) (stop func()) {
+func (r *recording) startRequests(path string, repeatable bool) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for w := range r.Nodes {
@@ -159,16 +159,16 @@
 	}
 }
 
-// wave starts a wave over the pool; awaitWave waits until it is over.
-func (r *rig) wave() {
-	r.Must("wave", "start", "--name", "w1", "--pools", "booking", "--deadline", "1h")
+// startWave starts a wave over the pool; awaitWave waits until it is over.
+func (r *recording) startWave() {
+	r.MustCommand("wave", "start", "--name", "w1", "--pools", "booking", "--deadline", "1h")
 }
 
-func (r *rig) awaitWave() {
+func (r *recording) awaitWave() {
 	r.Until("the wave is over", func() bool { return r.Standin.State().Waves["w1"].Status == ledger.WaveDone })
 }
 
-func (r *rig) awaitBack(n int) {
+func (r *recording) awaitBack(n int) {
 	r.Until(fmt.Sprintf("%d VMs are back", n), func() bool {
 		back := 0
 		for _, progress := range r.Standin.State().Waves["w1"].VMs {
@@ -180,14 +180,14 @@
 	})
 }
 
-func (r *rig) revision() record.Revision { return r.Standin.State().Services["booking"].Revision }
+func (r *recording) revision() record.Revision { return r.Standin.State().Services["booking"].Revision }
 
-func conflictingPublish(r *rig) {
+func conflictingPublish(r *recording) {
 	base := strconv.FormatUint(uint64(r.revision()), 10)
 	codes := make(chan int, 4)
 	for i := range cap(codes) {
-		file := r.File(fmt.Sprintf("rival-%d.toml", i), document("booking", r.vms, 1+i%3))
-		go func() { codes <- r.Command("publish", "--based-on", base, file).Code }()
+		file := r.WriteFile(fmt.Sprintf("rival-%d.toml", i), testDocument("booking", r.vms, 1+i%3))
+		go func() { codes <- r.Command("publish", "--based-on", base, file).ExitCode }()
 	}
 	counts := map[int]int{}
 	for range cap(codes) {
@@ -196,57 +196,57 @@
 	require.Equal(r.t, map[int]int{0: 1, 3: 3}, counts, "one publish is accepted, the others are void")
 }
 
-func waveRackLost(r *rig) {
-	stop := r.load()
+func waveRackLost(r *recording) {
+	stop := r.startLookups()
 	defer stop()
-	r.wave()
+	r.startWave()
 	r.awaitBack(2)
 	rack := r.Standin.List().VMs[r.vms-1].Rack
-	r.Standin.Order(standin.Fault{Kind: standin.VMCrash, Target: "rack/" + rack})
+	r.Standin.InjectFaults(standin.Fault{Kind: standin.VMCrash, Target: "rack/" + rack})
 	r.Until("the rack's VMs are down", func() bool { return r.Standin.State().Unavailability("booking").Short > 2 })
-	r.Standin.Order(standin.Fault{Kind: standin.VMRecover, Target: "rack/" + rack})
+	r.Standin.InjectFaults(standin.Fault{Kind: standin.VMRecover, Target: "rack/" + rack})
 	r.awaitWave()
 	awaitServing(r.Cluster, "booking", r.vms)
 }
 
-func logOutage(r *rig) {
-	stop := r.load()
+func logOutage(r *recording) {
+	stop := r.startLookups()
 	defer stop()
-	r.wave()
+	r.startWave()
 	r.awaitBack(1)
-	outage := r.Standin.Order(standin.Fault{Kind: standin.LogRefuse})
+	outage := r.Standin.InjectFaults(standin.Fault{Kind: standin.LogRefuse})
 	vm := r.Standin.List().VMs[r.vms-1].ID
-	r.Standin.Order(standin.Fault{Kind: standin.VMCrash, Target: vm})
+	r.Standin.InjectFaults(standin.Fault{Kind: standin.VMCrash, Target: vm})
 	time.Sleep(8 * time.Second) // longer than a state counts as fresh
-	r.Standin.Clear(outage...)
+	r.Standin.ClearFaults(outage...)
 	r.Until("the failure is on the log", func() bool { return r.Standin.State().VMs[vm].Down })
-	r.Standin.Order(standin.Fault{Kind: standin.VMRecover, Target: vm})
+	r.Standin.InjectFaults(standin.Fault{Kind: standin.VMRecover, Target: vm})
 	r.awaitWave()
 	awaitServing(r.Cluster, "booking", r.vms)
 }
 
 // outageRejoin cuts all processes off in mid-wave. Only the operator reaches the
 // log. At the return the nodes fold what he wrote before they decide.
-func outageRejoin(r *rig) {
+func outageRejoin(r *recording) {
 	r.Until("three members", func() bool { return len(r.Standin.State().Members) == 3 })
-	stop := r.load()
+	stop := r.startLookups()
 	defer stop()
-	book := r.send("/booking/book", false)
+	book := r.startRequests("/booking/book", false)
 	defer book()
 	members := r.Standin.State().MemberNames()
-	r.wave()
+	r.startWave()
 	r.awaitBack(1)
 	for _, n := range r.Nodes {
 		n.CutPlatform()
 	}
 	vm := r.Standin.List().VMs[r.vms-1].ID
-	r.Standin.Order(standin.Fault{Kind: standin.VMCrash, Target: vm})
+	r.Standin.InjectFaults(standin.Fault{Kind: standin.VMCrash, Target: vm})
 	time.Sleep(6 * time.Second) // until no state counts as fresh
 	cut := r.Standin.State()
 	reboots := r.Standin.Counters().Reboots
 	time.Sleep(17 * time.Second)
-	r.Must("wave", "abort", "w1")
-	r.Must("publish", r.File("next.toml", document("booking", r.vms, 2)+jobTerms))
+	r.MustCommand("wave", "abort", "w1")
+	r.MustCommand("publish", r.WriteFile("next.toml", testDocument("booking", r.vms, 2)+jobSections))
 	tail := r.Standin.State()
 	require.Equal(r.t, cut.Offset+2, tail.Offset, "only the operator wrote")
 	require.Equal(r.t, reboots, r.Standin.Counters().Reboots)
@@ -255,7 +255,7 @@
 		n.HealPlatform()
 	}
 	r.Until("the failure is on the log", func() bool { return r.Standin.State().VMs[vm].Down })
-	r.Standin.Order(standin.Fault{Kind: standin.VMRecover, Target: vm})
+	r.Standin.InjectFaults(standin.Fault{Kind: standin.VMRecover, Target: vm})
 	awaitServing(r.Cluster, "booking", r.vms)
 	for _, n := range r.Nodes {
 		r.Until(n.Name+" has rejoined", func() bool { return r.offset(n) > tail.Offset })
@@ -265,9 +265,9 @@
 	require.Equal(r.t, ledger.WaveAborted, end.Waves["w1"].Status)
 }
 
-func pausedHolder(r *rig) {
+func pausedOwner(r *recording) {
 	r.Until("three members", func() bool { return len(r.Standin.State().Members) == 3 })
-	stop := r.send("/booking/book", false)
+	stop := r.startRequests("/booking/book", false)
 	defer stop()
 	r.Nodes[0].Pause()
 	r.Until("the paused member is evicted", func() bool { return len(r.Standin.State().Members) == 2 })
@@ -275,29 +275,29 @@
 	r.Until("it has joined again", func() bool { return len(r.Standin.State().Members) == 3 })
 }
 
-func lostReplies(r *rig) {
-	r.Standin.Order(
+func lostReplies(r *recording) {
+	r.Standin.InjectFaults(
 		standin.Fault{Kind: standin.LogLoseReply, Count: 20},
 		// These surface after the author has sent a second copy.
 		standin.Fault{Kind: standin.LogLate, Skip: 20, Count: 6, DelayMS: 2500},
 		standin.Fault{Kind: standin.APILoseReply, Count: 12},
 	)
-	stop := r.load()
+	stop := r.startLookups()
 	defer stop()
-	r.wave()
-	r.Must("publish", r.File("next.toml", document("booking", r.vms, 2)))
+	r.startWave()
+	r.MustCommand("publish", r.WriteFile("next.toml", testDocument("booking", r.vms, 2)))
 	r.awaitWave()
 }
 
 // submit submits a job that takes runTime.
-func (r *rig) submit(name string, runTime time.Duration, flags ...string) {
+func (r *recording) submit(name string, runTime time.Duration, flags ...string) {
 	// Where the log is trimmed and no snapshot is there yet, a node's state helps.
-	args := []string{"--nodes", r.Nodes[1].EntryPeers(), "jobs", "submit", "--service", "booking", "--team", "proof", "--memory-mb", "256", "--run-time", runTime.String()}
-	r.Must(append(append(args, flags...), name)...)
+	args := []string{"--nodes", r.Nodes[1].EntryPeerAddress(), "jobs", "submit", "--service", "booking", "--team", "proof", "--memory-mb", "256", "--run-time", runTime.String()}
+	r.MustCommand(append(append(args, flags...), name)...)
 }
 
-// each calls f for n names at once.
-func each(n int, f func(name string)) {
+// forEachJob calls f for n names at once.
+func forEachJob(n int, f func(name string)) {
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Go(func() { f(fmt.Sprintf("job-%02d", i)) })
@@ -306,7 +306,7 @@
 }
 
 // awaitJobs waits until every job is over.
-func (r *rig) awaitJobs() {
+func (r *recording) awaitJobs() {
 	r.Until("all jobs are over", func() bool {
 		for _, j := range r.Standin.State().Jobs {
 			if !j.Ended() {
@@ -317,7 +317,7 @@
 	})
 }
 
-func lapsedLease(r *rig) {
+func lapsedLease(r *recording) {
 	r.submit("once", time.Minute)
 	r.submit("again", 4*time.Second, "--repeatable")
 	r.Until("both run", func() bool {
@@ -336,22 +336,22 @@
 	require.Equal(r.t, 1, starts["once"], "a job that is not repeatable starts once")
 }
 
-func cancellationBurst(r *rig) {
+func cancellationBurst(r *recording) {
 	const burst, kept = 24, 4
-	each(burst, func(name string) { r.submit(name, 3*time.Second, "--repeatable") })
-	each(burst-kept, func(name string) { r.Must("jobs", "cancel", "--reason", "burst", name) })
+	forEachJob(burst, func(name string) { r.submit(name, 3*time.Second, "--repeatable") })
+	forEachJob(burst-kept, func(name string) { r.MustCommand("jobs", "cancel", "--reason", "burst", name) })
 	r.awaitJobs()
 }
 
-func blackHoleWorker(r *rig) {
+func failingWorker(r *recording) {
 	worker := r.Standin.List().VMs[0].ID
-	r.Standin.Order(standin.Fault{Kind: standin.WorkerFails, Target: worker})
+	r.Standin.InjectFaults(standin.Fault{Kind: standin.WorkerFails, Target: worker})
 	// Jobs of one burst may fail for one reason, so evidence takes several; each
 	// job takes a worker, so that a worker in doubt is needed too.
 	burst := 0
 	r.Until("the worker is set aside", func() bool {
 		burst++
-		each(10, func(name string) {
+		forEachJob(10, func(name string) {
 			r.submit(fmt.Sprintf("%s-%d", name, burst), 500*time.Millisecond, "--repeatable", "--cores", "30")
 		})
 		time.Sleep(time.Second)
@@ -362,13 +362,13 @@
 
 // retentionGap cuts one entry VM off the log while others append more than is
 // retained, and gives it back: the node goes on from a snapshot or a peer.
-func retentionGap(r *rig) {
+func retentionGap(r *recording) {
 	const jobs = 70 // three records each
 	r.Until("three members", func() bool { return len(r.Standin.State().Members) == 3 })
 	n := r.Nodes[0]
 	n.EntryPlatform.Cut()
 	before := r.offset(n)
-	each(jobs, func(name string) { r.submit(name, 100*time.Millisecond, "--repeatable") })
+	forEachJob(jobs, func(name string) { r.submit(name, 100*time.Millisecond, "--repeatable") })
 	r.Until("the entries that the node lacks are gone", func() bool {
 		batch, _ := r.Standin.Client.Read(r.t.Context(), settings.DefaultStream, 1, 1, 0)
 		return uint64(batch.First) > before+1
@@ -378,8 +378,8 @@
 }
 
 // offset asks an entry how far it has folded.
-func (r *rig) offset(n *testkit.Node) uint64 {
-	client, err := operator.NewClient(n.EntryPeers())
+func (r *recording) offset(n *testkit.Node) uint64 {
+	client, err := operator.NewClient(n.EntryPeerAddress())
 	require.NoError(r.t, err)
 	defer client.Close()
 	status, err := client.Status(r.t.Context())
--- a/internal/proof/twoowners_test.go
+++ b/internal/proof/twoowners_test.go
@@ -17,7 +17,7 @@
 // has lost the store and reaches a worker that its successor doesn't.
 func TestOwnerWithoutTheStoreKeepsNoTaskOfItsSuccessor(t *testing.T) {
 	t.Parallel()
-	c := testkit.StartLinkedJobs(t, jobOptions(), 3)
+	c := testkit.StartLinkedJobs(t, smallPlatform(), 3)
 	id := c.NewID()
 	c.Submit("booking", id, workload.Spec{Payload: standin.Payload(0), Steps: []workload.Step{{
 		Count: 2, Resources: workload.Resources{CPU: 500, MemoryMB: 500}, LongRunning: true, MaxPerWorker: 1,
@@ -27,10 +27,10 @@
 	worker := c.Platform.WorkerOf(task)
 	require.NotNil(t, worker)
 	worker.SetFault(standin.KnownOwnersOnly)
-	owner := cutOwnerOff(c, "booking")
+	owner := isolateOwner(c, "booking")
 	c.Until("the task runs on another worker", func() bool {
-		now := c.Platform.WorkerOf(task)
-		return now != nil && now != worker
+		current := c.Platform.WorkerOf(task)
+		return current != nil && current != worker
 	})
 	assert.Empty(t, c.Platform.Violations())
 
@@ -41,13 +41,13 @@
 	assert.Empty(t, c.Platform.Violations())
 }
 
-// cutOwnerOff cuts the node that owns a service's jobs off from the store, and returns it.
-func cutOwnerOff(c *testkit.JobCluster, service string) (owner *testkit.JobNode) {
-	holder := func() string {
-		return c.Platform.Store.Holder(joblog.JobsTopic, joblog.PartitionOf(service, jobOptions().Partitions))
+// isolateOwner cuts the node that owns a service's jobs off from the store, and returns it.
+func isolateOwner(c *testkit.JobCluster, service string) (owner *testkit.JobNode) {
+	leaseHolder := func() string {
+		return c.Platform.Store.Holder(joblog.JobsTopic, joblog.PartitionOf(service, smallPlatform().Partitions))
 	}
 	c.Until("the owner of "+service+" is cut off from the store", func() bool {
-		name := holder()
+		name := leaseHolder()
 		for _, n := range c.Nodes {
 			if strings.HasPrefix(name, n.Name+"|") {
 				owner = n
@@ -57,7 +57,7 @@
 			return false
 		}
 		owner.Store.Blackhole()
-		if holder() == name {
+		if leaseHolder() == name {
 			return true
 		}
 		owner.Store.Heal() // the partition has just passed on
--- a/internal/steward/outage_test.go
+++ b/internal/steward/outage_test.go
@@ -34,7 +34,7 @@
 // notes what the steward tries, also while it is cut.
 type way struct {
 	platform.Fleet
-	*testkit.LogLine
+	*testkit.FaultyLog
 	node      atomic.Pointer[node]
 	noActions atomic.Bool
 
@@ -61,7 +61,7 @@
 
 func (w *way) Append(ctx context.Context, name string, entries [][]byte) (platform.Offset, error) {
 	w.note("append")
-	return w.LogLine.Append(ctx, name, entries)
+	return w.FaultyLog.Append(ctx, name, entries)
 }
 
 type action func(context.Context, string, platform.Operation) (platform.OperationStatus, error)
@@ -109,7 +109,7 @@
 	m.operator = &node{follow: follower.New(follower.Config{Log: m.fake, Stream: stream, Logger: hclog.NewNullLogger()})}
 	go func() { _ = m.operator.follow.Serve(t.Context()) }()
 	for i := range 3 {
-		w := &way{Fleet: m.fake, LogLine: testkit.NewLogLine(m.fake)}
+		w := &way{Fleet: m.fake, FaultyLog: testkit.NewFaultyLog(m.fake)}
 		w.node.Store(startNode(t, w, fmt.Sprintf("entry-%d", i+1), func(cfg *steward.Config) { cfg.Health = listed{m.fake} }))
 		m.ways = append(m.ways, w)
 	}
@@ -237,7 +237,7 @@
 				}
 				for _, w := range m.ways {
 					if condition == follower.Foreign {
-						w.Lead(another)
+						w.Redirect(another)
 					}
 					w.Cut(false)
 				}
@@ -253,7 +253,7 @@
 				tail := m.write(10)
 				back := time.Now()
 				for _, w := range m.ways {
-					w.Lead(m.fake)
+					w.Redirect(m.fake)
 				}
 				time.Sleep(5 * time.Minute)
 				// A steward may find that the others have done all there was to do, but
--- a/internal/testkit/build.go
+++ b/internal/testkit/build.go
@@ -39,18 +39,18 @@
 	return m.Run()
 }
 
-// binary returns the path of a binary. All are built once per test process, with
+// binaryPath returns the path of a binary. All are built once per test process, with
 // the race detector if the test has it.
-func binary(t testing.TB, name string) string {
+func binaryPath(t testing.TB, name string) string {
 	t.Helper()
-	built.Do(func() { built.dir, built.err = build() })
+	built.Do(func() { built.dir, built.err = buildBinaries() })
 	if built.err != nil {
 		t.Fatal(built.err)
 	}
 	return filepath.Join(built.dir, name)
 }
 
-func build() (string, error) {
+func buildBinaries() (string, error) {
 	root, err := Root()
 	if err != nil {
 		return "", err
--- a/internal/testkit/caller.go
+++ b/internal/testkit/caller.go
@@ -30,24 +30,24 @@
 
 // Answer is what the caller got. Err tells that none came, or not all of it.
 type Answer struct {
-	Status  int
-	Outcome outcome.Outcome
-	Reason  outcome.Reason
-	VM      string // that ran the request
-	Header  http.Header
-	Body    []byte
-	Err     error
-	Took    time.Duration
+	Status   int
+	Outcome  outcome.Outcome
+	Reason   outcome.Reason
+	VM       string // that ran the request
+	Header   http.Header
+	Body     []byte
+	Err      error
+	Duration time.Duration
 
-	echo  string
-	bytes int
+	wantEcho  string
+	wantBytes int
 }
 
 // Key returns a fresh key.
 func Key() string { return ulid.Make().String() }
 
-// callers keeps connections as a caller's client does.
-var callers = &http.Client{Transport: &http.Transport{
+// callerClient keeps connections as a caller's client does.
+var callerClient = &http.Client{Transport: &http.Transport{
 	MaxIdleConnsPerHost: 256,
 	IdleConnTimeout:     30 * time.Second,
 	DisableCompression:  true,
@@ -57,28 +57,28 @@
 func (n *Node) Send(ctx context.Context, r Request) Answer {
 	began := time.Now()
 	a := n.send(ctx, r)
-	a.Took = time.Since(began)
+	a.Duration = time.Since(began)
 	return a
 }
 
 func (n *Node) send(ctx context.Context, r Request) Answer {
-	a := Answer{echo: r.Key, bytes: r.ReplyBytes} // a retry may get the first try's answer
+	a := Answer{wantEcho: r.Key, wantBytes: r.ReplyBytes} // a retry may get the first try's answer
 	if r.Key == "" {
-		a.echo = ulid.Make().String()
+		a.wantEcho = ulid.Make().String()
 	}
 	method := r.Method
 	if method == "" {
 		method = http.MethodPost
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+n.callers+r.Path, bytes.NewReader(r.Body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+n.callerAddress+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
 		a.Err = err
 		return a
 	}
 	req.GetBody = nil // the client must not send a request twice by itself
-	r.fill(req.Header)
-	req.Header.Set(standin.HeaderEcho, a.echo)
-	res, err := callers.Do(req)
+	r.setHeaders(req.Header)
+	req.Header.Set(standin.HeaderEcho, a.wantEcho)
+	res, err := callerClient.Do(req)
 	if err != nil {
 		a.Err = err
 		return a
@@ -92,7 +92,7 @@
 	return a
 }
 
-func (r Request) fill(h http.Header) {
+func (r Request) setHeaders(h http.Header) {
 	if r.Key != "" {
 		h.Set(outcome.HeaderKey, r.Key)
 	}
@@ -128,10 +128,10 @@
 	if !a.OK() || a.VM == "" {
 		return "" // not a backend server's answer to a run
 	}
-	if got := a.Header.Get(standin.HeaderEcho); got != a.echo {
-		return fmt.Sprintf("another request's answer: echo %q, want %q", got, a.echo)
+	if got := a.Header.Get(standin.HeaderEcho); got != a.wantEcho {
+		return fmt.Sprintf("another request's answer: echo %q, want %q", got, a.wantEcho)
 	}
-	if want := standin.ReplyBody(a.echo, a.bytes); !bytes.Equal(a.Body, want) {
+	if want := standin.ReplyBody(a.wantEcho, a.wantBytes); !bytes.Equal(a.Body, want) {
 		return fmt.Sprintf("body of %d bytes is not the %d bytes asked for", len(a.Body), len(want))
 	}
 	return ""
--- a/internal/testkit/cluster.go
+++ b/internal/testkit/cluster.go
@@ -45,8 +45,8 @@
 	Standin Settings
 	// BackendLinks has every group Linked.
 	BackendLinks bool
-	// Before is called once the stand-in answers and before any node starts.
-	Before func(*Standin)
+	// BeforeNodes is called once the stand-in answers and before any node starts.
+	BeforeNodes func(*Standin)
 	// Direct leaves the links and gates out of all ways, for measurements: they
 	// cost more than the daemons, and no fault can be set.
 	Direct bool
@@ -78,42 +78,42 @@
 	EntryPlatform   *Link
 	StewardPlatform *Link
 
-	c           *Cluster
-	entry       addresses
-	steward     addresses
-	entryGate   *gate
-	stewardGate *gate
-	callers     string
+	cluster          *Cluster
+	entryAddresses   addresses
+	stewardAddresses addresses
+	entryPeerProxy   *peerProxy
+	stewardPeerProxy *peerProxy
+	callerAddress    string
 }
 
 // addresses are what one daemon listens on.
 type addresses struct{ peers, admin string }
 
-// clusters counts the clusters of this process.
-var clusters atomic.Int32
+// clusterCount counts the clusters of this process.
+var clusterCount atomic.Int32
 
-// loopback returns a loopback IP that no other live cluster has.
-func loopback() string {
+// uniqueLoopbackIP returns a loopback IP that no other live cluster has.
+func uniqueLoopbackIP() string {
 	pid := os.Getpid()
 	const first, span = 64, 128
-	return fmt.Sprintf("127.%d.%d.%d", first+int(clusters.Add(1))%span, pid>>8&0xff, pid&0xff)
+	return fmt.Sprintf("127.%d.%d.%d", first+int(clusterCount.Add(1))%span, pid>>8&0xff, pid&0xff)
 }
 
 // Start starts the stand-in and the entry VMs and waits until all processes
 // answer. Entries are ready only once a document is in force: see AwaitReady.
 func Start(t testing.TB, opts Options) *Cluster {
 	t.Helper()
-	c := &Cluster{t: t, dir: t.TempDir(), ip: loopback(), opts: opts, Backends: map[string]*Link{}}
+	c := &Cluster{t: t, dir: t.TempDir(), ip: uniqueLoopbackIP(), opts: opts, Backends: map[string]*Link{}}
 	c.startStandin()
-	if opts.Before != nil {
-		opts.Before(c.Standin)
+	if opts.BeforeNodes != nil {
+		opts.BeforeNodes(c.Standin)
 	}
 	for i, zone := range opts.Nodes {
 		c.Nodes = append(c.Nodes, c.newNode(i, zone))
 	}
 	for _, n := range c.Nodes {
-		n.entryGate.open()
-		n.stewardGate.open()
+		n.entryPeerProxy.serve()
+		n.stewardPeerProxy.serve()
 		n.writeSettings()
 		n.Entry.Start()
 		if !opts.NoStewards {
@@ -121,30 +121,34 @@
 		}
 	}
 	for _, n := range c.Nodes {
-		until(t, n.Name+" answers", func() bool { return n.alive(n.entry) && (opts.NoStewards || n.alive(n.steward)) })
+		until(t, n.Name+" answers", func() bool {
+			return n.isHealthy(n.entryAddresses) && (opts.NoStewards || n.isHealthy(n.stewardAddresses))
+		})
 	}
 	return c
 }
 
 func (c *Cluster) newNode(i int, zone string) *Node {
-	n := &Node{Name: fmt.Sprintf("entry-%d", i+1), Zone: zone, c: c}
-	n.entry = addresses{peers: reserveAddress(c.t, c.ip), admin: reserveAddress(c.t, c.ip)}
-	n.steward = addresses{peers: reserveAddress(c.t, c.ip), admin: reserveAddress(c.t, c.ip)}
-	n.callers = reserveAddress(c.t, c.ip)
+	n := &Node{Name: fmt.Sprintf("entry-%d", i+1), Zone: zone, cluster: c}
+	n.entryAddresses = addresses{peers: reserveAddress(c.t, c.ip), admin: reserveAddress(c.t, c.ip)}
+	n.stewardAddresses = addresses{peers: reserveAddress(c.t, c.ip), admin: reserveAddress(c.t, c.ip)}
+	n.callerAddress = reserveAddress(c.t, c.ip)
 	n.EntryPlatform = newLink(c.t, n.Name+"-entry-platform", c.ip, c.Standin.address)
 	n.StewardPlatform = newLink(c.t, n.Name+"-steward-platform", c.ip, c.Standin.address)
-	n.Entry = newProcess(c.t, c.dir, n.Name, binary(c.t, binEntry), "--config", n.file("entry"))
-	n.Steward = newProcess(c.t, c.dir, n.Name+"-steward", binary(c.t, binSteward), "--config", n.file("steward"))
-	n.entryGate = newGate(c, n.Entry, n.entry.peers)
-	n.stewardGate = newGate(c, n.Steward, n.steward.peers)
+	n.Entry = newProcess(c.t, c.dir, n.Name, binaryPath(c.t, binEntry), "--config", n.settingsFile("entry"))
+	n.Steward = newProcess(c.t, c.dir, n.Name+"-steward", binaryPath(c.t, binSteward), "--config", n.settingsFile("steward"))
+	n.entryPeerProxy = newPeerProxy(c, n.Entry, n.entryAddresses.peers)
+	n.stewardPeerProxy = newPeerProxy(c, n.Steward, n.stewardAddresses.peers)
 	return n
 }
 
-func (n *Node) file(daemon string) string { return filepath.Join(n.c.dir, n.Name+"-"+daemon+".toml") }
+func (n *Node) settingsFile(daemon string) string {
+	return filepath.Join(n.cluster.dir, n.Name+"-"+daemon+".toml")
+}
 
 // writeSettings writes both daemons' files.
 func (n *Node) writeSettings() {
-	entrySeeds, stewardSeeds := n.seeds()
+	entrySeeds, stewardSeeds := n.peerSeeds()
 	common := Settings{
 		"node.id":   quote(n.Name),
 		"node.zone": quote(n.Zone),
@@ -152,44 +156,44 @@
 	}
 	entry := Settings{
 		"platform.address": quote(n.EntryPlatform.Address()),
-		"peers.listen":     quote(n.entry.peers),
-		"peers.advertise":  quote(n.entryGate.address()),
+		"peers.listen":     quote(n.entryAddresses.peers),
+		"peers.advertise":  quote(n.entryPeerProxy.address()),
 		"peers.seeds":      entrySeeds,
-		"admin.listen":     quote(n.entry.admin),
-		"callers.listen":   quote(n.callers),
+		"admin.listen":     quote(n.entryAddresses.admin),
+		"callers.listen":   quote(n.callerAddress),
 		"drain.notice":     quote("300ms"),
 	}
 	steward := Settings{
 		"platform.address":       quote(n.StewardPlatform.Address()),
-		"peers.listen":           quote(n.steward.peers),
-		"peers.advertise":        quote(n.stewardGate.address()),
+		"peers.listen":           quote(n.stewardAddresses.peers),
+		"peers.advertise":        quote(n.stewardPeerProxy.address()),
 		"peers.seeds":            stewardSeeds,
-		"admin.listen":           quote(n.steward.admin),
+		"admin.listen":           quote(n.stewardAddresses.admin),
 		"planning.interval":      quote("100ms"),
 		"planning.list_interval": quote("200ms"),
 	}
-	if n.c.opts.Direct {
+	if n.cluster.opts.Direct {
 		for _, daemon := range []Settings{entry, steward} {
-			daemon["platform.address"] = quote(n.c.Standin.address)
+			daemon["platform.address"] = quote(n.cluster.Standin.address)
 			daemon["peers.advertise"] = daemon["peers.listen"]
 		}
 	}
-	n.c.write(n.file("entry"), common, entry, n.c.opts.Entry)
-	n.c.write(n.file("steward"), common, steward, n.c.opts.Steward)
+	n.cluster.writeSettings(n.settingsFile("entry"), common, entry, n.cluster.opts.Entry)
+	n.cluster.writeSettings(n.settingsFile("steward"), common, steward, n.cluster.opts.Steward)
 }
 
-// seeds returns the other nodes' peer addresses as TOML arrays.
-func (n *Node) seeds() (entries, stewards string) {
+// peerSeeds returns the other nodes' peer addresses as TOML arrays.
+func (n *Node) peerSeeds() (entries, stewards string) {
 	var e, s []string
-	for _, other := range n.c.Nodes {
+	for _, other := range n.cluster.Nodes {
 		switch {
 		case other == n:
-		case n.c.opts.Direct:
-			e = append(e, quote(other.entry.peers))
-			s = append(s, quote(other.steward.peers))
+		case n.cluster.opts.Direct:
+			e = append(e, quote(other.entryAddresses.peers))
+			s = append(s, quote(other.stewardAddresses.peers))
 		default:
-			e = append(e, quote(other.entryGate.address()))
-			s = append(s, quote(other.stewardGate.address()))
+			e = append(e, quote(other.entryPeerProxy.address()))
+			s = append(s, quote(other.stewardPeerProxy.address()))
 		}
 	}
 	return "[" + strings.Join(e, ",") + "]", "[" + strings.Join(s, ",") + "]"
@@ -197,15 +201,15 @@
 
 func quote(text string) string { return fmt.Sprintf("%q", text) }
 
-// write writes a settings file; later settings override earlier ones.
-func (c *Cluster) write(file string, layers ...Settings) {
-	all := Settings{}
+// writeSettings writes a settings file; later settings override earlier ones.
+func (c *Cluster) writeSettings(file string, layers ...Settings) {
+	merged := Settings{}
 	for _, layer := range layers {
-		maps.Copy(all, layer)
+		maps.Copy(merged, layer)
 	}
 	var text strings.Builder
-	for _, key := range slices.Sorted(maps.Keys(all)) {
-		fmt.Fprintf(&text, "%s = %s\n", key, all[key])
+	for _, key := range slices.Sorted(maps.Keys(merged)) {
+		fmt.Fprintf(&text, "%s = %s\n", key, merged[key])
 	}
 	if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
 		c.t.Fatal(err)
@@ -248,14 +252,14 @@
 	n.StewardPlatform.Heal()
 }
 
-// EntryPeers returns the entry's peer address, past all links.
-func (n *Node) EntryPeers() string { return n.entry.peers }
+// EntryPeerAddress returns the entry's peer address, past all links.
+func (n *Node) EntryPeerAddress() string { return n.entryAddresses.peers }
 
-// StewardPeers returns the steward's peer address, past all links.
-func (n *Node) StewardPeers() string { return n.steward.peers }
+// StewardPeerAddress returns the steward's peer address, past all links.
+func (n *Node) StewardPeerAddress() string { return n.stewardAddresses.peers }
 
-// Callers returns the address at which the entry takes callers' requests.
-func (n *Node) Callers() string { return n.callers }
+// CallerAddress returns the address at which the entry takes callers' requests.
+func (n *Node) CallerAddress() string { return n.callerAddress }
 
 // AwaitReady waits until the entries take callers' requests.
 func (c *Cluster) AwaitReady() {
@@ -267,16 +271,16 @@
 
 // AwaitReady waits until the entry takes callers' requests.
 func (n *Node) AwaitReady() {
-	n.c.t.Helper()
-	until(n.c.t, n.Name+" is ready", n.Ready)
+	n.cluster.t.Helper()
+	until(n.cluster.t, n.Name+" is ready", n.Ready)
 }
 
 // Ready reports whether the entry says that it takes callers' requests.
-func (n *Node) Ready() bool { return answers("http://" + n.entry.admin + "/readyz") }
+func (n *Node) Ready() bool { return respondsOK("http://" + n.entryAddresses.admin + "/readyz") }
 
-func (n *Node) alive(a addresses) bool { return answers("http://" + a.admin + "/healthz") }
+func (n *Node) isHealthy(a addresses) bool { return respondsOK("http://" + a.admin + "/healthz") }
 
-func answers(url string) bool {
+func respondsOK(url string) bool {
 	res, err := http.Get(url)
 	if err != nil {
 		return false
@@ -286,20 +290,20 @@
 }
 
 // Until waits for a condition that the processes bring about.
-func (c *Cluster) Until(what string, holds func() bool) {
+func (c *Cluster) Until(description string, condition func() bool) {
 	c.t.Helper()
-	until(c.t, what, holds)
+	until(c.t, description, condition)
 }
 
 // Status returns the entry's word about itself, asked for past all links.
 func (n *Node) Status(t testing.TB) operator.Status {
 	t.Helper()
-	client, err := operator.NewClient(n.entry.peers)
+	client, err := operator.NewClient(n.entryAddresses.peers)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(t.Context(), waitLimit)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	status, err := client.Status(ctx)
 	if err != nil {
--- a/internal/testkit/command.go
+++ b/internal/testkit/command.go
@@ -11,17 +11,17 @@
 	"github.com/pkg/errors"
 )
 
-// Ran is what a run of the operators' command line printed.
-type Ran struct {
-	Code   int
-	Out    string
-	ErrOut string
+// CommandResult is what a run of the operators' command line printed.
+type CommandResult struct {
+	ExitCode int
+	Stdout   string
+	Stderr   string
 }
 
 // Command runs the operators' command line against the platform, past all links.
-func (c *Cluster) Command(args ...string) Ran {
+func (c *Cluster) Command(args ...string) CommandResult {
 	c.t.Helper()
-	cmd := exec.CommandContext(c.t.Context(), binary(c.t, binCLI), append([]string{"--platform", c.Standin.address}, args...)...)
+	cmd := exec.CommandContext(c.t.Context(), binaryPath(c.t, binCLI), append([]string{"--platform", c.Standin.address}, args...)...)
 	var out, errOut bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &errOut
 	err := cmd.Run()
@@ -29,17 +29,17 @@
 	if err != nil && !errors.As(err, &exit) {
 		c.t.Fatal(err)
 	}
-	return Ran{Code: cmd.ProcessState.ExitCode(), Out: out.String(), ErrOut: errOut.String()}
+	return CommandResult{ExitCode: cmd.ProcessState.ExitCode(), Stdout: out.String(), Stderr: errOut.String()}
 }
 
-// Must runs the command line and fails the test unless it exits with 0.
-func (c *Cluster) Must(args ...string) Ran {
+// MustCommand runs the command line and fails the test unless it exits with 0.
+func (c *Cluster) MustCommand(args ...string) CommandResult {
 	c.t.Helper()
-	ran := c.Command(args...)
-	if ran.Code != 0 {
-		c.t.Fatalf("yuccadrift %s: exit code %d\n%s%s", strings.Join(args, " "), ran.Code, ran.Out, ran.ErrOut)
+	result := c.Command(args...)
+	if result.ExitCode != 0 {
+		c.t.Fatalf("yuccadrift %s: exit code %d\n%s%s", strings.Join(args, " "), result.ExitCode, result.Stdout, result.Stderr)
 	}
-	return ran
+	return result
 }
 
 // Publish puts documents in force and waits until every entry is ready.
@@ -47,13 +47,13 @@
 	c.t.Helper()
 	args := []string{"publish"}
 	for i, text := range texts {
-		args = append(args, c.File(fmt.Sprintf("document-%d.toml", i), text))
+		args = append(args, c.WriteFile(fmt.Sprintf("document-%d.toml", i), text))
 	}
-	c.Must(args...)
+	c.MustCommand(args...)
 }
 
-// File writes a file into the test's directory and returns its path.
-func (c *Cluster) File(name, text string) string {
+// WriteFile writes a file into the test's directory and returns its path.
+func (c *Cluster) WriteFile(name, text string) string {
 	c.t.Helper()
 	path := filepath.Join(c.dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/internal/testkit/gate.go
+++ b/internal/testkit/gate.go
@@ -6,11 +6,11 @@
 	"sync"
 )
 
-// gate stands before a daemon's peer address. It finds out which VM dials and
+// peerProxy stands before a daemon's peer address. It finds out which VM dials and
 // leads the connection over a Link of just these two VMs: a partition cuts pairs
 // of VMs, and all that dial one address would else share one proxy.
-type gate struct {
-	c        *Cluster
+type peerProxy struct {
+	cluster  *Cluster
 	process  *Process
 	upstream string
 	listener net.Listener
@@ -20,36 +20,36 @@
 	conns map[net.Conn]bool
 }
 
-// newGate binds the gate's address; open lets connections in.
-func newGate(c *Cluster, process *Process, upstream string) *gate {
+// newPeerProxy binds the gate's address; open lets connections in.
+func newPeerProxy(c *Cluster, process *Process, upstream string) *peerProxy {
 	c.t.Helper()
 	listener, err := net.Listen("tcp", c.ip+":0")
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	g := &gate{c: c, process: process, upstream: upstream, listener: listener, links: map[*Node]*Link{}, conns: map[net.Conn]bool{}}
+	g := &peerProxy{cluster: c, process: process, upstream: upstream, listener: listener, links: map[*Node]*Link{}, conns: map[net.Conn]bool{}}
 	c.t.Cleanup(g.close)
 	return g
 }
 
-// open must come after the cluster's VMs are known.
-func (g *gate) open() { go g.accept() }
+// serve must come after the cluster's VMs are known.
+func (g *peerProxy) serve() { go g.acceptLoop() }
 
-func (g *gate) address() string { return g.listener.Addr().String() }
+func (g *peerProxy) address() string { return g.listener.Addr().String() }
 
-// from returns the link of connections from a VM.
-func (g *gate) from(n *Node) *Link {
+// linkFrom returns the link of connections from a VM.
+func (g *peerProxy) linkFrom(n *Node) *Link {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	link := g.links[n]
 	if link == nil {
-		link = newLink(g.c.t, n.Name+"-to-"+g.process.Name, g.c.ip, g.upstream)
+		link = newLink(g.cluster.t, n.Name+"-to-"+g.process.Name, g.cluster.ip, g.upstream)
 		g.links[n] = link
 	}
 	return link
 }
 
-func (g *gate) heal() {
+func (g *peerProxy) heal() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, link := range g.links {
@@ -57,44 +57,44 @@
 	}
 }
 
-func (g *gate) accept() {
+func (g *peerProxy) acceptLoop() {
 	for {
 		conn, err := g.listener.Accept()
 		if err != nil {
 			return // closed
 		}
-		go g.carry(conn)
+		go g.forward(conn)
 	}
 }
 
-// carry passes a connection on. One of an unknown process, as of the test, goes
+// forward passes a connection on. One of an unknown process, as of the test, goes
 // straight through.
-func (g *gate) carry(conn net.Conn) {
+func (g *peerProxy) forward(conn net.Conn) {
 	if !g.process.Running() {
 		_ = conn.Close()
 		return
 	}
 	target := g.upstream
-	if n := g.c.dialer(conn); n != nil {
-		target = g.from(n).Address()
+	if n := g.cluster.dialingNode(conn); n != nil {
+		target = g.linkFrom(n).Address()
 	}
-	far, err := net.Dial("tcp", target)
-	if err != nil || !g.track(conn, far) {
+	upstream, err := net.Dial("tcp", target)
+	if err != nil || !g.track(conn, upstream) {
 		_ = conn.Close()
 		return
 	}
-	defer g.forget(conn, far)
+	defer g.closeAndUntrack(conn, upstream)
 	ended := make(chan struct{}, 2)
 	pass := func(to, from net.Conn) {
 		_, _ = io.Copy(to, from) // ends with either connection
 		ended <- struct{}{}
 	}
-	go pass(far, conn)
-	go pass(conn, far)
+	go pass(upstream, conn)
+	go pass(conn, upstream)
 	<-ended
 }
 
-func (g *gate) track(conns ...net.Conn) bool {
+func (g *peerProxy) track(conns ...net.Conn) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.conns == nil {
@@ -106,7 +106,7 @@
 	return true
 }
 
-func (g *gate) forget(conns ...net.Conn) {
+func (g *peerProxy) closeAndUntrack(conns ...net.Conn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, conn := range conns {
@@ -115,7 +115,7 @@
 	}
 }
 
-func (g *gate) close() {
+func (g *peerProxy) close() {
 	_ = g.listener.Close()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -125,15 +125,15 @@
 	g.conns = nil
 }
 
-// dialer returns the VM whose process holds the far end of an accepted
+// dialingNode returns the VM whose process holds the far end of an accepted
 // connection, nil for any other process.
-func (c *Cluster) dialer(conn net.Conn) *Node {
-	socket := socketOf(conn)
+func (c *Cluster) dialingNode(conn net.Conn) *Node {
+	socket := remoteSocket(conn)
 	if socket == "" {
 		return nil
 	}
 	for _, n := range c.Nodes {
-		if n.Entry.holds(socket) || n.Steward.holds(socket) {
+		if n.Entry.hasOpen(socket) || n.Steward.hasOpen(socket) {
 			return n
 		}
 	}
@@ -146,13 +146,13 @@
 func (c *Cluster) Partition(groups ...[]*Node) {
 	for i, group := range groups {
 		for _, n := range group {
-			for j, others := range groups {
+			for j, otherGroup := range groups {
 				if i == j {
 					continue
 				}
-				for _, other := range others {
-					n.entryGate.from(other).Blackhole()
-					n.stewardGate.from(other).Blackhole()
+				for _, other := range otherGroup {
+					n.entryPeerProxy.linkFrom(other).Blackhole()
+					n.stewardPeerProxy.linkFrom(other).Blackhole()
 				}
 			}
 		}
@@ -162,7 +162,7 @@
 // HealPeers ends all partitions.
 func (c *Cluster) HealPeers() {
 	for _, n := range c.Nodes {
-		n.entryGate.heal()
-		n.stewardGate.heal()
+		n.entryPeerProxy.heal()
+		n.stewardPeerProxy.heal()
 	}
 }
--- a/internal/testkit/gate_test.go
+++ b/internal/testkit/gate_test.go
@@ -11,8 +11,8 @@
 
 // Two VMs dial the same peer address. A partition cuts off the one and leaves the
 // other alone, and a connection that stood before passes nothing either.
-func TestGateTellsDialersApart(t *testing.T) {
-	c := &Cluster{t: t, ip: loopback()}
+func TestPartitionCutsOnlyOneDialerOfAnAddress(t *testing.T) {
+	c := &Cluster{t: t, ip: uniqueLoopbackIP()}
 	upstream, err := net.Listen("tcp", c.ip+":0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = upstream.Close() })
@@ -34,24 +34,24 @@
 	require.NoError(t, err)
 	idle := newProcess(t, t.TempDir(), "target", bash, "-c", "sleep 600")
 	idle.Start() // stands for the daemon behind the gate
-	target := &Node{Name: "target", entryGate: newGate(c, idle, upstream.Addr().String())}
-	target.stewardGate = target.entryGate
-	host, port, err := net.SplitHostPort(target.entryGate.address())
+	target := &Node{Name: "target", entryPeerProxy: newPeerProxy(c, idle, upstream.Addr().String())}
+	target.stewardPeerProxy = target.entryPeerProxy
+	host, port, err := net.SplitHostPort(target.entryPeerProxy.address())
 	require.NoError(t, err)
 	// A shell stands for a daemon that dials: it says its name again and again.
 	var nodes []*Node
 	for _, name := range []string{"one", "two"} {
 		script := "exec 3<>/dev/tcp/" + host + "/" + port + "; while echo " + name + " >&3; do sleep 0.01; done"
 		n := &Node{Name: name, Entry: newProcess(t, t.TempDir(), name, bash, "-c", script), Steward: &Process{}}
-		n.entryGate, n.stewardGate = target.entryGate, target.entryGate
+		n.entryPeerProxy, n.stewardPeerProxy = target.entryPeerProxy, target.entryPeerProxy
 		nodes = append(nodes, n)
 	}
 	c.Nodes = nodes
-	target.entryGate.open()
+	target.entryPeerProxy.serve()
 	for _, n := range nodes {
 		n.Entry.Start()
 	}
-	awaitBoth(lines)
+	awaitTwoNames(lines)
 	c.Partition([]*Node{target}, []*Node{nodes[0]})
 	for len(lines) > 0 {
 		<-lines
@@ -62,7 +62,7 @@
 	}
 }
 
-func awaitBoth(lines <-chan string) {
+func awaitTwoNames(lines <-chan string) {
 	seen := map[string]bool{}
 	for len(seen) < 2 {
 		seen[<-lines] = true
--- a/internal/testkit/jobs.go
+++ b/internal/testkit/jobs.go
@@ -19,8 +19,8 @@
 	"github.com/yuccadrift/yuccadrift/platform/standin"
 )
 
-// callerPatience is how long callers of tests wait for an answer.
-const callerPatience = 3 * time.Second
+// callerTimeout is how long callers of tests wait for an answer.
+const callerTimeout = 3 * time.Second
 
 const binNode = "yuccadrift-node"
 
@@ -40,11 +40,11 @@
 // JobNode is a node of a JobCluster.
 type JobNode struct {
 	*Process
-	caller, ready string
+	callerURL, readyURL string
 	// Metrics is the address of the node's metrics and profiles.
 	Metrics string
 	// Store and VMs are the node's links to the platform; nil without links.
-	Store, VMs *Link
+	Store, VMService *Link
 }
 
 // StartJobs starts a stand-in and so many nodes, and waits until they are ready.
@@ -68,15 +68,15 @@
 	}
 	t.Cleanup(p.Stop)
 	c := &JobCluster{Platform: p, t: t, client: &http.Client{Timeout: 4 * time.Second}}
-	ip, dir := loopback(), t.TempDir()
+	ip, dir := uniqueLoopbackIP(), t.TempDir()
 	for i := range nodes {
 		c.Nodes = append(c.Nodes, &JobNode{})
 		if linked {
-			c.link(c.Nodes[i], ip, i)
+			c.addLinks(c.Nodes[i], ip, i)
 		}
 	}
 	for i, first := range reserveNodePorts(t, ip, nodes) {
-		c.prepare(c.Nodes[i], dir, ip, i, first)
+		c.configure(c.Nodes[i], dir, ip, i, first)
 	}
 	for _, n := range c.Nodes {
 		n.Start()
@@ -86,45 +86,45 @@
 }
 
 // ports of a node, next to one another.
-const nodePorts = 4
+const portsPerNode = 4
 
 func nodeName(i int) string { return "node-" + strconv.Itoa(i) }
 
-func (c *JobCluster) link(n *JobNode, ip string, i int) {
+func (c *JobCluster) addLinks(n *JobNode, ip string, i int) {
 	n.Store = newLink(c.t, nodeName(i)+"-store", ip, c.Platform.StoreAddress())
-	n.VMs = newLink(c.t, nodeName(i)+"-vms", ip, c.Platform.VMsAddress())
+	n.VMService = newLink(c.t, nodeName(i)+"-vms", ip, c.Platform.VMsAddress())
 }
 
-// prepare gives a node its ports and settings file.
-func (c *JobCluster) prepare(n *JobNode, dir, ip string, i, first int) {
-	place := standin.NodeSettings{
+// configure gives a node its ports and settings file.
+func (c *JobCluster) configure(n *JobNode, dir, ip string, i, firstPort int) {
+	settings := standin.NodeSettings{
 		Name: nodeName(i), Zone: "zone-" + strconv.Itoa(i%2), IP: ip,
-		Caller: first, Ready: first + 1, FirstPeer: first + 2, LastPeer: first + 3,
+		Caller: firstPort, Ready: firstPort + 1, FirstPeer: firstPort + 2, LastPeer: firstPort + 3,
 	}
 	if n.Store != nil {
-		place.Store, place.VMs = n.Store.Address(), n.VMs.Address()
+		settings.Store, settings.VMs = n.Store.Address(), n.VMService.Address()
 	}
-	file := filepath.Join(dir, place.Name+".toml")
-	if err := os.WriteFile(file, []byte(c.Platform.Settings(place)), 0o600); err != nil {
+	file := filepath.Join(dir, settings.Name+".toml")
+	if err := os.WriteFile(file, []byte(c.Platform.Settings(settings)), 0o600); err != nil {
 		c.t.Fatal(err)
 	}
-	n.caller = "http://" + net.JoinHostPort(ip, strconv.Itoa(place.Caller))
-	n.Metrics = net.JoinHostPort(ip, strconv.Itoa(place.FirstPeer))
-	n.ready = "http://" + net.JoinHostPort(ip, strconv.Itoa(place.Ready))
-	n.Process = newProcess(c.t, dir, place.Name, binary(c.t, binNode), settingsFlag, file)
+	n.callerURL = "http://" + net.JoinHostPort(ip, strconv.Itoa(settings.Caller))
+	n.Metrics = net.JoinHostPort(ip, strconv.Itoa(settings.FirstPeer))
+	n.readyURL = "http://" + net.JoinHostPort(ip, strconv.Itoa(settings.Ready))
+	n.Process = newProcess(c.t, dir, settings.Name, binaryPath(c.t, binNode), settingsFlag, file)
 }
 
 // reserveNodePorts reserves, for each node, ports next to one another, and returns the
 // first of each.
-func reserveNodePorts(t testing.TB, ip string, nodes int) (firsts []int) {
+func reserveNodePorts(t testing.TB, ip string, nodes int) (firstPorts []int) {
 	t.Helper()
-	ofNode := func(port int) bool {
-		return slices.ContainsFunc(firsts, func(first int) bool { return first <= port && port < first+nodePorts })
+	usedByNode := func(port int) bool {
+		return slices.ContainsFunc(firstPorts, func(first int) bool { return first <= port && port < first+portsPerNode })
 	}
 	for range nodes {
-		firsts = append(firsts, reserveRow(t, ip, nodePorts, ofNode))
+		firstPorts = append(firstPorts, reservePortRange(t, ip, portsPerNode, usedByNode))
 	}
-	return firsts
+	return firstPorts
 }
 
 // AwaitReady waits until all nodes that run are ready.
@@ -132,15 +132,15 @@
 	c.t.Helper()
 	for _, n := range c.Nodes {
 		if n.Running() {
-			c.Until(n.Name+" is ready", func() bool { return answers(n.ready + platform.ReadyPath) })
+			c.Until(n.Name+" is ready", func() bool { return respondsOK(n.readyURL + platform.ReadyPath) })
 		}
 	}
 }
 
 // Until waits for a condition.
-func (c *JobCluster) Until(what string, holds func() bool) {
+func (c *JobCluster) Until(description string, condition func() bool) {
 	c.t.Helper()
-	until(c.t, what, holds)
+	until(c.t, description, condition)
 }
 
 // NewID returns a new job ID.
@@ -161,10 +161,10 @@
 
 // Chain is a job of steps that follow one another, each with so many tasks that
 // take a time.
-func Chain(takes time.Duration, counts ...int) workload.Spec {
-	spec := workload.Spec{Payload: standin.Payload(takes)}
-	for i, n := range counts {
-		s := workload.Step{Count: n, Resources: workload.Resources{CPU: 1000, MemoryMB: 500}, EstimateMS: takes.Milliseconds()}
+func Chain(taskDuration time.Duration, tasksPerStep ...int) workload.Spec {
+	spec := workload.Spec{Payload: standin.Payload(taskDuration)}
+	for i, n := range tasksPerStep {
+		s := workload.Step{Count: n, Resources: workload.Resources{CPU: 1000, MemoryMB: 500}, EstimateMS: taskDuration.Milliseconds()}
 		if i > 0 {
 			s.DependsOn = []int{i - 1}
 		}
@@ -177,12 +177,12 @@
 func (c *JobCluster) Call(n *JobNode, method, path, body string) (int, string) {
 	ctx, cancel := context.WithTimeout(c.t.Context(), 4*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, n.caller+path, bytes.NewBufferString(body))
+	req, err := http.NewRequestWithContext(ctx, method, n.callerURL+path, bytes.NewBufferString(body))
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	req.Host = standin.Host
-	platform.SetCallerTimeout(req, callerPatience)
+	platform.SetCallerTimeout(req, callerTimeout)
 	resp, err := c.client.Do(req)
 	if err != nil {
 		return 0, err.Error()
@@ -200,10 +200,10 @@
 func (c *JobCluster) Submit(service string, id workload.JobID, spec workload.Spec) {
 	c.t.Helper()
 	body := Body(c.t, spec)
-	tries := 0
+	attempts := 0
 	c.Until("job "+string(id)+" is taken", func() bool {
-		tries++
-		n := c.Nodes[(c.nextID+tries)%len(c.Nodes)]
+		attempts++
+		n := c.Nodes[(c.nextID+attempts)%len(c.Nodes)]
 		status, _ := c.Call(n, http.MethodPost, standin.Prefix(service)+string(id), body)
 		return status == http.StatusOK
 	})
--- a/internal/testkit/link.go
+++ b/internal/testkit/link.go
@@ -13,18 +13,18 @@
 
 // Link is a fault-injecting proxy in front of one address.
 type Link struct {
-	t     testing.TB
-	proxy *toxiproxy.Proxy
-	mu    sync.Mutex
-	order int
+	t          testing.TB
+	proxy      *toxiproxy.Proxy
+	mu         sync.Mutex
+	toxicCount int
 }
 
-var proxies = toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
+var proxyServer = toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
 
 // newLink listens on a port of ip and passes everything on to upstream.
 func newLink(t testing.TB, name, ip, upstream string) *Link {
 	t.Helper()
-	l := &Link{t: t, proxy: toxiproxy.NewProxy(proxies, name, ip+":0", upstream)}
+	l := &Link{t: t, proxy: toxiproxy.NewProxy(proxyServer, name, ip+":0", upstream)}
 	if err := l.proxy.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -45,29 +45,29 @@
 // Blackhole lets connections stand and dials succeed, and passes no byte: a
 // partition, in which neither side learns that the other is out of reach.
 func (l *Link) Blackhole() {
-	l.toxic("timeout", "upstream", `{"timeout":0}`)
-	l.toxic("timeout", "downstream", `{"timeout":0}`)
+	l.addToxic("timeout", "upstream", `{"timeout":0}`)
+	l.addToxic("timeout", "downstream", `{"timeout":0}`)
 }
 
 // BlackholeReplies lets requests through and no reply back. A close by the far
 // side still shows.
-func (l *Link) BlackholeReplies() { l.toxic("timeout", "downstream", `{"timeout":0}`) }
+func (l *Link) BlackholeReplies() { l.addToxic("timeout", "downstream", `{"timeout":0}`) }
 
 // Delay holds back every byte of the replies for d, give or take jitter.
 func (l *Link) Delay(d, jitter time.Duration) {
-	l.toxic("latency", "downstream", fmt.Sprintf(`{"latency":%d,"jitter":%d}`, d.Milliseconds(), jitter.Milliseconds()))
+	l.addToxic("latency", "downstream", fmt.Sprintf(`{"latency":%d,"jitter":%d}`, d.Milliseconds(), jitter.Milliseconds()))
 }
 
 // CutAfter closes each connection once bytes of replies went through it.
 func (l *Link) CutAfter(bytes int64) {
-	l.toxic("limit_data", "downstream", fmt.Sprintf(`{"bytes":%d}`, bytes))
+	l.addToxic("limit_data", "downstream", fmt.Sprintf(`{"bytes":%d}`, bytes))
 }
 
-func (l *Link) toxic(kind, stream, attributes string) {
+func (l *Link) addToxic(kind, stream, attributes string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.order++
-	text := fmt.Sprintf(`{"name":"%d","type":%q,"stream":%q,"attributes":%s}`, l.order, kind, stream, attributes)
+	l.toxicCount++
+	text := fmt.Sprintf(`{"name":"%d","type":%q,"stream":%q,"attributes":%s}`, l.toxicCount, kind, stream, attributes)
 	if _, err := l.proxy.Toxics.AddToxicJson(strings.NewReader(text)); err != nil {
 		l.t.Errorf("link %s: %v", l.proxy.Name, err)
 	}
--- a/internal/testkit/link_test.go
+++ b/internal/testkit/link_test.go
@@ -18,7 +18,7 @@
 		_, _ = io.WriteString(w, "0123456789")
 	}))
 	t.Cleanup(server.Close)
-	link := newLink(t, "link", loopback(), server.Listener.Addr().String())
+	link := newLink(t, "link", uniqueLoopbackIP(), server.Listener.Addr().String())
 	get := func() (string, error) {
 		transport := &http.Transport{}
 		defer transport.CloseIdleConnections()
--- a/internal/testkit/ports.go
+++ b/internal/testkit/ports.go
@@ -25,41 +25,41 @@
 	return net.JoinHostPort(ip, strconv.Itoa(reservePort(t, ip)))
 }
 
-// portTries bounds the search for ports next to one another.
-const portTries = 50
+// maxPortRangeTries bounds the search for ports next to one another.
+const maxPortRangeTries = 50
 
-// reserveRow reserves so many ports next to one another until the test ends, and returns
+// reservePortRange reserves so many ports next to one another until the test ends, and returns
 // the first. None of them may be among those that are taken.
-func reserveRow(t testing.TB, ip string, length int, taken func(port int) bool) int {
+func reservePortRange(t testing.TB, ip string, length int, taken func(port int) bool) int {
 	t.Helper()
-	for range portTries {
-		row := tryRow(ip, length, taken)
-		for _, r := range row {
+	for range maxPortRangeTries {
+		reserved := tryPortRange(ip, length, taken)
+		for _, r := range reserved {
 			t.Cleanup(r.Release)
 		}
-		if len(row) == length {
-			return row[0].Port()
+		if len(reserved) == length {
+			return reserved[0].Port()
 		}
 	}
 	t.Fatalf("no %d free ports of %s next to one another", length, ip)
 	return 0
 }
 
-// tryRow reserves a free port and those that follow it, as far as they are free.
-func tryRow(ip string, length int, taken func(port int) bool) (row []ports.Reservation) {
-	for len(row) < length {
+// tryPortRange reserves a free port and those that follow it, as far as they are free.
+func tryPortRange(ip string, length int, taken func(port int) bool) (reserved []ports.Reservation) {
+	for len(reserved) < length {
 		port := 0
-		if len(row) > 0 {
-			port = row[len(row)-1].Port() + 1
+		if len(reserved) > 0 {
+			port = reserved[len(reserved)-1].Port() + 1
 		}
 		if port != 0 && taken(port) {
-			return row
+			return reserved
 		}
 		r, err := ports.Reserve(ip, port)
 		if err != nil {
-			return row // taken by others, or none is free: the next row is tried
+			return reserved // taken by others, or none is free: the next row is tried
 		}
-		row = append(row, r)
+		reserved = append(reserved, r)
 	}
-	return row
+	return reserved
 }
--- a/internal/testkit/ports_test.go
+++ b/internal/testkit/ports_test.go
@@ -13,7 +13,7 @@
 // A process of a test can't listen, "address already in use": its port was free when it was
 // chosen and was given to another listener before the process started, or while it was down.
 func TestReservedPortIsGivenToNobodyElse(t *testing.T) {
-	ip := loopback()
+	ip := uniqueLoopbackIP()
 	const others = 2000
 	address := reserveAddress(t, ip)
 	for range 3 { // as often as a process starts
@@ -21,10 +21,10 @@
 		require.NoError(t, err)
 		require.NoError(t, l.Close())
 	}
-	row := reserveRow(t, ip, nodePorts, func(int) bool { return false })
+	first := reservePortRange(t, ip, portsPerNode, func(int) bool { return false })
 	reserved := []string{address}
-	for i := range nodePorts {
-		reserved = append(reserved, net.JoinHostPort(ip, strconv.Itoa(row+i)))
+	for i := range portsPerNode {
+		reserved = append(reserved, net.JoinHostPort(ip, strconv.Itoa(first+i)))
 	}
 	for range others {
 		l, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
@@ -40,12 +40,12 @@
 }
 
 // Rows of ports overlap, and two nodes of a cluster get the same port.
-func TestRowsOfPortsDoNotOverlap(t *testing.T) {
-	ip := loopback()
+func TestPortRangesDoNotOverlap(t *testing.T) {
+	ip := uniqueLoopbackIP()
 	var ports []int
 	for range 200 {
-		first := reserveRow(t, ip, nodePorts, func(port int) bool { return slices.Contains(ports, port) })
-		for i := range nodePorts {
+		first := reservePortRange(t, ip, portsPerNode, func(port int) bool { return slices.Contains(ports, port) })
+		for i := range portsPerNode {
 			assert.NotContains(t, ports, first+i)
 			ports = append(ports, first+i)
 		}
--- a/internal/testkit/process.go
+++ b/internal/testkit/process.go
@@ -18,36 +18,36 @@
 // Bounds of waiting. They only keep a broken run from hanging: tests assert on
 // events, never on how long these took.
 const (
-	waitLimit = 60 * time.Second
-	waitPoll  = 5 * time.Millisecond
-	// tailBytes is how much of a process's log a failed test shows.
-	tailBytes = 6 << 10
+	waitTimeout  = 60 * time.Second
+	pollInterval = 5 * time.Millisecond
+	// logTailBytes is how much of a process's log a failed test shows.
+	logTailBytes = 6 << 10
 )
 
-// logsVariable names a directory that keeps the processes' logs after the test.
-const logsVariable = "TESTKIT_LOGS"
+// logDirVariable names a directory that keeps the processes' logs after the test.
+const logDirVariable = "TESTKIT_LOGS"
 
 // Process is one of the system's processes. It is safe for concurrent use.
 type Process struct {
-	Name string
-	t    testing.TB
-	path string
-	args []string
-	log  string // file that takes its output over all its runs
-
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	ended chan struct{} // closed when the present run has ended
-	err   error         // of the run that ended
-	asked bool          // the present run was told to end
+	Name    string
+	t       testing.TB
+	path    string
+	args    []string
+	logFile string // file that takes its output over all its runs
+
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	exited        chan struct{} // closed when the present run has ended
+	exitErr       error         // of the run that ended
+	exitRequested bool          // the present run was told to end
 }
 
 func newProcess(t testing.TB, dir, name, path string, args ...string) *Process {
-	if keep := os.Getenv(logsVariable); keep != "" {
-		dir = keep
+	if logDir := os.Getenv(logDirVariable); logDir != "" {
+		dir = logDir
 	}
-	p := &Process{Name: name, t: t, path: path, args: args, log: filepath.Join(dir, name+".log")}
-	t.Cleanup(p.finish)
+	p := &Process{Name: name, t: t, path: path, args: args, logFile: filepath.Join(dir, name+".log")}
+	t.Cleanup(p.stopAndCheck)
 	return p
 }
 
@@ -56,7 +56,7 @@
 	p.t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	file, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -70,12 +70,12 @@
 		p.t.Fatal(err)
 	}
 	ended := make(chan struct{})
-	p.cmd, p.ended, p.asked, p.err = cmd, ended, false, nil
+	p.cmd, p.exited, p.exitRequested, p.exitErr = cmd, ended, false, nil
 	go func() {
 		err := cmd.Wait()
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.err = err
+		p.exitErr = err
 		close(ended)
 	}()
 }
@@ -88,7 +88,7 @@
 		return false
 	}
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return false
 	default:
 		return true
@@ -109,7 +109,7 @@
 // Kill ends the process at once, as the loss of its VM does.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGKILL, true)
-	<-p.done()
+	<-p.exitedChannel()
 }
 
 // Pause stops the process without its knowing, Resume lets it go on.
@@ -125,74 +125,74 @@
 func (p *Process) Wait() error {
 	p.t.Helper()
 	select {
-	case <-p.done():
-	case <-time.After(waitLimit):
-		p.t.Fatalf("%s did not end within %s", p.Name, waitLimit)
+	case <-p.exitedChannel():
+	case <-time.After(waitTimeout):
+		p.t.Fatalf("%s did not end within %s", p.Name, waitTimeout)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.err
+	return p.exitErr
 }
 
 // Log returns what the process has written.
 func (p *Process) Log() string {
-	text, _ := os.ReadFile(p.log) // a process that never ran has no file
+	text, _ := os.ReadFile(p.logFile) // a process that never ran has no file
 	return string(text)
 }
 
-func (p *Process) done() <-chan struct{} {
+func (p *Process) exitedChannel() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ended
+	return p.exited
 }
 
-func (p *Process) signal(s syscall.Signal, ends bool) {
+func (p *Process) signal(s syscall.Signal, requestsExit bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return
 	}
-	p.asked = p.asked || ends
+	p.exitRequested = p.exitRequested || requestsExit
 	if err := p.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		p.t.Errorf("%s: %v", p.Name, err)
 	}
 }
 
-// finish ends the process and fails the test if it had ended by itself, as after
+// stopAndCheck ends the process and fails the test if it had ended by itself, as after
 // a broken invariant, or had a data race.
-func (p *Process) finish() {
+func (p *Process) stopAndCheck() {
 	p.mu.Lock()
-	started, asked, ended := p.cmd != nil, p.asked, p.ended
+	started, exitRequested, exited := p.cmd != nil, p.exitRequested, p.exited
 	p.mu.Unlock()
 	if !started {
 		return
 	}
 	select {
-	case <-ended:
-		if !asked {
-			p.t.Errorf("%s ended by itself: %v", p.Name, p.err)
+	case <-exited:
+		if !exitRequested {
+			p.t.Errorf("%s ended by itself: %v", p.Name, p.exitErr)
 		}
 	default:
 		p.Kill()
 	}
 	text := p.Log()
-	for _, bad := range []string{"DATA RACE", "panic:", "fatal error:"} {
-		if strings.Contains(text, bad) {
-			p.t.Errorf("%s: %q in its log", p.Name, bad)
+	for _, marker := range []string{"DATA RACE", "panic:", "fatal error:"} {
+		if strings.Contains(text, marker) {
+			p.t.Errorf("%s: %q in its log", p.Name, marker)
 		}
 	}
 	if p.t.Failed() {
-		p.keepLog(text)
+		p.saveLog(text)
 		p.t.Logf("--- end of the log of %s\n%s", p.Name, tail([]byte(text)))
 	}
 }
 
-// keptLogs names a directory that gets the whole logs of processes of tests that fail, in
+// failedLogDirVariable names a directory that gets the whole logs of processes of tests that fail, in
 // place of their ends alone.
-const keptLogs = "YUCCADRIFT_KEPT_LOGS"
+const failedLogDirVariable = "YUCCADRIFT_KEPT_LOGS"
 
-func (p *Process) keepLog(text string) {
-	dir := os.Getenv(keptLogs)
+func (p *Process) saveLog(text string) {
+	dir := os.Getenv(failedLogDirVariable)
 	if dir == "" {
 		return
 	}
@@ -206,21 +206,21 @@
 }
 
 func tail(text []byte) []byte {
-	if len(text) <= tailBytes {
+	if len(text) <= logTailBytes {
 		return text
 	}
-	text = text[len(text)-tailBytes:]
+	text = text[len(text)-logTailBytes:]
 	return text[bytes.IndexByte(text, '\n')+1:]
 }
 
 // until waits for a condition that another process brings about.
-func until(t testing.TB, what string, holds func() bool) {
+func until(t testing.TB, description string, condition func() bool) {
 	t.Helper()
-	limit := time.Now().Add(waitLimit)
-	for !holds() {
-		if time.Now().After(limit) {
-			t.Fatalf("not within %s: %s", waitLimit, what)
+	deadline := time.Now().Add(waitTimeout)
+	for !condition() {
+		if time.Now().After(deadline) {
+			t.Fatalf("not within %s: %s", waitTimeout, description)
 		}
-		time.Sleep(waitPoll)
+		time.Sleep(pollInterval)
 	}
 }
--- a/internal/testkit/socket.go
+++ b/internal/testkit/socket.go
@@ -29,10 +29,10 @@
 	receiveBuffer = 4096
 )
 
-// socketOf returns how /proc/PID/fd names the far socket of an accepted local
+// remoteSocket returns how /proc/PID/fd names the far socket of an accepted local
 // connection, or "". The kernel is asked for just that one: /proc/net/tcp lists
 // every socket of the machine, which takes longer than a dial may.
-func socketOf(conn net.Conn) string {
+func remoteSocket(conn net.Conn) string {
 	source, err1 := netip.ParseAddrPort(conn.RemoteAddr().String())
 	target, err2 := netip.ParseAddrPort(conn.LocalAddr().String())
 	if err1 != nil || err2 != nil {
@@ -69,8 +69,8 @@
 	return m
 }
 
-// holds reports whether the process has the socket open.
-func (p *Process) holds(socket string) bool {
+// hasOpen reports whether the process has the socket open.
+func (p *Process) hasOpen(socket string) bool {
 	if !p.Running() {
 		return false
 	}
