--- a/internal/testkit/standin.go
+++ b/internal/testkit/standin.go
@@ -31,13 +31,13 @@
 	c.t.Helper()
 	address := reserveAddress(c.t, c.ip)
 	file := filepath.Join(c.dir, "standin.toml")
-	c.write(file, Settings{"listen": quote(address), "fleet": c.fleet()}, c.opts.Standin)
-	process := newProcess(c.t, c.dir, "standin", binary(c.t, binStandin), "--config", file)
-	client := platform.NewClient(address, platform.ClientOptions{Timeout: waitLimit})
+	c.writeSettings(file, Settings{"listen": quote(address), "fleet": c.fleet()}, c.opts.Standin)
+	process := newProcess(c.t, c.dir, "standin", binaryPath(c.t, binStandin), "--config", file)
+	client := platform.NewClient(address, platform.ClientOptions{Timeout: waitTimeout})
 	c.t.Cleanup(client.Close)
 	c.Standin = &Standin{Process: process, Client: client, t: c.t, address: address}
 	process.Start()
-	until(c.t, "the stand-in answers", func() bool { return answers("http://" + address + "/control/") })
+	until(c.t, "the stand-in answers", func() bool { return respondsOK("http://" + address + "/control/") })
 	c.linkBackends()
 }
 
@@ -54,14 +54,14 @@
 
 // linkBackends puts a Link before backend servers and has the list show it.
 func (c *Cluster) linkBackends() {
-	linked := func(vm string) bool {
+	isLinked := func(vm string) bool {
 		return c.opts.BackendLinks || slices.ContainsFunc(c.opts.Fleet, func(g Group) bool {
 			return g.Linked && strings.HasPrefix(vm, g.Prefix+"-")
 		})
 	}
 	order := standin.AdvertiseOrder{Addresses: map[string]string{}}
 	for _, vm := range c.Standin.List().VMs {
-		if !linked(vm.ID) {
+		if !isLinked(vm.ID) {
 			continue
 		}
 		link := newLink(c.t, vm.ID, c.ip, vm.Address)
@@ -81,16 +81,16 @@
 	return list
 }
 
-// Order orders faults and returns their IDs.
-func (s *Standin) Order(faults ...standin.Fault) []string {
+// InjectFaults orders faults and returns their IDs.
+func (s *Standin) InjectFaults(faults ...standin.Fault) []string {
 	s.t.Helper()
 	var reply standin.FaultReply
 	s.post("faults", standin.FaultOrder{Order: faults}, &reply)
 	return reply.IDs
 }
 
-// Clear ends the faults with these IDs, or all when there is none.
-func (s *Standin) Clear(ids ...string) {
+// ClearFaults ends the faults with these IDs, or all when there is none.
+func (s *Standin) ClearFaults(ids ...string) {
 	s.t.Helper()
 	s.post("faults", standin.FaultOrder{Clear: ids, ClearAll: len(ids) == 0}, nil)
 }
@@ -101,8 +101,8 @@
 	return s.counters(url.Values{standin.QueryAllKeys: {"1"}})
 }
 
-// Key returns the counters of one key.
-func (s *Standin) Key(key string) standin.KeyCounters {
+// KeyCounters returns the counters of one key.
+func (s *Standin) KeyCounters(key string) standin.KeyCounters {
 	s.t.Helper()
 	return s.counters(url.Values{standin.QueryKey: {key}}).Backends.Keys[key]
 }
@@ -114,18 +114,18 @@
 	return c
 }
 
-func (s *Standin) post(page string, in, out any) {
+func (s *Standin) post(path string, in, out any) {
 	s.t.Helper()
 	body, err := json.Marshal(in)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.call(http.MethodPost, page, bytes.NewReader(body), out)
+	s.call(http.MethodPost, path, bytes.NewReader(body), out)
 }
 
-func (s *Standin) call(method, page string, body io.Reader, out any) {
+func (s *Standin) call(method, path string, body io.Reader, out any) {
 	s.t.Helper()
-	req, err := http.NewRequest(method, "http://"+s.address+"/control/"+page, body)
+	req, err := http.NewRequest(method, "http://"+s.address+"/control/"+path, body)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 	defer res.Body.Close()
 	text, err := io.ReadAll(res.Body)
 	if err != nil || res.StatusCode != http.StatusOK {
-		s.t.Fatalf("stand-in: %s %s: %s %s %v", method, page, res.Status, text, err)
+		s.t.Fatalf("stand-in: %s %s: %s %s %v", method, path, res.Status, text, err)
 	}
 	if out == nil {
 		return
@@ -149,18 +149,18 @@
 // Entries returns what the platform's log holds of the records' stream.
 func (s *Standin) Entries() []platform.Entry {
 	s.t.Helper()
-	return s.Stream(settings.DefaultStream)
+	return s.StreamEntries(settings.DefaultStream)
 }
 
-// Stream returns what the platform's log holds of a stream, from its first
+// StreamEntries returns what the platform's log holds of a stream, from its first
 // retained entry on.
-func (s *Standin) Stream(name string) []platform.Entry {
+func (s *Standin) StreamEntries(name string) []platform.Entry {
 	s.t.Helper()
-	const most = 1000
+	const limit = 1000
 	var entries []platform.Entry
 	from := platform.Offset(1)
 	for {
-		batch, err := s.Client.Read(s.t.Context(), name, from, most, 0)
+		batch, err := s.Client.Read(s.t.Context(), name, from, limit, 0)
 		if err != nil && batch.First > from {
 			from = batch.First
 			continue
