--- a/internal/proof/owner_bench_test.go
+++ b/internal/proof/owner_bench_test.go
@@ -17,10 +17,10 @@
 	"github.com/yuccadrift/yuccadrift/platform/standin"
 )
 
-// BenchmarkOwnerStarts measures the processor time that a node needs for each start
-// when it owns a service at its peak: quick jobs of eight tasks on 24
-// workers, some 480 starts a second. Run it with -benchtime 1x. With the environment
-// variable OWNER_PROFILE a processor profile of the node is written to that file.
+// BenchmarkOwnerStarts measures the processor time that a node uses per task start when it owns a
+// service at peak load: quick jobs of eight tasks on 24 workers, some 480 starts a second. Run it
+// with -benchtime 1x. If the environment variable OWNER_PROFILE names a file, a CPU profile of the
+// node is written to it.
 func BenchmarkOwnerStarts(b *testing.B) {
 	const (
 		jobsPerS     = 60
@@ -53,7 +53,8 @@
 	}
 }
 
-// startProfile writes a processor profile of a node to the file that is asked for.
+// startProfile takes a CPU profile of a node for duration and writes it to the file named by
+// OWNER_PROFILE. The returned channel gets the error, nil at once if the variable is not set.
 func startProfile(b *testing.B, address string, duration time.Duration) <-chan error {
 	done := make(chan error, 1)
 	file := os.Getenv("OWNER_PROFILE")
@@ -77,7 +78,7 @@
 	return done
 }
 
-// processorTime is what a process has used, by /proc.
+// processorTime returns the processor time that a process has used, read from /proc.
 func processorTime(b *testing.B, pid int) time.Duration {
 	const ticksPerS = 100
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
--- a/internal/proof/platformjobs_test.go
+++ b/internal/proof/platformjobs_test.go
@@ -15,7 +15,7 @@
 	"github.com/yuccadrift/yuccadrift/platform/standin"
 )
 
-// smallPlatform is a small platform: two services and a spare pool.
+// smallPlatform returns the options of a platform with two services and a spare pool.
 func smallPlatform() standin.Options {
 	return standin.Options{
 		Services:   []string{"booking", "returns", "spare"},
@@ -26,7 +26,8 @@
 	}
 }
 
-// submitJobs submits jobs of two steps to both services.
+// submitJobs submits n jobs of two steps, alternately to both services, and returns the
+// service of each.
 func submitJobs(c *testkit.JobCluster, n int, taskDuration time.Duration) map[workload.JobID]string {
 	jobs := map[workload.JobID]string{}
 	for i := range n {
@@ -44,9 +45,9 @@
 	}
 }
 
-// Callers submit jobs at all nodes while a wave of maintenance takes every VM
-// away once. Each job is completed, nothing runs twice, no task is cut, at most
-// two VMs are away at once, and the wave is said to be completed.
+// Jobs are submitted to all nodes while a maintenance wave takes every VM away once. Each job
+// must complete, no task may run twice or be interrupted, at most two VMs may be away at once,
+// and the wave must be published as completed.
 func TestJobsRunThroughAWave(t *testing.T) {
 	t.Parallel()
 	c := testkit.StartJobs(t, smallPlatform(), 3)
@@ -65,10 +66,9 @@
 	assert.Equal(t, len(jobs)*5, c.Platform.DoneTasks())
 }
 
-// Callers of one service see jobs wait while a job of another caller crashes each worker
-// that starts its task, with all that the worker runs: connections break, and are refused
-// until the worker is back under another ID. That job is shown as failed after few
-// crashes, with the reason in the log; all others are completed.
+// A job crashes each worker that starts its task, and with the worker all its other tasks.
+// Connections to the worker break and are refused until it returns under another ID. The job
+// must fail after two or three crashes, with a log entry; all other jobs must complete.
 func TestJobThatCrashesItsWorkersFails(t *testing.T) {
 	t.Parallel()
 	c := testkit.StartJobs(t, smallPlatform(), 2)
@@ -87,8 +87,8 @@
 	assert.Contains(t, c.Nodes[0].Log()+c.Nodes[1].Log(), `"@message":"given-up"`)
 }
 
-// Nodes are killed one after the other while jobs run, each after the one before
-// is back. Others take over what it owned; each job is completed once.
+// Nodes are killed one after another while jobs run, each after the previous one is ready again.
+// Other nodes must take over the partitions of a killed node, and each job must complete once.
 func TestOwnersKilledWhileJobsRun(t *testing.T) {
 	t.Parallel()
 	c := testkit.StartJobs(t, smallPlatform(), 3)
@@ -108,8 +108,8 @@
 	assert.Empty(t, c.Platform.Violations())
 }
 
-// All nodes are killed at once right after jobs were taken. What was taken is
-// known to the processes that follow, and is finished.
+// All nodes are killed at once right after they accepted jobs. The restarted processes must know
+// these jobs and complete them.
 func TestAllNodesKilledAtOnce(t *testing.T) {
 	t.Parallel()
 	c := testkit.StartJobs(t, smallPlatform(), 3)
@@ -125,8 +125,8 @@
 	assert.Empty(t, c.Platform.Violations())
 }
 
-// A node is told to stop while it answers callers and owns jobs. Its callers get
-// their answers, the process ends by itself with no error, and the jobs go on.
+// A node gets SIGTERM while it serves callers and owns jobs. Its callers must get their answers,
+// the process must exit without an error, and the jobs must complete.
 func TestNodeShutsDownGracefully(t *testing.T) {
 	t.Parallel()
 	c := testkit.StartJobs(t, smallPlatform(), 2)
@@ -142,9 +142,9 @@
 	assert.Contains(t, c.Nodes[0].Log(), `"@message":"stopped"`)
 }
 
-// A node that is told to stop is told to read its settings again while it still
-// answers a caller. It ends in good order all the same: the caller gets its answer,
-// where the signal's default action would end the process at once.
+// A node that is shutting down gets SIGHUP while a call is still in progress. The default action
+// of the signal would end the process at once; instead the caller must get its answer and the
+// process must exit without an error.
 func TestHangupWhileANodeStops(t *testing.T) {
 	t.Parallel()
 	c := testkit.StartJobs(t, smallPlatform(), 1)
@@ -165,8 +165,8 @@
 	require.NoError(t, n.Wait())
 }
 
-// A caller that got no answer asks again at another node with the same ID. It is
-// one job, whose tasks run once.
+// A caller submits a job with the same ID to two nodes, as after a lost answer. Both calls must
+// succeed and the tasks must run once.
 func TestSameIDAtTwoNodes(t *testing.T) {
 	t.Parallel()
 	c := testkit.StartJobs(t, smallPlatform(), 2)
@@ -188,9 +188,9 @@
 	assert.Empty(t, c.Platform.Violations())
 }
 
-// The store does nothing for a while, first saying so and then without an
-// answer. Callers are refused at once and told when to come back, and what was
-// refused never runs. Jobs that were taken before go on meanwhile.
+// The store carries out no calls for a while: first it answers 503, then it doesn't answer.
+// Callers must be refused with 503, a refused job must never run, and jobs that were accepted
+// before must continue.
 func TestRefusedJobsNeverRunWhileTheStoreIsUnavailable(t *testing.T) {
 	t.Parallel()
 	c := testkit.StartJobs(t, smallPlatform(), 2)
@@ -221,9 +221,9 @@
 	assert.Empty(t, c.Platform.Violations())
 }
 
-// The store carries writes out and its answers are lost. The caller is told that
-// its job may have been taken, not that it was not; it asks again with the same
-// ID, and the job runs once.
+// The store carries writes out but its answers are lost. The caller must get 504, because the job
+// may have been accepted, and not a refusal. When it retries with the same ID, the job must run
+// once.
 func TestLostAnswersOfTheStoreAreNoRefusals(t *testing.T) {
 	t.Parallel()
 	c := testkit.StartJobs(t, smallPlatform(), 2)
@@ -241,9 +241,9 @@
 	assert.Empty(t, c.Platform.Violations())
 }
 
-// Workers carry starts out two seconds late and give no answer, then others lose
-// all answers, and one is cut off and runs on. Every job is completed, and no
-// task runs in two places.
+// One worker carries starts out two seconds late without answering, the next one loses all its
+// answers, and the third is unreachable while its tasks run on. Every job must complete, and no
+// task may run on two workers.
 func TestWorkersThatAnswerLateOrNever(t *testing.T) {
 	t.Parallel()
 	c := testkit.StartJobs(t, smallPlatform(), 2)
@@ -264,7 +264,7 @@
 	assert.Empty(t, c.Platform.Violations())
 }
 
-// A lasting job runs until it is cancelled, also when a worker under it crashes.
+// A long-running job must run until it is cancelled, also when one of its workers crashes.
 func TestLongRunningJobRunsUntilItIsCancelled(t *testing.T) {
 	t.Parallel()
 	c := testkit.StartJobs(t, smallPlatform(), 2)
@@ -279,7 +279,7 @@
 			break
 		}
 	}
-	c.Until("one task is away", func() bool { return c.Platform.RunningTasksOf(id) < 3 })
+	c.Until("one task is lost", func() bool { return c.Platform.RunningTasksOf(id) < 3 })
 	c.Until("all tasks run again", func() bool { return c.Platform.RunningTasksOf(id) == 3 })
 	status, _ := c.Call(c.Nodes[1], http.MethodDelete, standin.Prefix("booking")+string(id), "")
 	assert.Equal(t, http.StatusOK, status)
@@ -288,8 +288,8 @@
 	assert.Empty(t, c.Platform.Violations())
 }
 
-// What callers and operators get wrong gets a clear answer, changes nothing, and
-// leaves the last good state in force.
+// Invalid calls and an invalid configuration must get an answer or log entry that names the
+// error. The last valid configuration must stay in force.
 func TestBadInputIsRefusedClearly(t *testing.T) {
 	t.Parallel()
 	c := testkit.StartJobs(t, smallPlatform(), 1)
--- a/internal/proof/soak_faults_test.go
+++ b/internal/proof/soak_faults_test.go
@@ -14,8 +14,8 @@
 	"github.com/yuccadrift/yuccadrift/platform/standin"
 )
 
-// injectFault draws a fault and begins it; it ends by itself after a while. What
-// suffers one already is left alone, other things suffer at the same time.
+// injectFault begins a random fault, which ends after a random time. A target that already has a
+// fault is skipped; faults of different targets overlap.
 func (s *soak) injectFault() {
 	n := s.cluster.Nodes[s.faultRand.IntN(len(s.cluster.Nodes))]
 	vms := s.cluster.Platform.VMs()
@@ -27,22 +27,22 @@
 	case 1:
 		s.applyFault(n.Name, "paused", duration, n.Pause, n.Resume)
 	case 2:
-		s.applyFault(n.Name, "told to stop", 0, n.Terminate, func() { s.awaitExitAndStart(n) })
+		s.applyFault(n.Name, "terminated", 0, n.Terminate, func() { s.awaitExitAndStart(n) })
 	case 3:
-		s.applyFault(n.Name+" settings", "hung up", 0, n.Hangup, func() {})
+		s.applyFault(n.Name+" settings", "sent SIGHUP", 0, n.Hangup, func() {})
 	case 4:
 		s.injectLinkFault(n.Name+" store", n.Store, duration)
 	case 5:
 		s.injectLinkFault(n.Name+" VMs", n.VMService, duration)
 	case 6:
 		fault := []standin.StoreFault{standin.Busy, standin.Silent, standin.LoseWriteAnswers}[s.faultRand.IntN(3)]
-		s.applyFault("store", "away or loses answers", duration,
+		s.applyFault("store", "unavailable or loses answers", duration,
 			func() { s.cluster.Platform.Store.SetFault(fault, "") },
 			func() { s.cluster.Platform.Store.SetFault(standin.NoStoreFault, "") })
 	case 7:
 		if worker := vm.Worker; worker != nil {
 			fault := []standin.WorkerFault{standin.LoseAnswers, standin.Unreachable, standin.DelayStarts}[s.faultRand.IntN(3)]
-			s.applyFault(worker.Info.ID, "cut off or late", duration,
+			s.applyFault(worker.Info.ID, "unreachable or late", duration,
 				func() { worker.SetFault(fault) },
 				func() { worker.SetFault(standin.NoWorkerFault) })
 		}
@@ -56,7 +56,7 @@
 	}
 }
 
-// restartWorker has a worker's process end and come back under its ID.
+// restartWorker kills the process of a random worker and starts a new one under the same ID.
 func (s *soak) restartWorker(rng *rand.Rand) {
 	vms := s.cluster.Platform.VMs()
 	vm := vms[rng.IntN(len(vms))]
@@ -64,7 +64,8 @@
 	s.applyFault(vm.ID, "worker restarts under its ID", downtime, func() { s.cluster.Platform.Restart(vm, downtime) }, func() {})
 }
 
-// applyFault has something suffer a fault for a while.
+// applyFault begins a fault of a target and ends it after duration. It does nothing if the target
+// already has a fault.
 func (s *soak) applyFault(target, fault string, duration time.Duration, begin, end func()) {
 	s.mu.Lock()
 	alreadyFaulty := s.faulty[target]
@@ -84,31 +85,32 @@
 	})
 }
 
-// isolateNode cuts a node off from the store, and the path of later owners to half of the
-// workers: its own successor is one of them.
+// isolateNode cuts a random node off from the store and makes about half of the workers
+// unreachable for later owners, the successor of that node among them.
 func (s *soak) isolateNode(rng *rand.Rand) {
 	n := s.cluster.Nodes[rng.IntN(len(s.cluster.Nodes))]
 	duration := time.Second + time.Duration(rng.Int64N(int64(5*time.Second)))
-	s.applyFault(n.Name+" store", "held", duration, n.Store.Blackhole, n.Store.Heal)
+	s.applyFault(n.Name+" store", "blackholed", duration, n.Store.Blackhole, n.Store.Heal)
 	for _, vm := range s.cluster.Platform.VMs() {
 		worker := vm.Worker
 		if worker == nil || rng.IntN(2) == 0 {
 			continue
 		}
-		s.applyFault(worker.Info.ID, "cut off from later owners", duration+2*time.Second,
+		s.applyFault(worker.Info.ID, "unreachable for later owners", duration+2*time.Second,
 			func() { worker.SetFault(standin.KnownOwnersOnly) },
 			func() { worker.SetFault(standin.NoWorkerFault) })
 	}
 }
 
+// awaitExitAndStart waits until a terminated node exits and starts it again.
 func (s *soak) awaitExitAndStart(n *testkit.JobNode) {
 	if err := n.Wait(); err != nil {
-		s.t.Errorf("%s ended with an error after it was told to stop: %v", n.Name, err)
+		s.t.Errorf("%s exited with an error after SIGTERM: %v", n.Name, err)
 	}
 	n.Start()
 }
 
-// injectLinkFault draws a fault of a link.
+// injectLinkFault begins a random fault of a link.
 func (s *soak) injectLinkFault(target string, l *testkit.Link, duration time.Duration) {
 	delay := s.randomDuration(20*time.Millisecond, 400*time.Millisecond)
 	faults := []struct {
@@ -116,7 +118,7 @@
 		begin func()
 	}{
 		{"cut", l.Cut},
-		{"held", l.Blackhole},
+		{"blackholed", l.Blackhole},
 		{"without replies", l.BlackholeReplies},
 		{"slow", func() { l.Delay(delay, delay/2) }},
 	}
@@ -124,19 +126,20 @@
 	s.applyFault(target, f.name, duration, f.begin, l.Heal)
 }
 
-// awaitJobsSettled waits until all that was taken is finished.
+// awaitJobsSettled waits until all accepted jobs are in their expected state and the wave is
+// completed.
 func (s *soak) awaitJobsSettled() {
 	s.cluster.AwaitReady()
 	for _, j := range s.jobs {
 		switch {
 		case j.acceptedAt.IsZero():
 		case j.cancelSent:
-			s.cluster.Until("cancel of job "+string(j.id)+" is answered", func() bool { return s.cancel(j, s.cluster.Nodes[0]) })
-			s.cluster.Until("nothing runs of cancelled job "+string(j.id), func() bool { return s.cluster.Platform.RunningTasksOf(j.id) == 0 })
+			s.cluster.Until("cancel of job "+string(j.id)+" is confirmed", func() bool { return s.cancel(j, s.cluster.Nodes[0]) })
+			s.cluster.Until("no task of cancelled job "+string(j.id)+" runs", func() bool { return s.cluster.Platform.RunningTasksOf(j.id) == 0 })
 		case j.crashesWorkers:
 			s.cluster.AwaitState(j.service, j.id, workload.Failed)
 		case j.longRunning:
-			s.cluster.Until("all of lasting job "+string(j.id)+" runs", func() bool { return s.cluster.Platform.RunningTasksOf(j.id) == j.tasks })
+			s.cluster.Until("all tasks of long-running job "+string(j.id)+" run", func() bool { return s.cluster.Platform.RunningTasksOf(j.id) == j.tasks })
 		default:
 			s.cluster.AwaitState(j.service, j.id, workload.Completed)
 		}
@@ -144,7 +147,8 @@
 	s.cluster.Until("the wave is completed", func() bool { return s.cluster.Platform.IsWaveCompleted(1) })
 }
 
-// checkJobs checks what can be told at the end.
+// checkJobs checks the jobs' final states on all nodes, that no refused job ran, and that no
+// violation was recorded.
 func (s *soak) checkJobs() {
 	accepted, refused := 0, 0
 	for _, j := range s.jobs {
@@ -161,7 +165,7 @@
 			assert.Zero(s.t, s.cluster.Platform.DoneTasksOf(j.id), "job %s was refused", j.id)
 		}
 	}
-	s.t.Logf("seed %d: %d jobs taken, %d refused, %d tasks done", s.seed, accepted, refused, s.cluster.Platform.DoneTasks())
+	s.t.Logf("seed %d: %d jobs accepted, %d refused, %d tasks done", s.seed, accepted, refused, s.cluster.Platform.DoneTasks())
 	require.NotZero(s.t, accepted)
 	assert.Empty(s.t, s.violations)
 	assert.Empty(s.t, s.cluster.Platform.Violations())
--- a/internal/proof/soak_test.go
+++ b/internal/proof/soak_test.go
@@ -17,40 +17,40 @@
 	"github.com/yuccadrift/yuccadrift/platform/standin"
 )
 
-// Sizes of a soak.
+// Parameters of a soak run.
 const (
 	soakNodes         = 3
 	soakCallers       = 3
-	soakFaultDuration = 8 * time.Second // with faults
-	// soakVisibilityDelay is how long after it was taken a job may be unknown to a node.
+	soakFaultDuration = 8 * time.Second // how long faults are injected
+	// soakVisibilityDelay is how long a node may not know a job after another node accepted it.
 	soakVisibilityDelay = 3 * time.Second
-	// soakJobsPerCrashJob is of how many jobs one crashes its workers; there are six of them.
+	// One job in soakJobsPerCrashJob crashes its workers. The two services have six workers.
 	soakJobsPerCrashJob = 60
-	// soakParallelism is how many seeds are played at once.
+	// soakParallelism is the number of seeds that run at once.
 	soakParallelism = 4
 )
 
-// soakSeed is a seed that each run of the tests plays, and the failure that it has shown and
-// guards against.
+// soakSeed is a seed and the failure that it once revealed.
 type soakSeed struct {
 	seed          uint64
 	guardsAgainst string
 }
 
+// soakSeeds are the seeds that TestSoak runs by default.
 var soakSeeds = []soakSeed{
-	{1, "the mixture of faults; it has shown none"},
+	{1, "the mixture of faults; it has revealed no failure"},
 	{2, "SIGHUP ends a node that is stopping"},
-	{108, "a VM is ordered while its worker runs tasks: on an old word, on a worker that is not listed yet, on one that has ended"},
-	{352, "an owner inherits runs of a cancelled job and lets them go on"},
-	{5002, "a VM is ordered whose worker was forgotten; an owner that was paused shows an old state"},
-	{5019, "lasting tasks are away for long beside jobs that crash workers"},
-	{5046, "the same, with other faults"},
-	{7001, "a job that crashes workers runs on"},
-	{9302, "the stand-in's workers answer after their end"},
+	{108, "a VM is ordered away while its worker runs tasks: on a stale report, with a worker that is not listed yet, with one that has exited"},
+	{352, "a new owner lets the runs of a cancelled job continue"},
+	{5002, "a VM is ordered away although its worker is no longer tracked; an owner that was paused reports a stale state"},
+	{5019, "long-running tasks are down for long while other jobs crash workers"},
+	{5046, "the same as seed 5019, with other faults"},
+	{7001, "a job that crashes workers is never failed"},
+	{9302, "the stand-in's workers answer after they have exited"},
 }
 
-// seedsToRun returns the seeds to play. YUCCADRIFT_SOAK_SEEDS=N plays N seeds that
-// begin at YUCCADRIFT_SOAK_FIRST.
+// seedsToRun returns soakSeeds, or with YUCCADRIFT_SOAK_SEEDS=N the N seeds from
+// YUCCADRIFT_SOAK_FIRST on.
 func seedsToRun(t *testing.T) []soakSeed {
 	text := os.Getenv("YUCCADRIFT_SOAK_SEEDS")
 	if text == "" {
@@ -65,20 +65,22 @@
 	}
 	var seeds []soakSeed
 	for i := range n {
-		seeds = append(seeds, soakSeed{first + i, "what nobody has seen yet"})
+		seeds = append(seeds, soakSeed{first + i, "unknown failures"})
 	}
 	return seeds
 }
 
-// TestSoak plays random faults against nodes as processes, in series and at once:
-// kills, pauses, planned stops, hang-ups, links to the store and to the service
-// for VMs that are cut, held, slow or one-way, a store that is away, loses answers
-// or drops its history, workers that crash, by themselves or by a job, are cut off or answer late, owners
-// that reach workers which their successors don't; all that
-// through a wave of maintenance and changes of the configuration. Callers see each
-// job that was taken be known and be completed, or failed if it crashes workers, none
-// that was refused run, and
-// none shown as completed before all its tasks were; workers see no task twice.
+// TestSoak injects random faults, one after another and at once, during a maintenance wave and
+// configuration changes:
+//   - nodes are killed, paused, terminated and sent SIGHUP;
+//   - links to the store and to the VM service are cut, blackholed, slow or one-way;
+//   - the store is unavailable, loses answers or drops its history;
+//   - workers crash, by themselves or through a job, are unreachable or answer late;
+//   - owners reach workers that their successors can't reach.
+//
+// Each accepted job must stay known and complete, or fail if it crashes workers. No refused job
+// may run, no job may be reported as completed before all its tasks are done, and no task may run
+// twice.
 func TestSoak(t *testing.T) {
 	running := make(chan struct{}, soakParallelism)
 	for _, seed := range seedsToRun(t) {
@@ -101,8 +103,8 @@
 	}
 	require.NoError(t, s.cluster.Platform.PublishWave(1, vms, 20*time.Second, 2))
 	stop := make(chan struct{})
-	// Restarts of workers, and owners that are cut off, are drawn by themselves, so that the other choices of a seed stay
-	// as they are.
+	// Worker restarts and isolated nodes have generators of their own, so that they don't change
+	// the other choices of a seed.
 	restartRand := rand.New(rand.NewPCG(seed, 200))
 	isolationRand := rand.New(rand.NewPCG(seed, 300))
 	var callers sync.WaitGroup
@@ -126,7 +128,7 @@
 	s.checkJobs()
 }
 
-// soakJob is a job as its caller knows it.
+// soakJob is a job and what its caller knows about it.
 type soakJob struct {
 	id          workload.JobID
 	service     string
@@ -134,23 +136,24 @@
 	longRunning bool
 
 	mu               sync.Mutex
-	crashesWorkers   bool // its task crashes each worker that starts it
-	possiblyAccepted bool // a call got no answer, or one that leaves open whether it was taken
+	crashesWorkers   bool // its task crashes each worker that starts the task
+	possiblyAccepted bool // a submission got no answer, or one that leaves open whether the job was accepted
 	acceptedAt       time.Time
-	cancelSent       bool // a cancel was sent; whether it was taken is another matter
-	shownCompleted   bool // was shown so
+	cancelSent       bool // a cancel was sent; it may not have been accepted
+	shownCompleted   bool // a node reported the job as completed
 }
 
+// soak is one run of TestSoak with one seed.
 type soak struct {
 	t            *testing.T
 	cluster      *testkit.JobCluster
 	seed         uint64
-	faultRand    *rand.Rand // of the faults
+	faultRand    *rand.Rand
 	startedAt    time.Time
 	activeFaults sync.WaitGroup
 
 	mu         sync.Mutex
-	faulty     map[string]bool // what suffers a fault now
+	faulty     map[string]bool // targets with an active fault
 	jobs       []*soakJob
 	violations []string
 }
@@ -159,18 +162,18 @@
 	return low + time.Duration(s.faultRand.Int64N(int64(high-low)))
 }
 
-// recordViolation notes what a caller must not see.
+// recordViolation records an answer about j that no caller may get.
 func (s *soak) recordViolation(j *soakJob, what string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.violations = append(s.violations, fmt.Sprintf("%.2fs job %s: %s", time.Since(s.startedAt).Seconds(), j.id, what))
 }
 
-// runCaller is one caller: it submits jobs, asks for their states and cancels some.
+// runCaller submits jobs, checks their states and cancels some until stop is closed.
 func (s *soak) runCaller(rng *rand.Rand, caller uint64, stop chan struct{}) {
 	var ownJobs []*soakJob
-	// Jobs that crash workers are drawn by themselves, so that the other choices of a
-	// seed stay as they are.
+	// Jobs that crash workers have a generator of their own, so that they don't change the other
+	// choices of a seed.
 	crashRand := rand.New(rand.NewPCG(s.seed, 100+caller))
 	for n := uint64(1); ; n++ {
 		select {
@@ -194,7 +197,7 @@
 	}
 }
 
-// submit tries nodes until one takes the job, or gives it up after some refusals.
+// submit submits the job to random nodes until one accepts it, at most six times.
 func (s *soak) submit(j *soakJob, rng *rand.Rand) {
 	spec := testkit.Chain(time.Duration(20+rng.IntN(300))*time.Millisecond, 1+rng.IntN(4), 1+rng.IntN(3))
 	if rng.IntN(12) == 0 {
@@ -229,7 +232,8 @@
 	}
 }
 
-// checkState asks a node for a job's state and checks the answer.
+// checkState gets a job's state from a node and records an answer that contradicts what the
+// caller knows.
 func (s *soak) checkState(j *soakJob, n *testkit.JobNode) {
 	askedAt := time.Now()
 	status, body := s.cluster.Call(n, http.MethodGet, standin.Prefix(j.service)+string(j.id), "")
@@ -238,25 +242,25 @@
 	mustBeKnown := !j.acceptedAt.IsZero() && askedAt.Sub(j.acceptedAt) > soakVisibilityDelay
 	switch {
 	case status == http.StatusGone && mustBeKnown && !j.cancelSent:
-		s.recordViolation(j, "is not known to "+n.Name+" though it was taken")
+		s.recordViolation(j, "is unknown to "+n.Name+" although it was accepted")
 	case status != http.StatusOK:
 	case body == stateBody(workload.Completed):
 		j.shownCompleted = true
 		if done := s.cluster.Platform.DoneTasksOf(j.id); done < j.tasks {
-			s.recordViolation(j, fmt.Sprintf("is shown as completed by %s with %d of %d tasks done", n.Name, done, j.tasks))
+			s.recordViolation(j, fmt.Sprintf("is reported as completed by %s with %d of %d tasks done", n.Name, done, j.tasks))
 		}
 	case j.shownCompleted && !j.cancelSent:
-		s.recordViolation(j, "was completed and is now "+body)
+		s.recordViolation(j, "was reported as completed and is now "+body)
 	case body == stateBody(workload.Failed) && j.crashesWorkers:
 	case body == stateBody(workload.Cancelled) && !j.cancelSent, body == stateBody(workload.Failed):
-		s.recordViolation(j, "has ended without cause: "+body)
+		s.recordViolation(j, "has ended without a reason: "+body)
 	}
 }
 
 func stateBody(state workload.JobState) string { return `{"state":"` + string(state) + `"}` }
 
-// cancel cancels a job and tells whether that was answered. The caller repeats a
-// cancel without an answer, as its job may run on.
+// cancel cancels a job and reports whether the node confirmed it. Without a confirmation the job
+// may still run, so the caller must retry.
 func (s *soak) cancel(j *soakJob, n *testkit.JobNode) bool {
 	j.mu.Lock()
 	j.cancelSent = true
--- a/internal/proof/twoowners_test.go
+++ b/internal/proof/twoowners_test.go
@@ -13,8 +13,9 @@
 	"github.com/yuccadrift/yuccadrift/platform/standin"
 )
 
-// Guards against a task that two owners of a partition keep running at once: the earlier one
-// has lost the store and reaches a worker that its successor doesn't.
+// Guards against a task that runs on two workers, each kept running by another owner of the
+// partition: the earlier owner has lost the store but reaches a worker that its successor can't
+// reach.
 func TestOwnerWithoutTheStoreKeepsNoTaskOfItsSuccessor(t *testing.T) {
 	t.Parallel()
 	c := testkit.StartLinkedJobs(t, smallPlatform(), 3)
@@ -41,7 +42,7 @@
 	assert.Empty(t, c.Platform.Violations())
 }
 
-// isolateOwner cuts the node that owns a service's jobs off from the store, and returns it.
+// isolateOwner cuts the node that owns a service's jobs off from the store and returns the node.
 func isolateOwner(c *testkit.JobCluster, service string) (owner *testkit.JobNode) {
 	leaseHolder := func() string {
 		return c.Platform.Store.Holder(joblog.JobsTopic, joblog.PartitionOf(service, smallPlatform().Partitions))
@@ -60,7 +61,7 @@
 		if leaseHolder() == name {
 			return true
 		}
-		owner.Store.Heal() // the partition has just passed on
+		owner.Store.Heal() // the partition has just been handed over
 		return false
 	})
 	return owner
