--- a/internal/proof/soak_faults_test.go
+++ b/internal/proof/soak_faults_test.go
@@ -27,7 +27,7 @@
 	case 1:
 		s.applyFault(n.Name, "paused", duration, n.Pause, n.Resume)
 	case 2:
-		s.applyFault(n.Name, "terminated", 0, n.Terminate, func() { s.awaitExitAndStart(n) })
+		s.applyFault(n.Name, "sent SIGTERM", 0, n.Terminate, func() { s.awaitExitAndStart(n) })
 	case 3:
 		s.applyFault(n.Name+" settings", "sent SIGHUP", 0, n.Hangup, func() {})
 	case 4:
@@ -90,7 +90,7 @@
 func (s *soak) isolateNode(rng *rand.Rand) {
 	n := s.cluster.Nodes[rng.IntN(len(s.cluster.Nodes))]
 	duration := time.Second + time.Duration(rng.Int64N(int64(5*time.Second)))
-	s.applyFault(n.Name+" store", "blackholed", duration, n.Store.Blackhole, n.Store.Heal)
+	s.applyFault(n.Name+" store", "held", duration, n.Store.Blackhole, n.Store.Heal)
 	for _, vm := range s.cluster.Platform.VMs() {
 		worker := vm.Worker
 		if worker == nil || rng.IntN(2) == 0 {
@@ -118,7 +118,7 @@
 		begin func()
 	}{
 		{"cut", l.Cut},
-		{"blackholed", l.Blackhole},
+		{"held", l.Blackhole},
 		{"without replies", l.BlackholeReplies},
 		{"slow", func() { l.Delay(delay, delay/2) }},
 	}
@@ -135,11 +135,11 @@
 		case j.acceptedAt.IsZero():
 		case j.cancelSent:
 			s.cluster.Until("cancel of job "+string(j.id)+" is confirmed", func() bool { return s.cancel(j, s.cluster.Nodes[0]) })
-			s.cluster.Until("no task of cancelled job "+string(j.id)+" runs", func() bool { return s.cluster.Platform.RunningTasksOf(j.id) == 0 })
+			s.cluster.Until("no task runs of cancelled job "+string(j.id), func() bool { return s.cluster.Platform.RunningTasksOf(j.id) == 0 })
 		case j.crashesWorkers:
 			s.cluster.AwaitState(j.service, j.id, workload.Failed)
 		case j.longRunning:
-			s.cluster.Until("all tasks of long-running job "+string(j.id)+" run", func() bool { return s.cluster.Platform.RunningTasksOf(j.id) == j.tasks })
+			s.cluster.Until("every task of long-running job "+string(j.id)+" runs", func() bool { return s.cluster.Platform.RunningTasksOf(j.id) == j.tasks })
 		default:
 			s.cluster.AwaitState(j.service, j.id, workload.Completed)
 		}
--- a/internal/testkit/build.go
+++ b/internal/testkit/build.go
@@ -1,10 +1,9 @@
-// Package testkit runs the system's real processes for tests: the stand-in of
-// the platform, entry VMs' daemons and the command line, with fault-injecting
-// proxies between them.
+// Package testkit runs the system's real processes for tests: nodes, the stand-in of the platform,
+// the daemons of entry VMs and the command line, with fault-injecting proxies between them.
 //
-// Every cluster lives on a loopback IP of its own, so that the ports of two test
-// processes on one machine, and those of outgoing connections, do not meet.
-// Everything that was started is ended when the test ends.
+// Every cluster has its own loopback IP, so that its ports don't collide with those of other test
+// processes on the machine or with the ports of outgoing connections. All processes are stopped
+// when the test ends.
 package testkit
 
 import (
@@ -25,22 +24,22 @@
 	binCLI     = "yuccadrift"
 )
 
-// built holds the binaries of this test process.
+// built holds the directory of the binaries that this test process has built, or the build's error.
 var built struct {
 	sync.Once
 	dir string
 	err error
 }
 
-// Main runs a package's tests and removes the binaries that they had built. Use
-// it as: func TestMain(m *testing.M) { os.Exit(testkit.Main(m)) }.
+// Main runs a package's tests, removes the binaries that were built for them and returns the exit
+// code. Use it as: func TestMain(m *testing.M) { os.Exit(testkit.Main(m)) }.
 func Main(m *testing.M) int {
 	defer func() { _ = os.RemoveAll(built.dir) }()
 	return m.Run()
 }
 
-// binaryPath returns the path of a binary. All are built once per test process, with
-// the race detector if the test has it.
+// binaryPath returns the path of a binary. All binaries are built once per test process, with the
+// race detector if the test uses it.
 func binaryPath(t testing.TB, name string) string {
 	t.Helper()
 	built.Do(func() { built.dir, built.err = buildBinaries() })
@@ -71,7 +70,7 @@
 	return dir, nil
 }
 
-// Root returns the directory of the module.
+// Root returns the root directory of the module.
 func Root() (string, error) {
 	dir, err := os.Getwd()
 	if err != nil {
@@ -89,7 +88,7 @@
 	}
 }
 
-// Example returns the text of an example document, such as "ramcharan/booking".
+// Example returns the text of an example document by its name, such as "ramcharan/booking".
 func Example(t testing.TB, name string) string {
 	t.Helper()
 	root, err := Root()
--- a/internal/testkit/gate.go
+++ b/internal/testkit/gate.go
@@ -6,9 +6,9 @@
 	"sync"
 )
 
-// peerProxy stands before a daemon's peer address. It finds out which VM dials and
-// leads the connection over a Link of just these two VMs: a partition cuts pairs
-// of VMs, and all that dial one address would else share one proxy.
+// peerProxy is a proxy in front of a daemon's peer address. It finds out which VM dials and forwards
+// the connection over a Link that only these two VMs use. With one proxy for all VMs that dial the
+// address, a partition could not cut single pairs of VMs.
 type peerProxy struct {
 	cluster  *Cluster
 	process  *Process
@@ -20,7 +20,7 @@
 	conns map[net.Conn]bool
 }
 
-// newPeerProxy binds the gate's address; open lets connections in.
+// newPeerProxy binds the proxy's address; serve starts to accept connections.
 func newPeerProxy(c *Cluster, process *Process, upstream string) *peerProxy {
 	c.t.Helper()
 	listener, err := net.Listen("tcp", c.ip+":0")
@@ -32,12 +32,12 @@
 	return g
 }
 
-// serve must come after the cluster's VMs are known.
+// serve accepts connections in the background. It must be called after Cluster.Nodes is complete.
 func (g *peerProxy) serve() { go g.acceptLoop() }
 
 func (g *peerProxy) address() string { return g.listener.Addr().String() }
 
-// linkFrom returns the link of connections from a VM.
+// linkFrom returns the link for connections from a VM.
 func (g *peerProxy) linkFrom(n *Node) *Link {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -67,8 +67,8 @@
 	}
 }
 
-// forward passes a connection on. One of an unknown process, as of the test, goes
-// straight through.
+// forward forwards a connection. A connection from any other process, as of the test itself, goes
+// to the upstream without a link.
 func (g *peerProxy) forward(conn net.Conn) {
 	if !g.process.Running() {
 		_ = conn.Close()
@@ -86,7 +86,7 @@
 	defer g.closeAndUntrack(conn, upstream)
 	ended := make(chan struct{}, 2)
 	pass := func(to, from net.Conn) {
-		_, _ = io.Copy(to, from) // ends with either connection
+		_, _ = io.Copy(to, from) // ends when either connection is closed
 		ended <- struct{}{}
 	}
 	go pass(upstream, conn)
@@ -125,8 +125,8 @@
 	g.conns = nil
 }
 
-// dialingNode returns the VM whose process holds the far end of an accepted
-// connection, nil for any other process.
+// dialingNode returns the VM whose process has opened the remote end of an accepted connection, nil
+// for any other process.
 func (c *Cluster) dialingNode(conn net.Conn) *Node {
 	socket := remoteSocket(conn)
 	if socket == "" {
@@ -140,9 +140,9 @@
 	return nil
 }
 
-// Partition lets only the VMs of the same group reach each other's daemons, in
-// both directions. Connections stand and pass no byte. VMs in no group are left
-// alone. The ways to the platform and to backend servers are not touched.
+// Partition blackholes the links between daemons of VMs in different groups, in both directions.
+// Connections stay open but forward no byte. VMs in no group, and the links to the platform and to
+// backend servers, are not affected.
 func (c *Cluster) Partition(groups ...[]*Node) {
 	for i, group := range groups {
 		for _, n := range group {
--- a/internal/testkit/gate_test.go
+++ b/internal/testkit/gate_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two VMs dial the same peer address. A partition cuts off the one and leaves the
-// other alone, and a connection that stood before passes nothing either.
+// Two VMs dial the same peer address. A partition of one of them must not affect the other, and
+// must also stop the connections that exist already.
 func TestPartitionCutsOnlyOneDialerOfAnAddress(t *testing.T) {
 	c := &Cluster{t: t, ip: uniqueLoopbackIP()}
 	upstream, err := net.Listen("tcp", c.ip+":0")
@@ -33,12 +33,12 @@
 	bash, err := exec.LookPath("bash")
 	require.NoError(t, err)
 	idle := newProcess(t, t.TempDir(), "target", bash, "-c", "sleep 600")
-	idle.Start() // stands for the daemon behind the gate
+	idle.Start() // stands for the daemon behind the proxy
 	target := &Node{Name: "target", entryPeerProxy: newPeerProxy(c, idle, upstream.Addr().String())}
 	target.stewardPeerProxy = target.entryPeerProxy
 	host, port, err := net.SplitHostPort(target.entryPeerProxy.address())
 	require.NoError(t, err)
-	// A shell stands for a daemon that dials: it says its name again and again.
+	// A shell stands for a daemon that dials: it sends its name repeatedly.
 	var nodes []*Node
 	for _, name := range []string{"one", "two"} {
 		script := "exec 3<>/dev/tcp/" + host + "/" + port + "; while echo " + name + " >&3; do sleep 0.01; done"
@@ -56,7 +56,7 @@
 	for len(lines) > 0 {
 		<-lines
 	}
-	<-lines // may have been on its way
+	<-lines // may have been in transit
 	for range 20 {
 		require.Equal(t, "two", <-lines)
 	}
--- a/internal/testkit/jobs.go
+++ b/internal/testkit/jobs.go
@@ -19,15 +19,16 @@
 	"github.com/yuccadrift/yuccadrift/platform/standin"
 )
 
-// callerTimeout is how long callers of tests wait for an answer.
+// callerTimeout is the timeout that test callers send with their calls.
 const callerTimeout = 3 * time.Second
 
 const binNode = "yuccadrift-node"
 
-// settingsFlag names the settings file to a node's process.
+// settingsFlag is a node's flag for its settings file.
 const settingsFlag = "--config"
 
-// JobCluster is a stand-in of the users' platform with nodes as processes.
+// JobCluster is a stand-in of the users' platform, inside the test's process, with nodes that are
+// processes of their own.
 type JobCluster struct {
 	Platform *standin.Platform
 	Nodes    []*JobNode
@@ -41,20 +42,19 @@
 type JobNode struct {
 	*Process
 	callerURL, readyURL string
-	// Metrics is the address of the node's metrics and profiles.
+	// Metrics is the address that serves the node's metrics and profiles.
 	Metrics string
-	// Store and VMs are the node's links to the platform; nil without links.
+	// Store and VMService are the node's links to the platform, nil in a cluster without links.
 	Store, VMService *Link
 }
 
-// StartJobs starts a stand-in and so many nodes, and waits until they are ready.
+// StartJobs starts a stand-in and the given number of nodes, and waits until the nodes are ready.
 func StartJobs(t testing.TB, o standin.Options, nodes int) *JobCluster {
 	t.Helper()
 	return startJobs(t, o, nodes, false)
 }
 
-// StartLinkedJobs is StartJobs with a link of its own between each node and the
-// platform.
+// StartLinkedJobs is like StartJobs, but each node reaches the platform through links of its own.
 func StartLinkedJobs(t testing.TB, o standin.Options, nodes int) *JobCluster {
 	t.Helper()
 	return startJobs(t, o, nodes, true)
@@ -85,7 +85,7 @@
 	return c
 }
 
-// ports of a node, next to one another.
+// portsPerNode is the number of consecutive ports of a node.
 const portsPerNode = 4
 
 func nodeName(i int) string { return "node-" + strconv.Itoa(i) }
@@ -95,7 +95,7 @@
 	n.VMService = newLink(c.t, nodeName(i)+"-vms", ip, c.Platform.VMsAddress())
 }
 
-// configure gives a node its ports and settings file.
+// configure assigns ports to a node, writes its settings file and creates its process.
 func (c *JobCluster) configure(n *JobNode, dir, ip string, i, firstPort int) {
 	settings := standin.NodeSettings{
 		Name: nodeName(i), Zone: "zone-" + strconv.Itoa(i%2), IP: ip,
@@ -114,8 +114,8 @@
 	n.Process = newProcess(c.t, dir, settings.Name, binaryPath(c.t, binNode), settingsFlag, file)
 }
 
-// reserveNodePorts reserves, for each node, ports next to one another, and returns the
-// first of each.
+// reserveNodePorts reserves a range of portsPerNode consecutive ports for each node and returns
+// the first port of each range.
 func reserveNodePorts(t testing.TB, ip string, nodes int) (firstPorts []int) {
 	t.Helper()
 	usedByNode := func(port int) bool {
@@ -127,7 +127,7 @@
 	return firstPorts
 }
 
-// AwaitReady waits until all nodes that run are ready.
+// AwaitReady waits until all running nodes are ready.
 func (c *JobCluster) AwaitReady() {
 	c.t.Helper()
 	for _, n := range c.Nodes {
@@ -137,7 +137,7 @@
 	}
 }
 
-// Until waits for a condition.
+// Until waits until condition returns true and fails the test after waitTimeout.
 func (c *JobCluster) Until(description string, condition func() bool) {
 	c.t.Helper()
 	until(c.t, description, condition)
@@ -149,7 +149,7 @@
 	return workload.JobID(fmt.Sprintf("%016x", c.nextID))
 }
 
-// Body is the body of a job, as callers send it.
+// Body returns the body with which callers submit a job.
 func Body(t testing.TB, spec workload.Spec) string {
 	t.Helper()
 	data, err := platform.EncodeJob(spec)
@@ -159,8 +159,8 @@
 	return string(data)
 }
 
-// Chain is a job of steps that follow one another, each with so many tasks that
-// take a time.
+// Chain returns a job whose steps run one after another. Step i has tasksPerStep[i] tasks, and
+// each task takes taskDuration.
 func Chain(taskDuration time.Duration, tasksPerStep ...int) workload.Spec {
 	spec := workload.Spec{Payload: standin.Payload(taskDuration)}
 	for i, n := range tasksPerStep {
@@ -173,7 +173,8 @@
 	return spec
 }
 
-// Call sends one call to a node and returns the status, 0 without an answer.
+// Call sends one call to a node and returns the status and the body. Without an answer the status
+// is 0 and the body is the error.
 func (c *JobCluster) Call(n *JobNode, method, path, body string) (int, string) {
 	ctx, cancel := context.WithTimeout(c.t.Context(), 4*time.Second)
 	defer cancel()
@@ -195,13 +196,12 @@
 	return resp.StatusCode, string(data)
 }
 
-// Submit submits a job until a node takes it: a caller tries other nodes with the
-// same ID after anything but an answer that it was taken.
+// Submit submits a job to one node after another, with the same ID, until a node accepts it.
 func (c *JobCluster) Submit(service string, id workload.JobID, spec workload.Spec) {
 	c.t.Helper()
 	body := Body(c.t, spec)
 	attempts := 0
-	c.Until("job "+string(id)+" is taken", func() bool {
+	c.Until("job "+string(id)+" is accepted", func() bool {
 		attempts++
 		n := c.Nodes[(c.nextID+attempts)%len(c.Nodes)]
 		status, _ := c.Call(n, http.MethodPost, standin.Prefix(service)+string(id), body)
@@ -209,7 +209,7 @@
 	})
 }
 
-// State asks nodes for a job's state until one tells it.
+// State returns a job's state from the first running node that reports it, "" if none does.
 func (c *JobCluster) State(service string, id workload.JobID) string {
 	for _, n := range c.Nodes {
 		if !n.Running() {
@@ -222,7 +222,7 @@
 	return ""
 }
 
-// AwaitState waits until a job has a state.
+// AwaitState waits until a job is reported in a state.
 func (c *JobCluster) AwaitState(service string, id workload.JobID, state workload.JobState) {
 	c.t.Helper()
 	want := `{"state":"` + string(state) + `"}`
--- a/internal/testkit/link.go
+++ b/internal/testkit/link.go
@@ -21,7 +21,7 @@
 
 var proxyServer = toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
 
-// newLink listens on a port of ip and passes everything on to upstream.
+// newLink listens on a port of ip and forwards connections to upstream until the test ends.
 func newLink(t testing.TB, name, ip, upstream string) *Link {
 	t.Helper()
 	l := &Link{t: t, proxy: toxiproxy.NewProxy(proxyServer, name, ip+":0", upstream)}
@@ -32,33 +32,33 @@
 	return l
 }
 
-// Address returns what to dial in place of the upstream.
+// Address returns the address to dial instead of the upstream.
 func (l *Link) Address() string { return l.proxy.Listen }
 
-// Cut closes all connections and refuses new ones: the other side is gone.
+// Cut closes all connections and refuses new ones, as if the upstream had exited.
 func (l *Link) Cut() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.proxy.Stop()
 }
 
-// Blackhole lets connections stand and dials succeed, and passes no byte: a
-// partition, in which neither side learns that the other is out of reach.
+// Blackhole keeps connections open and accepts new ones but forwards no byte: a partition in which
+// neither side notices that the other is unreachable.
 func (l *Link) Blackhole() {
 	l.addToxic("timeout", "upstream", `{"timeout":0}`)
 	l.addToxic("timeout", "downstream", `{"timeout":0}`)
 }
 
-// BlackholeReplies lets requests through and no reply back. A close by the far
-// side still shows.
+// BlackholeReplies forwards requests but no replies. The client still sees when the upstream
+// closes a connection.
 func (l *Link) BlackholeReplies() { l.addToxic("timeout", "downstream", `{"timeout":0}`) }
 
-// Delay holds back every byte of the replies for d, give or take jitter.
+// Delay delays the replies by d, plus or minus jitter.
 func (l *Link) Delay(d, jitter time.Duration) {
 	l.addToxic("latency", "downstream", fmt.Sprintf(`{"latency":%d,"jitter":%d}`, d.Milliseconds(), jitter.Milliseconds()))
 }
 
-// CutAfter closes each connection once bytes of replies went through it.
+// CutAfter closes each connection once it has forwarded the given number of reply bytes.
 func (l *Link) CutAfter(bytes int64) {
 	l.addToxic("limit_data", "downstream", fmt.Sprintf(`{"bytes":%d}`, bytes))
 }
@@ -73,8 +73,8 @@
 	}
 }
 
-// Heal ends every fault of the link. Connections that were cut or held stay
-// broken; new ones pass.
+// Heal ends all faults of the link. Connections that were cut or blackholed stay broken; new
+// connections work.
 func (l *Link) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testkit/link_test.go
+++ b/internal/testkit/link_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each fault of a link shows at the client as what it stands for, and Heal lets
-// new connections pass again.
+// Each fault of a link must cause the error at the client that it stands for, and after Heal new
+// connections must work.
 func TestLinkFaults(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "0123456789")
--- a/internal/testkit/logline.go
+++ b/internal/testkit/logline.go
@@ -8,24 +8,24 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-// FaultyLog is a process's way to the log of a stand-in in the test's own process.
-// It can be cut, and led to another log. A read that waits goes on.
+// FaultyLog is a platform.Log that forwards calls to another log in the test's process. It can be
+// cut off or redirected. A read that is already waiting is not affected.
 type FaultyLog struct {
 	target atomic.Pointer[platform.Log]
 	cut    atomic.Bool
 }
 
-// NewFaultyLog returns a line to a log.
+// NewFaultyLog returns a FaultyLog that forwards calls to log.
 func NewFaultyLog(log platform.Log) *FaultyLog {
 	l := &FaultyLog{}
 	l.Redirect(log)
 	return l
 }
 
-// Redirect leads the line to another log.
+// Redirect forwards later calls to log.
 func (l *FaultyLog) Redirect(log platform.Log) { l.target.Store(&log) }
 
-// Cut cuts the line or mends it.
+// Cut makes later calls fail with platform.ErrUnavailable, or ends that if cut is false.
 func (l *FaultyLog) Cut(cut bool) { l.cut.Store(cut) }
 
 // Append implements platform.Log.
--- a/internal/testkit/ports.go
+++ b/internal/testkit/ports.go
@@ -19,17 +19,17 @@
 	return r.Port()
 }
 
-// reserveAddress is reservePort for an address as text.
+// reserveAddress reserves a free port until the test ends and returns it as ip:port.
 func reserveAddress(t testing.TB, ip string) string {
 	t.Helper()
 	return net.JoinHostPort(ip, strconv.Itoa(reservePort(t, ip)))
 }
 
-// maxPortRangeTries bounds the search for ports next to one another.
+// maxPortRangeTries bounds the search for a range of free ports.
 const maxPortRangeTries = 50
 
-// reservePortRange reserves so many ports next to one another until the test ends, and returns
-// the first. None of them may be among those that are taken.
+// reservePortRange reserves length consecutive ports until the test ends and returns the first one.
+// It uses no port for which taken returns true.
 func reservePortRange(t testing.TB, ip string, length int, taken func(port int) bool) int {
 	t.Helper()
 	for range maxPortRangeTries {
@@ -41,11 +41,12 @@
 			return reserved[0].Port()
 		}
 	}
-	t.Fatalf("no %d free ports of %s next to one another", length, ip)
+	t.Fatalf("no %d consecutive free ports of %s", length, ip)
 	return 0
 }
 
-// tryPortRange reserves a free port and those that follow it, as far as they are free.
+// tryPortRange reserves a free port and the ports that follow it, up to length ports or the first
+// one that is in use.
 func tryPortRange(ip string, length int, taken func(port int) bool) (reserved []ports.Reservation) {
 	for len(reserved) < length {
 		port := 0
@@ -57,7 +58,7 @@
 		}
 		r, err := ports.Reserve(ip, port)
 		if err != nil {
-			return reserved // taken by others, or none is free: the next row is tried
+			return reserved // in use, or no port is free: the caller tries the next range
 		}
 		reserved = append(reserved, r)
 	}
--- a/internal/testkit/ports_test.go
+++ b/internal/testkit/ports_test.go
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process of a test can't listen, "address already in use": its port was free when it was
-// chosen and was given to another listener before the process started, or while it was down.
+// Guards against a process that can't listen, "address already in use": its port was free when it
+// was chosen but was given to another listener before the process started, or while it was down.
 func TestReservedPortIsGivenToNobodyElse(t *testing.T) {
 	ip := uniqueLoopbackIP()
 	const others = 2000
 	address := reserveAddress(t, ip)
-	for range 3 { // as often as a process starts
+	for range 3 { // a process may be restarted
 		l, err := net.Listen("tcp", address)
 		require.NoError(t, err)
 		require.NoError(t, l.Close())
@@ -39,7 +39,7 @@
 	}
 }
 
-// Rows of ports overlap, and two nodes of a cluster get the same port.
+// Guards against overlapping port ranges, with which two nodes of a cluster get the same port.
 func TestPortRangesDoNotOverlap(t *testing.T) {
 	ip := uniqueLoopbackIP()
 	var ports []int
--- a/internal/testkit/process.go
+++ b/internal/testkit/process.go
@@ -15,16 +15,17 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of waiting. They only keep a broken run from hanging: tests assert on
-// events, never on how long these took.
+// Bounds of waiting. They only keep a failed run from hanging: tests assert that events happen,
+// not how long the events take.
 const (
 	waitTimeout  = 60 * time.Second
 	pollInterval = 5 * time.Millisecond
-	// logTailBytes is how much of a process's log a failed test shows.
+	// logTailBytes is how much of each process's log a failed test prints.
 	logTailBytes = 6 << 10
 )
 
-// logDirVariable names a directory that keeps the processes' logs after the test.
+// logDirVariable is the environment variable that names a directory for the processes' logs. The
+// logs there remain after the test.
 const logDirVariable = "TESTKIT_LOGS"
 
 // Process is one of the system's processes. It is safe for concurrent use.
@@ -33,13 +34,13 @@
 	t       testing.TB
 	path    string
 	args    []string
-	logFile string // file that takes its output over all its runs
+	logFile string // file that the output of all its runs is appended to
 
 	mu            sync.Mutex
 	cmd           *exec.Cmd
-	exited        chan struct{} // closed when the present run has ended
-	exitErr       error         // of the run that ended
-	exitRequested bool          // the present run was told to end
+	exited        chan struct{} // closed when the current run has exited
+	exitErr       error         // error of the run that exited
+	exitRequested bool          // the current run was sent SIGTERM or SIGKILL
 }
 
 func newProcess(t testing.TB, dir, name, path string, args ...string) *Process {
@@ -51,7 +52,7 @@
 	return p
 }
 
-// Start starts the process, also again after it has ended.
+// Start starts the process. After an exit it may be started again.
 func (p *Process) Start() {
 	p.t.Helper()
 	p.mu.Lock()
@@ -63,8 +64,7 @@
 	defer file.Close()
 	cmd := exec.Command(p.path, p.args...)
 	cmd.Stdout, cmd.Stderr = file, file
-	// A test that runs into its time limit skips its cleanups: the kernel then
-	// ends what it started.
+	// A test that exceeds its time limit skips its cleanups. The kernel then kills the process.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		p.t.Fatal(err)
@@ -80,7 +80,7 @@
 	}()
 }
 
-// Running reports whether the process has been started and has not ended.
+// Running reports whether the process has been started and has not exited.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,48 +95,47 @@
 	}
 }
 
-// PID returns the id of the latest run.
+// PID returns the process ID of the latest run.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process.Pid
 }
 
-// Terminate asks the process to leave, as an operator's SIGTERM does; Wait waits
-// until it has.
+// Terminate sends SIGTERM. Use Wait to wait for the exit.
 func (p *Process) Terminate() { p.signal(syscall.SIGTERM, true) }
 
-// Kill ends the process at once, as the loss of its VM does.
+// Kill sends SIGKILL, which stands for the loss of the VM, and waits for the exit.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGKILL, true)
 	<-p.exitedChannel()
 }
 
-// Pause stops the process without its knowing, Resume lets it go on.
+// Pause stops the process with SIGSTOP, which it can't notice, until Resume.
 func (p *Process) Pause() { p.signal(syscall.SIGSTOP, false) }
 
-// Resume lets a paused process go on.
+// Resume continues a paused process.
 func (p *Process) Resume() { p.signal(syscall.SIGCONT, false) }
 
-// Hangup has the process read its settings again.
+// Hangup sends SIGHUP, on which the process reloads its settings.
 func (p *Process) Hangup() { p.signal(syscall.SIGHUP, false) }
 
-// Wait waits until the process has ended; its error tells a bad exit code.
+// Wait waits until the process exits. It returns an error if the exit code is not 0.
 func (p *Process) Wait() error {
 	p.t.Helper()
 	select {
 	case <-p.exitedChannel():
 	case <-time.After(waitTimeout):
-		p.t.Fatalf("%s did not end within %s", p.Name, waitTimeout)
+		p.t.Fatalf("%s did not exit within %s", p.Name, waitTimeout)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.exitErr
 }
 
-// Log returns what the process has written.
+// Log returns the output of all runs of the process.
 func (p *Process) Log() string {
-	text, _ := os.ReadFile(p.logFile) // a process that never ran has no file
+	text, _ := os.ReadFile(p.logFile) // a process that was never started has no file
 	return string(text)
 }
 
@@ -158,8 +157,8 @@
 	}
 }
 
-// stopAndCheck ends the process and fails the test if it had ended by itself, as after
-// a broken invariant, or had a data race.
+// stopAndCheck kills the process. It fails the test if the process had exited without a request,
+// as after a violated invariant, or if its log shows a data race, panic or fatal error.
 func (p *Process) stopAndCheck() {
 	p.mu.Lock()
 	started, exitRequested, exited := p.cmd != nil, p.exitRequested, p.exited
@@ -170,7 +169,7 @@
 	select {
 	case <-exited:
 		if !exitRequested {
-			p.t.Errorf("%s ended by itself: %v", p.Name, p.exitErr)
+			p.t.Errorf("%s exited without a request: %v", p.Name, p.exitErr)
 		}
 	default:
 		p.Kill()
@@ -187,8 +186,8 @@
 	}
 }
 
-// failedLogDirVariable names a directory that gets the whole logs of processes of tests that fail, in
-// place of their ends alone.
+// failedLogDirVariable is the environment variable that names a directory for the complete logs of
+// the processes of failed tests. Without it only the end of each log is printed.
 const failedLogDirVariable = "YUCCADRIFT_KEPT_LOGS"
 
 func (p *Process) saveLog(text string) {
@@ -199,10 +198,10 @@
 	name := strings.NewReplacer("/", "_", "#", "_").Replace(p.t.Name())
 	file := filepath.Join(dir, fmt.Sprintf("%s-%d-%s.log", name, os.Getpid(), p.Name))
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-		p.t.Logf("log of %s can't be kept: %v", p.Name, err)
+		p.t.Logf("can't save the log of %s: %v", p.Name, err)
 		return
 	}
-	p.t.Logf("whole log of %s: %s", p.Name, file)
+	p.t.Logf("complete log of %s: %s", p.Name, file)
 }
 
 func tail(text []byte) []byte {
@@ -213,13 +212,13 @@
 	return text[bytes.IndexByte(text, '\n')+1:]
 }
 
-// until waits for a condition that another process brings about.
+// until polls condition until it returns true and fails the test after waitTimeout.
 func until(t testing.TB, description string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %s: %s", waitTimeout, description)
+			t.Fatalf("condition not met within %s: %s", waitTimeout, description)
 		}
 		time.Sleep(pollInterval)
 	}
--- a/internal/testkit/socket.go
+++ b/internal/testkit/socket.go
@@ -10,7 +10,7 @@
 	"syscall"
 )
 
-// Layout of the kernel's messages about one socket: sock_diag(7).
+// Layout of sock_diag(7) messages about one socket, in bytes.
 const (
 	diagByFamily  = 20
 	headerBytes   = 16
@@ -29,9 +29,9 @@
 	receiveBuffer = 4096
 )
 
-// remoteSocket returns how /proc/PID/fd names the far socket of an accepted local
-// connection, or "". The kernel is asked for just that one: /proc/net/tcp lists
-// every socket of the machine, which takes longer than a dial may.
+// remoteSocket returns the name in /proc/PID/fd of the remote socket of an accepted local
+// connection, "" if it can't be found. It queries this one socket from the kernel, because
+// /proc/net/tcp lists every socket of the machine, which takes longer than a dial's timeout.
 func remoteSocket(conn net.Conn) string {
 	source, err1 := netip.ParseAddrPort(conn.RemoteAddr().String())
 	target, err2 := netip.ParseAddrPort(conn.LocalAddr().String())
@@ -69,13 +69,13 @@
 	return m
 }
 
-// hasOpen reports whether the process has the socket open.
+// hasOpen reports whether the process has a socket open, by its name in /proc/PID/fd.
 func (p *Process) hasOpen(socket string) bool {
 	if !p.Running() {
 		return false
 	}
 	dir := fmt.Sprintf("/proc/%d/fd", p.PID())
-	files, _ := os.ReadDir(dir) // the process may have ended
+	files, _ := os.ReadDir(dir) // the process may have exited
 	for _, f := range files {
 		if name, _ := os.Readlink(filepath.Join(dir, f.Name())); name == socket {
 			return true
