--- a/internal/testkit/caller.go
+++ b/internal/testkit/caller.go
@@ -15,25 +15,25 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// Request is a caller's request. Path begins with the service's name.
+// Request is a caller's request.
 type Request struct {
-	Method   string // POST when empty
-	Path     string
+	Method   string // POST if empty
+	Path     string // begins with / and the name of the service
 	Key      string
-	Attempt  int           // sent when not 0
-	Deadline time.Duration // sent when not 0
-	Work     time.Duration // how long the run takes
-	// ReplyBytes is the size of the answer's body.
+	Attempt  int           // not sent if 0
+	Deadline time.Duration // not sent if 0
+	Work     time.Duration // how long the backend server works on the request
+	// ReplyBytes is the size of the answer's body in bytes.
 	ReplyBytes int
 	Body       []byte
 }
 
-// Answer is what the caller got. Err tells that none came, or not all of it.
+// Answer is the answer that a caller got. Err is set if there was none or if it was incomplete.
 type Answer struct {
 	Status   int
 	Outcome  outcome.Outcome
 	Reason   outcome.Reason
-	VM       string // that ran the request
+	VM       string // VM that ran the request
 	Header   http.Header
 	Body     []byte
 	Err      error
@@ -43,10 +43,10 @@
 	wantBytes int
 }
 
-// Key returns a fresh key.
+// Key returns a new idempotency key.
 func Key() string { return ulid.Make().String() }
 
-// callerClient keeps connections as a caller's client does.
+// callerClient keeps idle connections open, as callers' clients do.
 var callerClient = &http.Client{Transport: &http.Transport{
 	MaxIdleConnsPerHost: 256,
 	IdleConnTimeout:     30 * time.Second,
@@ -62,7 +62,7 @@
 }
 
 func (n *Node) send(ctx context.Context, r Request) Answer {
-	a := Answer{wantEcho: r.Key, wantBytes: r.ReplyBytes} // a retry may get the first try's answer
+	a := Answer{wantEcho: r.Key, wantBytes: r.ReplyBytes} // a retry may get the answer of the first attempt, which echoes the key
 	if r.Key == "" {
 		a.wantEcho = ulid.Make().String()
 	}
@@ -108,17 +108,17 @@
 	h.Set(standin.HeaderReplyBytes, strconv.Itoa(r.ReplyBytes))
 }
 
-// OK reports whether the request ran and its answer came whole.
+// OK reports whether the request ran and its answer is complete.
 func (a Answer) OK() bool {
 	return a.Err == nil && a.Status == http.StatusOK && a.Outcome == outcome.Ran
 }
 
-// Problem tells what is wrong with an answer that came to its end: one that is
-// cut short and looks whole, another caller's, or one without an outcome. It is
-// empty when nothing is.
+// Problem returns what is wrong with an answer that looks complete: it has no outcome, belongs to
+// another request, or has the wrong body. It returns "" for a correct answer and for one that broke
+// off, which the caller notices.
 func (a Answer) Problem() string {
 	if a.Err != nil {
-		return "" // the caller sees that the answer broke off
+		return "" // the caller notices that the answer broke off
 	}
 	switch a.Outcome {
 	case outcome.Ran, outcome.NotRun, outcome.Unknown:
--- a/internal/testkit/cluster.go
+++ b/internal/testkit/cluster.go
@@ -15,12 +15,11 @@
 	"github.com/yuccadrift/yuccadrift/internal/operator"
 )
 
-// Settings are lines of a settings file: dotted key to TOML value, as
+// Settings maps dotted keys of a settings file to TOML values, for example
 // {"claims.lease": `"2s"`}.
 type Settings map[string]string
 
-// Group is a set of alike VMs with backend servers; see standin.Group for what
-// 0 means.
+// Group is a set of identical VMs with backend servers. See standin.Group for the defaults.
 type Group struct {
 	Prefix      string
 	Count       int
@@ -29,8 +28,8 @@
 	Cores       int
 	MemoryMB    int
 	BootSeconds float64
-	// Linked puts a Link before each backend server. One that is down then
-	// breaks connections rather than refusing them.
+	// Linked puts a Link in front of each backend server. Connections to a backend server that is
+	// down are then closed instead of refused.
 	Linked bool
 }
 
@@ -39,26 +38,26 @@
 	// Nodes holds the availability zone of each entry VM.
 	Nodes []string
 	Fleet []Group
-	// Entry, Steward and Standin override settings of the daemons.
+	// Entry, Steward and Standin override settings of the processes.
 	Entry   Settings
 	Steward Settings
 	Standin Settings
-	// BackendLinks has every group Linked.
+	// BackendLinks makes every group Linked.
 	BackendLinks bool
-	// BeforeNodes is called once the stand-in answers and before any node starts.
+	// BeforeNodes is called when the stand-in is up, before any node starts.
 	BeforeNodes func(*Standin)
-	// Direct leaves the links and gates out of all ways, for measurements: they
-	// cost more than the daemons, and no fault can be set.
+	// Direct leaves out all links and peer proxies. It is for measurements, because these use more
+	// processor time than the daemons. Faults of links can't be injected then.
 	Direct bool
-	// NoStewards leaves the stewards out; Node.Steward can be started later.
+	// NoStewards doesn't start the stewards. Node.Steward can be started later.
 	NoStewards bool
 }
 
-// Cluster is a stand-in with entry VMs.
+// Cluster is a stand-in of the platform with entry VMs.
 type Cluster struct {
 	Standin *Standin
 	Nodes   []*Node
-	// Backends holds the links before backend servers, by VM.
+	// Backends holds the links in front of backend servers by VM.
 	Backends map[string]*Link
 
 	t    testing.TB
@@ -74,7 +73,7 @@
 	// Entry and Steward are the VM's daemons.
 	Entry   *Process
 	Steward *Process
-	// EntryPlatform and StewardPlatform are the daemons' ways to the platform.
+	// EntryPlatform and StewardPlatform are the daemons' links to the platform.
 	EntryPlatform   *Link
 	StewardPlatform *Link
 
@@ -86,21 +85,22 @@
 	callerAddress    string
 }
 
-// addresses are what one daemon listens on.
+// addresses are the addresses that a daemon listens on.
 type addresses struct{ peers, admin string }
 
 // clusterCount counts the clusters of this process.
 var clusterCount atomic.Int32
 
-// uniqueLoopbackIP returns a loopback IP that no other live cluster has.
+// uniqueLoopbackIP returns a loopback IP from the process ID and clusterCount, so that clusters of
+// this and other processes don't share one.
 func uniqueLoopbackIP() string {
 	pid := os.Getpid()
 	const first, span = 64, 128
 	return fmt.Sprintf("127.%d.%d.%d", first+int(clusterCount.Add(1))%span, pid>>8&0xff, pid&0xff)
 }
 
-// Start starts the stand-in and the entry VMs and waits until all processes
-// answer. Entries are ready only once a document is in force: see AwaitReady.
+// Start starts the stand-in and the entry VMs and waits until all processes are healthy. Entries
+// become ready only when a document is in force: see AwaitReady.
 func Start(t testing.TB, opts Options) *Cluster {
 	t.Helper()
 	c := &Cluster{t: t, dir: t.TempDir(), ip: uniqueLoopbackIP(), opts: opts, Backends: map[string]*Link{}}
@@ -146,7 +146,7 @@
 	return filepath.Join(n.cluster.dir, n.Name+"-"+daemon+".toml")
 }
 
-// writeSettings writes both daemons' files.
+// writeSettings writes the settings files of both daemons.
 func (n *Node) writeSettings() {
 	entrySeeds, stewardSeeds := n.peerSeeds()
 	common := Settings{
@@ -182,7 +182,7 @@
 	n.cluster.writeSettings(n.settingsFile("steward"), common, steward, n.cluster.opts.Steward)
 }
 
-// peerSeeds returns the other nodes' peer addresses as TOML arrays.
+// peerSeeds returns the peer addresses of the other nodes' daemons as TOML arrays.
 func (n *Node) peerSeeds() (entries, stewards string) {
 	var e, s []string
 	for _, other := range n.cluster.Nodes {
@@ -201,7 +201,7 @@
 
 func quote(text string) string { return fmt.Sprintf("%q", text) }
 
-// writeSettings writes a settings file; later settings override earlier ones.
+// writeSettings writes a settings file. Later layers override earlier ones.
 func (c *Cluster) writeSettings(file string, layers ...Settings) {
 	merged := Settings{}
 	for _, layer := range layers {
@@ -216,7 +216,7 @@
 	}
 }
 
-// Kill ends both daemons at once, as the loss of the VM does.
+// Kill kills both daemons, which stands for the loss of the VM.
 func (n *Node) Kill() {
 	n.Entry.Kill()
 	n.Steward.Kill()
@@ -228,40 +228,40 @@
 	n.Steward.Start()
 }
 
-// Pause stops both daemons without their knowing.
+// Pause stops both daemons with SIGSTOP.
 func (n *Node) Pause() {
 	n.Entry.Pause()
 	n.Steward.Pause()
 }
 
-// Resume lets both daemons go on.
+// Resume continues both daemons after Pause.
 func (n *Node) Resume() {
 	n.Entry.Resume()
 	n.Steward.Resume()
 }
 
-// CutPlatform takes the VM's way to the platform, HealPlatform gives it back.
+// CutPlatform cuts the links of both daemons to the platform.
 func (n *Node) CutPlatform() {
 	n.EntryPlatform.Cut()
 	n.StewardPlatform.Cut()
 }
 
-// HealPlatform ends the faults on the VM's way to the platform.
+// HealPlatform ends the faults of the links of both daemons to the platform.
 func (n *Node) HealPlatform() {
 	n.EntryPlatform.Heal()
 	n.StewardPlatform.Heal()
 }
 
-// EntryPeerAddress returns the entry's peer address, past all links.
+// EntryPeerAddress returns the entry's own peer address, without a link.
 func (n *Node) EntryPeerAddress() string { return n.entryAddresses.peers }
 
-// StewardPeerAddress returns the steward's peer address, past all links.
+// StewardPeerAddress returns the steward's own peer address, without a link.
 func (n *Node) StewardPeerAddress() string { return n.stewardAddresses.peers }
 
-// CallerAddress returns the address at which the entry takes callers' requests.
+// CallerAddress returns the address at which the entry serves callers.
 func (n *Node) CallerAddress() string { return n.callerAddress }
 
-// AwaitReady waits until the entries take callers' requests.
+// AwaitReady waits until all entries serve callers.
 func (c *Cluster) AwaitReady() {
 	c.t.Helper()
 	for _, n := range c.Nodes {
@@ -269,17 +269,18 @@
 	}
 }
 
-// AwaitReady waits until the entry takes callers' requests.
+// AwaitReady waits until the entry serves callers.
 func (n *Node) AwaitReady() {
 	n.cluster.t.Helper()
 	until(n.cluster.t, n.Name+" is ready", n.Ready)
 }
 
-// Ready reports whether the entry says that it takes callers' requests.
+// Ready reports whether the entry is ready to serve callers, as its /readyz answers.
 func (n *Node) Ready() bool { return respondsOK("http://" + n.entryAddresses.admin + "/readyz") }
 
 func (n *Node) isHealthy(a addresses) bool { return respondsOK("http://" + a.admin + "/healthz") }
 
+// respondsOK reports whether a GET of the URL is answered with 200.
 func respondsOK(url string) bool {
 	res, err := http.Get(url)
 	if err != nil {
@@ -289,13 +290,13 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// Until waits for a condition that the processes bring about.
+// Until waits until condition returns true and fails the test after waitTimeout.
 func (c *Cluster) Until(description string, condition func() bool) {
 	c.t.Helper()
 	until(c.t, description, condition)
 }
 
-// Status returns the entry's word about itself, asked for past all links.
+// Status returns the entry's status, which is queried without a link.
 func (n *Node) Status(t testing.TB) operator.Status {
 	t.Helper()
 	client, err := operator.NewClient(n.entryAddresses.peers)
--- a/internal/testkit/command.go
+++ b/internal/testkit/command.go
@@ -11,14 +11,14 @@
 	"github.com/pkg/errors"
 )
 
-// CommandResult is what a run of the operators' command line printed.
+// CommandResult is the exit code and the output of a run of the operators' command line.
 type CommandResult struct {
 	ExitCode int
 	Stdout   string
 	Stderr   string
 }
 
-// Command runs the operators' command line against the platform, past all links.
+// Command runs the operators' command line against the platform, without a link.
 func (c *Cluster) Command(args ...string) CommandResult {
 	c.t.Helper()
 	cmd := exec.CommandContext(c.t.Context(), binaryPath(c.t, binCLI), append([]string{"--platform", c.Standin.address}, args...)...)
@@ -42,7 +42,7 @@
 	return result
 }
 
-// Publish puts documents in force and waits until every entry is ready.
+// Publish publishes documents with the command line.
 func (c *Cluster) Publish(texts ...string) {
 	c.t.Helper()
 	args := []string{"publish"}
@@ -52,7 +52,7 @@
 	c.MustCommand(args...)
 }
 
-// WriteFile writes a file into the test's directory and returns its path.
+// WriteFile writes a file in the test's directory and returns its path.
 func (c *Cluster) WriteFile(name, text string) string {
 	c.t.Helper()
 	path := filepath.Join(c.dir, name)
--- a/internal/testkit/randomcheck/randomcheck.go
+++ b/internal/testkit/randomcheck/randomcheck.go
@@ -1,5 +1,5 @@
-// Package randomcheck runs a package's tests with a fixed seed for their random
-// checks, so that a verdict is the same on every run.
+// Package randomcheck runs a package's property-based tests with a fixed seed, so that every run
+// has the same result.
 package randomcheck
 
 import (
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// Main is to be called by TestMain. It sets the seed and, unless 0, the number
-// of checks of each property; the command line's -rapid flags win over both. No
-// file is written for a failure, as the seed gives it again. Main panics when
-// the package's tests don't use rapid.
+// Main must be called by TestMain and doesn't return. It sets the seed and, unless checks is 0, the
+// number of checks per property. The command line's -rapid flags override both. rapid writes no
+// file for a failure, because the seed reproduces it. Main panics if the package's tests don't use
+// rapid.
 func Main(m *testing.M, seed uint64, checks int) {
 	set("rapid.seed", strconv.FormatUint(seed, 10))
 	set("rapid.nofailfile", "true")
--- a/internal/testkit/standin.go
+++ b/internal/testkit/standin.go
@@ -18,10 +18,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// Standin is the stand-in's process, seen from outside and past all links.
+// Standin is the process of the stand-in, which tests reach without a link.
 type Standin struct {
 	*Process
-	// Client reaches the platform without a fault in between.
+	// Client calls the platform without a link.
 	Client  *platform.Client
 	t       testing.TB
 	address string
@@ -52,7 +52,8 @@
 	return "[" + text.String() + "]"
 }
 
-// linkBackends puts a Link before backend servers and has the list show it.
+// linkBackends puts a Link in front of the linked backend servers and makes the platform's list
+// advertise the links' addresses.
 func (c *Cluster) linkBackends() {
 	isLinked := func(vm string) bool {
 		return c.opts.BackendLinks || slices.ContainsFunc(c.opts.Fleet, func(g Group) bool {
@@ -81,7 +82,7 @@
 	return list
 }
 
-// InjectFaults orders faults and returns their IDs.
+// InjectFaults begins faults of the stand-in and returns their IDs.
 func (s *Standin) InjectFaults(faults ...standin.Fault) []string {
 	s.t.Helper()
 	var reply standin.FaultReply
@@ -89,13 +90,13 @@
 	return reply.IDs
 }
 
-// ClearFaults ends the faults with these IDs, or all when there is none.
+// ClearFaults ends the faults with the given IDs, or all faults if no ID is given.
 func (s *Standin) ClearFaults(ids ...string) {
 	s.t.Helper()
 	s.post("faults", standin.FaultOrder{Clear: ids, ClearAll: len(ids) == 0}, nil)
 }
 
-// Counters returns the counters, with those of every key.
+// Counters returns all counters, including those of every key.
 func (s *Standin) Counters() standin.Counters {
 	s.t.Helper()
 	return s.counters(url.Values{standin.QueryAllKeys: {"1"}})
@@ -146,14 +147,13 @@
 	}
 }
 
-// Entries returns what the platform's log holds of the records' stream.
+// Entries returns the retained entries of the records' stream in the platform's log.
 func (s *Standin) Entries() []platform.Entry {
 	s.t.Helper()
 	return s.StreamEntries(settings.DefaultStream)
 }
 
-// StreamEntries returns what the platform's log holds of a stream, from its first
-// retained entry on.
+// StreamEntries returns the retained entries of a stream in the platform's log.
 func (s *Standin) StreamEntries(name string) []platform.Entry {
 	s.t.Helper()
 	const limit = 1000
@@ -176,7 +176,7 @@
 	}
 }
 
-// State folds the records that the log holds.
+// State returns the state that results from applying the records retained in the log.
 func (s *Standin) State() *ledger.State {
 	s.t.Helper()
 	state := ledger.New()
@@ -186,7 +186,7 @@
 	return state
 }
 
-// VMCounters returns the backend servers' counters, by VM.
+// VMCounters returns the counters of the backend servers by VM.
 func (s *Standin) VMCounters() map[string]standin.VMCounters {
 	s.t.Helper()
 	return s.counters(nil).Backends.VMs
