--- a/internal/proof/bookings_test.go
+++ b/internal/proof/bookings_test.go
@@ -17,12 +17,12 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// bookingCaller is a caller that sends bookings and remembers what it was told.
+// bookingCaller sends bookings and records the outcomes that it received.
 type bookingCaller struct {
 	t       testing.TB
 	cluster *testkit.Cluster
 	mu      sync.Mutex
-	// outcomes holds the answers by key; an answer that never came has outcome "".
+	// outcomes holds the received outcomes by key, "" for an attempt without an answer.
 	outcomes map[string][]outcome.Outcome
 }
 
@@ -46,24 +46,24 @@
 	return a
 }
 
-// checkRuns holds the promises against the backend servers' counts: no key ran
-// twice, one told "ran" did, and one told nothing but "not-run" did not.
+// checkRuns compares the outcomes with the backend servers' counters: no key may have run twice, a
+// key with the outcome "ran" must have run, and a key whose last outcome is "not-run" must not.
 func (b *bookingCaller) checkRuns() {
 	b.t.Helper()
 	keys := b.cluster.Standin.Counters().Backends.Keys
 	for key, outcomes := range b.outcomes {
 		runs := keys[key].Runs
-		assert.LessOrEqual(b.t, runs, 1, "%s told %q", key, outcomes)
+		assert.LessOrEqual(b.t, runs, 1, "outcomes of key %s: %q", key, outcomes)
 		if strings.Contains(fmt.Sprint(outcomes), string(outcome.Ran)) {
-			assert.Equal(b.t, 1, runs, "%s told %q", key, outcomes)
+			assert.Equal(b.t, 1, runs, "outcomes of key %s: %q", key, outcomes)
 		}
 		if last := outcomes[len(outcomes)-1]; last == outcome.NotRun {
-			assert.Zero(b.t, runs, "%s told %q", key, outcomes)
+			assert.Zero(b.t, runs, "outcomes of key %s: %q", key, outcomes)
 		}
 	}
 }
 
-// countLastOutcomes returns how many keys had each outcome as their last.
+// countLastOutcomes returns the number of keys by their last outcome.
 func (b *bookingCaller) countLastOutcomes() map[outcome.Outcome]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,11 +74,11 @@
 	return n
 }
 
-// maxBookingAttempts bounds the attempts at one booking.
+// maxBookingAttempts bounds the attempts of one booking.
 const maxBookingAttempts = 8
 
-// start sends bookings from workers until the returned function is called. vouch
-// says that callers mark their first attempts.
+// start sends bookings from the given number of goroutines until stop is called. If markFirst is
+// set, first attempts carry their attempt number.
 func (b *bookingCaller) start(workers int, markFirst bool) (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
@@ -101,8 +101,8 @@
 	}
 }
 
-// bookOnce books once: it retries under the same key after a broken connection, goes
-// on with a new key after "not-run", and ends at "ran" and "unknown".
+// bookOnce sends one booking until its outcome is "ran" or "unknown". It retries with the same key
+// after a broken connection and with a new key after "not-run".
 func (b *bookingCaller) bookOnce(random *rand.Rand, markFirst bool) {
 	key, attempt := testkit.Key(), 1
 	for range maxBookingAttempts {
@@ -126,7 +126,7 @@
 	}
 }
 
-// dropLastOutcome takes the latest attempt back, which never reached an entry VM.
+// dropLastOutcome removes the latest attempt from the records, because it never reached an entry VM.
 func (b *bookingCaller) dropLastOutcome(key string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/proof/claims_test.go
+++ b/internal/proof/claims_test.go
@@ -16,7 +16,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// memberCount returns how many entry VMs are members by the log.
+// memberCount returns the number of entry VMs that are members according to the log.
 func memberCount(c *testkit.Cluster) int { return len(c.Standin.State().Members) }
 
 // awaitMembersAndGrants waits until all nodes are members and grant claims.
@@ -32,7 +32,7 @@
 	return c
 }
 
-// awaitRunning waits until the backend servers have begun to run all of the keys.
+// awaitRunning waits until backend servers have received the requests of all keys.
 func awaitRunning(c *testkit.Cluster, keys []string) {
 	c.Until("the bookings run", func() bool {
 		counted := c.Standin.Counters().Backends.Keys
@@ -45,10 +45,9 @@
 	})
 }
 
-// Bookings run when the entry VM that sent them is killed: the callers see their
-// connections break. Some retry at once at another entry VM and wait there for
-// the attempt that is lost, others only after the VM was evicted. All of them
-// are told "unknown", which is the truth: no booking runs again.
+// An entry VM is killed while bookings that it forwarded run, and the callers' connections break.
+// Some callers retry at once at another entry VM, which waits for the lost attempt, others only
+// after the VM is evicted. All must get "unknown", and no booking may run again.
 func TestEntryKilledBetweenRunAndAnswer(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
 	b := newBookingCaller(t, c)
@@ -71,7 +70,7 @@
 	wg.Wait()
 	c.Until("the killed VM is evicted", func() bool { return memberCount(c) == 2 })
 	for i, key := range keys {
-		c.Until("an answer without a hand-over under way", func() bool {
+		c.Until("an answer without a handover in progress", func() bool {
 			a := b.send(c.Nodes[1+i%2], key, 3, 0)
 			return a.Outcome == outcome.Unknown && a.Reason != "claims-moving" && a.Reason != "claims-unreachable"
 		})
@@ -83,9 +82,8 @@
 	}
 }
 
-// A caller's connection breaks while its booking runs, and its client sends the
-// retry to two entry VMs in the same instant. Both wait for the first attempt
-// and hand out its answer; the booking runs once.
+// A caller's connection breaks while its booking runs, and its client retries at two entry VMs at
+// once. Both must wait for the first attempt and return its answer; the booking must run once.
 func TestTwoRetriesAtTheSameInstant(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
 	for range 10 {
@@ -108,17 +106,16 @@
 	}
 }
 
-// An entry VM is stopped past its lease and evicted; others take its keys over
-// and run bookings. When it wakes up it believes itself the owner still, and at
-// that instant gets retries of those bookings, and fresh ones. No booking that
-// ran meanwhile runs again at its hands.
+// An entry VM is paused past its lease and evicted, and others take over its keys and run bookings.
+// When it resumes, still as the owner by its own state, it gets retries of these bookings and new
+// bookings at once. It must not run any booking again.
 func TestOwnerStoppedPastItsLease(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
 	paused := c.Nodes[0]
 	for round := range 3 {
 		b := newBookingCaller(t, c)
 		paused.Pause()
-		c.Until("the stopped VM is evicted", func() bool { return memberCount(c) == 2 })
+		c.Until("the paused VM is evicted", func() bool { return memberCount(c) == 2 })
 		var keys []string
 		c.Until("others run bookings of all keys", func() bool {
 			for i := range 20 {
@@ -138,14 +135,14 @@
 		paused.Resume()
 		wg.Wait()
 		b.checkRuns()
-		c.Until(fmt.Sprintf("it is a member again, round %d", round), func() bool { return memberCount(c) == 3 })
+		c.Until(fmt.Sprintf("the resumed VM is a member again, round %d", round), func() bool { return memberCount(c) == 3 })
 		awaitMembersAndGrants(c)
 	}
 }
 
-// The entry VMs lose each other, not the log. None of them hears from half of
-// them, so none may grant: first attempts are told "not-run" and may go on with
-// a new key, others "unknown". Afterwards they find together again.
+// The entry VMs lose the connections to each other but not to the log. None has a quorum, so none
+// may grant claims: first attempts must get "not-run", so that the caller may continue with a new
+// key, and others "unknown". After the partition all must be members again and grant claims.
 func TestEntriesSplitFromEachOther(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
 	b := newBookingCaller(t, c)
@@ -169,7 +166,7 @@
 			}
 		})
 	}
-	c.Until("many are refused", func() bool { return refused.Load() > 60 })
+	c.Until("many bookings are refused", func() bool { return refused.Load() > 60 })
 	close(stop)
 	wg.Wait()
 	c.HealPeers()
@@ -177,9 +174,9 @@
 	b.checkRuns()
 }
 
-// The log goes out, and then an entry VM is lost. Bookings go on at the others:
-// only keys of the lost one, about a third, get no grant, and nobody is evicted.
-// When the log is back, the lost VM is evicted and all keys are granted again.
+// The log becomes unavailable and then an entry VM is lost. Bookings must continue at the others:
+// only keys owned by the lost VM, about a third, get no grant, and no VM is evicted. When the log is
+// available again, the lost VM must be evicted and all keys must be granted.
 func TestBookingsWhileTheLogIsOut(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
 	b := newBookingCaller(t, c)
@@ -213,9 +210,9 @@
 	b.checkRuns()
 }
 
-// Callers book all the time, each retrying at another entry VM until it knows
-// the end, while entry VMs are stopped in order, started, killed and started.
-// Nothing runs twice; and stopping in order costs no caller an "unknown".
+// Callers send bookings all the time and retry at other entry VMs until they know the outcome, while
+// entry VMs are shut down, restarted, killed and restarted. No booking may run twice, and a graceful
+// shutdown may cause no "unknown".
 func TestMembershipChangesUnderLoad(t *testing.T) {
 	c := claimsCluster(t, 4, 4)
 	b := newBookingCaller(t, c)
@@ -227,7 +224,7 @@
 		n.AwaitReady()
 		c.Until("it is a member", func() bool { return memberCount(c) == 4 })
 	}
-	assert.Zero(t, b.countLastOutcomes()[outcome.Unknown], "stopping in order")
+	assert.Zero(t, b.countLastOutcomes()[outcome.Unknown], "unknown outcomes after graceful shutdowns")
 	c.Nodes[2].Kill()
 	c.Until("the killed VM is evicted", func() bool { return memberCount(c) == 3 })
 	c.Nodes[2].Start()
--- a/internal/proof/inforce_test.go
+++ b/internal/proof/inforce_test.go
@@ -11,9 +11,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// BenchmarkPublishInForce publishes a changed document again and again, and
-// reports how long after the append the slowest of 8 entry processes and 8
-// stewards acted on it.
+// BenchmarkPublishInForce publishes changed documents and measures the time from the append until
+// the slowest of 8 entry processes and 8 stewards acts on the document.
 func BenchmarkPublishInForce(b *testing.B) {
 	c := testkit.Start(b, testkit.Options{
 		Nodes: []string{"a", "b", "c", "d", "a", "b", "c", "d"},
--- a/internal/proof/loss_bench_test.go
+++ b/internal/proof/loss_bench_test.go
@@ -10,10 +10,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// BenchmarkLossOfOneOfEight kills one of 8 entry VMs under bookings of 20 ms
-// from 64 callers and counts the answers that were not "ran", with callers that
-// mark their first attempts and with ones that don't. Its metrics are for one
-// lost entry VM; in-flight is what it had under way when it was killed.
+// BenchmarkLossOfOneOfEight kills one of 8 entry VMs while 64 callers send bookings of 20 ms and
+// counts the bookings by outcome, with callers that mark their first attempts and with callers that
+// don't. The metrics are per lost entry VM. in-flight is the number of bookings that the VM had in
+// progress when it was killed.
 func BenchmarkLossOfOneOfEight(b *testing.B) {
 	const vms, callers = 8, 64
 	for _, markFirst := range []bool{true, false} {
@@ -37,10 +37,10 @@
 func killOneNode(b *testing.B, c *testkit.Cluster, callers int, markFirst bool) {
 	load := newBookingCaller(b, c)
 	stop := load.start(callers, markFirst)
-	time.Sleep(3 * time.Second) // a load that has settled, not a proof
+	time.Sleep(3 * time.Second) // until the load is steady; no assertion depends on it
 	before := load.countLastOutcomes()
 	lost := c.Nodes[5]
-	inFlight := callers / len(c.Nodes) // of the callers, each with one booking under way
+	inFlight := callers / len(c.Nodes) // each caller has one booking in progress
 	killed := time.Now()
 	lost.Kill()
 	c.Until("the lost VM is evicted", func() bool { return memberCount(c) == len(c.Nodes)-1 })
@@ -59,7 +59,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// awaitGrants waits until bookings with many keys are granted at all nodes.
+// awaitGrants waits until 8 bookings with new keys run at each node.
 func awaitGrants(c *testkit.Cluster) {
 	c.Until("all keys are granted", func() bool {
 		for range 8 {
--- a/internal/proof/proof_test.go
+++ b/internal/proof/proof_test.go
@@ -1,5 +1,5 @@
-// Package proof holds tests of the whole system: real processes, seen from
-// outside only, through callers' answers, the platform's log and counters.
+// Package proof contains end-to-end tests. They run real processes and observe them only from
+// outside: by callers' answers, the platform's log and counters, and the processes' logs.
 package proof
 
 import (
@@ -19,7 +19,8 @@
 
 func TestMain(m *testing.M) { os.Exit(testkit.Main(m)) }
 
-// testDocument returns a small service's document.
+// testDocument returns the document of a small service with a quick repeatable route /lookup and a
+// quick route /book that is not repeatable.
 func testDocument(service string, size, maxUnavailable int) string {
 	return fmt.Sprintf(`service = %q
 team = "proof"
@@ -49,15 +50,15 @@
 `, service, size, maxUnavailable)
 }
 
-// awaitServing waits until n VMs serve in the service's pool.
+// awaitServing waits until at least n VMs of the service's pool are serving.
 func awaitServing(c *testkit.Cluster, service string, n int) {
 	c.Until(fmt.Sprintf("%d VMs serve in %s", n, service), func() bool {
 		return c.Standin.State().Unavailability(service).Serving >= n
 	})
 }
 
-// startStream sends requests through all nodes, one after the other per worker, until
-// stop is called, which returns the answers.
+// startStream starts workers goroutines that each send one request at a time, through all nodes in
+// turn. stop ends them and returns all answers.
 func startStream(c *testkit.Cluster, workers int, request func(worker, n int) testkit.Request) (stop func() []testkit.Answer) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var mu sync.Mutex
@@ -80,10 +81,10 @@
 	}
 }
 
-// Nothing fails: callers send bookings and lookups through three entry VMs while
-// a maintenance wave reboots every VM of the pool. Each VM is drained, rebooted
-// once and taken back; no request is cut, none runs twice, and every caller gets
-// the whole answer to its own request.
+// Without any fault, callers send bookings and lookups through three entry VMs while a maintenance
+// wave reboots every VM of the pool. Each VM must be drained, rebooted once and returned to the
+// pool. No request may be interrupted or run twice, and every caller must get the complete answer
+// to its own request.
 func TestCleanWaveCutsAndDoublesNothing(t *testing.T) {
 	const vms = 3
 	c := testkit.Start(t, testkit.Options{
--- a/internal/proof/request_bench_test.go
+++ b/internal/proof/request_bench_test.go
@@ -17,9 +17,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// BenchmarkOpenConnections measures what a real entry process needs for 10,000
-// callers' connections that each had one answer and stay open. Run it with
-// -benchtime 1x.
+// BenchmarkOpenConnections measures the memory that an entry process uses for 10,000 idle
+// connections of callers, each after one answered request. Run it with -benchtime 1x.
 func BenchmarkOpenConnections(b *testing.B) {
 	const connections = 10_000
 	c := testkit.Start(b, testkit.Options{
@@ -45,7 +44,8 @@
 	}
 }
 
-// requestOnce sends one request on a new connection and reads its answer.
+// requestOnce sends one request on a new connection, reads the answer and returns the open
+// connection.
 func requestOnce(b *testing.B, address string) net.Conn {
 	conn, err := net.Dial("tcp", address)
 	require.NoError(b, err)
@@ -61,7 +61,7 @@
 
 var residentPattern = regexp.MustCompile(`VmRSS:\s+(\d+) kB`)
 
-// residentBytes is the memory of the process that is resident, in bytes.
+// residentBytes returns the resident memory of a process.
 func residentBytes(b *testing.B, p *testkit.Process) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.PID()))
 	require.NoError(b, err)
--- a/internal/proof/request_test.go
+++ b/internal/proof/request_test.go
@@ -13,7 +13,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// startPool starts nodes and a service "booking" with vms VMs that serve.
+// startPool starts a cluster with the service "booking" and waits until its vms VMs are serving and
+// the entries are ready.
 func startPool(t *testing.T, vms int, opts testkit.Options) *testkit.Cluster {
 	t.Helper()
 	opts.Fleet = []testkit.Group{{Prefix: "vm", Count: vms, Zones: []string{"a", "b"}, BootSeconds: 0.3}}
@@ -24,7 +25,7 @@
 	return c
 }
 
-// sendConcurrently sends n requests at once and returns the channel of their answers.
+// sendConcurrently sends count requests to n at once and returns a channel of their answers.
 func sendConcurrently(n *testkit.Node, count int, r func() testkit.Request) <-chan testkit.Answer {
 	answers := make(chan testkit.Answer, count)
 	for range count {
@@ -33,17 +34,17 @@
 	return answers
 }
 
-// An entry VM is stopped, a backend server is drained meanwhile, and callers'
-// requests pile up at the stopped process. When it is resumed it still holds the
-// old table: it must read the log before it sends any of them on, so that the
-// drained backend server gets nothing, and every caller still gets its answer.
+// An entry process is paused while a backend server is drained and callers' requests queue at the
+// paused process. When it resumes, its routing table is stale: it must read the log before it
+// forwards any request, so that the drained backend server gets none and every caller still gets an
+// answer.
 func TestEntryStoppedAcrossDrainSendsNothingToTheDrainedBackend(t *testing.T) {
 	const vms, callers = 4, 24
 	c := startPool(t, vms, testkit.Options{Nodes: []string{"a", "b"}})
 	paused := c.Nodes[1]
 	lookup := func() testkit.Request { return testkit.Request{Path: "/booking/lookup", Work: 20 * time.Millisecond} }
 	drained := ""
-	for answers := sendConcurrently(paused, callers, lookup); drained == ""; { // a VM that the process does use
+	for answers := sendConcurrently(paused, callers, lookup); drained == ""; { // a VM that the process forwards to
 		a := <-answers
 		require.True(t, a.OK(), "%+v", a)
 		drained = a.VM
@@ -57,7 +58,7 @@
 	})
 
 	paused.Entry.Pause()
-	const minPause = 1500 * time.Millisecond // more than a stall of the machine
+	const minPause = 1500 * time.Millisecond // longer than a stall of the machine
 	resume := time.After(minPause)
 	c.MustCommand("drain", drained)
 	c.Until("the drain is effective", func() bool { return c.Standin.State().VMs[drained].Phase == record.PhaseDraining })
@@ -72,15 +73,15 @@
 	assert.Equal(t, before, c.Standin.Counters().Backends.VMs[drained].Seen)
 }
 
-// SIGTERM reaches an entry VM while long requests are in flight: each gets its
-// whole answer, and the process ends by itself without an error.
+// An entry process gets SIGTERM while long requests are in flight. Each must get its complete
+// answer, and the process must exit without an error.
 func TestEntryToldToStopFinishesLongRequests(t *testing.T) {
 	const long = 6
 	c := startPool(t, 2, testkit.Options{Nodes: []string{"a"}})
 	answers := sendConcurrently(c.Nodes[0], long, func() testkit.Request {
 		return testkit.Request{Path: "/booking/lookup", Work: 2 * time.Second, ReplyBytes: 200_000}
 	})
-	c.Until("they run", func() bool { return c.Standin.Counters().Backends.Runs == long })
+	c.Until("the long requests run", func() bool { return c.Standin.Counters().Backends.Runs == long })
 	c.Nodes[0].Entry.Terminate()
 	for range long {
 		a := <-answers
@@ -90,10 +91,9 @@
 	assert.NoError(t, c.Nodes[0].Entry.Wait())
 }
 
-// The network between an entry VM and the backend servers fails in some way
-// while a booking is sent, and the caller retries at the other entry VM, during
-// the fault and after it. The booking runs at most once, and "not-run" is only
-// said when no backend server saw it.
+// The network between the entry VMs and the backend servers fails while a booking is sent. The
+// caller retries at the other entry VM, during the fault and after it. The booking must run at most
+// once, and the outcome may be "not-run" only if no backend server received the request.
 func TestBookingOverBrokenNetworkRunsAtMostOnce(t *testing.T) {
 	faults := map[string]func(*testkit.Link){
 		"refused":                   (*testkit.Link).Cut,
@@ -115,7 +115,7 @@
 			check := func(a testkit.Answer) {
 				require.NoError(t, a.Err)
 				if k := c.Standin.KeyCounters(key); a.Outcome == outcome.NotRun {
-					assert.Zero(t, k.Seen, "told not-run with reason %s", a.Reason)
+					assert.Zero(t, k.Seen, "outcome not-run with reason %s", a.Reason)
 				}
 				assert.LessOrEqual(t, c.Standin.KeyCounters(key).Runs, 1)
 			}
@@ -131,15 +131,15 @@
 			check(last)
 			assert.LessOrEqual(t, c.Standin.KeyCounters(key).Seen, 1)
 			if name == "refused" {
-				assert.True(t, last.OK(), "nothing was ever sent, so the retry may run: %+v", last)
+				assert.True(t, last.OK(), "no byte was sent before, so the retry must run: %+v", last)
 			}
 		})
 	}
 }
 
-// Callers keep both entry VMs busy while a backend server is drained. From 3 s
-// after the effective drain on it gets no request from either; those in flight,
-// a long one among them, end with their whole answers before it is released.
+// Callers load both entry VMs while a backend server is drained. From 3 s after the drain is
+// effective it must get no request from either. Requests in flight, a long one among them, must get
+// their complete answers before the VM leaves the draining phase.
 func TestDrainedBackendGetsNoNewWorkFromAnyEntry(t *testing.T) {
 	const vms = 3
 	const bound = 3 * time.Second
@@ -159,7 +159,7 @@
 	stop := startStream(c, 8, func(int, int) testkit.Request {
 		return testkit.Request{Path: "/booking/lookup", Work: 10 * time.Millisecond, ReplyBytes: 1000}
 	})
-	c.Until("others run", func() bool { return c.Standin.Counters().Backends.Runs > 100 })
+	c.Until("other requests run", func() bool { return c.Standin.Counters().Backends.Runs > 100 })
 
 	c.MustCommand("drain", drained) // returns once the drain is effective
 	effective := time.Now()
--- a/internal/proof/restart_test.go
+++ b/internal/proof/restart_test.go
@@ -19,11 +19,11 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// exitPlatform is the command line's exit code when the platform is out of reach.
+// exitPlatform is the command line's exit code if the platform is unreachable.
 const exitPlatform = 4
 
-// restartAll kills every process of every entry VM while bookings run, and starts
-// them again. It returns the keys that were in flight.
+// restartAll kills all processes of all entry VMs while bookings run and starts them again. It
+// returns the keys of these bookings.
 func restartAll(t *testing.T, c *testkit.Cluster, b *bookingCaller) (keys []string) {
 	var wg sync.WaitGroup
 	for i := range 12 {
@@ -42,13 +42,12 @@
 	return keys
 }
 
-// All processes of all entry VMs are killed at once while bookings run, as by a
-// loss of power, and started again. The callers see their connections break and
-// retry under the same keys, some at once, some once the VMs are ready: they are
-// never told "not-run" of a booking that ran, and none runs again. Nobody helps:
-// the VMs find each other by the log, the dead members are evicted, and new
-// bookings run. Why: no memory of the claims is left anywhere, so a key older
-// than the new owners' start is refused as unknown.
+// All processes of all entry VMs are killed at once while bookings run, as by a loss of power, and
+// started again. Callers lose their connections and retry with the same keys, some at once, some
+// when the VMs are ready. None may get "not-run" for a booking that ran, and no booking may run
+// again: all claims are lost, so a key older than the start of the new owners must be answered
+// "unknown". Without an operator the VMs must find each other through the log, evict the dead
+// members and run new bookings.
 func TestAllEntryVMsRestartWithBookingsInFlight(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
 	b := newBookingCaller(t, c)
@@ -69,11 +68,11 @@
 	b.checkRuns()
 }
 
-// The same while the log is out: the new processes have nobody to take a state
-// from. Callers are told "not-run", and no backend server sees
-// their requests; a retry of what may have run is told "unknown". Readiness says
-// that the log was not read, and the command line shows each node. When the log is
-// back all goes on by itself.
+// Like TestAllEntryVMsRestartWithBookingsInFlight, but the log is unavailable and no peer has a
+// state to start from. First attempts must get "not-run" without reaching a backend server, and a
+// retry of a booking that may have run must get "unknown". Readiness must name the unread log and
+// the command line must list each node. When the log is available again, the system must recover
+// without an operator.
 func TestAllEntryVMsRestartWhileTheLogIsOut(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
 	b := newBookingCaller(t, c)
@@ -85,7 +84,7 @@
 		addresses = append(addresses, n.EntryPeerAddress(), n.StewardPeerAddress())
 	}
 	for _, address := range addresses {
-		c.Until(address+" says why it is not ready", func() bool { return len(unreadyReasons(t, address)) > 0 })
+		c.Until(address+" reports why it is not ready", func() bool { return len(unreadyReasons(t, address)) > 0 })
 		assert.Contains(t, strings.Join(unreadyReasons(t, address), "\n"), "log")
 		assert.Zero(t, offsetOf(t, address))
 	}
@@ -112,7 +111,7 @@
 	b.checkRuns()
 }
 
-// unreadyReasons asks a process why it is not ready.
+// unreadyReasons returns the reasons why a process is not ready, nil if it doesn't answer.
 func unreadyReasons(t *testing.T, address string) []string {
 	client, err := operator.NewClient(address)
 	require.NoError(t, err)
@@ -126,9 +125,9 @@
 	return s.Unready
 }
 
-// queryNewestRevision asks a node by all revisions' routes, over and over until ctx ends, and
-// fails the test when an older one answers after a newer did. It returns the
-// newest that answered.
+// queryNewestRevision requests the routes of all revisions from a node until ctx ends and returns
+// the newest revision that answered. It fails the test if an older revision answers after a newer
+// one.
 func queryNewestRevision(ctx context.Context, t *testing.T, n *testkit.Node) (newest int) {
 	for ctx.Err() == nil {
 		for i, path := range revisionPaths {
@@ -136,7 +135,7 @@
 			a := n.Send(reqCtx, testkit.Request{Path: "/booking" + path})
 			cancel()
 			if a.OK() {
-				assert.GreaterOrEqual(t, i, newest, "%s answers by revision %d after %d", n.Name, i, newest)
+				assert.GreaterOrEqual(t, i, newest, "%s serves revision %d after revision %d", n.Name, i, newest)
 				newest = max(newest, i)
 			}
 		}
@@ -144,16 +143,15 @@
 	return newest
 }
 
-// revisionPaths are the routes that only one revision each has.
+// revisionPaths are routes by revision; each exists in one revision only.
 var revisionPaths = []string{"/lookup", "/r1", "/r2", "/r3"}
 
-// An operator publishes three revisions while one entry VM is cut off from the
-// platform, one is killed and started again, and one is stopped and wakes up
-// with its old view. Callers ask every VM by the routes of all revisions: none
-// answers by an older one after it has by a newer, no process is seen to step
-// back, and all act on the third once the faults end; the VM that is cut off does
-// before, by way of its peers. Why: a process folds forward only, and one that
-// starts serves nothing until it has read the log to its end.
+// An operator publishes three revisions while one entry VM is cut off from the platform, one is
+// killed and restarted, and one is paused and resumed with its old state. Callers request the routes
+// of all revisions from every VM. No process may go back to an older revision, and all must act on
+// the third when the faults have ended; the VM that is cut off gets it earlier, through its peers.
+// A process only applies the log forward, and a starting process serves nothing until it has read
+// the log to its end.
 func TestAcceptedConfigurationNeverReverts(t *testing.T) {
 	const vms = 4
 	c := startPool(t, vms, testkit.Options{Nodes: []string{"a", "b", "c", "d"}})
@@ -173,7 +171,7 @@
 			return n.Send(ctx, testkit.Request{Path: "/booking" + revisionPaths[revision]}).OK()
 		})
 	}
-	for range 3 { // a process that starts gets the first revision by an earlier read than the third
+	for range 3 { // a starting process reads the first and the third revision in different batches
 		_, err := c.Standin.Client.Append(t.Context(), settings.DefaultStream, slices.Repeat([][]byte{[]byte("of another system")}, 500))
 		require.NoError(t, err)
 	}
@@ -189,7 +187,7 @@
 	publish(3)
 	awaitRevision(healthy, 3)
 	awaitRevision(restarted, 3)
-	awaitRevision(cut, 3) // by way of its peers
+	awaitRevision(cut, 3) // through its peers
 	c.Standin.ClearFaults(slow...)
 
 	healedAt := time.Now()
@@ -198,7 +196,7 @@
 	awaitRevision(paused, 3)
 	offset := c.Standin.State().Offset
 	c.Until("all processes act on the third revision", func() bool { return len(observer.notCaughtUp(healedAt, offset)) == 0 })
-	t.Logf("all have it %s after the faults ended", time.Since(healedAt))
+	t.Logf("all processes act on it %s after the faults ended", time.Since(healedAt))
 	end()
 	observer.pollers.Wait()
 	for range c.Nodes {
--- a/internal/proof/start_test.go
+++ b/internal/proof/start_test.go
@@ -13,11 +13,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// While the platform's log is out, both processes of an entry VM are killed and
-// started anew. Operators see the VM serve the documents that were in force
-// before, and no older state: the processes have no disk and cannot read the log,
-// so they take the state from the processes of the other VM. Once the log is
-// back they follow it.
+// Both processes of an entry VM are killed and restarted while the platform's log is unavailable.
+// The processes have no disk and can't read the log, so they must get the state from the processes
+// of the other VM and serve the documents in force, no older ones. When the log is available again
+// they must follow it.
 func TestProcessesStartFromPeersWhileTheLogIsOut(t *testing.T) {
 	c := testkit.Start(t, testkit.Options{
 		Nodes: []string{"a", "b"},
@@ -26,7 +25,7 @@
 	c.Publish(testDocument("booking", 4, 1))
 	awaitServing(c, "booking", 4)
 	peer, restarted := c.Nodes[0], c.Nodes[1]
-	c.Until("both nodes have folded the same", func() bool {
+	c.Until("both nodes have applied the same entries", func() bool {
 		return offsetOf(t, peer.EntryPeerAddress()) == offsetOf(t, restarted.EntryPeerAddress())
 	})
 	outage := c.Standin.InjectFaults(standin.Fault{Kind: standin.LogRefuse, Target: settings.DefaultStream},
@@ -47,8 +46,7 @@
 	}
 }
 
-// offsetOf returns how far the process has folded the log, 0 when it does not
-// answer.
+// offsetOf returns the offset up to which a process has applied the log, 0 if it doesn't answer.
 func offsetOf(t *testing.T, address string) uint64 {
 	client, err := operator.NewClient(address)
 	require.NoError(t, err)
