--- a/internal/proof/jobs_test.go
+++ b/internal/proof/jobs_test.go
@@ -15,11 +15,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// urgentStartBound is how soon urgent work starts.
+// urgentStartBound bounds the time from the submission of an urgent job to its start.
 const urgentStartBound = 6700 * time.Millisecond
 
-// jobsCluster starts entry VMs and one pool of four workers with 8 cores each
-// for jobs.
+// jobsCluster starts entry VMs and a pool of four workers with 8 cores each that runs jobs.
 func jobsCluster(t *testing.T, nodes int, lease time.Duration) *testkit.Cluster {
 	c := testkit.Start(t, testkit.Options{
 		Nodes: []string{"a", "b", "c"}[:nodes],
@@ -44,10 +43,10 @@
 	c.MustCommand(append(args, name)...)
 }
 
-// startCount returns how often a task of the job was started.
+// startCount returns how many times the job's tasks were started.
 func startCount(c *testkit.Cluster, job string) int { return c.Standin.Counters().JobStarts[job] }
 
-// allJobsEnded reports whether every job is over.
+// allJobsEnded reports whether every job has ended.
 func allJobsEnded(c *testkit.Cluster) bool {
 	for _, j := range c.Standin.State().Jobs {
 		if !j.Ended() {
@@ -57,10 +56,9 @@
 	return true
 }
 
-// The owner of an export sees it run at most once. Replies to starts are lost
-// after the platform started the task, and each steward in turn is killed while
-// jobs are being placed and started. What was started is adopted by the others;
-// a job whose start is in doubt ends as lapsed and is not started again.
+// Replies to starts are lost after the platform started the task, and each steward in turn is killed
+// while jobs are placed and started. An export must run at most once: the other stewards adopt
+// started tasks, and an export whose start is uncertain ends as lapsed and is not started again.
 func TestExportsRunAtMostOnceThroughLostRepliesAndKills(t *testing.T) {
 	c := jobsCluster(t, 3, 3*time.Second)
 	c.Standin.InjectFaults(standin.Fault{Kind: standin.APILoseReply, Target: "start", Count: 12})
@@ -78,7 +76,7 @@
 			c.Nodes[i/8].Steward.Start()
 		}
 	}
-	c.Until("all jobs are over", func() bool { return allJobsEnded(c) })
+	c.Until("all jobs have ended", func() bool { return allJobsEnded(c) })
 	results := map[record.JobResult]int{}
 	starts := c.Standin.Counters().JobStarts
 	for id, j := range c.Standin.State().Jobs {
@@ -94,9 +92,9 @@
 	assert.GreaterOrEqual(t, results[record.JobSucceeded], jobs/2)
 }
 
-// The pool is full of long work that can be checkpointed when urgent jobs come,
-// and a steward is dead: whichever pool it drove, another makes room. Each
-// urgent job starts within the bound.
+// Urgent jobs are submitted to a pool that is full of long checkpointable jobs while one steward is
+// down. Another steward must preempt jobs for it, whichever steward managed the pool, and each
+// urgent job must start within urgentStartBound.
 func TestUrgentJobsStartWithinTheirBoundOnAFullPool(t *testing.T) {
 	c := jobsCluster(t, 3, 3*time.Second)
 	for i := range 4 {
@@ -119,11 +117,10 @@
 	}
 }
 
-// The only steward is stopped past the lease of a running export, and the
-// platform ends the task. On waking the steward neither renews nor starts it
-// again: the export ends as lapsed. A repeatable job beside it runs once more. The lease
-// is far longer than a busy machine holds up a process: TestPausedStewardReadsLogAndStatusBeforeItActs
-// plays the same in virtual time.
+// The only steward is paused past the lease of a running export, and the platform ends the task. When
+// it resumes, the steward must neither renew the task nor start it again: the export ends as lapsed. A
+// repeatable job must run once more. The lease is far longer than a busy machine delays a process;
+// TestPausedStewardReadsLogAndStatusBeforeItActs tests the same in virtual time.
 func TestStewardStoppedPastTheLeaseStartsNoExportAgain(t *testing.T) {
 	c := jobsCluster(t, 1, 5*time.Second)
 	submitExportJob(c, "export", "--run-time", "20s")
@@ -132,7 +129,7 @@
 	c.Nodes[0].Steward.Pause()
 	awaitTasksExpired(t, c, "export", "report")
 	c.Nodes[0].Steward.Resume()
-	c.Until("both are over", func() bool { return allJobsEnded(c) })
+	c.Until("both jobs have ended", func() bool { return allJobsEnded(c) })
 	state := c.Standin.State()
 	assert.Equal(t, record.JobLapsed, state.Jobs["export"].Result)
 	assert.Equal(t, 1, startCount(c, "export"))
@@ -140,12 +137,12 @@
 	assert.Equal(t, 2, startCount(c, "report"))
 }
 
-// awaitTasksExpired waits until the platform has ended the jobs' tasks.
+// awaitTasksExpired waits until the platform reports the jobs' tasks as expired.
 func awaitTasksExpired(t *testing.T, c *testkit.Cluster, jobs ...string) {
 	state := c.Standin.State()
 	for _, id := range jobs {
 		worker := state.Jobs[id].Worker
-		c.Until(id+" has lapsed", func() bool {
+		c.Until(id+" has expired", func() bool {
 			statuses, err := c.Standin.Client.Status(t.Context(), worker)
 			for _, s := range statuses {
 				if err == nil && strings.HasPrefix(s.ID, id+".") && s.Phase == "expired" {
@@ -157,8 +154,8 @@
 	}
 }
 
-// Sixty jobs wait for a full pool and are cancelled within moments of each
-// other. None of them is started afterwards.
+// Sixty jobs are submitted to a pool too small for all and cancelled in quick succession. No job that
+// was never placed may be started.
 func TestCancelledJobsAreNotStarted(t *testing.T) {
 	c := jobsCluster(t, 2, 3*time.Second)
 	const jobs = 60
@@ -176,7 +173,7 @@
 	for i := range jobs {
 		c.MustCommand("jobs", "cancel", fmt.Sprintf("job-%02d", i))
 	}
-	c.Until("all jobs are over", func() bool { return allJobsEnded(c) })
+	c.Until("all jobs have ended", func() bool { return allJobsEnded(c) })
 	state = c.Standin.State()
 	starts := c.Standin.Counters().JobStarts
 	neverPlaced := 0
@@ -191,9 +188,9 @@
 	assert.Positive(t, neverPlaced)
 }
 
-// Stewards are replaced one after the other while exports come in. A steward
-// that is told to stop decides nothing new, but starts what it has placed
-// before it ends, so no export is left in doubt.
+// Stewards are restarted one after another while exports are submitted. A steward that gets SIGTERM
+// decides nothing new but starts the jobs that it has placed before it exits, so that the start of no
+// export is left uncertain.
 func TestStewardToldToStopLeavesNoExportInDoubt(t *testing.T) {
 	c := jobsCluster(t, 3, 3*time.Second)
 	const jobs = 15
@@ -204,7 +201,7 @@
 		require.NoError(t, steward.Wait())
 		steward.Start()
 	}
-	c.Until("all jobs are over", func() bool { return allJobsEnded(c) })
+	c.Until("all jobs have ended", func() bool { return allJobsEnded(c) })
 	starts := c.Standin.Counters().JobStarts
 	for id, j := range c.Standin.State().Jobs {
 		assert.Equal(t, record.JobSucceeded, j.Result, "%s: %s", id, j.Reason)
--- a/internal/proof/outage_test.go
+++ b/internal/proof/outage_test.go
@@ -14,10 +14,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// The platform is out of reach and an entry VM is replaced meanwhile. The new one
-// takes over the state of its peers and answers lookups from the document in
-// force; bookings, which it cannot claim, are told that they did not run. When
-// the platform is back it takes bookings too.
+// An entry VM is replaced while the platform is unreachable. The new processes must get the state
+// from their peers and answer lookups by the document in force. Bookings, which need a claim, must
+// get "not-run" until the platform is reachable again.
 func TestEntryReplacedDuringOutageServesOnItsPeersState(t *testing.T) {
 	c := startPool(t, 3, testkit.Options{Nodes: []string{"a", "b", "a"}})
 	c.Publish("# the second revision\n" + testDocument("booking", 3, 1))
@@ -45,10 +44,9 @@
 	})
 }
 
-// One entry VM loses its way to the platform, not that to its peers. A backend
-// server is drained meanwhile, and a long request holds it there. Within seconds
-// the VM that is cut off must send it nothing either, though it can't read the
-// drain from the log.
+// One entry VM loses its link to the platform but not to its peers. A backend server is drained
+// meanwhile, and a long request keeps it in the draining phase. Within seconds the isolated VM must
+// stop sending requests to it, although it can't read the drain from the log.
 func TestEntryCutOffFromThePlatformLearnsOfADrain(t *testing.T) {
 	const vm = "vm-01"
 	c := startPool(t, 3, testkit.Options{Nodes: []string{"a", "b", "a"}})
@@ -78,18 +76,17 @@
 	}
 }
 
-// publishRevision publishes the next revision of the booking document and returns its
-// offset.
+// publishRevision publishes revision *n+1 of the booking document, increments n and returns the
+// offset of the revision.
 func publishRevision(c *testkit.Cluster, n *int) uint64 {
 	*n++
 	c.Publish(fmt.Sprintf("# revision %d\n%s", *n, testDocument("booking", 2, 1)))
 	return uint64(c.Standin.State().Services["booking"].Revision)
 }
 
-// Operators publish revision after revision while one entry VM is replaced, the
-// platform is out with another VM replaced meanwhile, and a third is cut off from
-// the platform and its peers. No daemon that is ready ever shows an older revision
-// after a newer one, and at the end all have the last.
+// Operators publish revisions while one entry VM is replaced, then while the platform is unreachable
+// and a second VM is replaced, then while a third is cut off from the platform and its peers. No ready
+// daemon may report an older revision after a newer one, and at the end all must act on the last one.
 func TestNoDaemonReturnsToAnOlderRevision(t *testing.T) {
 	c := startPool(t, 2, testkit.Options{Nodes: []string{"a", "b", "a"}})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -97,7 +94,7 @@
 	defer func() { cancel(); observer.pollers.Wait() }()
 	awaitEverywhere := func(offset uint64) {
 		since := time.Now()
-		c.Until(fmt.Sprintf("all act on offset %d", offset), func() bool { return len(observer.notCaughtUp(since, offset)) == 0 })
+		c.Until(fmt.Sprintf("all daemons act on offset %d", offset), func() bool { return len(observer.notCaughtUp(since, offset)) == 0 })
 	}
 	revisions := 0
 	publishRevision(c, &revisions)
@@ -110,7 +107,7 @@
 	for _, n := range c.Nodes {
 		n.CutPlatform()
 	}
-	missed := publishRevision(c, &revisions) // no daemon can learn of it yet
+	missed := publishRevision(c, &revisions) // no daemon can read it yet
 	c.Nodes[1].Kill()
 	c.Nodes[1].Start()
 	c.Nodes[1].AwaitReady()
--- a/internal/proof/steward_test.go
+++ b/internal/proof/steward_test.go
@@ -12,9 +12,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// countDecisions counts the effective records of a kind by VM, as the log's fold has
-// it; a VM's advances only to the phase to. void counts the records of any kind
-// about VMs that did not take effect: copies and rivals.
+// countDecisions applies the log and counts the effective records of a kind by VM, of VM advances
+// only those to the phase to. void is the number of records about VMs, of any kind, that did not
+// take effect: duplicates and conflicting decisions.
 func countDecisions(t *testing.T, c *testkit.Cluster, kind record.Kind, to record.VMPhase) (effective map[string]int, void int) {
 	effective = map[string]int{}
 	state := ledger.New()
@@ -36,13 +36,10 @@
 	return effective, void
 }
 
-// One of three stewards is killed in mid-wave and another is paused and wakes up
-// with its old view, while replies of the platform are lost after the action
-// took effect. Callers notice nothing of it and each VM is rebooted once.
-// Order: the wave begins; a steward dies with its share of the work undone; the
-// others take that over after a while; the paused one wakes up and goes on from
-// what it had decided, which is void by then. Why: only the fold lets a decision
-// take effect, and the platform carries out an operation ID once.
+// During a wave one of three stewards is killed, and another is paused and resumes with stale
+// decisions, while the platform's replies are lost after the action took effect. The remaining
+// stewards must take over, and each VM must be rebooted once: a decision takes effect only when it is
+// applied from the log, where a stale one is void, and the platform carries out an operation ID once.
 func TestKilledAndPausedStewardsRebootEachVMOnce(t *testing.T) {
 	const vms = 6
 	c := testkit.Start(t, testkit.Options{
@@ -54,7 +51,7 @@
 	c.Standin.InjectFaults(standin.Fault{Kind: standin.APILoseReply, Count: 6}, standin.Fault{Kind: standin.LogLoseReply, Count: 4})
 
 	c.MustCommand("wave", "start", "--pools", "booking", "--deadline", "1h")
-	c.Until("a VM is out", func() bool { return c.Standin.State().Unavailability("booking").Serving < vms })
+	c.Until("a VM is out of service", func() bool { return c.Standin.State().Unavailability("booking").Serving < vms })
 	c.Nodes[0].Steward.Kill()
 	c.Nodes[1].Steward.Pause()
 	c.Until("another VM is back", func() bool { return countBack(c) >= 2 })
@@ -71,7 +68,7 @@
 	}
 }
 
-// countBack counts the VMs that came back in the latest wave.
+// countBack returns the number of VMs that have returned to service after their maintenance.
 func countBack(c *testkit.Cluster) int {
 	n := 0
 	for _, w := range c.Standin.State().Waves {
@@ -84,12 +81,10 @@
 	return n
 }
 
-// An operator gave three VMs the same node ID, and their stewards do not know of
-// each other: each takes the same work as its own, so all decide about the same
-// VM at the same time. Operators see one history: of the rival records for a VM
-// exactly one took effect, and the platform saw one reboot. Order: a wave
-// begins, all stewards plan each turn and carry each step out. Why: a record
-// whose base is no longer current is void, on every node alike.
+// Three stewards have the same node ID, by an operator's mistake, and don't know of each other. Each
+// considers all work its own, so all plan and carry out every step of a wave for the same VMs at the
+// same time. Of the conflicting records for a VM exactly one must take effect, and the platform must
+// reboot the VM once: a record whose base is no longer current is void on every node.
 func TestStewardsThatRaceOverTheSameVMs(t *testing.T) {
 	const vms = 4
 	c := testkit.Start(t, testkit.Options{
@@ -104,7 +99,7 @@
 
 	drains, void := countDecisions(t, c, record.KindVMDrain, "")
 	reboots, _ := countDecisions(t, c, record.KindVMAdvance, record.PhaseRebooting)
-	assert.Positive(t, void, "the stewards did race")
+	assert.Positive(t, void, "some decisions of the stewards must conflict")
 	counters := c.Standin.Counters()
 	assert.Len(t, drains, vms)
 	for vm, n := range drains {
--- a/internal/proof/traces_test.go
+++ b/internal/proof/traces_test.go
@@ -21,12 +21,12 @@
 	"github.com/yuccadrift/yuccadrift/internal/trace"
 )
 
-// traceDirVariable names the directory that TestRecordTraces writes traces into. It
-// is not set in CI: recorded traces are committed and replayed by
-// internal/trace, so that a new build is held against an old run.
+// traceDirVariable is the environment variable that names the directory for the traces of
+// TestRecordTraces. It is not set in CI. Recorded traces are committed, and internal/trace replays
+// them to compare a new build with an old run.
 const traceDirVariable = "YUCCADRIFT_RECORD_TRACES"
 
-// jobSections are the lines of a document that let team proof run jobs.
+// jobSections are the sections of a document that let team proof run jobs.
 const jobSections = `[[quota]]
 team = "proof"
 cores = 256.0
@@ -37,21 +37,20 @@
 lease = "2s"
 `
 
-// requestPause is the pause of a caller between two requests; it keeps traces
-// small.
+// requestPause is a caller's pause between two requests. It keeps traces small.
 const requestPause = 100 * time.Millisecond
 
-// recording is a cluster whose run is being recorded.
+// recording is a cluster whose run is recorded.
 type recording struct {
 	*testkit.Cluster
 	t   *testing.T
 	vms int
 	mu  sync.Mutex
-	// requests by key, to be completed with the backend servers' counts.
+	// requests holds the requests by key. The backend servers' counts are added at the end.
 	requests map[string]trace.Request
 }
 
-// A scenario is one run that is recorded.
+// scenario is a run to record.
 type scenario struct {
 	name string
 	note string
@@ -159,13 +158,14 @@
 	}
 }
 
-// startWave starts a wave over the pool; awaitWave waits until it is over.
+// startWave starts a maintenance wave over the pool.
 func (r *recording) startWave() {
 	r.MustCommand("wave", "start", "--name", "w1", "--pools", "booking", "--deadline", "1h")
 }
 
+// awaitWave waits until the wave is done.
 func (r *recording) awaitWave() {
-	r.Until("the wave is over", func() bool { return r.Standin.State().Waves["w1"].Status == ledger.WaveDone })
+	r.Until("the wave is done", func() bool { return r.Standin.State().Waves["w1"].Status == ledger.WaveDone })
 }
 
 func (r *recording) awaitBack(n int) {
@@ -217,7 +217,7 @@
 	outage := r.Standin.InjectFaults(standin.Fault{Kind: standin.LogRefuse})
 	vm := r.Standin.List().VMs[r.vms-1].ID
 	r.Standin.InjectFaults(standin.Fault{Kind: standin.VMCrash, Target: vm})
-	time.Sleep(8 * time.Second) // longer than a state counts as fresh
+	time.Sleep(8 * time.Second) // longer than a state counts as current
 	r.Standin.ClearFaults(outage...)
 	r.Until("the failure is on the log", func() bool { return r.Standin.State().VMs[vm].Down })
 	r.Standin.InjectFaults(standin.Fault{Kind: standin.VMRecover, Target: vm})
@@ -225,8 +225,8 @@
 	awaitServing(r.Cluster, "booking", r.vms)
 }
 
-// outageRejoin cuts all processes off in mid-wave. Only the operator reaches the
-// log. At the return the nodes fold what he wrote before they decide.
+// outageRejoin cuts all processes off from the platform during a wave, while the operator still
+// reaches the log. After the outage the nodes must apply the operator's records before they decide.
 func outageRejoin(r *recording) {
 	r.Until("three members", func() bool { return len(r.Standin.State().Members) == 3 })
 	stop := r.startLookups()
@@ -241,7 +241,7 @@
 	}
 	vm := r.Standin.List().VMs[r.vms-1].ID
 	r.Standin.InjectFaults(standin.Fault{Kind: standin.VMCrash, Target: vm})
-	time.Sleep(6 * time.Second) // until no state counts as fresh
+	time.Sleep(6 * time.Second) // until no state counts as current
 	cut := r.Standin.State()
 	reboots := r.Standin.Counters().Reboots
 	time.Sleep(17 * time.Second)
@@ -278,7 +278,7 @@
 func lostReplies(r *recording) {
 	r.Standin.InjectFaults(
 		standin.Fault{Kind: standin.LogLoseReply, Count: 20},
-		// These surface after the author has sent a second copy.
+		// These appear in the log after their author has appended them again.
 		standin.Fault{Kind: standin.LogLate, Skip: 20, Count: 6, DelayMS: 2500},
 		standin.Fault{Kind: standin.APILoseReply, Count: 12},
 	)
@@ -291,12 +291,12 @@
 
 // submit submits a job that takes runTime.
 func (r *recording) submit(name string, runTime time.Duration, flags ...string) {
-	// Where the log is trimmed and no snapshot is there yet, a node's state helps.
+	// A node's state is needed if the log has been trimmed and there is no snapshot yet.
 	args := []string{"--nodes", r.Nodes[1].EntryPeerAddress(), "jobs", "submit", "--service", "booking", "--team", "proof", "--memory-mb", "256", "--run-time", runTime.String()}
 	r.MustCommand(append(append(args, flags...), name)...)
 }
 
-// forEachJob calls f for n names at once.
+// forEachJob calls f concurrently for n job names and waits for all calls.
 func forEachJob(n int, f func(name string)) {
 	var wg sync.WaitGroup
 	for i := range n {
@@ -305,9 +305,9 @@
 	wg.Wait()
 }
 
-// awaitJobs waits until every job is over.
+// awaitJobs waits until every job has ended.
 func (r *recording) awaitJobs() {
-	r.Until("all jobs are over", func() bool {
+	r.Until("all jobs have ended", func() bool {
 		for _, j := range r.Standin.State().Jobs {
 			if !j.Ended() {
 				return false
@@ -333,7 +333,7 @@
 	}
 	r.awaitJobs()
 	starts := r.Standin.Counters().JobStarts
-	require.Equal(r.t, 1, starts["once"], "a job that is not repeatable starts once")
+	require.Equal(r.t, 1, starts["once"], "a job that is not repeatable must start once")
 }
 
 func cancellationBurst(r *recording) {
@@ -346,10 +346,10 @@
 func failingWorker(r *recording) {
 	worker := r.Standin.List().VMs[0].ID
 	r.Standin.InjectFaults(standin.Fault{Kind: standin.WorkerFails, Target: worker})
-	// Jobs of one burst may fail for one reason, so evidence takes several; each
-	// job takes a worker, so that a worker in doubt is needed too.
+	// The jobs of one burst may have failed for one common reason, so several bursts are needed to
+	// quarantine a worker. Each job occupies a whole worker, so that the suspected worker is used too.
 	burst := 0
-	r.Until("the worker is set aside", func() bool {
+	r.Until("the worker is quarantined", func() bool {
 		burst++
 		forEachJob(10, func(name string) {
 			r.submit(fmt.Sprintf("%s-%d", name, burst), 500*time.Millisecond, "--repeatable", "--cores", "30")
@@ -360,8 +360,8 @@
 	r.awaitJobs()
 }
 
-// retentionGap cuts one entry VM off the log while others append more than is
-// retained, and gives it back: the node goes on from a snapshot or a peer.
+// retentionGap cuts one entry process off from the log while others append more entries than are
+// retained. When it reaches the log again, it must continue from a snapshot or a peer's state.
 func retentionGap(r *recording) {
 	const jobs = 70 // three records each
 	r.Until("three members", func() bool { return len(r.Standin.State().Members) == 3 })
@@ -369,7 +369,7 @@
 	n.EntryPlatform.Cut()
 	before := r.offset(n)
 	forEachJob(jobs, func(name string) { r.submit(name, 100*time.Millisecond, "--repeatable") })
-	r.Until("the entries that the node lacks are gone", func() bool {
+	r.Until("the entries that the node has not read are trimmed", func() bool {
 		batch, _ := r.Standin.Client.Read(r.t.Context(), settings.DefaultStream, 1, 1, 0)
 		return uint64(batch.First) > before+1
 	})
@@ -377,7 +377,7 @@
 	r.Until("the node has caught up", func() bool { return r.offset(n) >= r.offset(r.Nodes[1]) })
 }
 
-// offset asks an entry how far it has folded.
+// offset returns the offset up to which an entry has applied the log.
 func (r *recording) offset(n *testkit.Node) uint64 {
 	client, err := operator.NewClient(n.EntryPeerAddress())
 	require.NoError(r.t, err)
