--- a/internal/proof/faults_budget_test.go
+++ b/internal/proof/faults_budget_test.go
@@ -8,8 +8,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// poolAccount is the checker's own account of one pool, kept from the bodies of
-// effective records and not from the ledger's accounts.
+// poolAccount is the account of one pool that the checker derives from the bodies of effective
+// records, independently of the ledger's accounts.
 type poolAccount struct {
 	doc       servicedoc.Document
 	missing   int
@@ -17,20 +17,20 @@
 	shortages []shortage
 }
 
-// shortage is a stretch of time in which VMs were missing to the declared size.
+// shortage is a period in which a pool had fewer serving VMs than its declared size.
 type shortage struct {
 	from, to time.Time
 	missing  int
 }
 
-// vmAccount is where one VM is.
+// vmAccount is the state of one VM.
 type vmAccount struct {
 	pool, rack  string
-	unavailable bool // drained, or joined and not seen healthy yet
+	unavailable bool // drained, or joined and not yet reported up
 	down        bool
 }
 
-// fleetAccount replays the effective records.
+// fleetAccount is the state of all pools and VMs after the effective records.
 type fleetAccount struct {
 	pools map[string]*poolAccount
 	vms   map[string]*vmAccount
@@ -41,7 +41,7 @@
 	vm := f.vms[name]
 	switch b := l.rec.Body.(type) {
 	case record.DocumentPublish:
-		doc, _ := servicedoc.Parse(name, []byte(b.Text)) // effective, so well formed
+		doc, _ := servicedoc.Parse(name, []byte(b.Text)) // an effective document is valid
 		if f.pools[name] == nil {
 			f.pools[name] = &poolAccount{}
 		}
@@ -68,7 +68,7 @@
 	}
 }
 
-// recordShortage books the time since the pool's last change.
+// recordShortage records the shortage since the pool's last change and the VMs missing from now on.
 func (f *fleetAccount) recordShortage(pool string, now time.Time) {
 	p := f.pools[pool]
 	if p.missing > 0 {
@@ -87,7 +87,7 @@
 	return n
 }
 
-// spentVMSeconds is the VM-seconds charged in the window before now.
+// spentVMSeconds returns the missing VM-seconds in the budget's window before now.
 func (p *poolAccount) spentVMSeconds(now time.Time) float64 {
 	var sum float64
 	for _, c := range p.shortages {
@@ -100,7 +100,7 @@
 	return sum
 }
 
-// drainedPerRack counts the racks in which VMs of the pool are drained or down.
+// drainedPerRack returns, by rack, the number of the pool's VMs that are unavailable but not down.
 func (f *fleetAccount) drainedPerRack(pool string) map[string]int {
 	racks := map[string]int{}
 	for _, vm := range f.vms {
@@ -111,9 +111,8 @@
 	return racks
 }
 
-// checkBudgets: every drain that took effect fitted into its pool's budget: not too
-// many VMs missing at once, not two racks at a time where the document forbids
-// it, not more VM-seconds than allowed.
+// checkBudgets checks that every effective drain was within its pool's budget: the number of missing
+// VMs, VMs of one rack only if the document demands it, and the VM-seconds spent.
 func (e *evidence) checkBudgets() guarantee {
 	p := guarantee{name: "each pool stays within its availability budget"}
 	f := &fleetAccount{pools: map[string]*poolAccount{}, vms: map[string]*vmAccount{}}
@@ -136,7 +135,7 @@
 		budget := account.doc.Budget
 		racks := f.drainedPerRack(pool)
 		p.check(account.missing <= budget.MaxUnavailable, "offset %d: drain of %s leaves %s short of %d VMs, allowed %d", l.offset, vm, pool, account.missing, budget.MaxUnavailable)
-		p.check(!budget.OneDomain || account.missing == 0 || len(racks) <= 1, "offset %d: drain of %s has VMs of %s out in racks %v", l.offset, vm, pool, racks)
+		p.check(!budget.OneDomain || account.missing == 0 || len(racks) <= 1, "offset %d: drain of %s makes VMs of %s unavailable in racks %v", l.offset, vm, pool, racks)
 		p.check(account.spentVMSeconds(l.rec.Time) <= account.doc.AllowedSeconds(), "offset %d: drain of %s with %.0f of %.0f VM-seconds of %s spent", l.offset, vm, account.spentVMSeconds(l.rec.Time), account.doc.AllowedSeconds(), pool)
 	}
 	return p
--- a/internal/proof/faults_chaos_test.go
+++ b/internal/proof/faults_chaos_test.go
@@ -13,50 +13,49 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// nodeFault says what a fault does to one node.
+// nodeFault is the effect of a fault on a node.
 type nodeFault string
 
 const (
 	nodeKilled   nodeFault = "killed"
 	nodePaused   nodeFault = "paused"
-	nodeStopped  nodeFault = "stopped" // by SIGTERM, as planned
+	nodeStopped  nodeFault = "stopped" // by SIGTERM
 	nodeIsolated nodeFault = "cut off" // from the platform or from other nodes
 )
 
-// faultInterval is a stretch of time in which a node suffered a fault; to is zero while
-// it lasts.
+// faultInterval is the time of a node's fault. to is zero while the fault lasts.
 type faultInterval struct {
 	node     string
 	fault    nodeFault
 	from, to time.Time
 }
 
-// Requests that are in flight when an entry process is told to stop.
+// Requests that are in flight when an entry process gets SIGTERM.
 const (
 	inFlightAtStop = 4
 	inFlightPause  = 50 * time.Millisecond
 )
 
-// chaos makes faults, several at once.
+// chaos injects random faults, several at once.
 type chaos struct {
 	t            *testing.T
 	cluster      *testkit.Cluster
 	random       *rand.Rand
 	startedAt    time.Time
-	crashableVMs []string // VMs that may crash
-	linkedVMs    []string // VMs behind links
-	// sendLong sends a request that runs longer than a stopping process gives notice.
+	crashableVMs []string // backend VMs that may crash
+	linkedVMs    []string // backend VMs behind links
+	// sendLong sends a request that runs longer than drainNotice.
 	sendLong func(*testkit.Node)
-	// pickNode returns a node as the balancer does.
+	// pickNode returns a ready node, as the load balancer does.
 	pickNode func(random *rand.Rand, last *testkit.Node) *testkit.Node
-	// sendBurst sends a request that has no room under overload.
+	// sendBurst sends a request for overload.
 	sendBurst func(*testkit.Node)
 
 	wg          sync.WaitGroup
 	mu          sync.Mutex
 	nodeFaults  []faultInterval
 	faultCounts map[string]int
-	faulty      map[string]bool // what suffers a fault now
+	faulty      map[string]bool // kind and subject of the active faults
 }
 
 func newChaos(t *testing.T, c *testkit.Cluster, seed uint64, crashableVMs, linkedVMs []string) *chaos {
@@ -70,13 +69,12 @@
 	x.t.Logf("%7.2fs %s", time.Since(x.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// randomDuration returns a random duration.
+// randomDuration returns a random duration from shortest up to, but excluding, longest.
 func (x *chaos) randomDuration(shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(x.random.Int64N(int64(longest-shortest)))
 }
 
-// run makes a fault every pause or so until the time is over, and returns when
-// all of them have ended.
+// run injects a fault about every pause for duration and returns when all faults have ended.
 func (x *chaos) run(duration, pause time.Duration) {
 	kinds := []func(){
 		x.killVM, x.killEntry, x.pauseVM, x.stopEntry, x.platformOutage, x.isolateFromPlatform, x.partition,
@@ -87,7 +85,7 @@
 		if len(remaining) == 0 {
 			remaining = slices.Clone(kinds)
 		}
-		i := x.random.IntN(len(remaining)) // each kind has its turn, so that short runs see all
+		i := x.random.IntN(len(remaining)) // without replacement, so that short runs include every kind
 		remaining[i]()
 		remaining = slices.Delete(remaining, i, i+1)
 		time.Sleep(x.randomDuration(pause/2, 3*pause/2))
@@ -98,8 +96,8 @@
 	x.logf("all faults have ended")
 }
 
-// reserve marks a free subject as suffering a fault; most bounds how many of kind
-// may at once.
+// reserve marks a random subject without a fault of this kind as faulty and returns it. It returns
+// false if there is none or if limit subjects are faulty already.
 func (x *chaos) reserve(kind string, subjects []string, limit int) (string, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -126,8 +124,8 @@
 	delete(x.faulty, kind+subject)
 }
 
-// undoAfter counts a fault, and undoes it later. The random hold is drawn here, in
-// the order of the faults, so that a seed gives the same ones.
+// undoAfter counts a fault that has begun and calls undo after delay. Callers draw the delay before,
+// in the order of the faults, so that a seed determines it.
 func (x *chaos) undoAfter(name string, delay time.Duration, undo func()) {
 	x.mu.Lock()
 	x.faultCounts[name]++
@@ -139,7 +137,7 @@
 	})
 }
 
-// beginNodeFault notes that nodes suffer; the function returned ends it.
+// beginNodeFault records the beginning of a fault of nodes. end records its end.
 func (x *chaos) beginNodeFault(h nodeFault, nodes ...*testkit.Node) (end func()) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -156,7 +154,8 @@
 	}
 }
 
-// reserveNode takes a node that suffers nothing; at most a third of them do at once.
+// reserveNode reserves a node without a fault and returns it and a function that releases it. At most
+// a third of the nodes, but at least one, are reserved at once.
 func (x *chaos) reserveNode() (*testkit.Node, func(), bool) {
 	var names []string
 	for _, n := range x.cluster.Nodes {
@@ -223,7 +222,7 @@
 	for range inFlightAtStop {
 		x.wg.Go(func() { x.sendLong(n) })
 	}
-	time.Sleep(inFlightPause) // the requests are on their way, without proof: a late one is refused
+	time.Sleep(inFlightPause) // the requests have probably arrived; one that arrives late is refused
 	n.Entry.Terminate()
 	x.undoAfter("stop entry process (SIGTERM)", x.randomDuration(0, time.Second), func() {
 		if err := n.Entry.Wait(); err != nil {
@@ -236,7 +235,7 @@
 	})
 }
 
-// platformOutage is an outage of the platform.
+// platformOutage cuts all nodes off from the platform.
 func (x *chaos) platformOutage() {
 	if _, ok := x.reserve("outage/", []string{"all"}, 1); !ok {
 		return
@@ -255,6 +254,7 @@
 	})
 }
 
+// cutPlatform cuts or blackholes a node's links to the platform.
 func (x *chaos) cutPlatform(n *testkit.Node, blackhole bool) {
 	if !blackhole {
 		n.CutPlatform()
@@ -264,6 +264,7 @@
 	n.StewardPlatform.Blackhole()
 }
 
+// isolateFromPlatform cuts one node off from the platform.
 func (x *chaos) isolateFromPlatform() {
 	if _, ok := x.reserve("outage/", []string{"all"}, 1); !ok {
 		return
@@ -294,7 +295,7 @@
 	})
 }
 
-// injectStandinFault orders a fault of the stand-in for a time.
+// injectStandinFault injects a fault of the stand-in for a random time.
 func (x *chaos) injectStandinFault(f standin.Fault, shortest, longest time.Duration) {
 	duration := x.randomDuration(shortest, longest)
 	ids := x.cluster.Standin.InjectFaults(f)
@@ -323,7 +324,7 @@
 	x.injectStandinFault(faults[x.random.IntN(len(faults))], time.Second, 6*time.Second)
 }
 
-// backendFault orders one fault of a backend server, or of all.
+// backendFault injects a random fault of the backend servers.
 func (x *chaos) backendFault() {
 	kinds := []standin.FaultKind{
 		standin.CutBeforeRead, standin.CutAfterHeader, standin.CutAfterRun, standin.CutMidAnswer,
@@ -337,7 +338,7 @@
 	x.injectStandinFault(f, 500*time.Millisecond, 4*time.Second)
 }
 
-// crashBackendVM loses a VM with a backend server for some time.
+// crashBackendVM crashes a VM with a backend server and recovers it after a random time.
 func (x *chaos) crashBackendVM() {
 	vm, ok := x.reserve("vm/", x.crashableVMs, 2)
 	if !ok {
@@ -350,7 +351,7 @@
 	})
 }
 
-// overload has a crowd of callers ask at once for more than the slots hold.
+// overload sends more requests at once than the backend servers have slots.
 func (x *chaos) overload() {
 	const crowd = 300
 	x.undoAfter("overload", time.Second, func() {})
@@ -361,7 +362,7 @@
 	}
 }
 
-// linkFault disturbs the way to one backend server.
+// linkFault injects a random fault of the link to one backend server.
 func (x *chaos) linkFault() {
 	vm, ok := x.reserve("link/", x.linkedVMs, 2)
 	if !ok {
@@ -369,7 +370,7 @@
 	}
 	link := x.cluster.Backends[vm]
 	kinds := map[string]func(){
-		"backend link passes nothing":    link.Blackhole,
+		"backend link is blackholed":     link.Blackhole,
 		"backend link loses replies":     link.BlackholeReplies,
 		"backend link is slow":           func() { link.Delay(300*time.Millisecond, 200*time.Millisecond) },
 		"backend link breaks in replies": func() { link.CutAfter(500) },
--- a/internal/proof/faults_check_test.go
+++ b/internal/proof/faults_check_test.go
@@ -14,22 +14,23 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// Bounds that the promises name.
+// Bounds that the guarantees state.
 const (
-	// drainBound is when a leaving backend server gets no new work any more.
+	// drainBound is how long after its drain a backend server may still get new requests.
 	drainBound = 3 * time.Second
-	// inForceBound is when an accepted configuration is in force on every node,
-	// counted from when the node was whole.
+	// inForceBound is how long after its acceptance, or after the node's last fault, a configuration
+	// may not yet be in force on a node.
 	inForceBound = 13 * time.Second
 )
 
-// guarantee is the verdict on one promise.
+// guarantee is a guarantee of the system and the result of checking it.
 type guarantee struct {
 	name       string
 	cases      int
 	violations []string
 }
 
+// check counts a case and records a violation unless holds is true.
 func (p *guarantee) check(holds bool, format string, args ...any) {
 	p.cases++
 	if !holds {
@@ -37,7 +38,7 @@
 	}
 }
 
-// evidence is all that was seen of a run.
+// evidence is everything that was observed in a run.
 type evidence struct {
 	startedAt  time.Time
 	records    []observedRecord
@@ -53,7 +54,7 @@
 	return fmt.Sprintf("%.2fs", t.Sub(e.startedAt).Seconds())
 }
 
-// checkAll checks every promise.
+// checkAll checks every guarantee.
 func (e *evidence) checkAll() []guarantee {
 	return []guarantee{
 		e.checkBudgets(), e.checkOnePool(), e.checkOwnAnswers(), e.checkNotRun(), e.checkAtMostOnce(), e.checkDrainedGetNothing(),
@@ -63,15 +64,15 @@
 
 func printTable(out io.Writer, guarantees []guarantee) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "PROMISE\tCASES TRIED\tBROKEN")
+	fmt.Fprintln(table, "GUARANTEE\tCASES CHECKED\tVIOLATIONS")
 	for _, p := range guarantees {
 		fmt.Fprintf(table, "%s\t%d\t%d\n", p.name, p.cases, len(p.violations))
 	}
 	_ = table.Flush()
 }
 
-// membership is a stretch of time in which a VM belonged to a pool: from is
-// before the join took effect, to after the leave did.
+// membership is a period in which a VM belonged to a pool. from is before the join took effect, to
+// is after the VM's departure took effect and zero while it belongs to the pool.
 type membership struct {
 	pool     string
 	from, to time.Time
@@ -104,7 +105,7 @@
 	return vms
 }
 
-// checkOnePool: no VM ran a request of a service in whose pool it was not.
+// checkOnePool checks that VMs ran only requests of services whose pool they belonged to.
 func (e *evidence) checkOnePool() guarantee {
 	p := guarantee{name: "a VM belongs to exactly one pool"}
 	vms := e.memberships()
@@ -129,8 +130,8 @@
 	return p
 }
 
-// checkNotRun: a request whose every attempt was answered "not-run" was run by no
-// backend server, and none saw it but to refuse it.
+// checkNotRun checks that a request whose every attempt was answered "not-run" was not run, and that
+// every backend server that received it refused it.
 func (e *evidence) checkNotRun() guarantee {
 	p := guarantee{name: "\"not run\" is true"}
 	notRun := map[string]bool{}
@@ -161,8 +162,8 @@
 	return p
 }
 
-// drainPeriod is a stretch of time in which a VM was drained: from is when that was
-// seen, to is before it was taken back.
+// drainPeriod is a period in which a VM was drained. from is when the drain was observed, to is before
+// the VM was up again.
 type drainPeriod struct {
 	vm       string
 	from, to time.Time
@@ -170,7 +171,7 @@
 
 func (e *evidence) drainPeriods() []drainPeriod {
 	var all []drainPeriod
-	open := map[string]int{} // index and 1
+	open := map[string]int{} // index in all plus 1, by VM
 	for _, l := range e.records {
 		if l.outcome.Status != ledger.Effective || l.rec.Subject.Kind != record.SubjectVM {
 			continue
@@ -190,8 +191,7 @@
 	return all
 }
 
-// checkDrainedGetNothing: a backend server that is drained saw its last new request within
-// seconds.
+// checkDrainedGetNothing checks that a drained backend server got no new request after drainBound.
 func (e *evidence) checkDrainedGetNothing() guarantee {
 	p := guarantee{name: "a leaving backend server gets no new work after 3 s"}
 	for _, a := range e.drainPeriods() {
@@ -209,7 +209,7 @@
 	return p
 }
 
-// describeFaults lists the faults of nodes in a stretch of time.
+// describeFaults lists the nodes' faults in a period, for messages.
 func (e *evidence) describeFaults(from, to time.Time) string {
 	text := ""
 	for _, h := range e.nodeFaults {
@@ -220,8 +220,8 @@
 	return text
 }
 
-// checkNoRequestCut: planned reboots cut no request at a backend server, and no attempt at
-// an entry process that was told to stop broke off.
+// checkNoRequestCut checks that planned reboots interrupted no request at a backend server, and that
+// every attempt at an entry process that got SIGTERM was answered.
 func (e *evidence) checkNoRequestCut() guarantee {
 	p := guarantee{name: "planned drains, reboots and stops cut no request"}
 	for vm, counts := range e.final.Backends.VMs {
@@ -231,21 +231,21 @@
 	}
 	for _, a := range e.attempts {
 		if e.hadFault(a, nodeStopped) && !e.hadFault(a, nodeKilled, nodePaused) {
-			p.check(a.Err == nil || a.Status != 0, "%s %s%s at %s which was told to stop: %v%s", e.elapsed(a.startedAt), a.service, a.path, a.node, a.Err, e.describeFaults(a.startedAt, a.endedAt))
+			p.check(a.Err == nil || a.Status != 0, "%s %s%s at %s after SIGTERM: %v%s", e.elapsed(a.startedAt), a.service, a.path, a.node, a.Err, e.describeFaults(a.startedAt, a.endedAt))
 		}
 	}
 	return p
 }
 
-// hadFault reports whether the attempt's node suffered one of the harms during it.
+// hadFault reports whether the attempt's node had one of the faults during the attempt.
 func (e *evidence) hadFault(a attempt, faults ...nodeFault) bool {
 	return slices.ContainsFunc(e.nodeFaults, func(h faultInterval) bool {
 		return h.node == a.node && slices.Contains(faults, h.fault) && h.from.Before(a.endedAt) && (h.to.IsZero() || h.to.After(a.startedAt))
 	})
 }
 
-// checkLiveNodesAnswer: an entry process that is neither gone nor paused answers every
-// request, whatever else is out of order.
+// checkLiveNodesAnswer checks that an entry process answers every request unless it is down, paused
+// or shutting down, whatever other faults there are.
 func (e *evidence) checkLiveNodesAnswer() guarantee {
 	p := guarantee{name: "a live entry process answers, with an outcome"}
 	for _, a := range e.attempts {
@@ -256,14 +256,14 @@
 	return p
 }
 
-// checkNoRevert: once a daemon of a VM had a revision in force, none of that VM's
-// later runs of it has an older one, or none, while it is ready.
+// checkNoRevert checks that a ready daemon, also after a restart, has no older revision in force than
+// one that it reported before, and that it still has one.
 func (e *evidence) checkNoRevert() guarantee {
 	p := guarantee{name: "a configuration never reverts to an older one"}
 	highest := map[string]map[string]record.Revision{}
 	for _, r := range e.statuses {
 		if len(r.Unready) > 0 {
-			continue // it serves nothing yet
+			continue // it doesn't serve yet
 		}
 		seen := highest[r.daemon]
 		if seen == nil {
@@ -280,9 +280,9 @@
 	return p
 }
 
-// checkInForce: an accepted revision is the one that the log made effective, and is
-// in force on every node within seconds of its acceptance, or of the end of the
-// node's last fault. At the end of the run every node has it.
+// checkInForce checks that an accepted revision is the effective one in the log, and that it is in
+// force on every node within inForceBound of its acceptance or of the node's last fault, and at the
+// end of the run.
 func (e *evidence) checkInForce() guarantee {
 	p := guarantee{name: "an accepted configuration is in force everywhere"}
 	effective := map[uint64]string{}
@@ -296,7 +296,7 @@
 		last[r.daemon] = r
 	}
 	for _, acc := range e.operators.accepted {
-		p.check(effective[uint64(acc.revision)] == acc.text, "%s revision %d was called accepted, the log says otherwise", acc.service, acc.revision)
+		p.check(effective[uint64(acc.revision)] == acc.text, "%s revision %d was reported as accepted but is not effective in the log", acc.service, acc.revision)
 		for daemon, r := range last {
 			p.check(r.Revision(acc.service) >= acc.revision, "at the end %s has revision %d of %s, %d was accepted", daemon, r.Revision(acc.service), acc.service, acc.revision)
 		}
@@ -310,8 +310,7 @@
 	return p
 }
 
-// hadRecentFault reports whether the daemon's VM suffered anything in the time that it
-// has to catch up.
+// hadRecentFault reports whether the daemon's VM had a fault within inForceBound before the report.
 func (e *evidence) hadRecentFault(r statusReport) bool {
 	return slices.ContainsFunc(e.nodeFaults, func(h faultInterval) bool {
 		return h.node == r.node && h.from.Before(r.askedAt) && (h.to.IsZero() || h.to.After(r.askedAt.Add(-inForceBound)))
@@ -322,7 +321,7 @@
 	return guarantee{name: "of two publishes on one revision one is accepted", cases: e.operators.conflicts, violations: e.operators.bothAccepted}
 }
 
-// checkSameState: daemons at the same offset have the same state.
+// checkSameState checks that daemons at the same offset have the same state, by its digest.
 func (e *evidence) checkSameState() guarantee {
 	p := guarantee{name: "all nodes at one offset have the same state"}
 	first := map[uint64]statusReport{}
@@ -340,7 +339,7 @@
 	return p
 }
 
-// checkRebootsOnce: the platform rebooted a VM as often as that was decided.
+// checkRebootsOnce checks that the platform rebooted no VM more often than was decided.
 func (e *evidence) checkRebootsOnce() guarantee {
 	p := guarantee{name: "a reboot is decided first and done once"}
 	decided := map[string]int{}
--- a/internal/proof/faults_load_test.go
+++ b/internal/proof/faults_load_test.go
@@ -16,15 +16,15 @@
 // Bounds of the callers.
 const (
 	readinessInterval = 50 * time.Millisecond
-	callerTimeout     = 6 * time.Second // more than the deadline that callers give
+	callerTimeout     = 6 * time.Second // more than requestDeadline
 	requestDeadline   = 3 * time.Second
 	maxAttempts       = 4
-	longRun           = 2 * time.Second // more than notice
-	drainNotice       = "1s"            // of an entry process that stops
+	longRun           = 2 * time.Second // more than drainNotice
+	drainNotice       = "1s"            // of an entry process that shuts down
 	maxLatency        = int64(time.Minute / time.Microsecond)
 )
 
-// route is what callers ask of a service.
+// route is a route of a service that callers use.
 type route struct {
 	service    string
 	path       string
@@ -32,7 +32,7 @@
 	long       bool
 }
 
-// routes of the example documents that the callers use.
+// routes are the routes of the example documents that callers use.
 var routes = []route{
 	{"booking", "/lookup", true, false},
 	{"booking", "/reservations", false, false},
@@ -49,7 +49,7 @@
 	{"export", "/exports", false, true},
 }
 
-// attempt is one try of one request, as its caller saw it.
+// attempt is one attempt of a request and the answer that its caller got.
 type attempt struct {
 	route
 	key       string
@@ -59,8 +59,8 @@
 	testkit.Answer
 }
 
-// callers send requests through the nodes that a balancer takes for ready. They
-// try a request again under the same key, at another node, unless it ran.
+// callers send requests through the nodes that a load balancer considers ready. They retry a request
+// with the same key at another node until it has run.
 type callers struct {
 	cluster *testkit.Cluster
 	ready   []atomic.Bool
@@ -68,7 +68,7 @@
 
 	mu       sync.Mutex
 	attempts []attempt
-	latency  map[string]*hdrhistogram.Histogram // in microseconds, of requests that ran
+	latency  map[string]*hdrhistogram.Histogram // by class, in microseconds, of requests that ran
 }
 
 func startCallers(ctx context.Context, c *testkit.Cluster, routes []route, perRoute int, pause time.Duration, seed uint64) *callers {
@@ -95,8 +95,8 @@
 	return cs
 }
 
-// pickNode returns a node that the balancer takes for ready, other than last where
-// there is another, or nil.
+// pickNode returns a random node other than last that the load balancer considers ready. If there is
+// none it returns last, which may be nil.
 func (cs *callers) pickNode(random *rand.Rand, last *testkit.Node) *testkit.Node {
 	var ready []*testkit.Node
 	for i, n := range cs.cluster.Nodes {
@@ -110,15 +110,15 @@
 	return ready[random.IntN(len(ready))]
 }
 
-// request sends one request until it ran or the caller gives up. It finishes
-// after ctx has ended, so that every request has an end.
+// request sends one request until it has run or the caller gives up. It continues after ctx has
+// ended, so that every request gets a final outcome.
 func (cs *callers) request(ctx context.Context, r route, random *rand.Rand) {
 	req := testkit.Request{Path: "/" + r.service + r.path, Key: testkit.Key(), Deadline: requestDeadline}
 	req.Work = time.Duration(1+random.IntN(20)) * time.Millisecond
 	req.ReplyBytes = random.IntN(4096)
 	if r.long {
 		req.Work = time.Duration(100+random.IntN(900)) * time.Millisecond
-		req.ReplyBytes = random.IntN(300_000) // beyond what is held until complete
+		req.ReplyBytes = random.IntN(300_000) // more than an entry buffers
 	}
 	var last *testkit.Node
 	for n := 1; n <= maxAttempts; n++ {
@@ -134,14 +134,13 @@
 			return
 		}
 		if a.Outcome == outcome.NotRun && (ctx.Err() != nil || random.IntN(3) == 0) {
-			return // its last word is "not-run"
+			return // the final outcome is "not-run"
 		}
 		time.Sleep(time.Duration(random.IntN(100)) * time.Millisecond)
 	}
 }
 
-// sendOne sends one request of the booking service, whose end is not awaited by a
-// retry.
+// sendOne sends one request to the booking service and doesn't retry it.
 func (cs *callers) sendOne(node *testkit.Node, path string, work time.Duration) {
 	for _, r := range routes {
 		if r.service == "booking" && r.path == path {
@@ -176,5 +175,5 @@
 		h = hdrhistogram.New(1, maxLatency, digits)
 		cs.latency[class] = h
 	}
-	_ = h.RecordValue(a.Duration.Microseconds()) // callerPatience is within its range
+	_ = h.RecordValue(a.Duration.Microseconds()) // callerTimeout is within the histogram's range
 }
--- a/internal/proof/faults_long_test.go
+++ b/internal/proof/faults_long_test.go
@@ -9,8 +9,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// The long form: both deployments' documents, 8 entry VMs in 4 zones, 100 backend
-// servers, and two waves while VMs move between pools.
+// The long form of TestFaultsTogetherShort: the documents of both deployments, 8 entry VMs in 4
+// zones, 100 backend servers, and two waves while VMs move between pools.
 func TestFaultsTogether(t *testing.T) {
 	fleet := func(prefix string, count, cores, memory int, linked bool, zones ...string) testkit.Group {
 		return testkit.Group{Prefix: prefix, Count: count, Cores: cores, MemoryMB: memory, Linked: linked, Zones: zones, BootSeconds: 1}
@@ -27,8 +27,8 @@
 			fleet("fk", 44, 64, 256<<10, false, "a", "b", "c", "d"),
 			fleet("fl", 6, 64, 256<<10, true, "a", "b", "c", "d"),
 		},
-		// The pace of real stewards: at that of other tests 8 of them would check
-		// 108 VMs ten times a second.
+		// The default intervals of stewards. With the shorter ones of other tests 8 stewards would
+		// check 108 VMs ten times a second.
 		steward:          testkit.Settings{"planning.interval": `"1s"`, "planning.list_interval": `"2s"`},
 		crashableVMs:     10,
 		duration:         2 * time.Minute,
--- a/internal/proof/faults_operators_test.go
+++ b/internal/proof/faults_operators_test.go
@@ -17,7 +17,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// acceptedDocument is a document that the command line called accepted.
+// acceptedDocument is a document that the command line reported as accepted.
 type acceptedDocument struct {
 	service    string
 	revision   record.Revision
@@ -25,20 +25,20 @@
 	text       string
 }
 
-// operators change documents, two at a time on the same revision, move VMs
-// between pools by their sizes, start waves and submit jobs.
+// operators publish conflicting documents, move VMs between pools by changing the pools' sizes, start
+// waves and submit jobs.
 type operators struct {
 	cluster   *testkit.Cluster
 	observer  *observer
 	random    *rand.Rand
-	documents map[string]string // by service, as published last
+	documents map[string]string // by service, with the pool sizes last accepted
 	wg        sync.WaitGroup
 
 	mu              sync.Mutex
 	accepted        []acceptedDocument
-	conflicts       int // of conflicting publishes
+	conflicts       int // pairs of conflicting publishes
 	bothAccepted    []string
-	unknownOutcomes int // publishes whose outcome the command line did not learn
+	unknownOutcomes int // publishes whose outcome the command line could not determine
 	jobs            int
 }
 
@@ -71,7 +71,7 @@
 	o.cluster.Command("--timeout", "20s", "wave", "start", "--name", name, "--pools", strings.Join(pools, ","), "--deadline", "1h")
 }
 
-// publishConflict has two operators publish different documents on one revision.
+// publishConflict publishes two different documents based on the same revision at once.
 func (o *operators) publishConflict(service string) {
 	var base record.Revision
 	o.observer.withState(func(s *ledger.State) { base = s.Services[service].Revision })
@@ -112,7 +112,7 @@
 
 var sizePattern = regexp.MustCompile(`(?m)^size = (\d+)$`)
 
-// moveVM makes one pool smaller and another one larger.
+// moveVM moves one VM between two random pools.
 func (o *operators) moveVM(services []string) {
 	from, to := services[o.random.IntN(len(services))], services[o.random.IntN(len(services))]
 	if from != to {
@@ -120,7 +120,7 @@
 	}
 }
 
-// resize publishes both documents of a move.
+// resize publishes the documents of two services with their pool sizes changed by vms.
 func (o *operators) resize(from, to string, vms int) {
 	for service, change := range map[string]int{from: -vms, to: vms} {
 		text := sizePattern.ReplaceAllStringFunc(o.documents[service], func(line string) string {
@@ -135,7 +135,7 @@
 	}
 }
 
-// submitJob submits a job that must not run twice.
+// submitJob submits a job that is not repeatable.
 func (o *operators) submitJob(service string) {
 	var team string
 	o.observer.withState(func(s *ledger.State) { team = s.Services[service].Doc.Team })
--- a/internal/proof/faults_stall_test.go
+++ b/internal/proof/faults_stall_test.go
@@ -13,22 +13,22 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// Times of stalls.
+// Parameters of the detection of stalls.
 const (
 	stallCheckInterval = 50 * time.Millisecond
-	// minStall is how long this process must have got no processor time to count as
-	// stalled. Scheduling on a busy machine takes a few tenths of that.
+	// minStall is how long this process must have been without processor time to count as stalled.
+	// Scheduling delays on a busy machine are a few tenths of that.
 	minStall = 2 * time.Second
 )
 
-// stalls are the times in which the whole machine stood still, the processes of the run with
-// it. Each node was paused then, as by a fault.
+// stalls are the times in which the whole machine was stalled. All nodes were paused then, as by a
+// fault.
 type stalls struct {
 	wg    sync.WaitGroup
-	found []faultInterval // of no node yet
+	found []faultInterval // without node
 }
 
-// watchStalls watches until ctx ends.
+// watchStalls records stalls until ctx ends.
 func watchStalls(ctx context.Context) *stalls {
 	s := &stalls{}
 	s.wg.Go(func() {
@@ -44,7 +44,8 @@
 	return s
 }
 
-// onNodes are the stalls as harms of each node, once the watch has ended.
+// onNodes waits until the context of watchStalls has ended and returns the stalls as faults of each
+// node.
 func (s *stalls) onNodes(nodes []*testkit.Node) (all []faultInterval) {
 	s.wg.Wait()
 	for _, h := range s.found {
@@ -56,8 +57,8 @@
 	return all
 }
 
-// Guards against a run that is failed by a machine that stood still for seconds: nobody can
-// have answered then. A busy one, on which each step is late, counts as no stall.
+// Guards against a run that fails because the machine was stalled for seconds: no node can have
+// answered then. Delays of single steps on a busy machine must not count as a stall.
 func TestStallsOfTheMachineAreNoBrokenPromise(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -77,6 +78,6 @@
 		}}
 		p := e.checkLiveNodesAnswer()
 		assert.Equal(t, 1, p.cases)
-		assert.Len(t, p.violations, 1, "it began after the stall")
+		assert.Len(t, p.violations, 1, "only the attempt that began after the stall is a violation")
 	})
 }
--- a/internal/proof/faults_test.go
+++ b/internal/proof/faults_test.go
@@ -18,33 +18,32 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// seedVariable gives the seed of the random faults.
+// seedVariable is the environment variable that sets the seed of the random faults.
 const seedVariable = "FAULTS_SEED"
 
-// faultPlan describes a run of all faults at once.
+// faultPlan describes a run with all kinds of faults.
 type faultPlan struct {
-	nodes            []string // zones
+	nodes            []string // zones of the entry VMs
 	documents        []string
 	fleet            []testkit.Group
 	steward          testkit.Settings
-	crashableVMs     int // VMs that may crash
+	crashableVMs     int // number of backend VMs that may crash
 	duration         time.Duration
-	faultInterval    time.Duration // between faults
-	operatorInterval time.Duration // between operators' acts
-	callersPerRoute  int           // callers
-	thinkTime        time.Duration // of a caller
+	faultInterval    time.Duration // mean time between faults
+	operatorInterval time.Duration // mean time between operators' actions
+	callersPerRoute  int
+	thinkTime        time.Duration // mean pause of a caller between requests
 	waves            [][]string
-	// permanentMove names two services of which the first gives VMs to the second for
-	// good; operators leave their sizes alone from then on. Without a free VM,
-	// and after the minute that a gap has to last, VMs are drained and moved.
+	// permanentMove names two services. At the start operators move two VMs from the first to the
+	// second and then leave both sizes unchanged. As no VM is free, VMs are drained and moved, a
+	// minute after the second pool became too small.
 	permanentMove []string
 }
 
-// A short form with few processes. Everything fails that can: processes and VMs
-// are lost, paused and stopped, the platform is out, its replies are lost, entry
-// VMs are cut off from each other, backend servers break in every way, while
-// operators publish against each other, move VMs, run a wave and submit jobs. No
-// promise may break.
+// All kinds of faults at once, in a short run with few processes: processes and VMs are killed,
+// paused and stopped, the platform is unavailable or loses replies, entry VMs are partitioned, and
+// backend servers fail in every way, while operators publish conflicting documents, move VMs, run a
+// wave and submit jobs. Every guarantee must hold.
 func TestFaultsTogetherShort(t *testing.T) {
 	runFaults(t, 1, faultPlan{
 		nodes:     []string{"a", "b", "c", "a"},
@@ -127,10 +126,10 @@
 	var notCaughtUp []string
 	defer func() {
 		for _, b := range notCaughtUp {
-			t.Log("behind: " + b)
+			t.Log("not caught up: " + b)
 		}
 	}()
-	c.Until("every node is ready and at the end of the log", func() bool {
+	c.Until("every daemon is ready and acts on the end of the log", func() bool {
 		notCaughtUp = observer.notCaughtUp(healedAt, end)
 		return len(notCaughtUp) == 0
 	})
@@ -152,7 +151,7 @@
 	}
 }
 
-// logSummary prints what the run was made of.
+// logSummary logs the faults, attempts, latencies and records of a run.
 func logSummary(t *testing.T, e *evidence, x *chaos, load *callers, observer *observer) {
 	for _, name := range slices.Sorted(maps.Keys(x.faultCounts)) {
 		t.Logf("%4d times: %s", x.faultCounts[name], name)
@@ -189,7 +188,7 @@
 		}
 	}
 	t.Logf("drains by reason %v, %d joins of pools, %d records", drains, joins, len(e.records))
-	t.Logf("%d runs lost with their VM, %d abandoned ones cut, %.0f appends a second",
+	t.Logf("%d runs lost with their VM, %d abandoned runs cut, %.0f appends/s",
 		e.final.Backends.LostInFlight, e.final.Backends.CutAbandoned, e.final.Log.AppendsPerSecond)
 	observer.withState(func(s *ledger.State) {
 		for id, wave := range s.Waves {
--- a/internal/proof/faults_watch_test.go
+++ b/internal/proof/faults_watch_test.go
@@ -15,15 +15,15 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// Paces of the observers.
+// Intervals and timeout of the observer.
 const (
 	statusInterval  = 200 * time.Millisecond
 	counterInterval = 250 * time.Millisecond
 	statusTimeout   = 300 * time.Millisecond
 )
 
-// observedRecord is one record of the log with its outcome and when it was seen, which
-// is at or after it took effect; rec.Time is before.
+// observedRecord is one record of the log with its outcome. seenAt is not before the record took
+// effect, rec.Time is not after.
 type observedRecord struct {
 	seenAt  time.Time
 	offset  uint64
@@ -31,7 +31,7 @@
 	outcome ledger.Outcome
 }
 
-// statusReport is one answer of a daemon about itself.
+// statusReport is one status answer of a daemon.
 type statusReport struct {
 	askedAt time.Time
 	daemon  string
@@ -39,14 +39,14 @@
 	operator.Status
 }
 
-// counterSnapshot is one look at the backend servers' counters.
+// counterSnapshot is one reading of the backend servers' counters.
 type counterSnapshot struct {
 	askedAt time.Time
 	vms     map[string]standin.VMCounters
 }
 
-// observer observes a cluster past all links: the log, each daemon's word about
-// itself, and the backend servers' counters.
+// observer collects the records of the log, the status of each daemon and the backend servers'
+// counters, without links.
 type observer struct {
 	cluster *testkit.Cluster
 	pollers sync.WaitGroup
@@ -89,7 +89,7 @@
 	for ctx.Err() == nil {
 		batch, err := w.cluster.Standin.Client.Read(ctx, settings.DefaultStream, next, limit, time.Second)
 		if err != nil {
-			continue // a fault of the log, or the end of the test
+			continue // the log has a fault, or the test has ended
 		}
 		w.fold(batch.Entries)
 		next += platform.Offset(len(batch.Entries))
@@ -120,7 +120,7 @@
 		defer cancel()
 		status, err := client.Status(ctx)
 		if err != nil {
-			return // the process is gone, paused or starting
+			return // the process is down, paused or starting
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -136,21 +136,21 @@
 	w.counters = append(w.counters, counterSnapshot{askedAt: asked, vms: vms})
 }
 
-// withState calls f with the folded log.
+// withState calls f with the state that results from the records read so far. f must not keep it.
 func (w *observer) withState(f func(*ledger.State)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f(w.state)
 }
 
-// offset returns the end of the log.
+// offset returns the offset up to which the observer has applied the log.
 func (w *observer) offset() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.state.Offset
 }
 
-// notCaughtUp returns the daemons that have not said, asked after since, that they
+// notCaughtUp describes the daemons whose latest status, queried after since, doesn't show that they
 // are ready and act on offset.
 func (w *observer) notCaughtUp(since time.Time, offset uint64) []string {
 	w.mu.Lock()
--- a/internal/proof/outage_test.go
+++ b/internal/proof/outage_test.go
@@ -85,8 +85,9 @@
 }
 
 // Operators publish revisions while one entry VM is replaced, then while the platform is unreachable
-// and a second VM is replaced, then while a third is cut off from the platform and its peers. No ready
-// daemon may report an older revision after a newer one, and at the end all must act on the last one.
+// and a second VM is replaced, then while a third is cut off from the platform and its peers. No
+// ready daemon may report an older revision after a newer one, and at the end all must act on the
+// last one.
 func TestNoDaemonReturnsToAnOlderRevision(t *testing.T) {
 	c := startPool(t, 2, testkit.Options{Nodes: []string{"a", "b", "a"}})
 	ctx, cancel := context.WithCancel(context.Background())
