--- a/internal/proof/jobs_test.go
+++ b/internal/proof/jobs_test.go
@@ -92,8 +92,8 @@
 	assert.GreaterOrEqual(t, results[record.JobSucceeded], jobs/2)
 }
 
-// Urgent jobs are submitted to a pool that is full of long checkpointable jobs while one steward is
-// down. Another steward must preempt jobs for it, whichever steward managed the pool, and each
+// Urgent jobs are submitted to a pool that is full of long checkpointable jobs, each while another
+// steward is down. Whichever steward managed the pool, a remaining one must free capacity, and each
 // urgent job must start within urgentStartBound.
 func TestUrgentJobsStartWithinTheirBoundOnAFullPool(t *testing.T) {
 	c := jobsCluster(t, 3, 3*time.Second)
@@ -117,10 +117,10 @@
 	}
 }
 
-// The only steward is paused past the lease of a running export, and the platform ends the task. When
-// it resumes, the steward must neither renew the task nor start it again: the export ends as lapsed. A
-// repeatable job must run once more. The lease is far longer than a busy machine delays a process;
-// TestPausedStewardReadsLogAndStatusBeforeItActs tests the same in virtual time.
+// The only steward is paused past the lease of a running export, and the platform ends the task.
+// After it resumes, the steward must neither renew the task nor start it again: the export ends as
+// lapsed. A repeatable job must run once more. The lease is far longer than a busy machine delays a
+// process; TestPausedStewardReadsLogAndStatusBeforeItActs tests the same in virtual time.
 func TestStewardStoppedPastTheLeaseStartsNoExportAgain(t *testing.T) {
 	c := jobsCluster(t, 1, 5*time.Second)
 	submitExportJob(c, "export", "--run-time", "20s")
--- a/internal/proof/loss_bench_test.go
+++ b/internal/proof/loss_bench_test.go
@@ -59,7 +59,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// awaitGrants waits until 8 bookings with new keys run at each node.
+// awaitGrants waits until 8 bookings in a row, with new keys, have run at each node.
 func awaitGrants(c *testkit.Cluster) {
 	c.Until("all keys are granted", func() bool {
 		for range 8 {
--- a/internal/testkit/gate.go
+++ b/internal/testkit/gate.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// forward forwards a connection. A connection from any other process, as of the test itself, goes
-// to the upstream without a link.
+// forward forwards a connection over the link from the dialing VM. A connection from a process of no
+// VM, such as the test, goes to the upstream without a link.
 func (g *peerProxy) forward(conn net.Conn) {
 	if !g.process.Running() {
 		_ = conn.Close()
