--- a/internal/proof/claims_test.go
+++ b/internal/proof/claims_test.go
@@ -222,14 +222,14 @@
 		require.NoError(t, n.Entry.Wait())
 		n.Entry.Start()
 		n.AwaitReady()
-		c.Until("it is a member", func() bool { return memberCount(c) == 4 })
+		c.Until("the restarted VM is a member", func() bool { return memberCount(c) == 4 })
 	}
 	assert.Zero(t, b.countLastOutcomes()[outcome.Unknown], "unknown outcomes after graceful shutdowns")
 	c.Nodes[2].Kill()
 	c.Until("the killed VM is evicted", func() bool { return memberCount(c) == 3 })
 	c.Nodes[2].Start()
-	c.Until("it is a member", func() bool { return memberCount(c) == 4 })
+	c.Until("the restarted VM is a member", func() bool { return memberCount(c) == 4 })
 	stop()
 	b.checkRuns()
-	t.Logf("bookings by the last answer: %v", b.countLastOutcomes())
+	t.Logf("bookings by last outcome: %v", b.countLastOutcomes())
 }
--- a/internal/proof/faults_stall_test.go
+++ b/internal/proof/faults_stall_test.go
@@ -66,7 +66,7 @@
 		time.Sleep(10 * time.Second)
 		cancel()
 		nodes := []*testkit.Node{{Name: "entry-1"}, {Name: "entry-2"}}
-		assert.Empty(t, s.onNodes(nodes), "no stall")
+		assert.Empty(t, s.onNodes(nodes), "no stall may be recorded")
 
 		began := time.Now()
 		s.found = []faultInterval{{fault: nodePaused, from: began, to: began.Add(5 * time.Second)}}
--- a/internal/proof/jobs_test.go
+++ b/internal/proof/jobs_test.go
@@ -125,7 +125,7 @@
 	c := jobsCluster(t, 1, 5*time.Second)
 	submitExportJob(c, "export", "--run-time", "20s")
 	submitExportJob(c, "report", "--run-time", "8s", "--repeatable")
-	c.Until("both run", func() bool { return startCount(c, "export")+startCount(c, "report") == 2 })
+	c.Until("both jobs run", func() bool { return startCount(c, "export")+startCount(c, "report") == 2 })
 	c.Nodes[0].Steward.Pause()
 	awaitTasksExpired(t, c, "export", "report")
 	c.Nodes[0].Steward.Resume()
--- a/internal/proof/platformjobs_test.go
+++ b/internal/proof/platformjobs_test.go
@@ -283,7 +283,7 @@
 	c.Until("all tasks run again", func() bool { return c.Platform.RunningTasksOf(id) == 3 })
 	status, _ := c.Call(c.Nodes[1], http.MethodDelete, standin.Prefix("booking")+string(id), "")
 	assert.Equal(t, http.StatusOK, status)
-	c.Until("nothing runs", func() bool { return c.Platform.RunningTasksOf(id) == 0 })
+	c.Until("no task runs", func() bool { return c.Platform.RunningTasksOf(id) == 0 })
 	c.AwaitState("booking", id, workload.Cancelled)
 	assert.Empty(t, c.Platform.Violations())
 }
--- a/internal/proof/request_test.go
+++ b/internal/proof/request_test.go
@@ -163,7 +163,7 @@
 
 	c.MustCommand("drain", drained) // returns once the drain is effective
 	effective := time.Now()
-	c.Until("its requests have ended", func() bool {
+	c.Until("the requests at the drained VM have ended", func() bool {
 		return c.Standin.State().VMs[drained].Phase != record.PhaseDraining
 	})
 	last := c.Standin.Counters().Backends.VMs[drained].LastSeen
--- a/internal/proof/restart_test.go
+++ b/internal/proof/restart_test.go
@@ -91,7 +91,7 @@
 	for i, n := range c.Nodes {
 		assert.False(t, n.Ready())
 		a := b.send(n, keys[i], 2, 0)
-		assert.Equal(t, outcome.Unknown, a.Outcome, "an earlier attempt may have run")
+		assert.Equal(t, outcome.Unknown, a.Outcome, "an earlier attempt may have run, so the outcome must be unknown")
 		assert.EqualValues(t, "starting", a.Reason)
 		fresh := b.send(n, testkit.Key(), 1, 0)
 		assert.Equal(t, outcome.NotRun, fresh.Outcome)
--- a/internal/proof/traces_test.go
+++ b/internal/proof/traces_test.go
@@ -193,7 +193,7 @@
 	for range cap(codes) {
 		counts[<-codes]++
 	}
-	require.Equal(r.t, map[int]int{0: 1, 3: 3}, counts, "one publish is accepted, the others are void")
+	require.Equal(r.t, map[int]int{0: 1, 3: 3}, counts, "one publish must be accepted and the others void")
 }
 
 func waveRackLost(r *recording) {
@@ -228,7 +228,7 @@
 // outageRejoin cuts all processes off from the platform during a wave, while the operator still
 // reaches the log. After the outage the nodes must apply the operator's records before they decide.
 func outageRejoin(r *recording) {
-	r.Until("three members", func() bool { return len(r.Standin.State().Members) == 3 })
+	r.Until("three entry VMs are members", func() bool { return len(r.Standin.State().Members) == 3 })
 	stop := r.startLookups()
 	defer stop()
 	book := r.startRequests("/booking/book", false)
@@ -248,7 +248,7 @@
 	r.MustCommand("wave", "abort", "w1")
 	r.MustCommand("publish", r.WriteFile("next.toml", testDocument("booking", r.vms, 2)+jobSections))
 	tail := r.Standin.State()
-	require.Equal(r.t, cut.Offset+2, tail.Offset, "only the operator wrote")
+	require.Equal(r.t, cut.Offset+2, tail.Offset, "only the operator may have written")
 	require.Equal(r.t, reboots, r.Standin.Counters().Reboots)
 	time.Sleep(2 * time.Second)
 	for _, n := range r.Nodes {
@@ -261,18 +261,18 @@
 		r.Until(n.Name+" has rejoined", func() bool { return r.offset(n) > tail.Offset })
 	}
 	end := r.Standin.State()
-	require.Equal(r.t, members, end.MemberNames(), "nobody was evicted")
+	require.Equal(r.t, members, end.MemberNames(), "no member may be evicted")
 	require.Equal(r.t, ledger.WaveAborted, end.Waves["w1"].Status)
 }
 
 func pausedOwner(r *recording) {
-	r.Until("three members", func() bool { return len(r.Standin.State().Members) == 3 })
+	r.Until("three entry VMs are members", func() bool { return len(r.Standin.State().Members) == 3 })
 	stop := r.startRequests("/booking/book", false)
 	defer stop()
 	r.Nodes[0].Pause()
 	r.Until("the paused member is evicted", func() bool { return len(r.Standin.State().Members) == 2 })
 	r.Nodes[0].Resume()
-	r.Until("it has joined again", func() bool { return len(r.Standin.State().Members) == 3 })
+	r.Until("the resumed member has joined again", func() bool { return len(r.Standin.State().Members) == 3 })
 }
 
 func lostReplies(r *recording) {
@@ -320,7 +320,7 @@
 func lapsedLease(r *recording) {
 	r.submit("once", time.Minute)
 	r.submit("again", 4*time.Second, "--repeatable")
-	r.Until("both run", func() bool {
+	r.Until("both jobs run", func() bool {
 		jobs := r.Standin.State().Jobs
 		return jobs["once"].Status == ledger.JobPlaced && jobs["again"].Status == ledger.JobPlaced && len(r.Standin.Counters().JobStarts) == 2
 	})
@@ -364,7 +364,7 @@
 // retained. When it reaches the log again, it must continue from a snapshot or a peer's state.
 func retentionGap(r *recording) {
 	const jobs = 70 // three records each
-	r.Until("three members", func() bool { return len(r.Standin.State().Members) == 3 })
+	r.Until("three entry VMs are members", func() bool { return len(r.Standin.State().Members) == 3 })
 	n := r.Nodes[0]
 	n.EntryPlatform.Cut()
 	before := r.offset(n)
