--- a/internal/proof/claims_test.go
+++ b/internal/proof/claims_test.go
@@ -16,24 +16,24 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// members returns how many entry VMs are members by the log.
-func members(c *testkit.Cluster) int { return len(c.Standin.State().Members) }
+// memberCount returns the number of entry VMs that are members according to the log.
+func memberCount(c *testkit.Cluster) int { return len(c.Standin.State().Members) }
 
-// settle waits until all nodes are members and grant claims.
-func settle(c *testkit.Cluster) {
-	c.Until("all entry VMs are members", func() bool { return members(c) == len(c.Nodes) })
-	granting(c)
+// awaitMembersAndGrants waits until all nodes are members and grant claims.
+func awaitMembersAndGrants(c *testkit.Cluster) {
+	c.Until("all entry VMs are members", func() bool { return memberCount(c) == len(c.Nodes) })
+	awaitGrants(c)
 }
 
 func claimsCluster(t *testing.T, nodes, vms int) *testkit.Cluster {
 	zones := []string{"a", "b", "c", "a", "b", "c", "a", "b"}
-	c := pool(t, vms, testkit.Options{Nodes: zones[:nodes]})
-	settle(c)
+	c := startPool(t, vms, testkit.Options{Nodes: zones[:nodes]})
+	awaitMembersAndGrants(c)
 	return c
 }
 
-// begun waits until the backend servers have begun to run all of the keys.
-func begun(c *testkit.Cluster, keys []string) {
+// awaitRunning waits until backend servers have received the requests of all keys.
+func awaitRunning(c *testkit.Cluster, keys []string) {
 	c.Until("the bookings run", func() bool {
 		counted := c.Standin.Counters().Backends.Keys
 		for _, k := range keys {
@@ -45,13 +45,12 @@
 	})
 }
 
-// Bookings run when the entry VM that sent them is killed: the callers see their
-// connections break. Some retry at once at another entry VM and wait there for
-// the attempt that is lost, others only after the VM was evicted. All of them
-// are told "unknown", which is the truth: no booking runs again.
+// An entry VM is killed while bookings that it forwarded run, and the callers' connections break.
+// Some callers retry at once at another entry VM, which waits for the lost attempt, others only
+// after the VM is evicted. All must get "unknown", and no booking may run again.
 func TestEntryKilledBetweenRunAndAnswer(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
-	b := newBookings(t, c)
+	b := newBookingCaller(t, c)
 	var keys []string
 	var wg sync.WaitGroup
 	for i := range 12 {
@@ -66,34 +65,33 @@
 			}
 		})
 	}
-	begun(c, keys)
+	awaitRunning(c, keys)
 	c.Nodes[0].Kill()
 	wg.Wait()
-	c.Until("the killed VM is evicted", func() bool { return members(c) == 2 })
+	c.Until("the killed VM is evicted", func() bool { return memberCount(c) == 2 })
 	for i, key := range keys {
-		c.Until("an answer without a hand-over under way", func() bool {
+		c.Until("an answer without a handover in progress", func() bool {
 			a := b.send(c.Nodes[1+i%2], key, 3, 0)
 			return a.Outcome == outcome.Unknown && a.Reason != "claims-moving" && a.Reason != "claims-unreachable"
 		})
 	}
-	b.check()
+	b.checkRuns()
 	for _, n := range c.Nodes[1:] {
 		a := b.send(n, testkit.Key(), 1, 0)
 		assert.True(t, a.OK(), "%+v", a)
 	}
 }
 
-// A caller's connection breaks while its booking runs, and its client sends the
-// retry to two entry VMs in the same instant. Both wait for the first attempt
-// and hand out its answer; the booking runs once.
+// A caller's connection breaks while its booking runs, and its client retries at two entry VMs at
+// once. Both must wait for the first attempt and return its answer; the booking must run once.
 func TestTwoRetriesAtTheSameInstant(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
 	for range 10 {
-		b := newBookings(t, c)
+		b := newBookingCaller(t, c)
 		key := testkit.Key()
 		ctx, leave := context.WithCancel(t.Context())
 		go c.Nodes[0].Send(ctx, testkit.Request{Path: "/booking/book", Key: key, Attempt: 1, Work: 300 * time.Millisecond, ReplyBytes: 200})
-		begun(c, []string{key})
+		awaitRunning(c, []string{key})
 		leave()
 		var wg sync.WaitGroup
 		for _, n := range c.Nodes[1:] {
@@ -104,21 +102,20 @@
 			})
 		}
 		wg.Wait()
-		b.check()
+		b.checkRuns()
 	}
 }
 
-// An entry VM is stopped past its lease and evicted; others take its keys over
-// and run bookings. When it wakes up it believes itself the owner still, and at
-// that instant gets retries of those bookings, and fresh ones. No booking that
-// ran meanwhile runs again at its hands.
+// An entry VM is paused past its lease and evicted, and others take over its keys and run bookings.
+// When it resumes, still as the owner by its own state, it gets retries of these bookings and new
+// bookings at once. It must not run any booking again.
 func TestOwnerStoppedPastItsLease(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
-	stopped := c.Nodes[0]
+	paused := c.Nodes[0]
 	for round := range 3 {
-		b := newBookings(t, c)
-		stopped.Pause()
-		c.Until("the stopped VM is evicted", func() bool { return members(c) == 2 })
+		b := newBookingCaller(t, c)
+		paused.Pause()
+		c.Until("the paused VM is evicted", func() bool { return memberCount(c) == 2 })
 		var keys []string
 		c.Until("others run bookings of all keys", func() bool {
 			for i := range 20 {
@@ -132,23 +129,23 @@
 		})
 		var wg sync.WaitGroup
 		for _, key := range keys {
-			wg.Go(func() { b.send(stopped, key, 2, 0) })
-			wg.Go(func() { b.send(stopped, testkit.Key(), 1, 0) })
+			wg.Go(func() { b.send(paused, key, 2, 0) })
+			wg.Go(func() { b.send(paused, testkit.Key(), 1, 0) })
 		}
-		stopped.Resume()
+		paused.Resume()
 		wg.Wait()
-		b.check()
-		c.Until(fmt.Sprintf("it is a member again, round %d", round), func() bool { return members(c) == 3 })
-		settle(c)
+		b.checkRuns()
+		c.Until(fmt.Sprintf("the resumed VM is a member again, round %d", round), func() bool { return memberCount(c) == 3 })
+		awaitMembersAndGrants(c)
 	}
 }
 
-// The entry VMs lose each other, not the log. None of them hears from half of
-// them, so none may grant: first attempts are told "not-run" and may go on with
-// a new key, others "unknown". Afterwards they find together again.
+// The entry VMs lose the connections to each other but not to the log. None has a quorum, so none
+// may grant claims: first attempts must get "not-run", so that the caller may continue with a new
+// key, and others "unknown". After the partition all must be members again and grant claims.
 func TestEntriesSplitFromEachOther(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
-	b := newBookings(t, c)
+	b := newBookingCaller(t, c)
 	c.Partition(c.Nodes[:1], c.Nodes[1:2], c.Nodes[2:])
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
@@ -169,21 +166,21 @@
 			}
 		})
 	}
-	c.Until("many are refused", func() bool { return refused.Load() > 60 })
+	c.Until("many bookings are refused", func() bool { return refused.Load() > 60 })
 	close(stop)
 	wg.Wait()
 	c.HealPeers()
-	settle(c)
-	b.check()
+	awaitMembersAndGrants(c)
+	b.checkRuns()
 }
 
-// The log goes out, and then an entry VM is lost. Bookings go on at the others:
-// only keys of the lost one, about a third, get no grant, and nobody is evicted.
-// When the log is back, the lost VM is evicted and all keys are granted again.
+// The log becomes unavailable and then an entry VM is lost. Bookings must continue at the others:
+// only keys owned by the lost VM, about a third, get no grant, and no VM is evicted. When the log is
+// available again, the lost VM must be evicted and all keys must be granted.
 func TestBookingsWhileTheLogIsOut(t *testing.T) {
 	c := claimsCluster(t, 3, 3)
-	b := newBookings(t, c)
-	c.Standin.Order(standin.Fault{Kind: standin.LogRefuse})
+	b := newBookingCaller(t, c)
+	c.Standin.InjectFaults(standin.Fault{Kind: standin.LogRefuse})
 	for i := range 30 {
 		a := b.send(c.Nodes[i%3], testkit.Key(), 1, 0)
 		assert.True(t, a.OK(), "%+v", a)
@@ -200,8 +197,8 @@
 	}
 	assert.Greater(t, ran, 10)
 	assert.Less(t, ran, 30)
-	c.Standin.Clear()
-	c.Until("the lost VM is evicted", func() bool { return members(c) == 2 })
+	c.Standin.ClearFaults()
+	c.Until("the lost VM is evicted", func() bool { return memberCount(c) == 2 })
 	c.Until("all keys are granted", func() bool {
 		for i := range 20 {
 			if a := b.send(c.Nodes[i%2], testkit.Key(), 1, 0); !a.OK() {
@@ -210,29 +207,29 @@
 		}
 		return true
 	})
-	b.check()
+	b.checkRuns()
 }
 
-// Callers book all the time, each retrying at another entry VM until it knows
-// the end, while entry VMs are stopped in order, started, killed and started.
-// Nothing runs twice; and stopping in order costs no caller an "unknown".
+// Callers send bookings all the time and retry at other entry VMs until they know the outcome, while
+// entry VMs are shut down, restarted, killed and restarted. No booking may run twice, and a graceful
+// shutdown may cause no "unknown".
 func TestMembershipChangesUnderLoad(t *testing.T) {
 	c := claimsCluster(t, 4, 4)
-	b := newBookings(t, c)
-	load := b.book(8, true)
+	b := newBookingCaller(t, c)
+	stop := b.start(8, true)
 	for _, n := range c.Nodes[:2] {
 		n.Entry.Terminate()
 		require.NoError(t, n.Entry.Wait())
 		n.Entry.Start()
 		n.AwaitReady()
-		c.Until("it is a member", func() bool { return members(c) == 4 })
+		c.Until("the restarted VM is a member", func() bool { return memberCount(c) == 4 })
 	}
-	assert.Zero(t, b.counts()[outcome.Unknown], "stopping in order")
+	assert.Zero(t, b.countLastOutcomes()[outcome.Unknown], "unknown outcomes after graceful shutdowns")
 	c.Nodes[2].Kill()
-	c.Until("the killed VM is evicted", func() bool { return members(c) == 3 })
+	c.Until("the killed VM is evicted", func() bool { return memberCount(c) == 3 })
 	c.Nodes[2].Start()
-	c.Until("it is a member", func() bool { return members(c) == 4 })
-	load()
-	b.check()
-	t.Logf("bookings by the last answer: %v", b.counts())
+	c.Until("the restarted VM is a member", func() bool { return memberCount(c) == 4 })
+	stop()
+	b.checkRuns()
+	t.Logf("bookings by last outcome: %v", b.countLastOutcomes())
 }
--- a/internal/proof/faults_load_test.go
+++ b/internal/proof/faults_load_test.go
@@ -15,16 +15,16 @@
 
 // Bounds of the callers.
 const (
-	balancerPause  = 50 * time.Millisecond
-	callerPatience = 6 * time.Second // more than the deadline that callers give
-	callerDeadline = 3 * time.Second
-	maxAttempts    = 4
-	longRun        = 2 * time.Second // more than notice
-	notice         = "1s"            // of an entry process that stops
-	maxLatency     = int64(time.Minute / time.Microsecond)
+	readinessInterval = 50 * time.Millisecond
+	callerTimeout     = 6 * time.Second // more than requestDeadline
+	requestDeadline   = 3 * time.Second
+	maxAttempts       = 4
+	longRun           = 2 * time.Second // more than drainNotice
+	drainNotice       = "1s"            // of an entry process that shuts down
+	maxLatency        = int64(time.Minute / time.Microsecond)
 )
 
-// route is what callers ask of a service.
+// route is a route of a service that callers use.
 type route struct {
 	service    string
 	path       string
@@ -32,7 +32,7 @@
 	long       bool
 }
 
-// routes of the example documents that the callers use.
+// routes are the routes of the example documents that callers use.
 var routes = []route{
 	{"booking", "/lookup", true, false},
 	{"booking", "/reservations", false, false},
@@ -49,35 +49,35 @@
 	{"export", "/exports", false, true},
 }
 
-// attempt is one try of one request, as its caller saw it.
+// attempt is one attempt of a request and the answer that its caller got.
 type attempt struct {
 	route
-	key   string
-	node  string
-	began time.Time
-	ended time.Time
+	key       string
+	node      string
+	startedAt time.Time
+	endedAt   time.Time
 	testkit.Answer
 }
 
-// callers send requests through the nodes that a balancer takes for ready. They
-// try a request again under the same key, at another node, unless it ran.
+// callers send requests through the nodes that a load balancer considers ready. They retry a request
+// with the same key at another node until it has run.
 type callers struct {
-	c     *testkit.Cluster
-	ready []atomic.Bool
-	wg    sync.WaitGroup
+	cluster *testkit.Cluster
+	ready   []atomic.Bool
+	wg      sync.WaitGroup
 
 	mu       sync.Mutex
 	attempts []attempt
-	latency  map[string]*hdrhistogram.Histogram // in microseconds, of requests that ran
+	latency  map[string]*hdrhistogram.Histogram // by class, in microseconds, of requests that ran
 }
 
 func startCallers(ctx context.Context, c *testkit.Cluster, routes []route, perRoute int, pause time.Duration, seed uint64) *callers {
-	cs := &callers{c: c, ready: make([]atomic.Bool, len(c.Nodes)), latency: map[string]*hdrhistogram.Histogram{}}
+	cs := &callers{cluster: c, ready: make([]atomic.Bool, len(c.Nodes)), latency: map[string]*hdrhistogram.Histogram{}}
 	for i, n := range c.Nodes {
 		cs.wg.Go(func() {
 			for ctx.Err() == nil {
 				cs.ready[i].Store(n.Ready())
-				time.Sleep(balancerPause)
+				time.Sleep(readinessInterval)
 			}
 		})
 	}
@@ -95,11 +95,11 @@
 	return cs
 }
 
-// pick returns a node that the balancer takes for ready, other than last where
-// there is another, or nil.
-func (cs *callers) pick(random *rand.Rand, last *testkit.Node) *testkit.Node {
+// pickNode returns a random node other than last that the load balancer considers ready. If there is
+// none it returns last, which may be nil.
+func (cs *callers) pickNode(random *rand.Rand, last *testkit.Node) *testkit.Node {
 	var ready []*testkit.Node
-	for i, n := range cs.c.Nodes {
+	for i, n := range cs.cluster.Nodes {
 		if cs.ready[i].Load() && n != last {
 			ready = append(ready, n)
 		}
@@ -110,21 +110,21 @@
 	return ready[random.IntN(len(ready))]
 }
 
-// request sends one request until it ran or the caller gives up. It finishes
-// after ctx has ended, so that every request has an end.
+// request sends one request until it has run or the caller gives up. It continues after ctx has
+// ended, so that every request gets a final outcome.
 func (cs *callers) request(ctx context.Context, r route, random *rand.Rand) {
-	req := testkit.Request{Path: "/" + r.service + r.path, Key: testkit.Key(), Deadline: callerDeadline}
+	req := testkit.Request{Path: "/" + r.service + r.path, Key: testkit.Key(), Deadline: requestDeadline}
 	req.Work = time.Duration(1+random.IntN(20)) * time.Millisecond
 	req.ReplyBytes = random.IntN(4096)
 	if r.long {
 		req.Work = time.Duration(100+random.IntN(900)) * time.Millisecond
-		req.ReplyBytes = random.IntN(300_000) // beyond what is held until complete
+		req.ReplyBytes = random.IntN(300_000) // more than an entry buffers
 	}
 	var last *testkit.Node
 	for n := 1; n <= maxAttempts; n++ {
-		node := cs.pick(random, last)
+		node := cs.pickNode(random, last)
 		if node == nil {
-			time.Sleep(balancerPause)
+			time.Sleep(readinessInterval)
 			return
 		}
 		last = node
@@ -134,28 +134,27 @@
 			return
 		}
 		if a.Outcome == outcome.NotRun && (ctx.Err() != nil || random.IntN(3) == 0) {
-			return // its last word is "not-run"
+			return // the final outcome is "not-run"
 		}
 		time.Sleep(time.Duration(random.IntN(100)) * time.Millisecond)
 	}
 }
 
-// one sends one request of the booking service, whose end is not awaited by a
-// retry.
-func (cs *callers) one(node *testkit.Node, path string, work time.Duration) {
+// sendOne sends one request to the booking service and doesn't retry it.
+func (cs *callers) sendOne(node *testkit.Node, path string, work time.Duration) {
 	for _, r := range routes {
 		if r.service == "booking" && r.path == path {
-			cs.send(node, r, testkit.Request{Path: "/booking" + path, Key: testkit.Key(), Attempt: 1, Deadline: callerDeadline, Work: work})
+			cs.send(node, r, testkit.Request{Path: "/booking" + path, Key: testkit.Key(), Attempt: 1, Deadline: requestDeadline, Work: work})
 		}
 	}
 }
 
 func (cs *callers) send(node *testkit.Node, r route, req testkit.Request) attempt {
-	ctx, cancel := context.WithTimeout(context.Background(), callerPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
-	a := attempt{route: r, key: req.Key, node: node.Name, began: time.Now()}
+	a := attempt{route: r, key: req.Key, node: node.Name, startedAt: time.Now()}
 	a.Answer = node.Send(ctx, req)
-	a.ended = time.Now()
+	a.endedAt = time.Now()
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.attempts = append(cs.attempts, a)
@@ -176,5 +175,5 @@
 		h = hdrhistogram.New(1, maxLatency, digits)
 		cs.latency[class] = h
 	}
-	_ = h.RecordValue(a.Took.Microseconds()) // callerPatience is within its range
+	_ = h.RecordValue(a.Duration.Microseconds()) // callerTimeout is within the histogram's range
 }
--- a/internal/proof/faults_stall_test.go
+++ b/internal/proof/faults_stall_test.go
@@ -13,30 +13,30 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// Times of stalls.
+// Parameters of the detection of stalls.
 const (
-	stallTick = 50 * time.Millisecond
-	// stallShown is how long this process must have got no processor time to count as
-	// stalled. Scheduling on a busy machine takes a few tenths of that.
-	stallShown = 2 * time.Second
+	stallCheckInterval = 50 * time.Millisecond
+	// minStall is how long this process must have been without processor time to count as stalled.
+	// Scheduling delays on a busy machine are a few tenths of that.
+	minStall = 2 * time.Second
 )
 
-// stalls are the times in which the whole machine stood still, the processes of the run with
-// it. Each node was paused then, as by a fault.
+// stalls are the times in which the whole machine was stalled. All nodes were paused then, as by a
+// fault.
 type stalls struct {
 	wg    sync.WaitGroup
-	found []harmed // of no node yet
+	found []faultInterval // without node
 }
 
-// watchStalls watches until ctx ends.
+// watchStalls records stalls until ctx ends.
 func watchStalls(ctx context.Context) *stalls {
 	s := &stalls{}
 	s.wg.Go(func() {
 		for last := time.Now(); ctx.Err() == nil; {
-			time.Sleep(stallTick)
+			time.Sleep(stallCheckInterval)
 			now := time.Now()
-			if now.Sub(last) > stallShown {
-				s.found = append(s.found, harmed{harm: harmPaused, from: last, to: now})
+			if now.Sub(last) > minStall {
+				s.found = append(s.found, faultInterval{fault: nodePaused, from: last, to: now})
 			}
 			last = now
 		}
@@ -44,8 +44,9 @@
 	return s
 }
 
-// harmed are the stalls as harms of each node, once the watch has ended.
-func (s *stalls) harmed(nodes []*testkit.Node) (all []harmed) {
+// onNodes waits until the context of watchStalls has ended and returns the stalls as faults of each
+// node.
+func (s *stalls) onNodes(nodes []*testkit.Node) (all []faultInterval) {
 	s.wg.Wait()
 	for _, h := range s.found {
 		for _, n := range nodes {
@@ -56,8 +57,8 @@
 	return all
 }
 
-// Guards against a run that is failed by a machine that stood still for seconds: nobody can
-// have answered then. A busy one, on which each step is late, counts as no stall.
+// Guards against a run that fails because the machine was stalled for seconds: no node can have
+// answered then. Delays of single steps on a busy machine must not count as a stall.
 func TestStallsOfTheMachineAreNoBrokenPromise(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -65,18 +66,18 @@
 		time.Sleep(10 * time.Second)
 		cancel()
 		nodes := []*testkit.Node{{Name: "entry-1"}, {Name: "entry-2"}}
-		assert.Empty(t, s.harmed(nodes), "no stall")
+		assert.Empty(t, s.onNodes(nodes), "no stall may be recorded")
 
 		began := time.Now()
-		s.found = []harmed{{harm: harmPaused, from: began, to: began.Add(5 * time.Second)}}
-		all := s.harmed(nodes)
+		s.found = []faultInterval{{fault: nodePaused, from: began, to: began.Add(5 * time.Second)}}
+		all := s.onNodes(nodes)
 		require.Len(t, all, 2)
-		e := &evidence{harmed: all, attempts: []attempt{
-			{node: "entry-2", began: began.Add(4 * time.Second), ended: began.Add(10 * time.Second), Answer: testkit.Answer{Err: context.DeadlineExceeded}},
-			{node: "entry-2", began: began.Add(6 * time.Second), ended: began.Add(12 * time.Second), Answer: testkit.Answer{Err: context.DeadlineExceeded}},
+		e := &evidence{nodeFaults: all, attempts: []attempt{
+			{node: "entry-2", startedAt: began.Add(4 * time.Second), endedAt: began.Add(10 * time.Second), Answer: testkit.Answer{Err: context.DeadlineExceeded}},
+			{node: "entry-2", startedAt: began.Add(6 * time.Second), endedAt: began.Add(12 * time.Second), Answer: testkit.Answer{Err: context.DeadlineExceeded}},
 		}}
-		p := e.always()
-		assert.Equal(t, 1, p.tried)
-		assert.Len(t, p.broken, 1, "it began after the stall")
+		p := e.checkLiveNodesAnswer()
+		assert.Equal(t, 1, p.cases)
+		assert.Len(t, p.violations, 1, "only the attempt that began after the stall is a violation")
 	})
 }
--- a/internal/proof/start_test.go
+++ b/internal/proof/start_test.go
@@ -13,42 +13,40 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// While the platform's log is out, both processes of an entry VM are killed and
-// started anew. Operators see the VM serve the documents that were in force
-// before, and no older state: the processes have no disk and cannot read the log,
-// so they take the state from the processes of the other VM. Once the log is
-// back they follow it.
+// Both processes of an entry VM are killed and restarted while the platform's log is unavailable.
+// The processes have no disk and can't read the log, so they must get the state from the processes
+// of the other VM and serve the documents in force, no older ones. When the log is available again
+// they must follow it.
 func TestProcessesStartFromPeersWhileTheLogIsOut(t *testing.T) {
 	c := testkit.Start(t, testkit.Options{
 		Nodes: []string{"a", "b"},
 		Fleet: []testkit.Group{{Prefix: "vm", Count: 4, Zones: []string{"a", "b"}}},
 	})
-	c.Publish(document("booking", 4, 1))
+	c.Publish(testDocument("booking", 4, 1))
 	awaitServing(c, "booking", 4)
-	kept, fresh := c.Nodes[0], c.Nodes[1]
-	c.Until("both nodes have folded the same", func() bool {
-		return offsetOf(t, kept.EntryPeers()) == offsetOf(t, fresh.EntryPeers())
+	peer, restarted := c.Nodes[0], c.Nodes[1]
+	c.Until("both nodes have applied the same entries", func() bool {
+		return offsetOf(t, peer.EntryPeerAddress()) == offsetOf(t, restarted.EntryPeerAddress())
 	})
-	out := c.Standin.Order(standin.Fault{Kind: standin.LogRefuse, Target: settings.DefaultStream},
+	outage := c.Standin.InjectFaults(standin.Fault{Kind: standin.LogRefuse, Target: settings.DefaultStream},
 		standin.Fault{Kind: standin.LogRefuse, Target: settings.DefaultSnapshotStream})
-	want := offsetOf(t, kept.EntryPeers())
+	want := offsetOf(t, peer.EntryPeerAddress())
 	require.NotZero(t, want)
 
-	fresh.Kill()
-	fresh.Start()
-	for _, address := range []string{fresh.EntryPeers(), fresh.StewardPeers()} {
+	restarted.Kill()
+	restarted.Start()
+	for _, address := range []string{restarted.EntryPeerAddress(), restarted.StewardPeerAddress()} {
 		c.Until(address+" has the state of its peer", func() bool { return offsetOf(t, address) >= want })
 	}
-	c.Standin.Clear(out...)
-	c.Publish(document("booking", 4, 2))
+	c.Standin.ClearFaults(outage...)
+	c.Publish(testDocument("booking", 4, 2))
 	published := c.Standin.State().Offset
-	for _, address := range []string{fresh.EntryPeers(), fresh.StewardPeers()} {
+	for _, address := range []string{restarted.EntryPeerAddress(), restarted.StewardPeerAddress()} {
 		c.Until(address+" follows the log", func() bool { return offsetOf(t, address) >= published })
 	}
 }
 
-// offsetOf returns how far the process has folded the log, 0 when it does not
-// answer.
+// offsetOf returns the offset up to which a process has applied the log, 0 if it doesn't answer.
 func offsetOf(t *testing.T, address string) uint64 {
 	client, err := operator.NewClient(address)
 	require.NoError(t, err)
--- a/internal/proof/twoowners_test.go
+++ b/internal/proof/twoowners_test.go
@@ -13,11 +13,12 @@
 	"github.com/yuccadrift/yuccadrift/platform/standin"
 )
 
-// Guards against a task that two owners of a partition keep running at once: the earlier one
-// has lost the store and reaches a worker that its successor doesn't.
+// Guards against a task that runs on two workers, each kept running by another owner of the
+// partition: the earlier owner has lost the store but reaches a worker that its successor can't
+// reach.
 func TestOwnerWithoutTheStoreKeepsNoTaskOfItsSuccessor(t *testing.T) {
 	t.Parallel()
-	c := testkit.StartLinkedJobs(t, jobOptions(), 3)
+	c := testkit.StartLinkedJobs(t, smallPlatform(), 3)
 	id := c.NewID()
 	c.Submit("booking", id, workload.Spec{Payload: standin.Payload(0), Steps: []workload.Step{{
 		Count: 2, Resources: workload.Resources{CPU: 500, MemoryMB: 500}, LongRunning: true, MaxPerWorker: 1,
@@ -27,10 +28,10 @@
 	worker := c.Platform.WorkerOf(task)
 	require.NotNil(t, worker)
 	worker.SetFault(standin.KnownOwnersOnly)
-	owner := cutOwnerOff(c, "booking")
+	owner := isolateOwner(c, "booking")
 	c.Until("the task runs on another worker", func() bool {
-		now := c.Platform.WorkerOf(task)
-		return now != nil && now != worker
+		current := c.Platform.WorkerOf(task)
+		return current != nil && current != worker
 	})
 	assert.Empty(t, c.Platform.Violations())
 
@@ -41,13 +42,13 @@
 	assert.Empty(t, c.Platform.Violations())
 }
 
-// cutOwnerOff cuts the node that owns a service's jobs off from the store, and returns it.
-func cutOwnerOff(c *testkit.JobCluster, service string) (owner *testkit.JobNode) {
-	holder := func() string {
-		return c.Platform.Store.Holder(joblog.JobsTopic, joblog.PartitionOf(service, jobOptions().Partitions))
+// isolateOwner cuts the node that owns a service's jobs off from the store and returns the node.
+func isolateOwner(c *testkit.JobCluster, service string) (owner *testkit.JobNode) {
+	leaseHolder := func() string {
+		return c.Platform.Store.Holder(joblog.JobsTopic, joblog.PartitionOf(service, smallPlatform().Partitions))
 	}
 	c.Until("the owner of "+service+" is cut off from the store", func() bool {
-		name := holder()
+		name := leaseHolder()
 		for _, n := range c.Nodes {
 			if strings.HasPrefix(name, n.Name+"|") {
 				owner = n
@@ -57,10 +58,10 @@
 			return false
 		}
 		owner.Store.Blackhole()
-		if holder() == name {
+		if leaseHolder() == name {
 			return true
 		}
-		owner.Store.Heal() // the partition has just passed on
+		owner.Store.Heal() // the partition has just been handed over
 		return false
 	})
 	return owner
--- a/internal/testkit/jobs.go
+++ b/internal/testkit/jobs.go
@@ -19,15 +19,16 @@
 	"github.com/yuccadrift/yuccadrift/platform/standin"
 )
 
-// callerPatience is how long callers of tests wait for an answer.
-const callerPatience = 3 * time.Second
+// callerTimeout is the timeout that test callers send with their calls.
+const callerTimeout = 3 * time.Second
 
 const binNode = "yuccadrift-node"
 
-// settingsFlag names the settings file to a node's process.
+// settingsFlag is a node's flag for its settings file.
 const settingsFlag = "--config"
 
-// JobCluster is a stand-in of the users' platform with nodes as processes.
+// JobCluster is a stand-in of the users' platform, inside the test's process, with nodes that are
+// processes of their own.
 type JobCluster struct {
 	Platform *standin.Platform
 	Nodes    []*JobNode
@@ -40,21 +41,20 @@
 // JobNode is a node of a JobCluster.
 type JobNode struct {
 	*Process
-	caller, ready string
-	// Metrics is the address of the node's metrics and profiles.
+	callerURL, readyURL string
+	// Metrics is the address that serves the node's metrics and profiles.
 	Metrics string
-	// Store and VMs are the node's links to the platform; nil without links.
-	Store, VMs *Link
+	// Store and VMService are the node's links to the platform, nil in a cluster without links.
+	Store, VMService *Link
 }
 
-// StartJobs starts a stand-in and so many nodes, and waits until they are ready.
+// StartJobs starts a stand-in and the given number of nodes, and waits until the nodes are ready.
 func StartJobs(t testing.TB, o standin.Options, nodes int) *JobCluster {
 	t.Helper()
 	return startJobs(t, o, nodes, false)
 }
 
-// StartLinkedJobs is StartJobs with a link of its own between each node and the
-// platform.
+// StartLinkedJobs is like StartJobs, but each node reaches the platform through links of its own.
 func StartLinkedJobs(t testing.TB, o standin.Options, nodes int) *JobCluster {
 	t.Helper()
 	return startJobs(t, o, nodes, true)
@@ -68,15 +68,15 @@
 	}
 	t.Cleanup(p.Stop)
 	c := &JobCluster{Platform: p, t: t, client: &http.Client{Timeout: 4 * time.Second}}
-	ip, dir := loopback(), t.TempDir()
+	ip, dir := uniqueLoopbackIP(), t.TempDir()
 	for i := range nodes {
 		c.Nodes = append(c.Nodes, &JobNode{})
 		if linked {
-			c.link(c.Nodes[i], ip, i)
+			c.addLinks(c.Nodes[i], ip, i)
 		}
 	}
 	for i, first := range reserveNodePorts(t, ip, nodes) {
-		c.prepare(c.Nodes[i], dir, ip, i, first)
+		c.configure(c.Nodes[i], dir, ip, i, first)
 	}
 	for _, n := range c.Nodes {
 		n.Start()
@@ -85,62 +85,62 @@
 	return c
 }
 
-// ports of a node, next to one another.
-const nodePorts = 4
+// portsPerNode is the number of consecutive ports of a node.
+const portsPerNode = 4
 
 func nodeName(i int) string { return "node-" + strconv.Itoa(i) }
 
-func (c *JobCluster) link(n *JobNode, ip string, i int) {
+func (c *JobCluster) addLinks(n *JobNode, ip string, i int) {
 	n.Store = newLink(c.t, nodeName(i)+"-store", ip, c.Platform.StoreAddress())
-	n.VMs = newLink(c.t, nodeName(i)+"-vms", ip, c.Platform.VMsAddress())
+	n.VMService = newLink(c.t, nodeName(i)+"-vms", ip, c.Platform.VMsAddress())
 }
 
-// prepare gives a node its ports and settings file.
-func (c *JobCluster) prepare(n *JobNode, dir, ip string, i, first int) {
-	place := standin.NodeSettings{
+// configure assigns ports to a node, writes its settings file and creates its process.
+func (c *JobCluster) configure(n *JobNode, dir, ip string, i, firstPort int) {
+	settings := standin.NodeSettings{
 		Name: nodeName(i), Zone: "zone-" + strconv.Itoa(i%2), IP: ip,
-		Caller: first, Ready: first + 1, FirstPeer: first + 2, LastPeer: first + 3,
+		Caller: firstPort, Ready: firstPort + 1, FirstPeer: firstPort + 2, LastPeer: firstPort + 3,
 	}
 	if n.Store != nil {
-		place.Store, place.VMs = n.Store.Address(), n.VMs.Address()
+		settings.Store, settings.VMs = n.Store.Address(), n.VMService.Address()
 	}
-	file := filepath.Join(dir, place.Name+".toml")
-	if err := os.WriteFile(file, []byte(c.Platform.Settings(place)), 0o600); err != nil {
+	file := filepath.Join(dir, settings.Name+".toml")
+	if err := os.WriteFile(file, []byte(c.Platform.Settings(settings)), 0o600); err != nil {
 		c.t.Fatal(err)
 	}
-	n.caller = "http://" + net.JoinHostPort(ip, strconv.Itoa(place.Caller))
-	n.Metrics = net.JoinHostPort(ip, strconv.Itoa(place.FirstPeer))
-	n.ready = "http://" + net.JoinHostPort(ip, strconv.Itoa(place.Ready))
-	n.Process = newProcess(c.t, dir, place.Name, binary(c.t, binNode), settingsFlag, file)
+	n.callerURL = "http://" + net.JoinHostPort(ip, strconv.Itoa(settings.Caller))
+	n.Metrics = net.JoinHostPort(ip, strconv.Itoa(settings.FirstPeer))
+	n.readyURL = "http://" + net.JoinHostPort(ip, strconv.Itoa(settings.Ready))
+	n.Process = newProcess(c.t, dir, settings.Name, binaryPath(c.t, binNode), settingsFlag, file)
 }
 
-// reserveNodePorts reserves, for each node, ports next to one another, and returns the
-// first of each.
-func reserveNodePorts(t testing.TB, ip string, nodes int) (firsts []int) {
+// reserveNodePorts reserves a range of portsPerNode consecutive ports for each node and returns
+// the first port of each range.
+func reserveNodePorts(t testing.TB, ip string, nodes int) (firstPorts []int) {
 	t.Helper()
-	ofNode := func(port int) bool {
-		return slices.ContainsFunc(firsts, func(first int) bool { return first <= port && port < first+nodePorts })
+	usedByNode := func(port int) bool {
+		return slices.ContainsFunc(firstPorts, func(first int) bool { return first <= port && port < first+portsPerNode })
 	}
 	for range nodes {
-		firsts = append(firsts, reserveRow(t, ip, nodePorts, ofNode))
+		firstPorts = append(firstPorts, reservePortRange(t, ip, portsPerNode, usedByNode))
 	}
-	return firsts
+	return firstPorts
 }
 
-// AwaitReady waits until all nodes that run are ready.
+// AwaitReady waits until all running nodes are ready.
 func (c *JobCluster) AwaitReady() {
 	c.t.Helper()
 	for _, n := range c.Nodes {
 		if n.Running() {
-			c.Until(n.Name+" is ready", func() bool { return answers(n.ready + platform.ReadyPath) })
+			c.Until(n.Name+" is ready", func() bool { return respondsOK(n.readyURL + platform.ReadyPath) })
 		}
 	}
 }
 
-// Until waits for a condition.
-func (c *JobCluster) Until(what string, holds func() bool) {
+// Until waits until condition returns true and fails the test after waitTimeout.
+func (c *JobCluster) Until(description string, condition func() bool) {
 	c.t.Helper()
-	until(c.t, what, holds)
+	until(c.t, description, condition)
 }
 
 // NewID returns a new job ID.
@@ -149,7 +149,7 @@
 	return workload.JobID(fmt.Sprintf("%016x", c.nextID))
 }
 
-// Body is the body of a job, as callers send it.
+// Body returns the body with which callers submit a job.
 func Body(t testing.TB, spec workload.Spec) string {
 	t.Helper()
 	data, err := platform.EncodeJob(spec)
@@ -159,12 +159,12 @@
 	return string(data)
 }
 
-// Chain is a job of steps that follow one another, each with so many tasks that
-// take a time.
-func Chain(takes time.Duration, counts ...int) workload.Spec {
-	spec := workload.Spec{Payload: standin.Payload(takes)}
-	for i, n := range counts {
-		s := workload.Step{Count: n, Resources: workload.Resources{CPU: 1000, MemoryMB: 500}, EstimateMS: takes.Milliseconds()}
+// Chain returns a job whose steps run one after another. Step i has tasksPerStep[i] tasks, and
+// each task takes taskDuration.
+func Chain(taskDuration time.Duration, tasksPerStep ...int) workload.Spec {
+	spec := workload.Spec{Payload: standin.Payload(taskDuration)}
+	for i, n := range tasksPerStep {
+		s := workload.Step{Count: n, Resources: workload.Resources{CPU: 1000, MemoryMB: 500}, EstimateMS: taskDuration.Milliseconds()}
 		if i > 0 {
 			s.DependsOn = []int{i - 1}
 		}
@@ -173,16 +173,17 @@
 	return spec
 }
 
-// Call sends one call to a node and returns the status, 0 without an answer.
+// Call sends one call to a node and returns the status and the body. Without an answer the status
+// is 0 and the body is the error.
 func (c *JobCluster) Call(n *JobNode, method, path, body string) (int, string) {
 	ctx, cancel := context.WithTimeout(c.t.Context(), 4*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, n.caller+path, bytes.NewBufferString(body))
+	req, err := http.NewRequestWithContext(ctx, method, n.callerURL+path, bytes.NewBufferString(body))
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	req.Host = standin.Host
-	platform.SetCallerTimeout(req, callerPatience)
+	platform.SetCallerTimeout(req, callerTimeout)
 	resp, err := c.client.Do(req)
 	if err != nil {
 		return 0, err.Error()
@@ -195,21 +196,20 @@
 	return resp.StatusCode, string(data)
 }
 
-// Submit submits a job until a node takes it: a caller tries other nodes with the
-// same ID after anything but an answer that it was taken.
+// Submit submits a job to one node after another, with the same ID, until a node accepts it.
 func (c *JobCluster) Submit(service string, id workload.JobID, spec workload.Spec) {
 	c.t.Helper()
 	body := Body(c.t, spec)
-	tries := 0
-	c.Until("job "+string(id)+" is taken", func() bool {
-		tries++
-		n := c.Nodes[(c.nextID+tries)%len(c.Nodes)]
+	attempts := 0
+	c.Until("job "+string(id)+" is accepted", func() bool {
+		attempts++
+		n := c.Nodes[(c.nextID+attempts)%len(c.Nodes)]
 		status, _ := c.Call(n, http.MethodPost, standin.Prefix(service)+string(id), body)
 		return status == http.StatusOK
 	})
 }
 
-// State asks nodes for a job's state until one tells it.
+// State returns a job's state from the first running node that reports it, "" if none does.
 func (c *JobCluster) State(service string, id workload.JobID) string {
 	for _, n := range c.Nodes {
 		if !n.Running() {
@@ -222,7 +222,7 @@
 	return ""
 }
 
-// AwaitState waits until a job has a state.
+// AwaitState waits until a job is reported in a state.
 func (c *JobCluster) AwaitState(service string, id workload.JobID, state workload.JobState) {
 	c.t.Helper()
 	want := `{"state":"` + string(state) + `"}`
--- a/internal/testkit/link_test.go
+++ b/internal/testkit/link_test.go
@@ -11,14 +11,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each fault of a link shows at the client as what it stands for, and Heal lets
-// new connections pass again.
+// Each fault of a link must cause the error at the client that it stands for, and after Heal new
+// connections must work.
 func TestLinkFaults(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "0123456789")
 	}))
 	t.Cleanup(server.Close)
-	link := newLink(t, "link", loopback(), server.Listener.Addr().String())
+	link := newLink(t, "link", uniqueLoopbackIP(), server.Listener.Addr().String())
 	get := func() (string, error) {
 		transport := &http.Transport{}
 		defer transport.CloseIdleConnections()
--- a/internal/testkit/ports_test.go
+++ b/internal/testkit/ports_test.go
@@ -10,21 +10,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process of a test can't listen, "address already in use": its port was free when it was
-// chosen and was given to another listener before the process started, or while it was down.
+// Guards against a process that can't listen, "address already in use": its port was free when it
+// was chosen but was given to another listener before the process started, or while it was down.
 func TestReservedPortIsGivenToNobodyElse(t *testing.T) {
-	ip := loopback()
+	ip := uniqueLoopbackIP()
 	const others = 2000
 	address := reserveAddress(t, ip)
-	for range 3 { // as often as a process starts
+	for range 3 { // a process may be restarted
 		l, err := net.Listen("tcp", address)
 		require.NoError(t, err)
 		require.NoError(t, l.Close())
 	}
-	row := reserveRow(t, ip, nodePorts, func(int) bool { return false })
+	first := reservePortRange(t, ip, portsPerNode, func(int) bool { return false })
 	reserved := []string{address}
-	for i := range nodePorts {
-		reserved = append(reserved, net.JoinHostPort(ip, strconv.Itoa(row+i)))
+	for i := range portsPerNode {
+		reserved = append(reserved, net.JoinHostPort(ip, strconv.Itoa(first+i)))
 	}
 	for range others {
 		l, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
@@ -39,13 +39,13 @@
 	}
 }
 
-// Rows of ports overlap, and two nodes of a cluster get the same port.
-func TestRowsOfPortsDoNotOverlap(t *testing.T) {
-	ip := loopback()
+// Guards against overlapping port ranges, with which two nodes of a cluster get the same port.
+func TestPortRangesDoNotOverlap(t *testing.T) {
+	ip := uniqueLoopbackIP()
 	var ports []int
 	for range 200 {
-		first := reserveRow(t, ip, nodePorts, func(port int) bool { return slices.Contains(ports, port) })
-		for i := range nodePorts {
+		first := reservePortRange(t, ip, portsPerNode, func(port int) bool { return slices.Contains(ports, port) })
+		for i := range portsPerNode {
 			assert.NotContains(t, ports, first+i)
 			ports = append(ports, first+i)
 		}
