--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -164,30 +164,6 @@
 	Counts         Counts
 }
 
-// Counts are totals for metrics.
-type Counts struct {
-	StartedRuns, DoneTasks, FailedRuns, ExpiredRuns, RefusedStarts, UnansweredStarts int
-	CompletedJobs, FailedJobs, CancelledJobs                                         int
-	// WorkerCrashes counts crashes of workers, LostRuns the runs lost with a worker's process.
-	WorkerCrashes, LostRuns int
-	// WorkerRestarts counts workers that restarted under their ID, UnreadExits the runs that
-	// vanished from a worker that listed no exit of them.
-	WorkerRestarts, UnreadExits int
-	// DuplicateRuns counts runs that were found while another run of their task was live.
-	DuplicateRuns int
-	// IsolatedRuns counts the starts of isolated runs, ClearedSuspects the suspects that made
-	// progress, CrashingJobs the jobs that failed because one of their tasks crashes workers.
-	IsolatedRuns, ClearedSuspects, CrashingJobs int
-	// ExtraPolls counts polls that were sent while the answer of another was overdue.
-	ExtraPolls int
-	// RankedJobs counts jobs that were ranked, PlacementChecks the workers and runs that were
-	// examined to decide on starts. Together they are the cost of planning.
-	RankedJobs, PlacementChecks int
-	// Plans counts plans, TruncatedPlans those that ended before all free capacity was used
-	// because too many starts were unanswered.
-	Plans, TruncatedPlans int
-}
-
 // New returns a Core for an owner that takes over at now. unresolved are the IDs of workers that
 // may run tasks of an earlier owner. listIncomplete states that there may be more such workers.
 func New(settings Settings, now time.Time, unresolved []string, listIncomplete bool) *Core {
@@ -393,39 +369,3 @@
 	c.orders = Orders{}
 	return orders
 }
-
-// removeGoneWorkers removes workers that are not registered and run nothing. A worker that is
-// being drained is kept: it may not be registered yet, and without its drain it would get
-// starts as soon as it is. A worker with an unconfirmed crash is kept, too.
-func (c *Core) removeGoneWorkers(now time.Time) {
-	c.sortedWorkers = slices.DeleteFunc(c.sortedWorkers, func(w *worker) bool {
-		if !w.unregistered || len(w.runs) > 0 || now.Before(w.drainUntil) || now.Before(w.crashUnconfirmedUntil) {
-			return false
-		}
-		if c.unresolvedWorkers[w.info.ID] && now.Before(c.earlierLeasesExpireAt) {
-			return false // it may be partitioned from the store and run tasks of an earlier owner
-		}
-		delete(c.workers, w.info.ID)
-		delete(c.unresolvedWorkers, w.info.ID)
-		c.removedWorkerTokens[w.info.ID] = w.token
-		return true
-	})
-}
-
-// sweepJobs removes ended jobs from activeJobs, and deletes jobs that ended long ago here
-// and in the store.
-func (c *Core) sweepJobs(now time.Time) {
-	c.logTakeoverComplete(now)
-	c.activeJobs = slices.DeleteFunc(c.activeJobs, func(j *job) bool { return j.storedState.IsTerminal() && j.liveRuns == 0 })
-	if now.Before(c.lastJobSweepAt.Add(jobSweepInterval)) {
-		return
-	}
-	for id, j := range c.jobs {
-		if j.storedState.IsTerminal() && j.liveRuns == 0 && now.UnixMilli()-j.completedAtMS > (2*c.settings.JobRetention).Milliseconds() {
-			c.jobsToDelete = append(c.jobsToDelete, id)
-			delete(c.jobs, id)
-		}
-	}
-	slices.Sort(c.jobsToDelete)
-	c.lastJobSweepAt = now
-}
--- /dev/null
+++ b/internal/scheduler/counts.go
@@ -0,0 +1,25 @@
+package scheduler
+
+// Counts are totals for metrics.
+type Counts struct {
+	StartedRuns, DoneTasks, FailedRuns, ExpiredRuns, RefusedStarts, UnansweredStarts int
+	CompletedJobs, FailedJobs, CancelledJobs                                         int
+	// WorkerCrashes counts crashes of workers, LostRuns the runs lost with a worker's process.
+	WorkerCrashes, LostRuns int
+	// WorkerRestarts counts workers that restarted under their ID, UnreadExits the runs that
+	// vanished from a worker that listed no exit of them.
+	WorkerRestarts, UnreadExits int
+	// DuplicateRuns counts runs that were found while another run of their task was live.
+	DuplicateRuns int
+	// IsolatedRuns counts the starts of isolated runs, ClearedSuspects the suspects that made
+	// progress, CrashingJobs the jobs that failed because one of their tasks crashes workers.
+	IsolatedRuns, ClearedSuspects, CrashingJobs int
+	// ExtraPolls counts polls that were sent while the answer of another was overdue.
+	ExtraPolls int
+	// RankedJobs counts jobs that were ranked, PlacementChecks the workers and runs that were
+	// examined to decide on starts. Together they are the cost of planning.
+	RankedJobs, PlacementChecks int
+	// Plans counts plans, TruncatedPlans those that ended before all free capacity was used
+	// because too many starts were unanswered.
+	Plans, TruncatedPlans int
+}
--- /dev/null
+++ b/internal/scheduler/sweep.go
@@ -0,0 +1,42 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+)
+
+// removeGoneWorkers removes workers that are not registered and run nothing. A worker that is
+// being drained is kept: it may not be registered yet, and without its drain it would get
+// starts as soon as it is. A worker with an unconfirmed crash is kept, too.
+func (c *Core) removeGoneWorkers(now time.Time) {
+	c.sortedWorkers = slices.DeleteFunc(c.sortedWorkers, func(w *worker) bool {
+		if !w.unregistered || len(w.runs) > 0 || now.Before(w.drainUntil) || now.Before(w.crashUnconfirmedUntil) {
+			return false
+		}
+		if c.unresolvedWorkers[w.info.ID] && now.Before(c.earlierLeasesExpireAt) {
+			return false // it may be partitioned from the store and run tasks of an earlier owner
+		}
+		delete(c.workers, w.info.ID)
+		delete(c.unresolvedWorkers, w.info.ID)
+		c.removedWorkerTokens[w.info.ID] = w.token
+		return true
+	})
+}
+
+// sweepJobs removes ended jobs from activeJobs, and deletes jobs that ended long ago here
+// and in the store.
+func (c *Core) sweepJobs(now time.Time) {
+	c.logTakeoverComplete(now)
+	c.activeJobs = slices.DeleteFunc(c.activeJobs, func(j *job) bool { return j.storedState.IsTerminal() && j.liveRuns == 0 })
+	if now.Before(c.lastJobSweepAt.Add(jobSweepInterval)) {
+		return
+	}
+	for id, j := range c.jobs {
+		if j.storedState.IsTerminal() && j.liveRuns == 0 && now.UnixMilli()-j.completedAtMS > (2*c.settings.JobRetention).Milliseconds() {
+			c.jobsToDelete = append(c.jobsToDelete, id)
+			delete(c.jobs, id)
+		}
+	}
+	slices.Sort(c.jobsToDelete)
+	c.lastJobSweepAt = now
+}
