--- a/cmd/yuccadrift-entry/run.go
+++ b/cmd/yuccadrift-entry/run.go
@@ -25,10 +25,10 @@
 
 // run serves until the callers' server has left, which begins when stop ends:
 // the other duties are needed until then.
-func run(stop context.Context, s settings.Entry) error {
-	ctx := context.WithoutCancel(stop)
+func run(stopCtx context.Context, s settings.Entry) error {
+	ctx := context.WithoutCancel(stopCtx)
 	logger := logging.New(binary, s.Node, s.Log, os.Stderr)
-	listeners, err := bind(ctx, s)
+	listeners, err := bindListeners(ctx, s)
 	if err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 	var ent *entry.Entry
 	member, node := membership.NewEntry(membership.Entry{
 		Settings:  s,
-		Address:   peerAddress(s, listeners.peers),
+		Address:   advertisedAddress(s, listeners.peers),
 		Registry:  registry,
 		Log:       follow,
 		Readiness: readiness,
@@ -63,12 +63,12 @@
 		Registry:  registry,
 		Readiness: readiness,
 		Logger:    logger,
-		Stop:      stop.Done(),
+		Stop:      stopCtx.Done(),
 		Drained:   member.Leave,
 	})
-	operator.Register(peers.Registrar(), status(s, follow, ent, readiness))
+	operator.Register(peers.Registrar(), operatorConfig(s, follow, ent, readiness))
 	duties := slices.Concat(ent.Duties(), member.Duties(), follow.Duties(), []supervise.Duty{
-		{Name: "admin", Serve: operators(s, listeners.admin, registry, readiness, logger).Serve},
+		{Name: "admin", Serve: newAdminServer(s, listeners.admin, registry, readiness, logger).Serve},
 		{Name: "peers", Serve: peers.Serve},
 	})
 	logger.Info("entry started", "callers", listeners.callers.Addr(), "admin", listeners.admin.Addr())
@@ -80,9 +80,9 @@
 	admin, callers, peers caller.Listener
 }
 
-// bind opens all addresses first, so that one in use ends the start before
+// bindListeners opens all addresses first, so that one in use ends the start before
 // anything else was begun.
-func bind(ctx context.Context, s settings.Entry) (l listeners, err error) {
+func bindListeners(ctx context.Context, s settings.Entry) (l listeners, err error) {
 	if l.admin, err = listen.TCP(ctx, "admin.listen", s.Admin.Listen); err != nil {
 		return l, err
 	}
@@ -93,29 +93,29 @@
 	return l, err
 }
 
-// peerAddress is what other nodes dial. The listener knows its port also where
+// advertisedAddress is what other nodes dial. The listener knows its port also where
 // the settings leave that to the system.
-func peerAddress(s settings.Entry, l caller.Listener) string {
+func advertisedAddress(s settings.Entry, l caller.Listener) string {
 	if s.Peers.Advertise.IsValid() {
 		return s.Peers.Advertise.String()
 	}
 	return l.Addr().String()
 }
 
-// status is what the process tells the command line about itself.
-func status(s settings.Entry, follow *follower.Follower, ent *entry.Entry, readiness *admin.Readiness) operator.ServerConfig {
+// operatorConfig is what the process tells the command line about itself.
+func operatorConfig(s settings.Entry, follow *follower.Follower, ent *entry.Entry, readiness *admin.Readiness) operator.ServerConfig {
 	return operator.ServerConfig{
-		Node:    s.Node.ID,
-		Role:    operator.RoleEntry,
-		Zone:    s.Node.Zone,
-		State:   follow,
-		Acting:  ent.Offset,
-		Unready: readiness.Reasons,
+		Node:         s.Node.ID,
+		Role:         operator.RoleEntry,
+		Zone:         s.Node.Zone,
+		State:        follow,
+		ActingOffset: ent.Offset,
+		Unready:      readiness.Reasons,
 	}
 }
 
-// operators serves metrics, health and readiness.
-func operators(s settings.Entry, l caller.Listener, registry *prometheus.Registry, readiness *admin.Readiness, logger hclog.Logger) *admin.Server {
+// newAdminServer serves metrics, health and readiness.
+func newAdminServer(s settings.Entry, l caller.Listener, registry *prometheus.Registry, readiness *admin.Readiness, logger hclog.Logger) *admin.Server {
 	return admin.New(admin.Config{
 		Listener:  l,
 		Registry:  registry,
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -23,7 +23,7 @@
 allowed = 0.02
 `
 
-func TestExamplesAreTheBriefsSizes(t *testing.T) {
+func TestExamplesMatchPlannedSizes(t *testing.T) {
 	for dir, weigh := range map[string]document.Weigh{"ramcharan": document.WeighBuffer, "feldkamm": document.WeighMoves} {
 		paths, err := filepath.Glob("../../examples/" + dir + "/*.toml")
 		require.NoError(t, err)
@@ -144,7 +144,7 @@
 // A team mistypes one value, which decodes to no value or to its default. Only
 // that line may be blamed: a check of a sound key against the default would send
 // the team to the wrong line. The service's name is kept for the message.
-func TestMistypedValueIsTheOnlyComplaint(t *testing.T) {
+func TestMistypedValueIsTheOnlyProblem(t *testing.T) {
 	for change, key := range map[string]string{
 		"size = 10->size = \"ten\"\nmin_zones = 3":                                "pool.size",
 		"size = 10->min_zones = 3":                                                "pool.size",
--- a/internal/document/parse.go
+++ b/internal/document/parse.go
@@ -11,9 +11,9 @@
 // Problem is one mistake in a document, with its place.
 type Problem = tomlfile.Problem
 
-// file mirrors the TOML text. Pointers tell a key that is absent from one that
+// tomlDocument mirrors the TOML text. Pointers tell a key that is absent from one that
 // is set to zero.
-type file struct {
+type tomlDocument struct {
 	Service string  `toml:"service"`
 	Team    string  `toml:"team"`
 	Weigh   string  `toml:"weigh"`
@@ -69,8 +69,8 @@
 	Lease       tomlfile.Duration `toml:"lease"`
 }
 
-func defaults() file {
-	return file{
+func defaults() tomlDocument {
+	return tomlDocument{
 		Weigh: string(DefaultWeigh),
 		Pool:  pool{MinZones: DefaultMinZones, MinRacks: DefaultMinRacks},
 		Budget: budget{
@@ -127,7 +127,7 @@
 	return f.document(), nil
 }
 
-func (f file) document() Document {
+func (f tomlDocument) document() Document {
 	doc := Document{
 		Service: f.Service,
 		Team:    f.Team,
@@ -170,12 +170,12 @@
 		Prefix:     r.Prefix,
 		Class:      Class(valueOr(r.Class, string(DefaultClass))),
 		Repeatable: r.Repeatable,
-		Deadline:   deadline(r.Deadline),
+		Deadline:   deadlineOrDefault(r.Deadline),
 		MaxBody:    valueOr(r.MaxBody, DefaultMaxBody),
 	}
 }
 
-func deadline(d *tomlfile.Duration) time.Duration {
+func deadlineOrDefault(d *tomlfile.Duration) time.Duration {
 	if d == nil {
 		return DefaultDeadline
 	}
--- a/internal/document/validate.go
+++ b/internal/document/validate.go
@@ -14,8 +14,8 @@
 	prefixPattern = regexp.MustCompile(`^/$|^(/[A-Za-z0-9._~-]+)+$`)
 )
 
-// NameForm says what a service or team name looks like, for messages.
-const NameForm = "1 to 63 lower-case letters, digits and dashes, with no dash at an end"
+// NameFormat says what a service or team name looks like, for messages.
+const NameFormat = "1 to 63 lower-case letters, digits and dashes, with no dash at an end"
 
 // ValidName reports whether name can be a service's or a team's: it stands in
 // URL paths and in the platform's names.
@@ -26,7 +26,7 @@
 // validator collects the mistakes of one decoded document.
 type validator struct {
 	doc       Document
-	file      file
+	file      tomlDocument
 	positions tomlfile.Positions
 	problems  tomlfile.Problems
 }
@@ -43,8 +43,8 @@
 	v.jobs()
 }
 
-// refuse adds a problem at key.
-func (v *validator) refuse(key, wrong, expected string) {
+// addProblem adds a problem at key.
+func (v *validator) addProblem(key, wrong, expected string) {
 	v.problems.Add(v.positions.Problem(key, wrong, expected))
 }
 
@@ -52,18 +52,18 @@
 	switch {
 	case ValidName(name):
 	case !v.positions.Has(key):
-		v.refuse(key, "is missing", NameForm)
+		v.addProblem(key, "is missing", NameFormat)
 	default:
-		v.refuse(key, fmt.Sprintf("is %q", name), NameForm)
+		v.addProblem(key, fmt.Sprintf("is %q", name), NameFormat)
 	}
 }
 
-// between refuses a value outside lo..hi.
-func between[T int | int64](v *validator, key string, value, lo, hi T) bool {
+// inRange refuses a value outside lo..hi.
+func inRange[T int | int64](v *validator, key string, value, lo, hi T) bool {
 	if value >= lo && value <= hi {
 		return true
 	}
-	v.refuse(key, fmt.Sprintf("is %d", value), fmt.Sprintf("%d to %d", lo, hi))
+	v.addProblem(key, fmt.Sprintf("is %d", value), fmt.Sprintf("%d to %d", lo, hi))
 	return false
 }
 
@@ -75,7 +75,7 @@
 	if !v.positions.Has(key) && value == 0 {
 		wrong = "is missing"
 	}
-	v.refuse(key, wrong, fmt.Sprintf("a duration from %s to %s", lo, hi))
+	v.addProblem(key, wrong, fmt.Sprintf("a duration from %s to %s", lo, hi))
 	return false
 }
 
@@ -84,7 +84,7 @@
 	if value >= 0 && value <= MaxCores {
 		return true
 	}
-	v.refuse(key, fmt.Sprintf("is %v", value), fmt.Sprintf("0 to %d cores", MaxCores))
+	v.addProblem(key, fmt.Sprintf("is %v", value), fmt.Sprintf("0 to %d cores", MaxCores))
 	return false
 }
 
@@ -96,27 +96,27 @@
 		}
 		names[i] = fmt.Sprintf("%q", string(k))
 	}
-	v.refuse(key, fmt.Sprintf("is %q", string(value)), strings.Join(names, " or "))
+	v.addProblem(key, fmt.Sprintf("is %q", string(value)), strings.Join(names, " or "))
 }
 
 func (v *validator) pool() {
 	p := v.doc.Pool
 	if !v.positions.Has("pool.size") {
-		v.refuse("pool.size", "is missing", "the number of VMs")
+		v.addProblem("pool.size", "is missing", "the number of VMs")
 	}
-	between(v, "pool.min_cores", p.MinCores, 0, MaxCores)
-	between(v, "pool.min_memory_mb", p.MinMemoryMB, 0, MaxMemoryMB)
-	between(v, "pool.min_accelerators", p.MinAccelerators, 0, MaxAccelerators)
-	between(v, "pool.size", p.Size, 0, MaxPoolSize)
+	inRange(v, "pool.min_cores", p.MinCores, 0, MaxCores)
+	inRange(v, "pool.min_memory_mb", p.MinMemoryMB, 0, MaxMemoryMB)
+	inRange(v, "pool.min_accelerators", p.MinAccelerators, 0, MaxAccelerators)
+	inRange(v, "pool.size", p.Size, 0, MaxPoolSize)
 	if p.Size == 1 {
-		v.refuse("pool.size", "is 1: a lone VM cannot be maintained without an outage", "2 or more, or 0 to empty the pool")
+		v.addProblem("pool.size", "is 1: a lone VM cannot be maintained without an outage", "2 or more, or 0 to empty the pool")
 	}
 	if v.problems.Has("pool.size") {
 		return
 	}
 	most := max(1, p.Size)
-	between(v, "pool.min_zones", p.MinZones, 1, most)
-	between(v, "pool.min_racks", p.MinRacks, 1, most)
+	inRange(v, "pool.min_zones", p.MinZones, 1, most)
+	inRange(v, "pool.min_racks", p.MinRacks, 1, most)
 }
 
 func (v *validator) budget() {
@@ -128,17 +128,17 @@
 		if !v.positions.Has("budget.allowed") {
 			wrong = "is missing"
 		}
-		v.refuse("budget.allowed", wrong, "a share over 0 and under 1")
+		v.addProblem("budget.allowed", wrong, "a share over 0 and under 1")
 	}
 	if size == 0 || v.problems.Has("pool.size") {
 		return
 	}
 	if b.MaxUnavailable < 1 || b.MaxUnavailable >= size {
-		v.refuse("budget.max_unavailable", fmt.Sprintf("is %d of a pool of %d", b.MaxUnavailable, size),
+		v.addProblem("budget.max_unavailable", fmt.Sprintf("is %d of a pool of %d", b.MaxUnavailable, size),
 			fmt.Sprintf("1 to %d, so that VMs can be maintained and some always serve", size-1))
 	}
 	if window && share && v.doc.AllowedSeconds() < MinOutage.Seconds() {
-		v.refuse("budget.allowed", fmt.Sprintf("allows %.1f VM-seconds per %s: not one VM could ever be drained", v.doc.AllowedSeconds(), b.Window),
+		v.addProblem("budget.allowed", fmt.Sprintf("allows %.1f VM-seconds per %s: not one VM could ever be drained", v.doc.AllowedSeconds(), b.Window),
 			fmt.Sprintf("at least %.0f VM-seconds; raise allowed or window", MinOutage.Seconds()))
 	}
 }
@@ -149,18 +149,18 @@
 		key := fmt.Sprintf("route[%d]", i)
 		v.prefix(key+".prefix", r.Prefix)
 		if first, ok := seen[r.Prefix]; ok {
-			v.refuse(key+".prefix", fmt.Sprintf("%q is the prefix of route[%d] already", r.Prefix, first), "each prefix once")
+			v.addProblem(key+".prefix", fmt.Sprintf("%q is the prefix of route[%d] already", r.Prefix, first), "each prefix once")
 		} else {
 			seen[r.Prefix] = i
 		}
 		oneOf(v, key+".class", r.Class, ClassQuick, ClassLong)
-		between(v, key+".max_body", r.MaxBody, 0, MaxBodyLimit)
+		inRange(v, key+".max_body", r.MaxBody, 0, MaxBodyLimit)
 		if !v.duration(key+".deadline", r.Deadline, MinDeadline, MaxDeadline) {
 			continue
 		}
 		// A drain that ends before the longest request does would cut it.
 		if drain := v.doc.Limits.Drain; r.Deadline > drain && !v.problems.Has("limits.drain") {
-			v.refuse(key+".deadline", fmt.Sprintf("is %s, but limits.drain cuts requests after %s", r.Deadline, drain),
+			v.addProblem(key+".deadline", fmt.Sprintf("is %s, but limits.drain cuts requests after %s", r.Deadline, drain),
 				"a deadline up to limits.drain; raise limits.drain")
 		}
 	}
@@ -168,17 +168,17 @@
 
 func (v *validator) prefix(key, prefix string) {
 	if !v.positions.Has(key) {
-		v.refuse(key, "is missing", `a path such as "/chairs"`)
+		v.addProblem(key, "is missing", `a path such as "/chairs"`)
 		return
 	}
 	for _, element := range strings.Split(prefix, "/") {
 		if element == "." || element == ".." {
-			v.refuse(key, fmt.Sprintf("is %q", prefix), "no . or .. element: callers' paths are cleaned before they are matched")
+			v.addProblem(key, fmt.Sprintf("is %q", prefix), "no . or .. element: callers' paths are cleaned before they are matched")
 			return
 		}
 	}
 	if !prefixPattern.MatchString(prefix) {
-		v.refuse(key, fmt.Sprintf("is %q", prefix),
+		v.addProblem(key, fmt.Sprintf("is %q", prefix),
 			`"/", or elements of letters, digits and . _ ~ - that each start with a slash, with no slash at the end`)
 	}
 }
@@ -187,12 +187,12 @@
 	l := v.doc.Limits
 	v.duration("limits.drain", l.Drain, time.Second, MaxDeadline)
 	if !(l.RetryShare >= 0 && l.RetryShare <= 1) {
-		v.refuse("limits.retry_share", fmt.Sprintf("is %v", l.RetryShare), "a share from 0 to 1")
+		v.addProblem("limits.retry_share", fmt.Sprintf("is %v", l.RetryShare), "a share from 0 to 1")
 	}
-	slots := between(v, "limits.slots", l.Slots, 1, MaxSlots)
-	connections := between(v, "limits.connections", l.Connections, 1, MaxSlots)
+	slots := inRange(v, "limits.slots", l.Slots, 1, MaxSlots)
+	connections := inRange(v, "limits.connections", l.Connections, 1, MaxSlots)
 	if slots && connections && l.Connections < l.Slots && !v.problems.Has("limits.slots") {
-		v.refuse("limits.connections", fmt.Sprintf("is %d, fewer than limits.slots = %d", l.Connections, l.Slots),
+		v.addProblem("limits.connections", fmt.Sprintf("is %d, fewer than limits.slots = %d", l.Connections, l.Slots),
 			"at least one connection per slot: a connection carries one request at a time")
 	}
 }
@@ -203,15 +203,15 @@
 		key := fmt.Sprintf("quota[%d]", i)
 		v.name(key+".team", q.Team)
 		if first, ok := seen[q.Team]; ok {
-			v.refuse(key+".team", fmt.Sprintf("%q has quota[%d] already", q.Team, first), "each team once")
+			v.addProblem(key+".team", fmt.Sprintf("%q has quota[%d] already", q.Team, first), "each team once")
 		} else {
 			seen[q.Team] = i
 		}
 		v.cores(key+".cores", q.Cores)
-		between(v, key+".memory_mb", q.MemoryMB, 0, MaxMemoryMB)
-		between(v, key+".accelerators", q.Accelerators, 0, MaxAccelerators)
+		inRange(v, key+".memory_mb", q.MemoryMB, 0, MaxMemoryMB)
+		inRange(v, key+".accelerators", q.Accelerators, 0, MaxAccelerators)
 		if (q.Cores == 0 || q.MemoryMB == 0) && !v.problems.Has(key+".cores") && !v.problems.Has(key+".memory_mb") {
-			v.refuse(key, "leaves the team no cores or no memory", "both over 0; leave the quota out to refuse the team")
+			v.addProblem(key, "leaves the team no cores or no memory", "both over 0; leave the quota out to refuse the team")
 		}
 	}
 }
@@ -225,7 +225,7 @@
 	}
 	p := v.doc.Pool
 	if p.Size > 0 && p.MinCores > 0 && j.UrgentMilliCores > 1000*p.Size*p.MinCores {
-		v.refuse("jobs.urgent_cores", fmt.Sprintf("is %v, more than the pool's %d VMs of %d cores", v.file.Jobs.UrgentCores, p.Size, p.MinCores),
+		v.addProblem("jobs.urgent_cores", fmt.Sprintf("is %v, more than the pool's %d VMs of %d cores", v.file.Jobs.UrgentCores, p.Size, p.MinCores),
 			"room for urgent work that the pool can have")
 	}
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -40,20 +40,20 @@
 // Status returns the process's status now. The error is ErrUnreachable or
 // ctx's.
 func (c *Client) Status(ctx context.Context) (Status, error) {
-	return c.ask(ctx, &operatorpb.StatusRequest{})
+	return c.call(ctx, &operatorpb.StatusRequest{})
 }
 
 // StatusAfter returns the status once the process acts on offset, or when wait
 // is over.
 func (c *Client) StatusAfter(ctx context.Context, offset uint64, wait time.Duration) (Status, error) {
-	return c.ask(ctx, &operatorpb.StatusRequest{AfterOffset: offset, MaxWait: durationpb.New(wait)})
+	return c.call(ctx, &operatorpb.StatusRequest{AfterOffset: offset, MaxWait: durationpb.New(wait)})
 }
 
-func (c *Client) ask(ctx context.Context, req *operatorpb.StatusRequest) (Status, error) {
+func (c *Client) call(ctx context.Context, req *operatorpb.StatusRequest) (Status, error) {
 	reply, err := c.rpc.Status(ctx, req)
 	switch status.Code(err) {
 	case codes.OK:
-		return statusOf(reply), nil
+		return statusFromProto(reply), nil
 	case codes.Unavailable, codes.DeadlineExceeded:
 		return Status{}, errors.Wrapf(ErrUnreachable, "%s: %s", c.addr, status.Convert(err).Message())
 	}
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -17,9 +17,9 @@
 
 // Limits of a waiting Status call.
 const (
-	// waitPoll is how often a waiting call looks at the offset, and so the
+	// offsetPollInterval is how often a waiting call looks at the offset, and so the
 	// resolution of the time to in force that the command line measures.
-	waitPoll = 5 * time.Millisecond
+	offsetPollInterval = 5 * time.Millisecond
 	// maxWait bounds one call, so that callers who left cost nothing for long.
 	maxWait = 30 * time.Second
 )
@@ -37,9 +37,9 @@
 	Role  Role
 	Zone  string
 	State State
-	// Acting returns the offset up to which the process acts on what it folded.
+	// ActingOffset returns the offset up to which the process acts on what it folded.
 	// Nil means that it acts on the folded state itself.
-	Acting func() uint64
+	ActingOffset func() uint64
 	// Unready returns why the process is not ready, empty when it is.
 	Unready func() []string
 }
@@ -47,18 +47,18 @@
 type server struct {
 	operatorpb.UnimplementedOperatorServer
 	cfg    ServerConfig
-	digest digest
+	digest digestCache
 }
 
-// digest keeps the latest digest: computing one encodes the whole state, which
+// digestCache keeps the latest digest: computing one encodes the whole state, which
 // would make each of many waiting calls hold the state's lock for milliseconds.
-type digest struct {
+type digestCache struct {
 	mu     sync.Mutex
 	offset uint64
 	value  uint64
 }
 
-func (d *digest) of(state *ledger.State) (uint64, error) {
+func (d *digestCache) get(state *ledger.State) (uint64, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.offset == state.Offset {
@@ -85,19 +85,19 @@
 	if err != nil {
 		return nil, status.Error(codes.Internal, err.Error())
 	}
-	return out.proto(), nil
+	return out.toProto(), nil
 }
 
 // await returns once the process acts on offset, wait is over or ctx ends.
 func (s *server) await(ctx context.Context, offset uint64, wait time.Duration) {
-	if s.acting() >= offset || wait <= 0 {
+	if s.actingOffset() >= offset || wait <= 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	tick := time.NewTicker(waitPoll)
+	tick := time.NewTicker(offsetPollInterval)
 	defer tick.Stop()
-	for s.acting() < offset {
+	for s.actingOffset() < offset {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -106,9 +106,9 @@
 	}
 }
 
-func (s *server) acting() uint64 {
-	if s.cfg.Acting != nil {
-		return s.cfg.Acting()
+func (s *server) actingOffset() uint64 {
+	if s.cfg.ActingOffset != nil {
+		return s.cfg.ActingOffset()
 	}
 	var offset uint64
 	s.cfg.State.View(func(state *ledger.State) { offset = state.Offset })
@@ -120,7 +120,7 @@
 		Node:         s.cfg.Node,
 		Role:         s.cfg.Role,
 		Zone:         s.cfg.Zone,
-		ActingOffset: s.acting(),
+		ActingOffset: s.actingOffset(),
 		Fresh:        s.cfg.State.Fresh(),
 		Now:          time.Now(),
 	}
@@ -129,13 +129,13 @@
 	}
 	var err error
 	s.cfg.State.View(func(state *ledger.State) {
-		fill(&out, state)
-		out.Digest, err = s.digest.of(state)
+		fillFromState(&out, state)
+		out.Digest, err = s.digest.get(state)
 	})
 	return out, err
 }
 
-func fill(out *Status, state *ledger.State) {
+func fillFromState(out *Status, state *ledger.State) {
 	out.Offset = state.Offset
 	out.Members = state.MemberNames()
 	for _, name := range slices.Sorted(maps.Keys(state.Services)) {
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -66,7 +66,7 @@
 	return 0
 }
 
-func (s Status) proto() *operatorpb.StatusReply {
+func (s Status) toProto() *operatorpb.StatusReply {
 	reply := &operatorpb.StatusReply{
 		Node:         s.Node,
 		Role:         string(s.Role),
@@ -88,7 +88,7 @@
 	return reply
 }
 
-func statusOf(reply *operatorpb.StatusReply) Status {
+func statusFromProto(reply *operatorpb.StatusReply) Status {
 	s := Status{
 		Node:         reply.GetNode(),
 		Role:         Role(reply.GetRole()),
--- a/internal/operatorcmd/change_test.go
+++ b/internal/operatorcmd/change_test.go
@@ -17,25 +17,25 @@
 
 // propose appends records as the stewards would, each on its subject's present
 // revision, and requires that they take effect.
-func (b *bench) propose(sub record.Subject, bodies ...record.Body) {
+func (b *testEnv) propose(sub record.Subject, bodies ...record.Body) {
 	b.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	o := options{platform: b.addr, stream: settings.DefaultStream, timeout: time.Minute, author: "test"}
-	s, err := openWith(ctx, o)
+	s, err := openSessionWith(ctx, o)
 	require.NoError(b.t, err)
 	defer s.Close()
 	for _, body := range bodies {
-		_, err := s.propose(ctx, s.draft(sub, body))
+		_, err := s.propose(ctx, s.newRecord(sub, body))
 		require.NoError(b.t, err)
 	}
 }
 
-// pool publishes the booking document and fills its pool with n serving VMs,
+// createPool publishes the booking document and fills its pool with n serving VMs,
 // four to a rack.
-func (b *bench) pool(n int) {
+func (b *testEnv) createPool(n int) {
 	b.t.Helper()
-	code, out, errOut := b.run("publish", b.example("booking", "size = 12", "size = 12"))
+	code, out, errOut := b.run("publish", b.writeExample("booking", "size = 12", "size = 12"))
 	require.Equal(b.t, ExitOK, code, out+errOut)
 	for i := range n {
 		vm := record.Subject{Kind: record.SubjectVM, Name: fmt.Sprintf("vm-%02d", i)}
@@ -49,8 +49,8 @@
 // operator gets the ledger's refusal with the limit, and the VM stays in
 // service. A drain that the budget bears is effective at once.
 func TestDrainWithinBudget(t *testing.T) {
-	b := newBench(t, standin.Options{})
-	b.pool(12)
+	b := newTestEnv(t, standin.Options{})
+	b.createPool(12)
 	code, first := runJSON[changeResult](b, "drain", "vm-00")
 	require.Equal(t, ExitOK, code)
 	require.Equal(t, ledger.Effective, first.Status)
@@ -67,8 +67,8 @@
 }
 
 func TestWaveCommands(t *testing.T) {
-	b := newBench(t, standin.Options{})
-	b.pool(2)
+	b := newTestEnv(t, standin.Options{})
+	b.createPool(2)
 	steps := []struct {
 		code int
 		word string
@@ -97,8 +97,8 @@
 }
 
 func TestJobCommands(t *testing.T) {
-	b := newBench(t, standin.Options{})
-	b.pool(1)
+	b := newTestEnv(t, standin.Options{})
+	b.createPool(1)
 	submit := []string{"jobs", "submit", "--service", "booking", "--team", "ramcharan-booking", "--cores", "0.25"}
 	code, refused := runJSON[changeResult](b, "jobs", "submit", "--service", "booking", "--team", "strangers", "j0")
 	require.Equal(t, ExitRejected, code)
@@ -126,9 +126,9 @@
 // Each outcome of a service's records is listed with its author and reason, and
 // a record of a kind that this build does not know is listed, not hidden.
 func TestHistory(t *testing.T) {
-	b := newBench(t, standin.Options{})
-	b.pool(1)
-	_, _, _ = b.run("--author", "ada", "publish", "--based-on", "7", b.example("booking", "size = 12", "size = 13"))
+	b := newTestEnv(t, standin.Options{})
+	b.createPool(1)
+	_, _, _ = b.run("--author", "ada", "publish", "--based-on", "7", b.writeExample("booking", "size = 12", "size = 13"))
 	_, err := b.platform.Append(context.Background(), settings.DefaultStream, [][]byte{[]byte(`{"kind":"later"}`)})
 	require.NoError(t, err)
 
@@ -150,8 +150,8 @@
 }
 
 func TestHistoryShowsDurations(t *testing.T) {
-	b := newBench(t, standin.Options{})
-	b.pool(12)
+	b := newTestEnv(t, standin.Options{})
+	b.createPool(12)
 	b.run("drain", "--estimate", "90s", "vm-00")
 	_, out, _ := b.run("history", "--last", "1")
 	require.Contains(t, out, "estimate:1m30s")
@@ -160,8 +160,8 @@
 // A drained VM spends its pool's budget: the report names the cause and shows
 // the same numbers in every format.
 func TestReport(t *testing.T) {
-	b := newBench(t, standin.Options{})
-	b.pool(12)
+	b := newTestEnv(t, standin.Options{})
+	b.createPool(12)
 	code, _, errOut := b.run("drain", "vm-00")
 	require.Equal(t, ExitOK, code, errOut)
 	code, r := runJSON[measure.Report](b, "report")
@@ -184,7 +184,7 @@
 // cannot be known, and the operator is told so instead of being shown wrong
 // ones.
 func TestTrimmedLogWithoutSnapshot(t *testing.T) {
-	b := newBench(t, standin.Options{RetentionEntries: 4})
+	b := newTestEnv(t, standin.Options{RetentionEntries: 4})
 	for range 6 {
 		_, err := b.platform.Append(context.Background(), settings.DefaultStream, [][]byte{[]byte("{}")})
 		require.NoError(t, err)
@@ -200,12 +200,12 @@
 // The platform is out for hours. The operator still sees the pools, as the
 // nodes last folded them, with a word on where that comes from; a change is
 // refused with exit code 4 and takes no effect.
-func TestLookWhileThePlatformIsOut(t *testing.T) {
-	b := newBench(t, standin.Options{})
-	b.pool(12)
-	node := b.node("n1")
-	b.run("--nodes", node, "publish", "--wait-in-force", b.example("booking", "size = 12", "size = 12"))
-	b.order(standin.Fault{Kind: standin.LogRefuse})
+func TestReadCommandsDuringPlatformOutage(t *testing.T) {
+	b := newTestEnv(t, standin.Options{})
+	b.createPool(12)
+	node := b.startNode("n1")
+	b.run("--nodes", node, "publish", "--wait-in-force", b.writeExample("booking", "size = 12", "size = 12"))
+	b.injectFaults(standin.Fault{Kind: standin.LogRefuse})
 	code, r := runJSON[measure.Report](b, "--timeout", "2s", "--nodes", node, "report")
 	require.Equal(t, ExitOK, code)
 	require.Equal(t, 12, r.Services[0].Serving)
--- a/internal/operatorcmd/check.go
+++ b/internal/operatorcmd/check.go
@@ -9,8 +9,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/document"
 )
 
-// source is one document file and what is wrong with it.
-type source struct {
+// documentFile is one document file and what is wrong with it.
+type documentFile struct {
 	file     string
 	text     string
 	doc      document.Document
@@ -41,25 +41,25 @@
 			if err != nil {
 				return err
 			}
-			return showChecked(cmd, o.format, sources)
+			return printCheckResults(cmd, o.format, sources)
 		},
 	}
 }
 
 // readSources reads and validates files. The error is one of usage; mistakes in
 // documents are in the sources.
-func readSources(files []string) ([]source, error) {
+func readSources(files []string) ([]documentFile, error) {
 	if len(files) == 0 {
-		return nil, failf(ExitUsage, "which document? give one or more files")
+		return nil, exitErrorf(ExitUsage, "which document? give one or more files")
 	}
-	var sources []source
+	var sources []documentFile
 	byService := map[string]string{}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
-			return nil, failf(ExitUsage, "cannot read the document: %v", err)
+			return nil, exitErrorf(ExitUsage, "cannot read the document: %v", err)
 		}
-		src := source{file: file, text: string(text)}
+		src := documentFile{file: file, text: string(text)}
 		src.doc, src.problems = document.Parse(file, text)
 		name := src.doc.Service
 		if other, ok := byService[name]; ok && name != "" {
@@ -71,10 +71,10 @@
 	return sources, nil
 }
 
-func showChecked(cmd *cli.Command, f format, sources []source) error {
+func printCheckResults(cmd *cli.Command, f format, sources []documentFile) error {
 	var results []checkResult
 	t := &table{title: "documents", header: []string{"FILE", "SERVICE", "VERDICT"}}
-	wrong := 0
+	invalid := 0
 	for _, src := range sources {
 		r := checkResult{File: src.file, Service: src.doc.Service, Problems: []string{}}
 		for _, p := range src.problems {
@@ -84,15 +84,15 @@
 		if len(src.problems) == 0 {
 			t.add(src.file, src.doc.Service, "good")
 		} else {
-			wrong++
+			invalid++
 		}
 		results = append(results, r)
 	}
-	if err := show(cmd.Root().Writer, f, results, t); err != nil {
+	if err := printResult(cmd.Root().Writer, f, results, t); err != nil {
 		return err
 	}
-	if wrong > 0 {
-		return failf(ExitRejected, "%d of %d documents have mistakes", wrong, len(sources))
+	if invalid > 0 {
+		return exitErrorf(ExitRejected, "%d of %d documents have mistakes", invalid, len(sources))
 	}
 	return nil
 }
--- a/internal/operatorcmd/drain.go
+++ b/internal/operatorcmd/drain.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	if cmd.IsSet(flagTo) && cmd.Bool(flagRelease) {
-		return failf(ExitUsage, "--%s and --%s exclude each other", flagTo, flagRelease)
+		return exitErrorf(ExitUsage, "--%s and --%s exclude each other", flagTo, flagRelease)
 	}
 	body := record.VMDrain{
 		Reason:   record.DrainOperator,
@@ -70,61 +70,61 @@
 	if body.Target != "" || body.Release {
 		body.Reason = record.DrainMove
 	}
-	return change(ctx, cmd, record.Subject{Kind: record.SubjectVM, Name: vm}, body, "drain")
+	return proposeChange(ctx, cmd, record.Subject{Kind: record.SubjectVM, Name: vm}, body, "drain")
 }
 
 // oneArg returns the command's only argument.
 func oneArg(cmd *cli.Command, what string) (string, error) {
 	if cmd.Args().Len() != 1 {
-		return "", failf(ExitUsage, "%s takes one argument, the %s", cmd.FullName(), what)
+		return "", exitErrorf(ExitUsage, "%s takes one argument, the %s", cmd.FullName(), what)
 	}
 	return cmd.Args().First(), nil
 }
 
-// change proposes one record on the subject's present revision and prints its
+// proposeChange proposes one record on the subject's present revision and prints its
 // outcome.
-func change(ctx context.Context, cmd *cli.Command, sub record.Subject, body record.Body, what string) error {
-	s, err := open(ctx, cmd)
+func proposeChange(ctx context.Context, cmd *cli.Command, sub record.Subject, body record.Body, what string) error {
+	s, err := openSession(ctx, cmd)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
-	return s.change(ctx, cmd, sub, body, what)
+	return s.proposeAndPrint(ctx, cmd, sub, body, what)
 }
 
-func (s *session) change(ctx context.Context, cmd *cli.Command, sub record.Subject, body record.Body, what string) error {
-	rec, out, err := s.decide(ctx, sub, body)
+func (s *session) proposeAndPrint(ctx context.Context, cmd *cli.Command, sub record.Subject, body record.Body, what string) error {
+	rec, out, err := s.proposeWithRetry(ctx, sub, body)
 	r := changeResult{Subject: sub, Change: what, Status: out.Status, Offset: out.Offset, BasedOn: rec.Base, RecordID: rec.ID, Reason: out.Reason}
 	if exitCode(err) == ExitUnknown {
 		r.Status = statusUnknown
 	}
 	t := &table{title: "change", header: []string{"SUBJECT", "CHANGE", "OUTCOME", "BASED ON"}}
 	t.add(sub.String(), what, r.outcome(), fmt.Sprint(r.BasedOn))
-	if showErr := show(cmd.Root().Writer, s.format, r, t); showErr != nil {
+	if showErr := printResult(cmd.Root().Writer, s.format, r, t); showErr != nil {
 		return showErr
 	}
 	return err
 }
 
-// maxDecisions bounds how often a withdrawal is decided anew.
-const maxDecisions = 10
+// maxProposals bounds how often a withdrawal is decided anew.
+const maxProposals = 10
 
-// decide proposes body on the subject's present revision. A withdrawal that
+// proposeWithRetry proposes body on the subject's present revision. A withdrawal that
 // lost a race is decided again: a job that was placed a moment before its
 // cancellation is to be cancelled all the same, and a burst of cancellations
 // loses many such races.
-func (s *session) decide(ctx context.Context, sub record.Subject, body record.Body) (record.Record, ledger.Outcome, error) {
+func (s *session) proposeWithRetry(ctx context.Context, sub record.Subject, body record.Body) (record.Record, ledger.Outcome, error) {
 	for n := 1; ; n++ {
-		rec := s.draft(sub, body)
+		rec := s.newRecord(sub, body)
 		out, err := s.propose(ctx, rec)
-		if out.Status != ledger.Stale || out.Current == 0 || !withdraws(body) || n == maxDecisions {
+		if out.Status != ledger.Stale || out.Current == 0 || !appliesToAnyRevision(body) || n == maxProposals {
 			return rec, out, err
 		}
 	}
 }
 
-// withdraws reports whether the change means the same whatever came before it.
-func withdraws(body record.Body) bool {
+// appliesToAnyRevision reports whether the change means the same whatever came before it.
+func appliesToAnyRevision(body record.Body) bool {
 	switch body.(type) {
 	case record.JobCancel, record.WaveControl:
 		return true
--- a/internal/operatorcmd/exit.go
+++ b/internal/operatorcmd/exit.go
@@ -23,18 +23,18 @@
    4  the platform or a node could not be reached
    5  outcome unknown: the change may have taken or may yet take effect`
 
-// failure is an error with the exit code that it leads to.
-type failure struct {
+// exitError is an error with the exit code that it leads to.
+type exitError struct {
 	code int
 	err  error
 }
 
-func (f *failure) Error() string { return f.err.Error() }
+func (f *exitError) Error() string { return f.err.Error() }
 
-func (f *failure) Unwrap() error { return f.err }
+func (f *exitError) Unwrap() error { return f.err }
 
-func failf(code int, format string, args ...any) error {
-	return &failure{code: code, err: errors.Errorf(format, args...)}
+func exitErrorf(code int, format string, args ...any) error {
+	return &exitError{code: code, err: errors.Errorf(format, args...)}
 }
 
 // exitCode maps an error to the exit code; errors of the argument parser carry
@@ -43,15 +43,15 @@
 	if err == nil {
 		return ExitOK
 	}
-	var f *failure
+	var f *exitError
 	if errors.As(err, &f) {
 		return f.code
 	}
 	return ExitUsage
 }
 
-// worse returns the error with the higher exit code, the first on a tie.
-func worse(a, b error) error {
+// worseError returns the error with the higher exit code, the first on a tie.
+func worseError(a, b error) error {
 	if exitCode(b) > exitCode(a) {
 		return b
 	}
--- a/internal/operatorcmd/explain.go
+++ b/internal/operatorcmd/explain.go
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			s, err := look(ctx, cmd)
+			s, err := openForRead(ctx, cmd)
 			if err != nil {
 				return err
 			}
@@ -34,36 +34,36 @@
 			e := explanation{Job: id}
 			s.view(func(state *ledger.State) {
 				if j, ok := state.Jobs[id]; ok {
-					e.Facts = explain(state, j)
+					e.Facts = explainJob(state, j)
 				}
 			})
 			if len(e.Facts) == 0 {
-				return failf(ExitRejected, "there is no job %s (any more)", id)
+				return exitErrorf(ExitRejected, "there is no job %s (any more)", id)
 			}
 			t := &table{title: "job " + id, header: []string{"FACT"}}
 			for _, fact := range e.Facts {
 				t.add(fact)
 			}
-			return show(cmd.Root().Writer, s.format, e, t)
+			return printResult(cmd.Root().Writer, s.format, e, t)
 		},
 	}
 }
 
-func explain(state *ledger.State, j *ledger.Job) []string {
-	facts := []string{fmt.Sprintf("submitted %s by team %s to service %s", stamp(j.SubmittedAt), j.Spec.Team, j.Spec.Service)}
+func explainJob(state *ledger.State, j *ledger.Job) []string {
+	facts := []string{fmt.Sprintf("submitted %s by team %s to service %s", formatTime(j.SubmittedAt), j.Spec.Team, j.Spec.Service)}
 	if j.Attempt > 0 {
 		facts = append(facts, fmt.Sprintf("%d attempts, %d failed and %d lapsed of at most %d", j.Attempt, len(j.Failures), j.Lapses, ledger.MaxTries))
 	}
 	for _, f := range j.Failures {
-		facts = append(facts, fmt.Sprintf("failed on %s at %s", f.Worker, stamp(f.Ended)))
+		facts = append(facts, fmt.Sprintf("failed on %s at %s", f.Worker, formatTime(f.Ended)))
 	}
 	switch j.Status {
 	case ledger.JobQueued:
-		return append(facts, waiting(state, j)...)
+		return append(facts, explainQueuedJob(state, j)...)
 	case ledger.JobPlaced:
-		facts = append(facts, fmt.Sprintf("placed on %s since %s with %s cores and %d MB", j.Worker, stamp(j.StartedAt), cores(j.MilliCores), j.MemoryMB))
+		facts = append(facts, fmt.Sprintf("placed on %s since %s with %s cores and %d MB", j.Worker, formatTime(j.StartedAt), formatCores(j.MilliCores), j.MemoryMB))
 	default:
-		facts = append(facts, fmt.Sprintf("%s %s, result %s", j.Status, stamp(j.EndedAt), orDash(string(j.Result))))
+		facts = append(facts, fmt.Sprintf("%s %s, result %s", j.Status, formatTime(j.EndedAt), orDash(string(j.Result))))
 	}
 	if j.Reason != "" {
 		facts = append(facts, j.Reason)
@@ -74,11 +74,11 @@
 	return facts
 }
 
-// waiting says what a queued job waits for, in the words of the planning. Sizes
+// explainQueuedJob says what a queued job waits for, in the words of the planning. Sizes
 // are as declared: what the stewards learnt of them is not on the log.
-func waiting(state *ledger.State, j *ledger.Job) []string {
+func explainQueuedJob(state *ledger.State, j *ledger.Job) []string {
 	p, queue := placement.FromState(state, j.Spec.Service, placement.Knowledge{})
-	facts := []string{"queued since " + stamp(j.QueuedAt)}
+	facts := []string{"queued since " + formatTime(j.QueuedAt)}
 	for i := range queue {
 		if queue[i].ID == j.ID {
 			facts = append(facts, p.Explain(&queue[i], placement.Policy{}))
--- a/internal/operatorcmd/harness_test.go
+++ b/internal/operatorcmd/harness_test.go
@@ -23,21 +23,21 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// bench is a stand-in of the platform and a directory of documents.
-type bench struct {
+// testEnv is a stand-in of the platform and a directory of documents.
+type testEnv struct {
 	t        *testing.T
 	platform *standin.Platform
 	addr     string
 	dir      string
 }
 
-func newBench(t *testing.T, opts standin.Options) *bench {
+func newTestEnv(t *testing.T, opts standin.Options) *testEnv {
 	t.Helper()
 	fake := standin.New(opts)
 	server, err := standin.NewServer(fake, standin.ServerOptions{})
 	require.NoError(t, err)
 	serve(t, server.Serve)
-	return &bench{t: t, platform: fake, addr: server.Addr(), dir: t.TempDir()}
+	return &testEnv{t: t, platform: fake, addr: server.Addr(), dir: t.TempDir()}
 }
 
 // serve runs a service until the test ends.
@@ -54,8 +54,8 @@
 	})
 }
 
-// node starts a node's Operator service over a follower of its own.
-func (b *bench) node(name string) string {
+// startNode starts a node's Operator service over a follower of its own.
+func (b *testEnv) startNode(name string) string {
 	b.t.Helper()
 	client := platform.NewClient(b.addr, platform.ClientOptions{})
 	b.t.Cleanup(client.Close)
@@ -71,9 +71,9 @@
 	return listener.Addr().String()
 }
 
-// example writes an example document, with old replaced by new, and returns its
+// writeExample writes an example document, with old replaced by new, and returns its
 // file name.
-func (b *bench) example(service, old, new string) string {
+func (b *testEnv) writeExample(service, old, new string) string {
 	b.t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "..", "examples", "ramcharan", service+".toml"))
 	require.NoError(b.t, err)
@@ -84,7 +84,7 @@
 }
 
 // run carries out one command line against the stand-in.
-func (b *bench) run(args ...string) (code int, out, errOut string) {
+func (b *testEnv) run(args ...string) (code int, out, errOut string) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	var stdout, stderr bytes.Buffer
@@ -93,7 +93,7 @@
 }
 
 // runJSON carries out one command line and decodes its JSON output.
-func runJSON[T any](b *bench, args ...string) (int, T) {
+func runJSON[T any](b *testEnv, args ...string) (int, T) {
 	b.t.Helper()
 	code, out, errOut := b.run(append([]string{"--output", "json"}, args...)...)
 	var value T
@@ -101,7 +101,7 @@
 	return code, value
 }
 
-func (b *bench) order(faults ...standin.Fault) {
+func (b *testEnv) injectFaults(faults ...standin.Fault) {
 	b.t.Helper()
 	_, err := b.platform.Order(faults...)
 	require.NoError(b.t, err)
--- a/internal/operatorcmd/history.go
+++ b/internal/operatorcmd/history.go
@@ -22,10 +22,10 @@
 	flagKind = "kind"
 )
 
-const defaultLast = 50
+const defaultHistoryCount = 50
 
-// step is one entry of the log with the outcome of its record.
-type step struct {
+// appliedEntry is one entry of the log with the outcome of its record.
+type appliedEntry struct {
 	Entry   platform.Entry
 	Record  record.Record // zero when malformed
 	Outcome ledger.Outcome
@@ -57,26 +57,26 @@
    yuccadrift history service/booking
    yuccadrift history --kind vm.drain --last 10 --output json`,
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: flagLast, Usage: "the latest `N` records; 0 for all that the log retains", Value: defaultLast},
+			&cli.IntFlag{Name: flagLast, Usage: "the latest `N` records; 0 for all that the log retains", Value: defaultHistoryCount},
 			&cli.StringFlag{Name: flagKind, Usage: "only records of this `KIND`"},
 		},
-		Action: history,
+		Action: showHistory,
 	}
 }
 
-func history(ctx context.Context, cmd *cli.Command) error {
+func showHistory(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() > 1 {
-		return failf(ExitUsage, "history takes one subject at most")
+		return exitErrorf(ExitUsage, "history takes one subject at most")
 	}
-	s, err := open(ctx, cmd)
+	s, err := openSession(ctx, cmd)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
 	lines := []historyLine{}
-	from, err := s.walk(ctx, func(st step) {
-		if matches(st.Outcome, cmd.Args().First(), cmd.String(flagKind)) {
-			lines = append(lines, lineOf(st))
+	from, err := s.walk(ctx, func(st appliedEntry) {
+		if matchesFilter(st.Outcome, cmd.Args().First(), cmd.String(flagKind)) {
+			lines = append(lines, newHistoryLine(st))
 		}
 	})
 	if err != nil {
@@ -88,17 +88,17 @@
 	if last := cmd.Int(flagLast); last > 0 && len(lines) > last {
 		lines = lines[len(lines)-last:]
 	}
-	return show(cmd.Root().Writer, s.format, lines, historyTable(lines))
+	return printResult(cmd.Root().Writer, s.format, lines, historyTable(lines))
 }
 
-func matches(out ledger.Outcome, subject, kind string) bool {
+func matchesFilter(out ledger.Outcome, subject, kind string) bool {
 	if kind != "" && string(out.Kind) != kind {
 		return false
 	}
 	return subject == "" || subject == out.Subject.String() || subject == out.Subject.Name
 }
 
-func lineOf(st step) historyLine {
+func newHistoryLine(st appliedEntry) historyLine {
 	line := historyLine{
 		Offset:  st.Outcome.Offset,
 		Time:    st.Record.Time,
@@ -119,11 +119,11 @@
 func historyTable(lines []historyLine) *table {
 	t := &table{title: "history", header: []string{"OFFSET", "TIME", "AUTHOR", "SUBJECT", "KIND", "OUTCOME", "BASED ON", "DETAILS"}}
 	for _, l := range lines {
-		details := summary(l)
+		details := summarizeBody(l)
 		if l.Reason != "" {
 			details = l.Reason
 		}
-		t.add(fmt.Sprint(l.Offset), stamp(l.Time), orDash(l.Author), orDash(l.Subject), orDash(string(l.Kind)), string(l.Status), fmt.Sprint(l.BasedOn), orDash(details))
+		t.add(fmt.Sprint(l.Offset), formatTime(l.Time), orDash(l.Author), orDash(l.Subject), orDash(string(l.Kind)), string(l.Status), fmt.Sprint(l.BasedOn), orDash(details))
 	}
 	return t
 }
@@ -131,10 +131,10 @@
 // durationField finds the durations in a body, which JSON has in nanoseconds.
 var durationField = regexp.MustCompile(`"(?:estimate|run_time)":\d+`)
 
-// maxSummary bounds the body's text in a table; JSON output has all of it.
-const maxSummary = 80
+// maxSummaryBytes bounds the body's text in a table; JSON output has all of it.
+const maxSummaryBytes = 80
 
-func summary(l historyLine) string {
+func summarizeBody(l historyLine) string {
 	if l.Kind == record.KindDocumentPublish {
 		return "the document"
 	}
@@ -144,8 +144,8 @@
 		return key + ":" + time.Duration(ns).String()
 	})
 	text = strings.NewReplacer(`"`, "", "{", "", "}", "").Replace(text)
-	if len(text) > maxSummary {
-		text = text[:maxSummary] + "..."
+	if len(text) > maxSummaryBytes {
+		text = text[:maxSummaryBytes] + "..."
 	}
 	return text
 }
--- a/internal/operatorcmd/inforce.go
+++ b/internal/operatorcmd/inforce.go
@@ -22,33 +22,33 @@
 
 // awaitInForce asks all nodes at once and returns when each acts on the
 // revision or the timeout is over.
-func (s *session) awaitInForce(ctx context.Context, service string, rev record.Revision, sent time.Time) ([]nodeInForce, error) {
+func (s *session) awaitInForce(ctx context.Context, service string, rev record.Revision, sentAt time.Time) ([]nodeInForce, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
 	addrs := s.nodeAddresses()
 	if len(addrs) == 0 {
-		return nil, failf(ExitUsage, "which nodes? give --%s: no entry member is on the log", flagNodes)
+		return nil, exitErrorf(ExitUsage, "which nodes? give --%s: no entry member is on the log", flagNodes)
 	}
 	results := make([]nodeInForce, len(addrs))
 	var wg sync.WaitGroup
 	for i, addr := range addrs {
-		wg.Go(func() { results[i] = awaitNode(ctx, addr, service, rev, sent) })
+		wg.Go(func() { results[i] = awaitNodeInForce(ctx, addr, service, rev, sentAt) })
 	}
 	wg.Wait()
-	var late []string
+	var problems []string
 	for _, r := range results {
 		if r.Problem != "" {
-			late = append(late, r.Address+": "+r.Problem)
+			problems = append(problems, r.Address+": "+r.Problem)
 		}
 	}
-	if len(late) > 0 {
-		return results, failf(ExitUnreachable, "not seen in force on every node: %s", strings.Join(late, "; "))
+	if len(problems) > 0 {
+		return results, exitErrorf(ExitUnreachable, "not seen in force on every node: %s", strings.Join(problems, "; "))
 	}
 	return results, nil
 }
 
-// awaitNode asks one node until it acts on the revision or ctx ends.
-func awaitNode(ctx context.Context, addr, service string, rev record.Revision, sent time.Time) nodeInForce {
+// awaitNodeInForce asks one node until it acts on the revision or ctx ends.
+func awaitNodeInForce(ctx context.Context, addr, service string, rev record.Revision, sentAt time.Time) nodeInForce {
 	r := nodeInForce{Address: addr}
 	client, err := operator.NewClient(addr)
 	if err != nil {
@@ -59,7 +59,7 @@
 	for {
 		st, err := client.StatusAfter(ctx, uint64(rev), time.Second)
 		if err == nil && st.ActingOffset >= uint64(rev) && st.Revision(service) >= rev {
-			r.Node, r.Role, r.After = st.Node, st.Role, time.Since(sent)
+			r.Node, r.Role, r.After = st.Node, st.Role, time.Since(sentAt)
 			return r
 		}
 		if ctx.Err() != nil {
@@ -70,7 +70,7 @@
 			return r
 		}
 		if err != nil {
-			wait.Sleep(ctx, nodeRetryPause)
+			wait.Sleep(ctx, nodeRetryInterval)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 	t := &table{title: "in force", header: []string{"SERVICE", "NODE", "ROLE", "ADDRESS", "AFTER"}}
 	for _, r := range results {
 		for _, n := range r.InForce {
-			after := short(n.After)
+			after := formatDuration(n.After)
 			if n.Problem != "" {
 				after = n.Problem
 			}
--- a/internal/operatorcmd/jobs.go
+++ b/internal/operatorcmd/jobs.go
@@ -29,13 +29,13 @@
 	flagStatus         = "status"
 )
 
-const milli = 1000
+const milliCoresPerCore = 1000
 
 func jobsCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "jobs",
 		Usage:  "submit, list, cancel and explain jobs",
-		Action: unknownCommand,
+		Action: groupAction,
 		Commands: []*cli.Command{
 			jobSubmitCommand(),
 			jobListCommand(),
@@ -76,7 +76,7 @@
 	body := record.JobSubmit{
 		Service:        cmd.String(flagService),
 		Team:           cmd.String(flagTeam),
-		MilliCores:     int(math.Round(cmd.Float(flagCores) * milli)),
+		MilliCores:     int(math.Round(cmd.Float(flagCores) * milliCoresPerCore)),
 		MemoryMB:       cmd.Int(flagMemory),
 		Accelerators:   cmd.Int(flagAccelerators),
 		RunTime:        cmd.Duration(flagRunTime),
@@ -84,7 +84,7 @@
 		Repeatable:     cmd.Bool(flagRepeatable),
 		Checkpointable: cmd.Bool(flagCheckpointable),
 	}
-	return change(ctx, cmd, record.Subject{Kind: record.SubjectJob, Name: id}, body, "submit")
+	return proposeChange(ctx, cmd, record.Subject{Kind: record.SubjectJob, Name: id}, body, "submit")
 }
 
 func jobCancelCommand() *cli.Command {
@@ -99,7 +99,7 @@
 				return err
 			}
 			body := record.JobCancel{Reason: cmd.String(flagReason)}
-			return change(ctx, cmd, record.Subject{Kind: record.SubjectJob, Name: id}, body, "cancel")
+			return proposeChange(ctx, cmd, record.Subject{Kind: record.SubjectJob, Name: id}, body, "cancel")
 		},
 	}
 }
@@ -113,19 +113,19 @@
 			&cli.StringFlag{Name: flagStatus, Usage: "only jobs with this `STATUS`: queued, placed, done, cancelled"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			s, err := look(ctx, cmd)
+			s, err := openForRead(ctx, cmd)
 			if err != nil {
 				return err
 			}
 			defer s.Close()
-			jobs := s.jobs(cmd.String(flagService), ledger.JobStatus(cmd.String(flagStatus)))
-			return show(cmd.Root().Writer, s.format, jobs, jobTable(jobs))
+			jobs := s.listJobs(cmd.String(flagService), ledger.JobStatus(cmd.String(flagStatus)))
+			return printResult(cmd.Root().Writer, s.format, jobs, jobTable(jobs))
 		},
 	}
 }
 
-// jobs returns copies of the jobs; empty arguments match all.
-func (s *session) jobs(service string, status ledger.JobStatus) []ledger.Job {
+// listJobs returns copies of the jobs; empty arguments match all.
+func (s *session) listJobs(service string, status ledger.JobStatus) []ledger.Job {
 	jobs := []ledger.Job{}
 	s.view(func(state *ledger.State) {
 		for _, id := range slices.Sorted(maps.Keys(state.Jobs)) {
@@ -141,14 +141,14 @@
 func jobTable(jobs []ledger.Job) *table {
 	t := &table{title: "jobs", header: []string{"JOB", "SERVICE", "TEAM", "STATUS", "WORKER", "ATTEMPT", "CORES", "MEMORY MB", "URGENT", "RESULT", "REASON"}}
 	for _, j := range jobs {
-		t.add(j.ID, j.Spec.Service, j.Spec.Team, string(j.Status), orDash(j.Worker), fmt.Sprint(j.Attempt), cores(j.Spec.MilliCores),
+		t.add(j.ID, j.Spec.Service, j.Spec.Team, string(j.Status), orDash(j.Worker), fmt.Sprint(j.Attempt), formatCores(j.Spec.MilliCores),
 			fmt.Sprint(j.Spec.MemoryMB), yesNo(j.Spec.Urgent), orDash(string(j.Result)), orDash(j.Reason))
 	}
 	return t
 }
 
-func cores(milliCores int) string {
-	return strings.TrimSuffix(strings.TrimRight(fmt.Sprintf("%.3f", float64(milliCores)/milli), "0"), ".")
+func formatCores(milliCores int) string {
+	return strings.TrimSuffix(strings.TrimRight(fmt.Sprintf("%.3f", float64(milliCores)/milliCoresPerCore), "0"), ".")
 }
 
 func yesNo(b bool) string {
--- a/internal/operatorcmd/member.go
+++ b/internal/operatorcmd/member.go
@@ -13,14 +13,14 @@
 
 const flagStopped = "stopped"
 
-// memberProbe bounds the question whether a member still answers.
-const memberProbe = 2 * time.Second
+// memberProbeTimeout bounds the question whether a member still answers.
+const memberProbeTimeout = 2 * time.Second
 
 func memberCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "member",
 		Usage:  "see to the membership of the entry VMs",
-		Action: unknownCommand,
+		Action: groupAction,
 		Commands: []*cli.Command{
 			{
 				Name:      "remove",
@@ -48,9 +48,9 @@
 		return err
 	}
 	if !cmd.Bool(flagStopped) {
-		return failf(ExitUsage, "make sure that the VM of %s is stopped and say so with --%s", name, flagStopped)
+		return exitErrorf(ExitUsage, "make sure that the VM of %s is stopped and say so with --%s", name, flagStopped)
 	}
-	s, err := open(ctx, cmd)
+	s, err := openSession(ctx, cmd)
 	if err != nil {
 		return err
 	}
@@ -62,12 +62,12 @@
 		}
 	})
 	if address == "" {
-		return failf(ExitRejected, "%s is no member; yuccadrift status lists them", name)
+		return exitErrorf(ExitRejected, "%s is no member; yuccadrift status lists them", name)
 	}
 	if answersAt(ctx, address) {
-		return failf(ExitRejected, "%s is not stopped: a process answers at %s", name, address)
+		return exitErrorf(ExitRejected, "%s is not stopped: a process answers at %s", name, address)
 	}
-	return s.change(ctx, cmd, record.Subject{Kind: record.SubjectMember, Name: name}, record.MemberLeave{}, "remove")
+	return s.proposeAndPrint(ctx, cmd, record.Subject{Kind: record.SubjectMember, Name: name}, record.MemberLeave{}, "remove")
 }
 
 // answersAt reports whether a process of the system answers at a peer address.
@@ -77,7 +77,7 @@
 		return false
 	}
 	defer func() { _ = c.Close() }()
-	ctx, cancel := context.WithTimeout(ctx, memberProbe)
+	ctx, cancel := context.WithTimeout(ctx, memberProbeTimeout)
 	defer cancel()
 	_, err = c.Status(ctx)
 	return err == nil
--- a/internal/operatorcmd/member_test.go
+++ b/internal/operatorcmd/member_test.go
@@ -13,13 +13,13 @@
 // removes one by hand; a member that still answers, or whose VM nobody vouched
 // for, stays: it could go on granting what another one grants as well.
 func TestRemoveMember(t *testing.T) {
-	b := newBench(t, standin.Options{})
+	b := newTestEnv(t, standin.Options{})
 	member := func(name, address string) record.Subject {
 		sub := record.Subject{Kind: record.SubjectMember, Name: name}
 		b.propose(sub, record.MemberJoin{Node: name, Zone: "a", Address: address})
 		return sub
 	}
-	member("alive", b.node("alive"))
+	member("alive", b.startNode("alive"))
 	member("lost", "127.0.0.1:1")
 	steps := []struct {
 		code int
--- a/internal/operatorcmd/nodes.go
+++ b/internal/operatorcmd/nodes.go
@@ -9,8 +9,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/operator"
 )
 
-// nodeRetryPause is the pause before a node that did not answer is asked again.
-const nodeRetryPause = 100 * time.Millisecond
+// nodeRetryInterval is the pause before a node that did not answer is asked again.
+const nodeRetryInterval = 100 * time.Millisecond
 
 // nodeStatus is one node's answer, or why there is none.
 type nodeStatus struct {
@@ -34,20 +34,20 @@
 	return addrs
 }
 
-// askNodes asks all nodes at once.
-func askNodes(ctx context.Context, addrs []string, timeout time.Duration) []nodeStatus {
+// queryNodes asks all nodes at once.
+func queryNodes(ctx context.Context, addrs []string, timeout time.Duration) []nodeStatus {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	results := make([]nodeStatus, len(addrs))
 	var wg sync.WaitGroup
 	for i, addr := range addrs {
-		wg.Go(func() { results[i] = askNode(ctx, addr) })
+		wg.Go(func() { results[i] = queryNode(ctx, addr) })
 	}
 	wg.Wait()
 	return results
 }
 
-func askNode(ctx context.Context, addr string) nodeStatus {
+func queryNode(ctx context.Context, addr string) nodeStatus {
 	r := nodeStatus{Address: addr}
 	client, err := operator.NewClient(addr)
 	if err != nil {
--- a/internal/operatorcmd/output.go
+++ b/internal/operatorcmd/output.go
@@ -21,7 +21,7 @@
 	formatCSV   format = "csv"
 )
 
-func (f format) known() bool {
+func (f format) valid() bool {
 	return f == formatTable || f == formatJSON || f == formatCSV
 }
 
@@ -34,21 +34,21 @@
 
 func (t *table) add(cells ...string) { t.rows = append(t.rows, cells) }
 
-// show prints a result: value as JSON, or the tables. As CSV each row begins
+// printResult prints a result: value as JSON, or the tables. As CSV each row begins
 // with its table's title, so that one output can hold several.
-func show(out io.Writer, f format, value any, tables ...*table) error {
+func printResult(out io.Writer, f format, value any, tables ...*table) error {
 	switch f {
 	case formatJSON:
 		enc := json.NewEncoder(out)
 		enc.SetIndent("", "  ")
 		return errors.Wrap(enc.Encode(value), "print the result")
 	case formatCSV:
-		return showCSV(out, tables)
+		return printCSV(out, tables)
 	}
-	return showText(out, tables)
+	return printText(out, tables)
 }
 
-func showCSV(out io.Writer, tables []*table) error {
+func printCSV(out io.Writer, tables []*table) error {
 	w := csv.NewWriter(out)
 	for _, t := range tables {
 		for _, row := range append([][]string{t.header}, t.rows...) {
@@ -61,7 +61,7 @@
 	return errors.Wrap(w.Error(), "print the result")
 }
 
-func showText(out io.Writer, tables []*table) error {
+func printText(out io.Writer, tables []*table) error {
 	first := true
 	for _, t := range tables {
 		if len(t.rows) == 0 {
@@ -93,8 +93,8 @@
 	return s
 }
 
-// short rounds a duration for a table.
-func short(d time.Duration) string {
+// formatDuration rounds a duration for a table.
+func formatDuration(d time.Duration) string {
 	switch {
 	case d < time.Second:
 		return d.Round(time.Millisecond).String()
@@ -108,8 +108,8 @@
 
 const day = 24 * time.Hour
 
-// stamp prints a time for a table, in UTC.
-func stamp(t time.Time) string {
+// formatTime prints a time for a table, in UTC.
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return dash
 	}
--- a/internal/operatorcmd/publish.go
+++ b/internal/operatorcmd/publish.go
@@ -43,7 +43,7 @@
 	// InForce is the time from the append to in force, by node.
 	InForce []nodeInForce `json:"in_force,omitempty"`
 
-	sent time.Time
+	sentAt time.Time
 }
 
 func publishCommand() *cli.Command {
@@ -74,21 +74,21 @@
 
 func publish(ctx context.Context, cmd *cli.Command) error {
 	if cmd.IsSet(flagRecordID) && !cmd.IsSet(flagBasedOn) {
-		return failf(ExitUsage, "--%s needs --%s, as the earlier try printed them", flagRecordID, flagBasedOn)
+		return exitErrorf(ExitUsage, "--%s needs --%s, as the earlier try printed them", flagRecordID, flagBasedOn)
 	}
 	sources, err := readSources(cmd.Args().Slice())
 	if err != nil {
 		return err
 	}
 	if len(sources) > 1 && cmd.IsSet(flagBasedOn) {
-		return failf(ExitUsage, "--%s belongs to one document; give one file", flagBasedOn)
+		return exitErrorf(ExitUsage, "--%s belongs to one document; give one file", flagBasedOn)
 	}
 	for _, src := range sources {
 		if len(src.problems) > 0 {
-			return showChecked(cmd, formatOf(cmd), sources)
+			return printCheckResults(cmd, outputFormat(cmd), sources)
 		}
 	}
-	s, err := open(ctx, cmd)
+	s, err := openSession(ctx, cmd)
 	if err != nil {
 		return err
 	}
@@ -96,43 +96,43 @@
 	return s.publishAll(ctx, cmd, sources)
 }
 
-// formatOf returns the output format before the settings are read.
-func formatOf(cmd *cli.Command) format { return format(cmd.String(flagOutput)) }
+// outputFormat returns the output format before the settings are read.
+func outputFormat(cmd *cli.Command) format { return format(cmd.String(flagOutput)) }
 
-func (s *session) publishAll(ctx context.Context, cmd *cli.Command, sources []source) error {
+func (s *session) publishAll(ctx context.Context, cmd *cli.Command, sources []documentFile) error {
 	var results []publishResult
 	var worst error
 	for _, src := range sources {
-		rec := s.draft(record.Subject{Kind: record.SubjectService, Name: src.doc.Service}, record.DocumentPublish{Text: src.text})
+		rec := s.newRecord(record.Subject{Kind: record.SubjectService, Name: src.doc.Service}, record.DocumentPublish{Text: src.text})
 		if cmd.IsSet(flagBasedOn) {
 			rec.Base = record.Revision(cmd.Uint64(flagBasedOn))
 		}
 		if cmd.IsSet(flagRecordID) {
 			rec.ID = cmd.String(flagRecordID)
 		}
-		r, err := s.publishOne(ctx, src, rec)
-		if cmd.Bool(flagWaitInForce) && r.inForceSomewhere() {
-			var late error
-			r.InForce, late = s.awaitInForce(ctx, r.Service, r.Revision, r.sent)
-			err = worse(err, late)
+		r, err := s.publishDocument(ctx, src, rec)
+		if cmd.Bool(flagWaitInForce) && r.isInForce() {
+			var waitErr error
+			r.InForce, waitErr = s.awaitInForce(ctx, r.Service, r.Revision, r.sentAt)
+			err = worseError(err, waitErr)
 		}
 		results = append(results, r)
-		worst = worse(worst, err)
+		worst = worseError(worst, err)
 	}
-	if err := show(cmd.Root().Writer, s.format, results, publishTable(results), inForceTable(results)); err != nil {
+	if err := printResult(cmd.Root().Writer, s.format, results, publishTable(results), inForceTable(results)); err != nil {
 		return err
 	}
 	return worst
 }
 
-func (r publishResult) inForceSomewhere() bool {
+func (r publishResult) isInForce() bool {
 	return r.Status == publishAccepted || r.Status == publishUnchanged
 }
 
-// publishOne proposes one document and tells its outcome.
-func (s *session) publishOne(ctx context.Context, src source, rec record.Record) (publishResult, error) {
-	r := publishResult{File: src.file, Service: src.doc.Service, BasedOn: rec.Base, RecordID: rec.ID, sent: time.Now()}
-	if text, head, ok := s.inForce(src.doc.Service); ok && text == src.text {
+// publishDocument proposes one document and tells its outcome.
+func (s *session) publishDocument(ctx context.Context, src documentFile, rec record.Record) (publishResult, error) {
+	r := publishResult{File: src.file, Service: src.doc.Service, BasedOn: rec.Base, RecordID: rec.ID, sentAt: time.Now()}
+	if text, head, ok := s.documentInForce(src.doc.Service); ok && text == src.text {
 		r.Status, r.Revision = publishUnchanged, head.Revision
 		if head.LastID == rec.ID {
 			r.Status = publishAccepted
@@ -147,20 +147,20 @@
 	case ExitConflict:
 		r.Status = publishVoid
 		r.Reason = fmt.Sprintf("revision %d came first: %s", out.Current, out.Reason)
-		err = failf(ExitConflict, "%s: void because revision %d came first", src.file, out.Current)
+		err = exitErrorf(ExitConflict, "%s: void because revision %d came first", src.file, out.Current)
 	case ExitUnknown:
 		r.Status = publishUnknown
 		r.Reason = fmt.Sprintf("repeat with: publish --%s %d --%s %s %s", flagBasedOn, rec.Base, flagRecordID, rec.ID, src.file)
-		err = failf(ExitUnknown, "%s: %v", src.file, err)
+		err = exitErrorf(ExitUnknown, "%s: %v", src.file, err)
 	default:
 		r.Status, r.Reason = publishRejected, out.Reason
-		err = failf(ExitRejected, "%s: %v", src.file, err)
+		err = exitErrorf(ExitRejected, "%s: %v", src.file, err)
 	}
 	return r, err
 }
 
-// inForce returns a service's document in force.
-func (s *session) inForce(service string) (text string, head ledger.Head, ok bool) {
+// documentInForce returns a service's document in force.
+func (s *session) documentInForce(service string) (text string, head ledger.Head, ok bool) {
 	s.follower.View(func(state *ledger.State) {
 		svc, found := state.Services[service]
 		if found {
--- a/internal/operatorcmd/publish_test.go
+++ b/internal/operatorcmd/publish_test.go
@@ -15,23 +15,23 @@
 // accepted; the second must be told which revision came first instead of
 // undoing the first one's change, and a repeat of the first changes nothing.
 func TestPublishConflict(t *testing.T) {
-	b := newBench(t, standin.Options{})
-	code, first := runJSON[[]publishResult](b, "publish", b.example("booking", "size = 12", "size = 12"))
+	b := newTestEnv(t, standin.Options{})
+	code, first := runJSON[[]publishResult](b, "publish", b.writeExample("booking", "size = 12", "size = 12"))
 	require.Equal(t, ExitOK, code)
 	require.Equal(t, publishAccepted, first[0].Status)
 	base := fmt.Sprint(first[0].Revision)
 
-	file := b.example("booking", "size = 12", "size = 13")
+	file := b.writeExample("booking", "size = 12", "size = 13")
 	code, second := runJSON[[]publishResult](b, "publish", "--based-on", base, file)
 	require.Equal(t, ExitOK, code)
 	require.Greater(t, second[0].Revision, first[0].Revision)
 
-	code, void := runJSON[[]publishResult](b, "publish", "--based-on", base, b.example("booking", "size = 12", "size = 14"))
+	code, void := runJSON[[]publishResult](b, "publish", "--based-on", base, b.writeExample("booking", "size = 12", "size = 14"))
 	require.Equal(t, ExitConflict, code)
 	require.Equal(t, publishVoid, void[0].Status)
 	require.Equal(t, second[0].Revision, void[0].Revision, "names the revision that came first")
 
-	code, repeat := runJSON[[]publishResult](b, "publish", b.example("booking", "size = 12", "size = 13"))
+	code, repeat := runJSON[[]publishResult](b, "publish", b.writeExample("booking", "size = 12", "size = 13"))
 	require.Equal(t, ExitOK, code)
 	require.Equal(t, publishUnchanged, repeat[0].Status)
 	require.Equal(t, second[0].Revision, repeat[0].Revision)
@@ -41,9 +41,9 @@
 // "accepted" with the offset of the first copy: the command appends the same
 // record again, whose second copy is void.
 func TestPublishLostReply(t *testing.T) {
-	b := newBench(t, standin.Options{})
-	b.order(standin.Fault{Kind: standin.LogLoseReply, Count: 1})
-	code, got := runJSON[[]publishResult](b, "publish", b.example("booking", "size = 12", "size = 12"))
+	b := newTestEnv(t, standin.Options{})
+	b.injectFaults(standin.Fault{Kind: standin.LogLoseReply, Count: 1})
+	code, got := runJSON[[]publishResult](b, "publish", b.writeExample("booking", "size = 12", "size = 12"))
 	require.Equal(t, ExitOK, code)
 	require.Equal(t, publishAccepted, got[0].Status)
 	require.Equal(t, record.Revision(1), got[0].Revision)
@@ -53,9 +53,9 @@
 // operator hears "unknown" with the command to repeat, and repeating it, even
 // twice, publishes the record once.
 func TestPublishUnknownThenRepeated(t *testing.T) {
-	b := newBench(t, standin.Options{})
-	file := b.example("booking", "size = 12", "size = 12")
-	b.order(standin.Fault{Kind: standin.LogLate, DelayMS: 3_600_000})
+	b := newTestEnv(t, standin.Options{})
+	file := b.writeExample("booking", "size = 12", "size = 12")
+	b.injectFaults(standin.Fault{Kind: standin.LogLate, DelayMS: 3_600_000})
 	code, got := runJSON[[]publishResult](b, "--timeout", "200ms", "publish", file)
 	require.Equal(t, ExitUnknown, code)
 	require.Equal(t, publishUnknown, got[0].Status)
@@ -74,9 +74,9 @@
 // One of two documents has mistakes: the operator sees all of them with their
 // lines, and neither document is published.
 func TestPublishInvalid(t *testing.T) {
-	b := newBench(t, standin.Options{})
-	bad := b.example("returns", "[pool]", "colour = 1\n[pool]\nsize = 0\nshape = 2")
-	code, got := runJSON[[]checkResult](b, "publish", b.example("booking", "size = 12", "size = 12"), bad)
+	b := newTestEnv(t, standin.Options{})
+	bad := b.writeExample("returns", "[pool]", "colour = 1\n[pool]\nsize = 0\nshape = 2")
+	code, got := runJSON[[]checkResult](b, "publish", b.writeExample("booking", "size = 12", "size = 12"), bad)
 	require.Equal(t, ExitRejected, code)
 	require.Empty(t, got[0].Problems)
 	require.GreaterOrEqual(t, len(got[1].Problems), 2)
@@ -90,16 +90,16 @@
 // The operator learns how long each node took, and which node could not be
 // asked, while the accepted document stays accepted.
 func TestPublishWaitInForce(t *testing.T) {
-	b := newBench(t, standin.Options{})
-	nodes := b.node("n1") + "," + b.node("n2")
-	code, got := runJSON[[]publishResult](b, "--nodes", nodes, "publish", "--wait-in-force", b.example("booking", "size = 12", "size = 12"))
+	b := newTestEnv(t, standin.Options{})
+	nodes := b.startNode("n1") + "," + b.startNode("n2")
+	code, got := runJSON[[]publishResult](b, "--nodes", nodes, "publish", "--wait-in-force", b.writeExample("booking", "size = 12", "size = 12"))
 	require.Equal(t, ExitOK, code)
 	require.Len(t, got[0].InForce, 2)
 	for _, n := range got[0].InForce {
 		require.Positive(t, n.After)
 	}
 	dead := closedAddress(t)
-	code, got = runJSON[[]publishResult](b, "--timeout", "500ms", "--nodes", nodes+","+dead, "publish", "--wait-in-force", b.example("booking", "size = 12", "size = 13"))
+	code, got = runJSON[[]publishResult](b, "--timeout", "500ms", "--nodes", nodes+","+dead, "publish", "--wait-in-force", b.writeExample("booking", "size = 12", "size = 13"))
 	require.Equal(t, ExitUnreachable, code)
 	require.Equal(t, publishAccepted, got[0].Status)
 	require.NotEmpty(t, got[0].InForce[2].Problem)
@@ -114,9 +114,9 @@
 	require.Equal(t, st.Nodes[0].Status.Digest, st.Nodes[1].Status.Digest, "nodes at one offset")
 }
 
-func TestUsageAndReach(t *testing.T) {
-	b := newBench(t, standin.Options{})
-	good := b.example("booking", "size = 12", "size = 12")
+func TestExitCodes(t *testing.T) {
+	b := newTestEnv(t, standin.Options{})
+	good := b.writeExample("booking", "size = 12", "size = 12")
 	for name, c := range map[string]struct {
 		code int
 		word string
--- a/internal/operatorcmd/replay.go
+++ b/internal/operatorcmd/replay.go
@@ -56,31 +56,31 @@
 	defer client.Close()
 	out, err := os.Create(file)
 	if err != nil {
-		return failf(ExitUsage, "cannot write the trace: %v", err)
+		return exitErrorf(ExitUsage, "cannot write the trace: %v", err)
 	}
 	defer out.Close()
-	snapshot, err := startOf(ctx, client, o)
+	snapshot, err := startSnapshot(ctx, client, o)
 	if err != nil {
 		return err
 	}
 	rec, err := trace.NewRecorder(client, o.stream, cmd.String(flagNote), snapshot, out)
 	if err != nil {
-		return failf(ExitUsage, "%v", err)
+		return exitErrorf(ExitUsage, "%v", err)
 	}
-	if err := follow(ctx, cmd, o, rec); err != nil {
-		return failf(ExitUnreachable, "%v", err)
+	if err := recordEntries(ctx, cmd, o, rec); err != nil {
+		return exitErrorf(ExitUnreachable, "%v", err)
 	}
 	end, err := rec.Close()
 	if err != nil {
-		return failf(ExitUsage, "%v", err)
+		return exitErrorf(ExitUsage, "%v", err)
 	}
 	t := &table{title: "recorded", header: []string{"FILE", "OFFSET", "OUTCOMES"}}
-	t.add(file, fmt.Sprint(end.Offset), counts(end.Statuses))
-	return show(cmd.Root().Writer, o.format, end, t)
+	t.add(file, fmt.Sprint(end.Offset), formatCounts(end.Statuses))
+	return printResult(cmd.Root().Writer, o.format, end, t)
 }
 
-// follow records what there is, and goes on for as long as was asked for.
-func follow(ctx context.Context, cmd *cli.Command, o options, rec *trace.Recorder) error {
+// recordEntries records what there is, and goes on for as long as was asked for.
+func recordEntries(ctx context.Context, cmd *cli.Command, o options, rec *trace.Recorder) error {
 	if d := cmd.Duration(flagFollow); d > 0 {
 		ctx, cancel := context.WithTimeout(ctx, d)
 		defer cancel()
@@ -121,7 +121,7 @@
 		return err
 	}
 	if !cmd.Args().Present() {
-		return failf(ExitUsage, "which trace? give one or more files")
+		return exitErrorf(ExitUsage, "which trace? give one or more files")
 	}
 	var results []replayResult
 	differing := 0
@@ -135,11 +135,11 @@
 		}
 		results = append(results, replayResult{File: file, Result: r})
 	}
-	if err := show(cmd.Root().Writer, o.format, results, replayTable(results), differenceTable(results)); err != nil {
+	if err := printResult(cmd.Root().Writer, o.format, results, replayTable(results), differenceTable(results)); err != nil {
 		return err
 	}
 	if differing > 0 {
-		return failf(ExitRejected, "%d of %d traces differ", differing, len(results))
+		return exitErrorf(ExitRejected, "%d of %d traces differ", differing, len(results))
 	}
 	return nil
 }
@@ -147,12 +147,12 @@
 func replayFile(file string) (trace.Result, error) {
 	in, err := os.Open(file)
 	if err != nil {
-		return trace.Result{}, failf(ExitUsage, "cannot read the trace: %v", err)
+		return trace.Result{}, exitErrorf(ExitUsage, "cannot read the trace: %v", err)
 	}
 	defer in.Close()
 	r, err := trace.Replay(in)
 	if err != nil {
-		return r, failf(ExitRejected, "%s: %v", file, err)
+		return r, exitErrorf(ExitRejected, "%s: %v", file, err)
 	}
 	return r, nil
 }
@@ -161,7 +161,7 @@
 	t := &table{title: "replayed", header: []string{"FILE", "RECORDED", "NOTE", "OFFSET", "ENTRIES", "OUTCOMES", "VM EVENTS", "REQUESTS", "DIFFERENCES"}}
 	for _, r := range results {
 		t.add(r.File, r.Header.Recorded.Format(time.DateOnly), orDash(r.Header.Note), fmt.Sprint(r.Offset), fmt.Sprint(r.Entries),
-			counts(r.Statuses), fmt.Sprint(r.VMEvents), fmt.Sprint(r.Requests), fmt.Sprint(len(r.Differences)))
+			formatCounts(r.Statuses), fmt.Sprint(r.VMEvents), fmt.Sprint(r.Requests), fmt.Sprint(len(r.Differences)))
 	}
 	return t
 }
@@ -176,7 +176,7 @@
 	return t
 }
 
-func counts(statuses map[ledger.Status]int) string {
+func formatCounts(statuses map[ledger.Status]int) string {
 	text := ""
 	for _, status := range slices.Sorted(maps.Keys(statuses)) {
 		text += fmt.Sprintf("%d %s, ", statuses[status], status)
--- a/internal/operatorcmd/report.go
+++ b/internal/operatorcmd/report.go
@@ -27,7 +27,7 @@
    yuccadrift report --output csv
    yuccadrift report --output json`,
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			s, err := look(ctx, cmd)
+			s, err := openForRead(ctx, cmd)
 			if err != nil {
 				return err
 			}
@@ -39,7 +39,7 @@
 				b := measure.BaselineOf(state, now)
 				r.Baseline = &b
 			})
-			return show(cmd.Root().Writer, s.format, r, burnTable(r), causeTable(r), bufferTable(r), baselineTable(r), rollOutTable(r))
+			return printResult(cmd.Root().Writer, s.format, r, burnTable(r), causeTable(r), bufferTable(r), baselineTable(r), rollOutTable(r))
 		},
 	}
 }
@@ -53,10 +53,10 @@
 		row := []string{
 			m.Name,
 			fmt.Sprintf("%d of %d", m.Serving, m.Size),
-			vmTime(m.Spent),
-			vmTime(m.Allowed),
-			leftOf(m),
-			runsOut(m, r.Time),
+			formatVMSeconds(m.Spent),
+			formatVMSeconds(m.Allowed),
+			formatBudgetLeft(m),
+			formatRunsOut(m, r.Time),
 		}
 		for _, b := range m.Burns {
 			row = append(row, fmt.Sprintf("%.2f", b.Rate))
@@ -66,8 +66,8 @@
 	return t
 }
 
-// vmTime prints VM-seconds in the unit that keeps the number readable.
-func vmTime(seconds float64) string {
+// formatVMSeconds prints VM-seconds in the unit that keeps the number readable.
+func formatVMSeconds(seconds float64) string {
 	const minute, hour = 60, 3600
 	switch {
 	case seconds >= hour:
@@ -78,21 +78,21 @@
 	return fmt.Sprintf("%.0f VM-s", seconds)
 }
 
-func leftOf(m measure.Service) string {
+func formatBudgetLeft(m measure.Service) string {
 	if m.Allowed <= 0 {
 		return dash
 	}
 	return fmt.Sprintf("%.1f%%", 100*m.Left/m.Allowed)
 }
 
-func runsOut(m measure.Service, now time.Time) string {
+func formatRunsOut(m measure.Service, now time.Time) string {
 	switch {
 	case m.Left <= 0:
 		return "spent"
 	case m.RunsOut == nil:
 		return "not at this rate"
 	}
-	return "in " + short(m.RunsOut.Sub(now))
+	return "in " + formatDuration(m.RunsOut.Sub(now))
 }
 
 func causeTable(r measure.Report) *table {
@@ -100,7 +100,7 @@
 	for _, m := range r.Services {
 		for _, c := range m.Causes {
 			if c.VMSeconds > 0 || c.Events > 0 {
-				t.add(m.Name, c.Name, vmTime(c.VMSeconds), fmt.Sprint(c.Events))
+				t.add(m.Name, c.Name, formatVMSeconds(c.VMSeconds), fmt.Sprint(c.Events))
 			}
 		}
 	}
@@ -112,9 +112,9 @@
 	reboots := 0
 	for _, m := range r.Services {
 		reboots += m.Reboots
-		t.add(m.Name, fmt.Sprint(m.Spare), vmTime(m.SpareVMSeconds), fmt.Sprint(m.Moves), fmt.Sprint(m.Reboots))
+		t.add(m.Name, fmt.Sprint(m.Spare), formatVMSeconds(m.SpareVMSeconds), fmt.Sprint(m.Moves), fmt.Sprint(m.Reboots))
 	}
-	t.add("(reserve)", fmt.Sprint(r.Fleet.Free), vmTime(r.Fleet.FreeVMSeconds)+" in 24h", dash, dash)
+	t.add("(reserve)", fmt.Sprint(r.Fleet.Free), formatVMSeconds(r.Fleet.FreeVMSeconds)+" in 24h", dash, dash)
 	t.add(fmt.Sprintf("(all %d VMs)", r.Fleet.VMs), fmt.Sprintf("%.1f%%", 100*r.Fleet.Buffer), dash, fmt.Sprint(r.Fleet.Moves), fmt.Sprint(reboots))
 	return t
 }
@@ -134,7 +134,7 @@
 func rollOutTable(r measure.Report) *table {
 	t := &table{title: "roll-out", header: []string{"WAVE", "STATUS", "VMS", "BACK", "SKIPPED", "TOOK"}}
 	for _, w := range r.Waves {
-		t.add(w.Name, string(w.Status), fmt.Sprint(w.VMs), fmt.Sprint(w.Finished), fmt.Sprint(w.Skipped), short(w.Took))
+		t.add(w.Name, string(w.Status), fmt.Sprint(w.VMs), fmt.Sprint(w.Finished), fmt.Sprint(w.Skipped), formatDuration(w.Took))
 	}
 	return t
 }
--- a/internal/operatorcmd/report_day.go
+++ b/internal/operatorcmd/report_day.go
@@ -17,9 +17,9 @@
 const (
 	flagSlow = "slow"
 	flagHTML = "html"
-	// defaultSlow is how long a job may wait for its first start without being counted as
+	// defaultSlowStart is how long a job may wait for its first start without being counted as
 	// late.
-	defaultSlow = time.Second
+	defaultSlowStart = time.Second
 )
 
 func reportDayCommand() *cli.Command {
@@ -39,24 +39,24 @@
    yuccadrift report day --html day.html logs/*.log
    yuccadrift report day --output json < all.log`,
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: flagSlow, Usage: "count jobs as late that begin this `DURATION` or more after they were taken", Value: defaultSlow},
+			&cli.DurationFlag{Name: flagSlow, Usage: "count jobs as late that begin this `DURATION` or more after they were taken", Value: defaultSlowStart},
 			&cli.StringFlag{Name: flagHTML, Usage: "write one HTML page with plots to `FILE`, too"},
 		},
-		Action: explainDay,
+		Action: reportDay,
 	}
 }
 
-func explainDay(_ context.Context, cmd *cli.Command) error {
+func reportDay(_ context.Context, cmd *cli.Command) error {
 	slow := cmd.Duration(flagSlow)
 	if slow <= 0 {
 		return errors.Errorf("--%s must be more than 0, it is %s", flagSlow, slow)
 	}
 	f := format(cmd.String(flagOutput))
-	if !f.known() {
+	if !f.valid() {
 		return errors.Errorf("--%s %s is none of table, json, csv", flagOutput, f)
 	}
 	var log dayreport.Log
-	if err := readDay(&log, cmd.Args().Slice(), cmd.Root().Reader); err != nil {
+	if err := readDayLogs(&log, cmd.Args().Slice(), cmd.Root().Reader); err != nil {
 		return err
 	}
 	r, ok := dayreport.Build(&log, slow)
@@ -68,10 +68,10 @@
 			return err
 		}
 	}
-	return show(cmd.Root().Writer, f, r, dayTable(r), refusalTable(r), slowTable(r), orderTable(r), secondsTable(r), problemTable(r))
+	return printResult(cmd.Root().Writer, f, r, dayTable(r), refusalTable(r), slowTable(r), orderTable(r), secondsTable(r), problemTable(r))
 }
 
-func readDay(log *dayreport.Log, files []string, input io.Reader) error {
+func readDayLogs(log *dayreport.Log, files []string, input io.Reader) error {
 	if len(files) == 0 {
 		return log.Read(input, "standard input")
 	}
@@ -104,21 +104,21 @@
 func dayTable(r dayreport.Report) *table {
 	t := &table{title: "day", header: []string{"FROM", "TO", "NODES", "LINES", "TAKEN", "COMPLETED", "FAILED", "CANCELLED", "OPEN", "START MS 50/95/100", "END MS 50/95/100"}}
 	j := r.Jobs
-	t.add(clock(r.From), clock(r.To), fmt.Sprint(r.Nodes), fmt.Sprint(r.Lines), fmt.Sprint(j.Accepted), fmt.Sprint(j.Completed),
-		fmt.Sprint(j.Failed), fmt.Sprint(j.Cancelled), fmt.Sprint(j.Open), times(j.Started), times(j.Ended))
+	t.add(formatTimeOfDay(r.From), formatTimeOfDay(r.To), fmt.Sprint(r.Nodes), fmt.Sprint(r.Lines), fmt.Sprint(j.Accepted), fmt.Sprint(j.Completed),
+		fmt.Sprint(j.Failed), fmt.Sprint(j.Cancelled), fmt.Sprint(j.Open), formatPercentiles(j.Started), formatPercentiles(j.Ended))
 	return t
 }
 
-func clock(t time.Time) string { return t.UTC().Format(time.TimeOnly) }
+func formatTimeOfDay(t time.Time) string { return t.UTC().Format(time.TimeOnly) }
 
-func times(t dayreport.Percentiles) string {
+func formatPercentiles(t dayreport.Percentiles) string {
 	return fmt.Sprintf("%.0f/%.0f/%.0f", t.Median, t.P95, t.Max)
 }
 
 func refusalTable(r dayreport.Report) *table {
 	t := &table{title: "calls refused", header: []string{"CAUSE", "CALL", "STATUS", "TOLD", "TIMES", "FIRST", "LAST"}}
 	for _, x := range r.Refusals {
-		t.add(string(x.Cause), x.Method, fmt.Sprint(x.Status), x.Reason, fmt.Sprint(x.Count), clock(x.First), clock(x.Last))
+		t.add(string(x.Cause), x.Method, fmt.Sprint(x.Status), x.Reason, fmt.Sprint(x.Count), formatTimeOfDay(x.First), formatTimeOfDay(x.Last))
 	}
 	return t
 }
@@ -142,7 +142,7 @@
 func secondsTable(r dayreport.Report) *table {
 	t := &table{title: "second by second", header: []string{"TIME", "TAKEN", "REFUSED", "BEGAN", "WAIT MS", "COMPLETED", "MEANWHILE"}}
 	for _, s := range r.Seconds {
-		t.add(clock(s.At), fmt.Sprint(s.Accepted), fmt.Sprint(s.Refused), fmt.Sprint(s.Started), fmt.Sprintf("%.0f", s.WaitMS),
+		t.add(formatTimeOfDay(s.At), fmt.Sprint(s.Accepted), fmt.Sprint(s.Refused), fmt.Sprint(s.Started), fmt.Sprintf("%.0f", s.WaitMS),
 			fmt.Sprint(s.Ended), strings.Join(s.Events, "; "))
 	}
 	return t
--- a/internal/operatorcmd/report_day_test.go
+++ b/internal/operatorcmd/report_day_test.go
@@ -17,18 +17,18 @@
 not of a node
 `
 
-// outsideRun runs a command that needs no platform.
-func outsideRun(t *testing.T, args ...string) (code int, out, errOut string) {
-	b := &bench{t: t, addr: "127.0.0.1:1"}
+// runOffline runs a command that needs no platform.
+func runOffline(t *testing.T, args ...string) (code int, out, errOut string) {
+	b := &testEnv{t: t, addr: "127.0.0.1:1"}
 	return b.run(args...)
 }
 
-func TestReportOnADay(t *testing.T) {
+func TestReportDay(t *testing.T) {
 	dir := t.TempDir()
 	log, page := filepath.Join(dir, "n-1.log"), filepath.Join(dir, "day.html")
 	require.NoError(t, os.WriteFile(log, []byte(dayLog), 0o600))
 
-	code, out, errOut := outsideRun(t, "report", "day", "--html", page, log)
+	code, out, errOut := runOffline(t, "report", "day", "--html", page, log)
 	require.Zero(t, code, errOut)
 	assert.Contains(t, out, "store away")
 	assert.Contains(t, out, "no room")
@@ -37,13 +37,13 @@
 	require.NoError(t, err)
 	assert.Contains(t, string(written), "<svg")
 
-	code, r := runJSON[dayreport.Report](&bench{t: t, addr: "127.0.0.1:1"}, "report", "day", "--slow", "3s", log)
+	code, r := runJSON[dayreport.Report](&testEnv{t: t, addr: "127.0.0.1:1"}, "report", "day", "--slow", "3s", log)
 	require.Zero(t, code)
 	assert.Equal(t, 1, r.Jobs.Accepted)
 	assert.Empty(t, r.SlowStarts, "none began 3 s late")
 }
 
-func TestReportOnADayTellsWhatIsWrong(t *testing.T) {
+func TestReportDayErrors(t *testing.T) {
 	dir := t.TempDir()
 	empty, log := filepath.Join(dir, "empty.log"), filepath.Join(dir, "n-1.log")
 	require.NoError(t, os.WriteFile(empty, []byte("not of a node\n"), 0o600))
@@ -57,7 +57,7 @@
 		{[]string{"--slow", "0s", log}, "--slow must be more than 0"},
 		{[]string{"--html", filepath.Join(dir, "missing", "day.html"), log}, "page"},
 	} {
-		code, out, errOut := outsideRun(t, append([]string{"report", "day"}, c.args...)...)
+		code, out, errOut := runOffline(t, append([]string{"report", "day"}, c.args...)...)
 		assert.NotZero(t, code, c.args)
 		assert.Empty(t, out, c.args)
 		assert.Contains(t, errOut, c.told)
--- a/internal/operatorcmd/root.go
+++ b/internal/operatorcmd/root.go
@@ -51,7 +51,7 @@
 		Writer:      out,
 		ErrWriter:   errOut,
 		Flags:       commonFlags(),
-		Action:      unknownCommand,
+		Action:      groupAction,
 		// The default handler ends the process; Run returns the code instead.
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		Commands: []*cli.Command{
@@ -69,18 +69,18 @@
 			storyCommand(),
 		},
 	}
-	quietUsage(root)
+	shortenUsageErrors(root)
 	return root
 }
 
-// quietUsage keeps the library from printing the whole help below a mistake of
+// shortenUsageErrors keeps the library from printing the whole help below a mistake of
 // usage, which would push the one line that helps off the screen.
-func quietUsage(cmd *cli.Command) {
+func shortenUsageErrors(cmd *cli.Command) {
 	cmd.OnUsageError = func(_ context.Context, at *cli.Command, err error, _ bool) error {
-		return failf(ExitUsage, "%v; see %s --help", err, at.FullName())
+		return exitErrorf(ExitUsage, "%v; see %s --help", err, at.FullName())
 	}
 	for _, sub := range cmd.Commands {
-		quietUsage(sub)
+		shortenUsageErrors(sub)
 	}
 }
 
@@ -95,10 +95,10 @@
 	}
 }
 
-// unknownCommand is the action of a command that only has subcommands.
-func unknownCommand(_ context.Context, cmd *cli.Command) error {
+// groupAction is the action of a command that only has subcommands.
+func groupAction(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Present() {
-		return failf(ExitUsage, "%s has no command %q; see %s --help", cmd.FullName(), cmd.Args().First(), cmd.FullName())
+		return exitErrorf(ExitUsage, "%s has no command %q; see %s --help", cmd.FullName(), cmd.Args().First(), cmd.FullName())
 	}
 	return cli.ShowSubcommandHelp(cmd)
 }
--- a/internal/operatorcmd/session.go
+++ b/internal/operatorcmd/session.go
@@ -18,8 +18,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// freshPoll is how often open looks whether the log is folded to its end.
-const freshPoll = 2 * time.Millisecond
+// logEndPollInterval is how often open looks whether the log is folded to its end.
+const logEndPollInterval = 2 * time.Millisecond
 
 // session is one command's connection to the platform, with the log folded to
 // its end.
@@ -29,20 +29,20 @@
 	states   *entrypeer.States
 	follower *follower.Follower
 	stop     func()
-	// passed is a node's state in place of the log's; nil as a rule.
-	passed *ledger.State
+	// peerState is a node's state in place of the log's; nil as a rule.
+	peerState *ledger.State
 }
 
-// open connects and folds the log up to its present end.
-func open(ctx context.Context, cmd *cli.Command) (*session, error) {
+// openSession connects and folds the log up to its present end.
+func openSession(ctx context.Context, cmd *cli.Command) (*session, error) {
 	o, err := loadOptions(cmd)
 	if err != nil {
 		return nil, err
 	}
-	return openWith(ctx, o)
+	return openSessionWith(ctx, o)
 }
 
-func openWith(ctx context.Context, o options) (*session, error) {
+func openSessionWith(ctx context.Context, o options) (*session, error) {
 	client, err := connect(ctx, o)
 	if err != nil {
 		return nil, err
@@ -58,8 +58,8 @@
 		Peers:          s.states,
 		Logger:         hclog.NewNullLogger(),
 	})
-	s.follow(ctx)
-	if err := s.awaitFresh(ctx); err != nil {
+	s.startFollower(ctx)
+	if err := s.awaitLogEnd(ctx); err != nil {
 		s.Close()
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 // connect returns a client after one read has shown that the platform answers.
 func connect(ctx context.Context, o options) (*platform.Client, error) {
 	if o.platform == "" {
-		return nil, failf(ExitUsage, "which platform? give --%s IP:PORT or a settings file", flagPlatform)
+		return nil, exitErrorf(ExitUsage, "which platform? give --%s IP:PORT or a settings file", flagPlatform)
 	}
 	client := platform.NewClient(o.platform, platform.ClientOptions{Timeout: o.timeout})
 	probe, cancel := context.WithTimeout(ctx, o.timeout)
@@ -77,13 +77,13 @@
 	_, err := client.Read(probe, o.stream, 1, 1, 0)
 	if err != nil && !errors.Is(err, platform.ErrTrimmed) {
 		client.Close()
-		return nil, failf(ExitUnreachable, "cannot reach the platform at %s: %v", o.platform, errors.Cause(err))
+		return nil, exitErrorf(ExitUnreachable, "cannot reach the platform at %s: %v", o.platform, errors.Cause(err))
 	}
 	return client, nil
 }
 
-// follow starts the follower under a supervisor; Close ends both.
-func (s *session) follow(ctx context.Context) {
+// startFollower starts the follower under a supervisor; Close ends both.
+func (s *session) startFollower(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	supervisor := suture.New("yuccadrift", suture.Spec{PassThroughPanics: true})
 	supervisor.Add(s.follower)
@@ -94,17 +94,17 @@
 	}
 }
 
-func (s *session) awaitFresh(ctx context.Context) error {
+func (s *session) awaitLogEnd(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
-	tick := time.NewTicker(freshPoll)
+	tick := time.NewTicker(logEndPollInterval)
 	defer tick.Stop()
 	for s.follower.Fresh().IsZero() {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
 			condition, detail := s.follower.Condition()
-			return failf(ExitUnreachable, "the log at %s could not be read to its end within %s: %s %s", s.platform, s.timeout, condition, detail)
+			return exitErrorf(ExitUnreachable, "the log at %s could not be read to its end within %s: %s %s", s.platform, s.timeout, condition, detail)
 		}
 	}
 	return nil
@@ -112,7 +112,7 @@
 
 // Close ends the follower and the connections.
 func (s *session) Close() {
-	if s.passed != nil {
+	if s.peerState != nil {
 		return
 	}
 	s.stop()
@@ -120,14 +120,14 @@
 	s.client.Close()
 }
 
-// newID returns a record ID.
-func newID() string {
+// newRecordID returns a record ID.
+func newRecordID() string {
 	return ulid.MustNew(ulid.Now(), rand.Reader).String()
 }
 
-// draft returns a record on the subject's present revision.
-func (s *session) draft(sub record.Subject, body record.Body) record.Record {
-	rec := record.Record{ID: newID(), Subject: sub, Author: s.author, Time: time.Now().UTC(), Body: body}
+// newRecord returns a record on the subject's present revision.
+func (s *session) newRecord(sub record.Subject, body record.Body) record.Record {
+	rec := record.Record{ID: newRecordID(), Subject: sub, Author: s.author, Time: time.Now().UTC(), Body: body}
 	s.follower.View(func(state *ledger.State) {
 		rec.Base = state.Revision(sub)
 		rec.Seen = state.Offset
@@ -142,18 +142,18 @@
 	defer cancel()
 	out, err := s.follower.Propose(ctx, rec)
 	if errors.Is(err, platform.ErrRejected) {
-		return out, failf(ExitRejected, "%v", err)
+		return out, exitErrorf(ExitRejected, "%v", err)
 	}
 	if err != nil {
-		return out, failf(ExitUnknown, "outcome unknown after %s: record %s may have taken or may yet take effect", s.timeout, rec.ID)
+		return out, exitErrorf(ExitUnknown, "outcome unknown after %s: record %s may have taken or may yet take effect", s.timeout, rec.ID)
 	}
 	switch out.Status {
 	case ledger.Effective:
 		return out, nil
 	case ledger.Stale:
-		return out, failf(ExitConflict, "void: revision %d came first (%s)", out.Current, out.Reason)
+		return out, exitErrorf(ExitConflict, "void: revision %d came first (%s)", out.Current, out.Reason)
 	case ledger.Duplicate:
-		return out, failf(ExitConflict, "void: %s", out.Reason)
+		return out, exitErrorf(ExitConflict, "void: %s", out.Reason)
 	}
-	return out, failf(ExitRejected, "rejected: %s", out.Reason)
+	return out, exitErrorf(ExitRejected, "rejected: %s", out.Reason)
 }
--- a/internal/operatorcmd/settings.go
+++ b/internal/operatorcmd/settings.go
@@ -54,7 +54,7 @@
 	for _, node := range file.Nodes {
 		o.nodes = append(o.nodes, node.String())
 	}
-	o.takeFlags(cmd)
+	o.applyFlags(cmd)
 	return o, o.validate()
 }
 
@@ -70,16 +70,16 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return defaults, failf(ExitUsage, "cannot read the settings: %v", err)
+		return defaults, exitErrorf(ExitUsage, "cannot read the settings: %v", err)
 	}
 	file, _, problems := tomlfile.DecodeOver(path, text, defaults)
 	if len(problems) > 0 {
-		return defaults, failf(ExitUsage, "%v", problems)
+		return defaults, exitErrorf(ExitUsage, "%v", problems)
 	}
 	return file, nil
 }
 
-func (o *options) takeFlags(cmd *cli.Command) {
+func (o *options) applyFlags(cmd *cli.Command) {
 	if cmd.IsSet(flagPlatform) {
 		o.platform = cmd.String(flagPlatform)
 	}
@@ -95,18 +95,18 @@
 }
 
 func (o *options) validate() error {
-	if !o.format.known() {
-		return failf(ExitUsage, "--output %q is not known, expected table, json or csv", o.format)
+	if !o.format.valid() {
+		return exitErrorf(ExitUsage, "--output %q is not known, expected table, json or csv", o.format)
 	}
 	if o.timeout <= 0 {
-		return failf(ExitUsage, "--timeout %s is not over zero", o.timeout)
+		return exitErrorf(ExitUsage, "--timeout %s is not over zero", o.timeout)
 	}
 	for _, addr := range append([]string{o.platform}, o.nodes...) {
 		if addr == "" {
 			continue
 		}
 		if _, err := tomlfile.ParseAddress(addr); err != nil {
-			return failf(ExitUsage, "%v", err)
+			return exitErrorf(ExitUsage, "%v", err)
 		}
 	}
 	return nil
--- a/internal/operatorcmd/status.go
+++ b/internal/operatorcmd/status.go
@@ -75,7 +75,7 @@
 // showStatus shows what can be had: with the platform out of reach it still
 // asks the nodes that it was given.
 func showStatus(ctx context.Context, cmd *cli.Command, o options) error {
-	s, err := openWith(ctx, o)
+	s, err := openSessionWith(ctx, o)
 	if err != nil && (exitCode(err) != ExitUnreachable || len(o.nodes) == 0) {
 		return err
 	}
@@ -84,31 +84,31 @@
 	if s != nil {
 		defer s.Close()
 		addrs = s.nodeAddresses()
-		s.follower.View(func(state *ledger.State) { result = statusOf(state, time.Now()) })
+		s.follower.View(func(state *ledger.State) { result = newStatusResult(state, time.Now()) })
 	}
-	result.Nodes = askNodes(ctx, addrs, o.timeout)
-	result.markBehind()
+	result.Nodes = queryNodes(ctx, addrs, o.timeout)
+	result.setBehind()
 	tables := []*table{result.nodeTable(), result.serviceTable(), result.memberTable(), result.fleetTable()}
-	if showErr := show(cmd.Root().Writer, o.format, result, tables...); showErr != nil {
+	if showErr := printResult(cmd.Root().Writer, o.format, result, tables...); showErr != nil {
 		return showErr
 	}
-	return worse(err, unreachable(result.Nodes))
+	return worseError(err, unreachableError(result.Nodes))
 }
 
-func unreachable(nodes []nodeStatus) error {
-	var silent []string
+func unreachableError(nodes []nodeStatus) error {
+	var unanswered []string
 	for _, n := range nodes {
 		if n.Status == nil {
-			silent = append(silent, n.Address)
+			unanswered = append(unanswered, n.Address)
 		}
 	}
-	if len(silent) == 0 {
+	if len(unanswered) == 0 {
 		return nil
 	}
-	return failf(ExitUnreachable, "no answer from %s", strings.Join(silent, ", "))
+	return exitErrorf(ExitUnreachable, "no answer from %s", strings.Join(unanswered, ", "))
 }
 
-func statusOf(state *ledger.State, now time.Time) statusResult {
+func newStatusResult(state *ledger.State, now time.Time) statusResult {
 	r := statusResult{Offset: state.Offset}
 	for _, name := range slices.Sorted(maps.Keys(state.Services)) {
 		svc := state.Services[name]
@@ -147,8 +147,8 @@
 	}
 }
 
-// markBehind names, for each service, the nodes with another revision in force.
-func (r *statusResult) markBehind() {
+// setBehind names, for each service, the nodes with another revision in force.
+func (r *statusResult) setBehind() {
 	for i := range r.Services {
 		svc := &r.Services[i]
 		for _, n := range r.Nodes {
@@ -169,7 +169,7 @@
 		st := n.Status
 		lag := "never read the log"
 		if d, known := st.Lag(); known {
-			lag = short(d)
+			lag = formatDuration(d)
 		}
 		ready := "yes"
 		if len(st.Unready) > 0 {
@@ -194,7 +194,7 @@
 func (r statusResult) memberTable() *table {
 	t := &table{title: "entry members", header: []string{"MEMBER", "NODE", "ZONE", "ADDRESS", "JOINED"}}
 	for _, m := range r.Members {
-		t.add(m.Name, m.Node, m.Zone, m.Address, stamp(m.Joined))
+		t.add(m.Name, m.Node, m.Zone, m.Address, formatTime(m.Joined))
 	}
 	return t
 }
--- a/internal/operatorcmd/story.go
+++ b/internal/operatorcmd/story.go
@@ -21,11 +21,11 @@
 
 Example:
    yuccadrift story 5c0e7a21d94b36f8 logs/*.log`,
-		Action: tellStory,
+		Action: printStory,
 	}
 }
 
-func tellStory(_ context.Context, cmd *cli.Command) error {
+func printStory(_ context.Context, cmd *cli.Command) error {
 	id := cmd.Args().First()
 	if id == "" {
 		return errors.New("story needs the ID of a job, task, VM or worker")
--- a/internal/operatorcmd/walk.go
+++ b/internal/operatorcmd/walk.go
@@ -11,14 +11,14 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// walkMax is how many entries one read of a walk asks for.
-const walkMax = 1000
+// walkBatchSize is how many entries one read of a walk asks for.
+const walkBatchSize = 1000
 
-// startOf returns the snapshot that a fold of the whole retained log has to
+// startSnapshot returns the snapshot that a fold of the whole retained log has to
 // start from: none while the log is complete. Once retention has removed its
 // beginning, outcomes are known from the newest snapshot on only, since what an
 // entry did depends on all entries before it.
-func startOf(ctx context.Context, log platform.Log, o options) ([]byte, error) {
+func startSnapshot(ctx context.Context, log platform.Log, o options) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
 	batch, err := log.Read(ctx, o.stream, 1, 1, 0)
@@ -26,14 +26,14 @@
 		return nil, nil
 	}
 	if !errors.Is(err, platform.ErrTrimmed) {
-		return nil, failf(ExitUnreachable, "cannot read the log: %v", errors.Cause(err))
+		return nil, exitErrorf(ExitUnreachable, "cannot read the log: %v", errors.Cause(err))
 	}
 	snapshot, err := follower.NewestSnapshot(ctx, log, o.snapshotStream)
 	if err != nil {
-		return nil, failf(ExitUnreachable, "cannot read the snapshots: %v", errors.Cause(err))
+		return nil, exitErrorf(ExitUnreachable, "cannot read the snapshots: %v", errors.Cause(err))
 	}
 	if snapshot == nil {
-		return nil, failf(ExitRejected, "the log is retained from offset %d on and there is no snapshot", batch.First)
+		return nil, exitErrorf(ExitRejected, "the log is retained from offset %d on and there is no snapshot", batch.First)
 	}
 	return snapshot, nil
 }
@@ -41,27 +41,27 @@
 // walk folds the log anew, up to its end at the time of the call, and calls
 // visit for each entry whose outcome can be known. It returns the offset before
 // the first of these.
-func (s *session) walk(ctx context.Context, visit func(step)) (uint64, error) {
+func (s *session) walk(ctx context.Context, visit func(appliedEntry)) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
-	snapshot, err := startOf(ctx, s.client, s.options)
+	snapshot, err := startSnapshot(ctx, s.client, s.options)
 	if err != nil {
 		return 0, err
 	}
 	state := ledger.New()
 	if snapshot != nil {
 		if state, err = ledger.DecodeSnapshot(snapshot); err != nil {
-			return 0, failf(ExitRejected, "%v", err)
+			return 0, exitErrorf(ExitRejected, "%v", err)
 		}
 	}
 	from := state.Offset
 	for {
-		batch, err := s.client.Read(ctx, s.stream, platform.Offset(state.Offset+1), walkMax, 0)
+		batch, err := s.client.Read(ctx, s.stream, platform.Offset(state.Offset+1), walkBatchSize, 0)
 		if err != nil {
-			return from, failf(ExitUnreachable, "cannot read the log: %v", errors.Cause(err))
+			return from, exitErrorf(ExitUnreachable, "cannot read the log: %v", errors.Cause(err))
 		}
 		for _, e := range batch.Entries {
-			visit(fold(state, e))
+			visit(applyEntry(state, e))
 		}
 		if platform.Offset(state.Offset)+1 >= batch.Next || len(batch.Entries) == 0 {
 			return from, nil
@@ -69,10 +69,10 @@
 	}
 }
 
-func fold(state *ledger.State, e platform.Entry) step {
+func applyEntry(state *ledger.State, e platform.Entry) appliedEntry {
 	rec, err := record.Decode(e.Data)
 	if err != nil {
-		return step{Entry: e, Outcome: state.ApplyData(uint64(e.Offset), e.Data)}
+		return appliedEntry{Entry: e, Outcome: state.ApplyData(uint64(e.Offset), e.Data)}
 	}
-	return step{Entry: e, Record: rec, Outcome: state.Apply(uint64(e.Offset), rec)}
+	return appliedEntry{Entry: e, Record: rec, Outcome: state.Apply(uint64(e.Offset), rec)}
 }
--- a/internal/operatorcmd/wave.go
+++ b/internal/operatorcmd/wave.go
@@ -28,14 +28,14 @@
 	flagReboot   = "reboot"
 )
 
-// wavePoll is how often wave show --wait looks at the wave.
-const wavePoll = 100 * time.Millisecond
+// wavePollInterval is how often wave show --wait looks at the wave.
+const wavePollInterval = 100 * time.Millisecond
 
 func waveCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "wave",
 		Usage:  "run maintenance waves: drain, reboot and take back every VM of some pools",
-		Action: unknownCommand,
+		Action: groupAction,
 		Commands: []*cli.Command{
 			waveStartCommand(),
 			waveControlCommand("pause", "start no further drain; VMs that are out come back", record.WavePause),
@@ -67,13 +67,13 @@
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			name := cmd.String(flagName)
 			if name == "" {
-				name = "wave-" + strings.ToLower(newID())
+				name = "wave-" + strings.ToLower(newRecordID())
 			}
 			body := record.WaveStart{Pools: cmd.StringSlice(flagPools), Deadline: time.Now().Add(cmd.Duration(flagDeadline)).UTC()}
 			if cmd.Bool(flagDryRun) {
-				return dryRun(ctx, cmd, body)
+				return forecastWave(ctx, cmd, body)
 			}
-			return change(ctx, cmd, record.Subject{Kind: record.SubjectWave, Name: name}, body, "start")
+			return proposeChange(ctx, cmd, record.Subject{Kind: record.SubjectWave, Name: name}, body, "start")
 		},
 	}
 }
@@ -90,7 +90,7 @@
 				return err
 			}
 			body := record.WaveControl{Command: command, Reason: cmd.String(flagReason)}
-			return change(ctx, cmd, record.Subject{Kind: record.SubjectWave, Name: wave}, body, name)
+			return proposeChange(ctx, cmd, record.Subject{Kind: record.SubjectWave, Name: wave}, body, name)
 		},
 	}
 }
@@ -121,29 +121,29 @@
    yuccadrift wave show
    yuccadrift --timeout 2h wave show --wait kernel-6.12`,
 		Flags:  []cli.Flag{&cli.BoolFlag{Name: flagWait, Usage: "wait until the wave is over, at most --timeout"}},
-		Action: waveShow,
+		Action: showWaves,
 	}
 }
 
-func waveShow(ctx context.Context, cmd *cli.Command) error {
+func showWaves(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Bool(flagWait) && cmd.Args().Len() != 1 {
-		return failf(ExitUsage, "--%s needs the name of a wave", flagWait)
+		return exitErrorf(ExitUsage, "--%s needs the name of a wave", flagWait)
 	}
-	s, err := look(ctx, cmd)
+	s, err := openForRead(ctx, cmd)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
-	wanted := cmd.Args().First()
-	var late error
+	name := cmd.Args().First()
+	var waitErr error
 	if cmd.Bool(flagWait) {
-		late = s.awaitWave(ctx, wanted)
+		waitErr = s.awaitWave(ctx, name)
 	}
-	waves := s.waves(wanted)
-	if wanted != "" && len(waves) == 0 {
-		return failf(ExitRejected, "there is no wave %s (any more)", wanted)
+	waves := s.listWaves(name)
+	if name != "" && len(waves) == 0 {
+		return exitErrorf(ExitRejected, "there is no wave %s (any more)", name)
 	}
-	return worse(late, show(cmd.Root().Writer, s.format, waves, waveTable(waves), skipTable(waves), waitTable(waves)))
+	return worseError(waitErr, printResult(cmd.Root().Writer, s.format, waves, waveTable(waves), skipTable(waves), waitTable(waves)))
 }
 
 // awaitWave returns when the wave is over, gone or the timeout is over.
@@ -160,25 +160,25 @@
 		if over {
 			return nil
 		}
-		wait.Sleep(ctx, wavePoll)
+		wait.Sleep(ctx, wavePollInterval)
 	}
-	return failf(ExitUnknown, "wave %s is not over after %s", name, s.timeout)
+	return exitErrorf(ExitUnknown, "wave %s is not over after %s", name, s.timeout)
 }
 
-func (s *session) waves(wanted string) []waveResult {
+func (s *session) listWaves(name string) []waveResult {
 	results := []waveResult{}
 	s.view(func(state *ledger.State) {
 		round := maintenance.Round(pool.NewView(state, time.Now()), pool.DefaultPolicy())
 		for _, id := range slices.Sorted(maps.Keys(state.Waves)) {
-			if wanted == "" || wanted == id {
-				results = append(results, waveOf(state.Waves[id], round.Waits))
+			if name == "" || name == id {
+				results = append(results, newWaveResult(state.Waves[id], round.Waits))
 			}
 		}
 	})
 	return results
 }
 
-func waveOf(w *ledger.Wave, waits []pool.Wait) waveResult {
+func newWaveResult(w *ledger.Wave, waits []pool.Wait) waveResult {
 	r := waveResult{Wave: w.ID, Status: w.Status, Reason: w.Reason, Pools: w.Pools, Started: w.StartedAt,
 		Finished: w.FinishedAt, Deadline: w.Deadline, Skipped: map[string]string{}, Waits: map[string]string{}}
 	for _, wait := range waits {
@@ -206,10 +206,10 @@
 	for _, w := range waves {
 		took := dash
 		if !w.Finished.IsZero() {
-			took = short(w.Finished.Sub(w.Started))
+			took = formatDuration(w.Finished.Sub(w.Started))
 		}
 		t.add(w.Wave, string(w.Status), strings.Join(w.Pools, ","), fmt.Sprint(w.Pending), fmt.Sprint(w.Out), fmt.Sprint(w.Back),
-			fmt.Sprint(len(w.Skipped)), stamp(w.Started), took, stamp(w.Deadline), orDash(w.Reason))
+			fmt.Sprint(len(w.Skipped)), formatTime(w.Started), took, formatTime(w.Deadline), orDash(w.Reason))
 	}
 	return t
 }
--- a/internal/operatorcmd/wave_forecast.go
+++ b/internal/operatorcmd/wave_forecast.go
@@ -19,8 +19,8 @@
 // Times of a turn where a pool's own are not known.
 const (
 	defaultReboot = 90 * time.Second
-	usualDrain    = 10 * time.Second
-	usualReturn   = 5 * time.Second
+	defaultDrain  = 10 * time.Second
+	defaultReturn = 5 * time.Second
 )
 
 // forecastResult is the output of wave start --dry-run.
@@ -47,30 +47,30 @@
 	Target string `json:"target,omitempty"`
 }
 
-// dryRun plays the wave forward on a copy of the state, with the planner that
+// forecastWave plays the wave forward on a copy of the state, with the planner that
 // the stewards use.
-func dryRun(ctx context.Context, cmd *cli.Command, start record.WaveStart) error {
-	s, err := look(ctx, cmd)
+func forecastWave(ctx context.Context, cmd *cli.Command, start record.WaveStart) error {
+	s, err := openForRead(ctx, cmd)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
-	times := forecast.Times{Drain: usualDrain, Reboot: cmd.Duration(flagReboot), Return: usualReturn}
+	times := forecast.Times{Drain: defaultDrain, Reboot: cmd.Duration(flagReboot), Return: defaultReturn}
 	var wave forecast.Wave
 	s.view(func(state *ledger.State) {
 		wave, err = forecast.ForWave(state, time.Now(), start, pool.DefaultPolicy(), times)
 	})
 	if errors.Is(err, forecast.ErrRefused) {
-		return failf(ExitRejected, "%v", err)
+		return exitErrorf(ExitRejected, "%v", err)
 	}
 	if err != nil {
 		return err
 	}
-	r := forecastOf(wave, start.Deadline)
-	return show(cmd.Root().Writer, s.format, r, r.summary(), r.turns())
+	r := newForecastResult(wave, start.Deadline)
+	return printResult(cmd.Root().Writer, s.format, r, r.summaryTable(), r.turnTable())
 }
 
-func forecastOf(w forecast.Wave, deadline time.Time) forecastResult {
+func newForecastResult(w forecast.Wave, deadline time.Time) forecastResult {
 	r := forecastResult{
 		Ends:     !w.End.IsZero(),
 		End:      w.End,
@@ -81,19 +81,19 @@
 	}
 	if r.Ends {
 		r.duration = w.Duration()
-		r.Takes = short(r.duration)
+		r.Takes = formatDuration(r.duration)
 		r.InTime = !w.End.After(deadline)
 	}
 	for _, t := range w.Turns {
 		r.Turns = append(r.Turns, turnResult{
 			VM: t.VM, Pool: t.Pool, Zone: t.Zone, Rack: t.Rack, Target: t.Target,
-			After: short(t.Out.Sub(w.Start)), Out: short(t.Back.Sub(t.Out)),
+			After: formatDuration(t.Out.Sub(w.Start)), Out: formatDuration(t.Back.Sub(t.Out)),
 		})
 	}
 	return r
 }
 
-func (r forecastResult) summary() *table {
+func (r forecastResult) summaryTable() *table {
 	t := &table{title: "forecast", header: []string{"TURNS", "TAKES", "IN TIME", "DEADLINE", "MOVES", "WITHOUT A TURN"}}
 	takes, inTime := "does not end", "no"
 	if r.Ends {
@@ -102,11 +102,11 @@
 	if r.InTime {
 		inTime = "yes"
 	}
-	t.add(fmt.Sprint(len(r.Turns)), takes, inTime, stamp(r.Deadline), fmt.Sprint(r.Moves), fmt.Sprint(len(r.Waiting)))
+	t.add(fmt.Sprint(len(r.Turns)), takes, inTime, formatTime(r.Deadline), fmt.Sprint(r.Moves), fmt.Sprint(len(r.Waiting)))
 	return t
 }
 
-func (r forecastResult) turns() *table {
+func (r forecastResult) turnTable() *table {
 	t := &table{title: "plan", header: []string{"AFTER", "VM", "POOL", "ZONE", "RACK", "OUT FOR", "GOES TO"}}
 	for _, turn := range r.Turns {
 		t.add(turn.After, turn.VM, turn.Pool, turn.Zone, turn.Rack, turn.Out, orDash(turn.Target))
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -13,9 +13,9 @@
 // Bounds of settings. Each keeps a typing mistake (ms for s) from becoming an
 // outage; they are wide enough for any use seen so far.
 const (
-	minPause       = time.Millisecond
-	maxPause       = time.Hour
-	maxDrain       = 24 * time.Hour
+	minDuration    = time.Millisecond
+	maxDuration    = time.Hour
+	maxDrainLimit  = 24 * time.Hour
 	maxConnections = 1 << 20
 	minHeaderBytes = 1 << 10
 	maxBytes       = 1 << 30
@@ -23,9 +23,9 @@
 )
 
 var (
-	// name is what identifiers look like: they stand in records, metrics and logs.
-	name      = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
-	logLevels = []string{"trace", "debug", "info", "warn", "error"}
+	// identifierPattern is what identifiers look like: they stand in records, metrics and logs.
+	identifierPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
+	logLevels         = []string{"trace", "debug", "info", "warn", "error"}
 )
 
 // checker collects what is wrong with decoded settings.
@@ -34,82 +34,82 @@
 	problems  tomlfile.Problems
 }
 
-func (c *checker) add(key, wrong, expected string) {
+func (c *checker) addProblem(key, wrong, expected string) {
 	c.problems.Add(c.positions.Problem(key, wrong, expected))
 }
 
 func (c *checker) common(s Common) {
 	c.identifier("node.id", s.Node.ID)
 	c.identifier("node.zone", s.Node.Zone)
-	c.remote("platform.address", s.Platform.Address)
+	c.dialAddress("platform.address", s.Platform.Address)
 	c.identifier("platform.stream", s.Platform.Stream)
 	c.identifier("platform.snapshot_stream", s.Platform.SnapshotStream)
 	if s.Platform.Stream == s.Platform.SnapshotStream {
-		c.add("platform.snapshot_stream", "is the same as platform.stream", "a stream of its own")
+		c.addProblem("platform.snapshot_stream", "is the same as platform.stream", "a stream of its own")
 	}
-	c.pause("platform.request_timeout", s.Platform.RequestTimeout)
-	c.pause("platform.read_wait", s.Platform.ReadWait)
-	c.listener("peers.listen", s.Peers.Listen)
+	c.duration("platform.request_timeout", s.Platform.RequestTimeout)
+	c.duration("platform.read_wait", s.Platform.ReadWait)
+	c.listenAddress("peers.listen", s.Peers.Listen)
 	if s.Peers.Listen.IsValid() && s.Peers.Listen.Addr().IsUnspecified() {
-		c.add("peers.listen", s.Peers.Listen.String()+" names no single address", "the address of this VM that other nodes dial")
+		c.addProblem("peers.listen", s.Peers.Listen.String()+" names no single address", "the address of this VM that other nodes dial")
 	}
 	if s.Peers.Advertise.IsValid() {
-		c.remote("peers.advertise", s.Peers.Advertise)
+		c.dialAddress("peers.advertise", s.Peers.Advertise)
 	}
 	for i, seed := range s.Peers.Seeds {
-		c.remote(fmt.Sprintf("peers.seeds[%d]", i), seed)
+		c.dialAddress(fmt.Sprintf("peers.seeds[%d]", i), seed)
 	}
-	c.listener("admin.listen", s.Admin.Listen)
+	c.listenAddress("admin.listen", s.Admin.Listen)
 	c.oneOf("log.level", s.Log.Level, logLevels)
 	c.oneOf("log.format", string(s.Log.Format), []string{string(LogText), string(LogJSON)})
-	c.distinct("peers.listen", s.Peers.Listen, "admin.listen", s.Admin.Listen)
+	c.distinctListeners("peers.listen", s.Peers.Listen, "admin.listen", s.Admin.Listen)
 }
 
 func (c *checker) entry(s Entry) {
-	c.listener("callers.listen", s.Callers.Listen)
-	c.distinct("peers.listen", s.Peers.Listen, "callers.listen", s.Callers.Listen)
-	c.distinct("admin.listen", s.Admin.Listen, "callers.listen", s.Callers.Listen)
+	c.listenAddress("callers.listen", s.Callers.Listen)
+	c.distinctListeners("peers.listen", s.Peers.Listen, "callers.listen", s.Callers.Listen)
+	c.distinctListeners("admin.listen", s.Admin.Listen, "callers.listen", s.Callers.Listen)
 	c.number("callers.max_connections", int64(s.Callers.MaxConnections), 1, maxConnections)
 	c.number("callers.max_header_bytes", int64(s.Callers.MaxHeaderBytes), minHeaderBytes, maxBytes)
 	c.number("callers.max_body_bytes", s.Callers.MaxBodyBytes, 0, maxBytes)
 	c.number("callers.max_held_reply_bytes", s.Callers.MaxHeldReplyBytes, 0, maxBytes)
-	c.pause("callers.header_timeout", s.Callers.HeaderTimeout)
-	c.pause("callers.idle_timeout", s.Callers.IdleTimeout)
-	c.pause("callers.stall_timeout", s.Callers.StallTimeout)
-	c.between("drain.notice", s.Drain.Notice, 0, maxPause)
-	c.between("drain.limit", s.Drain.Limit, 0, maxDrain)
+	c.duration("callers.header_timeout", s.Callers.HeaderTimeout)
+	c.duration("callers.idle_timeout", s.Callers.IdleTimeout)
+	c.duration("callers.stall_timeout", s.Callers.StallTimeout)
+	c.between("drain.notice", s.Drain.Notice, 0, maxDuration)
+	c.between("drain.limit", s.Drain.Limit, 0, maxDrainLimit)
 	c.backends(s.Backends)
 	c.claims(s.Claims)
 }
 
 func (c *checker) backends(s Backends) {
-	c.pause("backends.check_interval", s.CheckInterval)
-	c.pause("backends.check_timeout", s.CheckTimeout)
+	c.duration("backends.check_interval", s.CheckInterval)
+	c.duration("backends.check_timeout", s.CheckTimeout)
 	if s.CheckTimeout.Duration > s.CheckInterval.Duration {
-		c.add("backends.check_timeout", s.CheckTimeout.String()+" is over the interval", "at most backends.check_interval, "+s.CheckInterval.String())
+		c.addProblem("backends.check_timeout", s.CheckTimeout.String()+" is over the interval", "at most backends.check_interval, "+s.CheckInterval.String())
 	}
-	c.pause("backends.connect_timeout", s.ConnectTimeout)
-	c.pause("backends.idle_timeout", s.IdleTimeout)
+	c.duration("backends.connect_timeout", s.ConnectTimeout)
+	c.duration("backends.idle_timeout", s.IdleTimeout)
 	c.number("backends.max_connections", int64(s.MaxConnections), 1, maxConnections)
 }
 
 func (c *checker) claims(s Claims) {
-	c.pause("claims.lease", s.Lease)
-	c.pause("claims.clock_allowance", s.ClockAllowance)
-	c.pause("claims.window", s.Window)
+	c.duration("claims.lease", s.Lease)
+	c.duration("claims.clock_allowance", s.ClockAllowance)
+	c.duration("claims.window", s.Window)
 	if s.ClockAllowance.Duration >= s.Lease.Duration {
-		c.add("claims.clock_allowance", s.ClockAllowance.String()+" leaves nothing of the lease", "less than claims.lease, "+s.Lease.String())
+		c.addProblem("claims.clock_allowance", s.ClockAllowance.String()+" leaves nothing of the lease", "less than claims.lease, "+s.Lease.String())
 	}
 	if s.Window.Duration <= s.Lease.Duration {
-		c.add("claims.window", s.Window.String()+" ends with the first lease", "more than claims.lease, "+s.Lease.String())
+		c.addProblem("claims.window", s.Window.String()+" ends with the first lease", "more than claims.lease, "+s.Lease.String())
 	}
 }
 
 func (c *checker) planning(s Planning) {
-	c.pause("planning.interval", s.Interval)
-	c.pause("planning.list_interval", s.ListInterval)
+	c.duration("planning.interval", s.Interval)
+	c.duration("planning.list_interval", s.ListInterval)
 	c.number("planning.max_actions", int64(s.MaxActions), 1, maxActions)
-	c.pause("planning.action_timeout", s.ActionTimeout)
+	c.duration("planning.action_timeout", s.ActionTimeout)
 }
 
 // missing reports a key that has no default and was left out.
@@ -117,7 +117,7 @@
 	if c.positions.Has(key) {
 		return false
 	}
-	c.add(key, "is missing", expected)
+	c.addProblem(key, "is missing", expected)
 	return true
 }
 
@@ -126,39 +126,39 @@
 	if value == "" && c.missing(key, expected) {
 		return
 	}
-	if !name.MatchString(value) {
-		c.add(key, fmt.Sprintf("%q is no name", value), expected)
+	if !identifierPattern.MatchString(value) {
+		c.addProblem(key, fmt.Sprintf("%q is no name", value), expected)
 	}
 }
 
-// listener checks an address that this process binds. Port 0 lets the system
+// listenAddress checks an address that this process binds. Port 0 lets the system
 // choose one.
-func (c *checker) listener(key string, a tomlfile.Address) {
+func (c *checker) listenAddress(key string, a tomlfile.Address) {
 	if !a.IsValid() {
 		c.missing(key, "an IP number and port of this VM")
 	}
 }
 
-// remote checks an address that this process dials.
-func (c *checker) remote(key string, a tomlfile.Address) {
+// dialAddress checks an address that this process dials.
+func (c *checker) dialAddress(key string, a tomlfile.Address) {
 	switch {
 	case !a.IsValid():
 		c.missing(key, "an IP number and port")
 	case a.Port() == 0:
-		c.add(key, "has port 0", "the port that the other side listens on")
+		c.addProblem(key, "has port 0", "the port that the other side listens on")
 	case a.Addr().IsUnspecified():
-		c.add(key, a.Addr().String()+" cannot be dialled", "the address of one VM")
+		c.addProblem(key, a.Addr().String()+" cannot be dialled", "the address of one VM")
 	}
 }
 
-// distinct reports a second listener on the address of a first one. An
+// distinctListeners reports a second listener on the address of a first one. An
 // unspecified address covers every address of the VM.
-func (c *checker) distinct(first string, a tomlfile.Address, second string, b tomlfile.Address) {
+func (c *checker) distinctListeners(first string, a tomlfile.Address, second string, b tomlfile.Address) {
 	if !a.IsValid() || !b.IsValid() || a.Port() == 0 || a.Port() != b.Port() {
 		return
 	}
 	if a.Addr() == b.Addr() || covers(a.Addr(), b.Addr()) || covers(b.Addr(), a.Addr()) {
-		c.add(second, fmt.Sprintf("%s is taken by %s", b, first), "another address or port")
+		c.addProblem(second, fmt.Sprintf("%s is taken by %s", b, first), "another address or port")
 	}
 }
 
@@ -166,19 +166,19 @@
 	return wide.IsUnspecified() && (wide.Is6() || narrow.Is4())
 }
 
-func (c *checker) pause(key string, d tomlfile.Duration) {
-	c.between(key, d, minPause, maxPause)
+func (c *checker) duration(key string, d tomlfile.Duration) {
+	c.between(key, d, minDuration, maxDuration)
 }
 
 func (c *checker) between(key string, d tomlfile.Duration, least, most time.Duration) {
 	if d.Duration < least || d.Duration > most {
-		c.add(key, d.String()+" is out of range", fmt.Sprintf("%s to %s", least, most))
+		c.addProblem(key, d.String()+" is out of range", fmt.Sprintf("%s to %s", least, most))
 	}
 }
 
 func (c *checker) number(key string, n, least, most int64) {
 	if n < least || n > most {
-		c.add(key, fmt.Sprintf("%d is out of range", n), fmt.Sprintf("%d to %d", least, most))
+		c.addProblem(key, fmt.Sprintf("%d is out of range", n), fmt.Sprintf("%d to %d", least, most))
 	}
 }
 
@@ -188,5 +188,5 @@
 			return
 		}
 	}
-	c.add(key, fmt.Sprintf("%q is not known", value), "one of "+strings.Join(allowed, ", "))
+	c.addProblem(key, fmt.Sprintf("%q is not known", value), "one of "+strings.Join(allowed, ", "))
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -96,7 +96,7 @@
 	assert.True(t, problems.Malformed())
 }
 
-func TestLoadNamesFile(t *testing.T) {
+func TestLoadErrorsNameFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "steward.toml")
 	_, err := settings.LoadSteward(path)
 	require.ErrorContains(t, err, "read settings")
