--- a/internal/operatorcmd/change_test.go
+++ b/internal/operatorcmd/change_test.go
@@ -15,7 +15,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// propose appends records as the stewards would, each on its subject's present
+// propose appends records, as the stewards do, each on its subject's present
 // revision, and requires that they take effect.
 func (b *testEnv) propose(sub record.Subject, bodies ...record.Body) {
 	b.t.Helper()
@@ -31,8 +31,8 @@
 	}
 }
 
-// createPool publishes the booking document and fills its pool with n serving VMs,
-// four to a rack.
+// createPool publishes the booking document and adds n serving VMs to its pool,
+// four per rack.
 func (b *testEnv) createPool(n int) {
 	b.t.Helper()
 	code, out, errOut := b.run("publish", b.writeExample("booking", "size = 12", "size = 12"))
@@ -45,9 +45,8 @@
 	}
 }
 
-// The pool is two VMs short already. One more drain would break its budget: the
-// operator gets the ledger's refusal with the limit, and the VM stays in
-// service. A drain that the budget bears is effective at once.
+// A drain within the pool's budget is effective at once. A second drain, in
+// another rack, and a repeated drain are refused, and the reason names the limit.
 func TestDrainWithinBudget(t *testing.T) {
 	b := newTestEnv(t, standin.Options{})
 	b.createPool(12)
@@ -123,8 +122,8 @@
 	require.Equal(t, ExitRejected, code)
 }
 
-// Each outcome of a service's records is listed with its author and reason, and
-// a record of a kind that this build does not know is listed, not hidden.
+// History lists each record of a service with its outcome, author and base. A
+// record of a kind that this build does not know is listed, too.
 func TestHistory(t *testing.T) {
 	b := newTestEnv(t, standin.Options{})
 	b.createPool(1)
@@ -157,8 +156,8 @@
 	require.Contains(t, out, "estimate:1m30s")
 }
 
-// A drained VM spends its pool's budget: the report names the cause and shows
-// the same numbers in every format.
+// A drained VM spends its pool's budget. The report names the cause and shows the
+// same numbers in every format.
 func TestReport(t *testing.T) {
 	b := newTestEnv(t, standin.Options{})
 	b.createPool(12)
@@ -176,13 +175,13 @@
 	code, out, _ = b.run("--output", "csv", "report")
 	require.Equal(t, ExitOK, code)
 	require.Contains(t, out, "budget burn,booking,11 of 12,")
-	require.Equal(t, &measure.Baseline{Own: map[string]int{"booking": 0}}, r.Baseline, "one pool with a wide budget needs none")
+	require.Equal(t, &measure.Baseline{Own: map[string]int{"booking": 0}}, r.Baseline, "one pool with a large budget needs no spare VMs")
 	require.Contains(t, out, "buffer against its baseline,(all),0,0,0")
 }
 
-// Retention has removed the log's beginning and no snapshot is there: outcomes
-// cannot be known, and the operator is told so instead of being shown wrong
-// ones.
+// Retention has removed the log's beginning and there is no snapshot, so that
+// outcomes cannot be known. The commands must fail instead of showing wrong
+// outcomes.
 func TestTrimmedLogWithoutSnapshot(t *testing.T) {
 	b := newTestEnv(t, standin.Options{RetentionEntries: 4})
 	for range 6 {
@@ -197,9 +196,9 @@
 	require.Contains(t, errOut, "retained from offset 3")
 }
 
-// The platform is out for hours. The operator still sees the pools, as the
-// nodes last folded them, with a word on where that comes from; a change is
-// refused with exit code 4 and takes no effect.
+// While the platform is unreachable, commands that only read show the newest
+// state of the nodes and a notice; without nodes they fail. A change fails with
+// exit code 4.
 func TestReadCommandsDuringPlatformOutage(t *testing.T) {
 	b := newTestEnv(t, standin.Options{})
 	b.createPool(12)
--- a/internal/operatorcmd/check.go
+++ b/internal/operatorcmd/check.go
@@ -9,7 +9,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/document"
 )
 
-// documentFile is one document file and what is wrong with it.
+// documentFile is one document file with its problems.
 type documentFile struct {
 	file     string
 	text     string
@@ -17,7 +17,7 @@
 	problems []document.Problem
 }
 
-// checkResult is one file's line of the output.
+// checkResult is one file in the output of check.
 type checkResult struct {
 	File     string   `json:"file"`
 	Service  string   `json:"service,omitempty"`
@@ -46,8 +46,8 @@
 	}
 }
 
-// readSources reads and validates files. The error is one of usage; mistakes in
-// documents are in the sources.
+// readSources reads and validates files. An error is a usage error; mistakes in
+// documents are in the problems of each file.
 func readSources(files []string) ([]documentFile, error) {
 	if len(files) == 0 {
 		return nil, exitErrorf(ExitUsage, "which document? give one or more files")
--- a/internal/operatorcmd/drain.go
+++ b/internal/operatorcmd/drain.go
@@ -36,18 +36,18 @@
 		Name:      "drain",
 		Usage:     "take one VM out of service, within its pool's budget",
 		ArgsUsage: "VM",
-		Description: `The VM gets no new work, its requests in flight finish, and it comes back to its
-pool unless it is told to go elsewhere. The ledger refuses the drain when the
-pool's availability budget does not bear it; the reason names the limit.
+		Description: `The VM gets no new work, its requests in flight finish, and it returns to its
+pool unless --to or --release is given. The ledger refuses the drain if it would
+exceed the pool's availability budget; the reason names the limit.
 
 Examples:
    yuccadrift drain vm-17
    yuccadrift drain --to returns vm-17
    yuccadrift drain --release vm-17`,
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: flagTo, Usage: "join this `POOL` afterwards"},
+			&cli.StringFlag{Name: flagTo, Usage: "join `POOL` afterwards"},
 			&cli.BoolFlag{Name: flagRelease, Usage: "leave the pool for the common reserve afterwards"},
-			&cli.DurationFlag{Name: flagEstimate, Usage: "expected `DURATION` out of service; the budget must bear it", Value: defaultEstimate},
+			&cli.DurationFlag{Name: flagEstimate, Usage: "expected `DURATION` out of service, which counts against the budget", Value: defaultEstimate},
 		},
 		Action: drain,
 	}
@@ -59,7 +59,7 @@
 		return err
 	}
 	if cmd.IsSet(flagTo) && cmd.Bool(flagRelease) {
-		return exitErrorf(ExitUsage, "--%s and --%s exclude each other", flagTo, flagRelease)
+		return exitErrorf(ExitUsage, "--%s and --%s are mutually exclusive", flagTo, flagRelease)
 	}
 	body := record.VMDrain{
 		Reason:   record.DrainOperator,
@@ -73,7 +73,7 @@
 	return proposeChange(ctx, cmd, record.Subject{Kind: record.SubjectVM, Name: vm}, body, "drain")
 }
 
-// oneArg returns the command's only argument.
+// oneArg returns the command's only argument, which the error message calls what.
 func oneArg(cmd *cli.Command, what string) (string, error) {
 	if cmd.Args().Len() != 1 {
 		return "", exitErrorf(ExitUsage, "%s takes one argument, the %s", cmd.FullName(), what)
@@ -81,8 +81,8 @@
 	return cmd.Args().First(), nil
 }
 
-// proposeChange proposes one record on the subject's present revision and prints its
-// outcome.
+// proposeChange opens a session, proposes body on the subject's present revision
+// and prints the outcome. The output calls the change what.
 func proposeChange(ctx context.Context, cmd *cli.Command, sub record.Subject, body record.Body, what string) error {
 	s, err := openSession(ctx, cmd)
 	if err != nil {
@@ -106,13 +106,14 @@
 	return err
 }
 
-// maxProposals bounds how often a withdrawal is decided anew.
+// maxProposals bounds the attempts of proposeWithRetry.
 const maxProposals = 10
 
-// proposeWithRetry proposes body on the subject's present revision. A withdrawal that
-// lost a race is decided again: a job that was placed a moment before its
-// cancellation is to be cancelled all the same, and a burst of cancellations
-// loses many such races.
+// proposeWithRetry proposes body on the subject's present revision. If another
+// change of the subject took effect first and body applies to any revision, it
+// proposes body again on the new revision: a job that was placed just before its
+// cancellation must still be cancelled, and a burst of cancellations loses many
+// such races.
 func (s *session) proposeWithRetry(ctx context.Context, sub record.Subject, body record.Body) (record.Record, ledger.Outcome, error) {
 	for n := 1; ; n++ {
 		rec := s.newRecord(sub, body)
@@ -123,7 +124,8 @@
 	}
 }
 
-// appliesToAnyRevision reports whether the change means the same whatever came before it.
+// appliesToAnyRevision reports whether the change means the same on every
+// revision of its subject.
 func appliesToAnyRevision(body record.Body) bool {
 	switch body.(type) {
 	case record.JobCancel, record.WaveControl:
@@ -132,8 +134,8 @@
 	return false
 }
 
-// statusUnknown stands beside the ledger's statuses for a change whose outcome
-// is not known.
+// statusUnknown extends the ledger's statuses: the outcome of the change is not
+// known.
 const statusUnknown ledger.Status = "unknown"
 
 func (r changeResult) outcome() string {
--- a/internal/operatorcmd/explain.go
+++ b/internal/operatorcmd/explain.go
@@ -10,7 +10,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/placement"
 )
 
-// explanation is why a job is where it is.
+// explanation is the output of jobs explain.
 type explanation struct {
 	Job   string   `json:"job"`
 	Facts []string `json:"facts"`
@@ -19,7 +19,7 @@
 func jobExplainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "say why a job runs, waits or ended, and what to do",
+		Usage:     "explain why a job runs, waits or ended, and what to do",
 		ArgsUsage: "JOB",
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			id, err := oneArg(cmd, "job")
@@ -38,7 +38,7 @@
 				}
 			})
 			if len(e.Facts) == 0 {
-				return exitErrorf(ExitRejected, "there is no job %s (any more)", id)
+				return exitErrorf(ExitRejected, "no job %s on record", id)
 			}
 			t := &table{title: "job " + id, header: []string{"FACT"}}
 			for _, fact := range e.Facts {
@@ -74,8 +74,9 @@
 	return facts
 }
 
-// explainQueuedJob says what a queued job waits for, in the words of the planning. Sizes
-// are as declared: what the stewards learnt of them is not on the log.
+// explainQueuedJob returns what a queued job waits for, as the placement explains
+// it. It uses the declared sizes of jobs: the usage that the stewards have
+// measured is not on the log.
 func explainQueuedJob(state *ledger.State, j *ledger.Job) []string {
 	p, queue := placement.FromState(state, j.Spec.Service, placement.Knowledge{})
 	facts := []string{"queued since " + formatTime(j.QueuedAt)}
--- a/internal/operatorcmd/harness_test.go
+++ b/internal/operatorcmd/harness_test.go
@@ -23,7 +23,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// testEnv is a stand-in of the platform and a directory of documents.
+// testEnv is a stand-in of the platform and a directory for documents.
 type testEnv struct {
 	t        *testing.T
 	platform *standin.Platform
@@ -54,7 +54,8 @@
 	})
 }
 
-// startNode starts a node's Operator service over a follower of its own.
+// startNode starts a node's Operator service with its own follower, and returns
+// its address.
 func (b *testEnv) startNode(name string) string {
 	b.t.Helper()
 	client := platform.NewClient(b.addr, platform.ClientOptions{})
@@ -71,8 +72,8 @@
 	return listener.Addr().String()
 }
 
-// writeExample writes an example document, with old replaced by new, and returns its
-// file name.
+// writeExample writes an example document, with old replaced by new, and returns
+// its file name.
 func (b *testEnv) writeExample(service, old, new string) string {
 	b.t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "..", "examples", "ramcharan", service+".toml"))
@@ -83,7 +84,7 @@
 	return file
 }
 
-// run carries out one command line against the stand-in.
+// run executes one command line against the stand-in.
 func (b *testEnv) run(args ...string) (code int, out, errOut string) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -92,7 +93,7 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// runJSON carries out one command line and decodes its JSON output.
+// runJSON executes one command line and decodes its JSON output.
 func runJSON[T any](b *testEnv, args ...string) (int, T) {
 	b.t.Helper()
 	code, out, errOut := b.run(append([]string{"--output", "json"}, args...)...)
--- a/internal/operatorcmd/history.go
+++ b/internal/operatorcmd/history.go
@@ -24,14 +24,14 @@
 
 const defaultHistoryCount = 50
 
-// appliedEntry is one entry of the log with the outcome of its record.
+// appliedEntry is one entry of the log, with its record and the record's outcome.
 type appliedEntry struct {
 	Entry   platform.Entry
-	Record  record.Record // zero when malformed
+	Record  record.Record // zero if the entry is malformed
 	Outcome ledger.Outcome
 }
 
-// historyLine is one record in the output.
+// historyLine is one record in the output of history.
 type historyLine struct {
 	Offset  uint64          `json:"offset"`
 	Time    time.Time       `json:"time"`
@@ -50,7 +50,7 @@
 		Name:      "history",
 		Usage:     "list the records on the log with their outcomes",
 		ArgsUsage: "[SUBJECT]",
-		Description: `SUBJECT is kind/name, as service/booking or vm/vm-17, or a name of any kind.
+		Description: `SUBJECT is kind/name, such as service/booking or vm/vm-17, or a name of any kind.
 
 Examples:
    yuccadrift history
@@ -111,7 +111,7 @@
 	}
 	if st.Record.Body != nil {
 		line.Subject = st.Outcome.Subject.String()
-		line.Body, _ = json.Marshal(st.Record.Body) // it was decoded from JSON
+		line.Body, _ = json.Marshal(st.Record.Body) // cannot fail: it was decoded from JSON
 	}
 	return line
 }
@@ -128,10 +128,11 @@
 	return t
 }
 
-// durationField finds the durations in a body, which JSON has in nanoseconds.
+// durationField matches the durations in a record's body, which are nanoseconds
+// in JSON.
 var durationField = regexp.MustCompile(`"(?:estimate|run_time)":\d+`)
 
-// maxSummaryBytes bounds the body's text in a table; JSON output has all of it.
+// maxSummaryBytes bounds the text of a body in a table. JSON output has all of it.
 const maxSummaryBytes = 80
 
 func summarizeBody(l historyLine) string {
@@ -140,7 +141,7 @@
 	}
 	text := durationField.ReplaceAllStringFunc(string(l.Body), func(field string) string {
 		key, value, _ := strings.Cut(field, ":")
-		ns, _ := strconv.ParseInt(value, 10, 64) // too long for a duration: shown as the largest
+		ns, _ := strconv.ParseInt(value, 10, 64) // out of range: the largest duration
 		return key + ":" + time.Duration(ns).String()
 	})
 	text = strings.NewReplacer(`"`, "", "{", "", "}", "").Replace(text)
--- a/internal/operatorcmd/inforce.go
+++ b/internal/operatorcmd/inforce.go
@@ -11,7 +11,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/wait"
 )
 
-// nodeInForce is how long after the append a node had a document in force.
+// nodeInForce is the time from the append until a node had a document in force,
+// or the reason why the node is not known to have it.
 type nodeInForce struct {
 	Address string        `json:"address"`
 	Node    string        `json:"node,omitempty"`
@@ -20,14 +21,14 @@
 	Problem string        `json:"problem,omitempty"`
 }
 
-// awaitInForce asks all nodes at once and returns when each acts on the
-// revision or the timeout is over.
+// awaitInForce polls all nodes concurrently until each acts on the revision or
+// the session's timeout is over. The error names the nodes that do not.
 func (s *session) awaitInForce(ctx context.Context, service string, rev record.Revision, sentAt time.Time) ([]nodeInForce, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
 	addrs := s.nodeAddresses()
 	if len(addrs) == 0 {
-		return nil, exitErrorf(ExitUsage, "which nodes? give --%s: no entry member is on the log", flagNodes)
+		return nil, exitErrorf(ExitUsage, "no nodes to query: --%s is not set and no entry member is on the log", flagNodes)
 	}
 	results := make([]nodeInForce, len(addrs))
 	var wg sync.WaitGroup
@@ -42,12 +43,12 @@
 		}
 	}
 	if len(problems) > 0 {
-		return results, exitErrorf(ExitUnreachable, "not seen in force on every node: %s", strings.Join(problems, "; "))
+		return results, exitErrorf(ExitUnreachable, "not confirmed in force on every node: %s", strings.Join(problems, "; "))
 	}
 	return results, nil
 }
 
-// awaitNodeInForce asks one node until it acts on the revision or ctx ends.
+// awaitNodeInForce polls one node until it acts on the revision or ctx ends.
 func awaitNodeInForce(ctx context.Context, addr, service string, rev record.Revision, sentAt time.Time) nodeInForce {
 	r := nodeInForce{Address: addr}
 	client, err := operator.NewClient(addr)
--- a/internal/operatorcmd/jobs.go
+++ b/internal/operatorcmd/jobs.go
@@ -54,15 +54,15 @@
    yuccadrift jobs submit --service export --team cad --cores 4 --memory-mb 8192 --run-time 30m night-export-17
    yuccadrift jobs submit --service back-office --team billing --repeatable --urgent reconcile-9`,
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: flagService, Usage: "`SERVICE` whose pool runs it", Required: true},
-			&cli.StringFlag{Name: flagTeam, Usage: "`TEAM` whose quota it counts against", Required: true},
+			&cli.StringFlag{Name: flagService, Usage: "`SERVICE` whose pool runs the job", Required: true},
+			&cli.StringFlag{Name: flagTeam, Usage: "`TEAM` whose quota the job counts against", Required: true},
 			&cli.FloatFlag{Name: flagCores, Usage: "`CORES`, fractions allowed", Value: 1},
 			&cli.IntFlag{Name: flagMemory, Usage: "memory in `MB`", Value: 1024},
 			&cli.IntFlag{Name: flagAccelerators, Usage: "`N` accelerators"},
 			&cli.DurationFlag{Name: flagRunTime, Usage: "declared run time, a `DURATION`", Value: time.Minute},
-			&cli.BoolFlag{Name: flagUrgent, Usage: "start it ahead of other work"},
-			&cli.BoolFlag{Name: flagRepeatable, Usage: "it may be started again after an unknown end"},
-			&cli.BoolFlag{Name: flagCheckpointable, Usage: "it can be checkpointed and resumed"},
+			&cli.BoolFlag{Name: flagUrgent, Usage: "start the job ahead of other work"},
+			&cli.BoolFlag{Name: flagRepeatable, Usage: "the job may be started again if its end is unknown"},
+			&cli.BoolFlag{Name: flagCheckpointable, Usage: "the job can be checkpointed and resumed"},
 		},
 		Action: jobSubmit,
 	}
@@ -90,7 +90,7 @@
 func jobCancelCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "cancel",
-		Usage:     "withdraw a job",
+		Usage:     "cancel a job",
 		ArgsUsage: "JOB",
 		Flags:     []cli.Flag{&cli.StringFlag{Name: flagReason, Usage: "`TEXT` that is kept with the job"}},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -124,7 +124,8 @@
 	}
 }
 
-// listJobs returns copies of the jobs; empty arguments match all.
+// listJobs returns copies of the jobs of a service with a status, in the order
+// of their IDs. An empty argument matches all.
 func (s *session) listJobs(service string, status ledger.JobStatus) []ledger.Job {
 	jobs := []ledger.Job{}
 	s.view(func(state *ledger.State) {
--- a/internal/operatorcmd/look.go
+++ b/internal/operatorcmd/look.go
@@ -10,9 +10,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/ledger"
 )
 
-// openForRead opens a session for a command that only shows something. While the
-// platform is out of reach it shows the highest state that the nodes given have,
-// and says so: in an outage of hours operators still need to see their pools.
+// openForRead opens a session for a command that changes nothing. If the platform
+// is unreachable and nodes are configured, the session holds the state with the
+// highest offset among these nodes, and a notice on the error output says so:
+// operators need to see their pools during an outage of hours, too.
 func openForRead(ctx context.Context, cmd *cli.Command) (*session, error) {
 	o, err := loadOptions(cmd)
 	if err != nil {
@@ -24,13 +25,14 @@
 	}
 	state, peerErr := newestPeerState(ctx, o)
 	if peerErr != nil {
-		return nil, exitErrorf(ExitUnreachable, "%v; nor has a node passed its state on: %v", err, peerErr)
+		return nil, exitErrorf(ExitUnreachable, "%v; no node returned its state either: %v", err, peerErr)
 	}
 	fmt.Fprintf(cmd.Root().ErrWriter, "yuccadrift: %v; shown is the state at offset %d, as a node has it\n", err, state.Offset)
 	return &session{options: o, peerState: state}, nil
 }
 
-// newestPeerState returns the state with the highest offset among the nodes.
+// newestPeerState returns the state with the highest offset among the
+// configured nodes.
 func newestPeerState(ctx context.Context, o options) (*ledger.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
@@ -43,7 +45,7 @@
 	return ledger.DecodeSnapshot(snapshot)
 }
 
-// view calls fn with the state that the command shows.
+// view calls fn with the session's state.
 func (s *session) view(fn func(*ledger.State)) {
 	if s.peerState != nil {
 		fn(s.peerState)
--- a/internal/operatorcmd/member.go
+++ b/internal/operatorcmd/member.go
@@ -13,23 +13,23 @@
 
 const flagStopped = "stopped"
 
-// memberProbeTimeout bounds the question whether a member still answers.
+// memberProbeTimeout bounds the check whether a member still answers.
 const memberProbeTimeout = 2 * time.Second
 
 func memberCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "member",
-		Usage:  "see to the membership of the entry VMs",
+		Usage:  "manage the membership of the entry VMs",
 		Action: groupAction,
 		Commands: []*cli.Command{
 			{
 				Name:      "remove",
 				Usage:     "remove a lost entry VM that the others cannot evict",
 				ArgsUsage: "MEMBER",
-				Description: `Needed only when half or more of the entry VMs were lost at once: the rest are
-then no majority. A member that still runs, though out of reach, could go on
-granting not-repeatable requests that another one grants as well. So make sure
-that its VM is stopped, and say so with --stopped.
+				Description: `Needed only after half or more of the entry VMs were lost at once: the remaining
+ones are no majority. A member that still runs but is unreachable could go on
+granting not-repeatable requests that another member grants, too. Make sure that
+its VM is stopped, and confirm this with --stopped.
 
 Example:
    yuccadrift member remove --stopped entry-3.01JDZDJWG0ABCDEFGHJKMNPQRS`,
@@ -48,7 +48,7 @@
 		return err
 	}
 	if !cmd.Bool(flagStopped) {
-		return exitErrorf(ExitUsage, "make sure that the VM of %s is stopped and say so with --%s", name, flagStopped)
+		return exitErrorf(ExitUsage, "make sure that the VM of %s is stopped and confirm this with --%s", name, flagStopped)
 	}
 	s, err := openSession(ctx, cmd)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return s.proposeAndPrint(ctx, cmd, record.Subject{Kind: record.SubjectMember, Name: name}, record.MemberLeave{}, "remove")
 }
 
-// answersAt reports whether a process of the system answers at a peer address.
+// answersAt reports whether a node answers at a peer address.
 func answersAt(ctx context.Context, address string) bool {
 	c, err := operator.NewClient(address)
 	if err != nil {
--- a/internal/operatorcmd/member_test.go
+++ b/internal/operatorcmd/member_test.go
@@ -9,9 +9,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// Most entry VMs were lost at once and the rest cannot evict them. The operator
-// removes one by hand; a member that still answers, or whose VM nobody vouched
-// for, stays: it could go on granting what another one grants as well.
+// Most entry VMs were lost at once and the remaining ones cannot evict them, so
+// the operator removes one. A member that still answers, or whose VM is not
+// declared stopped, must stay: it could grant requests that another member
+// grants, too.
 func TestRemoveMember(t *testing.T) {
 	b := newTestEnv(t, standin.Options{})
 	member := func(name, address string) record.Subject {
--- a/internal/operatorcmd/nodes.go
+++ b/internal/operatorcmd/nodes.go
@@ -9,18 +9,19 @@
 	"github.com/yuccadrift/yuccadrift/internal/operator"
 )
 
-// nodeRetryInterval is the pause before a node that did not answer is asked again.
+// nodeRetryInterval is the pause before a node that did not answer is queried
+// again.
 const nodeRetryInterval = 100 * time.Millisecond
 
-// nodeStatus is one node's answer, or why there is none.
+// nodeStatus is one node's status, or the reason why it could not be read.
 type nodeStatus struct {
 	Address string           `json:"address"`
 	Status  *operator.Status `json:"status,omitempty"`
 	Problem string           `json:"problem,omitempty"`
 }
 
-// nodeAddresses returns the peer addresses to ask: those given, or else those
-// of the entry members on the log.
+// nodeAddresses returns the peer addresses of the nodes to query: the configured
+// ones or, if there are none, those of the entry members on the log.
 func (s *session) nodeAddresses() []string {
 	if len(s.nodes) > 0 {
 		return s.nodes
@@ -34,7 +35,7 @@
 	return addrs
 }
 
-// queryNodes asks all nodes at once.
+// queryNodes reads the status of all nodes concurrently.
 func queryNodes(ctx context.Context, addrs []string, timeout time.Duration) []nodeStatus {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/operatorcmd/output.go
+++ b/internal/operatorcmd/output.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// format is how results are printed.
+// format is the output format of results.
 type format string
 
 const (
@@ -25,7 +25,7 @@
 	return f == formatTable || f == formatJSON || f == formatCSV
 }
 
-// table is one block of a result.
+// table is one titled block of a result.
 type table struct {
 	title  string
 	header []string
@@ -34,8 +34,8 @@
 
 func (t *table) add(cells ...string) { t.rows = append(t.rows, cells) }
 
-// printResult prints a result: value as JSON, or the tables. As CSV each row begins
-// with its table's title, so that one output can hold several.
+// printResult prints value as JSON, or the tables as text or CSV. In CSV, each
+// row begins with its table's title, so that one output can hold several tables.
 func printResult(out io.Writer, f format, value any, tables ...*table) error {
 	switch f {
 	case formatJSON:
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// dash stands for a value that there is none of.
+// dash is printed for a missing value.
 const dash = "-"
 
 func orDash(s string) string {
@@ -93,7 +93,7 @@
 	return s
 }
 
-// formatDuration rounds a duration for a table.
+// formatDuration formats a duration for a table, rounded according to its size.
 func formatDuration(d time.Duration) string {
 	switch {
 	case d < time.Second:
@@ -108,7 +108,7 @@
 
 const day = 24 * time.Hour
 
-// formatTime prints a time for a table, in UTC.
+// formatTime formats a time for a table, in UTC. The zero time is a dash.
 func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return dash
--- a/internal/operatorcmd/publish.go
+++ b/internal/operatorcmd/publish.go
@@ -18,7 +18,7 @@
 	flagWaitInForce = "wait-in-force"
 )
 
-// publishStatus is what became of one document.
+// publishStatus is the outcome of publishing one document.
 type publishStatus string
 
 const (
@@ -29,18 +29,18 @@
 	publishUnknown   publishStatus = "unknown"
 )
 
-// publishResult is one document's line of the output.
+// publishResult is one document in the output of publish.
 type publishResult struct {
 	File    string          `json:"file"`
 	Service string          `json:"service"`
 	Status  publishStatus   `json:"status"`
 	BasedOn record.Revision `json:"based_on"`
-	// Revision is the one in force after the publish, the accepted one or the
-	// one that came first.
+	// Revision is the revision in force after the publish: the accepted one, or
+	// the one that took effect first.
 	Revision record.Revision `json:"revision"`
 	RecordID string          `json:"record_id,omitempty"`
 	Reason   string          `json:"reason,omitempty"`
-	// InForce is the time from the append to in force, by node.
+	// InForce is the time that each node took to have the document in force.
 	InForce []nodeInForce `json:"in_force,omitempty"`
 
 	sentAt time.Time
@@ -49,24 +49,24 @@
 func publishCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "publish",
-		Usage:     "put documents in force and print what became of each",
+		Usage:     "put documents in force and print the outcome of each",
 		ArgsUsage: "FILE...",
-		Description: `Validates all files first and publishes none when one has a mistake. A document
-that is in force already, letter for letter, is left alone. Without --based-on
-the revision in force is taken as the one that the change was decided on; give
-the revision that you edited from to be told of a change made meanwhile.
+		Description: `Validates all files first and publishes none if one has a mistake. A document
+that is identical to the one in force is not published again. Without --based-on,
+the change is based on the revision in force. Give the revision that you edited
+to be warned if another change was made in the meantime.
 
 Examples:
    yuccadrift publish services/booking.toml
    yuccadrift publish --based-on 42 services/booking.toml
    yuccadrift --nodes 10.0.0.1:7400,10.0.0.2:7400 publish --wait-in-force services/*.toml
 
-After "unknown", repeat the command that it prints: it sends the same record
-again, and a record takes effect once, however often it is sent.`,
+After "unknown", run the printed command: it sends the same record again, and a
+record takes effect only once, however often it is sent.`,
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: flagBasedOn, Usage: "the `REVISION` that the change was decided on"},
-			&cli.StringFlag{Name: flagRecordID, Usage: "send the record `ID` of an earlier try again; needs --based-on"},
-			&cli.BoolFlag{Name: flagWaitInForce, Usage: "wait until every node has it in force and print the times"},
+			&cli.Uint64Flag{Name: flagBasedOn, Usage: "the `REVISION` that the change is based on"},
+			&cli.StringFlag{Name: flagRecordID, Usage: "send the record `ID` of an earlier attempt again; needs --based-on"},
+			&cli.BoolFlag{Name: flagWaitInForce, Usage: "wait until every node has the document in force and print the times"},
 		},
 		Action: publish,
 	}
@@ -74,14 +74,14 @@
 
 func publish(ctx context.Context, cmd *cli.Command) error {
 	if cmd.IsSet(flagRecordID) && !cmd.IsSet(flagBasedOn) {
-		return exitErrorf(ExitUsage, "--%s needs --%s, as the earlier try printed them", flagRecordID, flagBasedOn)
+		return exitErrorf(ExitUsage, "--%s needs --%s, as the earlier attempt printed them", flagRecordID, flagBasedOn)
 	}
 	sources, err := readSources(cmd.Args().Slice())
 	if err != nil {
 		return err
 	}
 	if len(sources) > 1 && cmd.IsSet(flagBasedOn) {
-		return exitErrorf(ExitUsage, "--%s belongs to one document; give one file", flagBasedOn)
+		return exitErrorf(ExitUsage, "--%s applies to one document; give one file", flagBasedOn)
 	}
 	for _, src := range sources {
 		if len(src.problems) > 0 {
@@ -96,7 +96,7 @@
 	return s.publishAll(ctx, cmd, sources)
 }
 
-// outputFormat returns the output format before the settings are read.
+// outputFormat returns the output format, without reading the settings.
 func outputFormat(cmd *cli.Command) format { return format(cmd.String(flagOutput)) }
 
 func (s *session) publishAll(ctx context.Context, cmd *cli.Command, sources []documentFile) error {
@@ -129,7 +129,7 @@
 	return r.Status == publishAccepted || r.Status == publishUnchanged
 }
 
-// publishDocument proposes one document and tells its outcome.
+// publishDocument proposes one document and returns its outcome.
 func (s *session) publishDocument(ctx context.Context, src documentFile, rec record.Record) (publishResult, error) {
 	r := publishResult{File: src.file, Service: src.doc.Service, BasedOn: rec.Base, RecordID: rec.ID, sentAt: time.Now()}
 	if text, head, ok := s.documentInForce(src.doc.Service); ok && text == src.text {
@@ -159,7 +159,8 @@
 	return r, err
 }
 
-// documentInForce returns a service's document in force.
+// documentInForce returns a service's document in force. ok is false if the
+// service has none.
 func (s *session) documentInForce(service string) (text string, head ledger.Head, ok bool) {
 	s.follower.View(func(state *ledger.State) {
 		svc, found := state.Services[service]
--- a/internal/operatorcmd/publish_test.go
+++ b/internal/operatorcmd/publish_test.go
@@ -12,8 +12,8 @@
 )
 
 // Two operators edit the same revision of a document. The first publish is
-// accepted; the second must be told which revision came first instead of
-// undoing the first one's change, and a repeat of the first changes nothing.
+// accepted. The second must fail and name the revision that took effect first,
+// instead of undoing it. Repeating the first publish changes nothing.
 func TestPublishConflict(t *testing.T) {
 	b := newTestEnv(t, standin.Options{})
 	code, first := runJSON[[]publishResult](b, "publish", b.writeExample("booking", "size = 12", "size = 12"))
@@ -29,7 +29,7 @@
 	code, void := runJSON[[]publishResult](b, "publish", "--based-on", base, b.writeExample("booking", "size = 12", "size = 14"))
 	require.Equal(t, ExitConflict, code)
 	require.Equal(t, publishVoid, void[0].Status)
-	require.Equal(t, second[0].Revision, void[0].Revision, "names the revision that came first")
+	require.Equal(t, second[0].Revision, void[0].Revision, "the result names the revision that took effect first")
 
 	code, repeat := runJSON[[]publishResult](b, "publish", b.writeExample("booking", "size = 12", "size = 13"))
 	require.Equal(t, ExitOK, code)
@@ -37,9 +37,9 @@
 	require.Equal(t, second[0].Revision, repeat[0].Revision)
 }
 
-// The platform takes the append and its reply is lost. The operator must hear
-// "accepted" with the offset of the first copy: the command appends the same
-// record again, whose second copy is void.
+// The platform stores the append and its reply is lost. The command appends the
+// same record again, whose second copy is void, and must report "accepted" with
+// the offset of the first copy.
 func TestPublishLostReply(t *testing.T) {
 	b := newTestEnv(t, standin.Options{})
 	b.injectFaults(standin.Fault{Kind: standin.LogLoseReply, Count: 1})
@@ -49,8 +49,8 @@
 	require.Equal(t, record.Revision(1), got[0].Revision)
 }
 
-// Appends hang for longer than the command waits, then the log works again. The
-// operator hears "unknown" with the command to repeat, and repeating it, even
+// Appends hang for longer than the command's timeout, then the log works again.
+// The command reports "unknown" with the command to repeat. Repeating it, even
 // twice, publishes the record once.
 func TestPublishUnknownThenRepeated(t *testing.T) {
 	b := newTestEnv(t, standin.Options{})
@@ -71,8 +71,8 @@
 	}
 }
 
-// One of two documents has mistakes: the operator sees all of them with their
-// lines, and neither document is published.
+// One of two documents has mistakes. All of them are reported with their lines,
+// and neither document is published.
 func TestPublishInvalid(t *testing.T) {
 	b := newTestEnv(t, standin.Options{})
 	bad := b.writeExample("returns", "[pool]", "colour = 1\n[pool]\nsize = 0\nshape = 2")
@@ -87,8 +87,8 @@
 	require.Empty(t, st.Services)
 }
 
-// The operator learns how long each node took, and which node could not be
-// asked, while the accepted document stays accepted.
+// --wait-in-force reports the time of each node and the node that could not be
+// reached. The document stays accepted.
 func TestPublishWaitInForce(t *testing.T) {
 	b := newTestEnv(t, standin.Options{})
 	nodes := b.startNode("n1") + "," + b.startNode("n2")
@@ -111,7 +111,7 @@
 	require.Equal(t, got[0].Revision, st.Nodes[0].Status.Revision("booking"))
 	require.Empty(t, st.Services[0].Behind)
 	require.NotZero(t, st.Nodes[0].Status.Digest)
-	require.Equal(t, st.Nodes[0].Status.Digest, st.Nodes[1].Status.Digest, "nodes at one offset")
+	require.Equal(t, st.Nodes[0].Status.Digest, st.Nodes[1].Status.Digest, "nodes at the same offset have the same digest")
 }
 
 func TestExitCodes(t *testing.T) {
@@ -122,17 +122,17 @@
 		word string
 		args []string
 	}{
-		"no such command":     {ExitUsage, "frobnicate", []string{"frobnicate"}},
-		"no such flag":        {ExitUsage, "nope", []string{"publish", "--nope"}},
-		"no file":             {ExitUsage, "which document", []string{"publish"}},
-		"unreadable file":     {ExitUsage, "no such file", []string{"check", "absent.toml"}},
-		"bad output":          {ExitUsage, "xml", []string{"--output", "xml", "check", good}},
-		"host name":           {ExitUsage, "host name", []string{"--platform", "log.example:1", "status"}},
-		"id without base":     {ExitUsage, "--based-on", []string{"publish", "--record-id", "x", good}},
-		"platform is down":    {ExitUnreachable, "cannot reach the platform", []string{"--platform", closedAddress(t), "status"}},
-		"good document":       {ExitOK, "", []string{"check", good}},
-		"help of a command":   {ExitOK, "", []string{"publish", "--help"}},
-		"settings file is no": {ExitUsage, "unknown key", []string{"--config", good, "status"}},
+		"no such command":   {ExitUsage, "frobnicate", []string{"frobnicate"}},
+		"no such flag":      {ExitUsage, "nope", []string{"publish", "--nope"}},
+		"no file":           {ExitUsage, "which document", []string{"publish"}},
+		"unreadable file":   {ExitUsage, "no such file", []string{"check", "absent.toml"}},
+		"bad output":        {ExitUsage, "xml", []string{"--output", "xml", "check", good}},
+		"host name":         {ExitUsage, "host name", []string{"--platform", "log.example:1", "status"}},
+		"id without base":   {ExitUsage, "--based-on", []string{"publish", "--record-id", "x", good}},
+		"platform is down":  {ExitUnreachable, "cannot reach the platform", []string{"--platform", closedAddress(t), "status"}},
+		"good document":     {ExitOK, "", []string{"check", good}},
+		"help of a command": {ExitOK, "", []string{"publish", "--help"}},
+		"invalid settings":  {ExitUsage, "unknown key", []string{"--config", good, "status"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			code, _, errOut := b.run(c.args...)
--- a/internal/operatorcmd/replay.go
+++ b/internal/operatorcmd/replay.go
@@ -25,15 +25,15 @@
 		Name:      "record",
 		Usage:     "record the log and the list of VMs into a trace for replay",
 		ArgsUsage: "FILE",
-		Description: `Records all that the log retains with the outcomes as folded here, and with
---follow also what happens on the log and the list from then on. Ctrl-C ends the
-recording in good order.
+		Description: `Records all that the log retains, with the outcomes of the records, and with
+--follow also later changes of the log and of the list of VMs. Ctrl-C ends the
+recording and leaves a complete trace.
 
 Examples:
    yuccadrift record incident.jsonl.gz
    yuccadrift record --follow 10m --note "rack lost in mid-wave" wave.jsonl.gz`,
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: flagFollow, Usage: "go on recording for this `DURATION`"},
+			&cli.DurationFlag{Name: flagFollow, Usage: "go on recording for `DURATION`"},
 			&cli.StringFlag{Name: flagNote, Usage: "`TEXT` to keep in the trace"},
 		},
 		Action: recordTrace,
@@ -79,7 +79,8 @@
 	return printResult(cmd.Root().Writer, o.format, end, t)
 }
 
-// recordEntries records what there is, and goes on for as long as was asked for.
+// recordEntries records the retained entries and the list of VMs. With --follow,
+// it goes on recording for that duration.
 func recordEntries(ctx context.Context, cmd *cli.Command, o options, rec *trace.Recorder) error {
 	if d := cmd.Duration(flagFollow); d > 0 {
 		ctx, cancel := context.WithTimeout(ctx, d)
@@ -97,11 +98,11 @@
 func replayCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "replay",
-		Usage:     "fold a recorded trace again and say where its stated outcomes differ",
+		Usage:     "apply recorded traces again and report outcomes that differ",
 		ArgsUsage: "FILE...",
-		Description: `Needs no platform. Beside the outcomes it checks what the trace shows of the
-promises: revisions never fall, a VM is in one pool, drains stay within budgets,
-no reboot without a decision, no doubled run, no run behind a "not-run".
+		Description: `Needs no platform. Beside the outcomes, it checks the invariants that a trace can
+show: revisions never decrease, a VM is in one pool, drains stay within budgets, no
+VM reboots without a decision, no request runs twice or despite a "not-run" answer.
 
 Example:
    yuccadrift replay testdata/traces/*.jsonl.gz`,
@@ -109,7 +110,7 @@
 	}
 }
 
-// replayResult is one trace in the output.
+// replayResult is one trace in the output of replay.
 type replayResult struct {
 	File string `json:"file"`
 	trace.Result
@@ -121,7 +122,7 @@
 		return err
 	}
 	if !cmd.Args().Present() {
-		return exitErrorf(ExitUsage, "which trace? give one or more files")
+		return exitErrorf(ExitUsage, "no trace given: name one or more files")
 	}
 	var results []replayResult
 	differing := 0
--- a/internal/operatorcmd/report.go
+++ b/internal/operatorcmd/report.go
@@ -18,9 +18,9 @@
 		Name:     "report",
 		Commands: []*cli.Command{reportDayCommand()},
 		Usage:    "show service-level burn beside buffer cost, roll-out time and moves",
-		Description: `The burn rate relates what was spent in a window to an even use of the budget: at
-1 the budget lasts exactly its own window. A long and a short window above the
-same rate mean that the burn goes on.
+		Description: `The burn rate is the unavailability in a window relative to an even use of the
+budget: at 1, the budget lasts exactly its own window. If both a long and a short
+window are above a rate, the burn is still going on.
 
 Examples:
    yuccadrift report
@@ -66,7 +66,7 @@
 	return t
 }
 
-// formatVMSeconds prints VM-seconds in the unit that keeps the number readable.
+// formatVMSeconds formats VM-seconds in seconds, minutes or hours.
 func formatVMSeconds(seconds float64) string {
 	const minute, hour = 60, 3600
 	switch {
@@ -119,7 +119,7 @@
 	return t
 }
 
-// baselineTable shows the spare VMs held beside those that failures call for.
+// baselineTable compares the spare VMs held with those needed to absorb failures.
 func baselineTable(r measure.Report) *table {
 	t := &table{title: "buffer against its baseline", header: []string{"POOL", "HELD", "NEEDED SHARED", "BASELINE: EACH POOL ITS OWN"}}
 	held := r.Fleet.Free
--- a/internal/operatorcmd/report_day.go
+++ b/internal/operatorcmd/report_day.go
@@ -17,8 +17,8 @@
 const (
 	flagSlow = "slow"
 	flagHTML = "html"
-	// defaultSlowStart is how long a job may wait for its first start without being counted as
-	// late.
+	// defaultSlowStart is the delay of a job's first start from which on the job
+	// counts as late.
 	defaultSlowStart = time.Second
 )
 
@@ -27,20 +27,21 @@
 		Name:      "day",
 		Usage:     "explain a day from the nodes' logs: refusals, late jobs and their causes",
 		ArgsUsage: "[FILE...]",
-		Description: `Reads the logs of all nodes from files, or from standard input if none is given. It
-needs no platform. Lines that can't be read are left out, counted and named.
+		Description: `Reads the logs of all nodes from files, or from standard input if no file is given.
+Needs no platform. Lines that can't be read are skipped, counted and listed.
 
-A job that began late is put down to what held longest while it waited: its owner had
-no store, its partition had no owner, its owner was behind, VMs were on their way to its
-pool; else there was no room for it.
+A late start is attributed to the condition that lasted longest while the job waited:
+its owner could not reach the store, its partition had no owner, its owner was
+overloaded, or VMs were in transit to its pool. If none applies, there was no free
+capacity.
 
 Examples:
    yuccadrift report day logs/*.log
    yuccadrift report day --html day.html logs/*.log
    yuccadrift report day --output json < all.log`,
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: flagSlow, Usage: "count jobs as late that begin this `DURATION` or more after they were taken", Value: defaultSlowStart},
-			&cli.StringFlag{Name: flagHTML, Usage: "write one HTML page with plots to `FILE`, too"},
+			&cli.DurationFlag{Name: flagSlow, Usage: "count a job as late if it starts `DURATION` or more after it was accepted", Value: defaultSlowStart},
+			&cli.StringFlag{Name: flagHTML, Usage: "also write an HTML page with plots to `FILE`"},
 		},
 		Action: reportDay,
 	}
--- a/internal/operatorcmd/report_day_test.go
+++ b/internal/operatorcmd/report_day_test.go
@@ -17,7 +17,7 @@
 not of a node
 `
 
-// runOffline runs a command that needs no platform.
+// runOffline executes a command that needs no platform.
 func runOffline(t *testing.T, args ...string) (code int, out, errOut string) {
 	b := &testEnv{t: t, addr: "127.0.0.1:1"}
 	return b.run(args...)
@@ -40,7 +40,7 @@
 	code, r := runJSON[dayreport.Report](&testEnv{t: t, addr: "127.0.0.1:1"}, "report", "day", "--slow", "3s", log)
 	require.Zero(t, code)
 	assert.Equal(t, 1, r.Jobs.Accepted)
-	assert.Empty(t, r.SlowStarts, "none began 3 s late")
+	assert.Empty(t, r.SlowStarts, "no job must count as late by 3 s")
 }
 
 func TestReportDayErrors(t *testing.T) {
--- a/internal/operatorcmd/root.go
+++ b/internal/operatorcmd/root.go
@@ -1,6 +1,6 @@
-// Package operatorcmd holds the commands of yuccadrift, the operators' command
-// line. It keeps no state: what it shows, it folds from the platform's log or
-// asks the nodes for, and what it changes, it appends to the log.
+// Package operatorcmd implements the commands of yuccadrift, the operators'
+// command line. It keeps no state: it reads state from the platform's log or
+// from the nodes, and makes every change by appending a record to the log.
 package operatorcmd
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Names of the flags that all commands share.
+// Flags common to all commands.
 const (
 	flagConfig   = "config"
 	flagPlatform = "platform"
@@ -21,8 +21,8 @@
 	flagAuthor   = "author"
 )
 
-const description = `Every command that changes something appends a record to the platform's log and
-waits until the record's outcome is known. No other state is kept anywhere.
+const description = `Every command that makes a change appends a record to the platform's log and
+waits until the record's outcome is known. The command line keeps no state.
 
 Examples:
    yuccadrift check services/*.toml
@@ -32,8 +32,8 @@
 
 ` + exitHelp
 
-// Run carries out one command line and returns its exit code. Results go to
-// out, complaints and progress to errOut.
+// Run executes one command line and returns its exit code. It writes results to
+// out, and errors and notices to errOut.
 func Run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	root := command(out, errOut)
 	err := root.Run(ctx, args)
@@ -52,7 +52,7 @@
 		ErrWriter:   errOut,
 		Flags:       commonFlags(),
 		Action:      groupAction,
-		// The default handler ends the process; Run returns the code instead.
+		// The default handler calls os.Exit; Run returns the exit code instead.
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		Commands: []*cli.Command{
 			checkCommand(),
@@ -73,8 +73,9 @@
 	return root
 }
 
-// shortenUsageErrors keeps the library from printing the whole help below a mistake of
-// usage, which would push the one line that helps off the screen.
+// shortenUsageErrors makes cmd and its subcommands report a usage error in one
+// line. By default, the library prints the whole help text, too, which pushes
+// the error message off the screen.
 func shortenUsageErrors(cmd *cli.Command) {
 	cmd.OnUsageError = func(_ context.Context, at *cli.Command, err error, _ bool) error {
 		return exitErrorf(ExitUsage, "%v; see %s --help", err, at.FullName())
@@ -86,16 +87,17 @@
 
 func commonFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: flagConfig, Usage: "read settings from `FILE` (TOML); flags win over it", Sources: cli.EnvVars("YUCCADRIFT_CONFIG")},
+		&cli.StringFlag{Name: flagConfig, Usage: "read settings from `FILE` (TOML); flags take precedence", Sources: cli.EnvVars("YUCCADRIFT_CONFIG")},
 		&cli.StringFlag{Name: flagPlatform, Usage: "`IP:PORT` of the platform"},
-		&cli.StringSliceFlag{Name: flagNodes, Usage: "`IP:PORT,...` of the nodes' peer addresses; without it, the entry members on the log"},
-		&cli.DurationFlag{Name: flagTimeout, Usage: "give up after this `DURATION`", Value: defaultTimeout},
+		&cli.StringSliceFlag{Name: flagNodes, Usage: "`IP:PORT,...` of the nodes' peer addresses; default: the entry members on the log"},
+		&cli.DurationFlag{Name: flagTimeout, Usage: "give up after `DURATION`", Value: defaultTimeout},
 		&cli.StringFlag{Name: flagOutput, Usage: "`FORMAT` of results: table, json or csv", Value: string(formatTable)},
-		&cli.StringFlag{Name: flagAuthor, Usage: "`NAME` that stands on the log beside a change", Sources: cli.EnvVars("USER")},
+		&cli.StringFlag{Name: flagAuthor, Usage: "`NAME` recorded as the author of a change", Sources: cli.EnvVars("USER")},
 	}
 }
 
-// groupAction is the action of a command that only has subcommands.
+// groupAction is the action of a command that only groups subcommands. It
+// prints the help text, or returns an error for an unknown subcommand.
 func groupAction(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Present() {
 		return exitErrorf(ExitUsage, "%s has no command %q; see %s --help", cmd.FullName(), cmd.Args().First(), cmd.FullName())
--- a/internal/operatorcmd/session.go
+++ b/internal/operatorcmd/session.go
@@ -18,22 +18,25 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// logEndPollInterval is how often open looks whether the log is folded to its end.
+// logEndPollInterval is how often awaitLogEnd checks whether the follower has
+// applied the log to its end.
 const logEndPollInterval = 2 * time.Millisecond
 
-// session is one command's connection to the platform, with the log folded to
-// its end.
+// session is one command's connection to the platform, with the state that the
+// log yields up to its end.
 type session struct {
 	options
 	client   *platform.Client
 	states   *entrypeer.States
 	follower *follower.Follower
 	stop     func()
-	// peerState is a node's state in place of the log's; nil as a rule.
+	// peerState replaces the state read from the log while the platform is
+	// unreachable; nil otherwise. A session with a peerState has no connection.
 	peerState *ledger.State
 }
 
-// openSession connects and folds the log up to its present end.
+// openSession connects to the platform and applies the log up to its present
+// end.
 func openSession(ctx context.Context, cmd *cli.Command) (*session, error) {
 	o, err := loadOptions(cmd)
 	if err != nil {
@@ -52,8 +55,8 @@
 	s.follower = follower.New(follower.Config{
 		Log:    client,
 		Stream: o.stream,
-		// A log whose beginning retention has removed is read from a snapshot on,
-		// or from the state of a node where none was published yet.
+		// If retention has removed the log's beginning, the follower starts from a
+		// snapshot, or from a node's state if no snapshot was published yet.
 		SnapshotStream: o.snapshotStream,
 		Peers:          s.states,
 		Logger:         hclog.NewNullLogger(),
@@ -66,10 +69,10 @@
 	return s, nil
 }
 
-// connect returns a client after one read has shown that the platform answers.
+// connect returns a client once the platform has answered one read.
 func connect(ctx context.Context, o options) (*platform.Client, error) {
 	if o.platform == "" {
-		return nil, exitErrorf(ExitUsage, "which platform? give --%s IP:PORT or a settings file", flagPlatform)
+		return nil, exitErrorf(ExitUsage, "no platform address: set --%s IP:PORT or use a settings file", flagPlatform)
 	}
 	client := platform.NewClient(o.platform, platform.ClientOptions{Timeout: o.timeout})
 	probe, cancel := context.WithTimeout(ctx, o.timeout)
@@ -82,7 +85,7 @@
 	return client, nil
 }
 
-// startFollower starts the follower under a supervisor; Close ends both.
+// startFollower starts the follower under a supervisor; Close stops both.
 func (s *session) startFollower(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	supervisor := suture.New("yuccadrift", suture.Spec{PassThroughPanics: true})
@@ -104,13 +107,13 @@
 		case <-tick.C:
 		case <-ctx.Done():
 			condition, detail := s.follower.Condition()
-			return exitErrorf(ExitUnreachable, "the log at %s could not be read to its end within %s: %s %s", s.platform, s.timeout, condition, detail)
+			return exitErrorf(ExitUnreachable, "log at %s not read to its end within %s: %s %s", s.platform, s.timeout, condition, detail)
 		}
 	}
 	return nil
 }
 
-// Close ends the follower and the connections.
+// Close stops the follower and closes the connections.
 func (s *session) Close() {
 	if s.peerState != nil {
 		return
@@ -120,12 +123,12 @@
 	s.client.Close()
 }
 
-// newRecordID returns a record ID.
 func newRecordID() string {
 	return ulid.MustNew(ulid.Now(), rand.Reader).String()
 }
 
-// newRecord returns a record on the subject's present revision.
+// newRecord returns a record with a new ID, based on the subject's present
+// revision.
 func (s *session) newRecord(sub record.Subject, body record.Body) record.Record {
 	rec := record.Record{ID: newRecordID(), Subject: sub, Author: s.author, Time: time.Now().UTC(), Body: body}
 	s.follower.View(func(state *ledger.State) {
@@ -135,8 +138,8 @@
 	return rec
 }
 
-// propose appends rec and waits for its outcome. The error's exit code says
-// what became of it; nil means that it is effective.
+// propose appends rec and waits for its outcome. It returns nil if the record is
+// effective; otherwise the exit code of the error gives the kind of outcome.
 func (s *session) propose(ctx context.Context, rec record.Record) (ledger.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
@@ -145,7 +148,7 @@
 		return out, exitErrorf(ExitRejected, "%v", err)
 	}
 	if err != nil {
-		return out, exitErrorf(ExitUnknown, "outcome unknown after %s: record %s may have taken or may yet take effect", s.timeout, rec.ID)
+		return out, exitErrorf(ExitUnknown, "outcome unknown after %s: record %s may have taken effect or may still take effect", s.timeout, rec.ID)
 	}
 	switch out.Status {
 	case ledger.Effective:
--- a/internal/operatorcmd/settings.go
+++ b/internal/operatorcmd/settings.go
@@ -15,7 +15,7 @@
 	defaultAuthor  = "operator"
 )
 
-// fileSettings is the command line's settings file.
+// fileSettings is the content of the command line's settings file.
 type fileSettings struct {
 	Platform       tomlfile.Address   `toml:"platform"`
 	Stream         string             `toml:"stream"`
@@ -25,7 +25,8 @@
 	Author         string             `toml:"author"`
 }
 
-// options are the settings of one command, flags and file taken together.
+// options are the settings of one command: those of the settings file,
+// overridden by flags.
 type options struct {
 	platform       string // IP:port
 	stream         string
@@ -96,10 +97,10 @@
 
 func (o *options) validate() error {
 	if !o.format.valid() {
-		return exitErrorf(ExitUsage, "--output %q is not known, expected table, json or csv", o.format)
+		return exitErrorf(ExitUsage, "unknown --output %q, expected table, json or csv", o.format)
 	}
 	if o.timeout <= 0 {
-		return exitErrorf(ExitUsage, "--timeout %s is not over zero", o.timeout)
+		return exitErrorf(ExitUsage, "--timeout %s must be positive", o.timeout)
 	}
 	for _, addr := range append([]string{o.platform}, o.nodes...) {
 		if addr == "" {
--- a/internal/operatorcmd/status.go
+++ b/internal/operatorcmd/status.go
@@ -16,37 +16,37 @@
 
 // statusResult is the JSON output of status.
 type statusResult struct {
-	Offset   uint64          `json:"offset"` // end of the log as folded here
+	Offset   uint64          `json:"offset"` // last offset applied by this command
 	Nodes    []nodeStatus    `json:"nodes"`
 	Services []serviceStatus `json:"services"`
 	Members  []memberStatus  `json:"members"`
 	Fleet    fleetStatus     `json:"fleet"`
 }
 
-// fleetStatus counts the VMs that the log knows.
+// fleetStatus counts the VMs on the log.
 type fleetStatus struct {
 	VMs   int `json:"vms"`
-	Free  int `json:"free"` // in no pool
-	Down  int `json:"down"` // found unhealthy
-	Drain int `json:"drain"`
+	Free  int `json:"free"`  // in no pool
+	Down  int `json:"down"`  // found unhealthy
+	Drain int `json:"drain"` // draining
 }
 
-// serviceStatus is one service on the log.
+// serviceStatus is one service in the output of status.
 type serviceStatus struct {
 	Service     string          `json:"service"`
 	Revision    record.Revision `json:"revision"`
 	Author      string          `json:"author"`
 	PublishedAt time.Time       `json:"published_at"`
-	// Behind lists the nodes that have another revision in force.
+	// Behind lists the nodes with another revision in force, as NODE/ROLE.
 	Behind  []string `json:"behind"`
 	Size    int      `json:"size"`
 	Serving int      `json:"serving"`
-	// Spent and Allowed are VM-seconds in the budget's window.
+	// Spent and Allowed are in VM-seconds within the budget's window.
 	Spent   float64 `json:"spent_vm_seconds"`
 	Allowed float64 `json:"allowed_vm_seconds"`
 }
 
-// memberStatus is one entry member on the log.
+// memberStatus is one entry member in the output of status.
 type memberStatus struct {
 	Name    string    `json:"name"`
 	Node    string    `json:"node"`
@@ -72,8 +72,9 @@
 	}
 }
 
-// showStatus shows what can be had: with the platform out of reach it still
-// asks the nodes that it was given.
+// showStatus prints as much of the status as it can read: if the platform is
+// unreachable, it still queries the configured nodes. The error reports what
+// could not be read.
 func showStatus(ctx context.Context, cmd *cli.Command, o options) error {
 	s, err := openSessionWith(ctx, o)
 	if err != nil && (exitCode(err) != ExitUnreachable || len(o.nodes) == 0) {
@@ -147,7 +148,7 @@
 	}
 }
 
-// setBehind names, for each service, the nodes with another revision in force.
+// setBehind sets the Behind field of each service.
 func (r *statusResult) setBehind() {
 	for i := range r.Services {
 		svc := &r.Services[i]
--- a/internal/operatorcmd/story.go
+++ b/internal/operatorcmd/story.go
@@ -14,10 +14,10 @@
 func storyCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "story",
-		Usage:     "tell from the nodes' logs what happened to a job, task, VM or worker",
+		Usage:     "show from the nodes' logs what happened to a job, task, VM or worker",
 		ArgsUsage: "ID [FILE...]",
-		Description: `Reads log lines of all nodes from files, or from standard input if none is given,
-and prints those about ID in the order of their times. It needs no platform.
+		Description: `Reads the log lines of all nodes from files, or from standard input if no file is
+given, and prints the lines about ID in time order. Needs no platform.
 
 Example:
    yuccadrift story 5c0e7a21d94b36f8 logs/*.log`,
@@ -35,7 +35,7 @@
 		return err
 	}
 	if len(lines) == 0 {
-		return errors.Errorf("no line names %s", id)
+		return errors.Errorf("no log line mentions %s", id)
 	}
 	return logstory.Write(cmd.Root().Writer, lines)
 }
--- a/internal/operatorcmd/walk.go
+++ b/internal/operatorcmd/walk.go
@@ -11,13 +11,13 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// walkBatchSize is how many entries one read of a walk asks for.
+// walkBatchSize is the largest number of entries that one read of walk returns.
 const walkBatchSize = 1000
 
-// startSnapshot returns the snapshot that a fold of the whole retained log has to
-// start from: none while the log is complete. Once retention has removed its
-// beginning, outcomes are known from the newest snapshot on only, since what an
-// entry did depends on all entries before it.
+// startSnapshot returns the snapshot from which the retained log must be applied,
+// or nil if the log is complete. The outcome of an entry depends on all entries
+// before it, so that once retention has removed the log's beginning, outcomes are
+// known only from the newest snapshot on.
 func startSnapshot(ctx context.Context, log platform.Log, o options) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
@@ -38,9 +38,9 @@
 	return snapshot, nil
 }
 
-// walk folds the log anew, up to its end at the time of the call, and calls
+// walk applies the retained log to a new state, up to its present end, and calls
 // visit for each entry whose outcome can be known. It returns the offset before
-// the first of these.
+// the first of these entries, 0 if the log is complete.
 func (s *session) walk(ctx context.Context, visit func(appliedEntry)) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
--- a/internal/operatorcmd/wave.go
+++ b/internal/operatorcmd/wave.go
@@ -28,19 +28,19 @@
 	flagReboot   = "reboot"
 )
 
-// wavePollInterval is how often wave show --wait looks at the wave.
+// wavePollInterval is how often wave show --wait checks the wave.
 const wavePollInterval = 100 * time.Millisecond
 
 func waveCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "wave",
-		Usage:  "run maintenance waves: drain, reboot and take back every VM of some pools",
+		Usage:  "run maintenance waves: drain, reboot and return every VM of some pools",
 		Action: groupAction,
 		Commands: []*cli.Command{
 			waveStartCommand(),
-			waveControlCommand("pause", "start no further drain; VMs that are out come back", record.WavePause),
-			waveControlCommand("resume", "go on with a paused wave", record.WaveResume),
-			waveControlCommand("abort", "end a wave; VMs that are out come back", record.WaveAbort),
+			waveControlCommand("pause", "start no further drains; VMs that are out return", record.WavePause),
+			waveControlCommand("resume", "continue a paused wave", record.WaveResume),
+			waveControlCommand("abort", "end a wave; VMs that are out return", record.WaveAbort),
 			waveShowCommand(),
 		},
 	}
@@ -50,8 +50,8 @@
 	return &cli.Command{
 		Name:  "start",
 		Usage: "start a wave over pools",
-		Description: `Every VM that the pools have now is drained, rebooted and taken back once, as
-fast as the pools' availability budgets allow.
+		Description: `Every VM that is in the pools now is drained, rebooted and returned once, as fast
+as the pools' availability budgets allow.
 
 Examples:
    yuccadrift wave start --pools booking,returns --dry-run
@@ -59,10 +59,10 @@
    yuccadrift wave start --name kernel-6.12 --pools export`,
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: flagPools, Usage: "`POOL,...` to maintain", Required: true},
-			&cli.DurationFlag{Name: flagDeadline, Usage: "the wave should be over this `DURATION` from now", Value: 24 * time.Hour},
+			&cli.DurationFlag{Name: flagDeadline, Usage: "the wave should end within `DURATION`", Value: 24 * time.Hour},
 			&cli.StringFlag{Name: flagName, Usage: "`NAME` of the wave; default: wave- and a unique ID"},
-			&cli.BoolFlag{Name: flagDryRun, Usage: "show the plan and how long it would take, and start nothing"},
-			&cli.DurationFlag{Name: flagReboot, Usage: "`DURATION` of a reboot, for pools of which no drains are known yet", Value: defaultReboot},
+			&cli.BoolFlag{Name: flagDryRun, Usage: "show the plan and its expected duration; start nothing"},
+			&cli.DurationFlag{Name: flagReboot, Usage: "`DURATION` of a reboot, for pools without a known drain", Value: defaultReboot},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			name := cmd.String(flagName)
@@ -95,7 +95,7 @@
 	}
 }
 
-// waveResult is one wave in the output of show.
+// waveResult is one wave in the output of wave show.
 type waveResult struct {
 	Wave     string            `json:"wave"`
 	Status   ledger.WaveStatus `json:"status"`
@@ -108,19 +108,19 @@
 	Out      int               `json:"out"`
 	Back     int               `json:"back"`
 	Skipped  map[string]string `json:"skipped,omitempty"`
-	// Waits says by pool why no turn can begin now.
+	// Waits gives, for each waiting pool, why no VM can be drained now.
 	Waits map[string]string `json:"waits,omitempty"`
 }
 
 func waveShowCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "show",
-		Usage:     "show waves and how far they are",
+		Usage:     "show waves and their progress",
 		ArgsUsage: "[WAVE]",
 		Description: `Examples:
    yuccadrift wave show
    yuccadrift --timeout 2h wave show --wait kernel-6.12`,
-		Flags:  []cli.Flag{&cli.BoolFlag{Name: flagWait, Usage: "wait until the wave is over, at most --timeout"}},
+		Flags:  []cli.Flag{&cli.BoolFlag{Name: flagWait, Usage: "wait until the wave is over, for --timeout at most"}},
 		Action: showWaves,
 	}
 }
@@ -141,12 +141,13 @@
 	}
 	waves := s.listWaves(name)
 	if name != "" && len(waves) == 0 {
-		return exitErrorf(ExitRejected, "there is no wave %s (any more)", name)
+		return exitErrorf(ExitRejected, "no wave %s on record", name)
 	}
 	return worseError(waitErr, printResult(cmd.Root().Writer, s.format, waves, waveTable(waves), skipTable(waves), waitTable(waves)))
 }
 
-// awaitWave returns when the wave is over, gone or the timeout is over.
+// awaitWave waits until the wave is over or no longer on record. It returns an
+// error if the session's timeout is over first.
 func (s *session) awaitWave(ctx context.Context, name string) error {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
--- a/internal/operatorcmd/wave_forecast.go
+++ b/internal/operatorcmd/wave_forecast.go
@@ -16,7 +16,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Times of a turn where a pool's own are not known.
+// Durations of the steps of a VM's turn, for pools with too few drains to learn
+// them from.
 const (
 	defaultReboot = 90 * time.Second
 	defaultDrain  = 10 * time.Second
@@ -25,7 +26,7 @@
 
 // forecastResult is the output of wave start --dry-run.
 type forecastResult struct {
-	// Ends is whether the wave would end within the forecast's horizon.
+	// Ends reports whether the wave ends within the forecast's horizon.
 	Ends     bool         `json:"ends"`
 	End      time.Time    `json:"end"`
 	Takes    string       `json:"takes"`
@@ -47,8 +48,8 @@
 	Target string `json:"target,omitempty"`
 }
 
-// forecastWave plays the wave forward on a copy of the state, with the planner that
-// the stewards use.
+// forecastWave simulates the wave on a copy of the state, with the planner that
+// the stewards use, and prints the result.
 func forecastWave(ctx context.Context, cmd *cli.Command, start record.WaveStart) error {
 	s, err := openForRead(ctx, cmd)
 	if err != nil {
