--- a/cmd/yuccadrift-entry/main.go
+++ b/cmd/yuccadrift-entry/main.go
@@ -1,4 +1,4 @@
-// Command yuccadrift-entry carries callers' requests to backend servers.
+// Command yuccadrift-entry forwards callers' requests to backend servers.
 package main
 
 import (
@@ -9,5 +9,5 @@
 const binary = "yuccadrift-entry"
 
 func main() {
-	command.Main(command.Daemon(binary, "carry callers' requests to backend servers", settings.LoadEntry, run))
+	command.Main(command.Daemon(binary, "forward callers' requests to backend servers", settings.LoadEntry, run))
 }
--- a/cmd/yuccadrift-entry/run.go
+++ b/cmd/yuccadrift-entry/run.go
@@ -23,8 +23,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/supervise"
 )
 
-// run serves until the callers' server has left, which begins when stop ends:
-// the other duties are needed until then.
+// run serves until the server for callers has drained, which begins when stopCtx
+// is done. All other duties run until then, since draining needs them.
 func run(stopCtx context.Context, s settings.Entry) error {
 	ctx := context.WithoutCancel(stopCtx)
 	logger := logging.New(binary, s.Node, s.Log, os.Stderr)
@@ -75,13 +75,13 @@
 	return supervise.Run(ctx, binary, logger, duties...)
 }
 
-// listeners are the process's bound addresses, one for each kind of peer.
+// listeners are the process's listeners for operators, callers and other nodes.
 type listeners struct {
 	admin, callers, peers caller.Listener
 }
 
-// bindListeners opens all addresses first, so that one in use ends the start before
-// anything else was begun.
+// bindListeners opens all listeners. It runs before anything else is started, so
+// that an address in use fails the start early.
 func bindListeners(ctx context.Context, s settings.Entry) (l listeners, err error) {
 	if l.admin, err = listen.TCP(ctx, "admin.listen", s.Admin.Listen); err != nil {
 		return l, err
@@ -93,8 +93,8 @@
 	return l, err
 }
 
-// advertisedAddress is what other nodes dial. The listener knows its port also where
-// the settings leave that to the system.
+// advertisedAddress returns the address that other nodes dial. It defaults to the
+// listener's address, whose port is the bound one if the settings give port 0.
 func advertisedAddress(s settings.Entry, l caller.Listener) string {
 	if s.Peers.Advertise.IsValid() {
 		return s.Peers.Advertise.String()
@@ -102,7 +102,7 @@
 	return l.Addr().String()
 }
 
-// operatorConfig is what the process tells the command line about itself.
+// operatorConfig returns the configuration of the Operator service.
 func operatorConfig(s settings.Entry, follow *follower.Follower, ent *entry.Entry, readiness *admin.Readiness) operator.ServerConfig {
 	return operator.ServerConfig{
 		Node:         s.Node.ID,
@@ -114,7 +114,7 @@
 	}
 }
 
-// newAdminServer serves metrics, health and readiness.
+// newAdminServer returns the server of metrics, health and readiness.
 func newAdminServer(s settings.Entry, l caller.Listener, registry *prometheus.Registry, readiness *admin.Readiness, logger hclog.Logger) *admin.Server {
 	return admin.New(admin.Config{
 		Listener:  l,
--- a/cmd/yuccadrift-steward/main.go
+++ b/cmd/yuccadrift-steward/main.go
@@ -1,5 +1,5 @@
-// Command yuccadrift-steward makes and carries out the fleet decisions of one
-// entry VM.
+// Command yuccadrift-steward makes and executes the fleet decisions of one entry
+// VM.
 package main
 
 import (
@@ -15,7 +15,7 @@
 const binary = "yuccadrift-steward"
 
 func main() {
-	command.Main(command.Daemon(binary, "make and carry out the fleet decisions of this VM", settings.LoadSteward, run))
+	command.Main(command.Daemon(binary, "make and execute the fleet decisions of this VM", settings.LoadSteward, run))
 }
 
 func run(ctx context.Context, s settings.Steward) error {
--- a/cmd/yuccadrift/main.go
+++ b/cmd/yuccadrift/main.go
@@ -1,5 +1,6 @@
-// Command yuccadrift is the operators' command line: check and publish service
-// documents, watch the nodes, drain VMs, run waves and jobs, report and replay.
+// Command yuccadrift is the operators' command line. It checks and publishes
+// service documents, shows the status of nodes, drains VMs, runs maintenance
+// waves, manages jobs, reports, and records and replays traces.
 package main
 
 import (
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,6 @@
-// Package command is the frame of the binaries: they end on SIGTERM and SIGINT,
-// show their error on standard error and exit with 1 after one.
+// Package command runs the commands of the binaries. SIGTERM and SIGINT cancel
+// the command's context. An error is printed on standard error and makes the
+// process exit with code 1.
 package command
 
 import (
@@ -12,8 +13,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Main runs a binary's command with the process's arguments and ends the
-// process if it fails.
+// Main runs a binary's command with the process's arguments, and exits with code
+// 1 if it fails.
 func Main(cmd *cli.Command) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	err := cmd.Run(ctx, os.Args)
@@ -24,8 +25,8 @@
 	}
 }
 
-// Daemon returns the command of a daemon: it loads settings from the file given
-// by --config, and runs with them unless --check is given.
+// Daemon returns the command of a daemon. It loads settings from the file given
+// by --config and, unless --check is given, runs with them.
 func Daemon[S any](name, usage string, load func(file string) (S, error), run func(context.Context, S) error) *cli.Command {
 	return &cli.Command{
 		Name:  name,
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -14,18 +14,18 @@
 	"github.com/yuccadrift/yuccadrift/internal/operator/operatorpb"
 )
 
-// ErrUnreachable means that no process answered at a node's address.
+// ErrUnreachable is returned if no process answers at a node's address.
 var ErrUnreachable = errors.New("node unreachable")
 
-// Client asks one process.
+// Client reads the status of one process.
 type Client struct {
 	addr string
 	conn *grpc.ClientConn
 	rpc  operatorpb.OperatorClient
 }
 
-// NewClient returns a client for the process whose peer address is addr
-// (IP:port). It connects on the first call.
+// NewClient returns a client for the process with the peer address addr
+// (IP:port). The client connects on the first call.
 func NewClient(addr string) (*Client, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -34,17 +34,17 @@
 	return &Client{addr: addr, conn: conn, rpc: operatorpb.NewOperatorClient(conn)}, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() error { return c.conn.Close() }
 
-// Status returns the process's status now. The error is ErrUnreachable or
-// ctx's.
+// Status returns the present status of the process. The error wraps
+// ErrUnreachable if no process answers before ctx's deadline.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	return c.call(ctx, &operatorpb.StatusRequest{})
 }
 
-// StatusAfter returns the status once the process acts on offset, or when wait
-// is over.
+// StatusAfter returns the status once the process acts on offset, or after wait
+// if that is earlier.
 func (c *Client) StatusAfter(ctx context.Context, offset uint64, wait time.Duration) (Status, error) {
 	return c.call(ctx, &operatorpb.StatusRequest{AfterOffset: offset, MaxWait: durationpb.New(wait)})
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -17,30 +17,31 @@
 
 // Limits of a waiting Status call.
 const (
-	// offsetPollInterval is how often a waiting call looks at the offset, and so the
-	// resolution of the time to in force that the command line measures.
+	// offsetPollInterval is how often a waiting call checks the offset. It is also
+	// the resolution of the time to in force that the command line measures.
 	offsetPollInterval = 5 * time.Millisecond
-	// maxWait bounds one call, so that callers who left cost nothing for long.
+	// maxWait bounds one call, so that a call whose client is gone ends soon.
 	maxWait = 30 * time.Second
 )
 
-// State is the folded state of the process; a follower.Follower is one.
+// State provides the state that the process has read from the log. It is
+// implemented by follower.Follower.
 type State interface {
 	View(func(*ledger.State))
 	Fresh() time.Time
 }
 
-// ServerConfig is what a daemon tells about itself. Acting and Unready may be
-// nil.
+// ServerConfig describes a daemon to the Operator service.
 type ServerConfig struct {
 	Node  string
 	Role  Role
 	Zone  string
 	State State
-	// ActingOffset returns the offset up to which the process acts on what it folded.
-	// Nil means that it acts on the folded state itself.
+	// ActingOffset returns the offset up to which the process acts on its state. If
+	// nil, the process acts on every offset that State has applied.
 	ActingOffset func() uint64
-	// Unready returns why the process is not ready, empty when it is.
+	// Unready returns the reasons why the process is not ready, none if it is. If
+	// nil, the process is always ready.
 	Unready func() []string
 }
 
@@ -50,8 +51,9 @@
 	digest digestCache
 }
 
-// digestCache keeps the latest digest: computing one encodes the whole state, which
-// would make each of many waiting calls hold the state's lock for milliseconds.
+// digestCache holds the latest digest. Computing a digest encodes the whole
+// state; without the cache, each of many concurrent calls would hold the state's
+// lock for milliseconds.
 type digestCache struct {
 	mu     sync.Mutex
 	offset uint64
@@ -88,7 +90,7 @@
 	return out.toProto(), nil
 }
 
-// await returns once the process acts on offset, wait is over or ctx ends.
+// await returns once the process acts on offset, wait is over or ctx is done.
 func (s *server) await(ctx context.Context, offset uint64, wait time.Duration) {
 	if s.actingOffset() >= offset || wait <= 0 {
 		return
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -1,5 +1,5 @@
-// Package operator is the peer package for the operators' command line: the
-// gRPC service that both daemons offer to it, and its client.
+// Package operator implements the gRPC service through which the operators'
+// command line reads the status of both daemons, and its client.
 package operator
 
 import (
@@ -11,44 +11,46 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Role says which daemon answered.
+// Role is the kind of daemon.
 type Role string
 
-// Roles of a node's processes.
+// Roles of the daemons.
 const (
 	RoleEntry   Role = "entry"
 	RoleSteward Role = "steward"
 )
 
-// Status is one process's word about itself.
+// Status is what one process reports about itself.
 type Status struct {
 	Node string `json:"node"`
 	Role Role   `json:"role"`
 	Zone string `json:"zone"`
-	// Offset is the highest folded offset, ActingOffset the one up to which the
-	// process acts on what it folded.
+	// Offset is the last log offset that the process applied to its state.
+	// ActingOffset is the offset up to which it also acts on that state.
 	Offset       uint64 `json:"offset"`
 	ActingOffset uint64 `json:"acting_offset"`
-	// Digest is of the state at Offset: equal on all nodes at the same offset.
+	// Digest is the digest of the state at Offset. It is equal on all nodes at
+	// the same offset.
 	Digest uint64 `json:"digest"`
-	// Fresh is when the latest read that reached the end of the log was sent,
-	// and Now the time of this status, both by the node's clock.
+	// Fresh is when the latest read that reached the end of the log was sent; zero
+	// before the first such read. Now is the time of this status. Both are times of
+	// the node's clock.
 	Fresh time.Time `json:"fresh"`
 	Now   time.Time `json:"now"`
-	// Unready says why the process is not ready; empty when it is.
+	// Unready lists the reasons why the process is not ready; empty if it is.
 	Unready   []string   `json:"unready"`
 	Documents []Document `json:"documents"`
 	Members   []string   `json:"members"`
 }
 
-// Document is a service's document in force on the node.
+// Document identifies a service's document in force on the node.
 type Document struct {
 	Service  string          `json:"service"`
 	Revision record.Revision `json:"revision"`
 }
 
-// Lag is how old the node's knowledge of the end of the log is. known is false
-// before the node's first complete read.
+// Lag returns the age of the latest read that reached the end of the log. known
+// is false before the first such read.
 func (s Status) Lag() (lag time.Duration, known bool) {
 	if s.Fresh.IsZero() {
 		return 0, false
@@ -56,7 +58,8 @@
 	return s.Now.Sub(s.Fresh), true
 }
 
-// Revision returns the revision of the service's document in force, 0 for none.
+// Revision returns the revision of the service's document in force, or 0 if there
+// is none.
 func (s Status) Revision(service string) record.Revision {
 	for _, d := range s.Documents {
 		if d.Service == service {
