--- a/internal/document/defaults.go
+++ b/internal/document/defaults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Defaults of keys that a document may leave out.
+// Defaults of optional keys.
 const (
 	DefaultMinZones       = 1
 	DefaultMinRacks       = 1
@@ -20,11 +20,11 @@
 	DefaultWeigh          = WeighBuffer
 )
 
-// Bounds of what a document may ask for.
+// Bounds of values in a document.
 const (
-	// MaxText is the largest document in bytes, room for some 400 quotas. Every
-	// node parses each document as it folds the log, and the decoder's time grows
-	// with the square of the text where keys are unknown.
+	// MaxText is the largest document in bytes, enough for some 400 quotas. Every
+	// node parses each document when it applies the log, and the time of the
+	// decoder is quadratic in the length of a text with unknown keys.
 	MaxText = 32 << 10
 	// MaxName is the longest service or team name.
 	MaxName = 63
@@ -33,11 +33,11 @@
 	// MinWindow and MaxWindow bound the budget's window.
 	MinWindow = time.Minute
 	MaxWindow = 366 * 24 * time.Hour
-	// MinOutage is the shortest drain that a budget must bear once per window:
-	// below it the pool could never be maintained.
+	// MinOutage is the shortest drain that a budget must allow once per window.
+	// With less, the pool could never be maintained.
 	MinOutage = 30 * time.Second
-	// MinDeadline and MaxDeadline bound a route's deadline; MaxDeadline bounds
-	// the drain as well.
+	// MinDeadline and MaxDeadline bound a route's deadline. MaxDeadline also bounds
+	// limits.drain.
 	MinDeadline = time.Millisecond
 	MaxDeadline = 24 * time.Hour
 	// MaxBodyLimit is the largest max_body.
@@ -45,8 +45,8 @@
 	// MinLease and MaxLease bound a task's lease.
 	MinLease = time.Second
 	MaxLease = time.Hour
-	// MaxCores and MaxMemoryMB bound every amount of cores and memory, so that
-	// sums over a fleet cannot overflow.
+	// MaxCores and MaxMemoryMB bound every amount of cores and memory, so that sums
+	// over a fleet cannot overflow.
 	MaxCores    = 1_000_000
 	MaxMemoryMB = 1_000_000_000
 	// MaxSlots bounds slots and connections.
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -1,15 +1,15 @@
-// Package document holds a service's document: what its team declares about
-// the pool, budget, routes, limits and jobs of the service. A document is
-// written in TOML and owned by one team.
+// Package document defines a service's document, in which the team that owns it
+// declares the pool, budget, routes, limits and jobs of the service. A document
+// is written in TOML.
 package document
 
 import "time"
 
-// Document is one service's declaration. Times are durations; sizes of memory
-// are in MB, of requests in bytes.
+// Document is one service's declaration. Sizes of memory are in MB, those of
+// requests in bytes.
 type Document struct {
-	// Service is lower-case letters, digits and dashes. Callers name it in the
-	// first element of the request's path.
+	// Service is the service's name, of lower-case letters, digits and dashes.
+	// Callers give it as the first element of the request's path.
 	Service string
 	// Team owns the document.
 	Team   string
@@ -19,40 +19,39 @@
 	Limits Limits
 	Quotas []Quota
 	Jobs   Jobs
-	// Weigh sets what the pool's planning gives up first.
+	// Weigh sets what the planning of the pool minimizes.
 	Weigh Weigh
 }
 
-// Pool is how much of the fleet the service needs. The pool's name is the
-// service's name.
+// Pool declares the VMs that the service needs. The pool has the service's name.
 type Pool struct {
-	// Size is the number of VMs; 0 empties the pool.
+	// Size is the number of VMs. 0 empties the pool.
 	Size int
-	// MinZones and MinRacks are the least number of availability zones and
-	// racks that the pool's VMs are spread over.
+	// MinZones and MinRacks are the minimum numbers of availability zones and racks
+	// that the pool's VMs are spread over.
 	MinZones int
 	MinRacks int
-	// Needs bound which VMs fit.
+	// MinCores, MinMemoryMB and MinAccelerators are what each VM must have.
 	MinCores        int
 	MinMemoryMB     int
 	MinAccelerators int
 }
 
-// Budget is the unavailability that the pool bears.
+// Budget is the unavailability that the pool may have.
 type Budget struct {
 	// Window is the length of the rolling window.
 	Window time.Duration
 	// Allowed is the share of the pool's VM-seconds in Window that may be
-	// unavailable, over 0 and under 1.
+	// unavailable: more than 0 and less than 1.
 	Allowed float64
-	// MaxUnavailable is the most VMs unavailable at once, failures included.
+	// MaxUnavailable is the maximum number of VMs that are unavailable at the same
+	// time, failures included.
 	MaxUnavailable int
-	// OneDomain is true when planned unavailability may touch only one rack
-	// at a time.
+	// OneDomain limits planned unavailability to one rack at a time.
 	OneDomain bool
 }
 
-// Class orders requests when there is more load than room.
+// Class determines which requests are shed first under overload.
 type Class string
 
 // Classes of requests. Long requests are shed before quick ones.
@@ -61,38 +60,38 @@
 	ClassLong  Class = "long"
 )
 
-// Route maps a path prefix of the service to how its requests are treated.
+// Route sets how requests with a path prefix of the service are handled.
 //
-// A request for /booking/chairs/7 is for service booking; what follows the
-// first path element, here /chairs/7, is matched against the prefixes. A prefix
+// A request for /booking/chairs/7 is for service booking. The path after the
+// first element, here /chairs/7, is matched against the prefixes. A prefix
 // matches whole path elements: /chairs matches /chairs and /chairs/7 but not
-// /chairs-old, and / matches everything. The longest matching prefix wins. A
-// request that no prefix matches is refused.
+// /chairs-old, and / matches everything. The longest matching prefix applies. A
+// request that matches no prefix is refused.
 type Route struct {
-	// Prefix starts with a slash and ends with none, / itself excepted.
+	// Prefix starts with a slash and, except for / itself, does not end with one.
 	Prefix string
 	Class  Class
-	// Repeatable requests may be sent again after an unknown outcome.
+	// Repeatable allows sending a request again after an unknown outcome.
 	Repeatable bool
-	// Deadline is the longest time a request may take; a caller's own, shorter
-	// deadline wins.
+	// Deadline bounds the duration of a request. A shorter deadline of the caller
+	// takes precedence.
 	Deadline time.Duration
 	// MaxBody is the largest request body in bytes.
 	MaxBody int64
 }
 
-// Limits bound what the service may ask of its backend servers.
+// Limits bounds the load on the service's backend servers.
 type Limits struct {
-	Slots       int // requests that one backend server runs at once
+	Slots       int // concurrent requests on one backend server
 	Connections int // connections to one backend server from all entry VMs
-	// RetryShare is the share of fresh requests that retries may add.
+	// RetryShare is the highest ratio of retries to first attempts, 0 to 1.
 	RetryShare float64
 	// Drain is how long a request in flight may take to finish when its
 	// backend server or entry VM leaves.
 	Drain time.Duration
 }
 
-// Quota is what a team may use of the service's pool for jobs.
+// Quota is the part of the service's pool that a team's jobs may use.
 type Quota struct {
 	Team         string
 	MilliCores   int // thousandths of a core
@@ -100,33 +99,33 @@
 	Accelerators int
 }
 
-// LongJobs says what a drain does with a job that is running on the VM.
+// LongJobs sets what a drain does with a job that is running on the VM.
 type LongJobs string
 
-// Ways to treat running jobs on a drain.
+// Values of LongJobs.
 const (
 	LongJobsWait       LongJobs = "wait"
 	LongJobsCheckpoint LongJobs = "checkpoint"
-	LongJobsSkip       LongJobs = "skip" // take the VM's turn later
+	LongJobsSkip       LongJobs = "skip" // drain the VM later
 )
 
-// Jobs is how the pool runs jobs.
+// Jobs sets how the pool runs jobs.
 type Jobs struct {
 	OnDrain LongJobs
-	// UrgentMilliCores is room held back for urgent work, in thousandths of a
-	// core over the whole pool.
+	// UrgentMilliCores is the capacity reserved for urgent work over the whole
+	// pool, in thousandths of a core.
 	UrgentMilliCores int
-	// Lease is how long a task runs without its lease being renewed.
+	// Lease is how long a task runs without a renewal of its lease.
 	Lease time.Duration
 }
 
-// Weigh sets what planning prefers.
+// Weigh sets what planning minimizes.
 type Weigh string
 
-// Preferences of planning.
+// Values of Weigh.
 const (
-	WeighBuffer Weigh = "buffer" // fewest idle VMs
-	WeighMoves  Weigh = "moves"  // fewest VMs disturbed
+	WeighBuffer Weigh = "buffer" // the number of idle VMs
+	WeighMoves  Weigh = "moves"  // the number of disturbed VMs
 )
 
 // AllowedSeconds returns the budget in VM-seconds per window.
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -141,9 +141,9 @@
 	}
 }
 
-// A team mistypes one value, which decodes to no value or to its default. Only
-// that line may be blamed: a check of a sound key against the default would send
-// the team to the wrong line. The service's name is kept for the message.
+// A mistyped value decodes to zero or to its default. Only its line must be
+// reported: checking a valid key against that value would point the team to the
+// wrong line. The service's name is kept for the message.
 func TestMistypedValueIsTheOnlyProblem(t *testing.T) {
 	for change, key := range map[string]string{
 		"size = 10->size = \"ten\"\nmin_zones = 3":                                "pool.size",
@@ -164,7 +164,7 @@
 		assert.Equal(t, document.Document{Service: "booking"}, doc)
 	}
 	doc, _ := document.Parse("b.toml", []byte("service = \"Booking\"\n"))
-	assert.Empty(t, doc.Service, "a name that is no name is not passed on")
+	assert.Empty(t, doc.Service, "an invalid service name must not be returned")
 }
 
 func TestParseAcceptsAnEmptyPool(t *testing.T) {
@@ -172,8 +172,8 @@
 	assert.NoError(t, problems.Err())
 }
 
-// A document with thousands of mistakes comes from a template gone wrong. Every
-// node reads it as it folds the log, so only the first hundred are looked for.
+// A broken template can yield a document with thousands of mistakes. Every node
+// parses it when it applies the log, so parsing must stop after MaxProblems.
 func TestParseStopsAfterManyMistakes(t *testing.T) {
 	for _, unit := range []string{"[[quota]]\nteam = 1\n", "[[quota]]\nx = 1\n", "[[quota]]\nteam = \"-\"\n"} {
 		_, problems := document.Parse("b.toml", []byte(minimal+strings.Repeat(unit, 1000)))
@@ -181,8 +181,8 @@
 	}
 }
 
-// A team's text may hold anything; whatever it holds, parsing ends, is
-// deterministic, and a document without a problem is one that planning can use.
+// Whatever a text holds, parsing must end and be deterministic, and a document
+// without problems must be usable for planning.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(minimal))
 	f.Add([]byte(minimal + "[[route]]\nprefix=\"/a\"\n[[quota]]\nteam=\"x\"\ncores=1\nmemory_mb=1\n"))
@@ -201,8 +201,8 @@
 	})
 }
 
-// BenchmarkParse parses the largest example, and a text of the greatest length
-// with as many unknown keys as fit.
+// BenchmarkParse parses an example and a text of MaxText bytes with as many
+// unknown keys as fit.
 func BenchmarkParse(b *testing.B) {
 	example, err := os.ReadFile("../../examples/ramcharan/booking.toml")
 	require.NoError(b, err)
--- a/internal/document/parse.go
+++ b/internal/document/parse.go
@@ -8,11 +8,11 @@
 	"github.com/yuccadrift/yuccadrift/internal/tomlfile"
 )
 
-// Problem is one mistake in a document, with its place.
+// Problem is one mistake in a document, with its position.
 type Problem = tomlfile.Problem
 
-// tomlDocument mirrors the TOML text. Pointers tell a key that is absent from one that
-// is set to zero.
+// tomlDocument mirrors the TOML text. Pointers distinguish an absent key from a
+// zero value.
 type tomlDocument struct {
 	Service string  `toml:"service"`
 	Team    string  `toml:"team"`
@@ -90,10 +90,11 @@
 	}
 }
 
-// Parse reads and validates a document. It returns every mistake found, in the
-// order of the lines. With a mistake the document holds no more than a valid
-// Service, for messages. Parse is deterministic, as the ledger calls it at each
-// publish record. name is the file's name in problems.
+// Parse decodes and validates a document. It returns all problems in line order,
+// up to tomlfile.MaxProblems. If there is a problem, the returned document holds
+// at most a valid Service, for messages. Parse must be deterministic, since every
+// node's ledger calls it for each publish record. name is the file's name in
+// problems.
 func Parse(name string, text []byte) (Document, tomlfile.Problems) {
 	if len(text) > MaxText {
 		what := fmt.Sprintf("the document has %d bytes", len(text))
@@ -115,10 +116,10 @@
 	return Document{Service: doc.Service}, v.problems
 }
 
-// Reload decodes a document that passed Parse before, maybe that of another
-// build: what this build would refuse is let through, since a document that is
-// in force stays so until its team publishes another. For a text that passes
-// Parse both return the same.
+// Reload decodes a document that was accepted by Parse, possibly by that of
+// another build. It skips validation, since a document stays in force until its
+// team publishes another one, even if this build would refuse it. For a text that
+// Parse accepts, both return the same document.
 func Reload(text string) (Document, error) {
 	f, _, problems := tomlfile.DecodeOver("document", []byte(text), defaults())
 	if problems.Malformed() {
@@ -189,9 +190,9 @@
 	return *v
 }
 
-// milliCores converts cores to thousandths. A value out of range becomes -1,
-// which validation has already refused: the conversion of a float that does not
-// fit an int is not the same on every processor.
+// milliCores converts cores to thousandths of a core. It returns -1 for a value
+// out of range, which validation refuses: the result of converting a float that
+// does not fit an int depends on the processor.
 func milliCores(cores float64) int {
 	if !(cores >= 0 && cores <= MaxCores) {
 		return -1
--- a/internal/document/validate.go
+++ b/internal/document/validate.go
@@ -14,16 +14,16 @@
 	prefixPattern = regexp.MustCompile(`^/$|^(/[A-Za-z0-9._~-]+)+$`)
 )
 
-// NameFormat says what a service or team name looks like, for messages.
+// NameFormat describes a valid service or team name, for messages.
 const NameFormat = "1 to 63 lower-case letters, digits and dashes, with no dash at an end"
 
-// ValidName reports whether name can be a service's or a team's: it stands in
-// URL paths and in the platform's names.
+// ValidName reports whether name is a valid name of a service or team. Names occur
+// in URL paths and in names of the platform.
 func ValidName(name string) bool {
 	return len(name) <= MaxName && namePattern.MatchString(name)
 }
 
-// validator collects the mistakes of one decoded document.
+// validator collects the problems of one decoded document.
 type validator struct {
 	doc       Document
 	file      tomlDocument
@@ -58,7 +58,7 @@
 	}
 }
 
-// inRange refuses a value outside lo..hi.
+// inRange reports whether value is in lo..hi, and adds a problem if it is not.
 func inRange[T int | int64](v *validator, key string, value, lo, hi T) bool {
 	if value >= lo && value <= hi {
 		return true
@@ -79,7 +79,8 @@
 	return false
 }
 
-// cores is written so that it refuses NaN, which compares false with anything.
+// cores checks a number of cores. The condition is written so that NaN, which
+// compares false with everything, fails it.
 func (v *validator) cores(key string, value float64) bool {
 	if value >= 0 && value <= MaxCores {
 		return true
@@ -158,7 +159,7 @@
 		if !v.duration(key+".deadline", r.Deadline, MinDeadline, MaxDeadline) {
 			continue
 		}
-		// A drain that ends before the longest request does would cut it.
+		// A drain that is shorter than the deadline would cut requests.
 		if drain := v.doc.Limits.Drain; r.Deadline > drain && !v.problems.Has("limits.drain") {
 			v.addProblem(key+".deadline", fmt.Sprintf("is %s, but limits.drain cuts requests after %s", r.Deadline, drain),
 				"a deadline up to limits.drain; raise limits.drain")
@@ -226,6 +227,6 @@
 	p := v.doc.Pool
 	if p.Size > 0 && p.MinCores > 0 && j.UrgentMilliCores > 1000*p.Size*p.MinCores {
 		v.addProblem("jobs.urgent_cores", fmt.Sprintf("is %v, more than the pool's %d VMs of %d cores", v.file.Jobs.UrgentCores, p.Size, p.MinCores),
-			"room for urgent work that the pool can have")
+			"no more cores than the pool has")
 	}
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -10,8 +10,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/tomlfile"
 )
 
-// Bounds of settings. Each keeps a typing mistake (ms for s) from becoming an
-// outage; they are wide enough for any use seen so far.
+// Bounds of settings. They keep a typing mistake, such as ms for s, from causing
+// an outage, and are wide enough for every known use.
 const (
 	minDuration    = time.Millisecond
 	maxDuration    = time.Hour
@@ -23,12 +23,13 @@
 )
 
 var (
-	// identifierPattern is what identifiers look like: they stand in records, metrics and logs.
+	// identifierPattern matches identifiers, which occur in records, metrics and
+	// logs.
 	identifierPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 	logLevels         = []string{"trace", "debug", "info", "warn", "error"}
 )
 
-// checker collects what is wrong with decoded settings.
+// checker collects the problems of decoded settings.
 type checker struct {
 	positions tomlfile.Positions
 	problems  tomlfile.Problems
@@ -112,7 +113,7 @@
 	c.duration("planning.action_timeout", s.ActionTimeout)
 }
 
-// missing reports a key that has no default and was left out.
+// missing adds a problem and returns true if key, which has no default, is absent.
 func (c *checker) missing(key, expected string) bool {
 	if c.positions.Has(key) {
 		return false
@@ -131,8 +132,8 @@
 	}
 }
 
-// listenAddress checks an address that this process binds. Port 0 lets the system
-// choose one.
+// listenAddress checks an address that this process binds. Port 0 lets the
+// operating system choose a port.
 func (c *checker) listenAddress(key string, a tomlfile.Address) {
 	if !a.IsValid() {
 		c.missing(key, "an IP number and port of this VM")
@@ -151,7 +152,7 @@
 	}
 }
 
-// distinctListeners reports a second listener on the address of a first one. An
+// distinctListeners adds a problem if two listeners have the same address. An
 // unspecified address covers every address of the VM.
 func (c *checker) distinctListeners(first string, a tomlfile.Address, second string, b tomlfile.Address) {
 	if !a.IsValid() || !b.IsValid() || a.Port() == 0 || a.Port() != b.Port() {
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -31,8 +31,8 @@
 	DefaultCheckTimeout      = 500 * time.Millisecond
 	DefaultConnectTimeout    = 500 * time.Millisecond
 	DefaultBackendIdle       = 30 * time.Second
-	// DefaultBackendConnections is what a backend server of today takes from
-	// all entry VMs together.
+	// DefaultBackendConnections is the number of connections that a present-day
+	// backend server accepts from all entry VMs together.
 	DefaultBackendConnections = 64
 	DefaultClaimLease         = 2 * time.Second
 	DefaultClockAllowance     = 500 * time.Millisecond
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -115,7 +115,7 @@
 	require.NoError(t, err)
 }
 
-// Whatever stands in a settings file, a daemon reports it and does not crash.
+// Whatever a settings file holds, a daemon must report it and not crash.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(common))
 	f.Add([]byte("[peers]\nseeds = [1, \"x\"]\n[log]\nlevel = {}"))
