--- a/internal/operatorcmd/check.go
+++ b/internal/operatorcmd/check.go
@@ -37,7 +37,7 @@
 			if err != nil {
 				return err
 			}
-			sources, err := readSources(cmd.Args().Slice())
+			sources, err := readDocuments(cmd.Args().Slice())
 			if err != nil {
 				return err
 			}
@@ -46,9 +46,9 @@
 	}
 }
 
-// readSources reads and validates files. An error is a usage error; mistakes in
+// readDocuments reads and validates files. An error is a usage error; mistakes in
 // documents are in the problems of each file.
-func readSources(files []string) ([]documentFile, error) {
+func readDocuments(files []string) ([]documentFile, error) {
 	if len(files) == 0 {
 		return nil, exitErrorf(ExitUsage, "which document? give one or more files")
 	}
--- a/internal/operatorcmd/history.go
+++ b/internal/operatorcmd/history.go
@@ -74,7 +74,7 @@
 	}
 	defer s.Close()
 	lines := []historyLine{}
-	from, err := s.walk(ctx, func(st appliedEntry) {
+	from, err := s.applyLog(ctx, func(st appliedEntry) {
 		if matchesFilter(st.Outcome, cmd.Args().First(), cmd.String(flagKind)) {
 			lines = append(lines, newHistoryLine(st))
 		}
--- a/internal/operatorcmd/member.go
+++ b/internal/operatorcmd/member.go
@@ -64,14 +64,14 @@
 	if address == "" {
 		return exitErrorf(ExitRejected, "%s is no member; yuccadrift status lists them", name)
 	}
-	if answersAt(ctx, address) {
+	if nodeAnswers(ctx, address) {
 		return exitErrorf(ExitRejected, "%s is not stopped: a process answers at %s", name, address)
 	}
 	return s.proposeAndPrint(ctx, cmd, record.Subject{Kind: record.SubjectMember, Name: name}, record.MemberLeave{}, "remove")
 }
 
-// answersAt reports whether a node answers at a peer address.
-func answersAt(ctx context.Context, address string) bool {
+// nodeAnswers reports whether a node answers at a peer address.
+func nodeAnswers(ctx context.Context, address string) bool {
 	c, err := operator.NewClient(address)
 	if err != nil {
 		return false
--- a/internal/operatorcmd/publish.go
+++ b/internal/operatorcmd/publish.go
@@ -76,7 +76,7 @@
 	if cmd.IsSet(flagRecordID) && !cmd.IsSet(flagBasedOn) {
 		return exitErrorf(ExitUsage, "--%s needs --%s, as the earlier attempt printed them", flagRecordID, flagBasedOn)
 	}
-	sources, err := readSources(cmd.Args().Slice())
+	sources, err := readDocuments(cmd.Args().Slice())
 	if err != nil {
 		return err
 	}
--- a/internal/operatorcmd/replay.go
+++ b/internal/operatorcmd/replay.go
@@ -127,7 +127,7 @@
 	var results []replayResult
 	differing := 0
 	for _, file := range cmd.Args().Slice() {
-		r, err := replayFile(file)
+		r, err := replayTrace(file)
 		if err != nil {
 			return err
 		}
@@ -145,7 +145,7 @@
 	return nil
 }
 
-func replayFile(file string) (trace.Result, error) {
+func replayTrace(file string) (trace.Result, error) {
 	in, err := os.Open(file)
 	if err != nil {
 		return trace.Result{}, exitErrorf(ExitUsage, "cannot read the trace: %v", err)
--- a/internal/operatorcmd/walk.go
+++ b/internal/operatorcmd/walk.go
@@ -11,8 +11,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// walkBatchSize is the largest number of entries that one read of walk returns.
-const walkBatchSize = 1000
+// logReadBatch is the largest number of entries that one read of walk returns.
+const logReadBatch = 1000
 
 // startSnapshot returns the snapshot from which the retained log must be applied,
 // or nil if the log is complete. The outcome of an entry depends on all entries
@@ -38,10 +38,10 @@
 	return snapshot, nil
 }
 
-// walk applies the retained log to a new state, up to its present end, and calls
+// applyLog applies the retained log to a new state, up to its present end, and calls
 // visit for each entry whose outcome can be known. It returns the offset before
 // the first of these entries, 0 if the log is complete.
-func (s *session) walk(ctx context.Context, visit func(appliedEntry)) (uint64, error) {
+func (s *session) applyLog(ctx context.Context, visit func(appliedEntry)) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
 	snapshot, err := startSnapshot(ctx, s.client, s.options)
@@ -56,7 +56,7 @@
 	}
 	from := state.Offset
 	for {
-		batch, err := s.client.Read(ctx, s.stream, platform.Offset(state.Offset+1), walkBatchSize, 0)
+		batch, err := s.client.Read(ctx, s.stream, platform.Offset(state.Offset+1), logReadBatch, 0)
 		if err != nil {
 			return from, exitErrorf(ExitUnreachable, "cannot read the log: %v", errors.Cause(err))
 		}
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -70,15 +70,15 @@
 	c.listenAddress("callers.listen", s.Callers.Listen)
 	c.distinctListeners("peers.listen", s.Peers.Listen, "callers.listen", s.Callers.Listen)
 	c.distinctListeners("admin.listen", s.Admin.Listen, "callers.listen", s.Callers.Listen)
-	c.number("callers.max_connections", int64(s.Callers.MaxConnections), 1, maxConnections)
-	c.number("callers.max_header_bytes", int64(s.Callers.MaxHeaderBytes), minHeaderBytes, maxBytes)
-	c.number("callers.max_body_bytes", s.Callers.MaxBodyBytes, 0, maxBytes)
-	c.number("callers.max_held_reply_bytes", s.Callers.MaxHeldReplyBytes, 0, maxBytes)
+	c.intInRange("callers.max_connections", int64(s.Callers.MaxConnections), 1, maxConnections)
+	c.intInRange("callers.max_header_bytes", int64(s.Callers.MaxHeaderBytes), minHeaderBytes, maxBytes)
+	c.intInRange("callers.max_body_bytes", s.Callers.MaxBodyBytes, 0, maxBytes)
+	c.intInRange("callers.max_held_reply_bytes", s.Callers.MaxHeldReplyBytes, 0, maxBytes)
 	c.duration("callers.header_timeout", s.Callers.HeaderTimeout)
 	c.duration("callers.idle_timeout", s.Callers.IdleTimeout)
 	c.duration("callers.stall_timeout", s.Callers.StallTimeout)
-	c.between("drain.notice", s.Drain.Notice, 0, maxDuration)
-	c.between("drain.limit", s.Drain.Limit, 0, maxDrainLimit)
+	c.durationInRange("drain.notice", s.Drain.Notice, 0, maxDuration)
+	c.durationInRange("drain.limit", s.Drain.Limit, 0, maxDrainLimit)
 	c.backends(s.Backends)
 	c.claims(s.Claims)
 }
@@ -91,7 +91,7 @@
 	}
 	c.duration("backends.connect_timeout", s.ConnectTimeout)
 	c.duration("backends.idle_timeout", s.IdleTimeout)
-	c.number("backends.max_connections", int64(s.MaxConnections), 1, maxConnections)
+	c.intInRange("backends.max_connections", int64(s.MaxConnections), 1, maxConnections)
 }
 
 func (c *checker) claims(s Claims) {
@@ -109,7 +109,7 @@
 func (c *checker) planning(s Planning) {
 	c.duration("planning.interval", s.Interval)
 	c.duration("planning.list_interval", s.ListInterval)
-	c.number("planning.max_actions", int64(s.MaxActions), 1, maxActions)
+	c.intInRange("planning.max_actions", int64(s.MaxActions), 1, maxActions)
 	c.duration("planning.action_timeout", s.ActionTimeout)
 }
 
@@ -168,16 +168,16 @@
 }
 
 func (c *checker) duration(key string, d tomlfile.Duration) {
-	c.between(key, d, minDuration, maxDuration)
+	c.durationInRange(key, d, minDuration, maxDuration)
 }
 
-func (c *checker) between(key string, d tomlfile.Duration, least, most time.Duration) {
+func (c *checker) durationInRange(key string, d tomlfile.Duration, least, most time.Duration) {
 	if d.Duration < least || d.Duration > most {
 		c.addProblem(key, d.String()+" is out of range", fmt.Sprintf("%s to %s", least, most))
 	}
 }
 
-func (c *checker) number(key string, n, least, most int64) {
+func (c *checker) intInRange(key string, n, least, most int64) {
 	if n < least || n > most {
 		c.addProblem(key, fmt.Sprintf("%d is out of range", n), fmt.Sprintf("%d to %d", least, most))
 	}
