--- a/internal/operatorcmd/check.go
+++ b/internal/operatorcmd/check.go
@@ -37,11 +37,11 @@
 			if err != nil {
 				return err
 			}
-			sources, err := readDocuments(cmd.Args().Slice())
+			documents, err := readDocuments(cmd.Args().Slice())
 			if err != nil {
 				return err
 			}
-			return printCheckResults(cmd, o.format, sources)
+			return printCheckResults(cmd, o.format, documents)
 		},
 	}
 }
@@ -52,37 +52,37 @@
 	if len(files) == 0 {
 		return nil, exitErrorf(ExitUsage, "which document? give one or more files")
 	}
-	var sources []documentFile
+	var documents []documentFile
 	byService := map[string]string{}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			return nil, exitErrorf(ExitUsage, "cannot read the document: %v", err)
 		}
-		src := documentFile{file: file, text: string(text)}
-		src.doc, src.problems = document.Parse(file, text)
-		name := src.doc.Service
+		doc := documentFile{file: file, text: string(text)}
+		doc.doc, doc.problems = document.Parse(file, text)
+		name := doc.doc.Service
 		if other, ok := byService[name]; ok && name != "" {
-			src.problems = append(src.problems, document.Problem{File: file, Line: 1, Key: "service", Wrong: name + " is described by " + other + " too"})
+			doc.problems = append(doc.problems, document.Problem{File: file, Line: 1, Key: "service", Wrong: name + " is described by " + other + " too"})
 		}
 		byService[name] = file
-		sources = append(sources, src)
+		documents = append(documents, doc)
 	}
-	return sources, nil
+	return documents, nil
 }
 
-func printCheckResults(cmd *cli.Command, f format, sources []documentFile) error {
+func printCheckResults(cmd *cli.Command, f format, documents []documentFile) error {
 	var results []checkResult
 	t := &table{title: "documents", header: []string{"FILE", "SERVICE", "VERDICT"}}
 	invalid := 0
-	for _, src := range sources {
-		r := checkResult{File: src.file, Service: src.doc.Service, Problems: []string{}}
-		for _, p := range src.problems {
+	for _, doc := range documents {
+		r := checkResult{File: doc.file, Service: doc.doc.Service, Problems: []string{}}
+		for _, p := range doc.problems {
 			r.Problems = append(r.Problems, p.String())
-			t.add(src.file, orDash(src.doc.Service), p.String())
+			t.add(doc.file, orDash(doc.doc.Service), p.String())
 		}
-		if len(src.problems) == 0 {
-			t.add(src.file, src.doc.Service, "good")
+		if len(doc.problems) == 0 {
+			t.add(doc.file, doc.doc.Service, "good")
 		} else {
 			invalid++
 		}
@@ -92,7 +92,7 @@
 		return err
 	}
 	if invalid > 0 {
-		return exitErrorf(ExitRejected, "%d of %d documents have mistakes", invalid, len(sources))
+		return exitErrorf(ExitRejected, "%d of %d documents have mistakes", invalid, len(documents))
 	}
 	return nil
 }
--- a/internal/operatorcmd/publish.go
+++ b/internal/operatorcmd/publish.go
@@ -76,16 +76,16 @@
 	if cmd.IsSet(flagRecordID) && !cmd.IsSet(flagBasedOn) {
 		return exitErrorf(ExitUsage, "--%s needs --%s, as the earlier attempt printed them", flagRecordID, flagBasedOn)
 	}
-	sources, err := readDocuments(cmd.Args().Slice())
+	documents, err := readDocuments(cmd.Args().Slice())
 	if err != nil {
 		return err
 	}
-	if len(sources) > 1 && cmd.IsSet(flagBasedOn) {
+	if len(documents) > 1 && cmd.IsSet(flagBasedOn) {
 		return exitErrorf(ExitUsage, "--%s applies to one document; give one file", flagBasedOn)
 	}
-	for _, src := range sources {
-		if len(src.problems) > 0 {
-			return printCheckResults(cmd, outputFormat(cmd), sources)
+	for _, doc := range documents {
+		if len(doc.problems) > 0 {
+			return printCheckResults(cmd, outputFormat(cmd), documents)
 		}
 	}
 	s, err := openSession(ctx, cmd)
@@ -93,24 +93,24 @@
 		return err
 	}
 	defer s.Close()
-	return s.publishAll(ctx, cmd, sources)
+	return s.publishAll(ctx, cmd, documents)
 }
 
 // outputFormat returns the output format, without reading the settings.
 func outputFormat(cmd *cli.Command) format { return format(cmd.String(flagOutput)) }
 
-func (s *session) publishAll(ctx context.Context, cmd *cli.Command, sources []documentFile) error {
+func (s *session) publishAll(ctx context.Context, cmd *cli.Command, documents []documentFile) error {
 	var results []publishResult
 	var worst error
-	for _, src := range sources {
-		rec := s.newRecord(record.Subject{Kind: record.SubjectService, Name: src.doc.Service}, record.DocumentPublish{Text: src.text})
+	for _, doc := range documents {
+		rec := s.newRecord(record.Subject{Kind: record.SubjectService, Name: doc.doc.Service}, record.DocumentPublish{Text: doc.text})
 		if cmd.IsSet(flagBasedOn) {
 			rec.Base = record.Revision(cmd.Uint64(flagBasedOn))
 		}
 		if cmd.IsSet(flagRecordID) {
 			rec.ID = cmd.String(flagRecordID)
 		}
-		r, err := s.publishDocument(ctx, src, rec)
+		r, err := s.publishDocument(ctx, doc, rec)
 		if cmd.Bool(flagWaitInForce) && r.isInForce() {
 			var waitErr error
 			r.InForce, waitErr = s.awaitInForce(ctx, r.Service, r.Revision, r.sentAt)
@@ -130,9 +130,9 @@
 }
 
 // publishDocument proposes one document and returns its outcome.
-func (s *session) publishDocument(ctx context.Context, src documentFile, rec record.Record) (publishResult, error) {
-	r := publishResult{File: src.file, Service: src.doc.Service, BasedOn: rec.Base, RecordID: rec.ID, sentAt: time.Now()}
-	if text, head, ok := s.documentInForce(src.doc.Service); ok && text == src.text {
+func (s *session) publishDocument(ctx context.Context, doc documentFile, rec record.Record) (publishResult, error) {
+	r := publishResult{File: doc.file, Service: doc.doc.Service, BasedOn: rec.Base, RecordID: rec.ID, sentAt: time.Now()}
+	if text, head, ok := s.documentInForce(doc.doc.Service); ok && text == doc.text {
 		r.Status, r.Revision = publishUnchanged, head.Revision
 		if head.LastID == rec.ID {
 			r.Status = publishAccepted
@@ -147,14 +147,14 @@
 	case ExitConflict:
 		r.Status = publishVoid
 		r.Reason = fmt.Sprintf("revision %d came first: %s", out.Current, out.Reason)
-		err = exitErrorf(ExitConflict, "%s: void because revision %d came first", src.file, out.Current)
+		err = exitErrorf(ExitConflict, "%s: void because revision %d came first", doc.file, out.Current)
 	case ExitUnknown:
 		r.Status = publishUnknown
-		r.Reason = fmt.Sprintf("repeat with: publish --%s %d --%s %s %s", flagBasedOn, rec.Base, flagRecordID, rec.ID, src.file)
-		err = exitErrorf(ExitUnknown, "%s: %v", src.file, err)
+		r.Reason = fmt.Sprintf("repeat with: publish --%s %d --%s %s %s", flagBasedOn, rec.Base, flagRecordID, rec.ID, doc.file)
+		err = exitErrorf(ExitUnknown, "%s: %v", doc.file, err)
 	default:
 		r.Status, r.Reason = publishRejected, out.Reason
-		err = exitErrorf(ExitRejected, "%s: %v", src.file, err)
+		err = exitErrorf(ExitRejected, "%s: %v", doc.file, err)
 	}
 	return r, err
 }
