--- a/internal/operatorcmd/check.go
+++ b/internal/operatorcmd/check.go
@@ -13,7 +13,7 @@
 type documentFile struct {
 	file     string
 	text     string
-	doc      document.Document
+	parsed      document.Document
 	problems []document.Problem
 }
 
@@ -60,8 +60,8 @@
 			return nil, exitErrorf(ExitUsage, "cannot read the document: %v", err)
 		}
 		doc := documentFile{file: file, text: string(text)}
-		doc.doc, doc.problems = document.Parse(file, text)
-		name := doc.doc.Service
+		doc.parsed, doc.problems = document.Parse(file, text)
+		name := doc.parsed.Service
 		if other, ok := byService[name]; ok && name != "" {
 			doc.problems = append(doc.problems, document.Problem{File: file, Line: 1, Key: "service", Wrong: name + " is described by " + other + " too"})
 		}
@@ -76,13 +76,13 @@
 	t := &table{title: "documents", header: []string{"FILE", "SERVICE", "VERDICT"}}
 	invalid := 0
 	for _, doc := range documents {
-		r := checkResult{File: doc.file, Service: doc.doc.Service, Problems: []string{}}
+		r := checkResult{File: doc.file, Service: doc.parsed.Service, Problems: []string{}}
 		for _, p := range doc.problems {
 			r.Problems = append(r.Problems, p.String())
-			t.add(doc.file, orDash(doc.doc.Service), p.String())
+			t.add(doc.file, orDash(doc.parsed.Service), p.String())
 		}
 		if len(doc.problems) == 0 {
-			t.add(doc.file, doc.doc.Service, "good")
+			t.add(doc.file, doc.parsed.Service, "good")
 		} else {
 			invalid++
 		}
--- a/internal/operatorcmd/publish.go
+++ b/internal/operatorcmd/publish.go
@@ -103,7 +103,7 @@
 	var results []publishResult
 	var worst error
 	for _, doc := range documents {
-		rec := s.newRecord(record.Subject{Kind: record.SubjectService, Name: doc.doc.Service}, record.DocumentPublish{Text: doc.text})
+		rec := s.newRecord(record.Subject{Kind: record.SubjectService, Name: doc.parsed.Service}, record.DocumentPublish{Text: doc.text})
 		if cmd.IsSet(flagBasedOn) {
 			rec.Base = record.Revision(cmd.Uint64(flagBasedOn))
 		}
@@ -131,8 +131,8 @@
 
 // publishDocument proposes one document and returns its outcome.
 func (s *session) publishDocument(ctx context.Context, doc documentFile, rec record.Record) (publishResult, error) {
-	r := publishResult{File: doc.file, Service: doc.doc.Service, BasedOn: rec.Base, RecordID: rec.ID, sentAt: time.Now()}
-	if text, head, ok := s.documentInForce(doc.doc.Service); ok && text == doc.text {
+	r := publishResult{File: doc.file, Service: doc.parsed.Service, BasedOn: rec.Base, RecordID: rec.ID, sentAt: time.Now()}
+	if text, head, ok := s.documentInForce(doc.parsed.Service); ok && text == doc.text {
 		r.Status, r.Revision = publishUnchanged, head.Revision
 		if head.LastID == rec.ID {
 			r.Status = publishAccepted
