--- a/internal/operatorcmd/walk.go
+++ b/internal/operatorcmd/walk.go
@@ -11,7 +11,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// logReadBatch is the largest number of entries that one read of walk returns.
+// logReadBatch is the largest number of entries that one read of applyLog returns.
 const logReadBatch = 1000
 
 // startSnapshot returns the snapshot from which the retained log must be applied,
@@ -38,9 +38,9 @@
 	return snapshot, nil
 }
 
-// applyLog applies the retained log to a new state, up to its present end, and calls
-// visit for each entry whose outcome can be known. It returns the offset before
-// the first of these entries, 0 if the log is complete.
+// applyLog applies the retained log, up to its present end, to a new state and
+// calls visit for each entry whose outcome can be known. It returns the offset
+// before the first of these entries, which is 0 if the log is complete.
 func (s *session) applyLog(ctx context.Context, visit func(appliedEntry)) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
