--- a/internal/operatorcmd/check.go
+++ b/internal/operatorcmd/check.go
@@ -13,7 +13,7 @@
 type documentFile struct {
 	file     string
 	text     string
-	parsed      document.Document
+	parsed   document.Document
 	problems []document.Problem
 }
 
--- a/internal/operatorcmd/drain.go
+++ b/internal/operatorcmd/drain.go
@@ -73,7 +73,8 @@
 	return proposeChange(ctx, cmd, record.Subject{Kind: record.SubjectVM, Name: vm}, body, "drain")
 }
 
-// oneArg returns the command's only argument, which the error message calls what.
+// oneArg returns the command's only argument. what is the argument's name in the
+// error message.
 func oneArg(cmd *cli.Command, what string) (string, error) {
 	if cmd.Args().Len() != 1 {
 		return "", exitErrorf(ExitUsage, "%s takes one argument, the %s", cmd.FullName(), what)
@@ -82,7 +83,7 @@
 }
 
 // proposeChange opens a session, proposes body on the subject's present revision
-// and prints the outcome. The output calls the change what.
+// and prints the outcome. what is the name of the change in the output.
 func proposeChange(ctx context.Context, cmd *cli.Command, sub record.Subject, body record.Body, what string) error {
 	s, err := openSession(ctx, cmd)
 	if err != nil {
--- a/internal/operatorcmd/explain.go
+++ b/internal/operatorcmd/explain.go
@@ -75,8 +75,8 @@
 }
 
 // explainQueuedJob returns what a queued job waits for, as the placement explains
-// it. It uses the declared sizes of jobs: the usage that the stewards have
-// measured is not on the log.
+// it. It uses the declared sizes of jobs: what the stewards have learned about
+// actual sizes is not on the log.
 func explainQueuedJob(state *ledger.State, j *ledger.Job) []string {
 	p, queue := placement.FromState(state, j.Spec.Service, placement.Knowledge{})
 	facts := []string{"queued since " + formatTime(j.QueuedAt)}
--- a/internal/operatorcmd/publish.go
+++ b/internal/operatorcmd/publish.go
@@ -40,7 +40,7 @@
 	Revision record.Revision `json:"revision"`
 	RecordID string          `json:"record_id,omitempty"`
 	Reason   string          `json:"reason,omitempty"`
-	// InForce is the time that each node took to have the document in force.
+	// InForce is the time from the append until each node had the document in force.
 	InForce []nodeInForce `json:"in_force,omitempty"`
 
 	sentAt time.Time
