--- a/internal/operatorcmd/check.go
+++ b/internal/operatorcmd/check.go
@@ -9,15 +9,15 @@
 	"github.com/yuccadrift/yuccadrift/internal/document"
 )
 
-// source is one document file and what is wrong with it.
-type source struct {
+// documentFile is one document file with its problems.
+type documentFile struct {
 	file     string
 	text     string
-	doc      document.Document
+	parsed   document.Document
 	problems []document.Problem
 }
 
-// checkResult is one file's line of the output.
+// checkResult is one file in the output of check.
 type checkResult struct {
 	File     string   `json:"file"`
 	Service  string   `json:"service,omitempty"`
@@ -37,62 +37,62 @@
 			if err != nil {
 				return err
 			}
-			sources, err := readSources(cmd.Args().Slice())
+			documents, err := readDocuments(cmd.Args().Slice())
 			if err != nil {
 				return err
 			}
-			return showChecked(cmd, o.format, sources)
+			return printCheckResults(cmd, o.format, documents)
 		},
 	}
 }
 
-// readSources reads and validates files. The error is one of usage; mistakes in
-// documents are in the sources.
-func readSources(files []string) ([]source, error) {
+// readDocuments reads and validates files. An error is a usage error; mistakes in
+// documents are in the problems of each file.
+func readDocuments(files []string) ([]documentFile, error) {
 	if len(files) == 0 {
-		return nil, failf(ExitUsage, "which document? give one or more files")
+		return nil, exitErrorf(ExitUsage, "which document? give one or more files")
 	}
-	var sources []source
+	var documents []documentFile
 	byService := map[string]string{}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
-			return nil, failf(ExitUsage, "cannot read the document: %v", err)
+			return nil, exitErrorf(ExitUsage, "cannot read the document: %v", err)
 		}
-		src := source{file: file, text: string(text)}
-		src.doc, src.problems = document.Parse(file, text)
-		name := src.doc.Service
+		doc := documentFile{file: file, text: string(text)}
+		doc.parsed, doc.problems = document.Parse(file, text)
+		name := doc.parsed.Service
 		if other, ok := byService[name]; ok && name != "" {
-			src.problems = append(src.problems, document.Problem{File: file, Line: 1, Key: "service", Wrong: name + " is described by " + other + " too"})
+			doc.problems = append(doc.problems, document.Problem{File: file, Line: 1, Key: "service", Wrong: name + " is described by " + other + " too"})
 		}
 		byService[name] = file
-		sources = append(sources, src)
+		documents = append(documents, doc)
 	}
-	return sources, nil
+	return documents, nil
 }
 
-func showChecked(cmd *cli.Command, f format, sources []source) error {
+func printCheckResults(cmd *cli.Command, f format, documents []documentFile) error {
 	var results []checkResult
 	t := &table{title: "documents", header: []string{"FILE", "SERVICE", "VERDICT"}}
-	wrong := 0
-	for _, src := range sources {
-		r := checkResult{File: src.file, Service: src.doc.Service, Problems: []string{}}
-		for _, p := range src.problems {
+	invalid := 0
+	for _, doc := range documents {
+		r := checkResult{File: doc.file, Service: doc.parsed.Service, Problems: []string{}}
+		for _, p := range doc.problems {
 			r.Problems = append(r.Problems, p.String())
-			t.add(src.file, orDash(src.doc.Service), p.String())
+			t.add(doc.file, orDash(doc.parsed.Service), p.String())
 		}
-		if len(src.problems) == 0 {
-			t.add(src.file, src.doc.Service, "good")
+		if len(doc.problems) == 0 {
+			t.add(doc.file, doc.parsed.Service, "good")
 		} else {
-			wrong++
+			invalid++
 		}
 		results = append(results, r)
 	}
-	if err := show(cmd.Root().Writer, f, results, t); err != nil {
+	if err := printResult(cmd.Root().Writer, f, results, t); err != nil {
 		return err
 	}
-	if wrong > 0 {
-		return failf(ExitRejected, "%d of %d documents have mistakes", wrong, len(sources))
+	if invalid > 0 {
+		return exitErrorf(ExitRejected, "%d of %d documents have mistakes", invalid, len(documents))
 	}
 	return nil
 }
--- a/internal/operatorcmd/history.go
+++ b/internal/operatorcmd/history.go
@@ -22,16 +22,16 @@
 	flagKind = "kind"
 )
 
-const defaultLast = 50
+const defaultHistoryCount = 50
 
-// step is one entry of the log with the outcome of its record.
-type step struct {
+// appliedEntry is one entry of the log, with its record and the record's outcome.
+type appliedEntry struct {
 	Entry   platform.Entry
-	Record  record.Record // zero when malformed
+	Record  record.Record // zero if the entry is malformed
 	Outcome ledger.Outcome
 }
 
-// historyLine is one record in the output.
+// historyLine is one record in the output of history.
 type historyLine struct {
 	Offset  uint64          `json:"offset"`
 	Time    time.Time       `json:"time"`
@@ -50,33 +50,33 @@
 		Name:      "history",
 		Usage:     "list the records on the log with their outcomes",
 		ArgsUsage: "[SUBJECT]",
-		Description: `SUBJECT is kind/name, as service/booking or vm/vm-17, or a name of any kind.
+		Description: `SUBJECT is kind/name, such as service/booking or vm/vm-17, or a name of any kind.
 
 Examples:
    yuccadrift history
    yuccadrift history service/booking
    yuccadrift history --kind vm.drain --last 10 --output json`,
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: flagLast, Usage: "the latest `N` records; 0 for all that the log retains", Value: defaultLast},
+			&cli.IntFlag{Name: flagLast, Usage: "the latest `N` records; 0 for all that the log retains", Value: defaultHistoryCount},
 			&cli.StringFlag{Name: flagKind, Usage: "only records of this `KIND`"},
 		},
-		Action: history,
+		Action: showHistory,
 	}
 }
 
-func history(ctx context.Context, cmd *cli.Command) error {
+func showHistory(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() > 1 {
-		return failf(ExitUsage, "history takes one subject at most")
+		return exitErrorf(ExitUsage, "history takes one subject at most")
 	}
-	s, err := open(ctx, cmd)
+	s, err := openSession(ctx, cmd)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
 	lines := []historyLine{}
-	from, err := s.walk(ctx, func(st step) {
-		if matches(st.Outcome, cmd.Args().First(), cmd.String(flagKind)) {
-			lines = append(lines, lineOf(st))
+	from, err := s.applyLog(ctx, func(st appliedEntry) {
+		if matchesFilter(st.Outcome, cmd.Args().First(), cmd.String(flagKind)) {
+			lines = append(lines, newHistoryLine(st))
 		}
 	})
 	if err != nil {
@@ -88,17 +88,17 @@
 	if last := cmd.Int(flagLast); last > 0 && len(lines) > last {
 		lines = lines[len(lines)-last:]
 	}
-	return show(cmd.Root().Writer, s.format, lines, historyTable(lines))
+	return printResult(cmd.Root().Writer, s.format, lines, historyTable(lines))
 }
 
-func matches(out ledger.Outcome, subject, kind string) bool {
+func matchesFilter(out ledger.Outcome, subject, kind string) bool {
 	if kind != "" && string(out.Kind) != kind {
 		return false
 	}
 	return subject == "" || subject == out.Subject.String() || subject == out.Subject.Name
 }
 
-func lineOf(st step) historyLine {
+func newHistoryLine(st appliedEntry) historyLine {
 	line := historyLine{
 		Offset:  st.Outcome.Offset,
 		Time:    st.Record.Time,
@@ -111,7 +111,7 @@
 	}
 	if st.Record.Body != nil {
 		line.Subject = st.Outcome.Subject.String()
-		line.Body, _ = json.Marshal(st.Record.Body) // it was decoded from JSON
+		line.Body, _ = json.Marshal(st.Record.Body) // cannot fail: it was decoded from JSON
 	}
 	return line
 }
@@ -119,33 +119,34 @@
 func historyTable(lines []historyLine) *table {
 	t := &table{title: "history", header: []string{"OFFSET", "TIME", "AUTHOR", "SUBJECT", "KIND", "OUTCOME", "BASED ON", "DETAILS"}}
 	for _, l := range lines {
-		details := summary(l)
+		details := summarizeBody(l)
 		if l.Reason != "" {
 			details = l.Reason
 		}
-		t.add(fmt.Sprint(l.Offset), stamp(l.Time), orDash(l.Author), orDash(l.Subject), orDash(string(l.Kind)), string(l.Status), fmt.Sprint(l.BasedOn), orDash(details))
+		t.add(fmt.Sprint(l.Offset), formatTime(l.Time), orDash(l.Author), orDash(l.Subject), orDash(string(l.Kind)), string(l.Status), fmt.Sprint(l.BasedOn), orDash(details))
 	}
 	return t
 }
 
-// durationField finds the durations in a body, which JSON has in nanoseconds.
+// durationField matches the durations in a record's body, which are nanoseconds
+// in JSON.
 var durationField = regexp.MustCompile(`"(?:estimate|run_time)":\d+`)
 
-// maxSummary bounds the body's text in a table; JSON output has all of it.
-const maxSummary = 80
+// maxSummaryBytes bounds the text of a body in a table. JSON output has all of it.
+const maxSummaryBytes = 80
 
-func summary(l historyLine) string {
+func summarizeBody(l historyLine) string {
 	if l.Kind == record.KindDocumentPublish {
 		return "the document"
 	}
 	text := durationField.ReplaceAllStringFunc(string(l.Body), func(field string) string {
 		key, value, _ := strings.Cut(field, ":")
-		ns, _ := strconv.ParseInt(value, 10, 64) // too long for a duration: shown as the largest
+		ns, _ := strconv.ParseInt(value, 10, 64) // out of range: the largest duration
 		return key + ":" + time.Duration(ns).String()
 	})
 	text = strings.NewReplacer(`"`, "", "{", "", "}", "").Replace(text)
-	if len(text) > maxSummary {
-		text = text[:maxSummary] + "..."
+	if len(text) > maxSummaryBytes {
+		text = text[:maxSummaryBytes] + "..."
 	}
 	return text
 }
--- a/internal/operatorcmd/jobs.go
+++ b/internal/operatorcmd/jobs.go
@@ -29,13 +29,13 @@
 	flagStatus         = "status"
 )
 
-const milli = 1000
+const milliCoresPerCore = 1000
 
 func jobsCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "jobs",
 		Usage:  "submit, list, cancel and explain jobs",
-		Action: unknownCommand,
+		Action: groupAction,
 		Commands: []*cli.Command{
 			jobSubmitCommand(),
 			jobListCommand(),
@@ -54,15 +54,15 @@
    yuccadrift jobs submit --service export --team cad --cores 4 --memory-mb 8192 --run-time 30m night-export-17
    yuccadrift jobs submit --service back-office --team billing --repeatable --urgent reconcile-9`,
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: flagService, Usage: "`SERVICE` whose pool runs it", Required: true},
-			&cli.StringFlag{Name: flagTeam, Usage: "`TEAM` whose quota it counts against", Required: true},
+			&cli.StringFlag{Name: flagService, Usage: "`SERVICE` whose pool runs the job", Required: true},
+			&cli.StringFlag{Name: flagTeam, Usage: "`TEAM` whose quota the job counts against", Required: true},
 			&cli.FloatFlag{Name: flagCores, Usage: "`CORES`, fractions allowed", Value: 1},
 			&cli.IntFlag{Name: flagMemory, Usage: "memory in `MB`", Value: 1024},
 			&cli.IntFlag{Name: flagAccelerators, Usage: "`N` accelerators"},
 			&cli.DurationFlag{Name: flagRunTime, Usage: "declared run time, a `DURATION`", Value: time.Minute},
-			&cli.BoolFlag{Name: flagUrgent, Usage: "start it ahead of other work"},
-			&cli.BoolFlag{Name: flagRepeatable, Usage: "it may be started again after an unknown end"},
-			&cli.BoolFlag{Name: flagCheckpointable, Usage: "it can be checkpointed and resumed"},
+			&cli.BoolFlag{Name: flagUrgent, Usage: "start the job ahead of other work"},
+			&cli.BoolFlag{Name: flagRepeatable, Usage: "the job may be started again if its end is unknown"},
+			&cli.BoolFlag{Name: flagCheckpointable, Usage: "the job can be checkpointed and resumed"},
 		},
 		Action: jobSubmit,
 	}
@@ -76,7 +76,7 @@
 	body := record.JobSubmit{
 		Service:        cmd.String(flagService),
 		Team:           cmd.String(flagTeam),
-		MilliCores:     int(math.Round(cmd.Float(flagCores) * milli)),
+		MilliCores:     int(math.Round(cmd.Float(flagCores) * milliCoresPerCore)),
 		MemoryMB:       cmd.Int(flagMemory),
 		Accelerators:   cmd.Int(flagAccelerators),
 		RunTime:        cmd.Duration(flagRunTime),
@@ -84,13 +84,13 @@
 		Repeatable:     cmd.Bool(flagRepeatable),
 		Checkpointable: cmd.Bool(flagCheckpointable),
 	}
-	return change(ctx, cmd, record.Subject{Kind: record.SubjectJob, Name: id}, body, "submit")
+	return proposeChange(ctx, cmd, record.Subject{Kind: record.SubjectJob, Name: id}, body, "submit")
 }
 
 func jobCancelCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "cancel",
-		Usage:     "withdraw a job",
+		Usage:     "cancel a job",
 		ArgsUsage: "JOB",
 		Flags:     []cli.Flag{&cli.StringFlag{Name: flagReason, Usage: "`TEXT` that is kept with the job"}},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -99,7 +99,7 @@
 				return err
 			}
 			body := record.JobCancel{Reason: cmd.String(flagReason)}
-			return change(ctx, cmd, record.Subject{Kind: record.SubjectJob, Name: id}, body, "cancel")
+			return proposeChange(ctx, cmd, record.Subject{Kind: record.SubjectJob, Name: id}, body, "cancel")
 		},
 	}
 }
@@ -113,19 +113,20 @@
 			&cli.StringFlag{Name: flagStatus, Usage: "only jobs with this `STATUS`: queued, placed, done, cancelled"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			s, err := look(ctx, cmd)
+			s, err := openForRead(ctx, cmd)
 			if err != nil {
 				return err
 			}
 			defer s.Close()
-			jobs := s.jobs(cmd.String(flagService), ledger.JobStatus(cmd.String(flagStatus)))
-			return show(cmd.Root().Writer, s.format, jobs, jobTable(jobs))
+			jobs := s.listJobs(cmd.String(flagService), ledger.JobStatus(cmd.String(flagStatus)))
+			return printResult(cmd.Root().Writer, s.format, jobs, jobTable(jobs))
 		},
 	}
 }
 
-// jobs returns copies of the jobs; empty arguments match all.
-func (s *session) jobs(service string, status ledger.JobStatus) []ledger.Job {
+// listJobs returns copies of the jobs of a service with a status, in the order
+// of their IDs. An empty argument matches all.
+func (s *session) listJobs(service string, status ledger.JobStatus) []ledger.Job {
 	jobs := []ledger.Job{}
 	s.view(func(state *ledger.State) {
 		for _, id := range slices.Sorted(maps.Keys(state.Jobs)) {
@@ -141,14 +142,14 @@
 func jobTable(jobs []ledger.Job) *table {
 	t := &table{title: "jobs", header: []string{"JOB", "SERVICE", "TEAM", "STATUS", "WORKER", "ATTEMPT", "CORES", "MEMORY MB", "URGENT", "RESULT", "REASON"}}
 	for _, j := range jobs {
-		t.add(j.ID, j.Spec.Service, j.Spec.Team, string(j.Status), orDash(j.Worker), fmt.Sprint(j.Attempt), cores(j.Spec.MilliCores),
+		t.add(j.ID, j.Spec.Service, j.Spec.Team, string(j.Status), orDash(j.Worker), fmt.Sprint(j.Attempt), formatCores(j.Spec.MilliCores),
 			fmt.Sprint(j.Spec.MemoryMB), yesNo(j.Spec.Urgent), orDash(string(j.Result)), orDash(j.Reason))
 	}
 	return t
 }
 
-func cores(milliCores int) string {
-	return strings.TrimSuffix(strings.TrimRight(fmt.Sprintf("%.3f", float64(milliCores)/milli), "0"), ".")
+func formatCores(milliCores int) string {
+	return strings.TrimSuffix(strings.TrimRight(fmt.Sprintf("%.3f", float64(milliCores)/milliCoresPerCore), "0"), ".")
 }
 
 func yesNo(b bool) string {
--- a/internal/operatorcmd/member_test.go
+++ b/internal/operatorcmd/member_test.go
@@ -9,17 +9,18 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// Most entry VMs were lost at once and the rest cannot evict them. The operator
-// removes one by hand; a member that still answers, or whose VM nobody vouched
-// for, stays: it could go on granting what another one grants as well.
+// Most entry VMs were lost at once and the remaining ones cannot evict them, so
+// the operator removes one. A member that still answers, or whose VM is not
+// declared stopped, must stay: it could grant requests that another member
+// grants, too.
 func TestRemoveMember(t *testing.T) {
-	b := newBench(t, standin.Options{})
+	b := newTestEnv(t, standin.Options{})
 	member := func(name, address string) record.Subject {
 		sub := record.Subject{Kind: record.SubjectMember, Name: name}
 		b.propose(sub, record.MemberJoin{Node: name, Zone: "a", Address: address})
 		return sub
 	}
-	member("alive", b.node("alive"))
+	member("alive", b.startNode("alive"))
 	member("lost", "127.0.0.1:1")
 	steps := []struct {
 		code int
--- a/internal/operatorcmd/publish.go
+++ b/internal/operatorcmd/publish.go
@@ -18,7 +18,7 @@
 	flagWaitInForce = "wait-in-force"
 )
 
-// publishStatus is what became of one document.
+// publishStatus is the outcome of publishing one document.
 type publishStatus string
 
 const (
@@ -29,44 +29,44 @@
 	publishUnknown   publishStatus = "unknown"
 )
 
-// publishResult is one document's line of the output.
+// publishResult is one document in the output of publish.
 type publishResult struct {
 	File    string          `json:"file"`
 	Service string          `json:"service"`
 	Status  publishStatus   `json:"status"`
 	BasedOn record.Revision `json:"based_on"`
-	// Revision is the one in force after the publish, the accepted one or the
-	// one that came first.
+	// Revision is the revision in force after the publish: the accepted one, or
+	// the one that took effect first.
 	Revision record.Revision `json:"revision"`
 	RecordID string          `json:"record_id,omitempty"`
 	Reason   string          `json:"reason,omitempty"`
-	// InForce is the time from the append to in force, by node.
+	// InForce is the time from the append until each node had the document in force.
 	InForce []nodeInForce `json:"in_force,omitempty"`
 
-	sent time.Time
+	sentAt time.Time
 }
 
 func publishCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "publish",
-		Usage:     "put documents in force and print what became of each",
+		Usage:     "put documents in force and print the outcome of each",
 		ArgsUsage: "FILE...",
-		Description: `Validates all files first and publishes none when one has a mistake. A document
-that is in force already, letter for letter, is left alone. Without --based-on
-the revision in force is taken as the one that the change was decided on; give
-the revision that you edited from to be told of a change made meanwhile.
+		Description: `Validates all files first and publishes none if one has a mistake. A document
+that is identical to the one in force is not published again. Without --based-on,
+the change is based on the revision in force. Give the revision that you edited
+to be warned if another change was made in the meantime.
 
 Examples:
    yuccadrift publish services/booking.toml
    yuccadrift publish --based-on 42 services/booking.toml
    yuccadrift --nodes 10.0.0.1:7400,10.0.0.2:7400 publish --wait-in-force services/*.toml
 
-After "unknown", repeat the command that it prints: it sends the same record
-again, and a record takes effect once, however often it is sent.`,
+After "unknown", run the printed command: it sends the same record again, and a
+record takes effect only once, however often it is sent.`,
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: flagBasedOn, Usage: "the `REVISION` that the change was decided on"},
-			&cli.StringFlag{Name: flagRecordID, Usage: "send the record `ID` of an earlier try again; needs --based-on"},
-			&cli.BoolFlag{Name: flagWaitInForce, Usage: "wait until every node has it in force and print the times"},
+			&cli.Uint64Flag{Name: flagBasedOn, Usage: "the `REVISION` that the change is based on"},
+			&cli.StringFlag{Name: flagRecordID, Usage: "send the record `ID` of an earlier attempt again; needs --based-on"},
+			&cli.BoolFlag{Name: flagWaitInForce, Usage: "wait until every node has the document in force and print the times"},
 		},
 		Action: publish,
 	}
@@ -74,65 +74,65 @@
 
 func publish(ctx context.Context, cmd *cli.Command) error {
 	if cmd.IsSet(flagRecordID) && !cmd.IsSet(flagBasedOn) {
-		return failf(ExitUsage, "--%s needs --%s, as the earlier try printed them", flagRecordID, flagBasedOn)
+		return exitErrorf(ExitUsage, "--%s needs --%s, as the earlier attempt printed them", flagRecordID, flagBasedOn)
 	}
-	sources, err := readSources(cmd.Args().Slice())
+	documents, err := readDocuments(cmd.Args().Slice())
 	if err != nil {
 		return err
 	}
-	if len(sources) > 1 && cmd.IsSet(flagBasedOn) {
-		return failf(ExitUsage, "--%s belongs to one document; give one file", flagBasedOn)
+	if len(documents) > 1 && cmd.IsSet(flagBasedOn) {
+		return exitErrorf(ExitUsage, "--%s applies to one document; give one file", flagBasedOn)
 	}
-	for _, src := range sources {
-		if len(src.problems) > 0 {
-			return showChecked(cmd, formatOf(cmd), sources)
+	for _, doc := range documents {
+		if len(doc.problems) > 0 {
+			return printCheckResults(cmd, outputFormat(cmd), documents)
 		}
 	}
-	s, err := open(ctx, cmd)
+	s, err := openSession(ctx, cmd)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
-	return s.publishAll(ctx, cmd, sources)
+	return s.publishAll(ctx, cmd, documents)
 }
 
-// formatOf returns the output format before the settings are read.
-func formatOf(cmd *cli.Command) format { return format(cmd.String(flagOutput)) }
+// outputFormat returns the output format, without reading the settings.
+func outputFormat(cmd *cli.Command) format { return format(cmd.String(flagOutput)) }
 
-func (s *session) publishAll(ctx context.Context, cmd *cli.Command, sources []source) error {
+func (s *session) publishAll(ctx context.Context, cmd *cli.Command, documents []documentFile) error {
 	var results []publishResult
 	var worst error
-	for _, src := range sources {
-		rec := s.draft(record.Subject{Kind: record.SubjectService, Name: src.doc.Service}, record.DocumentPublish{Text: src.text})
+	for _, doc := range documents {
+		rec := s.newRecord(record.Subject{Kind: record.SubjectService, Name: doc.parsed.Service}, record.DocumentPublish{Text: doc.text})
 		if cmd.IsSet(flagBasedOn) {
 			rec.Base = record.Revision(cmd.Uint64(flagBasedOn))
 		}
 		if cmd.IsSet(flagRecordID) {
 			rec.ID = cmd.String(flagRecordID)
 		}
-		r, err := s.publishOne(ctx, src, rec)
-		if cmd.Bool(flagWaitInForce) && r.inForceSomewhere() {
-			var late error
-			r.InForce, late = s.awaitInForce(ctx, r.Service, r.Revision, r.sent)
-			err = worse(err, late)
+		r, err := s.publishDocument(ctx, doc, rec)
+		if cmd.Bool(flagWaitInForce) && r.isInForce() {
+			var waitErr error
+			r.InForce, waitErr = s.awaitInForce(ctx, r.Service, r.Revision, r.sentAt)
+			err = worseError(err, waitErr)
 		}
 		results = append(results, r)
-		worst = worse(worst, err)
+		worst = worseError(worst, err)
 	}
-	if err := show(cmd.Root().Writer, s.format, results, publishTable(results), inForceTable(results)); err != nil {
+	if err := printResult(cmd.Root().Writer, s.format, results, publishTable(results), inForceTable(results)); err != nil {
 		return err
 	}
 	return worst
 }
 
-func (r publishResult) inForceSomewhere() bool {
+func (r publishResult) isInForce() bool {
 	return r.Status == publishAccepted || r.Status == publishUnchanged
 }
 
-// publishOne proposes one document and tells its outcome.
-func (s *session) publishOne(ctx context.Context, src source, rec record.Record) (publishResult, error) {
-	r := publishResult{File: src.file, Service: src.doc.Service, BasedOn: rec.Base, RecordID: rec.ID, sent: time.Now()}
-	if text, head, ok := s.inForce(src.doc.Service); ok && text == src.text {
+// publishDocument proposes one document and returns its outcome.
+func (s *session) publishDocument(ctx context.Context, doc documentFile, rec record.Record) (publishResult, error) {
+	r := publishResult{File: doc.file, Service: doc.parsed.Service, BasedOn: rec.Base, RecordID: rec.ID, sentAt: time.Now()}
+	if text, head, ok := s.documentInForce(doc.parsed.Service); ok && text == doc.text {
 		r.Status, r.Revision = publishUnchanged, head.Revision
 		if head.LastID == rec.ID {
 			r.Status = publishAccepted
@@ -147,20 +147,21 @@
 	case ExitConflict:
 		r.Status = publishVoid
 		r.Reason = fmt.Sprintf("revision %d came first: %s", out.Current, out.Reason)
-		err = failf(ExitConflict, "%s: void because revision %d came first", src.file, out.Current)
+		err = exitErrorf(ExitConflict, "%s: void because revision %d came first", doc.file, out.Current)
 	case ExitUnknown:
 		r.Status = publishUnknown
-		r.Reason = fmt.Sprintf("repeat with: publish --%s %d --%s %s %s", flagBasedOn, rec.Base, flagRecordID, rec.ID, src.file)
-		err = failf(ExitUnknown, "%s: %v", src.file, err)
+		r.Reason = fmt.Sprintf("repeat with: publish --%s %d --%s %s %s", flagBasedOn, rec.Base, flagRecordID, rec.ID, doc.file)
+		err = exitErrorf(ExitUnknown, "%s: %v", doc.file, err)
 	default:
 		r.Status, r.Reason = publishRejected, out.Reason
-		err = failf(ExitRejected, "%s: %v", src.file, err)
+		err = exitErrorf(ExitRejected, "%s: %v", doc.file, err)
 	}
 	return r, err
 }
 
-// inForce returns a service's document in force.
-func (s *session) inForce(service string) (text string, head ledger.Head, ok bool) {
+// documentInForce returns a service's document in force. ok is false if the
+// service has none.
+func (s *session) documentInForce(service string) (text string, head ledger.Head, ok bool) {
 	s.follower.View(func(state *ledger.State) {
 		svc, found := state.Services[service]
 		if found {
--- a/internal/operatorcmd/replay.go
+++ b/internal/operatorcmd/replay.go
@@ -25,15 +25,15 @@
 		Name:      "record",
 		Usage:     "record the log and the list of VMs into a trace for replay",
 		ArgsUsage: "FILE",
-		Description: `Records all that the log retains with the outcomes as folded here, and with
---follow also what happens on the log and the list from then on. Ctrl-C ends the
-recording in good order.
+		Description: `Records all that the log retains, with the outcomes of the records, and with
+--follow also later changes of the log and of the list of VMs. Ctrl-C ends the
+recording and leaves a complete trace.
 
 Examples:
    yuccadrift record incident.jsonl.gz
    yuccadrift record --follow 10m --note "rack lost in mid-wave" wave.jsonl.gz`,
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: flagFollow, Usage: "go on recording for this `DURATION`"},
+			&cli.DurationFlag{Name: flagFollow, Usage: "go on recording for `DURATION`"},
 			&cli.StringFlag{Name: flagNote, Usage: "`TEXT` to keep in the trace"},
 		},
 		Action: recordTrace,
@@ -56,31 +56,32 @@
 	defer client.Close()
 	out, err := os.Create(file)
 	if err != nil {
-		return failf(ExitUsage, "cannot write the trace: %v", err)
+		return exitErrorf(ExitUsage, "cannot write the trace: %v", err)
 	}
 	defer out.Close()
-	snapshot, err := startOf(ctx, client, o)
+	snapshot, err := startSnapshot(ctx, client, o)
 	if err != nil {
 		return err
 	}
 	rec, err := trace.NewRecorder(client, o.stream, cmd.String(flagNote), snapshot, out)
 	if err != nil {
-		return failf(ExitUsage, "%v", err)
+		return exitErrorf(ExitUsage, "%v", err)
 	}
-	if err := follow(ctx, cmd, o, rec); err != nil {
-		return failf(ExitUnreachable, "%v", err)
+	if err := recordEntries(ctx, cmd, o, rec); err != nil {
+		return exitErrorf(ExitUnreachable, "%v", err)
 	}
 	end, err := rec.Close()
 	if err != nil {
-		return failf(ExitUsage, "%v", err)
+		return exitErrorf(ExitUsage, "%v", err)
 	}
 	t := &table{title: "recorded", header: []string{"FILE", "OFFSET", "OUTCOMES"}}
-	t.add(file, fmt.Sprint(end.Offset), counts(end.Statuses))
-	return show(cmd.Root().Writer, o.format, end, t)
+	t.add(file, fmt.Sprint(end.Offset), formatCounts(end.Statuses))
+	return printResult(cmd.Root().Writer, o.format, end, t)
 }
 
-// follow records what there is, and goes on for as long as was asked for.
-func follow(ctx context.Context, cmd *cli.Command, o options, rec *trace.Recorder) error {
+// recordEntries records the retained entries and the list of VMs. With --follow,
+// it goes on recording for that duration.
+func recordEntries(ctx context.Context, cmd *cli.Command, o options, rec *trace.Recorder) error {
 	if d := cmd.Duration(flagFollow); d > 0 {
 		ctx, cancel := context.WithTimeout(ctx, d)
 		defer cancel()
@@ -97,11 +98,11 @@
 func replayCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "replay",
-		Usage:     "fold a recorded trace again and say where its stated outcomes differ",
+		Usage:     "apply recorded traces again and report outcomes that differ",
 		ArgsUsage: "FILE...",
-		Description: `Needs no platform. Beside the outcomes it checks what the trace shows of the
-promises: revisions never fall, a VM is in one pool, drains stay within budgets,
-no reboot without a decision, no doubled run, no run behind a "not-run".
+		Description: `Needs no platform. Beside the outcomes, it checks the invariants that a trace can
+show: revisions never decrease, a VM is in one pool, drains stay within budgets, no
+VM reboots without a decision, no request runs twice or despite a "not-run" answer.
 
 Example:
    yuccadrift replay testdata/traces/*.jsonl.gz`,
@@ -109,7 +110,7 @@
 	}
 }
 
-// replayResult is one trace in the output.
+// replayResult is one trace in the output of replay.
 type replayResult struct {
 	File string `json:"file"`
 	trace.Result
@@ -121,12 +122,12 @@
 		return err
 	}
 	if !cmd.Args().Present() {
-		return failf(ExitUsage, "which trace? give one or more files")
+		return exitErrorf(ExitUsage, "no trace given: name one or more files")
 	}
 	var results []replayResult
 	differing := 0
 	for _, file := range cmd.Args().Slice() {
-		r, err := replayFile(file)
+		r, err := replayTrace(file)
 		if err != nil {
 			return err
 		}
@@ -135,24 +136,24 @@
 		}
 		results = append(results, replayResult{File: file, Result: r})
 	}
-	if err := show(cmd.Root().Writer, o.format, results, replayTable(results), differenceTable(results)); err != nil {
+	if err := printResult(cmd.Root().Writer, o.format, results, replayTable(results), differenceTable(results)); err != nil {
 		return err
 	}
 	if differing > 0 {
-		return failf(ExitRejected, "%d of %d traces differ", differing, len(results))
+		return exitErrorf(ExitRejected, "%d of %d traces differ", differing, len(results))
 	}
 	return nil
 }
 
-func replayFile(file string) (trace.Result, error) {
+func replayTrace(file string) (trace.Result, error) {
 	in, err := os.Open(file)
 	if err != nil {
-		return trace.Result{}, failf(ExitUsage, "cannot read the trace: %v", err)
+		return trace.Result{}, exitErrorf(ExitUsage, "cannot read the trace: %v", err)
 	}
 	defer in.Close()
 	r, err := trace.Replay(in)
 	if err != nil {
-		return r, failf(ExitRejected, "%s: %v", file, err)
+		return r, exitErrorf(ExitRejected, "%s: %v", file, err)
 	}
 	return r, nil
 }
@@ -161,7 +162,7 @@
 	t := &table{title: "replayed", header: []string{"FILE", "RECORDED", "NOTE", "OFFSET", "ENTRIES", "OUTCOMES", "VM EVENTS", "REQUESTS", "DIFFERENCES"}}
 	for _, r := range results {
 		t.add(r.File, r.Header.Recorded.Format(time.DateOnly), orDash(r.Header.Note), fmt.Sprint(r.Offset), fmt.Sprint(r.Entries),
-			counts(r.Statuses), fmt.Sprint(r.VMEvents), fmt.Sprint(r.Requests), fmt.Sprint(len(r.Differences)))
+			formatCounts(r.Statuses), fmt.Sprint(r.VMEvents), fmt.Sprint(r.Requests), fmt.Sprint(len(r.Differences)))
 	}
 	return t
 }
@@ -176,7 +177,7 @@
 	return t
 }
 
-func counts(statuses map[ledger.Status]int) string {
+func formatCounts(statuses map[ledger.Status]int) string {
 	text := ""
 	for _, status := range slices.Sorted(maps.Keys(statuses)) {
 		text += fmt.Sprintf("%d %s, ", statuses[status], status)
--- a/internal/operatorcmd/settings.go
+++ b/internal/operatorcmd/settings.go
@@ -15,7 +15,7 @@
 	defaultAuthor  = "operator"
 )
 
-// fileSettings is the command line's settings file.
+// fileSettings is the content of the command line's settings file.
 type fileSettings struct {
 	Platform       tomlfile.Address   `toml:"platform"`
 	Stream         string             `toml:"stream"`
@@ -25,7 +25,8 @@
 	Author         string             `toml:"author"`
 }
 
-// options are the settings of one command, flags and file taken together.
+// options are the settings of one command: those of the settings file,
+// overridden by flags.
 type options struct {
 	platform       string // IP:port
 	stream         string
@@ -54,7 +55,7 @@
 	for _, node := range file.Nodes {
 		o.nodes = append(o.nodes, node.String())
 	}
-	o.takeFlags(cmd)
+	o.applyFlags(cmd)
 	return o, o.validate()
 }
 
@@ -70,16 +71,16 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return defaults, failf(ExitUsage, "cannot read the settings: %v", err)
+		return defaults, exitErrorf(ExitUsage, "cannot read the settings: %v", err)
 	}
 	file, _, problems := tomlfile.DecodeOver(path, text, defaults)
 	if len(problems) > 0 {
-		return defaults, failf(ExitUsage, "%v", problems)
+		return defaults, exitErrorf(ExitUsage, "%v", problems)
 	}
 	return file, nil
 }
 
-func (o *options) takeFlags(cmd *cli.Command) {
+func (o *options) applyFlags(cmd *cli.Command) {
 	if cmd.IsSet(flagPlatform) {
 		o.platform = cmd.String(flagPlatform)
 	}
@@ -95,18 +96,18 @@
 }
 
 func (o *options) validate() error {
-	if !o.format.known() {
-		return failf(ExitUsage, "--output %q is not known, expected table, json or csv", o.format)
+	if !o.format.valid() {
+		return exitErrorf(ExitUsage, "unknown --output %q, expected table, json or csv", o.format)
 	}
 	if o.timeout <= 0 {
-		return failf(ExitUsage, "--timeout %s is not over zero", o.timeout)
+		return exitErrorf(ExitUsage, "--timeout %s must be positive", o.timeout)
 	}
 	for _, addr := range append([]string{o.platform}, o.nodes...) {
 		if addr == "" {
 			continue
 		}
 		if _, err := tomlfile.ParseAddress(addr); err != nil {
-			return failf(ExitUsage, "%v", err)
+			return exitErrorf(ExitUsage, "%v", err)
 		}
 	}
 	return nil
--- a/internal/operatorcmd/status.go
+++ b/internal/operatorcmd/status.go
@@ -16,37 +16,37 @@
 
 // statusResult is the JSON output of status.
 type statusResult struct {
-	Offset   uint64          `json:"offset"` // end of the log as folded here
+	Offset   uint64          `json:"offset"` // last offset applied by this command
 	Nodes    []nodeStatus    `json:"nodes"`
 	Services []serviceStatus `json:"services"`
 	Members  []memberStatus  `json:"members"`
 	Fleet    fleetStatus     `json:"fleet"`
 }
 
-// fleetStatus counts the VMs that the log knows.
+// fleetStatus counts the VMs on the log.
 type fleetStatus struct {
 	VMs   int `json:"vms"`
-	Free  int `json:"free"` // in no pool
-	Down  int `json:"down"` // found unhealthy
-	Drain int `json:"drain"`
+	Free  int `json:"free"`  // in no pool
+	Down  int `json:"down"`  // found unhealthy
+	Drain int `json:"drain"` // draining
 }
 
-// serviceStatus is one service on the log.
+// serviceStatus is one service in the output of status.
 type serviceStatus struct {
 	Service     string          `json:"service"`
 	Revision    record.Revision `json:"revision"`
 	Author      string          `json:"author"`
 	PublishedAt time.Time       `json:"published_at"`
-	// Behind lists the nodes that have another revision in force.
+	// Behind lists the nodes with another revision in force, as NODE/ROLE.
 	Behind  []string `json:"behind"`
 	Size    int      `json:"size"`
 	Serving int      `json:"serving"`
-	// Spent and Allowed are VM-seconds in the budget's window.
+	// Spent and Allowed are in VM-seconds within the budget's window.
 	Spent   float64 `json:"spent_vm_seconds"`
 	Allowed float64 `json:"allowed_vm_seconds"`
 }
 
-// memberStatus is one entry member on the log.
+// memberStatus is one entry member in the output of status.
 type memberStatus struct {
 	Name    string    `json:"name"`
 	Node    string    `json:"node"`
@@ -72,10 +72,11 @@
 	}
 }
 
-// showStatus shows what can be had: with the platform out of reach it still
-// asks the nodes that it was given.
+// showStatus prints as much of the status as it can read: if the platform is
+// unreachable, it still queries the configured nodes. The error reports what
+// could not be read.
 func showStatus(ctx context.Context, cmd *cli.Command, o options) error {
-	s, err := openWith(ctx, o)
+	s, err := openSessionWith(ctx, o)
 	if err != nil && (exitCode(err) != ExitUnreachable || len(o.nodes) == 0) {
 		return err
 	}
@@ -84,31 +85,31 @@
 	if s != nil {
 		defer s.Close()
 		addrs = s.nodeAddresses()
-		s.follower.View(func(state *ledger.State) { result = statusOf(state, time.Now()) })
+		s.follower.View(func(state *ledger.State) { result = newStatusResult(state, time.Now()) })
 	}
-	result.Nodes = askNodes(ctx, addrs, o.timeout)
-	result.markBehind()
+	result.Nodes = queryNodes(ctx, addrs, o.timeout)
+	result.setBehind()
 	tables := []*table{result.nodeTable(), result.serviceTable(), result.memberTable(), result.fleetTable()}
-	if showErr := show(cmd.Root().Writer, o.format, result, tables...); showErr != nil {
+	if showErr := printResult(cmd.Root().Writer, o.format, result, tables...); showErr != nil {
 		return showErr
 	}
-	return worse(err, unreachable(result.Nodes))
+	return worseError(err, unreachableError(result.Nodes))
 }
 
-func unreachable(nodes []nodeStatus) error {
-	var silent []string
+func unreachableError(nodes []nodeStatus) error {
+	var unanswered []string
 	for _, n := range nodes {
 		if n.Status == nil {
-			silent = append(silent, n.Address)
+			unanswered = append(unanswered, n.Address)
 		}
 	}
-	if len(silent) == 0 {
+	if len(unanswered) == 0 {
 		return nil
 	}
-	return failf(ExitUnreachable, "no answer from %s", strings.Join(silent, ", "))
+	return exitErrorf(ExitUnreachable, "no answer from %s", strings.Join(unanswered, ", "))
 }
 
-func statusOf(state *ledger.State, now time.Time) statusResult {
+func newStatusResult(state *ledger.State, now time.Time) statusResult {
 	r := statusResult{Offset: state.Offset}
 	for _, name := range slices.Sorted(maps.Keys(state.Services)) {
 		svc := state.Services[name]
@@ -147,8 +148,8 @@
 	}
 }
 
-// markBehind names, for each service, the nodes with another revision in force.
-func (r *statusResult) markBehind() {
+// setBehind sets the Behind field of each service.
+func (r *statusResult) setBehind() {
 	for i := range r.Services {
 		svc := &r.Services[i]
 		for _, n := range r.Nodes {
@@ -169,7 +170,7 @@
 		st := n.Status
 		lag := "never read the log"
 		if d, known := st.Lag(); known {
-			lag = short(d)
+			lag = formatDuration(d)
 		}
 		ready := "yes"
 		if len(st.Unready) > 0 {
@@ -194,7 +195,7 @@
 func (r statusResult) memberTable() *table {
 	t := &table{title: "entry members", header: []string{"MEMBER", "NODE", "ZONE", "ADDRESS", "JOINED"}}
 	for _, m := range r.Members {
-		t.add(m.Name, m.Node, m.Zone, m.Address, stamp(m.Joined))
+		t.add(m.Name, m.Node, m.Zone, m.Address, formatTime(m.Joined))
 	}
 	return t
 }
--- a/internal/operatorcmd/walk.go
+++ b/internal/operatorcmd/walk.go
@@ -11,14 +11,14 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// walkMax is how many entries one read of a walk asks for.
-const walkMax = 1000
+// logReadBatch is the largest number of entries that one read of applyLog returns.
+const logReadBatch = 1000
 
-// startOf returns the snapshot that a fold of the whole retained log has to
-// start from: none while the log is complete. Once retention has removed its
-// beginning, outcomes are known from the newest snapshot on only, since what an
-// entry did depends on all entries before it.
-func startOf(ctx context.Context, log platform.Log, o options) ([]byte, error) {
+// startSnapshot returns the snapshot from which the retained log must be applied,
+// or nil if the log is complete. The outcome of an entry depends on all entries
+// before it, so that once retention has removed the log's beginning, outcomes are
+// known only from the newest snapshot on.
+func startSnapshot(ctx context.Context, log platform.Log, o options) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
 	batch, err := log.Read(ctx, o.stream, 1, 1, 0)
@@ -26,42 +26,42 @@
 		return nil, nil
 	}
 	if !errors.Is(err, platform.ErrTrimmed) {
-		return nil, failf(ExitUnreachable, "cannot read the log: %v", errors.Cause(err))
+		return nil, exitErrorf(ExitUnreachable, "cannot read the log: %v", errors.Cause(err))
 	}
 	snapshot, err := follower.NewestSnapshot(ctx, log, o.snapshotStream)
 	if err != nil {
-		return nil, failf(ExitUnreachable, "cannot read the snapshots: %v", errors.Cause(err))
+		return nil, exitErrorf(ExitUnreachable, "cannot read the snapshots: %v", errors.Cause(err))
 	}
 	if snapshot == nil {
-		return nil, failf(ExitRejected, "the log is retained from offset %d on and there is no snapshot", batch.First)
+		return nil, exitErrorf(ExitRejected, "the log is retained from offset %d on and there is no snapshot", batch.First)
 	}
 	return snapshot, nil
 }
 
-// walk folds the log anew, up to its end at the time of the call, and calls
-// visit for each entry whose outcome can be known. It returns the offset before
-// the first of these.
-func (s *session) walk(ctx context.Context, visit func(step)) (uint64, error) {
+// applyLog applies the retained log, up to its present end, to a new state and
+// calls visit for each entry whose outcome can be known. It returns the offset
+// before the first of these entries, which is 0 if the log is complete.
+func (s *session) applyLog(ctx context.Context, visit func(appliedEntry)) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
-	snapshot, err := startOf(ctx, s.client, s.options)
+	snapshot, err := startSnapshot(ctx, s.client, s.options)
 	if err != nil {
 		return 0, err
 	}
 	state := ledger.New()
 	if snapshot != nil {
 		if state, err = ledger.DecodeSnapshot(snapshot); err != nil {
-			return 0, failf(ExitRejected, "%v", err)
+			return 0, exitErrorf(ExitRejected, "%v", err)
 		}
 	}
 	from := state.Offset
 	for {
-		batch, err := s.client.Read(ctx, s.stream, platform.Offset(state.Offset+1), walkMax, 0)
+		batch, err := s.client.Read(ctx, s.stream, platform.Offset(state.Offset+1), logReadBatch, 0)
 		if err != nil {
-			return from, failf(ExitUnreachable, "cannot read the log: %v", errors.Cause(err))
+			return from, exitErrorf(ExitUnreachable, "cannot read the log: %v", errors.Cause(err))
 		}
 		for _, e := range batch.Entries {
-			visit(fold(state, e))
+			visit(applyEntry(state, e))
 		}
 		if platform.Offset(state.Offset)+1 >= batch.Next || len(batch.Entries) == 0 {
 			return from, nil
@@ -69,10 +69,10 @@
 	}
 }
 
-func fold(state *ledger.State, e platform.Entry) step {
+func applyEntry(state *ledger.State, e platform.Entry) appliedEntry {
 	rec, err := record.Decode(e.Data)
 	if err != nil {
-		return step{Entry: e, Outcome: state.ApplyData(uint64(e.Offset), e.Data)}
+		return appliedEntry{Entry: e, Outcome: state.ApplyData(uint64(e.Offset), e.Data)}
 	}
-	return step{Entry: e, Record: rec, Outcome: state.Apply(uint64(e.Offset), rec)}
+	return appliedEntry{Entry: e, Record: rec, Outcome: state.Apply(uint64(e.Offset), rec)}
 }
--- a/internal/operatorcmd/wave.go
+++ b/internal/operatorcmd/wave.go
@@ -28,19 +28,19 @@
 	flagReboot   = "reboot"
 )
 
-// wavePoll is how often wave show --wait looks at the wave.
-const wavePoll = 100 * time.Millisecond
+// wavePollInterval is how often wave show --wait checks the wave.
+const wavePollInterval = 100 * time.Millisecond
 
 func waveCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "wave",
-		Usage:  "run maintenance waves: drain, reboot and take back every VM of some pools",
-		Action: unknownCommand,
+		Usage:  "run maintenance waves: drain, reboot and return every VM of some pools",
+		Action: groupAction,
 		Commands: []*cli.Command{
 			waveStartCommand(),
-			waveControlCommand("pause", "start no further drain; VMs that are out come back", record.WavePause),
-			waveControlCommand("resume", "go on with a paused wave", record.WaveResume),
-			waveControlCommand("abort", "end a wave; VMs that are out come back", record.WaveAbort),
+			waveControlCommand("pause", "start no further drains; VMs that are out return", record.WavePause),
+			waveControlCommand("resume", "continue a paused wave", record.WaveResume),
+			waveControlCommand("abort", "end a wave; VMs that are out return", record.WaveAbort),
 			waveShowCommand(),
 		},
 	}
@@ -50,8 +50,8 @@
 	return &cli.Command{
 		Name:  "start",
 		Usage: "start a wave over pools",
-		Description: `Every VM that the pools have now is drained, rebooted and taken back once, as
-fast as the pools' availability budgets allow.
+		Description: `Every VM that is in the pools now is drained, rebooted and returned once, as fast
+as the pools' availability budgets allow.
 
 Examples:
    yuccadrift wave start --pools booking,returns --dry-run
@@ -59,21 +59,21 @@
    yuccadrift wave start --name kernel-6.12 --pools export`,
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: flagPools, Usage: "`POOL,...` to maintain", Required: true},
-			&cli.DurationFlag{Name: flagDeadline, Usage: "the wave should be over this `DURATION` from now", Value: 24 * time.Hour},
+			&cli.DurationFlag{Name: flagDeadline, Usage: "the wave should end within `DURATION`", Value: 24 * time.Hour},
 			&cli.StringFlag{Name: flagName, Usage: "`NAME` of the wave; default: wave- and a unique ID"},
-			&cli.BoolFlag{Name: flagDryRun, Usage: "show the plan and how long it would take, and start nothing"},
-			&cli.DurationFlag{Name: flagReboot, Usage: "`DURATION` of a reboot, for pools of which no drains are known yet", Value: defaultReboot},
+			&cli.BoolFlag{Name: flagDryRun, Usage: "show the plan and its expected duration; start nothing"},
+			&cli.DurationFlag{Name: flagReboot, Usage: "`DURATION` of a reboot, for pools without a known drain", Value: defaultReboot},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			name := cmd.String(flagName)
 			if name == "" {
-				name = "wave-" + strings.ToLower(newID())
+				name = "wave-" + strings.ToLower(newRecordID())
 			}
 			body := record.WaveStart{Pools: cmd.StringSlice(flagPools), Deadline: time.Now().Add(cmd.Duration(flagDeadline)).UTC()}
 			if cmd.Bool(flagDryRun) {
-				return dryRun(ctx, cmd, body)
+				return forecastWave(ctx, cmd, body)
 			}
-			return change(ctx, cmd, record.Subject{Kind: record.SubjectWave, Name: name}, body, "start")
+			return proposeChange(ctx, cmd, record.Subject{Kind: record.SubjectWave, Name: name}, body, "start")
 		},
 	}
 }
@@ -90,12 +90,12 @@
 				return err
 			}
 			body := record.WaveControl{Command: command, Reason: cmd.String(flagReason)}
-			return change(ctx, cmd, record.Subject{Kind: record.SubjectWave, Name: wave}, body, name)
+			return proposeChange(ctx, cmd, record.Subject{Kind: record.SubjectWave, Name: wave}, body, name)
 		},
 	}
 }
 
-// waveResult is one wave in the output of show.
+// waveResult is one wave in the output of wave show.
 type waveResult struct {
 	Wave     string            `json:"wave"`
 	Status   ledger.WaveStatus `json:"status"`
@@ -108,45 +108,46 @@
 	Out      int               `json:"out"`
 	Back     int               `json:"back"`
 	Skipped  map[string]string `json:"skipped,omitempty"`
-	// Waits says by pool why no turn can begin now.
+	// Waits gives, for each waiting pool, why no VM can be drained now.
 	Waits map[string]string `json:"waits,omitempty"`
 }
 
 func waveShowCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "show",
-		Usage:     "show waves and how far they are",
+		Usage:     "show waves and their progress",
 		ArgsUsage: "[WAVE]",
 		Description: `Examples:
    yuccadrift wave show
    yuccadrift --timeout 2h wave show --wait kernel-6.12`,
-		Flags:  []cli.Flag{&cli.BoolFlag{Name: flagWait, Usage: "wait until the wave is over, at most --timeout"}},
-		Action: waveShow,
+		Flags:  []cli.Flag{&cli.BoolFlag{Name: flagWait, Usage: "wait until the wave is over, for --timeout at most"}},
+		Action: showWaves,
 	}
 }
 
-func waveShow(ctx context.Context, cmd *cli.Command) error {
+func showWaves(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Bool(flagWait) && cmd.Args().Len() != 1 {
-		return failf(ExitUsage, "--%s needs the name of a wave", flagWait)
+		return exitErrorf(ExitUsage, "--%s needs the name of a wave", flagWait)
 	}
-	s, err := look(ctx, cmd)
+	s, err := openForRead(ctx, cmd)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
-	wanted := cmd.Args().First()
-	var late error
+	name := cmd.Args().First()
+	var waitErr error
 	if cmd.Bool(flagWait) {
-		late = s.awaitWave(ctx, wanted)
+		waitErr = s.awaitWave(ctx, name)
 	}
-	waves := s.waves(wanted)
-	if wanted != "" && len(waves) == 0 {
-		return failf(ExitRejected, "there is no wave %s (any more)", wanted)
+	waves := s.listWaves(name)
+	if name != "" && len(waves) == 0 {
+		return exitErrorf(ExitRejected, "no wave %s on record", name)
 	}
-	return worse(late, show(cmd.Root().Writer, s.format, waves, waveTable(waves), skipTable(waves), waitTable(waves)))
+	return worseError(waitErr, printResult(cmd.Root().Writer, s.format, waves, waveTable(waves), skipTable(waves), waitTable(waves)))
 }
 
-// awaitWave returns when the wave is over, gone or the timeout is over.
+// awaitWave waits until the wave is over or no longer on record. It returns an
+// error if the session's timeout is over first.
 func (s *session) awaitWave(ctx context.Context, name string) error {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
@@ -160,25 +161,25 @@
 		if over {
 			return nil
 		}
-		wait.Sleep(ctx, wavePoll)
+		wait.Sleep(ctx, wavePollInterval)
 	}
-	return failf(ExitUnknown, "wave %s is not over after %s", name, s.timeout)
+	return exitErrorf(ExitUnknown, "wave %s is not over after %s", name, s.timeout)
 }
 
-func (s *session) waves(wanted string) []waveResult {
+func (s *session) listWaves(name string) []waveResult {
 	results := []waveResult{}
 	s.view(func(state *ledger.State) {
 		round := maintenance.Round(pool.NewView(state, time.Now()), pool.DefaultPolicy())
 		for _, id := range slices.Sorted(maps.Keys(state.Waves)) {
-			if wanted == "" || wanted == id {
-				results = append(results, waveOf(state.Waves[id], round.Waits))
+			if name == "" || name == id {
+				results = append(results, newWaveResult(state.Waves[id], round.Waits))
 			}
 		}
 	})
 	return results
 }
 
-func waveOf(w *ledger.Wave, waits []pool.Wait) waveResult {
+func newWaveResult(w *ledger.Wave, waits []pool.Wait) waveResult {
 	r := waveResult{Wave: w.ID, Status: w.Status, Reason: w.Reason, Pools: w.Pools, Started: w.StartedAt,
 		Finished: w.FinishedAt, Deadline: w.Deadline, Skipped: map[string]string{}, Waits: map[string]string{}}
 	for _, wait := range waits {
@@ -206,10 +207,10 @@
 	for _, w := range waves {
 		took := dash
 		if !w.Finished.IsZero() {
-			took = short(w.Finished.Sub(w.Started))
+			took = formatDuration(w.Finished.Sub(w.Started))
 		}
 		t.add(w.Wave, string(w.Status), strings.Join(w.Pools, ","), fmt.Sprint(w.Pending), fmt.Sprint(w.Out), fmt.Sprint(w.Back),
-			fmt.Sprint(len(w.Skipped)), stamp(w.Started), took, stamp(w.Deadline), orDash(w.Reason))
+			fmt.Sprint(len(w.Skipped)), formatTime(w.Started), took, formatTime(w.Deadline), orDash(w.Reason))
 	}
 	return t
 }
