--- a/cmd/yuccadrift-platform-standin/main.go
+++ b/cmd/yuccadrift-platform-standin/main.go
@@ -97,12 +97,12 @@
 	if wave {
 		fmt.Printf("wave completed: %t\n", p.IsWaveCompleted(1))
 	}
-	broken := p.Violations()
-	fmt.Printf("violations: %d\n", len(broken))
-	for _, b := range broken {
+	violations := p.Violations()
+	fmt.Printf("violations: %d\n", len(violations))
+	for _, b := range violations {
 		fmt.Println("  " + b)
 	}
-	if len(broken) > 0 || wave && !p.IsWaveCompleted(1) {
+	if len(violations) > 0 || wave && !p.IsWaveCompleted(1) {
 		return errors.New("violations were observed or the wave was not completed")
 	}
 	return nil
--- a/internal/dayreport/conditions.go
+++ b/internal/dayreport/conditions.go
@@ -27,12 +27,12 @@
 // minCauseShare is the share of a wait that a condition must exceed to count as its cause.
 const minCauseShare = 0.25
 
-// span is a period in which a condition held.
-type span struct{ from, to time.Time }
+// period is a period in which a condition held.
+type period struct{ from, to time.Time }
 
 // overlap returns how long s and o overlap.
-func (s span) overlap(o span) time.Duration {
-	from, to := s.from, s.to
+func (p period) overlap(o period) time.Duration {
+	from, to := p.from, p.to
 	if o.from.After(from) {
 		from = o.from
 	}
@@ -44,7 +44,7 @@
 
 // coveredDuration returns how much of window the other spans cover. The others must be sorted
 // by their start.
-func coveredDuration(window span, others []span) time.Duration {
+func coveredDuration(window period, others []period) time.Duration {
 	var sum time.Duration
 	for _, s := range others {
 		sum += window.overlap(s)
@@ -57,10 +57,10 @@
 
 // conditions holds the periods in which each condition held, according to the log lines.
 type conditions struct {
-	storeUnavailable map[string][]span // by node
-	ownerUnavailable map[int][]span    // by partition of the jobs topic
-	ownerOverloaded  map[int][]span
-	vmsInTransit     map[string][]span // by pool
+	storeUnavailable map[string][]period // by node
+	ownerUnavailable map[int][]period    // by partition of the jobs topic
+	ownerOverloaded  map[int][]period
+	vmsInTransit     map[string][]period // by pool
 }
 
 // ownershipTracker follows the owners of the partitions of the jobs topic.
@@ -75,17 +75,17 @@
 // be sorted by time and must not be empty.
 func collectConditions(lines []Line) (*conditions, []Takeover) {
 	c := &conditions{
-		storeUnavailable: map[string][]span{},
-		ownerUnavailable: map[int][]span{},
-		ownerOverloaded:  map[int][]span{},
-		vmsInTransit:     map[string][]span{},
+		storeUnavailable: map[string][]period{},
+		ownerUnavailable: map[int][]period{},
+		ownerOverloaded:  map[int][]period{},
+		vmsInTransit:     map[string][]period{},
 	}
 	ownership := &ownershipTracker{owner: map[int]string{}, leftAt: map[int]time.Time{}, lastLineAt: map[string]time.Time{}, firstLineAt: lines[0].At}
 	storeLostAt := map[string]time.Time{}
 	var takeovers []Takeover
 	for _, l := range lines {
 		if since, ok := storeLostAt[l.Node]; ok && (l.Message == "store answers again" || l.Message == "started") {
-			c.storeUnavailable[l.Node] = append(c.storeUnavailable[l.Node], span{since, l.At})
+			c.storeUnavailable[l.Node] = append(c.storeUnavailable[l.Node], period{since, l.At})
 			delete(storeLostAt, l.Node)
 		}
 		switch l.Message {
@@ -94,23 +94,23 @@
 		case "store does not answer":
 			storeLostAt[l.Node] = l.At.Add(-time.Duration(l.SinceMS) * time.Millisecond)
 		case "owner is behind":
-			c.ownerOverloaded[l.Partition] = append(c.ownerOverloaded[l.Partition], span{l.At.Add(-overloadLineInterval), l.At})
+			c.ownerOverloaded[l.Partition] = append(c.ownerOverloaded[l.Partition], period{l.At.Add(-overloadLineInterval), l.At})
 		case "VM ordered":
 			if !l.Maintenance && l.Outcome == "ok" {
-				c.vmsInTransit[l.Pool] = append(c.vmsInTransit[l.Pool], span{l.At, l.At.Add(vmTransitTime)})
+				c.vmsInTransit[l.Pool] = append(c.vmsInTransit[l.Pool], period{l.At, l.At.Add(vmTransitTime)})
 			}
 		case "partition left":
 			ownership.recordLeave(l)
 		case "partition taken over":
 			t := ownership.recordTakeover(l)
-			c.ownerUnavailable[l.Partition] = append(c.ownerUnavailable[l.Partition], span{t.At.Add(-t.Gap), t.At})
+			c.ownerUnavailable[l.Partition] = append(c.ownerUnavailable[l.Partition], period{t.At.Add(-t.Gap), t.At})
 			takeovers = append(takeovers, t)
 		}
 		ownership.lastLineAt[l.Node] = l.At
 	}
 	last := lines[len(lines)-1].At
 	for node, since := range storeLostAt {
-		c.storeUnavailable[node] = append(c.storeUnavailable[node], span{since, last})
+		c.storeUnavailable[node] = append(c.storeUnavailable[node], period{since, last})
 	}
 	return c, takeovers
 }
@@ -149,15 +149,15 @@
 	return Takeover{At: l.At, Partition: l.Partition, Node: l.Node, Gap: l.At.Sub(since), HandedOver: l.HandedOver}
 }
 
-// startDelayCause returns the most likely cause of a job's late start, where l is its owner's
+// slowStartCause returns the most likely cause of a job's late start, where l is its owner's
 // line on that start: the condition that held longest during the wait if it exceeds minCauseShare
 // of the wait, otherwise NoFreeCapacity.
-func (c *conditions) startDelayCause(l Line, service string) Cause {
-	waited := span{l.At.Add(-time.Duration(l.AgeMS) * time.Millisecond), l.At}
+func (c *conditions) slowStartCause(l Line, service string) Cause {
+	waited := period{l.At.Add(-time.Duration(l.AgeMS) * time.Millisecond), l.At}
 	cause, longest := NoFreeCapacity, time.Duration(minCauseShare*float64(waited.to.Sub(waited.from)))
 	for _, candidate := range []struct {
 		cause Cause
-		spans []span
+		spans []period
 	}{
 		{StoreUnavailable, c.storeUnavailable[l.Node]},
 		{OwnerUnavailable, c.ownerUnavailable[l.Partition]},
--- a/internal/dayreport/report.go
+++ b/internal/dayreport/report.go
@@ -22,7 +22,7 @@
 	Jobs       Jobs        `json:"jobs"`
 	Refusals   []Refusal   `json:"refusals"`
 	SlowStarts []SlowStart `json:"slow_starts"`
-	Orders     []Order     `json:"orders"`
+	Orders     []VMOrder   `json:"orders"`
 	// Takeovers lists the takeovers of partitions of the jobs topic.
 	Takeovers []Takeover `json:"takeovers"`
 	Seconds   []Second   `json:"seconds"`
@@ -67,8 +67,8 @@
 	MaxMS   int64  `json:"most_ms"`
 }
 
-// Order counts orders for VMs of the same kind, pool and outcome.
-type Order struct {
+// VMOrder counts orders for VMs of the same kind, pool and outcome.
+type VMOrder struct {
 	Kind    string `json:"kind"` // "move" or "maintenance"
 	Pool    string `json:"pool"` // target of a move
 	Outcome string `json:"outcome"`
@@ -111,7 +111,7 @@
 		Nodes: countNodes(lines), Lines: len(lines),
 		Foreign: log.Foreign, Truncated: log.Truncated, Problems: log.Problems,
 		Jobs: countJobs(lines), Refusals: groupRefusals(lines), SlowStarts: groupSlowStarts(lines, c, slowAfter),
-		Orders: groupOrders(lines), Takeovers: takeovers,
+		Orders: groupVMOrders(lines), Takeovers: takeovers,
 	}
 	r.Seconds = groupBySecond(lines, takeovers)
 	return r, true
@@ -157,12 +157,12 @@
 		}
 	}
 	j := Jobs{Accepted: len(accepted), Started: percentilesOf(startDelays)}
-	var endDelays []float64
+	var completionTimes []float64
 	for _, l := range ends {
 		switch l.Reason {
 		case "completed":
 			j.Completed++
-			endDelays = append(endDelays, float64(l.AgeMS))
+			completionTimes = append(completionTimes, float64(l.AgeMS))
 		case "failed":
 			j.Failed++
 		case "cancelled":
@@ -174,7 +174,7 @@
 			j.Open++
 		}
 	}
-	j.Ended = percentilesOf(endDelays)
+	j.Ended = percentilesOf(completionTimes)
 	return j
 }
 
@@ -239,7 +239,7 @@
 			continue
 		}
 		service := cmp.Or(services[l.Queue], l.Queue)
-		cause := c.startDelayCause(l, service)
+		cause := c.slowStartCause(l, service)
 		i := slices.IndexFunc(all, func(s SlowStart) bool { return s.Cause == cause && s.Service == service })
 		if i < 0 {
 			i = len(all)
@@ -252,17 +252,17 @@
 	return all
 }
 
-func groupOrders(lines []Line) []Order {
-	var all []Order
+func groupVMOrders(lines []Line) []VMOrder {
+	var all []VMOrder
 	for _, l := range lines {
 		if l.Message != "VM ordered" {
 			continue
 		}
-		o := Order{Kind: "move", Pool: l.Pool, Outcome: l.Outcome}
+		o := VMOrder{Kind: "move", Pool: l.Pool, Outcome: l.Outcome}
 		if l.Maintenance {
 			o.Kind = "maintenance"
 		}
-		i := slices.IndexFunc(all, func(x Order) bool {
+		i := slices.IndexFunc(all, func(x VMOrder) bool {
 			return x.Kind == o.Kind && x.Pool == o.Pool && x.Outcome == o.Outcome
 		})
 		if i < 0 {
@@ -271,6 +271,6 @@
 		}
 		all[i].Count++
 	}
-	slices.SortStableFunc(all, func(a, b Order) int { return cmp.Compare(b.Count, a.Count) })
+	slices.SortStableFunc(all, func(a, b VMOrder) int { return cmp.Compare(b.Count, a.Count) })
 	return all
 }
--- a/internal/dayreport/seconds.go
+++ b/internal/dayreport/seconds.go
@@ -10,16 +10,16 @@
 // secondStats accumulates the events of one second.
 type secondStats struct {
 	Second
-	waits            []float64
-	nodesStarted     int
-	storeLost        int // nodes
-	storeRecovered   int // nodes
-	overloadedOwners int
-	takeovers        int
-	longestGap       time.Duration
-	vmsMoved         int
-	vmsMaintained    int
-	otherEvents      []string
+	waits              []float64
+	nodesStarted       int
+	nodesLostStore     int // nodes
+	nodesRegainedStore int // nodes
+	overloadedOwners   int
+	takeovers          int
+	longestGap         time.Duration
+	vmsMoved           int
+	vmsMaintained      int
+	otherEvents        []string
 }
 
 // groupBySecond summarizes the lines second by second. Seconds without events are left out.
@@ -69,9 +69,9 @@
 	case "started":
 		m.nodesStarted++
 	case "store does not answer":
-		m.storeLost++
+		m.nodesLostStore++
 	case "store answers again":
-		m.storeRecovered++
+		m.nodesRegainedStore++
 	case "owner is behind":
 		m.overloadedOwners++
 	case "VM ordered":
@@ -113,8 +113,8 @@
 		text string
 	}{
 		{m.nodesStarted, "nodes started"},
-		{m.storeLost, "nodes lost the store"},
-		{m.storeRecovered, "nodes regained the store"},
+		{m.nodesLostStore, "nodes lost the store"},
+		{m.nodesRegainedStore, "nodes regained the store"},
 		{m.overloadedOwners, "owners behind"},
 		{m.vmsMoved, "VMs moved"},
 		{m.vmsMaintained, "VMs maintained"},
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -117,7 +117,7 @@
 	hedger := hedge.New()
 	n.store = platform.NewStore(s.Store, func(c platform.StoreCall) {
 		n.storeHealth.record(c)
-		if c.Answered {
+		if c.Served {
 			hedger.RecordAnswer(c.SentAt, c.IsLongPoll)
 		}
 	})
--- a/internal/node/storehealth.go
+++ b/internal/node/storehealth.go
@@ -33,7 +33,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	if call.Answered {
+	if call.Served {
 		if h.isLost {
 			h.logger.Info("store answers again", "away_ms", now.Sub(h.lastAnswerAt).Milliseconds())
 		}
--- a/internal/proof/platformjobs_test.go
+++ b/internal/proof/platformjobs_test.go
@@ -275,7 +275,7 @@
 	c.Until("all tasks run", func() bool { return c.Platform.RunningTasksOf(id) == 3 })
 	for _, vm := range c.Platform.VMs() {
 		if vm.Pool == "booking" {
-			c.Platform.Crash(vm, 500*time.Millisecond)
+			c.Platform.CrashVM(vm, 500*time.Millisecond)
 			break
 		}
 	}
--- a/internal/proof/soak_faults_test.go
+++ b/internal/proof/soak_faults_test.go
@@ -47,7 +47,7 @@
 				func() { worker.SetFault(standin.NoWorkerFault) })
 		}
 	case 8:
-		s.during(vm.ID, "crashed", time.Second, func() { s.c.Platform.Crash(vm, 500*time.Millisecond) }, func() {})
+		s.during(vm.ID, "crashed", time.Second, func() { s.c.Platform.CrashVM(vm, 500*time.Millisecond) }, func() {})
 	case 9:
 		s.during("history", "dropped", 0, func() { s.c.Platform.Store.DropHistory(joblog.JobsTopic) }, func() {})
 		if err := s.c.Platform.Publish("returns"); err != nil {
@@ -61,7 +61,7 @@
 	vms := s.c.Platform.VMs()
 	vm := vms[rng.IntN(len(vms))]
 	away := time.Duration(300+rng.IntN(900)) * time.Millisecond
-	s.during(vm.ID, "worker restarts under its ID", away, func() { s.c.Platform.Restart(vm, away) }, func() {})
+	s.during(vm.ID, "worker restarts under its ID", away, func() { s.c.Platform.RestartWorker(vm, away) }, func() {})
 }
 
 // during has something suffer a fault for a while.
--- a/internal/published/published.go
+++ b/internal/published/published.go
@@ -26,8 +26,8 @@
 
 // Source reads the published changes.
 type Source interface {
-	NewestPublished(ctx context.Context) (platform.Batch, platform.StoreStatus, error)
-	ReadPublished(ctx context.Context, from int64, wait time.Duration) (platform.Batch, platform.StoreStatus, error)
+	NewestOperatorChanges(ctx context.Context) (platform.Batch, platform.StoreStatus, error)
+	ReadOperatorChanges(ctx context.Context, from int64, wait time.Duration) (platform.Batch, platform.StoreStatus, error)
 }
 
 // Follower holds the configuration in force and the waves. It is safe for concurrent use.
@@ -97,9 +97,9 @@
 
 func (f *Follower) read(ctx context.Context, next int64) (platform.Batch, platform.StoreStatus, error) {
 	if next < 0 {
-		return f.source.NewestPublished(ctx)
+		return f.source.NewestOperatorChanges(ctx)
 	}
-	return f.source.ReadPublished(ctx, next, longPollWait)
+	return f.source.ReadOperatorChanges(ctx, next, longPollWait)
 }
 
 // apply puts changes in force. The last good configuration stays in force if a new one can't
@@ -109,7 +109,7 @@
 	defer f.mu.Unlock()
 	f.lastReadAt = time.Now()
 	for _, r := range batch.Records {
-		change, ok, err := platform.DecodePublished(r)
+		change, ok, err := platform.DecodeOperatorChange(r)
 		switch {
 		case err != nil:
 			f.logger.Error("published change can't be read, the last good state stays", "key", r.Key, "error", err)
