--- a/cmd/yuccadrift-platform-standin/main.go
+++ b/cmd/yuccadrift-platform-standin/main.go
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// waveLimit is the number of VMs that may be away at once during the wave.
+// waveLimit is the number of VMs that may be in maintenance at once during the wave.
 const waveLimit = 3
 
 func publishWave(p *standin.Platform) {
