--- a/internal/dayreport/conditions.go
+++ b/internal/dayreport/conditions.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// Cause is the reason that the report gives for a refusal or a late start.
+// Cause is what the report attributes a refusal or a slow start to.
 type Cause string
 
-// Causes of refusals and late starts.
+// Causes of refusals and slow starts. No line shows a lack of capacity: NoFreeCapacity is assumed for
+// a slow start that no other condition explains.
 const (
 	StoreUnavailable Cause = "store away"
 	OwnerUnavailable Cause = "owner away"
@@ -16,7 +17,7 @@
 	OtherCause       Cause = "other"
 )
 
-// Lengths of conditions for which only one end is logged.
+// Assumed durations of conditions that are logged as a single line.
 const (
 	// overloadLineInterval is the time before an "owner is behind" line that the line covers.
 	overloadLineInterval = time.Second
@@ -24,13 +25,14 @@
 	vmTransitTime = 3 * time.Second
 )
 
-// minCauseShare is the share of a wait that a condition must exceed to count as its cause.
+// minCauseShare is the share of a job's wait that a condition must exceed to count as the cause of
+// the slow start.
 const minCauseShare = 0.25
 
 // period is a period in which a condition held.
 type period struct{ from, to time.Time }
 
-// overlap returns how long s and o overlap.
+// overlap returns how long p and o overlap.
 func (p period) overlap(o period) time.Duration {
 	from, to := p.from, p.to
 	if o.from.After(from) {
@@ -42,8 +44,8 @@
 	return max(0, to.Sub(from))
 }
 
-// coveredDuration returns how much of window the other spans cover. The others must be sorted
-// by their start.
+// coveredDuration returns how much of window the others cover. The others must be sorted by their
+// start.
 func coveredDuration(window period, others []period) time.Duration {
 	var sum time.Duration
 	for _, s := range others {
@@ -66,7 +68,7 @@
 // ownershipTracker follows the owners of the partitions of the jobs topic.
 type ownershipTracker struct {
 	owner       map[int]string    // the node that took it over last
-	leftAt      map[int]time.Time // when that node left it, from its "partition left" line
+	leftAt      map[int]time.Time // when that node left it; see recordLeave and recordRestart
 	lastLineAt  map[string]time.Time
 	firstLineAt time.Time
 }
@@ -135,7 +137,7 @@
 
 // recordTakeover records that a node took a partition over and returns the takeover. The gap begins
 // when the previous owner left the partition or, if it did not log that, at its last line. Without
-// a previous owner it begins at the first line of the logs.
+// a previous owner, the gap begins at the first line of the logs.
 func (o *ownershipTracker) recordTakeover(l Line) Takeover {
 	since := o.firstLineAt
 	if before, ok := o.owner[l.Partition]; ok {
@@ -149,22 +151,22 @@
 	return Takeover{At: l.At, Partition: l.Partition, Node: l.Node, Gap: l.At.Sub(since), HandedOver: l.HandedOver}
 }
 
-// slowStartCause returns the most likely cause of a job's late start, where l is its owner's
-// line on that start: the condition that held longest during the wait if it exceeds minCauseShare
-// of the wait, otherwise NoFreeCapacity.
+// slowStartCause returns the most likely cause of a job's slow start, where l is its owner's line on
+// that start: the condition that held longest during the wait, if it held for more than minCauseShare
+// of the wait. Otherwise, it assumes NoFreeCapacity.
 func (c *conditions) slowStartCause(l Line, service string) Cause {
 	waited := period{l.At.Add(-time.Duration(l.AgeMS) * time.Millisecond), l.At}
 	cause, longest := NoFreeCapacity, time.Duration(minCauseShare*float64(waited.to.Sub(waited.from)))
 	for _, candidate := range []struct {
-		cause Cause
-		spans []period
+		cause   Cause
+		periods []period
 	}{
 		{StoreUnavailable, c.storeUnavailable[l.Node]},
 		{OwnerUnavailable, c.ownerUnavailable[l.Partition]},
 		{OwnerOverloaded, c.ownerOverloaded[l.Partition]},
 		{VMsInTransit, c.vmsInTransit[service]},
 	} {
-		if d := coveredDuration(waited, candidate.spans); d > longest {
+		if d := coveredDuration(waited, candidate.periods); d > longest {
 			cause, longest = candidate.cause, d
 		}
 	}
--- a/internal/dayreport/dayreport_test.go
+++ b/internal/dayreport/dayreport_test.go
@@ -65,7 +65,7 @@
 	assert.Equal(t, dayreport.OtherCause, r.Refusals[2].Cause)
 }
 
-// A late start is attributed to the condition that held longest during the job's wait.
+// A slow start is attributed to the condition that held longest during the job's wait.
 func TestSlowStartIsAttributedToLongestCondition(t *testing.T) {
 	firstPlaced := func(seconds float64, ageMS string) string {
 		return logLine(seconds, "n-2", "first-placed", `"job":"a","queue":"q","partition":4,"age_ms":`+ageMS)
@@ -116,7 +116,7 @@
 		require.Len(t, r.SlowStarts, 1, c.name)
 		assert.Equal(t, dayreport.SlowStart{Cause: c.cause, Service: "booking", Count: 1, MaxMS: 3000}, r.SlowStarts[0], c.name)
 	}
-	assert.Empty(t, buildReport(t, owned, firstPlaced(20, "999")).SlowStarts, "in time")
+	assert.Empty(t, buildReport(t, owned, firstPlaced(20, "999")).SlowStarts, "a start before slowAfter is not slow")
 }
 
 // A previous owner may log "partition left" after the next owner's "partition taken over". Guards
--- a/internal/dayreport/lines.go
+++ b/internal/dayreport/lines.go
@@ -1,7 +1,7 @@
 // Package dayreport explains a day of a deployment from the logs of its nodes: which calls
-// were refused and why, which jobs started late and what they waited for, and what happened
-// to the owners, the store and the VMs at that time. Apart from reading the logs and writing
-// the page it does no I/O and holds no state.
+// were refused and why, which jobs started slowly and what they probably waited for, and what
+// happened to the owners, the store and the VMs at that time. Apart from reading the logs and
+// writing the page it does no I/O and holds no state.
 package dayreport
 
 import (
--- a/internal/dayreport/report.go
+++ b/internal/dayreport/report.go
@@ -28,15 +28,18 @@
 	Seconds   []Second   `json:"seconds"`
 }
 
-// Jobs counts the accepted jobs. Open is the number of jobs without an end in the logs.
+// Jobs counts jobs. Accepted counts the jobs whose acceptance is in the logs, and Open those of them
+// whose end is not. Completed, Failed and Cancelled count all jobs whose end is in the logs, including
+// jobs that were accepted before the logs begin.
 type Jobs struct {
 	Accepted  int `json:"taken"`
 	Completed int `json:"completed"`
 	Failed    int `json:"failed"`
 	Cancelled int `json:"cancelled"`
 	Open      int `json:"open"`
-	// Started and Ended are the times from the acceptance of a job to its first start and to
-	// its completion.
+	// Started summarizes the times from the acceptance of a job to its first start. A job whose first
+	// start two owners logged counts twice. Ended summarizes the times from the acceptance of a job to
+	// its completion; failed and cancelled jobs don't count.
 	Started Percentiles `json:"started_ms"`
 	Ended   Percentiles `json:"ended_ms"`
 }
@@ -48,7 +51,8 @@
 	Max    float64 `json:"most"`
 }
 
-// Refusal counts error answers with the same method, status and reason.
+// Refusal counts error answers (HTTP status of at least 400) with the same method, status and reason.
+// They include answers to calls that were not refused but invalid, such as those for unknown jobs.
 type Refusal struct {
 	Cause  Cause     `json:"cause"`
 	Method string    `json:"method"`
@@ -59,7 +63,7 @@
 	Last   time.Time `json:"last"`
 }
 
-// SlowStart counts the jobs of one service that started late for the same cause.
+// SlowStart counts the slow starts of jobs of one service with the same cause.
 type SlowStart struct {
 	Cause   Cause  `json:"cause"`
 	Service string `json:"service"`
@@ -75,7 +79,8 @@
 	Count   int    `json:"count"`
 }
 
-// Takeover is a change of a partition's owner. Gap is how long the partition had no owner.
+// Takeover is a change of a partition's owner. Gap is an estimate of how long the partition had no
+// owner; see ownershipTracker.recordTakeover.
 type Takeover struct {
 	At         time.Time     `json:"at"`
 	Partition  int           `json:"partition"`
@@ -89,16 +94,16 @@
 	At       time.Time `json:"at"`
 	Accepted int       `json:"taken"`
 	Refused  int       `json:"refused"`
-	Started  int       `json:"began"`
-	// WaitMS is the 95th percentile of the waits of the jobs that started.
+	Started  int       `json:"began"` // first starts of jobs
+	// WaitMS is the 95th percentile of the times from acceptance to first start of these jobs.
 	WaitMS float64 `json:"wait_ms"`
-	// Ended counts completed jobs.
+	// Ended counts completed jobs; unlike the log's "ended", it excludes failed and cancelled ones.
 	Ended  int      `json:"ended"`
 	Events []string `json:"events,omitempty"`
 }
 
-// Build returns the report on log. A job that starts slowAfter or more after its acceptance
-// counts as late. ok is false if the log has no line of a node.
+// Build returns the report on log. The start of a job is slow if it comes slowAfter or more after its
+// acceptance. ok is false if the log has no line of a node.
 func Build(log *Log, slowAfter time.Duration) (r Report, ok bool) {
 	if len(log.Lines) == 0 {
 		return Report{}, false
@@ -132,7 +137,7 @@
 	submitMethod          = "POST"
 )
 
-// isRefusal reports whether l is an error answer to a call.
+// isRefusal reports whether l is an answer with an error status.
 func (l Line) isRefusal() bool {
 	return l.Message == "answered" && l.Status >= firstErrorStatus
 }
@@ -142,7 +147,7 @@
 	return l.Message == "answered" && l.Method == submitMethod && l.Status < firstNonSuccessStatus && l.Job != ""
 }
 
-// countJobs counts the jobs. Two owners may log the end of one job; the last line counts.
+// countJobs counts the jobs. If two owners log the end of a job, the later line counts.
 func countJobs(lines []Line) Jobs {
 	accepted, ends := map[string]bool{}, map[string]Line{}
 	var startDelays []float64
@@ -190,7 +195,8 @@
 	return math.Round(stat.Quantile(p, stat.Empirical, sorted, nil))
 }
 
-// refusalCause derives the cause from the beginning of the reason in the answer.
+// refusalCause derives the cause from the beginning of the reason in the answer. Package front writes
+// these reasons.
 func refusalCause(reason string) Cause {
 	switch {
 	case strings.HasPrefix(reason, "the store "):
@@ -224,8 +230,8 @@
 	return all
 }
 
-// groupSlowStarts counts the jobs that started late, by cause and service. A line on a start names
-// only the job's queue; the queue's service is taken from the lines on answers.
+// groupSlowStarts counts the slow starts by cause and service. A line on a start names only the job's
+// queue; the queue's service is taken from the lines on answers.
 func groupSlowStarts(lines []Line, c *conditions, slowAfter time.Duration) []SlowStart {
 	services := map[string]string{}
 	for _, l := range lines {
--- a/internal/dayreport/seconds.go
+++ b/internal/dayreport/seconds.go
@@ -12,8 +12,8 @@
 	Second
 	waits              []float64
 	nodesStarted       int
-	nodesLostStore     int // nodes
-	nodesRegainedStore int // nodes
+	nodesLostStore     int
+	nodesRegainedStore int
 	overloadedOwners   int
 	takeovers          int
 	longestGap         time.Duration
