--- a/internal/dayreport/conditions.go
+++ b/internal/dayreport/conditions.go
@@ -29,7 +29,7 @@
 // the slow start.
 const minCauseShare = 0.25
 
-// period is a period in which a condition held.
+// period is a time span in which a condition held.
 type period struct{ from, to time.Time }
 
 // overlap returns how long p and o overlap.
--- a/internal/load/jobs.go
+++ b/internal/load/jobs.go
@@ -32,7 +32,7 @@
 // JobReport is the result of a load of jobs.
 type JobReport struct {
 	Sent, Accepted, Refused, Completed, Incomplete int
-	Slowest                                        time.Duration // longest time from the first attempt until shown as completed
+	Slowest                                        time.Duration // longest time from the first attempt to submit a job until a node returned its state as completed
 }
 
 // Timeouts, intervals and attempts of calls.
@@ -63,9 +63,10 @@
 	report JobReport
 }
 
-// RunJobs submits jobs and waits until each is shown as completed or its time is
-// over. A job that no node has accepted yet is submitted again to the next node,
-// with the same ID. RunJobs returns an error if plan is incomplete or ctx ends.
+// RunJobs submits jobs and waits until each is completed, refused or not completed
+// within plan.CompletionTimeout. A job that no node has accepted yet is submitted
+// again to the next node, with the same ID. RunJobs returns an error if plan is
+// incomplete or ctx ends.
 func RunJobs(ctx context.Context, plan JobPlan) (JobReport, error) {
 	if len(plan.Targets) == 0 || len(plan.Queues) == 0 || plan.Jobs < 1 || plan.Rate <= 0 {
 		return JobReport{}, errors.New("a load of jobs needs targets, queues, jobs and a rate")
--- a/internal/record/body.go
+++ b/internal/record/body.go
@@ -191,8 +191,9 @@
 	Reason  string      `json:"reason,omitempty"`
 }
 
-// WaveSkip removes a VM from a wave, for example because it did not come back
-// or because its long job must not be interrupted. Subject: the wave.
+// WaveSkip removes a VM from a wave, for example because it did not become
+// healthy again or because its long job must not be interrupted. Subject: the
+// wave.
 type WaveSkip struct {
 	VM     string `json:"vm"`
 	Reason string `json:"reason"`
