--- a/internal/dayreport/conditions.go
+++ b/internal/dayreport/conditions.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// Cause is the reason that the report gives for a refusal or a late start.
+// Cause is what the report attributes a refusal or a slow start to.
 type Cause string
 
-// Causes of refusals and late starts.
+// Causes of refusals and slow starts. No line shows a lack of capacity: NoFreeCapacity is assumed for
+// a slow start that no other condition explains.
 const (
 	StoreUnavailable Cause = "store away"
 	OwnerUnavailable Cause = "owner away"
@@ -16,7 +17,7 @@
 	OtherCause       Cause = "other"
 )
 
-// Lengths of conditions for which only one end is logged.
+// Assumed durations of conditions that are logged as a single line.
 const (
 	// overloadLineInterval is the time before an "owner is behind" line that the line covers.
 	overloadLineInterval = time.Second
@@ -24,15 +25,16 @@
 	vmTransitTime = 3 * time.Second
 )
 
-// minCauseShare is the share of a wait that a condition must exceed to count as its cause.
+// minCauseShare is the share of a job's wait that a condition must exceed to count as the cause of
+// the slow start.
 const minCauseShare = 0.25
 
-// span is a period in which a condition held.
-type span struct{ from, to time.Time }
+// period is a time span in which a condition held.
+type period struct{ from, to time.Time }
 
-// overlap returns how long s and o overlap.
-func (s span) overlap(o span) time.Duration {
-	from, to := s.from, s.to
+// overlap returns how long p and o overlap.
+func (p period) overlap(o period) time.Duration {
+	from, to := p.from, p.to
 	if o.from.After(from) {
 		from = o.from
 	}
@@ -42,9 +44,9 @@
 	return max(0, to.Sub(from))
 }
 
-// coveredDuration returns how much of window the other spans cover. The others must be sorted
-// by their start.
-func coveredDuration(window span, others []span) time.Duration {
+// coveredDuration returns how much of window the others cover. The others must be sorted by their
+// start.
+func coveredDuration(window period, others []period) time.Duration {
 	var sum time.Duration
 	for _, s := range others {
 		sum += window.overlap(s)
@@ -57,16 +59,16 @@
 
 // conditions holds the periods in which each condition held, according to the log lines.
 type conditions struct {
-	storeUnavailable map[string][]span // by node
-	ownerUnavailable map[int][]span    // by partition of the jobs topic
-	ownerOverloaded  map[int][]span
-	vmsInTransit     map[string][]span // by pool
+	storeUnavailable map[string][]period // by node
+	ownerUnavailable map[int][]period    // by partition of the jobs topic
+	ownerOverloaded  map[int][]period
+	vmsInTransit     map[string][]period // by pool
 }
 
 // ownershipTracker follows the owners of the partitions of the jobs topic.
 type ownershipTracker struct {
 	owner       map[int]string    // the node that took it over last
-	leftAt      map[int]time.Time // when that node left it, from its "partition left" line
+	leftAt      map[int]time.Time // when that node left it; see recordLeave and recordRestart
 	lastLineAt  map[string]time.Time
 	firstLineAt time.Time
 }
@@ -75,17 +77,17 @@
 // be sorted by time and must not be empty.
 func collectConditions(lines []Line) (*conditions, []Takeover) {
 	c := &conditions{
-		storeUnavailable: map[string][]span{},
-		ownerUnavailable: map[int][]span{},
-		ownerOverloaded:  map[int][]span{},
-		vmsInTransit:     map[string][]span{},
+		storeUnavailable: map[string][]period{},
+		ownerUnavailable: map[int][]period{},
+		ownerOverloaded:  map[int][]period{},
+		vmsInTransit:     map[string][]period{},
 	}
 	ownership := &ownershipTracker{owner: map[int]string{}, leftAt: map[int]time.Time{}, lastLineAt: map[string]time.Time{}, firstLineAt: lines[0].At}
 	storeLostAt := map[string]time.Time{}
 	var takeovers []Takeover
 	for _, l := range lines {
 		if since, ok := storeLostAt[l.Node]; ok && (l.Message == "store answers again" || l.Message == "started") {
-			c.storeUnavailable[l.Node] = append(c.storeUnavailable[l.Node], span{since, l.At})
+			c.storeUnavailable[l.Node] = append(c.storeUnavailable[l.Node], period{since, l.At})
 			delete(storeLostAt, l.Node)
 		}
 		switch l.Message {
@@ -94,23 +96,23 @@
 		case "store does not answer":
 			storeLostAt[l.Node] = l.At.Add(-time.Duration(l.SinceMS) * time.Millisecond)
 		case "owner is behind":
-			c.ownerOverloaded[l.Partition] = append(c.ownerOverloaded[l.Partition], span{l.At.Add(-overloadLineInterval), l.At})
+			c.ownerOverloaded[l.Partition] = append(c.ownerOverloaded[l.Partition], period{l.At.Add(-overloadLineInterval), l.At})
 		case "VM ordered":
 			if !l.Maintenance && l.Outcome == "ok" {
-				c.vmsInTransit[l.Pool] = append(c.vmsInTransit[l.Pool], span{l.At, l.At.Add(vmTransitTime)})
+				c.vmsInTransit[l.Pool] = append(c.vmsInTransit[l.Pool], period{l.At, l.At.Add(vmTransitTime)})
 			}
 		case "partition left":
 			ownership.recordLeave(l)
 		case "partition taken over":
 			t := ownership.recordTakeover(l)
-			c.ownerUnavailable[l.Partition] = append(c.ownerUnavailable[l.Partition], span{t.At.Add(-t.Gap), t.At})
+			c.ownerUnavailable[l.Partition] = append(c.ownerUnavailable[l.Partition], period{t.At.Add(-t.Gap), t.At})
 			takeovers = append(takeovers, t)
 		}
 		ownership.lastLineAt[l.Node] = l.At
 	}
 	last := lines[len(lines)-1].At
 	for node, since := range storeLostAt {
-		c.storeUnavailable[node] = append(c.storeUnavailable[node], span{since, last})
+		c.storeUnavailable[node] = append(c.storeUnavailable[node], period{since, last})
 	}
 	return c, takeovers
 }
@@ -135,7 +137,7 @@
 
 // recordTakeover records that a node took a partition over and returns the takeover. The gap begins
 // when the previous owner left the partition or, if it did not log that, at its last line. Without
-// a previous owner it begins at the first line of the logs.
+// a previous owner, the gap begins at the first line of the logs.
 func (o *ownershipTracker) recordTakeover(l Line) Takeover {
 	since := o.firstLineAt
 	if before, ok := o.owner[l.Partition]; ok {
@@ -149,22 +151,22 @@
 	return Takeover{At: l.At, Partition: l.Partition, Node: l.Node, Gap: l.At.Sub(since), HandedOver: l.HandedOver}
 }
 
-// startDelayCause returns the most likely cause of a job's late start, where l is its owner's
-// line on that start: the condition that held longest during the wait if it exceeds minCauseShare
-// of the wait, otherwise NoFreeCapacity.
-func (c *conditions) startDelayCause(l Line, service string) Cause {
-	waited := span{l.At.Add(-time.Duration(l.AgeMS) * time.Millisecond), l.At}
+// slowStartCause returns the most likely cause of a job's slow start, where l is its owner's line on
+// that start: the condition that held longest during the wait, if it held for more than minCauseShare
+// of the wait. Otherwise, it assumes NoFreeCapacity.
+func (c *conditions) slowStartCause(l Line, service string) Cause {
+	waited := period{l.At.Add(-time.Duration(l.AgeMS) * time.Millisecond), l.At}
 	cause, longest := NoFreeCapacity, time.Duration(minCauseShare*float64(waited.to.Sub(waited.from)))
 	for _, candidate := range []struct {
-		cause Cause
-		spans []span
+		cause   Cause
+		periods []period
 	}{
 		{StoreUnavailable, c.storeUnavailable[l.Node]},
 		{OwnerUnavailable, c.ownerUnavailable[l.Partition]},
 		{OwnerOverloaded, c.ownerOverloaded[l.Partition]},
 		{VMsInTransit, c.vmsInTransit[service]},
 	} {
-		if d := coveredDuration(waited, candidate.spans); d > longest {
+		if d := coveredDuration(waited, candidate.periods); d > longest {
 			cause, longest = candidate.cause, d
 		}
 	}
--- a/internal/dayreport/report.go
+++ b/internal/dayreport/report.go
@@ -22,21 +22,24 @@
 	Jobs       Jobs        `json:"jobs"`
 	Refusals   []Refusal   `json:"refusals"`
 	SlowStarts []SlowStart `json:"slow_starts"`
-	Orders     []Order     `json:"orders"`
+	Orders     []VMOrder   `json:"orders"`
 	// Takeovers lists the takeovers of partitions of the jobs topic.
 	Takeovers []Takeover `json:"takeovers"`
 	Seconds   []Second   `json:"seconds"`
 }
 
-// Jobs counts the accepted jobs. Open is the number of jobs without an end in the logs.
+// Jobs counts jobs. Accepted counts the jobs whose acceptance is in the logs, and Open those of them
+// whose end is not. Completed, Failed and Cancelled count all jobs whose end is in the logs, including
+// jobs that were accepted before the logs begin.
 type Jobs struct {
 	Accepted  int `json:"taken"`
 	Completed int `json:"completed"`
 	Failed    int `json:"failed"`
 	Cancelled int `json:"cancelled"`
 	Open      int `json:"open"`
-	// Started and Ended are the times from the acceptance of a job to its first start and to
-	// its completion.
+	// Started summarizes the times from the acceptance of a job to its first start. A job whose first
+	// start two owners logged counts twice. Ended summarizes the times from the acceptance of a job to
+	// its completion; failed and cancelled jobs don't count.
 	Started Percentiles `json:"started_ms"`
 	Ended   Percentiles `json:"ended_ms"`
 }
@@ -48,7 +51,8 @@
 	Max    float64 `json:"most"`
 }
 
-// Refusal counts error answers with the same method, status and reason.
+// Refusal counts error answers (HTTP status of at least 400) with the same method, status and reason.
+// They include answers to calls that were not refused but invalid, such as those for unknown jobs.
 type Refusal struct {
 	Cause  Cause     `json:"cause"`
 	Method string    `json:"method"`
@@ -59,7 +63,7 @@
 	Last   time.Time `json:"last"`
 }
 
-// SlowStart counts the jobs of one service that started late for the same cause.
+// SlowStart counts the slow starts of jobs of one service with the same cause.
 type SlowStart struct {
 	Cause   Cause  `json:"cause"`
 	Service string `json:"service"`
@@ -67,15 +71,16 @@
 	MaxMS   int64  `json:"most_ms"`
 }
 
-// Order counts orders for VMs of the same kind, pool and outcome.
-type Order struct {
+// VMOrder counts orders for VMs of the same kind, pool and outcome.
+type VMOrder struct {
 	Kind    string `json:"kind"` // "move" or "maintenance"
 	Pool    string `json:"pool"` // target of a move
 	Outcome string `json:"outcome"`
 	Count   int    `json:"count"`
 }
 
-// Takeover is a change of a partition's owner. Gap is how long the partition had no owner.
+// Takeover is a change of a partition's owner. Gap is an estimate of how long the partition had no
+// owner; see ownershipTracker.recordTakeover.
 type Takeover struct {
 	At         time.Time     `json:"at"`
 	Partition  int           `json:"partition"`
@@ -89,16 +94,16 @@
 	At       time.Time `json:"at"`
 	Accepted int       `json:"taken"`
 	Refused  int       `json:"refused"`
-	Started  int       `json:"began"`
-	// WaitMS is the 95th percentile of the waits of the jobs that started.
+	Started  int       `json:"began"` // first starts of jobs
+	// WaitMS is the 95th percentile of the times from acceptance to first start of these jobs.
 	WaitMS float64 `json:"wait_ms"`
-	// Ended counts completed jobs.
+	// Ended counts completed jobs; unlike the log's "ended", it excludes failed and cancelled ones.
 	Ended  int      `json:"ended"`
 	Events []string `json:"events,omitempty"`
 }
 
-// Build returns the report on log. A job that starts slowAfter or more after its acceptance
-// counts as late. ok is false if the log has no line of a node.
+// Build returns the report on log. The start of a job is slow if it comes slowAfter or more after its
+// acceptance. ok is false if the log has no line of a node.
 func Build(log *Log, slowAfter time.Duration) (r Report, ok bool) {
 	if len(log.Lines) == 0 {
 		return Report{}, false
@@ -111,7 +116,7 @@
 		Nodes: countNodes(lines), Lines: len(lines),
 		Foreign: log.Foreign, Truncated: log.Truncated, Problems: log.Problems,
 		Jobs: countJobs(lines), Refusals: groupRefusals(lines), SlowStarts: groupSlowStarts(lines, c, slowAfter),
-		Orders: groupOrders(lines), Takeovers: takeovers,
+		Orders: groupVMOrders(lines), Takeovers: takeovers,
 	}
 	r.Seconds = groupBySecond(lines, takeovers)
 	return r, true
@@ -132,7 +137,7 @@
 	submitMethod          = "POST"
 )
 
-// isRefusal reports whether l is an error answer to a call.
+// isRefusal reports whether l is an answer with an error status.
 func (l Line) isRefusal() bool {
 	return l.Message == "answered" && l.Status >= firstErrorStatus
 }
@@ -142,7 +147,7 @@
 	return l.Message == "answered" && l.Method == submitMethod && l.Status < firstNonSuccessStatus && l.Job != ""
 }
 
-// countJobs counts the jobs. Two owners may log the end of one job; the last line counts.
+// countJobs counts the jobs. If two owners log the end of a job, the later line counts.
 func countJobs(lines []Line) Jobs {
 	accepted, ends := map[string]bool{}, map[string]Line{}
 	var startDelays []float64
@@ -157,12 +162,12 @@
 		}
 	}
 	j := Jobs{Accepted: len(accepted), Started: percentilesOf(startDelays)}
-	var endDelays []float64
+	var completionTimes []float64
 	for _, l := range ends {
 		switch l.Reason {
 		case "completed":
 			j.Completed++
-			endDelays = append(endDelays, float64(l.AgeMS))
+			completionTimes = append(completionTimes, float64(l.AgeMS))
 		case "failed":
 			j.Failed++
 		case "cancelled":
@@ -174,7 +179,7 @@
 			j.Open++
 		}
 	}
-	j.Ended = percentilesOf(endDelays)
+	j.Ended = percentilesOf(completionTimes)
 	return j
 }
 
@@ -190,7 +195,8 @@
 	return math.Round(stat.Quantile(p, stat.Empirical, sorted, nil))
 }
 
-// refusalCause derives the cause from the beginning of the reason in the answer.
+// refusalCause derives the cause from the beginning of the reason in the answer. Package front writes
+// these reasons.
 func refusalCause(reason string) Cause {
 	switch {
 	case strings.HasPrefix(reason, "the store "):
@@ -224,8 +230,8 @@
 	return all
 }
 
-// groupSlowStarts counts the jobs that started late, by cause and service. A line on a start names
-// only the job's queue; the queue's service is taken from the lines on answers.
+// groupSlowStarts counts the slow starts by cause and service. A line on a start names only the job's
+// queue; the queue's service is taken from the lines on answers.
 func groupSlowStarts(lines []Line, c *conditions, slowAfter time.Duration) []SlowStart {
 	services := map[string]string{}
 	for _, l := range lines {
@@ -239,7 +245,7 @@
 			continue
 		}
 		service := cmp.Or(services[l.Queue], l.Queue)
-		cause := c.startDelayCause(l, service)
+		cause := c.slowStartCause(l, service)
 		i := slices.IndexFunc(all, func(s SlowStart) bool { return s.Cause == cause && s.Service == service })
 		if i < 0 {
 			i = len(all)
@@ -252,17 +258,17 @@
 	return all
 }
 
-func groupOrders(lines []Line) []Order {
-	var all []Order
+func groupVMOrders(lines []Line) []VMOrder {
+	var all []VMOrder
 	for _, l := range lines {
 		if l.Message != "VM ordered" {
 			continue
 		}
-		o := Order{Kind: "move", Pool: l.Pool, Outcome: l.Outcome}
+		o := VMOrder{Kind: "move", Pool: l.Pool, Outcome: l.Outcome}
 		if l.Maintenance {
 			o.Kind = "maintenance"
 		}
-		i := slices.IndexFunc(all, func(x Order) bool {
+		i := slices.IndexFunc(all, func(x VMOrder) bool {
 			return x.Kind == o.Kind && x.Pool == o.Pool && x.Outcome == o.Outcome
 		})
 		if i < 0 {
@@ -271,6 +277,6 @@
 		}
 		all[i].Count++
 	}
-	slices.SortStableFunc(all, func(a, b Order) int { return cmp.Compare(b.Count, a.Count) })
+	slices.SortStableFunc(all, func(a, b VMOrder) int { return cmp.Compare(b.Count, a.Count) })
 	return all
 }
--- a/internal/proof/soak_faults_test.go
+++ b/internal/proof/soak_faults_test.go
@@ -47,7 +47,7 @@
 				func() { worker.SetFault(standin.NoWorkerFault) })
 		}
 	case 8:
-		s.applyFault(vm.ID, "crashed", time.Second, func() { s.cluster.Platform.Crash(vm, 500*time.Millisecond) }, func() {})
+		s.applyFault(vm.ID, "crashed", time.Second, func() { s.cluster.Platform.CrashVM(vm, 500*time.Millisecond) }, func() {})
 	case 9:
 		s.applyFault("history", "dropped", 0, func() { s.cluster.Platform.Store.DropHistory(joblog.JobsTopic) }, func() {})
 		if err := s.cluster.Platform.Publish("returns"); err != nil {
@@ -61,7 +61,7 @@
 	vms := s.cluster.Platform.VMs()
 	vm := vms[rng.IntN(len(vms))]
 	downtime := time.Duration(300+rng.IntN(900)) * time.Millisecond
-	s.applyFault(vm.ID, "worker restarts under its ID", downtime, func() { s.cluster.Platform.Restart(vm, downtime) }, func() {})
+	s.applyFault(vm.ID, "worker restarts under its ID", downtime, func() { s.cluster.Platform.RestartWorker(vm, downtime) }, func() {})
 }
 
 // applyFault begins a fault of a target and ends it after duration. It does nothing if the target
