--- a/internal/owner/handover.go
+++ b/internal/owner/handover.go
@@ -45,7 +45,7 @@
 	if core.StepDownReason() == "" && !superseded && o.storeHandover(core) {
 		return
 	}
-	records := core.UnstoredHandoverRecords(time.Now())
+	records := core.HandoverRecordsForNextOwner(time.Now())
 	if findHandover(records) != nil {
 		o.handoverReport = &HandoverReport{Epoch: o.epoch, Records: records}
 		o.logger.Info("partition left, its runs are reported to a successor on request", "records", len(records))
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -258,7 +258,7 @@
 	if j.submission == nil {
 		return
 	}
-	c.completeJob(j, workload.Cancelled, now)
+	c.endJob(j, workload.Cancelled, now)
 }
 
 // RestoreProgress applies the progress that an earlier owner stored for a job.
@@ -357,7 +357,7 @@
 	c.detectStall(now)
 	c.expireRuns(now)
 	c.pollOvertakenStarts(now)
-	c.removeGoneWorkers(now)
+	c.removeUnregisteredWorkers(now)
 	c.pollWorkers(now)
 	c.evictRuns(now)
 	c.stopIncompleteGangs(now)
--- a/internal/scheduler/crash.go
+++ b/internal/scheduler/crash.go
@@ -30,7 +30,7 @@
 	}
 	w.crashUnconfirmedUntil = time.Time{}
 	if w.synced || len(runs) > 0 {
-		c.recordDecision(Decision{Verb: "worker-lost", Worker: w.info.ID, Reason: reason, Age: now.Sub(w.lastPollAnsweredAt), AlwaysLogged: true})
+		c.recordDecision(Decision{Verb: "worker-lost", Worker: w.info.ID, Reason: reason, Age: now.Sub(w.lastReportHandledAt), AlwaysLogged: true})
 	}
 	w.synced = false
 	for _, r := range slices.Clone(runs) {
@@ -273,7 +273,7 @@
 	c.recordDecision(Decision{Verb: "given-up", Job: j.id, Task: r.taskKey().String(), Worker: r.worker.info.ID, Run: r.number,
 		Reason: fmt.Sprintf("it crashes its workers, %d crashes are recorded", len(t.crashes)), AlwaysLogged: true})
 	crashes := t.crashes
-	c.completeJob(j, workload.Failed, now)
+	c.endJob(j, workload.Failed, now)
 	c.retractUnlikelyCrashes(crashes)
 }
 
--- a/internal/scheduler/fakeowner_test.go
+++ b/internal/scheduler/fakeowner_test.go
@@ -179,7 +179,7 @@
 			continue
 		}
 		previous.dead = true
-		records := previous.core.UnstoredHandoverRecords(w.now)
+		records := previous.core.HandoverRecordsForNextOwner(w.now)
 		if handover, _ := lastHandover(append([]workload.Record{{Takeover: &workload.Takeover{Epoch: epoch}}}, records...)); handover != nil {
 			w.directHandovers++
 			return records
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -41,9 +41,9 @@
 	return append(records, workload.Record{Handover: h})
 }
 
-// UnstoredHandoverRecords returns the HandoverRecords of an owner that can't store them. They
+// HandoverRecordsForNextOwner returns the HandoverRecords of an owner that can't store them. They
 // include the progress of the write in flight, which may be missing from the store, too.
-func (c *Core) UnstoredHandoverRecords(now time.Time) []workload.Record {
+func (c *Core) HandoverRecordsForNextOwner(now time.Time) []workload.Record {
 	if c.pendingWrite != nil {
 		for id := range c.pendingWrite.finalStates {
 			if j := c.jobs[id]; j != nil {
@@ -102,7 +102,7 @@
 		if !handedOver.StartConfirmed {
 			w.lateStartUntil = now.Add(maxOrderDelay)
 		}
-		state := runUnanswered
+		state := runUnconfirmed
 		if s.job.finalState.IsTerminal() || s.tasks[key.Index].done {
 			state = runStopping // the earlier owner's stop may not have reached the worker
 		}
--- a/internal/scheduler/incarnation.go
+++ b/internal/scheduler/incarnation.go
@@ -75,13 +75,13 @@
 // previous process. Its runs are kept until the first list of the new incarnation.
 func (c *Core) handleRestart(w *worker, incarnation int64, reason string, now time.Time) {
 	c.Counts.WorkerRestarts++
-	c.recordDecision(Decision{Verb: "worker-restarted", Worker: w.info.ID, Reason: reason, Age: now.Sub(w.lastPollAnsweredAt), AlwaysLogged: true})
+	c.recordDecision(Decision{Verb: "worker-restarted", Worker: w.info.ID, Reason: reason, Age: now.Sub(w.lastReportHandledAt), AlwaysLogged: true})
 	c.raiseToken(w)
 	w.incarnation = incarnation
 	w.incarnationUnresolved = true
 	w.restartDetectedAt = now
 	w.incarnationFirstSeenAt = now
-	w.lastPollAnsweredAt = now
+	w.lastReportHandledAt = now
 	w.synced = false
 	w.pollInFlight = false
 	w.nextPollAt = now
@@ -180,7 +180,7 @@
 	if !w.hasPendingAck() || !w.synced || w.unreachable || w.entryMismatch {
 		return false
 	}
-	reportedAt := w.lastPollAnsweredAt
+	reportedAt := w.lastReportHandledAt
 	if now.Before(c.stalledUntil) {
 		reportedAt = w.lastAnsweredPollSentAt // the answer may have waited unread
 	}
@@ -202,5 +202,5 @@
 	if r.step.spec.LongRunning || r.step.spec.Speculative || r.task().done {
 		return
 	}
-	c.completeJob(r.step.job, workload.Failed, now)
+	c.endJob(r.step.job, workload.Failed, now)
 }
--- a/internal/scheduler/isolation.go
+++ b/internal/scheduler/isolation.go
@@ -200,7 +200,7 @@
 		return
 	}
 	r := &run{
-		step: s, index: index, number: crash.Run, worker: w, incarnation: crash.Incarnation, state: runUnanswered,
+		step: s, index: index, number: crash.Run, worker: w, incarnation: crash.Incarnation, state: runUnconfirmed,
 		stateChangedAt: c.tookOverAt, orderedAt: c.tookOverAt, orderedSpeedPercent: fullSpeedPercent,
 		isolated: crash.IsolatedRunPending, fromCrashRecord: true,
 		mayBeStoppingUntil: c.tookOverAt.Add(c.settings.MaxStopDuration + stopSlack),
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -21,7 +21,7 @@
 	started          bool // one of its tasks has been started
 	cancelRequested  bool
 	finalState       workload.JobState // "" until the job ends
-	completedAtMS    int64
+	endedAtMS        int64
 	storedState      workload.JobState  // finalState as stored, pending until then
 	restoredProgress *workload.Progress // stored by earlier owners, nil if there is none
 }
@@ -209,7 +209,7 @@
 	if progress.FinalState.IsTerminal() {
 		j.finalState = progress.FinalState
 		j.storedState = progress.FinalState
-		j.completedAtMS = progress.CompletedAtMS
+		j.endedAtMS = progress.EndedAtMS
 	}
 }
 
@@ -240,18 +240,18 @@
 func (c *Core) applyEarlyCancel(j *job) {
 	if j.cancelRequested && !j.finalState.IsTerminal() {
 		j.finalState = workload.Cancelled
-		j.completedAtMS = j.submission.AcceptedAtMS
+		j.endedAtMS = j.submission.AcceptedAtMS
 		c.dirtyJobs[j.id] = j
 	}
 }
 
-// completeJob gives a job its final state and stops its runs.
-func (c *Core) completeJob(j *job, final workload.JobState, now time.Time) {
+// endJob gives a job its final state and stops its runs.
+func (c *Core) endJob(j *job, final workload.JobState, now time.Time) {
 	if j.finalState.IsTerminal() {
 		return
 	}
 	j.finalState = final
-	j.completedAtMS = now.UnixMilli()
+	j.endedAtMS = now.UnixMilli()
 	c.dirtyJobs[j.id] = j
 	c.countFinalState(final)
 	c.recordDecision(Decision{Verb: "ended", Job: j.id, Queue: j.submission.Queue, Reason: string(final), Age: now.Sub(time.UnixMilli(j.submission.AcceptedAtMS))})
@@ -278,7 +278,7 @@
 
 // progressToStore returns the record of a job's current progress.
 func (j *job) progressToStore() *workload.Progress {
-	progress := &workload.Progress{FinalState: j.finalState, CompletedAtMS: j.completedAtMS, Started: j.started}
+	progress := &workload.Progress{FinalState: j.finalState, EndedAtMS: j.endedAtMS, Started: j.started}
 	if j.finalState.IsTerminal() {
 		return progress // the tasks of an ended job are no longer needed
 	}
--- a/internal/scheduler/longrunning_test.go
+++ b/internal/scheduler/longrunning_test.go
@@ -92,7 +92,7 @@
 		for _, s := range starts {
 			row := workload.ListedRun{Task: s.Start.Task, Run: s.Start.Run, SpeedPercent: 100}
 			if s.Start.Task.Step == 0 {
-				row.Load = tailMS
+				row.LatencyOrCPU = tailMS
 			}
 			rows = append(rows, row)
 		}
--- a/internal/scheduler/orders.go
+++ b/internal/scheduler/orders.go
@@ -102,7 +102,7 @@
 	if c.pendingWrite != nil {
 		return
 	}
-	if now.Before(c.lastWriteAt.Add(minWriteInterval)) && !c.hasUnstoredCompletion() {
+	if now.Before(c.lastWriteAt.Add(minWriteInterval)) && !c.hasUnstoredJobEnd() {
 		return
 	}
 	if len(c.dirtyJobs) == 0 && len(c.jobsToDelete) == 0 && c.lastWriteSeq > 0 {
@@ -132,8 +132,8 @@
 	c.orders.Write = order
 }
 
-// hasUnstoredCompletion reports whether the end of a job waits to be stored.
-func (c *Core) hasUnstoredCompletion() bool {
+// hasUnstoredJobEnd reports whether the end of a job waits to be stored.
+func (c *Core) hasUnstoredJobEnd() bool {
 	for _, j := range c.dirtyJobs {
 		if j.finalState.IsTerminal() {
 			return true
--- a/internal/scheduler/poll.go
+++ b/internal/scheduler/poll.go
@@ -51,11 +51,11 @@
 // silence of workers proves nothing: their answers may be waiting unread in this process.
 const stallGracePeriod = 2 * time.Second
 
-// silenceTimeout is how long a registered worker may be silent before its runs are dropped. It is
+// unreachableTimeout is how long a registered worker may be silent before its runs are dropped. It is
 // longer than the 4.5 s after which a crashed worker is unregistered. So a worker that is still
 // registered is most likely partitioned, has completed its short tasks, and lists their exits
 // once it is reachable again.
-const silenceTimeout = 10 * time.Second
+const unreachableTimeout = 10 * time.Second
 
 // detectStall sets stalledUntil after a pause between steps of more than maxStepGap.
 func (c *Core) detectStall(now time.Time) {
@@ -77,13 +77,13 @@
 			continue
 		}
 		hasAddress := w.info.Address != "" // a worker known only from an earlier owner's records has none
-		if hasAddress && (w.lastUnansweredPollSentAt.Before(w.leasesExpireAt) || !w.unregistered && now.Sub(w.lastPollAnsweredAt) < silenceTimeout) {
+		if hasAddress && (w.lastUnansweredPollSentAt.Before(w.leasesExpireAt) || !w.unregistered && now.Sub(w.lastReportHandledAt) < unreachableTimeout) {
 			continue
 		}
 		c.dropExpiredRuns(w, now)
 		if w.synced {
 			w.synced = false
-			c.recordDecision(Decision{Verb: "worker-lost", Worker: w.info.ID, Reason: "no answer, lease is over", Age: now.Sub(w.lastPollAnsweredAt), AlwaysLogged: true})
+			c.recordDecision(Decision{Verb: "worker-lost", Worker: w.info.ID, Reason: "no answer, lease is over", Age: now.Sub(w.lastReportHandledAt), AlwaysLogged: true})
 		}
 	}
 }
@@ -98,7 +98,7 @@
 	blamed := c.recordSilentLosses(w, expired, now)
 	for _, r := range expired {
 		c.Counts.ExpiredRuns++
-		c.recordDecision(Decision{Verb: "lapsed", Job: r.step.job.id, Task: r.taskKey().String(), Worker: w.info.ID, Run: r.number, Reason: "no answer, lease is over", Age: now.Sub(w.lastPollAnsweredAt)})
+		c.recordDecision(Decision{Verb: "lapsed", Job: r.step.job.id, Task: r.taskKey().String(), Worker: w.info.ID, Run: r.number, Reason: "no answer, lease is over", Age: now.Sub(w.lastReportHandledAt)})
 		c.removeRun(r)
 	}
 	for _, r := range blamed {
--- a/internal/scheduler/pollresult.go
+++ b/internal/scheduler/pollresult.go
@@ -8,9 +8,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// maxListedExits is the maximum number of exits in one answer. More follow once these are
+// maxExitsPerReport is the maximum number of exits in one answer. More follow once these are
 // acknowledged.
-const maxListedExits = 500
+const maxExitsPerReport = 500
 
 // PollResult is the outcome of a PollOrder.
 type PollResult struct {
@@ -77,7 +77,7 @@
 	w.nextPollAt = now.Add(pollRetryInterval)
 	if !w.unreachable {
 		if !w.isDrainingAndIdle(now) {
-			c.recordDecision(Decision{Verb: "worker-silent", Worker: w.info.ID, Reason: answerReason(r.Answer), Age: now.Sub(w.lastPollAnsweredAt), AlwaysLogged: true})
+			c.recordDecision(Decision{Verb: "worker-silent", Worker: w.info.ID, Reason: answerReason(r.Answer), Age: now.Sub(w.lastReportHandledAt), AlwaysLogged: true})
 		}
 		w.markUnreachable(now)
 		w.nextPollAt = now.Add(firstPollRetryInterval)
@@ -116,7 +116,7 @@
 	if !r.Extra {
 		w.ackConfirmed = max(w.ackConfirmed, w.ackSent)
 	}
-	w.lastPollAnsweredAt = now
+	w.lastReportHandledAt = now
 	w.unreachable = false
 	w.connectionRefused = false
 	w.entryMismatch = false
@@ -137,7 +137,7 @@
 	for _, listed := range r.Report.Running {
 		c.handleListedRun(w, listed, r.SentAt, now)
 	}
-	if len(r.Report.Exited) < maxListedExits {
+	if len(r.Report.Exited) < maxExitsPerReport {
 		c.handleMissingRuns(w, r, now)
 	}
 	if !w.synced {
@@ -159,14 +159,14 @@
 			return
 		}
 	}
-	if r.state == runStarting || r.state == runUnanswered {
+	if r.state == runStarting || r.state == runUnconfirmed {
 		r.state = runRunning
 		r.stateChangedAt = now
 	}
 	r.startConfirmed = true
 	r.confirmedRunning = !sentAt.Before(r.mayBeStoppingUntil)
 	r.speedPercent = listed.SpeedPercent
-	r.load = listed.Load
+	r.latencyOrCPU = listed.LatencyOrCPU
 	r.checkpoint = listed.Checkpoint
 	if listed.Checkpoint != "" {
 		r.task().checkpoint = listed.Checkpoint
@@ -187,7 +187,7 @@
 		c.orders.Stops = append(c.orders.Stops, StopOrder{Worker: w.info, Task: listed.Task, Run: listed.Run, Token: w.token})
 		return nil
 	}
-	r := &run{step: s, index: listed.Task.Index, number: listed.Run, worker: w, incarnation: w.incarnation, state: runRunning, stateChangedAt: now, orderedAt: now, orderedSpeedPercent: fullSpeedPercent, inherited: true, fromListOnly: true, mayBeStoppingUntil: now.Add(c.settings.MaxStopDuration + stopSlack)}
+	r := &run{step: s, index: listed.Task.Index, number: listed.Run, worker: w, incarnation: w.incarnation, state: runRunning, stateChangedAt: now, orderedAt: now, orderedSpeedPercent: fullSpeedPercent, inherited: true, fromReportOnly: true, mayBeStoppingUntil: now.Add(c.settings.MaxStopDuration + stopSlack)}
 	if !s.spec.Speculative {
 		c.dropEarlierRuns(t, listed.Run)
 	}
@@ -211,7 +211,7 @@
 // their end may have been lost before it stored it.
 func (c *Core) dropEarlierRuns(t *task, number int64) {
 	for _, r := range slices.Clone(t.runs) {
-		if r.number < number && r.state == runUnanswered && (r.inherited || r.fromCrashRecord) {
+		if r.number < number && r.state == runUnconfirmed && (r.inherited || r.fromCrashRecord) {
 			c.recordDecision(Decision{Verb: "run-over", Job: r.step.job.id, Task: r.taskKey().String(), Worker: r.worker.info.ID, Run: r.number, Reason: "a later run of the task is listed"})
 			c.removeRun(r)
 		}
@@ -225,14 +225,14 @@
 			continue
 		}
 		switch {
-		case r.state == runUnanswered:
+		case r.state == runUnconfirmed:
 			// The start has not been carried out yet. Once the worker has accepted a stop,
 			// it won't carry the start out later.
 			c.stopRun(r, "start without an answer")
 			c.sendStop(r, now)
 		case r.state == runStopping && !r.stopConfirmed:
 			c.sendStop(r, now)
-		case r.startConfirmed && !r.fromListOnly:
+		case r.startConfirmed && !r.fromReportOnly:
 			c.handleUnreadExit(r, now)
 		default:
 			c.removeRun(r)
@@ -291,7 +291,7 @@
 		c.requestRerank(s) // the next step may be ready, and less work is left
 	}
 	if s.job.remainingTasks == 0 {
-		c.completeJob(s.job, workload.Completed, now)
+		c.endJob(s.job, workload.Completed, now)
 	}
 }
 
@@ -315,7 +315,7 @@
 		maxAttempts = q.MaxAttempts
 	}
 	if s.failedRunCount() >= maxAttempts && s.spec.Gang || len(t.failedRuns) >= maxAttempts {
-		c.completeJob(s.job, workload.Failed, now)
+		c.endJob(s.job, workload.Failed, now)
 	}
 }
 
--- a/internal/scheduler/silence.go
+++ b/internal/scheduler/silence.go
@@ -13,9 +13,9 @@
 // a start of the same task. minCrashesOfSuspect of them make the task a suspect (suspect.go), and
 // losses during its isolated runs prove that it crashes its workers.
 const (
-	// maxSilenceDelay is how long after a start the worker may have become silent for the
+	// maxUnreachableDelay is how long after a start the worker may have become silent for the
 	// loss to count. The poll that detects it has waited for an answer.
-	maxSilenceDelay = 2 * time.Second
+	maxUnreachableDelay = 2 * time.Second
 	// silentLossesPerCrash is how many losses during isolated runs count as one early crash.
 	silentLossesPerCrash = 2
 )
@@ -27,20 +27,20 @@
 	if len(runs) == 0 || now.Before(w.drainUntil) || !w.crashUnconfirmedUntil.IsZero() || c.listedNonCrashReason(w, runs) != "" {
 		return nil
 	}
-	silentSince := w.unreachableSince
-	if silentSince.IsZero() {
-		silentSince = c.tookOverAt // the worker has never answered this owner
+	unreachableSince := w.unreachableSince
+	if unreachableSince.IsZero() {
+		unreachableSince = c.tookOverAt // the worker has never answered this owner
 	}
 	anyIsolated := slices.ContainsFunc(runs, func(r *run) bool { return r.isolated })
 	for _, r := range runs {
 		t := r.task()
-		age := r.maxAgeAt(silentSince)
-		if t.done || r.step.job.finalState.IsTerminal() || r.inherited || age >= maxSilenceDelay || anyIsolated && !r.isolated {
+		age := r.maxAgeAt(unreachableSince)
+		if t.done || r.step.job.finalState.IsTerminal() || r.inherited || age >= maxUnreachableDelay || anyIsolated && !r.isolated {
 			continue
 		}
 		t.addCrash(workload.Crash{
 			Worker: w.info.ID, Incarnation: r.incarnation, Address: w.info.Address, Run: r.number, DetectedAtMS: now.UnixMilli(), RunAgeMS: age.Milliseconds(),
-			SoleCause: r.isolated && r.isSoleCause(runs, silentSince), WorkerWentSilent: true,
+			SoleCause: r.isolated && r.isSoleCause(runs, unreachableSince), WorkerWentSilent: true,
 		})
 		c.trackStepWithCrashes(r.step)
 		if r.isolated || len(t.crashes) > 1 {
--- a/internal/scheduler/starttracker.go
+++ b/internal/scheduler/starttracker.go
@@ -95,7 +95,7 @@
 func (c *Core) markStartUnanswered(r *run, reason string, now time.Time) {
 	c.Counts.UnansweredStarts++
 	c.recordDecision(Decision{Verb: "uncertain", Job: r.step.job.id, Task: r.taskKey().String(), Worker: r.worker.info.ID, Run: r.number, Reason: "start without an answer: " + reason, AlwaysLogged: true})
-	r.state = runUnanswered
+	r.state = runUnconfirmed
 	r.stateChangedAt = now
 	r.worker.lateStartUntil = r.orderedAt.Add(maxOrderDelay)
 	r.worker.nextPollAt = now
--- a/internal/scheduler/sweep.go
+++ b/internal/scheduler/sweep.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// removeGoneWorkers removes workers that are not registered and run nothing. A worker that is
+// removeUnregisteredWorkers removes workers that are not registered and run nothing. A worker that is
 // being drained is kept: it may not be registered yet, and without its drain it would get
 // starts as soon as it is. A worker with an unconfirmed crash is kept, too.
-func (c *Core) removeGoneWorkers(now time.Time) {
+func (c *Core) removeUnregisteredWorkers(now time.Time) {
 	c.sortedWorkers = slices.DeleteFunc(c.sortedWorkers, func(w *worker) bool {
 		if !w.unregistered || len(w.runs) > 0 || now.Before(w.drainUntil) || now.Before(w.crashUnconfirmedUntil) {
 			return false
@@ -32,7 +32,7 @@
 		return
 	}
 	for id, j := range c.jobs {
-		if j.storedState.IsTerminal() && j.liveRuns == 0 && now.UnixMilli()-j.completedAtMS > (2*c.settings.JobRetention).Milliseconds() {
+		if j.storedState.IsTerminal() && j.liveRuns == 0 && now.UnixMilli()-j.endedAtMS > (2*c.settings.JobRetention).Milliseconds() {
 			c.jobsToDelete = append(c.jobsToDelete, id)
 			delete(c.jobs, id)
 		}
--- a/internal/scheduler/throttle.go
+++ b/internal/scheduler/throttle.go
@@ -20,7 +20,7 @@
 	worstTailRatio, hasBestEffort := 0.0, false
 	for _, r := range w.runs {
 		if r.step.spec.LatencyTargetMS > 0 {
-			worstTailRatio = max(worstTailRatio, r.load/float64(r.step.spec.LatencyTargetMS))
+			worstTailRatio = max(worstTailRatio, r.latencyOrCPU/float64(r.step.spec.LatencyTargetMS))
 		}
 		hasBestEffort = hasBestEffort || r.step.spec.BestEffortCPU
 	}
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -31,10 +31,10 @@
 type runState int
 
 const (
-	runStarting   runState = iota // ordered, not answered yet
-	runUnanswered                 // it may run: its start got no answer, or an earlier owner left it
-	runRunning                    // its start was answered, or the worker has listed it
-	runStopping                   // the owner has ordered its stop; it may not have started
+	runStarting    runState = iota // ordered, not answered yet
+	runUnconfirmed                 // it may run: its start got no answer, or an earlier owner left it
+	runRunning                     // its start was answered, or the worker has listed it
+	runStopping                    // the owner has ordered its stop; it may not have started
 )
 
 // run is one run of a task on a worker, from its start order until it is known to have
@@ -68,7 +68,7 @@
 	speedPercent        int // as listed last
 	orderedSpeedPercent int // as ordered last, -1 if it must be ordered again
 	throttleInFlight    bool
-	load                float64 // as in workload.ListedRun
+	latencyOrCPU        float64 // as in workload.ListedRun
 	checkpoint          string
 
 	// isolated is set for an isolated run of a suspect until the run makes progress or ends.
@@ -84,8 +84,8 @@
 	// inherited is set if the run was restored from a handover or found in a worker's list. The
 	// run is older than orderedAt.
 	inherited bool
-	// fromListOnly is set if the inherited run was found in a worker's list and no handover had it.
-	fromListOnly bool
+	// fromReportOnly is set if the inherited run was found in a worker's list and no handover had it.
+	fromReportOnly bool
 }
 
 func (r *run) taskKey() workload.TaskKey { return r.step.taskKey(r.index) }
@@ -167,7 +167,7 @@
 
 	// lastUnansweredPollSentAt is when the latest poll without an answer was sent.
 	lastUnansweredPollSentAt time.Time
-	lastPollAnsweredAt       time.Time
+	lastReportHandledAt      time.Time
 	ordersInFlight           int // starts, stops and throttles without an outcome
 
 	// Sequence numbers of exits: the highest that was read, the highest that may be
--- a/internal/workload/orders.go
+++ b/internal/workload/orders.go
@@ -79,9 +79,9 @@
 	Run          int64
 	Checkpoint   string // the newest one, "" if there is none
 	SpeedPercent int    // of full speed
-	// Load is the tail latency of a serving task in milliseconds, and the processor time in
+	// LatencyOrCPU is the tail latency of a serving task in milliseconds, and the processor time in
 	// use, in thousandths of a core, of any other task.
-	Load float64
+	LatencyOrCPU float64
 }
 
 // RunExit is a run that has ended on a worker.
--- a/internal/workload/stored.go
+++ b/internal/workload/stored.go
@@ -29,8 +29,8 @@
 	Crashes map[string][]Crash `json:"x,omitempty"`
 	// FinalState is the job's terminal state, "" until the job ends.
 	FinalState JobState `json:"t,omitempty"`
-	// CompletedAtMS is when the job ended, in Unix milliseconds.
-	CompletedAtMS int64 `json:"e,omitempty"`
+	// EndedAtMS is when the job ended, in Unix milliseconds.
+	EndedAtMS int64 `json:"e,omitempty"`
 	// Started is set once a task of the job has been started.
 	Started bool `json:"b,omitempty"`
 }
