--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -5,31 +5,33 @@
 //
 // Stored state. A job is stored before its caller learns that it was accepted. A run's
 // exit that changes a job is stored before it is acknowledged to the worker, which keeps
-// the exit until then. So the store and the workers' lists together are the complete
+// the exit until then. So the store and the workers' reports together are the complete
 // state, and a new owner rebuilds it from them.
 //
 // A run is one run of a task on one worker, from its start order until it is known to have
 // ended. These terms explain when runs start and end:
 //
 //   - Lease: a run lives only until its lease expires. Starts and polls grant leases, and an
-//     owner may send them only while its authority lasts. The runs on a worker that does
-//     not answer have ended once the last lease that the worker may have got has expired on
-//     every clock. Then their tasks may start elsewhere (poll.go, authority.go).
+//     owner may send them only while its authority lasts. The runs on an unreachable worker
+//     have ended once the last lease that the worker may have got has expired on every
+//     clock. Their tasks start elsewhere at the earliest then (expireRuns in poll.go,
+//     authority.go).
 //   - Fencing token: a worker refuses an order with a lower token than it has seen. A new
 //     owner polls each worker with its own token before it starts anything there. After
 //     the answer no order of an earlier owner has an effect on that worker, and the answer
-//     lists all its runs.
+//     is a report of all its runs.
 //   - Incarnation: one process of a worker. A restarted worker may keep its ID, but has lost
 //     its runs, exits and the token that it had seen. Each incarnation gets its own token
 //     (incarnation.go).
-//   - Poll: renews the leases on a worker. The answer has the worker's list of its runs and
-//     exits. Only such a list shows that a run has ended by itself (poll.go, pollresult.go).
-//   - Suspect: a task that may have crashed its worker. It is quarantined: its next run is an
-//     isolated run, on a worker where no other task can cause a crash. The suspect is
-//     cleared by progress, or its job fails after repeated crashes (suspect.go, crash.go,
-//     isolation.go, silence.go).
+//   - Poll: renews the leases on a worker. The answer is the worker's report of its runs and
+//     exits. Only a report shows how a run ended (poll.go, pollresult.go).
+//   - Unreachable: a worker whose last poll failed. The owner can't know whether the worker
+//     crashed, left or is partitioned.
+//   - Suspect: a task that may have crashed its worker. Its next run is an isolated run, on a
+//     worker where no other task can cause a crash. The suspect is cleared by progress, or
+//     its job fails after repeated crashes (suspect.go, crash.go, isolation.go, silence.go).
 //   - Preemption and drain: the owner stops a run to free capacity for a more urgent task, or
-//     because its VM will be ordered away (preempt.go, drain.go).
+//     because its VM will be moved or maintained (preempt.go, drain.go).
 //   - Backlog: ready tasks without a run wait, ranked mainly by whether their jobs can still be
 //     completed in time (ranking.go, rank.go, place.go).
 package scheduler
@@ -66,8 +68,8 @@
 }
 
 const (
-	// maxClockDrift is by how much a worker's clock may be slow, as a fraction of elapsed time;
-	// the platform states 2%.
+	// maxClockDrift is by how much a worker's clock may be slow, as a fraction of elapsed time.
+	// The platform states 2%; 3% leaves a margin.
 	maxClockDrift = 0.03
 	// leaseExpirySlack is added to a lease before it counts as expired. It covers the
 	// order's transit and timer delays on both sides.
@@ -151,8 +153,8 @@
 
 	// planStale is set when something has changed that a plan depends on.
 	planStale bool
-	// Until stalledUntil this process counts as stalled, after a long pause between steps, and
-	// the silence of workers proves nothing.
+	// Until stalledUntil this process counts as stalled, after a long pause between steps.
+	// Answers of workers that seem to be missing may be waiting unread in this process.
 	stalledUntil     time.Time
 	takeoverComplete bool // starts no longer wait for the runs of an earlier owner
 
@@ -328,7 +330,7 @@
 }
 
 // SetForeignAddresses replaces the addresses of registered workers that belong to services
-// of other owners. An address may move from one service to another.
+// of other partitions. An address may move from one service to another.
 func (c *Core) SetForeignAddresses(addresses []string) {
 	clear(c.foreignAddresses)
 	for _, a := range addresses {
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -16,8 +16,8 @@
 // The progress is included because a task whose exit this owner has read has no remaining run.
 // A next owner that knew only the remaining runs would start the task again immediately.
 //
-// An owner that does not know all runs of earlier owners yet stores no handover, as the handover
-// would omit those runs.
+// An owner that does not know all runs of earlier owners yet stores no handover, because the runs
+// that it does not know would be missing there.
 func (c *Core) HandoverRecords(now time.Time) []workload.Record {
 	records := c.unstoredProgressRecords()
 	if c.isPlacementBlocked(now) {
@@ -41,8 +41,9 @@
 	return append(records, workload.Record{Handover: h})
 }
 
-// HandoverRecordsForNextOwner returns the HandoverRecords of an owner that can't store them. They
-// include the progress of the write in flight, which may be missing from the store, too.
+// HandoverRecordsForNextOwner returns the HandoverRecords of an owner that can't store them and
+// sends them to the next owner instead. They include the progress of the write in flight, which may
+// be missing from the store, too.
 func (c *Core) HandoverRecordsForNextOwner(now time.Time) []workload.Record {
 	if c.pendingWrite != nil {
 		for id := range c.pendingWrite.finalStates {
@@ -76,8 +77,8 @@
 }
 
 // RestoreHandover restores the runs of an earlier owner's handover. It must be called once the
-// jobs are known. The runs count as live until their worker answers or their leases expire.
-// Nothing else can run anywhere, so all other tasks may start immediately. Workers that were
+// jobs are known. The runs count as live until their worker answers or their leases expire. The
+// handover has all runs, so all tasks without a run there may start immediately. Workers that were
 // being drained stay closed to starts: a task that started on one would be lost with its VM.
 func (c *Core) RestoreHandover(h *workload.Handover, now time.Time) {
 	for _, id := range h.DrainingWorkers {
@@ -124,14 +125,14 @@
 	}
 }
 
-// logTakeoverComplete logs, once, how long starts had to wait for possible runs of an earlier
-// owner.
+// logTakeoverComplete logs, once, how long starts had to wait because runs of earlier owners might
+// be unknown.
 func (c *Core) logTakeoverComplete(now time.Time) {
 	if c.takeoverComplete || c.isPlacementBlocked(now) {
 		return
 	}
 	c.takeoverComplete = true
-	reason := "all runs of earlier owners are known"
+	reason := "all runs of earlier owners are known or their leases have expired"
 	if ids := c.unresolvedWorkerIDs(); len(ids) > 0 {
 		reason = "the leases of an earlier owner have expired on workers that never answered: " + strings.Join(ids, " ")
 	}
--- a/internal/scheduler/incarnation.go
+++ b/internal/scheduler/incarnation.go
@@ -11,29 +11,30 @@
 // A worker that restarts may keep its ID, so a process is identified by its ID and its start
 // time, the incarnation. The new process has no state of the previous one: it numbers its
 // exits from 1, its clock starts anew, and it has seen no fencing token and no stop. The
-// worker's registry entry and its lists state the incarnation; answers to other orders
+// worker's registry entry and its reports state the incarnation; answers to other orders
 // don't.
 //
 // Orders that were in flight to the previous process may reach the new one. Three rules make
 // them harmless:
 //
 //   - Each incarnation has its own fencing token. The worker refuses earlier orders once it has
-//     carried out a poll with the new token, and no task starts there before the owner has the
-//     list in that poll's answer.
-//   - An acknowledgement is sent only shortly after a list of the same incarnation. Otherwise a
+//     carried out a poll with the new token, and no task starts there before the owner has that
+//     poll's report.
+//   - An acknowledgement is sent only shortly after a report of the same incarnation. Otherwise a
 //     new process could apply it to its own exits and drop them unread.
-//   - A run that was ordered earlier counts as lost only once the new incarnation's first list
+//   - A run that was ordered earlier counts as lost only once the new incarnation's first report
 //     shows that the run isn't there.
 
-// maxAckReportAge is the maximum age of a worker's list when an acknowledgement is sent. A crash
-// and restart take longer, so the acknowledgement reaches the process that sent the list.
+// maxAckReportAge is the maximum age of a worker's report when an acknowledgement is sent. It is
+// shorter than any restart of a process, so the acknowledgement reaches the process that sent the
+// report.
 const maxAckReportAge = 200 * time.Millisecond
 
 // minClockRegression is how far a worker's clock must go back to count as a restart if the
 // incarnation is unknown. Answers that arrive out of order cause smaller steps.
 const minClockRegression = time.Second
 
-// isOtherIncarnation reports whether a list comes from another incarnation than the known one.
+// isOtherIncarnation reports whether a report comes from another incarnation than the known one.
 func (w *worker) isOtherIncarnation(r PollResult) bool {
 	if r.Report.Incarnation != 0 {
 		return w.incarnation != 0 && r.Report.Incarnation != w.incarnation
@@ -41,8 +42,8 @@
 	return r.Answer.ClockMS != 0 && w.clockMS-r.Answer.ClockMS > minClockRegression.Milliseconds()
 }
 
-// entryMatchesReports reports whether a worker's entry and its lists name the same incarnation.
-// An unknown incarnation matches any. If they differ, the entry or the latest list is stale.
+// entryMatchesReports reports whether a worker's entry and its reports name the same incarnation.
+// An unknown incarnation matches any. If they differ, the entry or the latest report is stale.
 //
 // A task starts only if they match. The owner gets new entries only while its ownership is
 // confirmed. So an owner that has lost its ownership without knowing it can't start tasks on an
@@ -52,8 +53,9 @@
 }
 
 // updateEntry applies a worker's registry entry. The entry may be older or newer than the
-// worker's lists, or come from another writer, so a new incarnation in it only causes a poll.
-// If the worker was replaced, a change of its entry counts as a restart.
+// worker's reports, or come from another writer. So an entry with a new incarnation only resets
+// maxCapacity, causes a poll, and blocks starts, acknowledgements and renewals of leases until the
+// worker has answered one. If the worker was replaced, a change of its entry counts as a restart.
 func (c *Core) updateEntry(w *worker, entry workload.Worker, now time.Time) {
 	previous := w.info
 	w.info = entry
@@ -72,7 +74,7 @@
 }
 
 // handleRestart records that a worker has restarted under its ID, and resets what is known of its
-// previous process. Its runs are kept until the first list of the new incarnation.
+// previous process. Its runs are kept until the first report of the new incarnation.
 func (c *Core) handleRestart(w *worker, incarnation int64, reason string, now time.Time) {
 	c.Counts.WorkerRestarts++
 	c.recordDecision(Decision{Verb: "worker-restarted", Worker: w.info.ID, Reason: reason, Age: now.Sub(w.lastReportHandledAt), AlwaysLogged: true})
@@ -98,15 +100,15 @@
 	c.planStale = true
 }
 
-// restartReason returns why a list with another incarnation counts as a restart.
+// restartReason returns why a report with another incarnation counts as a restart.
 func restartReason(previous, incarnation int64) string {
 	switch {
 	case incarnation == 0:
 		return "its clock went backwards"
 	case incarnation < previous:
-		return fmt.Sprintf("it started at %d by its clock, before the start of the known incarnation, %d", incarnation, previous)
+		return fmt.Sprintf("it started at %d, before the known incarnation, which started at %d", incarnation, previous)
 	default:
-		return fmt.Sprintf("it started at %d, the previous incarnation at %d", incarnation, previous)
+		return fmt.Sprintf("it started at %d, after the known incarnation, which started at %d", incarnation, previous)
 	}
 }
 
@@ -120,7 +122,7 @@
 	w.token++
 }
 
-// recordIncarnation records which incarnation a list comes from.
+// recordIncarnation records which incarnation a report comes from.
 func (c *Core) recordIncarnation(w *worker, report workload.PollReport) {
 	if report.Incarnation != 0 {
 		w.incarnation = report.Incarnation
@@ -130,14 +132,14 @@
 		return
 	}
 	w.incarnationUnknownLogged = true
-	reason := "its lists don't state when it started"
+	reason := "its reports don't state when it started"
 	if report.IncarnationErr != nil {
 		reason = report.IncarnationErr.Error()
 	}
 	c.recordDecision(Decision{Verb: "worker-start-unknown", Worker: w.info.ID, Reason: reason, AlwaysLogged: true})
 }
 
-// resolveIncarnation handles the first list of an incarnation under its own token. No
+// resolveIncarnation handles the first report of an incarnation under its own token. No
 // earlier order has an effect any more, so runs that were ordered to a previous process and
 // are not listed are lost.
 func (c *Core) resolveIncarnation(w *worker, report workload.PollReport, now time.Time) {
@@ -169,7 +171,7 @@
 
 // mayOutliveLeases reports whether runs on a restarted worker may outlive the leases that
 // were granted. A start that was sent to the previous process may have reached the new one. Its
-// lease then ends far in the future on the new process's clock, and the worker cuts it to
+// lease then ends far in the future on the new process's clock, and the worker caps the lease at
 // MaxLeaseDuration.
 func (c *Core) mayOutliveLeases(w *worker, now time.Time) bool {
 	return w.incarnationUnresolved && !w.restartDetectedAt.IsZero() && now.Before(w.restartDetectedAt.Add(leaseExpiryDelay(c.settings.MaxLeaseDuration)))
@@ -191,7 +193,7 @@
 	return slices.ContainsFunc(exited, func(e workload.RunExit) bool { return e.Run == r.number && e.Task == r.taskKey() })
 }
 
-// handleUnreadExit handles a run that has vanished from its worker without a listed exit: the
+// handleUnreadExit handles a run that has vanished from its worker without a reported exit: the
 // exit was acknowledged before an owner read it. The task may be done, so it must not start
 // again unless it is long-running or speculative. Its result will never be known, so its job
 // fails; otherwise the job would never end.
--- a/internal/scheduler/poll.go
+++ b/internal/scheduler/poll.go
@@ -47,14 +47,14 @@
 // maxStepGap is the pause between two steps above which this process counts as stalled.
 const maxStepGap = 400 * time.Millisecond
 
-// stallGracePeriod is how long the process counts as stalled after such a pause. Until then the
-// silence of workers proves nothing: their answers may be waiting unread in this process.
+// stallGracePeriod is how long the process counts as stalled after such a pause. Until then answers
+// of workers that seem to be missing may be waiting unread in this process.
 const stallGracePeriod = 2 * time.Second
 
-// unreachableTimeout is how long a registered worker may be silent before its runs are dropped. It is
-// longer than the 4.5 s after which a crashed worker is unregistered. So a worker that is still
-// registered is most likely partitioned, has completed its short tasks, and lists their exits
-// once it is reachable again.
+// unreachableTimeout is how long a registered worker may leave polls unanswered before its runs are
+// dropped. It is longer than the 4.5 s after which a crashed worker is unregistered. So a worker
+// that is still registered is most likely partitioned, has completed its short tasks, and reports
+// their exits once it is reachable again.
 const unreachableTimeout = 10 * time.Second
 
 // detectStall sets stalledUntil after a pause between steps of more than maxStepGap.
@@ -148,7 +148,7 @@
 // sendExtraPoll sends another poll if the answer to the latest is overdue. Without it a lost
 // answer would block polling until the poll times out, as long as two or three short tasks take:
 // the worker's exits would stay unread, nothing would start in their place, and finally the
-// worker would count as silent.
+// worker would count as unreachable.
 func (c *Core) sendExtraPoll(w *worker, now time.Time) {
 	if w.extraPollsInFlight >= maxExtraPollsPerWorker || now.Before(w.pollAnswerDueAt) || now.Before(c.stalledUntil) || c.extraPollsInFlight >= maxExtraPollsTotal {
 		return
--- a/internal/scheduler/pollresult.go
+++ b/internal/scheduler/pollresult.go
@@ -8,7 +8,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// maxExitsPerReport is the maximum number of exits in one answer. More follow once these are
+// maxExitsPerReport is the maximum number of exits in one report. More follow once these are
 // acknowledged.
 const maxExitsPerReport = 500
 
@@ -31,9 +31,9 @@
 	if w == nil {
 		return
 	}
-	// An answer is stale if a poll that was sent later has already been answered: runs that it
-	// lists may have ended, and its exits will be listed again. An answer to a poll that was sent
-	// before a restart of the worker was detected is stale, too.
+	// A report is stale if a poll that was sent later has already been answered: runs that it
+	// lists may have ended, and its exits will be reported again. The report of a poll that was
+	// sent before a restart of the worker was detected is stale, too.
 	stale := r.SentAt.Before(w.lastAnsweredPollSentAt) || r.Token < w.token
 	if r.Extra {
 		w.extraPollsInFlight--
@@ -58,14 +58,14 @@
 	case r.Answer.Status == workload.WorkerOK:
 		w.lastAnsweredPollSentAt = r.SentAt
 		w.lastReportClockMS = r.Answer.ClockMS
-		w.pollInFlight = false // the answer of an earlier poll will be stale
+		w.pollInFlight = false // the report of an earlier poll will be stale
 		c.handlePollReport(w, r, now)
 	default:
 		c.handlePollFailure(w, r, now)
 	}
 }
 
-// isStaleReport reports whether a list is older by the worker's clock than the last accepted one.
+// isStaleReport reports whether a report is older by the worker's clock than the last accepted one.
 // The order of the polls does not show that, as an earlier poll may wait longer at the worker.
 func (w *worker) isStaleReport(r PollResult) bool {
 	return r.Answer.Status == workload.WorkerOK && r.Answer.ClockMS < w.lastReportClockMS && !w.isOtherIncarnation(r)
@@ -96,9 +96,8 @@
 	}
 }
 
-// handleReplaced records that another process answers at a worker's address: a new incarnation or
-// another worker. So the worker's process and its runs have ended. The worker is not polled again
-// until its entry changes.
+// handleReplaced records that another worker, with another ID, answers at a worker's address. So the
+// worker's process and its runs have ended. The worker is not polled again until its entry changes.
 func (c *Core) handleReplaced(w *worker, now time.Time) {
 	if w.replaced {
 		return
@@ -179,7 +178,7 @@
 }
 
 // addListedRun adds a run that an earlier owner started and this owner learns of from a worker's
-// list. It stops the run if the task is done, its job has ended or the task has another run. If the
+// report. It stops the run if the task is done, its job has ended or the task has another run. If the
 // task is unknown, it orders a stop and returns nil.
 func (c *Core) addListedRun(w *worker, listed workload.ListedRun, now time.Time) *run {
 	s, t := c.findTask(listed.Task)
@@ -218,7 +217,7 @@
 	}
 }
 
-// handleMissingRuns handles the runs that the worker no longer lists.
+// handleMissingRuns handles the runs that the worker's report does not list.
 func (c *Core) handleMissingRuns(w *worker, result PollResult, now time.Time) {
 	for _, r := range slices.Clone(w.runs) {
 		if r.stateChangedAt.After(result.SentAt) || r.state == runStarting || isListed(result.Report.Running, r) {
@@ -226,9 +225,9 @@
 		}
 		switch {
 		case r.state == runUnconfirmed:
-			// The start has not been carried out yet. Once the worker has accepted a stop,
+			// Its start may not have been carried out yet. Once the worker has accepted a stop,
 			// it won't carry the start out later.
-			c.stopRun(r, "start without an answer")
+			c.stopRun(r, "its worker doesn't list it")
 			c.sendStop(r, now)
 		case r.state == runStopping && !r.stopConfirmed:
 			c.sendStop(r, now)
@@ -319,8 +318,8 @@
 	}
 }
 
-// avoidWorkerDuration is how long a finite task that failed on a worker starts only on other workers.
-// After that it may start there again, because the failure may be the task's own fault.
+// avoidWorkerDuration is how long a task that failed on a worker starts only on other workers, unless
+// it is long-running. After that it may start there again, because the failure may be the task's own fault.
 const avoidWorkerDuration = time.Second
 
 // defaultMaxAttempts applies if the queue sets no limit or was removed while its jobs run.
--- a/internal/scheduler/sweep.go
+++ b/internal/scheduler/sweep.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// removeUnregisteredWorkers removes workers that are not registered and run nothing. A worker that is
-// being drained is kept: it may not be registered yet, and without its drain it would get
-// starts as soon as it is. A worker with an unconfirmed crash is kept, too.
+// removeUnregisteredWorkers removes workers that are not registered and run nothing, and keeps
+// their tokens. A worker that is being drained is not removed: it may not be registered yet, and
+// without its drain it would get starts as soon as it is. Neither is a worker with an unconfirmed
+// crash, nor one that may run tasks of an earlier owner.
 func (c *Core) removeUnregisteredWorkers(now time.Time) {
 	c.sortedWorkers = slices.DeleteFunc(c.sortedWorkers, func(w *worker) bool {
 		if !w.unregistered || len(w.runs) > 0 || now.Before(w.drainUntil) || now.Before(w.crashUnconfirmedUntil) {
@@ -24,7 +25,7 @@
 }
 
 // sweepJobs removes ended jobs from activeJobs, and deletes jobs that ended long ago here
-// and in the store.
+// and in the store. It also calls logTakeoverComplete.
 func (c *Core) sweepJobs(now time.Time) {
 	c.logTakeoverComplete(now)
 	c.activeJobs = slices.DeleteFunc(c.activeJobs, func(j *job) bool { return j.storedState.IsTerminal() && j.liveRuns == 0 })
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -10,14 +10,15 @@
 const (
 	// stopRetryInterval is the pause before a stop without an answer is sent again.
 	stopRetryInterval = 300 * time.Millisecond
-	// maxOrdersPerWorker bounds the orders in flight to one worker.
+	// maxOrdersPerWorker bounds the starts and throttles in flight to one worker: none is sent
+	// while that many starts, stops and throttles are in flight.
 	maxOrdersPerWorker = 10
 	// maxStartsInFlight bounds the starts in flight to all workers, except those whose answer
 	// counts as lost. An order takes about 5 ms, so the bound allows thousands a second.
-	// Without it a small VM sends so many at once that none is answered in time.
+	// Without it a node on a small VM sends so many at once that none is answered in time.
 	maxStartsInFlight = 64
 	// maxOrderDelay is the longest time after which an order without an answer may still be
-	// carried out; the platform has seen 12 s.
+	// carried out; 12 s were observed.
 	maxOrderDelay    = 13 * time.Second
 	fullSpeedPercent = 100
 	// maxClockAge is how old the last clock reading of an idle worker may get. The worker's
@@ -46,8 +47,8 @@
 	worker      *worker
 	incarnation int64 // of the worker that the run was ordered to; 0 if unknown
 	state       runState
-	// stateChangedAt is when state was set or confirmed last. A poll that was sent earlier can't
-	// disprove it.
+	// stateChangedAt is when state was set or confirmed last. That the report of a poll that was
+	// sent earlier doesn't list the run has no meaning.
 	stateChangedAt time.Time
 	orderedAt      time.Time
 
@@ -62,7 +63,7 @@
 	// is listed in answer to a poll that was sent later.
 	mayBeStoppingUntil time.Time
 	confirmedRunning   bool
-	startConfirmed     bool // the worker has answered the start or listed the run
+	startConfirmed     bool // the worker has answered the start, also to an earlier owner, or listed the run
 
 	// Speed and load.
 	speedPercent        int // as listed last
@@ -81,31 +82,31 @@
 	// isolationPlannedAt is when an earlier owner planned the run as an isolated run, zero for
 	// other runs. The run started later than that.
 	isolationPlannedAt time.Time
-	// inherited is set if the run was restored from a handover or found in a worker's list. The
+	// inherited is set if the run was restored from a handover or found in a worker's report. The
 	// run is older than orderedAt.
 	inherited bool
-	// fromReportOnly is set if the inherited run was found in a worker's list and no handover had it.
+	// fromReportOnly is set if the inherited run was found in a worker's report and no handover had it.
 	fromReportOnly bool
 }
 
 func (r *run) taskKey() workload.TaskKey { return r.step.taskKey(r.index) }
 func (r *run) task() *task               { return &r.step.tasks[r.index] }
 
-// worker is what the owner knows of a worker: the process at its address, the leases that it
-// may hold, its polls and its runs.
+// worker is what the owner knows of a worker: the process at its address, the leases that the
+// worker may have got, its polls and its runs. All times are on the owner's clock.
 type worker struct {
 	info workload.Worker // its entry in the registry
 
 	// Incarnation.
 
 	// incarnation is the start time of the worker's process in Unix milliseconds, 0 if
-	// unknown. incarnationUnresolved is set until its first list has shown which runs that
+	// unknown. incarnationUnresolved is set until its first report has shown which runs that
 	// were ordered earlier are there.
 	incarnation              int64
 	incarnationUnresolved    bool
 	restartDetectedAt        time.Time // when a restart under the same ID was last detected, zero if never
-	incarnationUnknownLogged bool      // it was logged that its lists don't state the incarnation
-	// entryMismatch is set when its entry names another incarnation than its lists, until
+	incarnationUnknownLogged bool      // it was logged that its reports don't state the incarnation
+	// entryMismatch is set when its entry names another incarnation than its reports, until
 	// the worker has answered a poll.
 	entryMismatch bool
 	// leavingIncarnation is the latest incarnation whose entry announced that it leaves.
@@ -116,10 +117,10 @@
 	incarnationFirstSeenAt time.Time
 	maxCapacity            workload.Resources // largest capacity in the incarnation's entries
 	// synced is set once the worker has answered a poll with the current token, so that all
-	// its runs are known. It is cleared when its process ends or restarts, and when its
-	// leases expire while it doesn't answer.
+	// its runs are known. It is cleared when its process ends or restarts, and when its runs
+	// are dropped because it is unreachable.
 	synced       bool
-	unregistered bool // the registry doesn't list it
+	unregistered bool // it has no entry in the registry
 
 	// Clock and leases.
 
@@ -138,16 +139,17 @@
 	extraPollsInFlight int
 	// lastAnsweredPollSentAt is when the latest poll that got an answer was sent.
 	lastAnsweredPollSentAt time.Time
-	// lastReportClockMS is the worker's clock in the last list that was accepted.
+	// lastReportClockMS is the worker's clock in the last report that was accepted.
 	lastReportClockMS int64
-	// unreachable is set when a poll fails, a start can't be sent or a drain ends, until the
-	// worker answers a poll. It gets no starts until then.
+	// unreachable is set from the worker's creation, and again when a poll fails, a start
+	// can't be sent or a drain ends, until the worker answers a poll. The worker gets no
+	// starts until then. unreachableSince is when a poll or start failed, zero if the worker
+	// is unreachable for another reason.
 	unreachable       bool
 	unreachableSince  time.Time
 	connectionRefused bool // the connection of the last poll was refused
-	// replaced is set once another process has answered at the worker's address: a new
-	// incarnation of the worker or another worker. The worker is not polled until its entry
-	// changes.
+	// replaced is set once another worker has answered at the worker's address. The worker is
+	// not polled until its entry changes.
 	replaced bool
 
 	// Crashes and suspects.
@@ -165,7 +167,8 @@
 
 	// Answers and orders in flight.
 
-	// lastUnansweredPollSentAt is when the latest poll without an answer was sent.
+	// lastUnansweredPollSentAt is when the latest failed poll was sent. lastReportHandledAt is
+	// when the latest report was handled or a restart was detected.
 	lastUnansweredPollSentAt time.Time
 	lastReportHandledAt      time.Time
 	ordersInFlight           int // starts, stops and throttles without an outcome
@@ -193,7 +196,7 @@
 	startBackoffUntil      time.Time
 }
 
-// markUnreachable records that the worker doesn't answer.
+// markUnreachable records that the worker is unreachable.
 func (w *worker) markUnreachable(now time.Time) {
 	if !w.unreachable {
 		w.unreachable = true
--- a/internal/workload/load.go
+++ b/internal/workload/load.go
@@ -7,18 +7,21 @@
 	Workers  map[string]WorkerLoad `json:"w,omitempty"` // by ID
 	// MeanWorkerCapacity is the mean of the current capacities of the service's workers.
 	MeanWorkerCapacity Resources `json:"z,omitzero"`
-	// PendingDemand is the demand of ready tasks whose jobs can still meet their objective.
+	// PendingDemand is the demand of ready tasks whose jobs can still meet their objective,
+	// have long-running tasks, or have waited for long after they missed their objective.
 	PendingDemand Resources `json:"q"`
 	// UpcomingDemand is the demand of occurrences that are due within seconds.
 	UpcomingDemand Resources `json:"f"`
-	// ArrivedWork is the estimated work of all jobs accepted so far. Its growth is the
-	// arrival rate, also where the service can't keep up.
+	// ArrivedWork is the estimated work of all jobs accepted so far, without repeated jobs
+	// and long-running tasks. Its growth is the arrival rate, also where the service can't
+	// keep up.
 	ArrivedWork Work `json:"a"`
-	// MinWorkers is the minimum number of workers for the service's long-running tasks:
-	// a step may bound how many of its tasks share one worker.
+	// MinWorkers is the minimum number of workers for the service's long-running tasks, as a
+	// step may limit its tasks per worker; 0 if none does.
 	MinWorkers int `json:"p,omitempty"`
-	// DemandByLabel is the demand of ready tasks by the label that their worker must have
-	// and by the rack of their data.
+	// DemandByLabel is the part of PendingDemand that needs or prefers a label, by label: the
+	// label that the worker must have, and the rack of the data, which is a label of the
+	// workers there. A task with both counts under both.
 	DemandByLabel map[string]Resources `json:"t,omitempty"`
 	// UnmetRequirements are requirements of ready tasks that no worker with free capacity
 	// meets.
@@ -30,8 +33,8 @@
 type UnmetRequirement struct {
 	Label     string    `json:"l,omitempty"`
 	Resources Resources `json:"n"` // of one task
-	// NoFeasibleWorker is set if no worker of the service could run the tasks, even with
-	// all finite runs gone.
+	// NoFeasibleWorker is set if no worker of the service could run the tasks, even if all
+	// runs of tasks that are not long-running had ended.
 	NoFeasibleWorker bool `json:"v,omitempty"`
 }
 
@@ -40,10 +43,10 @@
 	// Usable is set if the worker answers and may get starts now or soon.
 	Usable          bool      `json:"k,omitempty"`
 	Runs            int       `json:"n,omitempty"`
-	LongRunningRuns int       `json:"l,omitempty"`
+	LongRunningRuns int       `json:"l,omitempty"` // part of Runs
 	Reserved        Resources `json:"u"`
-	// ReducedCapacity is the worker's capacity while that is less than it was, nil
-	// otherwise.
+	// ReducedCapacity is the worker's current capacity if that is below the largest that
+	// its registry entries have stated, nil otherwise.
 	ReducedCapacity *Resources `json:"z,omitempty"`
 }
 
--- a/internal/workload/orders.go
+++ b/internal/workload/orders.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// WorkerStatus is the outcome of an order to a worker.
+// WorkerStatus classifies the outcome of an order to a worker, polls included.
 type WorkerStatus int
 
-// Outcomes of an order.
+// Statuses of an order.
 const (
 	// WorkerOK: the worker accepted the order.
 	WorkerOK WorkerStatus = iota
@@ -19,11 +19,13 @@
 	WorkerFull
 	// WorkerInvalidTicket: the ticket is missing or has expired.
 	WorkerInvalidTicket
-	// WorkerInvalidOrder: the worker can't parse the order.
+	// WorkerInvalidOrder: the order can't be encoded, the worker refused it as invalid or for
+	// an unknown reason, or its report can't be decoded. Only in the last case was the order,
+	// a poll, carried out.
 	WorkerInvalidOrder
 	// WorkerUnhealthy: the worker is unhealthy and did nothing.
 	WorkerUnhealthy
-	// WorkerReplaced: another incarnation answers at the address.
+	// WorkerReplaced: another worker, with another ID, answers at the address.
 	WorkerReplaced
 	// WorkerNotSent: the order was not sent.
 	WorkerNotSent
@@ -50,10 +52,10 @@
 	Ticket           string
 }
 
-// Poll renews the leases of all runs on a worker and lists its runs and exits.
+// Poll renews the leases of all runs on a worker and asks for a PollReport.
 type Poll struct {
 	Token            int64
-	AckedUpTo        int64         // the worker may forget exits up to this sequence number
+	AckedUpTo        int64         // the worker may drop exits up to this sequence number
 	LeaseExpiresAtMS int64         // on the worker's clock, milliseconds; 0 renews no lease
 	MaxWait          time.Duration // how long the worker may wait for an exit before it answers
 	// ShortTimeout requests a short timeout: the worker left an earlier poll unanswered.
@@ -73,14 +75,14 @@
 	ExitGangIncomplete ExitReason = "alone"  // its gang did not become complete in time
 )
 
-// ListedRun is a run that a worker lists as running.
+// ListedRun is a run that a worker's report lists as running.
 type ListedRun struct {
 	Task         TaskKey
 	Run          int64
 	Checkpoint   string // the newest one, "" if there is none
 	SpeedPercent int    // of full speed
-	// LatencyOrCPU is the tail latency of a serving task in milliseconds, and the processor time in
-	// use, in thousandths of a core, of any other task.
+	// LatencyOrCPU is the tail latency in milliseconds if the task has a LatencyTargetMS.
+	// Otherwise it is the processor time in use, in thousandths of a core.
 	LatencyOrCPU float64
 }
 
@@ -93,7 +95,8 @@
 	Checkpoint string
 }
 
-// PollReport is the content of a worker's answer to a poll.
+// PollReport is a worker's answer to a poll: its runs and its exits that were not
+// acknowledged.
 type PollReport struct {
 	Incarnation    int64 // of the worker that answered, as in Worker
 	IncarnationErr error // why Incarnation could not be parsed; nil if it was parsed or is missing
@@ -101,8 +104,8 @@
 	Exited         []RunExit
 }
 
-// WorkerAnswer is the outcome of an order. ClockMS is the worker's clock in milliseconds,
-// 0 if the answer has none.
+// WorkerAnswer is the outcome of an order, also of one that got no answer or was not sent.
+// ClockMS is the worker's clock in milliseconds, 0 if there is none.
 type WorkerAnswer struct {
 	Status  WorkerStatus
 	ClockMS int64
--- a/internal/workload/stored.go
+++ b/internal/workload/stored.go
@@ -51,8 +51,8 @@
 type Handover struct {
 	Epoch int64         `json:"e"` // of the owner that wrote it
 	Runs  []HandoverRun `json:"r,omitempty"`
-	// DrainingWorkers are the workers that are being drained. Their VMs may be ordered away
-	// at any moment, as this owner may have reported them as drained.
+	// DrainingWorkers are the workers that are being drained. Their VMs may be moved or
+	// maintained at any moment, as this owner may have reported the workers as drained.
 	DrainingWorkers []string `json:"x,omitempty"`
 }
 
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -75,7 +75,7 @@
 	LongRunning  bool   `json:"la,omitempty"` // runs until the job is cancelled
 	Image        string `json:"i,omitempty"`
 	// LatencyTargetMS is the target for the tail latency of a serving task, in
-	// milliseconds; 0 is no target.
+	// milliseconds; 0 is no target: the task is not a serving task.
 	LatencyTargetMS int64 `json:"t,omitempty"`
 	// BestEffortCPU marks tasks that use processor time that others leave over. No
 	// processors are reserved for them.
