--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -25,8 +25,8 @@
 //     (incarnation.go).
 //   - Poll: renews the leases on a worker. The answer is the worker's report of its runs and
 //     exits. Only a report shows how a run ended (poll.go, pollresult.go).
-//   - Unreachable: a worker whose last poll failed. The owner can't know whether the worker
-//     crashed, left or is partitioned.
+//   - Unreachable: a worker that has not answered yet or whose last poll failed. The owner
+//     can't know whether the worker crashed, left or is partitioned.
 //   - Suspect: a task that may have crashed its worker. Its next run is an isolated run, on a
 //     worker where no other task can cause a crash. The suspect is cleared by progress, or
 //     its job fails after repeated crashes (suspect.go, crash.go, isolation.go, silence.go).
@@ -154,7 +154,7 @@
 	// planStale is set when something has changed that a plan depends on.
 	planStale bool
 	// Until stalledUntil this process counts as stalled, after a long pause between steps.
-	// Answers of workers that seem to be missing may be waiting unread in this process.
+	// A worker's missing answer may be waiting unread in this process.
 	stalledUntil     time.Time
 	takeoverComplete bool // starts no longer wait for the runs of an earlier owner
 
--- a/internal/scheduler/counts.go
+++ b/internal/scheduler/counts.go
@@ -7,7 +7,7 @@
 	// WorkerCrashes counts crashes of workers, LostRuns the runs lost with a worker's process.
 	WorkerCrashes, LostRuns int
 	// WorkerRestarts counts workers that restarted under their ID, UnreadExits the runs that
-	// vanished from a worker that listed no exit of them.
+	// vanished from a worker that reported no exit of them.
 	WorkerRestarts, UnreadExits int
 	// DuplicateRuns counts runs that were found while another run of their task was live.
 	DuplicateRuns int
--- a/internal/scheduler/crash.go
+++ b/internal/scheduler/crash.go
@@ -48,7 +48,7 @@
 
 // recordUnconfirmedCrash records an unconfirmed crash of a worker that refuses connections. The
 // worker may be partitioned and still run its tasks. So its runs are kept until its leases expire,
-// and the crash proves nothing until another process answers in its place. The record is stored
+// and the crash is no evidence until another process answers in its place. The record is stored
 // immediately, because this owner may be lost before that.
 func (c *Core) recordUnconfirmedCrash(w *worker, now time.Time) {
 	if len(w.runs) == 0 || !w.crashUnconfirmedUntil.IsZero() || c.nonCrashReason(w, w.runs, now) != "" {
--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -33,8 +33,8 @@
 // is drained once nothing runs or can start there and all its exits are stored. Exits that are not
 // stored are lost with the VM.
 func (c *Core) DrainWorker(id string, now time.Time) workload.DrainState {
-	// A worker that is not listed yet is closed too. Otherwise tasks would start there with the
-	// next list.
+	// A worker that is not registered yet is closed too. Otherwise tasks would start there as
+	// soon as it is.
 	w := c.ensureWorker(id, now)
 	if !now.Before(w.drainUntil) {
 		c.recordDecision(Decision{Verb: "evacuating", Worker: id, Reason: "drain requested", AlwaysLogged: true})
@@ -102,7 +102,7 @@
 }
 
 // endDrain ends the drain of a worker. A drained worker has most likely left with its VM, though it
-// stays listed for some seconds. So a worker without runs counts as unreachable until it answers a
+// stays registered for some seconds. So a worker without runs counts as unreachable until it answers a
 // poll. A start there would be refused: a task would have to wait for its backoff, and a gang would
 // be stopped as a whole.
 func (w *worker) endDrain() {
--- a/internal/scheduler/failuretracker.go
+++ b/internal/scheduler/failuretracker.go
@@ -16,7 +16,7 @@
 	minSuspension        = 2 * time.Second
 	maxSuspension        = 16 * time.Second
 	// probationDuration is how long after a suspension a single failure causes the next one, and
-	// only maxProbationRuns finite runs are allowed at once.
+	// only maxProbationRuns runs that end on their own are allowed at once.
 	probationDuration = 4 * time.Second
 	maxProbationRuns  = 2
 	// earlyFailureWindow is how soon after its start a long-running task must fail to count. Such
--- a/internal/scheduler/isolation.go
+++ b/internal/scheduler/isolation.go
@@ -192,7 +192,7 @@
 func (c *Core) restoreRunFromCrashRecord(s *step, index int, crash workload.Crash) {
 	w := c.ensureWorker(crash.Worker, c.tookOverAt)
 	if w.info.Address == "" {
-		// The worker may no longer be listed. A replacement at its address shows that its process
+		// The worker may not be registered. A replacement at its address shows that its process
 		// has ended.
 		w.info = workload.Worker{ID: crash.Worker, Address: crash.Address, Service: s.job.submission.Service}
 	}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -245,7 +245,7 @@
 	}
 }
 
-// endJob gives a job its final state and stops its runs.
+// endJob gives a job its final state (completed, failed or cancelled) and stops its runs.
 func (c *Core) endJob(j *job, final workload.JobState, now time.Time) {
 	if j.finalState.IsTerminal() {
 		return
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -87,8 +87,8 @@
 	return w.synced && !w.unreachable && !w.info.Leaving && !now.Before(w.failures.suspendedUntil)
 }
 
-// loadReport returns the worker's load. Runs of long-running tasks are also counted separately, as
-// they are the hardest to move.
+// loadReport returns the worker's load. Runs of long-running tasks are also counted separately,
+// because they are the hardest to move.
 func (w *worker) loadReport(now time.Time) workload.WorkerLoad {
 	l := workload.WorkerLoad{Usable: w.isUsable(now), Runs: len(w.runs), Reserved: w.reserved}
 	if capacity := w.info.Capacity; capacity != w.maxCapacity {
@@ -106,7 +106,8 @@
 // the time that a VM takes to move to another pool.
 const upcomingWindow = 3 * time.Second
 
-// addStepDemand adds the pending or upcoming demand of a step.
+// addStepDemand adds the pending or upcoming demand of a step, and raises MinWorkers if the step
+// needs more workers.
 func addStepDemand(l *workload.ServiceLoad, s *step, jobClass rankClass, now time.Time) {
 	if s.spec.LongRunning && s.spec.MaxPerWorker > 0 {
 		l.MinWorkers = max(l.MinWorkers, (len(s.tasks)+s.spec.MaxPerWorker-1)/s.spec.MaxPerWorker)
--- a/internal/scheduler/orderresult.go
+++ b/internal/scheduler/orderresult.go
@@ -52,7 +52,7 @@
 		return // a poll has listed the run already
 	}
 	if stale && (result.Answer.Status == workload.WorkerOK || result.Answer.Status == workload.WorkerOutcomeUnknown) {
-		return // the first list of the new incarnation shows whether the run has started
+		return // the first report of the new incarnation shows whether the run has started
 	}
 	switch result.Answer.Status {
 	case workload.WorkerOK:
--- a/internal/scheduler/orders.go
+++ b/internal/scheduler/orders.go
@@ -132,7 +132,7 @@
 	c.orders.Write = order
 }
 
-// hasUnstoredJobEnd reports whether the end of a job waits to be stored.
+// hasUnstoredJobEnd reports whether the final state of a job waits to be stored.
 func (c *Core) hasUnstoredJobEnd() bool {
 	for _, j := range c.dirtyJobs {
 		if j.finalState.IsTerminal() {
--- a/internal/scheduler/placementpool.go
+++ b/internal/scheduler/placementpool.go
@@ -73,7 +73,7 @@
 }
 
 // leastLoadedIndex returns the index of the least loaded worker that could run a task of the step
-// once the worker's finite runs have ended, -1 if there is none.
+// once all runs there that are not long-running have ended, -1 if there is none.
 func (p *placementPool) leastLoadedIndex(s *step) int {
 	best := -1
 	for i, w := range p.workers {
@@ -87,8 +87,8 @@
 	return best
 }
 
-// canEventuallyRunOn reports whether a worker could run a task of the step once the worker's finite
-// runs have ended.
+// canEventuallyRunOn reports whether a worker could run a task of the step once all runs there that
+// are not long-running have ended.
 func (s *step) canEventuallyRunOn(w *worker) bool {
 	if !s.spec.Reservation().FitsIn(w.info.Capacity.Sub(w.reservedByLongRunning())) || !w.info.HasLabel(s.spec.RequiredLabel) {
 		return false
--- a/internal/scheduler/poll.go
+++ b/internal/scheduler/poll.go
@@ -47,8 +47,8 @@
 // maxStepGap is the pause between two steps above which this process counts as stalled.
 const maxStepGap = 400 * time.Millisecond
 
-// stallGracePeriod is how long the process counts as stalled after such a pause. Until then answers
-// of workers that seem to be missing may be waiting unread in this process.
+// stallGracePeriod is how long the process counts as stalled after such a pause. Until then a
+// worker's missing answer may be waiting unread in this process.
 const stallGracePeriod = 2 * time.Second
 
 // unreachableTimeout is how long a registered worker may leave polls unanswered before its runs are
@@ -68,9 +68,9 @@
 // expireRuns drops the runs on unreachable workers whose leases have expired.
 //
 // The runs are kept until a poll that was sent after the expiry has failed: a worker that
-// answers that poll may list runs as done, and a task that was started again meanwhile would
-// run twice. They are also kept while this process is stalled, when silence proves nothing,
-// and until silenceTimeout while the worker is registered, as it will most likely answer.
+// answers that poll may report runs as done, and a task that was started again meanwhile would
+// run twice. They are also kept while this process is stalled, as answers may be waiting unread,
+// and until unreachableTimeout while the worker is registered, as it will most likely answer.
 func (c *Core) expireRuns(now time.Time) {
 	for _, w := range c.sortedWorkers {
 		if !w.unreachable || now.Before(w.leasesExpireAt) || now.Before(c.stalledUntil) || c.mayOutliveLeases(w, now) {
--- a/internal/scheduler/ranking.go
+++ b/internal/scheduler/ranking.go
@@ -22,12 +22,12 @@
 	maxConsecutiveMisses = 64
 )
 
-// ranking is the list of jobs that have tasks to place, in the order in which they are placed.
+// ranking holds the jobs that have tasks to place, in the order in which they are placed.
 //
 // It is kept between plans. If each plan ranked all jobs, the cost of a start would grow with the
 // number of waiting jobs: an overloaded owner would plan ever more slowly, though workers have free
 // capacity, until no more jobs arrive. With 2,000 jobs waiting, a start examined 157,790 jobs,
-// workers and runs. With the kept list, the steps that a plan skips after maxConsecutiveMisses cost
+// workers and runs. With the kept ranking, the steps that a plan skips after maxConsecutiveMisses cost
 // nothing between two rankings.
 type ranking struct {
 	candidates []candidate
@@ -35,7 +35,7 @@
 	rankedAt   time.Time
 	stale      bool // the configuration has changed
 	tryAll     bool // the next plan tries all candidates
-	// toInsert are steps whose occurrence is not in the list or is at an outdated position.
+	// toInsert are steps whose occurrence is not in candidates or is at an outdated position.
 	toInsert []*step
 }
 
@@ -45,7 +45,7 @@
 	// minDemand is, for each resource separately, the smallest demand of any ranked task.
 	minDemand         workload.Resources
 	consecutiveMisses int // steps in a row that found no free capacity
-	// hasStarved is set while the list has a candidate of the service in classStarved.
+	// hasStarved is set while the ranking has a candidate of the service in classStarved.
 	hasStarved bool
 }
 
@@ -63,7 +63,7 @@
 	c.insertCandidates(now)
 }
 
-// insertCandidates inserts the occurrences of toInsert into the list. An occurrence at an outdated
+// insertCandidates inserts the occurrences of toInsert into the ranking. An occurrence at an outdated
 // position gets a second entry and keeps the first until the next ranking of all jobs. A plan that
 // reaches the outdated entry finds its tasks started, or no free capacity as before.
 func (c *Core) insertCandidates(now time.Time) {
@@ -86,8 +86,8 @@
 	}
 }
 
-// rankAll rebuilds the list. Served ratios are assigned in the order of remaining work within each
-// size, so the list is sorted both before and after that.
+// rankAll rebuilds the ranking. Served ratios are assigned in the order of remaining work within each
+// size, so candidates is sorted both before and after that.
 func (c *Core) rankAll(now time.Time) {
 	r := &c.ranking
 	for _, cand := range r.candidates {
--- a/internal/scheduler/silence.go
+++ b/internal/scheduler/silence.go
@@ -8,20 +8,21 @@
 )
 
 // A task may crash the VM of its worker. Then nothing refuses connections and no other process
-// answers at the address, so the loss looks like a partition. One such loss proves nothing: a
-// partition of a zone loses hundreds of runs at once. But losses count if each follows soon after
-// a start of the same task. minCrashesOfSuspect of them make the task a suspect (suspect.go), and
-// losses during its isolated runs prove that it crashes its workers.
+// answers at the address, so the owner can't distinguish the crash from a partition: the worker is
+// unreachable until the leases of its runs expire. Such a silent loss alone is no evidence, as a
+// partition of a zone loses hundreds of runs at once. But silent losses count if each follows soon
+// after a start of the same task. minCrashesOfSuspect of them make the task a suspect (suspect.go),
+// and silent losses during its isolated runs prove that it crashes its workers.
 const (
-	// maxUnreachableDelay is how long after a start the worker may have become silent for the
-	// loss to count. The poll that detects it has waited for an answer.
+	// maxUnreachableDelay is how long after a start the worker may have become unreachable for
+	// the loss to count. The poll that detects it has waited for an answer.
 	maxUnreachableDelay = 2 * time.Second
-	// silentLossesPerCrash is how many losses during isolated runs count as one early crash.
+	// silentLossesPerCrash is how many silent losses during isolated runs count as one early crash.
 	silentLossesPerCrash = 2
 )
 
 // recordSilentLosses records a crash for each of the expired runs on a worker that had started
-// within maxSilenceDelay before the worker became silent, and returns those runs. It skips
+// within maxUnreachableDelay before the worker became unreachable, and returns those runs. It skips
 // inherited runs, whose age is unknown, and all others if one was isolated.
 func (c *Core) recordSilentLosses(w *worker, runs []*run, now time.Time) (blamed []*run) {
 	if len(runs) == 0 || now.Before(w.drainUntil) || !w.crashUnconfirmedUntil.IsZero() || c.listedNonCrashReason(w, runs) != "" {
@@ -44,7 +45,7 @@
 		})
 		c.trackStepWithCrashes(r.step)
 		if r.isolated || len(t.crashes) > 1 {
-			c.queueCrashWrite(r.step, t) // a first loss proves nothing, and there may be hundreds to store
+			c.queueCrashWrite(r.step, t) // a first loss is no evidence, and there may be hundreds to store
 		}
 		r.isolated = false
 		blamed = append(blamed, r)
@@ -52,8 +53,8 @@
 	return blamed
 }
 
-// retractSilentLosses retracts the crashes that were recorded for the silence of a worker whose
-// same incarnation answers again: it was partitioned.
+// retractSilentLosses retracts the crashes that were recorded for silent losses on the worker's
+// current incarnation, which has answered again: it was partitioned.
 func (c *Core) retractSilentLosses(w *worker) {
 	for _, s := range c.stepsWithCrashes {
 		for i := range s.tasks {
--- a/internal/scheduler/suspect.go
+++ b/internal/scheduler/suspect.go
@@ -9,9 +9,9 @@
 
 // A task may crash every worker that starts it. Each crash also ends all other tasks of the worker,
 // and each restart of the task takes down one more worker, so a single task can take down a
-// service. A crashed worker lists no exits, so the limit of attempts does not stop such a task.
+// service. A crashed worker reports no exits, so the limit of attempts does not stop such a task.
 //
-// One crash proves nothing about any of the tasks that the worker ran. The tasks that had just
+// One crash is weak evidence against any of the tasks that the worker ran. The tasks that had just
 // started become suspects. Each suspect runs next on a worker where it is the only crash candidate
 // (isolation.go), and only once the crash is stored, so that the count survives the loss of the
 // owner. Repeated crashes that only the task can have caused prove that it crashes its workers. A
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -93,7 +93,7 @@
 func (r *run) task() *task               { return &r.step.tasks[r.index] }
 
 // worker is what the owner knows of a worker: the process at its address, the leases that the
-// worker may have got, its polls and its runs. All times are on the owner's clock.
+// worker may have got, its polls and its runs. Fields of type time.Time are on the owner's clock.
 type worker struct {
 	info workload.Worker // its entry in the registry
 
@@ -143,8 +143,8 @@
 	lastReportClockMS int64
 	// unreachable is set from the worker's creation, and again when a poll fails, a start
 	// can't be sent or a drain ends, until the worker answers a poll. The worker gets no
-	// starts until then. unreachableSince is when a poll or start failed, zero if the worker
-	// is unreachable for another reason.
+	// starts until then. unreachableSince is when a failed poll or start last made the
+	// worker unreachable, zero if none did.
 	unreachable       bool
 	unreachableSince  time.Time
 	connectionRefused bool // the connection of the last poll was refused
