--- a/internal/scheduler/poll.go
+++ b/internal/scheduler/poll.go
@@ -129,8 +129,8 @@
 			poll.AckedUpTo = w.ackAllowed
 		}
 		w.ackSent = poll.AckedUpTo
-		// A worker that may be gone gets no renewal. Otherwise its tasks would have to wait until
-		// the renewed lease expires before they start elsewhere.
+		// A worker that is unreachable or may have restarted gets no renewal. Otherwise its tasks
+		// would have to wait until the renewed lease expires before they start elsewhere.
 		inSync := w.synced && !w.unreachable && !w.entryMismatch
 		if len(w.runs) > 0 && inSync && c.hasAuthority(now) {
 			poll.LeaseExpiresAtMS = c.grantLease(w, now)
