--- a/internal/scheduler/isolation.go
+++ b/internal/scheduler/isolation.go
@@ -192,7 +192,7 @@
 func (c *Core) restoreRunFromCrashRecord(s *step, index int, crash workload.Crash) {
 	w := c.ensureWorker(crash.Worker, c.tookOverAt)
 	if w.info.Address == "" {
-		// The worker may no longer be listed. A replacement at its address shows that its process
+		// The worker may not be registered. A replacement at its address shows that its process
 		// has ended.
 		w.info = workload.Worker{ID: crash.Worker, Address: crash.Address, Service: s.job.submission.Service}
 	}
@@ -200,7 +200,7 @@
 		return
 	}
 	r := &run{
-		step: s, index: index, number: crash.Run, worker: w, incarnation: crash.Incarnation, state: runUnanswered,
+		step: s, index: index, number: crash.Run, worker: w, incarnation: crash.Incarnation, state: runUnconfirmed,
 		stateChangedAt: c.tookOverAt, orderedAt: c.tookOverAt, orderedSpeedPercent: fullSpeedPercent,
 		isolated: crash.IsolatedRunPending, fromCrashRecord: true,
 		mayBeStoppingUntil: c.tookOverAt.Add(c.settings.MaxStopDuration + stopSlack),
--- a/internal/scheduler/poll.go
+++ b/internal/scheduler/poll.go
@@ -47,15 +47,15 @@
 // maxStepGap is the pause between two steps above which this process counts as stalled.
 const maxStepGap = 400 * time.Millisecond
 
-// stallGracePeriod is how long the process counts as stalled after such a pause. Until then the
-// silence of workers proves nothing: their answers may be waiting unread in this process.
+// stallGracePeriod is how long the process counts as stalled after such a pause. Until then a
+// worker's missing answer may be waiting unread in this process.
 const stallGracePeriod = 2 * time.Second
 
-// silenceTimeout is how long a registered worker may be silent before its runs are dropped. It is
-// longer than the 4.5 s after which a crashed worker is unregistered. So a worker that is still
-// registered is most likely partitioned, has completed its short tasks, and lists their exits
-// once it is reachable again.
-const silenceTimeout = 10 * time.Second
+// unreachableTimeout is how long a registered worker may leave polls unanswered before its runs are
+// dropped. It is longer than the 4.5 s after which a crashed worker is unregistered. So a worker
+// that is still registered is most likely partitioned, has completed its short tasks, and reports
+// their exits once it is reachable again.
+const unreachableTimeout = 10 * time.Second
 
 // detectStall sets stalledUntil after a pause between steps of more than maxStepGap.
 func (c *Core) detectStall(now time.Time) {
@@ -68,22 +68,22 @@
 // expireRuns drops the runs on unreachable workers whose leases have expired.
 //
 // The runs are kept until a poll that was sent after the expiry has failed: a worker that
-// answers that poll may list runs as done, and a task that was started again meanwhile would
-// run twice. They are also kept while this process is stalled, when silence proves nothing,
-// and until silenceTimeout while the worker is registered, as it will most likely answer.
+// answers that poll may report runs as done, and a task that was started again meanwhile would
+// run twice. They are also kept while this process is stalled, as answers may be waiting unread,
+// and until unreachableTimeout while the worker is registered, as it will most likely answer.
 func (c *Core) expireRuns(now time.Time) {
 	for _, w := range c.sortedWorkers {
 		if !w.unreachable || now.Before(w.leasesExpireAt) || now.Before(c.stalledUntil) || c.mayOutliveLeases(w, now) {
 			continue
 		}
 		hasAddress := w.info.Address != "" // a worker known only from an earlier owner's records has none
-		if hasAddress && (w.lastUnansweredPollSentAt.Before(w.leasesExpireAt) || !w.unregistered && now.Sub(w.lastPollAnsweredAt) < silenceTimeout) {
+		if hasAddress && (w.lastUnansweredPollSentAt.Before(w.leasesExpireAt) || !w.unregistered && now.Sub(w.lastReportHandledAt) < unreachableTimeout) {
 			continue
 		}
 		c.dropExpiredRuns(w, now)
 		if w.synced {
 			w.synced = false
-			c.recordDecision(Decision{Verb: "worker-lost", Worker: w.info.ID, Reason: "no answer, lease is over", Age: now.Sub(w.lastPollAnsweredAt), AlwaysLogged: true})
+			c.recordDecision(Decision{Verb: "worker-lost", Worker: w.info.ID, Reason: "no answer, lease is over", Age: now.Sub(w.lastReportHandledAt), AlwaysLogged: true})
 		}
 	}
 }
@@ -98,7 +98,7 @@
 	blamed := c.recordSilentLosses(w, expired, now)
 	for _, r := range expired {
 		c.Counts.ExpiredRuns++
-		c.recordDecision(Decision{Verb: "lapsed", Job: r.step.job.id, Task: r.taskKey().String(), Worker: w.info.ID, Run: r.number, Reason: "no answer, lease is over", Age: now.Sub(w.lastPollAnsweredAt)})
+		c.recordDecision(Decision{Verb: "lapsed", Job: r.step.job.id, Task: r.taskKey().String(), Worker: w.info.ID, Run: r.number, Reason: "no answer, lease is over", Age: now.Sub(w.lastReportHandledAt)})
 		c.removeRun(r)
 	}
 	for _, r := range blamed {
@@ -129,8 +129,8 @@
 			poll.AckedUpTo = w.ackAllowed
 		}
 		w.ackSent = poll.AckedUpTo
-		// A worker that may be gone gets no renewal. Otherwise its tasks would have to wait until
-		// the renewed lease expires before they start elsewhere.
+		// A worker that is unreachable or may have restarted gets no renewal. Otherwise its tasks
+		// would have to wait until the renewed lease expires before they start elsewhere.
 		inSync := w.synced && !w.unreachable && !w.entryMismatch
 		if len(w.runs) > 0 && inSync && c.hasAuthority(now) {
 			poll.LeaseExpiresAtMS = c.grantLease(w, now)
@@ -148,7 +148,7 @@
 // sendExtraPoll sends another poll if the answer to the latest is overdue. Without it a lost
 // answer would block polling until the poll times out, as long as two or three short tasks take:
 // the worker's exits would stay unread, nothing would start in their place, and finally the
-// worker would count as silent.
+// worker would count as unreachable.
 func (c *Core) sendExtraPoll(w *worker, now time.Time) {
 	if w.extraPollsInFlight >= maxExtraPollsPerWorker || now.Before(w.pollAnswerDueAt) || now.Before(c.stalledUntil) || c.extraPollsInFlight >= maxExtraPollsTotal {
 		return
--- a/internal/scheduler/pollresult.go
+++ b/internal/scheduler/pollresult.go
@@ -8,9 +8,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// maxListedExits is the maximum number of exits in one answer. More follow once these are
+// maxExitsPerReport is the maximum number of exits in one report. More follow once these are
 // acknowledged.
-const maxListedExits = 500
+const maxExitsPerReport = 500
 
 // PollResult is the outcome of a PollOrder.
 type PollResult struct {
@@ -31,9 +31,9 @@
 	if w == nil {
 		return
 	}
-	// An answer is stale if a poll that was sent later has already been answered: runs that it
-	// lists may have ended, and its exits will be listed again. An answer to a poll that was sent
-	// before a restart of the worker was detected is stale, too.
+	// A report is stale if a poll that was sent later has already been answered: runs that it
+	// lists may have ended, and its exits will be reported again. The report of a poll that was
+	// sent before a restart of the worker was detected is stale, too.
 	stale := r.SentAt.Before(w.lastAnsweredPollSentAt) || r.Token < w.token
 	if r.Extra {
 		w.extraPollsInFlight--
@@ -58,14 +58,14 @@
 	case r.Answer.Status == workload.WorkerOK:
 		w.lastAnsweredPollSentAt = r.SentAt
 		w.lastReportClockMS = r.Answer.ClockMS
-		w.pollInFlight = false // the answer of an earlier poll will be stale
+		w.pollInFlight = false // the report of an earlier poll will be stale
 		c.handlePollReport(w, r, now)
 	default:
 		c.handlePollFailure(w, r, now)
 	}
 }
 
-// isStaleReport reports whether a list is older by the worker's clock than the last accepted one.
+// isStaleReport reports whether a report is older by the worker's clock than the last accepted one.
 // The order of the polls does not show that, as an earlier poll may wait longer at the worker.
 func (w *worker) isStaleReport(r PollResult) bool {
 	return r.Answer.Status == workload.WorkerOK && r.Answer.ClockMS < w.lastReportClockMS && !w.isOtherIncarnation(r)
@@ -77,7 +77,7 @@
 	w.nextPollAt = now.Add(pollRetryInterval)
 	if !w.unreachable {
 		if !w.isDrainingAndIdle(now) {
-			c.recordDecision(Decision{Verb: "worker-silent", Worker: w.info.ID, Reason: answerReason(r.Answer), Age: now.Sub(w.lastPollAnsweredAt), AlwaysLogged: true})
+			c.recordDecision(Decision{Verb: "worker-silent", Worker: w.info.ID, Reason: answerReason(r.Answer), Age: now.Sub(w.lastReportHandledAt), AlwaysLogged: true})
 		}
 		w.markUnreachable(now)
 		w.nextPollAt = now.Add(firstPollRetryInterval)
@@ -96,9 +96,8 @@
 	}
 }
 
-// handleReplaced records that another process answers at a worker's address: a new incarnation or
-// another worker. So the worker's process and its runs have ended. The worker is not polled again
-// until its entry changes.
+// handleReplaced records that another worker, with another ID, answers at a worker's address. So the
+// worker's process and its runs have ended. The worker is not polled again until its entry changes.
 func (c *Core) handleReplaced(w *worker, now time.Time) {
 	if w.replaced {
 		return
@@ -116,7 +115,7 @@
 	if !r.Extra {
 		w.ackConfirmed = max(w.ackConfirmed, w.ackSent)
 	}
-	w.lastPollAnsweredAt = now
+	w.lastReportHandledAt = now
 	w.unreachable = false
 	w.connectionRefused = false
 	w.entryMismatch = false
@@ -137,7 +136,7 @@
 	for _, listed := range r.Report.Running {
 		c.handleListedRun(w, listed, r.SentAt, now)
 	}
-	if len(r.Report.Exited) < maxListedExits {
+	if len(r.Report.Exited) < maxExitsPerReport {
 		c.handleMissingRuns(w, r, now)
 	}
 	if !w.synced {
@@ -159,14 +158,14 @@
 			return
 		}
 	}
-	if r.state == runStarting || r.state == runUnanswered {
+	if r.state == runStarting || r.state == runUnconfirmed {
 		r.state = runRunning
 		r.stateChangedAt = now
 	}
 	r.startConfirmed = true
 	r.confirmedRunning = !sentAt.Before(r.mayBeStoppingUntil)
 	r.speedPercent = listed.SpeedPercent
-	r.load = listed.Load
+	r.latencyOrCPU = listed.LatencyOrCPU
 	r.checkpoint = listed.Checkpoint
 	if listed.Checkpoint != "" {
 		r.task().checkpoint = listed.Checkpoint
@@ -179,7 +178,7 @@
 }
 
 // addListedRun adds a run that an earlier owner started and this owner learns of from a worker's
-// list. It stops the run if the task is done, its job has ended or the task has another run. If the
+// report. It stops the run if the task is done, its job has ended or the task has another run. If the
 // task is unknown, it orders a stop and returns nil.
 func (c *Core) addListedRun(w *worker, listed workload.ListedRun, now time.Time) *run {
 	s, t := c.findTask(listed.Task)
@@ -187,7 +186,7 @@
 		c.orders.Stops = append(c.orders.Stops, StopOrder{Worker: w.info, Task: listed.Task, Run: listed.Run, Token: w.token})
 		return nil
 	}
-	r := &run{step: s, index: listed.Task.Index, number: listed.Run, worker: w, incarnation: w.incarnation, state: runRunning, stateChangedAt: now, orderedAt: now, orderedSpeedPercent: fullSpeedPercent, inherited: true, fromListOnly: true, mayBeStoppingUntil: now.Add(c.settings.MaxStopDuration + stopSlack)}
+	r := &run{step: s, index: listed.Task.Index, number: listed.Run, worker: w, incarnation: w.incarnation, state: runRunning, stateChangedAt: now, orderedAt: now, orderedSpeedPercent: fullSpeedPercent, inherited: true, fromReportOnly: true, mayBeStoppingUntil: now.Add(c.settings.MaxStopDuration + stopSlack)}
 	if !s.spec.Speculative {
 		c.dropEarlierRuns(t, listed.Run)
 	}
@@ -211,28 +210,28 @@
 // their end may have been lost before it stored it.
 func (c *Core) dropEarlierRuns(t *task, number int64) {
 	for _, r := range slices.Clone(t.runs) {
-		if r.number < number && r.state == runUnanswered && (r.inherited || r.fromCrashRecord) {
+		if r.number < number && r.state == runUnconfirmed && (r.inherited || r.fromCrashRecord) {
 			c.recordDecision(Decision{Verb: "run-over", Job: r.step.job.id, Task: r.taskKey().String(), Worker: r.worker.info.ID, Run: r.number, Reason: "a later run of the task is listed"})
 			c.removeRun(r)
 		}
 	}
 }
 
-// handleMissingRuns handles the runs that the worker no longer lists.
+// handleMissingRuns handles the runs that the worker's report does not list.
 func (c *Core) handleMissingRuns(w *worker, result PollResult, now time.Time) {
 	for _, r := range slices.Clone(w.runs) {
 		if r.stateChangedAt.After(result.SentAt) || r.state == runStarting || isListed(result.Report.Running, r) {
 			continue
 		}
 		switch {
-		case r.state == runUnanswered:
-			// The start has not been carried out yet. Once the worker has accepted a stop,
+		case r.state == runUnconfirmed:
+			// Its start may not have been carried out yet. Once the worker has accepted a stop,
 			// it won't carry the start out later.
-			c.stopRun(r, "start without an answer")
+			c.stopRun(r, "its worker doesn't list it")
 			c.sendStop(r, now)
 		case r.state == runStopping && !r.stopConfirmed:
 			c.sendStop(r, now)
-		case r.startConfirmed && !r.fromListOnly:
+		case r.startConfirmed && !r.fromReportOnly:
 			c.handleUnreadExit(r, now)
 		default:
 			c.removeRun(r)
@@ -291,7 +290,7 @@
 		c.requestRerank(s) // the next step may be ready, and less work is left
 	}
 	if s.job.remainingTasks == 0 {
-		c.completeJob(s.job, workload.Completed, now)
+		c.endJob(s.job, workload.Completed, now)
 	}
 }
 
@@ -315,12 +314,12 @@
 		maxAttempts = q.MaxAttempts
 	}
 	if s.failedRunCount() >= maxAttempts && s.spec.Gang || len(t.failedRuns) >= maxAttempts {
-		c.completeJob(s.job, workload.Failed, now)
+		c.endJob(s.job, workload.Failed, now)
 	}
 }
 
-// avoidWorkerDuration is how long a finite task that failed on a worker starts only on other workers.
-// After that it may start there again, because the failure may be the task's own fault.
+// avoidWorkerDuration is how long a task that failed on a worker starts only on other workers, unless
+// it is long-running. After that it may start there again, because the failure may be the task's own fault.
 const avoidWorkerDuration = time.Second
 
 // defaultMaxAttempts applies if the queue sets no limit or was removed while its jobs run.
--- a/internal/workload/stored.go
+++ b/internal/workload/stored.go
@@ -29,8 +29,8 @@
 	Crashes map[string][]Crash `json:"x,omitempty"`
 	// FinalState is the job's terminal state, "" until the job ends.
 	FinalState JobState `json:"t,omitempty"`
-	// CompletedAtMS is when the job ended, in Unix milliseconds.
-	CompletedAtMS int64 `json:"e,omitempty"`
+	// EndedAtMS is when the job ended, in Unix milliseconds.
+	EndedAtMS int64 `json:"e,omitempty"`
 	// Started is set once a task of the job has been started.
 	Started bool `json:"b,omitempty"`
 }
@@ -51,8 +51,8 @@
 type Handover struct {
 	Epoch int64         `json:"e"` // of the owner that wrote it
 	Runs  []HandoverRun `json:"r,omitempty"`
-	// DrainingWorkers are the workers that are being drained. Their VMs may be ordered away
-	// at any moment, as this owner may have reported them as drained.
+	// DrainingWorkers are the workers that are being drained. Their VMs may be moved or
+	// maintained at any moment, as this owner may have reported the workers as drained.
 	DrainingWorkers []string `json:"x,omitempty"`
 }
 
