--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -81,21 +81,21 @@
 	store   snapshotStore
 	metrics *metrics
 
-	mu        sync.RWMutex
-	state     *ledger.State
-	condition Condition
-	detail    string
-	begun     bool              // the newest snapshot was looked for
-	doubt     bool              // whether the log continues the state is to be checked
-	leaned    bool              // a peer's state was asked for and came
-	tail      tail              // for peers
-	fresh     time.Time         // when the latest read that reached the tail was sent
-	lastRead  time.Time         // when the latest read succeeded
-	first     platform.Offset   // lowest retained offset at the latest read
-	next      platform.Offset   // next offset at the latest read
-	waiters   map[string]waiter // by record ID
-	changed   []chan struct{}
-	checked   Checkpoint
+	mu              sync.RWMutex
+	state           *ledger.State
+	condition       Condition
+	detail          string
+	snapshotChecked bool              // the newest snapshot was looked for
+	verifyPending   bool              // whether the log continues the state is to be checked
+	tookPeerState   bool              // a peer's state was asked for and came
+	tail            tail              // for peers
+	fresh           time.Time         // when the latest read that reached the tail was sent
+	lastRead        time.Time         // when the latest read succeeded
+	first           platform.Offset   // lowest retained offset at the latest read
+	next            platform.Offset   // next offset at the latest read
+	waiters         map[string]waiter // by record ID
+	changed         []chan struct{}
+	lastCheckpoint  Checkpoint
 
 	encoded encodedState
 }
@@ -197,9 +197,9 @@
 	return f.state.Offset, digest, err
 }
 
-// checkpointEvery is the distance of checkpoints in offsets. A checkpoint costs
+// checkpointInterval is the distance of checkpoints in offsets. A checkpoint costs
 // an encoding of the state.
-const checkpointEvery = 8192
+const checkpointInterval = 8192
 
 // Checkpoint is a digest of the state at an offset at which every node takes
 // one: the first entry at or past each multiple of checkpointEvery.
@@ -214,12 +214,12 @@
 func (f *Follower) Checkpoint() Checkpoint {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	return f.checked
+	return f.lastCheckpoint
 }
 
 // checkpoint takes one if the state has just passed a multiple; f.mu is held.
 func (f *Follower) checkpoint(before uint64) {
-	if before/checkpointEvery == f.state.Offset/checkpointEvery {
+	if before/checkpointInterval == f.state.Offset/checkpointInterval {
 		return
 	}
 	digest, err := f.state.Digest()
@@ -227,12 +227,12 @@
 		f.cfg.Logger.Error("the state cannot be encoded", "error", err)
 		return
 	}
-	f.checked = Checkpoint{Offset: f.state.Offset, Digest: digest}
+	f.lastCheckpoint = Checkpoint{Offset: f.state.Offset, Digest: digest}
 	f.cfg.Logger.Info("checkpoint", "offset", f.state.Offset, "digest", fmt.Sprintf("%016x", digest))
 }
 
-// errEmpty means that there is no state to pass on yet.
-var errEmpty = errors.New("nothing was folded yet")
+// errNoState means that there is no state to pass on yet.
+var errNoState = errors.New("nothing was folded yet")
 
 // Snapshot returns the present state for a peer. Peers that start together get
 // the same bytes, so that a restart of all nodes costs one encoding.
@@ -242,7 +242,7 @@
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	if f.state.Offset == 0 {
-		return nil, errEmpty
+		return nil, errNoState
 	}
 	if f.encoded.offset == f.state.Offset {
 		return f.encoded.data, nil
@@ -272,7 +272,7 @@
 	f.cfg.Logger.Info("took over a state", "from", from, "offset", s.Offset, "own_offset", f.state.Offset)
 	f.state = s
 	f.tail = tail{}
-	f.doubt = true
+	f.verifyPending = true
 	f.notify()
 	return true
 }
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -84,7 +84,7 @@
 
 // A node starts while the log is out. It serves the highest state of its peers,
 // and never a lower one; once the log is back it follows that.
-func TestStartWhileTheLogIsOut(t *testing.T) {
+func TestStartWhileLogIsUnavailable(t *testing.T) {
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{})
 		a, behind := start(t, log, "a", nil), start(t, log, "behind", nil)
@@ -195,7 +195,7 @@
 // The same replacement happens while the node is stopped: it never sees the
 // short log, only one that has grown past its offset. After the pause it reads
 // the log through CatchUp before anything else.
-func TestForeignLogAfterAPause(t *testing.T) {
+func TestForeignLogAfterPause(t *testing.T) {
 	run(t, func(t *testing.T) {
 		log, fresh := standin.New(standin.Options{}), standin.New(standin.Options{})
 		n := start(t, log, "n", nil)
@@ -249,7 +249,7 @@
 // A node with a clock 74 years ahead joins as a member and nothing else is
 // written. The other nodes tell their clocks by themselves; time goes back, and
 // so does the time until which removed members count as granting.
-func TestWrongClockIsToldByWitnesses(t *testing.T) {
+func TestWitnessesRevertWrongClock(t *testing.T) {
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{})
 		a := start(t, log, "a", nil)
--- a/internal/follower/metrics.go
+++ b/internal/follower/metrics.go
@@ -70,7 +70,7 @@
 	return append([]prometheus.Collector{m.records, m.appends, m.readErrors, m.snapshots}, m.gauges...)
 }
 
-func (m *metrics) appended(err error) {
+func (m *metrics) countAppend(err error) {
 	result := "unknown"
 	switch {
 	case err == nil:
--- a/internal/follower/propose.go
+++ b/internal/follower/propose.go
@@ -17,13 +17,13 @@
 	// comes would hold Propose back until its context ends, though the record
 	// was folded long before.
 	appendTimeout = time.Second
-	// unknownPause is the wait for a record whose append has an unknown outcome
+	// unknownOutcomeTimeout is the wait for a record whose append has an unknown outcome
 	// before a second copy is appended.
-	unknownPause = time.Second
-	// foldedPause is the wait for a record that certainly is on the log. It
+	unknownOutcomeTimeout = time.Second
+	// foldTimeout is the wait for a record that certainly is on the log. It
 	// runs out only while the log cannot be read, or when this process took
 	// over a state beyond the record.
-	foldedPause = 5 * time.Second
+	foldTimeout = 5 * time.Second
 )
 
 // Propose appends a record and waits until it is folded. The outcome says
@@ -39,15 +39,15 @@
 	if err != nil {
 		return ledger.Outcome{}, err
 	}
-	wait := f.await(rec.ID)
-	defer f.forget(rec.ID)
+	wait := f.addWaiter(rec.ID)
+	defer f.removeWaiter(rec.ID)
 	retry := newBackoff()
 	for {
 		err := f.append(ctx, data)
 		if errors.Is(err, platform.ErrRejected) {
 			return ledger.Outcome{}, err
 		}
-		timer := time.NewTimer(pauseAfter(err, retry.NextBackOff()))
+		timer := time.NewTimer(waitAfterAppend(err, retry.NextBackOff()))
 		select {
 		case out := <-wait:
 			timer.Stop()
@@ -60,16 +60,16 @@
 	}
 }
 
-// pauseAfter returns how long to wait for the record after an append that ended
+// waitAfterAppend returns how long to wait for the record after an append that ended
 // with err; growing is the pause for appends that certainly failed.
-func pauseAfter(err error, growing time.Duration) time.Duration {
+func waitAfterAppend(err error, retryDelay time.Duration) time.Duration {
 	switch {
 	case err == nil:
-		return foldedPause
+		return foldTimeout
 	case errors.Is(err, platform.ErrUnavailable), errors.Is(err, platform.ErrThrottled):
-		return growing
+		return retryDelay
 	}
-	return unknownPause
+	return unknownOutcomeTimeout
 }
 
 func (f *Follower) append(ctx context.Context, data []byte) error {
@@ -81,11 +81,11 @@
 	} else {
 		_, err = f.cfg.Log.Append(ctx, f.cfg.Stream, [][]byte{data})
 	}
-	f.metrics.appended(err)
+	f.metrics.countAppend(err)
 	return err
 }
 
-func (f *Follower) await(id string) <-chan ledger.Outcome {
+func (f *Follower) addWaiter(id string) <-chan ledger.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := make(waiter, 1)
@@ -93,7 +93,7 @@
 	return w
 }
 
-func (f *Follower) forget(id string) {
+func (f *Follower) removeWaiter(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.waiters, id)
--- a/internal/follower/propose_test.go
+++ b/internal/follower/propose_test.go
@@ -51,7 +51,7 @@
 
 // The log is out. A proposal ends with its caller's context and an unknown
 // outcome, since a copy may still be on its way.
-func TestProposeWhileTheLogIsOut(t *testing.T) {
+func TestProposeWhileLogIsUnavailable(t *testing.T) {
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{})
 		n := start(t, log, "n", nil)
--- a/internal/follower/publish.go
+++ b/internal/follower/publish.go
@@ -16,18 +16,18 @@
 const (
 	// DefaultSnapshotInterval is the longest pause between two snapshots.
 	DefaultSnapshotInterval = 10 * time.Minute
-	// snapshotEvery is after how many entries a snapshot is due, which bounds
+	// maxEntriesPerSnapshot is after how many entries a snapshot is due, which bounds
 	// what a starting node has to fold.
-	snapshotEvery = 8192
-	// lookPause is the pause between looks for the snapshots of other nodes.
-	lookPause = 15 * time.Second
-	// publishSpread is the range of the random wait before a due snapshot is
+	maxEntriesPerSnapshot = 8192
+	// snapshotPollInterval is the pause between looks for the snapshots of other nodes.
+	snapshotPollInterval = 15 * time.Second
+	// maxPublishDelay is the range of the random wait before a due snapshot is
 	// published, so that mostly one of the nodes does it.
-	publishSpread = 20 * time.Second
+	maxPublishDelay = 20 * time.Second
 	// publishTimeout bounds the appends of one snapshot.
 	publishTimeout = 30 * time.Second
-	// publishFresh is how old the latest read of the log's end may be.
-	publishFresh = 5 * time.Second
+	// maxPublishReadAge is how old the latest read of the log's end may be.
+	maxPublishReadAge = 5 * time.Second
 )
 
 // publisher decides when this process publishes a snapshot. It knows of others'
@@ -45,38 +45,38 @@
 func (f *Follower) serveSnapshots(ctx context.Context) error {
 	p := &publisher{f: f, parts: assembly{}, since: time.Now()}
 	for ctx.Err() == nil {
-		if err := p.round(ctx); err != nil && ctx.Err() == nil {
+		if err := p.publishIfDue(ctx); err != nil && ctx.Err() == nil {
 			f.cfg.Logger.Debug("snapshot not published", "error", errors.Cause(err))
 		}
-		wait.Sleep(ctx, lookPause)
+		wait.Sleep(ctx, snapshotPollInterval)
 	}
 	return ctx.Err()
 }
 
-// round looks twice before it publishes: when the snapshot is due, and after a
+// publishIfDue looks twice before it publishes: when the snapshot is due, and after a
 // random wait in which another node may have published.
-func (p *publisher) round(ctx context.Context) error {
-	if due, err := p.lookDue(ctx); !due || err != nil {
+func (p *publisher) publishIfDue(ctx context.Context) error {
+	if due, err := p.checkDue(ctx); !due || err != nil {
 		return err
 	}
-	wait.Sleep(ctx, rand.N(publishSpread))
-	if due, err := p.lookDue(ctx); !due || err != nil {
+	wait.Sleep(ctx, rand.N(maxPublishDelay))
+	if due, err := p.checkDue(ctx); !due || err != nil {
 		return err
 	}
 	return p.publish(ctx)
 }
 
-func (p *publisher) lookDue(ctx context.Context) (bool, error) {
-	if err := p.look(ctx); err != nil {
+func (p *publisher) checkDue(ctx context.Context) (bool, error) {
+	if err := p.readNewEntries(ctx); err != nil {
 		return false, err
 	}
 	return p.due(time.Now()), nil
 }
 
-// look takes note of snapshots that appeared on the stream. It reads from the
+// readNewEntries takes note of snapshots that appeared on the stream. It reads from the
 // first entry not looked at: a read of an older one would bring a whole snapshot
 // each time, which in every process is more than all other reads together.
-func (p *publisher) look(ctx context.Context) error {
+func (p *publisher) readNewEntries(ctx context.Context) error {
 	store := p.f.store
 	if p.next == 0 {
 		first, next, err := store.bounds(ctx)
@@ -100,13 +100,13 @@
 			}
 			return nil
 		}
-		p.note(batch.Entries[0].Data)
+		p.addEntry(batch.Entries[0].Data)
 		p.next++
 	}
 }
 
-// note takes note of an entry that may complete a snapshot.
-func (p *publisher) note(entry []byte) {
+// addEntry takes note of an entry that may complete a snapshot.
+func (p *publisher) addEntry(entry []byte) {
 	snapshot := p.parts.add(entry)
 	if snapshot == nil {
 		return
@@ -124,7 +124,7 @@
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	offset := f.state.Offset
-	if f.condition != Following || offset == 0 || now.Sub(f.fresh) > publishFresh {
+	if f.condition != Following || offset == 0 || now.Sub(f.fresh) > maxPublishReadAge {
 		return false
 	}
 	if now.Sub(p.since) >= f.cfg.SnapshotInterval {
@@ -135,7 +135,7 @@
 	}
 	covered := platform.Offset(p.covered)
 	trimmed := f.first > 1
-	return trimmed && covered < f.first+(f.next-f.first)/2 || offset-p.covered >= snapshotEvery
+	return trimmed && covered < f.first+(f.next-f.first)/2 || offset-p.covered >= maxEntriesPerSnapshot
 }
 
 func (p *publisher) publish(ctx context.Context) error {
@@ -145,7 +145,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
-	if err := p.f.store.put(ctx, data); err != nil {
+	if err := p.f.store.append(ctx, data); err != nil {
 		return err
 	}
 	offset, err := ledger.SnapshotOffset(data)
--- a/internal/follower/read.go
+++ b/internal/follower/read.go
@@ -15,14 +15,14 @@
 
 // Limits of reads and pauses between attempts.
 const (
-	readMax = 1000
+	maxReadEntries = 1000
 	// readTimeout bounds a read beyond the time that it may wait for entries.
-	readTimeout = 5 * time.Second
-	retryMin    = 100 * time.Millisecond
-	retryMax    = 2 * time.Second // the longest pause, jitter included
-	// doubtAfter is for how long no read may have succeeded before it is checked
+	readTimeout   = 5 * time.Second
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 2 * time.Second // the longest pause, jitter included
+	// verifyAfter is for how long no read may have succeeded before it is checked
 	// that the log still continues the state.
-	doubtAfter = 30 * time.Second
+	verifyAfter = 30 * time.Second
 )
 
 // Errors of reading, beside those of platform.Log.
@@ -36,8 +36,8 @@
 // interval: left out of it, a node would come back up to a half later than retryMax.
 func newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = retryMin
-	b.MaxInterval = time.Duration(float64(retryMax) / (1 + b.RandomizationFactor))
+	b.InitialInterval = minRetryDelay
+	b.MaxInterval = time.Duration(float64(maxRetryDelay) / (1 + b.RandomizationFactor))
 	return b
 }
 
@@ -51,15 +51,15 @@
 			continue
 		}
 		if ctx.Err() == nil {
-			f.failed(err)
+			f.recordFailure(err)
 		}
 		wait.Sleep(ctx, retry.NextBackOff())
 	}
 	return ctx.Err()
 }
 
-// failed sets the condition that a failure of a step means.
-func (f *Follower) failed(err error) {
+// recordFailure sets the condition that a failure of a step means.
+func (f *Follower) recordFailure(err error) {
 	f.metrics.readErrors.Inc()
 	f.mu.RLock()
 	offset := f.state.Offset
@@ -78,28 +78,28 @@
 }
 
 func (f *Follower) step(ctx context.Context) error {
-	if err := f.begin(ctx); err != nil {
+	if err := f.loadInitialState(ctx); err != nil {
 		return err
 	}
 	wait := f.cfg.ReadWait
 	if f.Fresh().IsZero() { // a process that starts learns at once that the log is empty
 		wait = 0
 	}
-	err := f.read(ctx, wait)
+	err := f.readAndFold(ctx, wait)
 	if errors.Is(err, platform.ErrTrimmed) {
-		return f.bridge(ctx)
+		return f.recoverFromGap(ctx)
 	}
 	return err
 }
 
-// begin looks for the newest snapshot, or, while the log is out, for the state
+// loadInitialState looks for the newest snapshot, or, while the log is out, for the state
 // of a peer. A process that started from a peer still looks for the snapshot
 // once the log is back.
-func (f *Follower) begin(ctx context.Context) error {
+func (f *Follower) loadInitialState(ctx context.Context) error {
 	f.mu.RLock()
-	begun, offset := f.begun, f.state.Offset
+	checked, offset := f.snapshotChecked, f.state.Offset
 	f.mu.RUnlock()
-	if begun || f.cfg.SnapshotStream == "" {
+	if checked || f.cfg.SnapshotStream == "" {
 		return nil
 	}
 	data, err := f.store.newest(ctx)
@@ -113,7 +113,7 @@
 		f.adopt(data, "snapshot stream")
 	}
 	f.mu.Lock()
-	f.begun = true
+	f.snapshotChecked = true
 	f.mu.Unlock()
 	return nil
 }
@@ -130,24 +130,24 @@
 		return false
 	}
 	f.mu.Lock()
-	f.leaned = true
+	f.tookPeerState = true
 	f.mu.Unlock()
 	return f.adopt(data, "peer")
 }
 
-// bridge looks for a state beyond entries that retention has removed before
+// recoverFromGap looks for a state beyond entries that retention has removed before
 // they were folded.
-func (f *Follower) bridge(ctx context.Context) error {
+func (f *Follower) recoverFromGap(ctx context.Context) error {
 	if f.cfg.SnapshotStream != "" {
 		data, err := f.store.newest(ctx)
 		if err != nil {
 			return err
 		}
-		if data != nil && f.adopt(data, "snapshot stream") && !f.trimmed() {
+		if data != nil && f.adopt(data, "snapshot stream") && !f.isTrimmed() {
 			return nil
 		}
 	}
-	if f.askPeers(ctx) && !f.trimmed() {
+	if f.askPeers(ctx) && !f.isTrimmed() {
 		return nil
 	}
 	f.mu.RLock()
@@ -155,8 +155,8 @@
 	return errors.Wrapf(errGap, "folded up to %d, retained from %d", f.state.Offset, f.first)
 }
 
-// trimmed reports whether the entry after the state is gone.
-func (f *Follower) trimmed() bool {
+// isTrimmed reports whether the entry after the state is gone.
+func (f *Follower) isTrimmed() bool {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return platform.Offset(f.state.Offset)+1 < f.first
@@ -168,15 +168,15 @@
 func (f *Follower) CatchUp(ctx context.Context) error {
 	began := time.Now()
 	for f.Fresh().Before(began) {
-		if err := f.read(ctx, 0); err != nil {
+		if err := f.readAndFold(ctx, 0); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// read reads once and folds what came.
-func (f *Follower) read(ctx context.Context, wait time.Duration) error {
+// readAndFold reads once and folds what came.
+func (f *Follower) readAndFold(ctx context.Context, wait time.Duration) error {
 	if err := f.verify(ctx); err != nil {
 		return err
 	}
@@ -184,13 +184,13 @@
 	from := platform.Offset(f.state.Offset + 1)
 	f.mu.RUnlock()
 	sent := time.Now()
-	batch, err := f.get(ctx, from, readMax, wait)
+	batch, err := f.readEntries(ctx, from, maxReadEntries, wait)
 	if err != nil {
 		return err
 	}
 	if batch.Next < from {
 		f.mu.Lock()
-		f.doubt = true
+		f.verifyPending = true
 		f.mu.Unlock()
 		return errors.Wrapf(errForeign, "folded up to %d, the log's next offset is %d", from-1, batch.Next)
 	}
@@ -199,8 +199,8 @@
 	return nil
 }
 
-// get reads entries and notes the retained range.
-func (f *Follower) get(ctx context.Context, from platform.Offset, limit int, wait time.Duration) (platform.Batch, error) {
+// readEntries reads entries and notes the retained range.
+func (f *Follower) readEntries(ctx context.Context, from platform.Offset, limit int, wait time.Duration) (platform.Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
 	batch, err := f.cfg.Log.Read(ctx, f.cfg.Stream, from, limit, wait)
@@ -220,12 +220,12 @@
 func (f *Follower) verify(ctx context.Context) error {
 	f.mu.RLock()
 	offset, tail := f.state.Offset, f.state.Tail
-	doubt := f.doubt || (!f.lastRead.IsZero() && time.Since(f.lastRead) > doubtAfter)
+	pending := f.verifyPending || (!f.lastRead.IsZero() && time.Since(f.lastRead) > verifyAfter)
 	f.mu.RUnlock()
-	if !doubt || offset == 0 {
+	if !pending || offset == 0 {
 		return nil
 	}
-	batch, err := f.get(ctx, platform.Offset(offset), 1, 0)
+	batch, err := f.readEntries(ctx, platform.Offset(offset), 1, 0)
 	switch {
 	case batch.Next != 0 && batch.Next <= platform.Offset(offset):
 		return errors.Wrapf(errForeign, "folded up to %d, the log's next offset is %d", offset, batch.Next)
@@ -237,7 +237,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.doubt = false
+	f.verifyPending = false
 	f.lastRead = time.Now()
 	return nil
 }
--- a/internal/follower/relay.go
+++ b/internal/follower/relay.go
@@ -14,12 +14,12 @@
 
 // Bounds of following the log through peers.
 const (
-	// relayPause is the pause between two questions to peers.
-	relayPause = 250 * time.Millisecond
-	// relayGrace is how much longer than ReadWait no read may have succeeded
+	// peerPollInterval is the pause between two questions to peers.
+	peerPollInterval = 250 * time.Millisecond
+	// readOverdueGrace is how much longer than ReadWait no read may have succeeded
 	// before peers are asked. With the pause it stays below the 3 s within which
 	// a drained backend server must get no more work.
-	relayGrace = time.Second
+	readOverdueGrace = time.Second
 	// tailEntries and tailBytes bound the entries kept for peers.
 	tailEntries = 1000
 	tailBytes   = 1 << 20
@@ -52,7 +52,7 @@
 func (f *Follower) Started() bool {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	return !f.fresh.IsZero() || f.leaned
+	return !f.fresh.IsZero() || f.tookPeerState
 }
 
 // Tail returns the entries folded after an offset, for a peer that cannot read
@@ -84,26 +84,26 @@
 func (f *Follower) serveRelay(ctx context.Context) error {
 	began := time.Now()
 	for ctx.Err() == nil {
-		if f.silent(began) {
-			f.relay(ctx)
+		if f.readOverdue(began) {
+			f.followPeers(ctx)
 		}
-		wait.Sleep(ctx, relayPause)
+		wait.Sleep(ctx, peerPollInterval)
 	}
 	return ctx.Err()
 }
 
-// silent reports whether a read is overdue.
-func (f *Follower) silent(began time.Time) bool {
+// readOverdue reports whether a read is overdue.
+func (f *Follower) readOverdue(began time.Time) bool {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	last := f.lastRead
 	if last.IsZero() {
 		last = began
 	}
-	return time.Since(last) > f.cfg.ReadWait+relayGrace
+	return time.Since(last) > f.cfg.ReadWait+readOverdueGrace
 }
 
-func (f *Follower) relay(ctx context.Context) {
+func (f *Follower) followPeers(ctx context.Context) {
 	if !f.Started() {
 		f.askPeers(ctx)
 		return
--- a/internal/follower/snapshots.go
+++ b/internal/follower/snapshots.go
@@ -14,13 +14,13 @@
 // A snapshot is cut into parts that fit an entry of the log. Each part starts
 // with the mark, a hash over the whole snapshot, its own number and their count.
 const (
-	partMark   = "yd-part-1\n"
-	partHeader = len(partMark) + 8 + 2 + 2
-	partMax    = platform.MaxEntryBytes - partHeader
+	partMagic      = "yd-part-1\n"
+	partHeaderSize = len(partMagic) + 8 + 2 + 2
+	maxPartData    = platform.MaxEntryBytes - partHeaderSize
 	// maxParts bounds a snapshot, maxScan how many entries are looked through
 	// for one: the parts of two that were published at once, and a few more.
-	maxParts = 64
-	maxScan  = 3 * maxParts
+	maxParts       = 64
+	maxScanEntries = 3 * maxParts
 )
 
 // snapshotStore is the stream of snapshots.
@@ -36,8 +36,8 @@
 	data        []byte
 }
 
-func split(snapshot []byte) ([][]byte, error) {
-	count := (len(snapshot) + partMax - 1) / partMax
+func splitSnapshot(snapshot []byte) ([][]byte, error) {
+	count := (len(snapshot) + maxPartData - 1) / maxPartData
 	if count > maxParts {
 		return nil, errors.Errorf("a snapshot of %d bytes is too large", len(snapshot))
 	}
@@ -45,26 +45,26 @@
 	var parts [][]byte
 	for i := range count {
 		var b bytes.Buffer
-		b.WriteString(partMark)
+		b.WriteString(partMagic)
 		b.Write(binary.BigEndian.AppendUint64(nil, id))
 		b.Write(binary.BigEndian.AppendUint16(nil, uint16(i)))
 		b.Write(binary.BigEndian.AppendUint16(nil, uint16(count)))
-		b.Write(snapshot[i*partMax : min((i+1)*partMax, len(snapshot))])
+		b.Write(snapshot[i*maxPartData : min((i+1)*maxPartData, len(snapshot))])
 		parts = append(parts, b.Bytes())
 	}
 	return parts, nil
 }
 
 func parsePart(entry []byte) (part, bool) {
-	if len(entry) < partHeader || string(entry[:len(partMark)]) != partMark {
+	if len(entry) < partHeaderSize || string(entry[:len(partMagic)]) != partMagic {
 		return part{}, false
 	}
-	head := entry[len(partMark):]
+	head := entry[len(partMagic):]
 	p := part{
 		id:    binary.BigEndian.Uint64(head),
 		index: int(binary.BigEndian.Uint16(head[8:])),
 		size:  int(binary.BigEndian.Uint16(head[10:])),
-		data:  entry[partHeader:],
+		data:  entry[partHeaderSize:],
 	}
 	return p, p.size >= 1 && p.size <= maxParts && p.index < p.size
 }
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	parts := assembly{}
-	for at := next; at > first && next-at < maxScan; at-- {
+	for at := next; at > first && next-at < maxScanEntries; at-- {
 		entry, err := s.entry(ctx, at-1)
 		if err != nil {
 			return nil, err
@@ -147,9 +147,9 @@
 	return batch.Entries[0].Data, nil
 }
 
-// put appends a snapshot. Parts of two nodes may mix: each is told by its hash.
-func (s snapshotStore) put(ctx context.Context, snapshot []byte) error {
-	parts, err := split(snapshot)
+// append appends a snapshot. Parts of two nodes may mix: each is told by its hash.
+func (s snapshotStore) append(ctx context.Context, snapshot []byte) error {
+	parts, err := splitSnapshot(snapshot)
 	if err != nil {
 		return err
 	}
--- a/internal/follower/witness.go
+++ b/internal/follower/witness.go
@@ -11,18 +11,18 @@
 	"github.com/yuccadrift/yuccadrift/internal/wait"
 )
 
-// witnessPause is the pause between looks at the fold's time.
-const witnessPause = 5 * time.Second
+// witnessInterval is the pause between looks at the fold's time.
+const witnessInterval = 5 * time.Second
 
 // serveWitness tells this node's clock when the fold's time runs ahead of it:
 // some node's clock may be far ahead, and only the word of others can overthrow
 // it. See ledger.Clock.
 func (f *Follower) serveWitness(ctx context.Context) error {
-	told := uint64(0)
+	witnessed := uint64(0)
 	for ctx.Err() == nil {
-		wait.Sleep(ctx, witnessPause)
-		if jump := f.clockJump(time.Now()); jump > told && f.witness(ctx) {
-			told = jump
+		wait.Sleep(ctx, witnessInterval)
+		if jump := f.clockJump(time.Now()); jump > witnessed && f.writeWitness(ctx) {
+			witnessed = jump
 		}
 	}
 	return ctx.Err()
@@ -39,8 +39,8 @@
 	return f.state.ClockAhead(now)
 }
 
-func (f *Follower) witness(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, witnessPause)
+func (f *Follower) writeWitness(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, witnessInterval)
 	defer cancel()
 	rec := record.Record{
 		ID:      ulid.Make().String(),
--- a/internal/ledger/apply.go
+++ b/internal/ledger/apply.go
@@ -53,8 +53,8 @@
 // maxReason bounds texts that the state keeps.
 const maxReason = 1000
 
-// clip shortens a text to maxReason bytes, at a character's boundary.
-func clip(text string) string {
+// truncate shortens a text to maxReason bytes, at a character's boundary.
+func truncate(text string) string {
 	if len(text) <= maxReason {
 		return text
 	}
@@ -65,7 +65,7 @@
 func (s *State) ApplyData(offset uint64, data []byte) Outcome {
 	rec, err := record.Decode(data)
 	if err != nil {
-		s.advance(offset)
+		s.advanceOffset(offset)
 		s.Tail = xxhash.Sum64(data)
 		return Outcome{Offset: offset, Status: Malformed, Reason: err.Error()}
 	}
@@ -82,13 +82,13 @@
 // no list of seen IDs is needed: without this, a copy of a refused drain that
 // surfaced minutes later could take effect behind its author's back.
 func (s *State) Apply(offset uint64, rec record.Record) Outcome {
-	s.advance(offset)
-	s.tick(rec)
-	s.written = rec.Time
-	defer func() { s.written = time.Time{} }()
-	s.contradictMembersEnd(rec)
+	s.advanceOffset(offset)
+	s.advanceClock(rec)
+	s.recordTime = rec.Time
+	defer func() { s.recordTime = time.Time{} }()
+	s.checkMembersEnd(rec)
 	out := Outcome{Offset: offset, ID: rec.ID, Kind: rec.Body.Kind(), Subject: rec.Subject}
-	if status, reason := s.current(rec); status != Effective {
+	if status, reason := s.checkRevision(rec); status != Effective {
 		out.Status, out.Reason = status, reason
 		out.Current = s.Revision(rec.Subject)
 		return out
@@ -98,12 +98,12 @@
 	if no != allowed {
 		out.Status, out.Reason = Refused, string(no)
 	}
-	s.settle(rec, no)
+	s.updateRevision(rec, no)
 	out.Current = s.Revision(rec.Subject)
 	return out
 }
 
-func (s *State) advance(offset uint64) {
+func (s *State) advanceOffset(offset uint64) {
 	if offset <= s.Offset {
 		panic(fmt.Sprintf("ledger: offset %d applied after %d", offset, s.Offset))
 	}
@@ -112,9 +112,9 @@
 	s.expireRetired()
 }
 
-// settle moves the subject's revision to the record's offset. A creating record
+// updateRevision moves the subject's revision to the record's offset. A creating record
 // that was refused leaves a retired subject behind, which voids its copies.
-func (s *State) settle(rec record.Record, no refusal) {
+func (s *State) updateRevision(rec record.Record, no refusal) {
 	if !checksBase(rec.Body) {
 		return
 	}
@@ -138,9 +138,9 @@
 	return true
 }
 
-// current decides whether the record was decided on the subject's present
+// checkRevision decides whether the record was decided on the subject's present
 // revision.
-func (s *State) current(rec record.Record) (Status, string) {
+func (s *State) checkRevision(rec record.Record) (Status, string) {
 	h, exists := s.head(rec.Subject)
 	if h.LastID == rec.ID && rec.ID != "" {
 		return Duplicate, fmt.Sprintf("record %s already took its turn at offset %d", rec.ID, h.Revision)
@@ -170,7 +170,7 @@
 }
 
 func (s *State) applyBody(rec record.Record) refusal {
-	if no := subjectKind(rec); no != allowed {
+	if no := checkSubjectKind(rec); no != allowed {
 		return no
 	}
 	switch rec.Subject.Kind {
@@ -195,7 +195,7 @@
 func (s *State) applyToService(rec record.Record) refusal {
 	switch b := rec.Body.(type) {
 	case record.DocumentPublish:
-		return s.publish(rec, b)
+		return s.publishDocument(rec, b)
 	case record.DocumentRemove:
 		return s.removeService(rec)
 	}
@@ -215,11 +215,11 @@
 	case record.VMJoin:
 		return s.joinVM(rec, b)
 	case record.VMDown:
-		return s.downVM(rec, b)
+		return s.markVMDown(rec, b)
 	case record.VMUp:
-		return s.upVM(rec)
+		return s.markVMUp(rec)
 	case record.VMGone:
-		return s.goneVM(rec)
+		return s.removeVM(rec)
 	case record.VMQuarantine:
 		return s.quarantineVM(rec, b)
 	}
@@ -270,9 +270,9 @@
 	return noRule(rec)
 }
 
-// subjectKind refuses a body that does not belong to its subject's kind, as a
+// checkSubjectKind refuses a body that does not belong to its subject's kind, as a
 // VM drain addressed to a service: it would move a foreign revision.
-func subjectKind(rec record.Record) refusal {
+func checkSubjectKind(rec record.Record) refusal {
 	want := bodySubject(rec.Body)
 	if rec.Subject.Kind != want {
 		return refusef("%s belongs to a %s, not to %s", rec.Body.Kind(), want, rec.Subject)
--- a/internal/ledger/budget.go
+++ b/internal/ledger/budget.go
@@ -56,8 +56,8 @@
 	// Moves counts VMs that came from other pools, Reboots those rebooted.
 	Moves   int `json:"moves"`
 	Reboots int `json:"reboots"`
-	// Lasted holds how long the latest drains lasted, oldest first.
-	Lasted []time.Duration `json:"lasted,omitempty"`
+	// DrainDurations holds how long the latest drains lasted, oldest first.
+	DrainDurations []time.Duration `json:"lasted,omitempty"`
 	// GapSince is since when the pool has had fewer healthy VMs than its size,
 	// SurplusSince since when it has had more; zero when it has not. Planning
 	// waits by them, so that a change that is soon taken back moves no VM.
@@ -65,7 +65,7 @@
 	SurplusSince time.Time `json:"surplus_since"`
 }
 
-func (a *Account) balance(healthy, size int, now time.Time) {
+func (a *Account) updateGapAndSurplus(healthy, size int, now time.Time) {
 	since := func(t *time.Time, holds bool) {
 		switch {
 		case !holds:
@@ -92,7 +92,7 @@
 	if svc, ok := s.Services[pool]; ok {
 		u.Size = svc.Doc.Pool.Size
 	}
-	members, out := len(s.poolVMs[pool]), s.poolOut[pool]
+	members, out := len(s.poolVMs[pool]), s.poolUnavailable[pool]
 	for _, vm := range out {
 		u.Out[outCause(vm)]++
 	}
@@ -125,46 +125,46 @@
 	return CauseOperator
 }
 
-// account closes the pool's open segment at s.Now and opens the next one. It is
+// updateAccount closes the pool's open segment at s.Now and opens the next one. It is
 // called after every change to the pool's VMs or document.
-func (s *State) account(pool string) {
+func (s *State) updateAccount(pool string) {
 	svc, ok := s.Services[pool]
 	if !ok {
 		return
 	}
 	u := s.Unavailability(pool)
-	svc.Account.balance(s.Healthy(pool), u.Size, s.Now)
-	svc.Account.update(s, Segment{
+	svc.Account.updateGapAndSurplus(s.Healthy(pool), u.Size, s.Now)
+	svc.Account.changeSegment(s, Segment{
 		From:  s.Now,
 		Short: u.Short,
 		Spare: max(0, u.Serving-u.Size),
 		Size:  u.Size,
 		Out:   u.Out,
-	}, max(keepCharges, svc.Doc.Budget.Window))
+	}, max(minChargeRetention, svc.Doc.Budget.Window))
 }
 
-// accountReserve does the same for the VMs that are in no pool.
-func (s *State) accountReserve() {
-	s.Reserve.update(s, Segment{From: s.Now, Spare: len(s.free)}, keepCharges)
+// updateReserveAccount does the same for the VMs that are in no pool.
+func (s *State) updateReserveAccount() {
+	s.Reserve.changeSegment(s, Segment{From: s.Now, Spare: len(s.freeVMs)}, minChargeRetention)
 }
 
-func (a *Account) update(s *State, next Segment, keep time.Duration) {
+func (a *Account) changeSegment(s *State, next Segment, keep time.Duration) {
 	if a.Since.IsZero() {
 		a.Since = s.Now
 	}
-	if a.Open.same(next) {
+	if a.Open.equalCounts(next) {
 		return
 	}
-	a.put(next, s.Now)
+	a.openSegment(next, s.Now)
 	end := s.Now
-	if before, ok := s.Clock.doubtful(); ok {
+	if before, ok := s.Clock.unconfirmedJump(); ok {
 		end = before
 	}
 	a.prune(end.Add(-keep))
 }
 
-// same reports whether two segments differ in nothing but their beginning.
-func (s Segment) same(o Segment) bool {
+// equalCounts reports whether two segments differ in nothing but their beginning.
+func (s Segment) equalCounts(o Segment) bool {
 	o.From = s.From
 	return s == o
 }
@@ -172,14 +172,14 @@
 // lastedMax is how many drains an account remembers, lastedMin how many it takes
 // before they correct an estimate.
 const (
-	lastedMax = 16
-	lastedMin = 3
+	maxDrainDurations = 16
+	minDrainDurations = 3
 )
 
-func (a *Account) drainLasted(d time.Duration) {
-	a.Lasted = append(a.Lasted, d)
-	if len(a.Lasted) > lastedMax {
-		a.Lasted = slices.Clone(a.Lasted[len(a.Lasted)-lastedMax:])
+func (a *Account) recordDrainDuration(d time.Duration) {
+	a.DrainDurations = append(a.DrainDurations, d)
+	if len(a.DrainDurations) > maxDrainDurations {
+		a.DrainDurations = slices.Clone(a.DrainDurations[len(a.DrainDurations)-maxDrainDurations:])
 	}
 }
 
@@ -188,9 +188,9 @@
 // planner whose estimates are far too small would else overspend the budget
 // with every drain.
 func (a *Account) Typical() time.Duration {
-	if len(a.Lasted) < lastedMin {
+	if len(a.DrainDurations) < minDrainDurations {
 		return 0
 	}
-	sorted := slices.Sorted(slices.Values(a.Lasted))
+	sorted := slices.Sorted(slices.Values(a.DrainDurations))
 	return sorted[(3*len(sorted)-1)/4]
 }
--- a/internal/ledger/charge.go
+++ b/internal/ledger/charge.go
@@ -10,8 +10,8 @@
 // bound a VM that goes up and down every few seconds would grow the state.
 const maxCharges = 512
 
-// keepCharges is for how long charges are kept at least, for reports.
-const keepCharges = 30 * 24 * time.Hour
+// minChargeRetention is for how long charges are kept at least, for reports.
+const minChargeRetention = 30 * 24 * time.Hour
 
 // Charge is what was spent between two times, in VM-milliseconds. Amounts are
 // integers so that every processor comes to the same sums.
@@ -24,17 +24,17 @@
 	Spare int64 `json:"spare,omitempty"`
 }
 
-// close ends the segment at the time to.
-func (s Segment) close(to time.Time) Charge {
+// charge ends the segment at the time to.
+func (s Segment) charge(to time.Time) Charge {
 	ms := to.Sub(s.From).Milliseconds()
 	c := Charge{From: s.From, To: to, Spare: int64(s.Spare) * ms}
-	c.By = s.split(int64(s.Short) * ms)
+	c.By = s.splitByCause(int64(s.Short) * ms)
 	return c
 }
 
-// split divides an amount among the causes in proportion to the VMs that each
+// splitByCause divides an amount among the causes in proportion to the VMs that each
 // has out of service. The rest that does not divide goes to the first cause.
-func (s Segment) split(amount int64) [causeCount]int64 {
+func (s Segment) splitByCause(amount int64) [causeCount]int64 {
 	var by [causeCount]int64
 	total, rest, first := 0, amount, -1
 	for cause, n := range s.Out {
@@ -97,21 +97,21 @@
 	return sum
 }
 
-// put closes the open segment at the time now and opens next.
-func (a *Account) put(next Segment, now time.Time) {
+// openSegment closes the open segment at the time now and opens next.
+func (a *Account) openSegment(next Segment, now time.Time) {
 	if !a.Open.From.IsZero() && now.After(a.Open.From) && (a.Open.Short > 0 || a.Open.Spare > 0) {
-		c := a.Open.close(now)
+		c := a.Open.charge(now)
 		a.SpareTotal += c.Spare
 		a.Closed = append(a.Closed, c)
 	}
 	if len(a.Closed) > maxCharges {
-		a.merge()
+		a.mergeCharges()
 	}
 	a.Open = next
 }
 
-// merge halves the number of charges.
-func (a *Account) merge() {
+// mergeCharges halves the number of charges.
+func (a *Account) mergeCharges() {
 	merged := make([]Charge, 0, maxCharges)
 	for i := 0; i+1 < len(a.Closed); i += 2 {
 		merged = append(merged, a.Closed[i].add(a.Closed[i+1]))
@@ -130,8 +130,8 @@
 	a.Closed = a.Closed[n:]
 }
 
-// cut takes back what was charged after the time now.
-func (a *Account) cut(now time.Time) {
+// truncateAt takes back what was charged after the time now.
+func (a *Account) truncateAt(now time.Time) {
 	kept := a.Closed[:0]
 	for _, c := range a.Closed {
 		part := c.within(c.From, now)
@@ -145,9 +145,9 @@
 	a.Since = earlier(a.Since, now)
 }
 
-// between returns the sum of what was spent between two times. The open segment
+// chargeBetween returns the sum of what was spent between two times. The open segment
 // counts as going on until to.
-func (a *Account) between(from, to time.Time) Charge {
+func (a *Account) chargeBetween(from, to time.Time) Charge {
 	sum := Charge{From: from, To: to}
 	for _, c := range a.Closed {
 		sum = sum.add(c.within(from, to))
@@ -155,18 +155,18 @@
 	if a.Open.From.IsZero() || !to.After(a.Open.From) {
 		return sum
 	}
-	return sum.add(a.Open.close(to).within(from, to))
+	return sum.add(a.Open.charge(to).within(from, to))
 }
 
 // Spent returns the VM-seconds of unavailability charged between two times.
 func (a *Account) Spent(from, to time.Time) float64 {
-	return seconds(a.between(from, to).total())
+	return seconds(a.chargeBetween(from, to).total())
 }
 
 // SpentBy returns the VM-seconds charged between two times by cause.
 func (a *Account) SpentBy(from, to time.Time) [causeCount]float64 {
 	var by [causeCount]float64
-	for cause, amount := range a.between(from, to).By {
+	for cause, amount := range a.chargeBetween(from, to).By {
 		by[cause] = seconds(amount)
 	}
 	return by
@@ -175,7 +175,7 @@
 // SpareSeconds returns the VM-seconds served beyond the declared size between
 // two times, as far back as charges are kept.
 func (a *Account) SpareSeconds(from, to time.Time) float64 {
-	return seconds(a.between(from, to).Spare)
+	return seconds(a.chargeBetween(from, to).Spare)
 }
 
 func seconds(ms int64) float64 { return float64(ms) / 1000 }
--- a/internal/ledger/clock.go
+++ b/internal/ledger/clock.go
@@ -41,34 +41,34 @@
 	JumpFrom time.Time `json:"jump_from"`
 	JumpTo   time.Time `json:"jump_to"`
 	JumpAt   uint64    `json:"jump_at"`
-	// Against holds what clocks said that contradict the jump, one per author.
-	Against    []Claim  `json:"against,omitempty"`
-	Distrusted []string `json:"distrusted,omitempty"`
+	// Contradictions holds what clocks said that contradict the jump, one per author.
+	Contradictions []Claim  `json:"against,omitempty"`
+	Distrusted     []string `json:"distrusted,omitempty"`
 }
 
-// note takes the time of one record and reports whether the fold's time must go
+// observe takes the time of one record and reports whether the fold's time must go
 // back to c.Top.
-func (c *Clock) note(offset uint64, rec record.Record) bool {
+func (c *Clock) observe(offset uint64, rec record.Record) bool {
 	claim := Claim{Author: rec.Author, Time: rec.Time.UTC().Truncate(time.Millisecond)}
-	if claim.Time.IsZero() || c.distrusts(claim) {
+	if claim.Time.IsZero() || c.rejects(claim) {
 		return false
 	}
 	switch {
 	case claim.Time.After(c.Top.Time):
-		c.raise(offset, claim)
+		c.advanceTop(offset, claim)
 	case claim.Author == c.Top.Author:
 		return false
 	case claim.Time.After(c.Other.Time):
 		c.Other = claim
 	}
 	if c.confirmed() {
-		c.Against = nil
+		c.Contradictions = nil
 		return false
 	}
-	return c.contradict(offset, claim, rec.Seen)
+	return c.recordContradiction(offset, claim, rec.Seen)
 }
 
-func (c *Clock) raise(offset uint64, claim Claim) {
+func (c *Clock) advanceTop(offset uint64, claim Claim) {
 	if claim.Time.After(c.Top.Time.Add(MaxSkew)) {
 		c.JumpFrom, c.JumpTo, c.JumpAt = c.Top.Time, claim.Time, offset
 	}
@@ -83,38 +83,38 @@
 	return !c.Other.Time.Before(c.JumpTo.Add(-MaxSkew))
 }
 
-// doubtful returns the time before the latest jump while that is neither
+// unconfirmedJump returns the time before the latest jump while that is neither
 // confirmed nor followed by MaxSkew of ordinary progress.
-func (c *Clock) doubtful() (time.Time, bool) {
+func (c *Clock) unconfirmedJump() (time.Time, bool) {
 	if c.JumpFrom.IsZero() || c.confirmed() || !c.Top.Time.Before(c.JumpTo.Add(MaxSkew)) {
 		return time.Time{}, false
 	}
 	return c.JumpFrom, true
 }
 
-// contradict counts a claim against the latest jump. seen tells that its author
+// recordContradiction counts a claim against the latest jump. seen tells that its author
 // read its clock after it had folded the jump; without that, a record that was
 // on its way for hours would look like a clock that is hours behind.
-func (c *Clock) contradict(offset uint64, claim Claim, seen uint64) bool {
+func (c *Clock) recordContradiction(offset uint64, claim Claim, seen uint64) bool {
 	behind := claim.Time.Before(c.JumpTo.Add(-MaxSkew))
 	if seen < c.JumpAt || seen >= offset || !behind || claim.Author == c.Top.Author {
 		return false
 	}
-	c.Against = slices.DeleteFunc(c.Against, func(a Claim) bool { return a.Author == claim.Author })
-	c.Against = append(c.Against, claim)
-	if len(c.Against) < 2 {
+	c.Contradictions = slices.DeleteFunc(c.Contradictions, func(a Claim) bool { return a.Author == claim.Author })
+	c.Contradictions = append(c.Contradictions, claim)
+	if len(c.Contradictions) < 2 {
 		return false
 	}
-	c.overthrow(offset)
+	c.revertJump(offset)
 	return true
 }
 
-func (c *Clock) overthrow(offset uint64) {
+func (c *Clock) revertJump(offset uint64) {
 	c.Distrusted = append(c.Distrusted, c.Top.Author)
 	if len(c.Distrusted) > maxDistrusted {
 		c.Distrusted = c.Distrusted[1:]
 	}
-	claims := slices.DeleteFunc(append(c.Against, c.Other), func(a Claim) bool { return a.Author == c.Top.Author })
+	claims := slices.DeleteFunc(append(c.Contradictions, c.Other), func(a Claim) bool { return a.Author == c.Top.Author })
 	slices.SortStableFunc(claims, func(a, b Claim) int { return b.Time.Compare(a.Time) })
 	c.Top = claims[0]
 	c.Other = Claim{}
@@ -125,12 +125,12 @@
 		}
 	}
 	c.JumpFrom, c.JumpTo, c.JumpAt = time.Time{}, c.Top.Time, offset
-	c.Against = nil
+	c.Contradictions = nil
 }
 
-// distrusts reports whether the claim is to be passed over. An author whose
+// rejects reports whether the claim is to be passed over. An author whose
 // clock is back among the others' is trusted again.
-func (c *Clock) distrusts(claim Claim) bool {
+func (c *Clock) rejects(claim Claim) bool {
 	i := slices.Index(c.Distrusted, claim.Author)
 	if i < 0 {
 		return false
@@ -157,43 +157,43 @@
 	return at
 }
 
-// tick moves the fold's time by one record.
-func (s *State) tick(rec record.Record) {
-	back := s.Clock.note(s.Offset, rec)
+// advanceClock moves the fold's time by one record.
+func (s *State) advanceClock(rec record.Record) {
+	back := s.Clock.observe(s.Offset, rec)
 	s.Now = s.Clock.Top.Time
 	if back {
-		s.stepBack()
+		s.clampTimes()
 	}
 }
 
-// stepBack cuts off at s.Now all that was dated by a clock that was overthrown.
-func (s *State) stepBack() {
+// clampTimes cuts off at s.Now all that was dated by a clock that was overthrown.
+func (s *State) clampTimes() {
 	for _, svc := range s.Services {
-		svc.Account.cut(s.Now)
-		s.clamp(&svc.PublishedAt)
+		svc.Account.truncateAt(s.Now)
+		s.clampToNow(&svc.PublishedAt)
 	}
-	s.Reserve.cut(s.Now)
+	s.Reserve.truncateAt(s.Now)
 	for _, vm := range s.VMs {
-		s.clamp(&vm.PhaseSince, &vm.HealthSince, &vm.MaintainedAt, &vm.QuarantineChanged)
+		s.clampToNow(&vm.PhaseSince, &vm.HealthSince, &vm.MaintainedAt, &vm.QuarantineChanged)
 		if vm.Drain != nil {
-			s.clamp(&vm.Drain.Since)
+			s.clampToNow(&vm.Drain.Since)
 		}
 	}
 	for _, w := range s.Waves {
-		s.clamp(&w.StartedAt, &w.FinishedAt)
+		s.clampToNow(&w.StartedAt, &w.FinishedAt)
 	}
 	for _, m := range s.Members {
-		s.clamp(&m.Joined)
+		s.clampToNow(&m.Joined)
 	}
 	for _, j := range s.Jobs {
-		s.clamp(&j.SubmittedAt, &j.QueuedAt, &j.StartedAt, &j.EndedAt)
+		s.clampToNow(&j.SubmittedAt, &j.QueuedAt, &j.StartedAt, &j.EndedAt)
 		for i := range j.Failures {
-			s.clamp(&j.Failures[i].Started, &j.Failures[i].Ended)
+			s.clampToNow(&j.Failures[i].Started, &j.Failures[i].Ended)
 		}
 	}
 }
 
-func (s *State) clamp(times ...*time.Time) {
+func (s *State) clampToNow(times ...*time.Time) {
 	for _, t := range times {
 		if t.After(s.Now) {
 			*t = s.Now
--- a/internal/ledger/clock_test.go
+++ b/internal/ledger/clock_test.go
@@ -22,12 +22,12 @@
 // are refused, though its earlier charges have left the window; once two other
 // nodes have read the record and told their time, the fold's time goes back, the
 // 74 years are taken off the budget, and time goes on with the others' clocks.
-func TestFarFutureClockIsOverthrown(t *testing.T) {
+func TestFarFutureClockIsReverted(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 10, 10, "")
 	h.vm("p-1", drain(record.DrainMaintenance, time.Hour))
 	h.now = h.now.Add(22 * time.Hour)
-	h.vm("p-1", back...)
+	h.vm("p-1", returnToService...)
 	h.witness("b", h.now)
 	charged := 22 * time.Hour.Seconds()
 	require.Equal(t, charged, h.spent("p"))
@@ -35,13 +35,13 @@
 	wrong := h.draft(record.SubjectVM, "p-2", record.VMDown{Cause: "no answer"})
 	wrong.Author, wrong.Time = "w", h.now.AddDate(74, 0, 0)
 	require.Equal(t, Effective, h.apply(wrong).Status)
-	require.NotZero(t, h.s.ClockAhead(h.now))
-	h.refused("VM-seconds in its window", record.SubjectVM, "p-3", drain(record.DrainMaintenance, 3*time.Hour))
+	require.NotZero(t, h.state.ClockAhead(h.now))
+	h.mustRefuse("VM-seconds in its window", record.SubjectVM, "p-3", drain(record.DrainMaintenance, 3*time.Hour))
 
 	h.now = h.now.Add(time.Minute)
-	require.NotZero(t, h.s.ClockAhead(h.now), "one contradiction could be a slow clock")
+	require.NotZero(t, h.state.ClockAhead(h.now), "one contradiction could be a slow clock")
 	h.witness("b", h.now)
-	require.Equal(t, h.now, h.s.Now)
+	require.Equal(t, h.now, h.state.Now)
 	require.Equal(t, charged, h.spent("p"), "down for no time yet by the fold's time")
 
 	h.now = h.now.Add(time.Hour)
@@ -49,18 +49,18 @@
 	wrong = h.draft(record.SubjectVM, "p-2", record.VMUp{})
 	wrong.Author, wrong.Time = "w", h.now.AddDate(74, 0, 0)
 	h.apply(wrong)
-	require.Zero(t, h.s.ClockAhead(h.now), "a distrusted clock is passed over")
-	require.Equal(t, h.now, h.s.Now)
+	require.Zero(t, h.state.ClockAhead(h.now), "a distrusted clock is passed over")
+	require.Equal(t, h.now, h.state.Now)
 	require.Equal(t, charged+time.Hour.Seconds(), h.spent("p"), "p-2 was down for this hour")
 	h.witness("w", h.now.Add(time.Second))
-	require.Empty(t, h.s.Clock.Distrusted, "a clock among the others is trusted again")
+	require.Empty(t, h.state.Clock.Distrusted, "a clock among the others is trusted again")
 }
 
 // At night one steward alone writes, first that a VM is down and five hours
 // later that it is up. Its second record jumps five hours ahead, and the charge
 // must be five hours: nobody contradicts it. Then one node with a clock stuck in
 // the past cannot turn time back, nor can late copies of others' records.
-func TestHonestJumpStands(t *testing.T) {
+func TestCorrectJumpIsKept(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 10, 10, "")
 	old := h.draft(record.SubjectClock, "c", record.ClockWitness{})
@@ -73,22 +73,22 @@
 	old.Author = "c"
 	h.apply(old)
 	h.witness("stuck", epoch.AddDate(-56, 0, 1))
-	require.Equal(t, h.now, h.s.Now)
+	require.Equal(t, h.now, h.state.Now)
 	require.Equal(t, 5*time.Hour.Seconds(), h.spent("p"))
 }
 
 // A wrong clock empties a budget's window: with everything before it out of the
 // window, a drain that does not fit would be let through. While the jump is
 // doubtful the window before it counts as well.
-func TestDoubtfulJumpDoesNotEmptyTheBudget(t *testing.T) {
+func TestUnconfirmedJumpDoesNotEmptyTheBudget(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 10, 10, "")
 	h.vm("p-1", drain(record.DrainMaintenance, time.Hour))
 	h.now = h.now.Add(23 * time.Hour)
-	h.vm("p-1", back...)
+	h.vm("p-1", returnToService...)
 	h.witness("b", h.now)
 	h.witness("w", h.now.AddDate(74, 0, 0))
-	h.refused("spent 82800 of 86400", record.SubjectVM, "p-2", drain(record.DrainMaintenance, 2*time.Hour))
+	h.mustRefuse("spent 82800 of 86400", record.SubjectVM, "p-2", drain(record.DrainMaintenance, 2*time.Hour))
 }
 
 // An entry VM is replaced, and the new process's clock is 74 years ahead: by its
@@ -97,10 +97,10 @@
 // clocks: the fold's time goes back first, then the members' end, and a member
 // that leaves later gets an end by its own clock. One clock alone cuts nothing,
 // and neither do records that were written before the join was read.
-func TestFarFutureMemberDoesNotBlindLaterOwners(t *testing.T) {
+func TestFarFutureMemberTimeIsReverted(t *testing.T) {
 	h := newHistory(t)
 	for i, name := range []string{"m1", "m2", "m3"} {
-		h.must(record.SubjectMember, name, record.MemberJoin{Node: name, Address: fmt.Sprintf("10.0.0.%d:1", i)})
+		h.mustApply(record.SubjectMember, name, record.MemberJoin{Node: name, Address: fmt.Sprintf("10.0.0.%d:1", i)})
 	}
 	late := h.draft(record.SubjectClock, "d", record.ClockWitness{})
 	late.Author = "d"
@@ -110,37 +110,37 @@
 	refresh := h.draft(record.SubjectMember, "w", record.MemberRefresh{Electorate: []string{"m2", "m3", "w"}})
 	refresh.Author, refresh.Time = "w", wrong.Time.Add(time.Second)
 	require.Equal(t, Effective, h.apply(refresh).Status)
-	require.Equal(t, h.s.Offset, h.s.ClockAhead(h.now))
+	require.Equal(t, h.state.Offset, h.state.ClockAhead(h.now))
 	h.witness("b", h.now)
 	h.witness("c", h.now)
-	require.Equal(t, h.now, h.s.Now)
-	require.NotZero(t, h.s.ClockAhead(h.now), "the members' end is still ahead")
+	require.Equal(t, h.now, h.state.Now)
+	require.NotZero(t, h.state.ClockAhead(h.now), "the members' end is still ahead")
 	h.now = h.now.Add(5 * time.Second)
 	h.witness("c", h.now)
 	h.apply(late)
 	h.witness("c", h.now)
 	h.witness("w", wrong.Time.Add(5*time.Second))
-	require.Equal(t, wrong.Time, h.s.MembersUntil, "one clock cuts nothing")
+	require.Equal(t, wrong.Time, h.state.MembersUntil, "one clock cuts nothing")
 	h.witness("b", h.now)
-	require.Zero(t, h.s.ClockAhead(h.now))
-	for _, end := range []time.Time{h.s.MembersUntil, h.s.Members["w"].ElectedAt, h.s.MemberChanges[3].Until} {
+	require.Zero(t, h.state.ClockAhead(h.now))
+	for _, end := range []time.Time{h.state.MembersUntil, h.state.Members["w"].ElectedAt, h.state.MemberChanges[3].Until} {
 		require.Equal(t, h.now.Add(MaxSkew), end)
 	}
 	h.now = h.now.Add(time.Hour)
-	h.must(record.SubjectMember, "m2", record.MemberLeave{AcksUntil: h.now.Add(2 * time.Second)})
-	require.Equal(t, h.now.Add(2*time.Second), h.s.MembersUntil)
+	h.mustApply(record.SubjectMember, "m2", record.MemberLeave{AcksUntil: h.now.Add(2 * time.Second)})
+	require.Equal(t, h.now.Add(2*time.Second), h.state.MembersUntil)
 }
 
 // The only writer of a quiet night is a member that leaves five hours later: its
 // time is honest, and clocks near it cut nothing.
-func TestHonestLeaveAfterAQuietNightStands(t *testing.T) {
+func TestLeaveAfterQuietPeriodIsKept(t *testing.T) {
 	h := newHistory(t)
-	h.must(record.SubjectMember, "m1", record.MemberJoin{Node: "m1", Address: "10.0.0.1:1"})
+	h.mustApply(record.SubjectMember, "m1", record.MemberJoin{Node: "m1", Address: "10.0.0.1:1"})
 	h.now = h.now.Add(5 * time.Hour)
 	left := h.now.Add(time.Hour)
-	h.must(record.SubjectMember, "m1", record.MemberLeave{AcksUntil: left})
+	h.mustApply(record.SubjectMember, "m1", record.MemberLeave{AcksUntil: left})
 	for _, author := range []string{"b", "c", "d"} {
 		h.witness(author, h.now.Add(-MaxSkew))
 	}
-	require.Equal(t, left, h.s.MembersUntil)
+	require.Equal(t, left, h.state.MembersUntil)
 }
--- a/internal/ledger/drain.go
+++ b/internal/ledger/drain.go
@@ -15,19 +15,19 @@
 	if vm.Phase != record.PhaseServing {
 		return refusef("VM %s is %s; only a serving VM can be drained", vm.ID, vm.Phase)
 	}
-	if no := soundDrain(b); no != allowed {
+	if no := validateDrain(b); no != allowed {
 		return no
 	}
-	if no := s.mayJoinWave(vm, b); no != allowed {
+	if no := s.checkWaveTurn(vm, b); no != allowed {
 		return no
 	}
-	if no := s.mayLeave(vm, b.Target, b.Release); no != allowed {
+	if no := s.checkLeave(vm, b.Target, b.Release); no != allowed {
 		return no
 	}
-	if no := s.mayDisturb(vm, b); no != allowed {
+	if no := s.checkRunningJobs(vm, b); no != allowed {
 		return no
 	}
-	if no := s.mayCharge(vm, b); no != allowed {
+	if no := s.checkBudget(vm, b); no != allowed {
 		return no
 	}
 	vm.Drains++
@@ -42,11 +42,11 @@
 			Since:    s.Now,
 			Estimate: b.Estimate,
 		}
-		s.enter(vm, record.PhaseDraining)
+		s.assignPhase(vm, record.PhaseDraining)
 	})
 	s.countEvent(vm.Pool, drainCause(b.Reason))
 	if b.Wave != "" {
-		s.markWave(s.Waves[b.Wave], vm.ID, WaveOut)
+		s.setWaveProgress(s.Waves[b.Wave], vm.ID, WaveOut)
 	}
 	return allowed
 }
@@ -54,9 +54,9 @@
 // MaxEstimate is the longest estimate of a drain.
 const MaxEstimate = 7 * 24 * time.Hour
 
-// soundDrain refuses a drain that makes no sense by itself. A negative estimate
+// validateDrain refuses a drain that makes no sense by itself. A negative estimate
 // would lower what the budget check adds to what is spent.
-func soundDrain(b record.VMDrain) refusal {
+func validateDrain(b record.VMDrain) refusal {
 	switch b.Reason {
 	case record.DrainMaintenance, record.DrainMove, record.DrainOperator:
 	default:
@@ -68,8 +68,8 @@
 	return allowed
 }
 
-// mayTarget refuses a drain to a pool that could not take the VM.
-func (s *State) mayTarget(vm *VM, target string) refusal {
+// checkTarget refuses a drain to a pool that could not take the VM.
+func (s *State) checkTarget(vm *VM, target string) refusal {
 	if target == "" {
 		return allowed
 	}
@@ -77,11 +77,11 @@
 	if !ok {
 		return refusef("there is no pool %q to move to", target)
 	}
-	return vm.fits(target, svc.Doc.Pool)
+	return vm.checkSize(target, svc.Doc.Pool)
 }
 
-// fits refuses a VM that is too small for a pool.
-func (v *VM) fits(pool string, need document.Pool) refusal {
+// checkSize refuses a VM that is too small for a pool.
+func (v *VM) checkSize(pool string, need document.Pool) refusal {
 	if v.Cores >= need.MinCores && v.MemoryMB >= need.MinMemoryMB && v.Accelerators >= need.MinAccelerators {
 		return allowed
 	}
@@ -89,9 +89,9 @@
 		v.ID, v.Cores, v.MemoryMB, v.Accelerators, pool)
 }
 
-// mayDisturb refuses to drain a VM whose jobs may not be disturbed, by the
+// checkRunningJobs refuses to drain a VM whose jobs may not be disturbed, by the
 // document of its pool. An operator's drain goes on and waits for them.
-func (s *State) mayDisturb(vm *VM, b record.VMDrain) refusal {
+func (s *State) checkRunningJobs(vm *VM, b record.VMDrain) refusal {
 	svc, ok := s.Services[vm.Pool]
 	if !ok || b.Reason == record.DrainOperator || svc.Doc.Jobs.OnDrain != document.LongJobsSkip {
 		return allowed
@@ -103,7 +103,7 @@
 	return allowed
 }
 
-func (s *State) mayJoinWave(vm *VM, b record.VMDrain) refusal {
+func (s *State) checkWaveTurn(vm *VM, b record.VMDrain) refusal {
 	if b.Wave == "" {
 		return allowed
 	}
@@ -120,9 +120,9 @@
 	return allowed
 }
 
-// mayLeave refuses to take a healthy VM away from a pool that would have too few
+// checkLeave refuses to take a healthy VM away from a pool that would have too few
 // left. Two planners that each saw one VM too many would else take two.
-func (s *State) mayLeave(vm *VM, target string, release bool) refusal {
+func (s *State) checkLeave(vm *VM, target string, release bool) refusal {
 	if target != "" && release {
 		return refusef("a drain cannot have both a target pool and a release")
 	}
@@ -132,7 +132,7 @@
 	if target == vm.Pool {
 		return refusef("VM %s is in pool %s already", vm.ID, vm.Pool)
 	}
-	if no := s.mayTarget(vm, target); no != allowed {
+	if no := s.checkTarget(vm, target); no != allowed {
 		return no
 	}
 	svc, ok := s.Services[vm.Pool]
@@ -154,7 +154,7 @@
 	if !vm.Redirectable() {
 		return refusef("VM %s has no drain that could lead elsewhere", vm.ID)
 	}
-	if no := s.mayLeave(vm, b.Target, b.Release); no != allowed {
+	if no := s.checkLeave(vm, b.Target, b.Release); no != allowed {
 		return no
 	}
 	s.changeVM(vm, func() { vm.Drain.Target, vm.Drain.Release = b.Target, b.Release })
@@ -164,29 +164,29 @@
 // Healthy counts the VMs that stay in the pool and are not down.
 func (s *State) Healthy(pool string) int {
 	n := 0
-	for _, vm := range s.poolOut[pool] {
+	for _, vm := range s.poolUnavailable[pool] {
 		if vm.Staying() && !vm.Down {
 			n++
 		}
 	}
-	return n + len(s.poolVMs[pool]) - len(s.poolOut[pool])
+	return n + len(s.poolVMs[pool]) - len(s.poolUnavailable[pool])
 }
 
-// closeTurn ends a VM's turn in every wave that waits for it, when it is back
+// endTurn ends a VM's turn in every wave that waits for it, when it is back
 // from a drain. One reboot serves all of them; a VM that left for the common
 // reserve without one has no turn any more, since only serving VMs are drained.
-func (s *State) closeTurn(vm *VM, d *Drain) {
+func (s *State) endTurn(vm *VM, d *Drain) {
 	if d.Rebooted {
 		vm.MaintainedAt = s.Now
 	}
 	for _, id := range s.wavesOf(vm.ID) {
 		switch w := s.Waves[id]; {
 		case d.Rebooted:
-			s.markWave(w, vm.ID, WaveBack)
+			s.setWaveProgress(w, vm.ID, WaveBack)
 		case vm.Phase == record.PhaseFree:
 			s.skipVM(w, vm.ID, "it left its pool")
 		case d.Wave == id:
-			s.markWave(w, vm.ID, WavePending)
+			s.setWaveProgress(w, vm.ID, WavePending)
 		}
 	}
 }
--- a/internal/ledger/fold_test.go
+++ b/internal/ledger/fold_test.go
@@ -15,46 +15,46 @@
 
 // history folds records that tests write, at rising offsets.
 type history struct {
-	t   *testing.T
-	s   *State
-	now time.Time
-	ids int
+	t           *testing.T
+	state       *State
+	now         time.Time
+	recordCount int
 }
 
-func newHistory(t *testing.T) *history { return &history{t: t, s: New(), now: epoch} }
+func newHistory(t *testing.T) *history { return &history{t: t, state: New(), now: epoch} }
 
 // draft returns a record decided on the present state by author "a".
 func (h *history) draft(kind record.SubjectKind, name string, body record.Body) record.Record {
-	h.ids++
+	h.recordCount++
 	sub := record.Subject{Kind: kind, Name: name}
 	return record.Record{
-		ID:      fmt.Sprintf("id-%d", h.ids),
+		ID:      fmt.Sprintf("id-%d", h.recordCount),
 		Subject: sub,
-		Base:    h.s.Revision(sub),
-		Seen:    h.s.Offset,
+		Base:    h.state.Revision(sub),
+		Seen:    h.state.Offset,
 		Author:  "a",
 		Time:    h.now,
 		Body:    body,
 	}
 }
 
-func (h *history) apply(rec record.Record) Outcome { return h.s.Apply(h.s.Offset+1, rec) }
+func (h *history) apply(rec record.Record) Outcome { return h.state.Apply(h.state.Offset+1, rec) }
 
-func (h *history) do(kind record.SubjectKind, name string, body record.Body) Outcome {
+func (h *history) applyNew(kind record.SubjectKind, name string, body record.Body) Outcome {
 	return h.apply(h.draft(kind, name, body))
 }
 
-// must folds a record that has to take effect.
-func (h *history) must(kind record.SubjectKind, name string, body record.Body) {
+// mustApply folds a record that has to take effect.
+func (h *history) mustApply(kind record.SubjectKind, name string, body record.Body) {
 	h.t.Helper()
-	out := h.do(kind, name, body)
+	out := h.applyNew(kind, name, body)
 	require.Equal(h.t, Effective, out.Status, out.Reason)
 }
 
-// refused folds a record that has to be refused for the reason.
-func (h *history) refused(reason string, kind record.SubjectKind, name string, body record.Body) {
+// mustRefuse folds a record that has to be refused for the reason.
+func (h *history) mustRefuse(reason string, kind record.SubjectKind, name string, body record.Body) {
 	h.t.Helper()
-	out := h.do(kind, name, body)
+	out := h.applyNew(kind, name, body)
 	require.Equal(h.t, Refused, out.Status)
 	require.Contains(h.t, out.Reason, reason)
 }
@@ -62,7 +62,7 @@
 func (h *history) vm(name string, bodies ...record.Body) {
 	h.t.Helper()
 	for _, b := range bodies {
-		h.must(record.SubjectVM, name, b)
+		h.mustApply(record.SubjectVM, name, b)
 	}
 }
 
@@ -78,11 +78,11 @@
 
 func (h *history) publish(name string, size int, more string) {
 	h.t.Helper()
-	h.must(record.SubjectService, name, record.DocumentPublish{Text: text(name, size, more)})
+	h.mustApply(record.SubjectService, name, record.DocumentPublish{Text: documentText(name, size, more)})
 }
 
-// text is a document whose budget is up to 3 VMs at once and 0.1 of 24 hours.
-func text(name string, size int, more string) string {
+// documentText is a document whose budget is up to 3 VMs at once and 0.1 of 24 hours.
+func documentText(name string, size int, more string) string {
 	return fmt.Sprintf(`service = %q
 team = "team"
 [pool]
@@ -107,8 +107,8 @@
 	return record.VMDrain{Reason: reason, Estimate: estimate}
 }
 
-// back takes a drained VM through to service again.
-var back = []record.Body{
+// returnToService takes a drained VM through to service again.
+var returnToService = []record.Body{
 	record.VMAdvance{To: record.PhaseDrained},
 	record.VMAdvance{To: record.PhaseReturning},
 	record.VMUp{},
@@ -119,5 +119,5 @@
 }
 
 func (h *history) spent(pool string) float64 {
-	return h.s.Services[pool].Account.Spent(h.now.Add(-24*time.Hour), h.now)
+	return h.state.Services[pool].Account.Spent(h.now.Add(-24*time.Hour), h.now)
 }
--- a/internal/ledger/headroom.go
+++ b/internal/ledger/headroom.go
@@ -44,16 +44,16 @@
 	h := Headroom{
 		Pool:     pool,
 		Size:     svc.Doc.Pool.Size,
-		Serving:  len(s.poolVMs[pool]) - len(s.poolOut[pool]),
+		Serving:  len(s.poolVMs[pool]) - len(s.poolUnavailable[pool]),
 		Budget:   svc.Doc.Budget,
-		Spent:    s.spent(svc, now),
+		Spent:    s.spentSeconds(svc, now),
 		Allowed:  svc.Doc.AllowedSeconds(),
 		Typical:  svc.Account.Typical(),
 		OutRacks: map[string]int{},
 	}
 	replaced := s.Healthy(pool) >= h.Size
-	for _, vm := range s.poolOut[pool] {
-		h.Left = append(h.Left, vm.left(now))
+	for _, vm := range s.poolUnavailable[pool] {
+		h.Left = append(h.Left, vm.remainingOutage(now))
 		if !vm.Down || !replaced {
 			h.OutRacks[vm.Rack]++
 		}
@@ -65,21 +65,21 @@
 	return h, true
 }
 
-// spent returns what counts against the pool's budget at the time now. While
+// spentSeconds returns what counts against the pool's budget at the time now. While
 // the fold's time has made a doubtful jump, the window before it counts too: a
 // wrong clock could else move all charges out of the window.
-func (s *State) spent(svc *Service, now time.Time) float64 {
+func (s *State) spentSeconds(svc *Service, now time.Time) float64 {
 	window := svc.Doc.Budget.Window
 	spent := svc.Account.Spent(now.Add(-window), now)
-	if before, ok := s.Clock.doubtful(); ok {
+	if before, ok := s.Clock.unconfirmedJump(); ok {
 		spent = max(spent, svc.Account.Spent(before.Add(-window), before))
 	}
 	return spent
 }
 
-// left returns how much longer a VM that is out is expected to be so, by the
+// remainingOutage returns how much longer a VM that is out is expected to be so, by the
 // estimate of its drain.
-func (v *VM) left(now time.Time) time.Duration {
+func (v *VM) remainingOutage(now time.Time) time.Duration {
 	if v.Drain == nil {
 		return 0
 	}
@@ -90,7 +90,7 @@
 // estimate, does not fit, or an empty string when it does. VMs beyond the
 // declared size are drained free of charge.
 func (h *Headroom) Refusal(rack string, estimate time.Duration) string {
-	return h.refusal(rack, estimate, h.Size-(h.Serving-1), 1)
+	return h.checkBounds(rack, estimate, h.Size-(h.Serving-1), 1)
 }
 
 // RefusalOf is Refusal for a certain VM and drain. The drain of a VM that is
@@ -104,38 +104,38 @@
 	case b.Target != "" || b.Release:
 		return ""
 	}
-	return h.refusal(vm.Rack, b.Estimate, h.Size-h.Serving, 0)
+	return h.checkBounds(vm.Rack, b.Estimate, h.Size-h.Serving, 0)
 }
 
-// refusal checks the bounds for a pool that would be short of so many VMs, with
+// checkBounds checks the bounds for a pool that would be short of so many VMs, with
 // more VMs out than now.
-func (h *Headroom) refusal(rack string, estimate time.Duration, short, more int) string {
-	if short <= 0 {
+func (h *Headroom) checkBounds(rack string, estimate time.Duration, shortfall, additional int) string {
+	if shortfall <= 0 {
 		return ""
 	}
-	if short > h.Budget.MaxUnavailable {
+	if shortfall > h.Budget.MaxUnavailable {
 		return string(refusef("pool %s has %d of %d VMs serving; %d short would exceed max_unavailable = %d",
-			h.Pool, h.Serving, h.Size, short, h.Budget.MaxUnavailable))
+			h.Pool, h.Serving, h.Size, shortfall, h.Budget.MaxUnavailable))
 	}
 	if other := h.otherRack(rack); h.Budget.OneDomain && other != "" {
 		return string(refusef("rack %s of pool %s has VMs out already; one_domain allows one rack at a time",
 			other, h.Pool))
 	}
-	need := h.need(max(estimate, h.Typical), short, more)
-	if h.Spent+need > h.Allowed {
+	required := h.requiredSeconds(max(estimate, h.Typical), shortfall, additional)
+	if h.Spent+required > h.Allowed {
 		return string(refusef("pool %s spent %.0f of %.0f VM-seconds in its window; this drain needs about %.0f more",
-			h.Pool, h.Spent, h.Allowed, need))
+			h.Pool, h.Spent, h.Allowed, required))
 	}
 	return ""
 }
 
-// need returns the VM-seconds that will be charged until all VMs are back. Each
+// requiredSeconds returns the VM-seconds that will be charged until all VMs are back. Each
 // VM that is out counts with what is left of its own estimate, and at least
 // with the new one's: those that are overdue, or failed, may stay out as long
 // again. The longest ones are those that spare VMs stand in for.
-func (h *Headroom) need(estimate time.Duration, short, more int) float64 {
+func (h *Headroom) requiredSeconds(estimate time.Duration, shortfall, additional int) float64 {
 	left := slices.Clone(h.Left)
-	for range more {
+	for range additional {
 		left = append(left, 0)
 	}
 	for i := range left {
@@ -143,7 +143,7 @@
 	}
 	slices.Sort(left)
 	sum := time.Duration(0)
-	for _, d := range left[:min(short, len(left))] {
+	for _, d := range left[:min(shortfall, len(left))] {
 		sum += d
 	}
 	return sum.Seconds()
@@ -167,9 +167,9 @@
 	return first
 }
 
-// mayCharge refuses a drain that the pool's budget does not bear. Of two drains
+// checkBudget refuses a drain that the pool's budget does not bear. Of two drains
 // that race for the last unit of budget the later one is refused.
-func (s *State) mayCharge(vm *VM, b record.VMDrain) refusal {
+func (s *State) checkBudget(vm *VM, b record.VMDrain) refusal {
 	h, ok := s.Headroom(vm.Pool, s.Now)
 	if !ok {
 		return allowed
--- a/internal/ledger/index.go
+++ b/internal/ledger/index.go
@@ -4,23 +4,23 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// indexInto puts v under outer and inner key, making the inner map if needed.
-func indexInto[V any](m map[string]map[string]V, outer, inner string, v V) {
+// addTo puts v under outer and inner key, making the inner map if needed.
+func addTo[V any](m map[string]map[string]V, outer, inner string, v V) {
 	if m[outer] == nil {
 		m[outer] = map[string]V{}
 	}
 	m[outer][inner] = v
 }
 
-// rebuild makes the indexes anew.
-func (s *State) rebuild() {
+// rebuildIndexes makes the indexes anew.
+func (s *State) rebuildIndexes() {
 	s.poolVMs = map[string]map[string]*VM{}
-	s.poolOut = map[string]map[string]*VM{}
-	s.free = map[string]*VM{}
+	s.poolUnavailable = map[string]map[string]*VM{}
+	s.freeVMs = map[string]*VM{}
 	s.workerJobs = map[string]map[string]*Job{}
 	s.poolJobs = map[string]map[string]*Job{}
 	s.teamUse = map[teamKey]Resources{}
-	s.queued = map[string]int{}
+	s.queuedJobs = map[string]int{}
 	s.Retired = map[record.Subject]Head{}
 	for _, r := range s.RetireQueue {
 		if r.Head.Revision != 0 {
@@ -38,20 +38,20 @@
 func (s *State) indexVM(vm *VM) {
 	if vm.Pool == "" {
 		if !vm.Down {
-			s.free[vm.ID] = vm
+			s.freeVMs[vm.ID] = vm
 		}
 		return
 	}
-	indexInto(s.poolVMs, vm.Pool, vm.ID, vm)
+	addTo(s.poolVMs, vm.Pool, vm.ID, vm)
 	if !vm.Serving() {
-		indexInto(s.poolOut, vm.Pool, vm.ID, vm)
+		addTo(s.poolUnavailable, vm.Pool, vm.ID, vm)
 	}
 }
 
 func (s *State) unindexVM(vm *VM) {
-	delete(s.free, vm.ID)
+	delete(s.freeVMs, vm.ID)
 	removeFrom(s.poolVMs, vm.Pool, vm.ID)
-	removeFrom(s.poolOut, vm.Pool, vm.ID)
+	removeFrom(s.poolUnavailable, vm.Pool, vm.ID)
 }
 
 // changeVM changes a VM's pool, phase or health and keeps indexes and accounts
@@ -61,12 +61,12 @@
 	s.unindexVM(vm)
 	change()
 	s.indexVM(vm)
-	s.account(old)
+	s.updateAccount(old)
 	if vm.Pool != old {
-		s.account(vm.Pool)
+		s.updateAccount(vm.Pool)
 	}
 	if vm.Pool == "" || old == "" {
-		s.accountReserve()
+		s.updateReserveAccount()
 	}
 }
 
--- a/internal/ledger/job.go
+++ b/internal/ledger/job.go
@@ -154,9 +154,9 @@
 // indexJobs builds the indexes of a state whose jobs were restored.
 func (s *State) indexJobs() {
 	for _, j := range s.Jobs {
-		indexInto(s.poolJobs, j.Spec.Service, j.ID, j)
+		addTo(s.poolJobs, j.Spec.Service, j.ID, j)
 		if j.Status == JobQueued {
-			s.queued[j.Spec.Service]++
+			s.queuedJobs[j.Spec.Service]++
 		}
 		if j.Status == JobPlaced {
 			s.indexPlaced(j, 1)
@@ -169,7 +169,7 @@
 	key := teamKey{j.Spec.Service, j.Spec.Team}
 	s.teamUse[key] = s.teamUse[key].Add(j.Reserved(), times)
 	if times > 0 {
-		indexInto(s.workerJobs, j.Worker, j.ID, j)
+		addTo(s.workerJobs, j.Worker, j.ID, j)
 		return
 	}
 	removeFrom(s.workerJobs, j.Worker, j.ID)
@@ -178,13 +178,13 @@
 	}
 }
 
-// setStatus changes a job's status and the count of queued jobs with it.
-func (s *State) setStatus(j *Job, status JobStatus) {
+// setJobStatus changes a job's status and the count of queued jobs with it.
+func (s *State) setJobStatus(j *Job, status JobStatus) {
 	if j.Status == JobQueued {
-		s.queued[j.Spec.Service]--
+		s.queuedJobs[j.Spec.Service]--
 	}
 	if status == JobQueued {
-		s.queued[j.Spec.Service]++
+		s.queuedJobs[j.Spec.Service]++
 	}
 	j.Status = status
 }
--- a/internal/ledger/job_rules.go
+++ b/internal/ledger/job_rules.go
@@ -32,8 +32,8 @@
 		QueuedAt:    s.Now,
 	}
 	s.Jobs[j.ID] = j
-	s.setStatus(j, JobQueued)
-	indexInto(s.poolJobs, b.Service, j.ID, j)
+	s.setJobStatus(j, JobQueued)
+	addTo(s.poolJobs, b.Service, j.ID, j)
 	return allowed
 }
 
@@ -55,14 +55,14 @@
 	if b.MilliCores < 0 || b.MilliCores > 1000*document.MaxCores || b.MemoryMB < 0 || b.MemoryMB > document.MaxMemoryMB {
 		return refusef("the reservation for job %s is negative or larger than any VM", j.ID)
 	}
-	if no := s.mayTakeJob(vm); no != allowed {
+	if no := s.checkWorkerAvailable(vm); no != allowed {
 		return no
 	}
 	want := Resources{MilliCores: b.MilliCores, MemoryMB: b.MemoryMB, Accelerators: j.Spec.Accelerators}
-	if no := s.mayReserve(j, vm, want); no != allowed {
+	if no := s.checkCapacity(j, vm, want); no != allowed {
 		return no
 	}
-	s.setStatus(j, JobPlaced)
+	s.setJobStatus(j, JobPlaced)
 	j.Worker = vm.ID
 	j.Fence = s.Offset
 	j.PlaceID = rec.ID
@@ -74,9 +74,9 @@
 	return allowed
 }
 
-// mayTakeJob refuses a worker that is set aside, that is on probation and busy,
+// checkWorkerAvailable refuses a worker that is set aside, that is on probation and busy,
 // or whose slots are taken.
-func (s *State) mayTakeJob(vm *VM) refusal {
+func (s *State) checkWorkerAvailable(vm *VM) refusal {
 	if vm.Quarantined {
 		return refusef("worker %s is set aside", vm.ID)
 	}
@@ -90,9 +90,9 @@
 	return allowed
 }
 
-// mayReserve checks that more fits the worker and the team's quota on top of
+// checkCapacity checks that more fits the worker and the team's quota on top of
 // what is reserved.
-func (s *State) mayReserve(j *Job, vm *VM, more Resources) refusal {
+func (s *State) checkCapacity(j *Job, vm *VM, more Resources) refusal {
 	if !s.WorkerUse(vm.ID).Add(more, 1).Within(vm.Resources()) {
 		return refusef("worker %s has no room for job %s", vm.ID, j.ID)
 	}
@@ -108,7 +108,7 @@
 	if no != allowed {
 		return no
 	}
-	if no := j.mayEnd(b); no != allowed {
+	if no := j.checkResult(b); no != allowed {
 		return no
 	}
 	s.endAttempt(j, b)
@@ -126,7 +126,7 @@
 	case record.JobLapsed:
 		j.Lapses++
 	case record.JobSucceeded:
-		s.passProbation(j.Worker)
+		s.countProbationSuccess(j.Worker)
 	}
 	if b.Checkpoint != "" {
 		j.Checkpoint = b.Checkpoint
@@ -135,14 +135,14 @@
 	j.PeakMemoryMB = max(j.PeakMemoryMB, b.PeakMemoryMB)
 	j.Result = b.Result
 	if b.Reason != "" {
-		j.Reason = clip(b.Reason)
+		j.Reason = truncate(b.Reason)
 	}
 	j.Preempt = nil
-	s.afterEnd(j)
+	s.requeueOrClose(j)
 }
 
-// mayEnd refuses a result that does not belong to the job's status.
-func (j *Job) mayEnd(b record.JobEnd) refusal {
+// checkResult refuses a result that does not belong to the job's status.
+func (j *Job) checkResult(b record.JobEnd) refusal {
 	if j.Ended() {
 		return refusef("job %s is %s", j.ID, j.Status)
 	}
@@ -166,13 +166,13 @@
 	return allowed
 }
 
-// afterEnd queues the job again or ends it.
-func (s *State) afterEnd(j *Job) {
+// requeueOrClose queues the job again or ends it.
+func (s *State) requeueOrClose(j *Job) {
 	switch {
 	case j.CancelAsked && j.Result != record.JobSucceeded:
 		s.closeJob(j, JobCancelled)
-	case j.startsAgain():
-		s.setStatus(j, JobQueued)
+	case j.canRetry():
+		s.setJobStatus(j, JobQueued)
 		j.QueuedAt = s.Now
 		j.Worker = ""
 	default:
@@ -180,11 +180,11 @@
 	}
 }
 
-// startsAgain decides whether a job whose attempt is over may be placed once
+// canRetry decides whether a job whose attempt is over may be placed once
 // more. A job that is not repeatable starts again only when its attempt
 // certainly did not run or was checkpointed: after a lapsed lease its task may
 // still be running, and a second start would run it twice.
-func (j *Job) startsAgain() bool {
+func (j *Job) canRetry() bool {
 	switch j.Result {
 	case record.JobNotStarted:
 		return true
@@ -209,7 +209,7 @@
 	if j.Preempt != nil && j.Preempt.Action == record.PreemptCheckpoint {
 		return refusef("job %s is being checkpointed", j.ID)
 	}
-	if no := s.mayPreempt(j, b); no != allowed {
+	if no := s.checkPreempt(j, b); no != allowed {
 		return no
 	}
 	if b.Action != record.PreemptCheckpoint {
@@ -221,7 +221,7 @@
 	return allowed
 }
 
-func (s *State) mayPreempt(j *Job, b record.JobPreempt) refusal {
+func (s *State) checkPreempt(j *Job, b record.JobPreempt) refusal {
 	switch b.Action {
 	case record.PreemptCheckpoint:
 		if !j.Spec.Checkpointable {
@@ -241,7 +241,7 @@
 		if !ok {
 			return refusef("there is no VM %s", j.Worker)
 		}
-		return s.mayReserve(j, vm, Resources{MilliCores: b.MilliCores - j.MilliCores})
+		return s.checkCapacity(j, vm, Resources{MilliCores: b.MilliCores - j.MilliCores})
 	}
 	return refusef("%q is no way to make room", b.Action)
 }
@@ -260,7 +260,7 @@
 	j.CancelAsked = true
 	j.CancelledAt = s.Now
 	j.CancelID, j.CancelFence = rec.ID, s.Offset
-	j.Reason = clip(b.Reason)
+	j.Reason = truncate(b.Reason)
 	if j.Status == JobQueued {
 		s.closeJob(j, JobCancelled)
 	}
@@ -269,7 +269,7 @@
 
 // closeJob ends a job and keeps it for RetiredSpan offsets.
 func (s *State) closeJob(j *Job, status JobStatus) {
-	s.setStatus(j, status)
+	s.setJobStatus(j, status)
 	j.EndedAt = s.Now
 	sub := record.Subject{Kind: record.SubjectJob, Name: j.ID}
 	s.RetireQueue = append(s.RetireQueue, Retirement{Subject: sub, At: s.Offset})
--- a/internal/ledger/member.go
+++ b/internal/ledger/member.go
@@ -58,8 +58,8 @@
 // joins anew.
 const maxMemberChanges = 64
 
-// memberChange returns the change of the record being applied.
-func (s *State) memberChange(until time.Time) *MemberChange {
+// currentMemberChange returns the change of the record being applied.
+func (s *State) currentMemberChange(until time.Time) *MemberChange {
 	n := len(s.MemberChanges)
 	if n == 0 || s.MemberChanges[n-1].Offset != s.Offset {
 		s.MemberChanges = append(s.MemberChanges, MemberChange{Offset: s.Offset})
@@ -67,18 +67,18 @@
 			s.MemberChanges = slices.Delete(s.MemberChanges, 0, 1)
 		}
 	}
-	s.raiseMembersUntil(until)
+	s.extendMembersUntil(until)
 	c := &s.MemberChanges[len(s.MemberChanges)-1]
 	c.Until = s.MembersUntil
 	return c
 }
 
-func (s *State) raiseMembersUntil(until time.Time) {
+func (s *State) extendMembersUntil(until time.Time) {
 	until = until.UTC().Round(0)
 	if until.After(s.MembersUntil) {
 		s.MembersUntil = until
 	}
-	s.noteMembersEnd(until)
+	s.recordMembersEnd(until)
 }
 
 func (s *State) joinMember(rec record.Record, b record.MemberJoin) refusal {
@@ -102,7 +102,7 @@
 			return refusef("%s joined at %s after this record was written", name, b.Address)
 		}
 		s.removeMember(name, rec.Time)
-		s.forgetElector(name, b.AcksUntil)
+		s.removeElector(name, b.AcksUntil)
 	}
 	m := &Member{
 		Head:     Head{Revision: record.Revision(s.Offset), LastID: rec.ID},
@@ -115,7 +115,7 @@
 	}
 	s.Members[m.Name] = m
 	m.Electorate = s.MemberNames()
-	c := s.memberChange(rec.Time)
+	c := s.currentMemberChange(rec.Time)
 	c.Joined = append(c.Joined, MemberRef{Name: m.Name, Address: m.Address})
 	return allowed
 }
@@ -128,21 +128,21 @@
 		return refusef("the time %s is out of range", b.AcksUntil)
 	}
 	s.removeMember(rec.Subject.Name, rec.Time)
-	s.forgetElector(rec.Subject.Name, b.AcksUntil)
+	s.removeElector(rec.Subject.Name, b.AcksUntil)
 	return allowed
 }
 
-// forgetElector takes a member that acks no more leases out of all electorates.
+// removeElector takes a member that acks no more leases out of all electorates.
 // Else a rolling restart would leave electorates behind in which the departed
 // are a half, and a member lost right then could never be evicted. Leases that
 // rest on its last acks run until the given time, so whoever is evicted from now
 // on may have granted until then. An evicted member stays in the electorates: it
 // may not know that it is none, and ack on.
-func (s *State) forgetElector(name string, until time.Time) {
+func (s *State) removeElector(name string, until time.Time) {
 	if until.IsZero() {
 		return
 	}
-	s.raiseMembersUntil(until)
+	s.extendMembersUntil(until)
 	for _, other := range s.MemberNames() {
 		m := s.Members[other]
 		i := slices.Index(m.Electorate, name)
@@ -166,7 +166,7 @@
 	}
 	m.Electorate = slices.Compact(slices.Sorted(slices.Values(b.Electorate)))
 	m.ElectedAt = rec.Time.UTC().Round(0)
-	s.noteMembersEnd(m.ElectedAt)
+	s.recordMembersEnd(m.ElectedAt)
 	s.evictIfSuspected(m)
 	return allowed
 }
@@ -175,17 +175,17 @@
 	if !record.ValidTime(b.Until) {
 		return refusef("the time %s is out of range", b.Until)
 	}
-	return s.vote(rec, b.By, Vote{Seq: b.Seq, Suspect: true, Until: b.Until.UTC()})
+	return s.recordVote(rec, b.By, Vote{Seq: b.Seq, Suspect: true, Until: b.Until.UTC()})
 }
 
 func (s *State) trustMember(rec record.Record, b record.MemberTrust) refusal {
-	return s.vote(rec, b.By, Vote{Seq: b.Seq})
+	return s.recordVote(rec, b.By, Vote{Seq: b.Seq})
 }
 
-// vote takes by's word about a member. A copy of an older word is refused: a
+// recordVote takes by's word about a member. A copy of an older word is refused: a
 // suspicion that surfaced again after by took it back would count towards an
 // eviction while by still tells the member that it is safe.
-func (s *State) vote(rec record.Record, by string, v Vote) refusal {
+func (s *State) recordVote(rec record.Record, by string, v Vote) refusal {
 	name := rec.Subject.Name
 	m, ok := s.Members[name]
 	if !ok {
@@ -231,7 +231,7 @@
 func (s *State) removeMember(name string, until time.Time) {
 	m := s.Members[name]
 	delete(s.Members, name)
-	c := s.memberChange(until)
+	c := s.currentMemberChange(until)
 	c.Removed = append(c.Removed, MemberRef{Name: m.Name, Address: m.Address})
 	sub := record.Subject{Kind: record.SubjectMember, Name: name}
 	s.retire(sub, Head{Revision: record.Revision(s.Offset), LastID: m.LastID})
--- a/internal/ledger/member_change_test.go
+++ b/internal/ledger/member_change_test.go
@@ -10,18 +10,18 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// members folds membership records at rising offsets.
-type members struct {
-	t     *testing.T
-	state *State
-	ids   int
+// membership folds membership records at rising offsets.
+type membership struct {
+	t           *testing.T
+	state       *State
+	recordCount int
 }
 
-func (m *members) apply(name string, body record.Body) Status {
-	m.ids++
+func (m *membership) apply(name string, body record.Body) Status {
+	m.recordCount++
 	sub := record.Subject{Kind: record.SubjectMember, Name: name}
 	return m.state.Apply(m.state.Offset+1, record.Record{
-		ID:      fmt.Sprintf("id-%d", m.ids),
+		ID:      fmt.Sprintf("id-%d", m.recordCount),
 		Subject: sub,
 		Base:    m.state.Revision(sub),
 		Seen:    m.state.Offset,
@@ -29,7 +29,7 @@
 	}).Status
 }
 
-func (m *members) join(name, address string) {
+func (m *membership) join(name, address string) {
 	require.Equal(m.t, Effective, m.apply(name, record.MemberJoin{Node: name, Address: address}))
 }
 
@@ -37,7 +37,7 @@
 // old member goes in the same step, and the change tells other nodes of both:
 // an owner that saw only the join would not know whose claims are lost.
 func TestJoinAtTheSameAddressReplaces(t *testing.T) {
-	m := &members{t: t, state: New()}
+	m := &membership{t: t, state: New()}
 	m.join("a1", "10.0.0.1:7000")
 	m.join("b1", "10.0.0.2:7000")
 	m.join("a2", "10.0.0.1:7000")
@@ -53,7 +53,7 @@
 // itself and two of them. A strict majority of that electorate evicts it; a
 // vote from outside does not count, and neither does one taken back.
 func TestEvictionCountsTheMembersOwnElectorate(t *testing.T) {
-	m := &members{t: t, state: New()}
+	m := &membership{t: t, state: New()}
 	for i, name := range []string{"a", "b", "c", "d", "e"} {
 		m.join(name, fmt.Sprintf("10.0.0.%d:7000", i))
 	}
@@ -72,7 +72,7 @@
 }
 
 func TestMemberChangesAreBounded(t *testing.T) {
-	m := &members{t: t, state: New()}
+	m := &membership{t: t, state: New()}
 	for i := range 2 * maxMemberChanges {
 		m.join(fmt.Sprintf("a%d", i), "10.0.0.1:7000")
 	}
@@ -86,7 +86,7 @@
 // living are a majority, and the floor reaches to the last of those acks. One
 // that was evicted may ack on, unknowing, and stays.
 func TestDepartedMembersLeaveTheElectorates(t *testing.T) {
-	m := &members{t: t, state: New()}
+	m := &membership{t: t, state: New()}
 	for i, name := range []string{"a", "b", "c", "d", "e"} {
 		m.join(name, fmt.Sprintf("10.0.0.%d:7000", i))
 	}
--- a/internal/ledger/member_end.go
+++ b/internal/ledger/member_end.go
@@ -29,55 +29,55 @@
 	At   uint64    `json:"at"`
 	// Lead is the most by which one lay ahead of its record's clock.
 	Lead time.Duration `json:"lead"`
-	// Against holds what clocks said that contradict Time, one per author.
-	Against []Claim `json:"against,omitempty"`
+	// Contradictions holds what clocks said that contradict Time, one per author.
+	Contradictions []Claim `json:"against,omitempty"`
 }
 
-// noteMembersEnd takes a time that the record being applied hands on.
-func (s *State) noteMembersEnd(end time.Time) {
+// recordMembersEnd takes a time that the record being applied hands on.
+func (s *State) recordMembersEnd(end time.Time) {
 	e := &s.MembersEnd
 	if end.After(e.Time) {
 		e.Time = end
 	}
 	e.At = s.Offset
-	e.Lead = max(e.Lead, min(end.Sub(s.written), maxLead))
-	e.Against = nil
+	e.Lead = max(e.Lead, min(end.Sub(s.recordTime), maxLead))
+	e.Contradictions = nil
 }
 
-// contradictMembersEnd counts a record's clock against MembersEnd.Time.
-func (s *State) contradictMembersEnd(rec record.Record) {
+// checkMembersEnd counts a record's clock against MembersEnd.Time.
+func (s *State) checkMembersEnd(rec record.Record) {
 	e := &s.MembersEnd
 	claim := Claim{Author: rec.Author, Time: rec.Time.UTC().Truncate(time.Millisecond)}
 	behind := claim.Time.Before(e.Time.Add(-MaxSkew-e.Lead)) && e.Time.After(s.Now.Add(MaxSkew+e.Lead))
 	if !behind || claim.Time.IsZero() || rec.Seen < e.At || rec.Seen >= s.Offset {
 		return
 	}
-	e.Against = slices.DeleteFunc(e.Against, func(a Claim) bool { return a.Author == claim.Author })
-	e.Against = append(e.Against, claim)
-	if len(e.Against) < 2 {
+	e.Contradictions = slices.DeleteFunc(e.Contradictions, func(a Claim) bool { return a.Author == claim.Author })
+	e.Contradictions = append(e.Contradictions, claim)
+	if len(e.Contradictions) < 2 {
 		return
 	}
 	end := s.Now
-	for _, a := range e.Against {
+	for _, a := range e.Contradictions {
 		if a.Time.After(end) {
 			end = a.Time
 		}
 	}
-	s.cutMembersEnd(end.Add(MaxSkew + e.Lead))
+	s.lowerMembersEnd(end.Add(MaxSkew + e.Lead))
 }
 
-func (s *State) cutMembersEnd(end time.Time) {
-	cut := func(t *time.Time) {
+func (s *State) lowerMembersEnd(end time.Time) {
+	lower := func(t *time.Time) {
 		if t.After(end) {
 			*t = end
 		}
 	}
-	cut(&s.MembersUntil)
+	lower(&s.MembersUntil)
 	for i := range s.MemberChanges {
-		cut(&s.MemberChanges[i].Until)
+		lower(&s.MemberChanges[i].Until)
 	}
 	for _, m := range s.Members {
-		cut(&m.ElectedAt)
+		lower(&m.ElectedAt)
 	}
 	s.MembersEnd = MembersEnd{Time: end, At: s.Offset, Lead: s.MembersEnd.Lead}
 }
--- a/internal/ledger/property_test.go
+++ b/internal/ledger/property_test.go
@@ -36,12 +36,12 @@
 		var snapshots []*State
 		var outcomes []Outcome
 		g := newGenerator(t, func(_ *generator, _ entry, out Outcome) { outcomes = append(outcomes, out) })
-		g.wild = rapid.Bool().Draw(t, "wild clocks")
+		g.wildClocks = rapid.Bool().Draw(t, "wild clocks")
 		for range 4 {
 			g.run(entriesPerHistory / 4)
-			snapshots = append(snapshots, restart(t, g.s))
+			snapshots = append(snapshots, restart(t, g.state))
 		}
-		whole := digest(t, g.s)
+		whole := digest(t, g.state)
 		for _, s := range append(snapshots, New()) {
 			first := slices.IndexFunc(g.log, func(e entry) bool { return e.offset > s.Offset })
 			for i := first; i >= 0 && i < len(g.log); i++ {
@@ -72,15 +72,15 @@
 			if b, ok := rec.Body.(record.DocumentPublish); ok && out.Status == Effective {
 				require.Greater(t, record.Revision(e.offset), published[rec.Subject.Name])
 				published[rec.Subject.Name] = record.Revision(e.offset)
-				require.Equal(t, b.Text, g.s.Services[rec.Subject.Name].Text)
+				require.Equal(t, b.Text, g.state.Services[rec.Subject.Name].Text)
 			}
 		})
-		g.wild = rapid.Bool().Draw(t, "wild clocks")
+		g.wildClocks = rapid.Bool().Draw(t, "wild clocks")
 		for range 6 {
 			g.run(entriesPerHistory / 6)
-			requireIndexes(t, g.s)
+			requireIndexes(t, g.state)
 		}
-		for name, svc := range g.s.Services {
+		for name, svc := range g.state.Services {
 			require.GreaterOrEqual(t, svc.Revision, published[name])
 		}
 	})
@@ -90,12 +90,12 @@
 func requireIndexes(t require.TestingT, s *State) {
 	want := restart(t, s)
 	require.Equal(t, keys(want.poolVMs), keys(s.poolVMs))
-	require.Equal(t, keys(want.poolOut), keys(s.poolOut))
+	require.Equal(t, keys(want.poolUnavailable), keys(s.poolUnavailable))
 	require.Equal(t, keys(want.workerJobs), keys(s.workerJobs))
 	require.Equal(t, keys(want.poolJobs), keys(s.poolJobs))
 	require.Equal(t, want.teamUse, s.teamUse)
 	require.Equal(t, want.Retired, s.Retired)
-	require.Equal(t, slices.Sorted(maps.Keys(want.free)), slices.Sorted(maps.Keys(s.free)))
+	require.Equal(t, slices.Sorted(maps.Keys(want.freeVMs)), slices.Sorted(maps.Keys(s.freeVMs)))
 	in := map[string]int{}
 	for pool, vms := range s.poolVMs {
 		for id, vm := range vms {
@@ -128,16 +128,16 @@
 		var last time.Time
 		g := newGenerator(t, func(g *generator, e entry, out Outcome) {
 			for name, u := range before {
-				if g.s.Now.After(last) {
-					spans[name] = append(spans[name], span{last, g.s.Now, u.Short})
+				if g.state.Now.After(last) {
+					spans[name] = append(spans[name], span{last, g.state.Now, u.Short})
 				}
 			}
-			last = g.s.Now
-			checkDrain(t, g.s, e, out, before, spans)
+			last = g.state.Now
+			checkDrain(t, g.state, e, out, before, spans)
 			clear(before)
-			for name, svc := range g.s.Services {
-				before[name] = g.s.Unavailability(name)
-				if svc.Account.Since.Equal(g.s.Now) {
+			for name, svc := range g.state.Services {
+				before[name] = g.state.Unavailability(name)
+				if svc.Account.Since.Equal(g.state.Now) {
 					spans[name] = nil // published anew: a new account
 				}
 			}
--- a/internal/ledger/races_test.go
+++ b/internal/ledger/races_test.go
@@ -34,8 +34,8 @@
 		"one steward drains a VM, one finds it down": {
 			act{vm, "p-1", maintain}, act{vm, "p-1", record.VMDown{Cause: "x"}}, Stale, Stale, "decided on", "draining"},
 		"two operators publish": {
-			act{service, "p", record.DocumentPublish{Text: text("p", 5, "")}},
-			act{service, "p", record.DocumentPublish{Text: text("p", 6, "")}}, Stale, Stale, "decided on", "serving"},
+			act{service, "p", record.DocumentPublish{Text: documentText("p", 5, "")}},
+			act{service, "p", record.DocumentPublish{Text: documentText("p", 6, "")}}, Stale, Stale, "decided on", "serving"},
 		"a drain races the abort of its wave": {
 			act{wave, "w", record.WaveControl{Command: record.WaveAbort}}, act{vm, "p-1", inWave}, Refused, Effective,
 			"wave w is aborted", "serving"},
@@ -57,8 +57,8 @@
 		for _, order := range []string{"ab", "ba"} {
 			h := newHistory(t)
 			h.pool("p", 4, 4, "")
-			h.must(wave, "w", record.WaveStart{Pools: []string{"p"}})
-			h.must(jobs, "j", job("p"))
+			h.mustApply(wave, "w", record.WaveStart{Pools: []string{"p"}})
+			h.mustApply(jobs, "j", job("p"))
 			if name != "a placement races a drain" {
 				h.vm("p-3", maintain)
 				h.vm("p-4", maintain)
@@ -75,7 +75,7 @@
 			assert.Equal(t, want, out.Status, "%s %s: %s", name, order, out.Reason)
 			if order == "ab" {
 				assert.Contains(t, out.Reason, c.reasonB, name)
-				assert.Equal(t, c.state, string(h.s.VMs["p-1"].Phase), name)
+				assert.Equal(t, c.state, string(h.state.VMs["p-1"].Phase), name)
 			}
 			for _, copied := range []record.Record{first, second} {
 				assert.Contains(t, []Status{Stale, Duplicate}, h.apply(copied).Status, "%s %s: a second copy", name, order)
@@ -100,7 +100,7 @@
 	}
 	refused := h.draft(record.SubjectVM, "p-4", drain(record.DrainMaintenance, time.Minute))
 	require.Equal(t, Refused, h.apply(refused).Status)
-	h.vm("p-1", back...)
+	h.vm("p-1", returnToService...)
 	require.Equal(t, Duplicate, h.apply(refused).Status)
 	h.vm("p-4", record.VMQuarantine{On: true})
 	require.Equal(t, Stale, h.apply(refused).Status)
@@ -109,12 +109,12 @@
 	require.Equal(t, Refused, h.apply(unknown).Status)
 	h.publish("q", 0, "")
 	require.NotEqual(t, Effective, h.apply(unknown).Status, "refused when there was no service q")
-	h.must(record.SubjectJob, "j", job("q"))
+	h.mustApply(record.SubjectJob, "j", job("q"))
 
-	h.must(record.SubjectJob, "j", record.JobCancel{})
+	h.mustApply(record.SubjectJob, "j", record.JobCancel{})
 	submitted := h.draft(record.SubjectJob, "k", job("q"))
-	h.s.Offset += RetiredSpan
-	h.must(record.SubjectClock, "n", record.ClockWitness{})
-	require.NotContains(t, h.s.Jobs, "j", "an ended job is forgotten in time")
+	h.state.Offset += RetiredSpan
+	h.mustApply(record.SubjectClock, "n", record.ClockWitness{})
+	require.NotContains(t, h.state.Jobs, "j", "an ended job is forgotten in time")
 	require.Equal(t, Stale, h.apply(submitted).Status, "too late to tell whether there was a job k")
 }
--- a/internal/ledger/rules_test.go
+++ b/internal/ledger/rules_test.go
@@ -14,10 +14,10 @@
 // A steward with a fault, or a foreign writer, appends bodies that no healthy
 // node writes: negative sizes to make room, negative estimates to pass the
 // budget, records that claim to have seen the future. Each is refused alike.
-func TestSenselessBodiesAreRefused(t *testing.T) {
+func TestInvalidBodiesAreRefused(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 4, 4, "")
-	h.must(record.SubjectJob, "j", job("p"))
+	h.mustApply(record.SubjectJob, "j", job("p"))
 	vm, wave, jobs := record.SubjectVM, record.SubjectWave, record.SubjectJob
 	for _, c := range []struct {
 		kind record.SubjectKind
@@ -49,10 +49,10 @@
 		{jobs, "k", record.JobSubmit{Service: "p", Team: "x", MilliCores: 1}, "no quota"},
 		{record.SubjectService, "p", record.VMDown{}, "belongs to a vm"},
 		{record.SubjectService, "p", record.DocumentPublish{Text: "service = 1"}, "p.toml:1: service"},
-		{record.SubjectService, "q", record.DocumentPublish{Text: text("p", 4, "")}, "the record for \"q\""},
+		{record.SubjectService, "q", record.DocumentPublish{Text: documentText("p", 4, "")}, "the record for \"q\""},
 		{record.SubjectService, "p", record.DocumentRemove{}, "still has 4 VMs"},
 	} {
-		out := h.do(c.kind, c.name, c.body)
+		out := h.applyNew(c.kind, c.name, c.body)
 		assert.Equal(t, Refused, out.Status, "%T %v", c.body, c.body)
 		assert.Contains(t, out.Reason, c.want)
 	}
@@ -64,43 +64,43 @@
 // A planner estimates a second for drains that take two hours. The first ones
 // teach the pool how long they last, and the rest are refused before the budget
 // of 14.4 VM-hours is broken.
-func TestEstimateTooSmallIsRaisedToWhatDrainsTook(t *testing.T) {
+func TestTooSmallEstimateIsRaisedToTypicalDuration(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 6, 6, "")
 	short := drain(record.DrainMaintenance, time.Second)
 	for range 6 {
 		h.vm("p-1", short)
 		h.now = h.now.Add(2 * time.Hour)
-		h.vm("p-1", back...)
+		h.vm("p-1", returnToService...)
 	}
 	require.Equal(t, 12*time.Hour.Seconds(), h.spent("p"))
 	h.vm("p-1", short)
-	h.refused("spent 43200 of 51840 VM-seconds in its window; this drain needs about 14400", record.SubjectVM, "p-2", short)
+	h.mustRefuse("spent 43200 of 51840 VM-seconds in its window; this drain needs about 14400", record.SubjectVM, "p-2", short)
 }
 
 // An open drain was estimated at ten hours and has just begun. A quick drain
 // beside it fits its own minute, but not what the open one still needs.
-func TestOpenDrainsNeedCounts(t *testing.T) {
+func TestRemainingTimeOfOpenDrainsCounts(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 6, 6, "")
 	h.vm("p-1", drain(record.DrainMaintenance, 10*time.Hour))
 	h.vm("p-2", drain(record.DrainMaintenance, 4*time.Hour+24*time.Minute))
-	h.refused("needs about 51900", record.SubjectVM, "p-3", drain(record.DrainMaintenance, time.Minute))
+	h.mustRefuse("needs about 51900", record.SubjectVM, "p-3", drain(record.DrainMaintenance, time.Minute))
 	h.now = h.now.Add(10 * time.Hour)
-	h.vm("p-1", back...)
+	h.vm("p-1", returnToService...)
 	require.Equal(t, 20*time.Hour.Seconds(), h.spent("p"))
 }
 
 // A switch blinks and takes four VMs down; more are out than the document bears.
 // Draining one of them for maintenance would keep it out after the switch is
 // back, so it waits; to leave the pool for good it may always be drained.
-func TestDrainOfADownVMIsCharged(t *testing.T) {
+func TestDrainOfDownVMIsCheckedAgainstBudget(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 8, 8, "")
 	for _, id := range []string{"p-1", "p-2", "p-3", "p-4"} {
 		h.vm(id, record.VMDown{Cause: "switch"})
 	}
-	h.refused("max_unavailable = 3", record.SubjectVM, "p-1", drain(record.DrainMaintenance, time.Minute))
+	h.mustRefuse("max_unavailable = 3", record.SubjectVM, "p-1", drain(record.DrainMaintenance, time.Minute))
 	h.vm("p-1", record.VMDrain{Reason: record.DrainMove, Release: true})
 	h.vm("p-2", record.VMUp{})
 	h.vm("p-3", drain(record.DrainMaintenance, time.Minute))
@@ -118,13 +118,13 @@
 	h.publish("p", 4, "")
 	require.Equal(t, 2*time.Hour.Seconds(), h.spent("p"))
 	h.now = h.now.Add(time.Hour)
-	h.vm("p-1", back...)
+	h.vm("p-1", returnToService...)
 	require.Equal(t, 2*time.Hour.Seconds(), h.spent("p"))
-	require.Equal(t, 2*time.Hour.Seconds(), h.s.Services["p"].Account.SpareSeconds(epoch, h.now))
+	require.Equal(t, 2*time.Hour.Seconds(), h.state.Services["p"].Account.SpareSeconds(epoch, h.now))
 	h.publish("p", 8, "")
 	h.vm("p-3", drain(record.DrainMaintenance, time.Minute))
 	h.vm("p-4", drain(record.DrainMaintenance, time.Minute))
-	h.refused("max_unavailable", record.SubjectVM, "p-5", drain(record.DrainMaintenance, time.Minute))
+	h.mustRefuse("max_unavailable", record.SubjectVM, "p-5", drain(record.DrainMaintenance, time.Minute))
 }
 
 // The platform loses a VM with two jobs on it. The repeatable one is queued
@@ -135,19 +135,19 @@
 	h.pool("p", 4, 4, "")
 	again := job("p")
 	again.Repeatable = true
-	h.must(record.SubjectJob, "again", again)
-	h.must(record.SubjectJob, "once", job("p"))
+	h.mustApply(record.SubjectJob, "again", again)
+	h.mustApply(record.SubjectJob, "once", job("p"))
 	for _, id := range []string{"again", "once"} {
-		h.must(record.SubjectJob, id, record.JobPlace{Worker: "p-1", MilliCores: 1000, MemoryMB: 1000})
+		h.mustApply(record.SubjectJob, id, record.JobPlace{Worker: "p-1", MilliCores: 1000, MemoryMB: 1000})
 	}
 	late := h.draft(record.SubjectJob, "once", record.JobEnd{Result: record.JobNotStarted})
-	h.must(record.SubjectVM, "p-1", record.VMGone{})
-	require.Equal(t, JobQueued, h.s.Jobs["again"].Status)
-	require.Equal(t, JobDone, h.s.Jobs["once"].Status)
-	require.Equal(t, record.JobLapsed, h.s.Jobs["once"].Result)
+	h.mustApply(record.SubjectVM, "p-1", record.VMGone{})
+	require.Equal(t, JobQueued, h.state.Jobs["again"].Status)
+	require.Equal(t, JobDone, h.state.Jobs["once"].Status)
+	require.Equal(t, record.JobLapsed, h.state.Jobs["once"].Result)
 	require.Equal(t, Stale, h.apply(late).Status)
-	require.Equal(t, Resources{}, h.s.TeamUse("p", "team"))
-	require.Equal(t, 1, h.s.Unavailability("p").Out[CauseMissing])
+	require.Equal(t, Resources{}, h.state.TeamUse("p", "team"))
+	require.Equal(t, 1, h.state.Unavailability("p").Out[CauseMissing])
 }
 
 // A document says that drains skip VMs with running jobs. The wave's drain waits
@@ -155,45 +155,45 @@
 func TestDrainOfAVMWithJobs(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 4, 4, "[jobs]\non_drain = \"skip\"\n")
-	h.must(record.SubjectJob, "j", job("p"))
-	h.must(record.SubjectJob, "j", record.JobPlace{Worker: "p-1", MilliCores: 1, MemoryMB: 1})
-	h.refused("runs 1 jobs", record.SubjectVM, "p-1", drain(record.DrainMaintenance, time.Minute))
+	h.mustApply(record.SubjectJob, "j", job("p"))
+	h.mustApply(record.SubjectJob, "j", record.JobPlace{Worker: "p-1", MilliCores: 1, MemoryMB: 1})
+	h.mustRefuse("runs 1 jobs", record.SubjectVM, "p-1", drain(record.DrainMaintenance, time.Minute))
 	h.vm("p-1", drain(record.DrainOperator, time.Minute))
-	h.refused("1 jobs placed", record.SubjectVM, "p-1", record.VMAdvance{To: record.PhaseDrained})
-	h.must(record.SubjectJob, "j", record.JobEnd{Result: record.JobSucceeded})
-	h.vm("p-1", back...)
+	h.mustRefuse("1 jobs placed", record.SubjectVM, "p-1", record.VMAdvance{To: record.PhaseDrained})
+	h.mustApply(record.SubjectJob, "j", record.JobEnd{Result: record.JobSucceeded})
+	h.vm("p-1", returnToService...)
 }
 
 // VMs too small for a pool's document never join it, nor are they drained for it.
-func TestVMsThatDoNotFitStayOut(t *testing.T) {
+func TestTooSmallVMsDoNotJoinPool(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 4, 5, "")
 	h.publish("big", 2, "")
-	h.must(record.SubjectService, "big", record.DocumentPublish{Text: "service = \"big\"\nteam = \"t\"\n[pool]\nsize = 2\nmin_cores = 64\n[budget]\nwindow = \"24h\"\nallowed = 0.5\n"})
-	h.refused("too small for pool big", record.SubjectVM, "p-1", record.VMDrain{Reason: record.DrainMove, Target: "big"})
+	h.mustApply(record.SubjectService, "big", record.DocumentPublish{Text: "service = \"big\"\nteam = \"t\"\n[pool]\nsize = 2\nmin_cores = 64\n[budget]\nwindow = \"24h\"\nallowed = 0.5\n"})
+	h.mustRefuse("too small for pool big", record.SubjectVM, "p-1", record.VMDrain{Reason: record.DrainMove, Target: "big"})
 	h.vm("x", register("r"))
-	h.refused("too small for pool big", record.SubjectVM, "x", record.VMJoin{Pool: "big"})
+	h.mustRefuse("too small for pool big", record.SubjectVM, "x", record.VMJoin{Pool: "big"})
 	h.vm("x", record.VMDown{})
-	h.refused("is down", record.SubjectVM, "x", record.VMJoin{Pool: "p"})
-	require.Equal(t, 0, h.s.Reserve.Open.Spare)
+	h.mustRefuse("is down", record.SubjectVM, "x", record.VMJoin{Pool: "p"})
+	require.Equal(t, 0, h.state.Reserve.Open.Spare)
 }
 
 // A service is removed while other things still name it: each would wait for it
 // without end, so the removal is refused until they are through.
-func TestServiceIsRemovedOnlyWhenNothingNamesIt(t *testing.T) {
+func TestServiceIsRemovedOnlyWhenUnreferenced(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 4, 5, "")
 	h.publish("q", 0, "")
-	h.must(record.SubjectWave, "w", record.WaveStart{Pools: []string{"p", "q"}})
-	h.refused("pool q is in wave w", record.SubjectService, "q", record.DocumentRemove{})
-	h.must(record.SubjectWave, "w", record.WaveControl{Command: record.WaveAbort})
-	h.must(record.SubjectJob, "j", job("q"))
-	h.refused("job j of service q is queued", record.SubjectService, "q", record.DocumentRemove{})
-	h.must(record.SubjectJob, "j", record.JobCancel{})
+	h.mustApply(record.SubjectWave, "w", record.WaveStart{Pools: []string{"p", "q"}})
+	h.mustRefuse("pool q is in wave w", record.SubjectService, "q", record.DocumentRemove{})
+	h.mustApply(record.SubjectWave, "w", record.WaveControl{Command: record.WaveAbort})
+	h.mustApply(record.SubjectJob, "j", job("q"))
+	h.mustRefuse("job j of service q is queued", record.SubjectService, "q", record.DocumentRemove{})
+	h.mustApply(record.SubjectJob, "j", record.JobCancel{})
 	h.vm("p-1", record.VMDrain{Reason: record.DrainMove, Target: "q"})
-	h.refused("VM p-1 is on its way to pool q", record.SubjectService, "q", record.DocumentRemove{})
+	h.mustRefuse("VM p-1 is on its way to pool q", record.SubjectService, "q", record.DocumentRemove{})
 	h.vm("p-1", record.VMAdvance{To: record.PhaseDrained}, record.VMAdvance{To: record.PhaseReturning}, record.VMUp{})
-	h.must(record.SubjectService, "q", record.DocumentRemove{})
+	h.mustApply(record.SubjectService, "q", record.DocumentRemove{})
 }
 
 // A pool is in a wave while one of its VMs leaves for the reserve and another
@@ -203,28 +203,28 @@
 	h := newHistory(t)
 	h.pool("p", 2, 4, "")
 	h.publish("q", 2, "")
-	h.must(record.SubjectWave, "w1", record.WaveStart{Pools: []string{"p", "p"}})
+	h.mustApply(record.SubjectWave, "w1", record.WaveStart{Pools: []string{"p", "p"}})
 	h.vm("p-1", record.VMDrain{Reason: record.DrainMove, Release: true},
 		record.VMAdvance{To: record.PhaseDrained}, record.VMAdvance{To: record.PhaseFree})
-	require.Equal(t, WaveSkipped, h.s.Waves["w1"].VMs["p-1"])
+	require.Equal(t, WaveSkipped, h.state.Waves["w1"].VMs["p-1"])
 	h.vm("p-2", record.VMDrain{Reason: record.DrainMove, Target: "q"}, record.VMAdvance{To: record.PhaseDrained},
 		record.VMAdvance{To: record.PhaseReleased}, record.VMJoin{Pool: "q"}, record.VMUp{})
-	require.Equal(t, WavePending, h.s.Waves["w1"].VMs["p-2"])
-	h.must(record.SubjectWave, "w2", record.WaveStart{Pools: []string{"q"}})
+	require.Equal(t, WavePending, h.state.Waves["w1"].VMs["p-2"])
+	h.mustApply(record.SubjectWave, "w2", record.WaveStart{Pools: []string{"q"}})
 	h.publish("q", 0, "")
 	h.publish("p", 0, "")
 	reboot := []record.Body{record.VMAdvance{To: record.PhaseDrained}, record.VMAdvance{To: record.PhaseRebooting},
 		record.VMAdvance{To: record.PhaseReturning}, record.VMUp{}}
 	h.vm("p-2", record.VMDrain{Reason: record.DrainMaintenance, Wave: "w2"})
 	h.vm("p-2", reboot...)
-	require.Equal(t, WaveBack, h.s.Waves["w1"].VMs["p-2"])
-	require.Equal(t, WaveDone, h.s.Waves["w2"].Status)
+	require.Equal(t, WaveBack, h.state.Waves["w1"].VMs["p-2"])
+	require.Equal(t, WaveDone, h.state.Waves["w2"].Status)
 	for _, id := range []string{"p-3", "p-4"} {
 		h.vm(id, record.VMDrain{Reason: record.DrainMaintenance, Wave: "w1"})
 		h.vm(id, reboot...)
 	}
-	require.Equal(t, WaveDone, h.s.Waves["w1"].Status)
-	require.Equal(t, h.now, h.s.VMs["p-2"].MaintainedAt)
+	require.Equal(t, WaveDone, h.state.Waves["w1"].Status)
+	require.Equal(t, h.now, h.state.VMs["p-2"].MaintainedAt)
 }
 
 // A join of an entry process that ended long ago surfaces from the log after its
@@ -232,7 +232,7 @@
 func TestLateJoinDoesNotReplaceALaterMember(t *testing.T) {
 	h := newHistory(t)
 	late := h.draft(record.SubjectMember, "m1", record.MemberJoin{Node: "n", Address: "10.0.0.1:1"})
-	h.must(record.SubjectMember, "m2", record.MemberJoin{Node: "n", Address: "10.0.0.1:1"})
+	h.mustApply(record.SubjectMember, "m2", record.MemberJoin{Node: "n", Address: "10.0.0.1:1"})
 	require.Equal(t, Refused, h.apply(late).Status)
-	require.Equal(t, []string{"m2"}, h.s.MemberNames())
+	require.Equal(t, []string{"m2"}, h.state.MemberNames())
 }
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -7,12 +7,12 @@
 	"slices"
 )
 
-// publish puts a document in force. A document that does not pass validation is
+// publishDocument puts a document in force. A document that does not pass validation is
 // refused on every node alike, and the last good one stays in force.
-func (s *State) publish(rec record.Record, b record.DocumentPublish) refusal {
+func (s *State) publishDocument(rec record.Record, b record.DocumentPublish) refusal {
 	doc, problems := document.Parse(rec.Subject.Name+".toml", []byte(b.Text))
 	if len(problems) > 0 {
-		return refusal(clip(problems.Error()))
+		return refusal(truncate(problems.Error()))
 	}
 	if doc.Service != rec.Subject.Name {
 		return refusef("the document is for service %q, the record for %q", doc.Service, rec.Subject.Name)
@@ -27,7 +27,7 @@
 	svc.Doc = doc
 	svc.Author = rec.Author
 	svc.PublishedAt = s.Now
-	s.account(doc.Service)
+	s.updateAccount(doc.Service)
 	return allowed
 }
 
@@ -42,7 +42,7 @@
 	if n := len(s.poolVMs[name]); n > 0 {
 		return refusef("pool %s still has %d VMs; publish size = 0 and wait until they have left", name, n)
 	}
-	if no := s.dependsOn(name); no != allowed {
+	if no := s.checkUnreferenced(name); no != allowed {
 		return no
 	}
 	delete(s.Services, svc.Doc.Service)
@@ -50,9 +50,9 @@
 	return allowed
 }
 
-// dependsOn refuses to remove a service that something else still names: its
+// checkUnreferenced refuses to remove a service that something else still names: its
 // jobs would wait, VMs be released for a pool and a wave go on, without end.
-func (s *State) dependsOn(service string) refusal {
+func (s *State) checkUnreferenced(service string) refusal {
 	if wave := s.activeWaveOf(service); wave != "" {
 		return refusef("pool %s is in wave %s; wait for it or abort it", service, wave)
 	}
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -17,11 +17,11 @@
 // format, the state's offset and its digest, big-endian, so that the newest of
 // several snapshots is found without unpacking them.
 const (
-	snapshotFormat = "yd-state-1\n"
-	snapshotHeader = len(snapshotFormat) + 8 + 8
-	// maxUnpacked bounds a snapshot's JSON. It is some ten times what the size
+	snapshotFormat     = "yd-state-1\n"
+	snapshotHeaderSize = len(snapshotFormat) + 8 + 8
+	// maxDecompressedBytes bounds a snapshot's JSON. It is some ten times what the size
 	// to design for needs; a damaged length may not exhaust the memory.
-	maxUnpacked = 256 << 20
+	maxDecompressedBytes = 256 << 20
 )
 
 // ErrSnapshot means that bytes are no usable snapshot of this build.
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode state")
 	}
-	out := bytes.NewBuffer(make([]byte, 0, len(data)/8+snapshotHeader))
+	out := bytes.NewBuffer(make([]byte, 0, len(data)/8+snapshotHeaderSize))
 	out.WriteString(snapshotFormat)
 	out.Write(binary.BigEndian.AppendUint64(nil, s.Offset))
 	out.Write(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(data)))
@@ -60,7 +60,7 @@
 
 // SnapshotOffset returns the offset that a snapshot covers, from its header.
 func SnapshotOffset(data []byte) (uint64, error) {
-	if len(data) < snapshotHeader || string(data[:len(snapshotFormat)]) != snapshotFormat {
+	if len(data) < snapshotHeaderSize || string(data[:len(snapshotFormat)]) != snapshotFormat {
 		return 0, errors.Wrap(ErrSnapshot, "unknown format")
 	}
 	return binary.BigEndian.Uint64(data[len(snapshotFormat):]), nil
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	text, err := unpack(data[snapshotHeader:])
+	text, err := decompress(data[snapshotHeaderSize:])
 	if err != nil {
 		return nil, errors.Wrap(ErrSnapshot, err.Error())
 	}
@@ -87,28 +87,28 @@
 	if s.Offset != offset {
 		return nil, errors.Wrap(ErrSnapshot, "its offset does not fit its content")
 	}
-	if err := s.reload(); err != nil {
+	if err := s.parseDocuments(); err != nil {
 		return nil, errors.Wrap(ErrSnapshot, err.Error())
 	}
-	s.rebuild()
+	s.rebuildIndexes()
 	return s, nil
 }
 
-func unpack(data []byte) ([]byte, error) {
+func decompress(data []byte) ([]byte, error) {
 	zip, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
 		return nil, err
 	}
-	text, err := io.ReadAll(io.LimitReader(zip, maxUnpacked+1))
-	if err == nil && len(text) > maxUnpacked {
-		err = errors.Errorf("more than %d bytes", maxUnpacked)
+	text, err := io.ReadAll(io.LimitReader(zip, maxDecompressedBytes+1))
+	if err == nil && len(text) > maxDecompressedBytes {
+		err = errors.Errorf("more than %d bytes", maxDecompressedBytes)
 	}
 	return text, err
 }
 
-// reload parses the documents in force anew. They were valid when they were
+// parseDocuments parses the documents in force anew. They were valid when they were
 // published; a later build that is stricter must not lose them.
-func (s *State) reload() error {
+func (s *State) parseDocuments() error {
 	for name, svc := range s.Services {
 		doc, err := document.Reload(svc.Text)
 		if err != nil {
--- a/internal/ledger/snapshot_test.go
+++ b/internal/ledger/snapshot_test.go
@@ -22,20 +22,20 @@
 func TestDamagedSnapshotsAreRefused(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 4, 4, "")
-	data, err := EncodeSnapshot(h.s)
+	data, err := EncodeSnapshot(h.state)
 	require.NoError(t, err)
 	offset, err := SnapshotOffset(data)
 	require.NoError(t, err)
-	require.Equal(t, h.s.Offset, offset)
+	require.Equal(t, h.state.Offset, offset)
 	for i := range data {
 		damaged := append([]byte(nil), data...)
 		damaged[i] ^= 0x10
 		if s, err := DecodeSnapshot(damaged); err == nil {
-			assert.Equal(t, digest(t, h.s), digest(t, s), "byte %d, unused by gzip, changes nothing", i)
+			assert.Equal(t, digest(t, h.state), digest(t, s), "byte %d, unused by gzip, changes nothing", i)
 			// The stream ends with an empty stored block: some bits of its first byte
 			// pad it to the next one, where the block's two lengths begin.
 			padded := len(data) - gzipTrailer - storedLengths - 1
-			assert.True(t, i < snapshotHeader+gzipHeader || i == padded, "byte %d of %d", i, len(data))
+			assert.True(t, i < snapshotHeaderSize+gzipHeader || i == padded, "byte %d of %d", i, len(data))
 		} else {
 			assert.ErrorIs(t, err, ErrSnapshot)
 		}
@@ -50,11 +50,11 @@
 func TestSnapshotKeepsDocumentsThatThisBuildWouldRefuse(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 4, 4, "")
-	svc := h.s.Services["p"]
+	svc := h.state.Services["p"]
 	svc.Text = strings.Replace(svc.Text, "size = 4", "size = 1\nfuture_key = 3", 1)
-	require.Equal(t, 1, restart(t, h.s).Services["p"].Doc.Pool.Size)
+	require.Equal(t, 1, restart(t, h.state).Services["p"].Doc.Pool.Size)
 	svc.Text = "["
-	data, err := EncodeSnapshot(h.s)
+	data, err := EncodeSnapshot(h.state)
 	require.NoError(t, err)
 	_, err = DecodeSnapshot(data)
 	require.ErrorIs(t, err, ErrSnapshot)
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -49,17 +49,17 @@
 	Retired     map[record.Subject]Head `json:"-"`
 	RetireQueue []Retirement            `json:"retire_queue"`
 
-	// written is the time on the record being applied, zero between records.
-	written time.Time
+	// recordTime is the time on the record being applied, zero between records.
+	recordTime time.Time
 
 	// Indexes, derived from the above.
-	poolVMs    map[string]map[string]*VM  // pool -> VM ID
-	poolOut    map[string]map[string]*VM  // pool -> VM ID, VMs not serving
-	free       map[string]*VM             // VMs in no pool that are not down
-	workerJobs map[string]map[string]*Job // worker -> job, placed jobs only
-	poolJobs   map[string]map[string]*Job // pool -> job, ended ones included
-	teamUse    map[teamKey]Resources
-	queued     map[string]int // pool -> jobs that wait for a placement
+	poolVMs         map[string]map[string]*VM  // pool -> VM ID
+	poolUnavailable map[string]map[string]*VM  // pool -> VM ID, VMs not serving
+	freeVMs         map[string]*VM             // VMs in no pool that are not down
+	workerJobs      map[string]map[string]*Job // worker -> job, placed jobs only
+	poolJobs        map[string]map[string]*Job // pool -> job, ended ones included
+	teamUse         map[teamKey]Resources
+	queuedJobs      map[string]int // pool -> jobs that wait for a placement
 }
 
 // Retirement is a removed subject and the offset of its removal.
@@ -167,7 +167,7 @@
 		Members:  map[string]*Member{},
 		Jobs:     map[string]*Job{},
 	}
-	s.rebuild()
+	s.rebuildIndexes()
 	return s
 }
 
@@ -183,7 +183,7 @@
 func (s *State) JobPools() []string { return slices.Sorted(maps.Keys(s.poolJobs)) }
 
 // Queued returns how many jobs of a service wait for a placement.
-func (s *State) Queued(service string) int { return s.queued[service] }
+func (s *State) Queued(service string) int { return s.queuedJobs[service] }
 
 // WorkerJobs returns the jobs placed on a worker by ID. The caller must not
 // change the map.
--- a/internal/ledger/vm.go
+++ b/internal/ledger/vm.go
@@ -11,7 +11,7 @@
 	if _, ok := s.VMs[rec.Subject.Name]; ok {
 		return refusef("VM %s is registered already", rec.Subject.Name)
 	}
-	if no := soundVM(b); no != allowed {
+	if no := validateVM(b); no != allowed {
 		return no
 	}
 	vm := &VM{
@@ -31,9 +31,9 @@
 	return allowed
 }
 
-// soundVM refuses sizes that no VM has: sums over them would overflow, and a
+// validateVM refuses sizes that no VM has: sums over them would overflow, and a
 // negative one would make room on a full worker.
-func soundVM(b record.VMRegister) refusal {
+func validateVM(b record.VMRegister) refusal {
 	switch {
 	case b.Zone == "" || b.Rack == "" || b.Address == "":
 		return refusef("a VM needs zone, rack and address")
@@ -82,7 +82,7 @@
 			svc.Account.Reboots++
 		}
 	}
-	s.setPhase(vm, b.To)
+	s.changePhase(vm, b.To)
 	return allowed
 }
 
@@ -95,9 +95,9 @@
 	s.changeVM(vm, func() {
 		vm.Drain = nil
 		vm.Pool = ""
-		s.enter(vm, record.PhaseFree)
+		s.assignPhase(vm, record.PhaseFree)
 	})
-	s.closeTurn(vm, d)
+	s.endTurn(vm, d)
 	return allowed
 }
 
@@ -112,7 +112,7 @@
 	if vm.Phase != record.PhaseFree && vm.Phase != record.PhaseReleased {
 		return refusef("VM %s is %s; only a free or released VM can join a pool", vm.ID, vm.Phase)
 	}
-	if no := s.wanted(vm, b); no != allowed {
+	if no := s.checkJoin(vm, b); no != allowed {
 		return no
 	}
 	if vm.Pool != "" && vm.Pool != b.Pool {
@@ -121,16 +121,16 @@
 	}
 	s.changeVM(vm, func() {
 		vm.Pool = b.Pool
-		s.enter(vm, record.PhaseReturning)
+		s.assignPhase(vm, record.PhaseReturning)
 	})
 	return allowed
 }
 
-// wanted refuses a join that the pool does not want. A released VM has left its
+// checkJoin refuses a join that the pool does not want. A released VM has left its
 // old pool for its target and may join that, or turn back, whatever a later
 // document says: it would hang between the two. It may be down, since its new
 // pool counts on it only once it is seen healthy.
-func (s *State) wanted(vm *VM, b record.VMJoin) refusal {
+func (s *State) checkJoin(vm *VM, b record.VMJoin) refusal {
 	if vm.Phase != record.PhaseFree {
 		if b.Pool != vm.Drain.Target && b.Pool != vm.Pool {
 			return refusef("VM %s was released for pool %s", vm.ID, vm.Drain.Target)
@@ -140,7 +140,7 @@
 	if vm.Down {
 		return refusef("VM %s is down", vm.ID)
 	}
-	if no := vm.fits(b.Pool, s.Services[b.Pool].Doc.Pool); no != allowed {
+	if no := vm.checkSize(b.Pool, s.Services[b.Pool].Doc.Pool); no != allowed {
 		return no
 	}
 	if b.Want == 0 {
@@ -152,7 +152,7 @@
 	return allowed
 }
 
-func (s *State) downVM(rec record.Record, b record.VMDown) refusal {
+func (s *State) markVMDown(rec record.Record, b record.VMDown) refusal {
 	vm, no := s.vm(rec)
 	if no != allowed {
 		return no
@@ -165,13 +165,13 @@
 	}
 	s.changeVM(vm, func() {
 		vm.Down = true
-		vm.DownCause = clip(b.Cause)
+		vm.DownCause = truncate(b.Cause)
 		vm.HealthSince = s.Now
 	})
 	return allowed
 }
 
-func (s *State) upVM(rec record.Record) refusal {
+func (s *State) markVMUp(rec record.Record) refusal {
 	vm, no := s.vm(rec)
 	if no != allowed {
 		return no
@@ -187,38 +187,38 @@
 		vm.HealthSince = s.Now
 		if returned {
 			vm.Drain = nil
-			s.enter(vm, record.PhaseServing)
+			s.assignPhase(vm, record.PhaseServing)
 		}
 	})
 	if returned && d != nil {
-		s.Services[vm.Pool].Account.drainLasted(max(0, s.Now.Sub(d.Since)))
-		s.closeTurn(vm, d)
+		s.Services[vm.Pool].Account.recordDrainDuration(max(0, s.Now.Sub(d.Since)))
+		s.endTurn(vm, d)
 	}
 	return allowed
 }
 
-func (s *State) goneVM(rec record.Record) refusal {
+func (s *State) removeVM(rec record.Record) refusal {
 	vm, no := s.vm(rec)
 	if no != allowed {
 		return no
 	}
 	s.unindexVM(vm)
 	delete(s.VMs, vm.ID)
-	s.account(vm.Pool)
-	s.accountReserve()
+	s.updateAccount(vm.Pool)
+	s.updateReserveAccount()
 	s.retire(rec.Subject, Head{Revision: record.Revision(s.Offset), LastID: rec.ID})
 	for _, id := range s.wavesOf(vm.ID) {
 		s.skipVM(s.Waves[id], vm.ID, "the platform no longer has the VM")
 	}
-	s.loseJobs(rec, vm.ID)
+	s.lapseJobs(rec, vm.ID)
 	return allowed
 }
 
-// loseJobs ends the attempts that were placed on a VM that is gone. Nobody can
+// lapseJobs ends the attempts that were placed on a VM that is gone. Nobody can
 // say any more how they ended, so they count as lapsed: a repeatable job is
 // queued again, another one is over with its end unknown. Each job's revision
 // moves, which voids what was decided about the attempt meanwhile.
-func (s *State) loseJobs(rec record.Record, vm string) {
+func (s *State) lapseJobs(rec record.Record, vm string) {
 	for _, id := range slices.Sorted(maps.Keys(s.workerJobs[vm])) {
 		j := s.Jobs[id]
 		s.endAttempt(j, record.JobEnd{Result: record.JobLapsed, Reason: "VM " + vm + " is gone"})
@@ -245,8 +245,8 @@
 	return allowed
 }
 
-// passProbation counts a job that succeeded on a worker under probation.
-func (s *State) passProbation(worker string) {
+// countProbationSuccess counts a job that succeeded on a worker under probation.
+func (s *State) countProbationSuccess(worker string) {
 	vm, ok := s.VMs[worker]
 	if !ok || vm.ProbationLeft == 0 {
 		return
@@ -265,12 +265,12 @@
 	return vm, allowed
 }
 
-func (s *State) setPhase(vm *VM, phase record.VMPhase) {
-	s.changeVM(vm, func() { s.enter(vm, phase) })
+func (s *State) changePhase(vm *VM, phase record.VMPhase) {
+	s.changeVM(vm, func() { s.assignPhase(vm, phase) })
 }
 
-// enter sets the phase inside changeVM.
-func (s *State) enter(vm *VM, phase record.VMPhase) {
+// assignPhase sets the phase inside changeVM.
+func (s *State) assignPhase(vm *VM, phase record.VMPhase) {
 	vm.Phase = phase
 	vm.PhaseSince = s.Now
 }
--- a/internal/ledger/wave.go
+++ b/internal/ledger/wave.go
@@ -121,7 +121,7 @@
 	default:
 		return refusef("unknown wave command %q", b.Command)
 	}
-	w.Reason = clip(b.Reason)
+	w.Reason = truncate(b.Reason)
 	return allowed
 }
 
@@ -143,7 +143,7 @@
 	if w.Skips == nil {
 		w.Skips = map[string]string{}
 	}
-	w.Skips[vm] = clip(reason)
+	w.Skips[vm] = truncate(reason)
 	s.finishIfComplete(w)
 }
 
@@ -180,8 +180,8 @@
 	return ids
 }
 
-// markWave sets the progress of a VM in a wave.
-func (s *State) markWave(w *Wave, vm string, progress WaveProgress) {
+// setWaveProgress sets the progress of a VM in a wave.
+func (s *State) setWaveProgress(w *Wave, vm string, progress WaveProgress) {
 	w.VMs[vm] = progress
 	s.finishIfComplete(w)
 }
