--- a/internal/ledger/apply.go
+++ b/internal/ledger/apply.go
@@ -93,12 +93,12 @@
 		out.Current = s.Revision(rec.Subject)
 		return out
 	}
-	no := s.applyBody(rec)
+	reason := s.applyBody(rec)
 	out.Status = Effective
-	if no != allowed {
-		out.Status, out.Reason = Refused, string(no)
+	if reason != allowed {
+		out.Status, out.Reason = Refused, string(reason)
 	}
-	s.updateRevision(rec, no)
+	s.updateRevision(rec, reason)
 	out.Current = s.Revision(rec.Subject)
 	return out
 }
@@ -114,7 +114,7 @@
 
 // updateRevision moves the subject's revision to the record's offset. A creating record
 // that was refused leaves a retired subject behind, which voids its copies.
-func (s *State) updateRevision(rec record.Record, no refusal) {
+func (s *State) updateRevision(rec record.Record, reason refusal) {
 	if !checksBase(rec.Body) {
 		return
 	}
@@ -123,7 +123,7 @@
 		*live = h
 		return
 	}
-	if no != allowed {
+	if reason != allowed {
 		s.retire(rec.Subject, h)
 	}
 }
@@ -170,8 +170,8 @@
 }
 
 func (s *State) applyBody(rec record.Record) refusal {
-	if no := checkSubjectKind(rec); no != allowed {
-		return no
+	if reason := checkSubjectKind(rec); reason != allowed {
+		return reason
 	}
 	switch rec.Subject.Kind {
 	case record.SubjectService:
--- a/internal/ledger/drain.go
+++ b/internal/ledger/drain.go
@@ -8,27 +8,27 @@
 )
 
 func (s *State) drainVM(rec record.Record, b record.VMDrain) refusal {
-	vm, no := s.vm(rec)
-	if no != allowed {
-		return no
+	vm, reason := s.vm(rec)
+	if reason != allowed {
+		return reason
 	}
 	if vm.Phase != record.PhaseServing {
 		return refusef("VM %s is %s; only a serving VM can be drained", vm.ID, vm.Phase)
 	}
-	if no := validateDrain(b); no != allowed {
-		return no
+	if reason := validateDrain(b); reason != allowed {
+		return reason
 	}
-	if no := s.checkWaveTurn(vm, b); no != allowed {
-		return no
+	if reason := s.checkWaveTurn(vm, b); reason != allowed {
+		return reason
 	}
-	if no := s.checkLeave(vm, b.Target, b.Release); no != allowed {
-		return no
+	if reason := s.checkLeave(vm, b.Target, b.Release); reason != allowed {
+		return reason
 	}
-	if no := s.checkRunningJobs(vm, b); no != allowed {
-		return no
+	if reason := s.checkRunningJobs(vm, b); reason != allowed {
+		return reason
 	}
-	if no := s.checkBudget(vm, b); no != allowed {
-		return no
+	if reason := s.checkBudget(vm, b); reason != allowed {
+		return reason
 	}
 	vm.Drains++
 	s.changeVM(vm, func() {
@@ -132,8 +132,8 @@
 	if target == vm.Pool {
 		return refusef("VM %s is in pool %s already", vm.ID, vm.Pool)
 	}
-	if no := s.checkTarget(vm, target); no != allowed {
-		return no
+	if reason := s.checkTarget(vm, target); reason != allowed {
+		return reason
 	}
 	svc, ok := s.Services[vm.Pool]
 	if !ok || vm.Down {
@@ -147,15 +147,15 @@
 
 // redirectVM changes where a drain in progress leads.
 func (s *State) redirectVM(rec record.Record, b record.VMRedirect) refusal {
-	vm, no := s.vm(rec)
-	if no != allowed {
-		return no
+	vm, reason := s.vm(rec)
+	if reason != allowed {
+		return reason
 	}
 	if !vm.Redirectable() {
 		return refusef("VM %s has no drain that could lead elsewhere", vm.ID)
 	}
-	if no := s.checkLeave(vm, b.Target, b.Release); no != allowed {
-		return no
+	if reason := s.checkLeave(vm, b.Target, b.Release); reason != allowed {
+		return reason
 	}
 	s.changeVM(vm, func() { vm.Drain.Target, vm.Drain.Release = b.Target, b.Release })
 	return allowed
--- a/internal/ledger/job_rules.go
+++ b/internal/ledger/job_rules.go
@@ -41,9 +41,9 @@
 // planned on older state harmless: two planners cannot overfill a worker or a
 // quota between them.
 func (s *State) placeJob(rec record.Record, b record.JobPlace) refusal {
-	j, no := s.job(rec)
-	if no != allowed {
-		return no
+	j, reason := s.job(rec)
+	if reason != allowed {
+		return reason
 	}
 	if j.Status != JobQueued {
 		return refusef("job %s is %s", j.ID, j.Status)
@@ -55,12 +55,12 @@
 	if b.MilliCores < 0 || b.MilliCores > 1000*document.MaxCores || b.MemoryMB < 0 || b.MemoryMB > document.MaxMemoryMB {
 		return refusef("the reservation for job %s is negative or larger than any VM", j.ID)
 	}
-	if no := s.checkWorkerAvailable(vm); no != allowed {
-		return no
+	if reason := s.checkWorkerAvailable(vm); reason != allowed {
+		return reason
 	}
 	want := Resources{MilliCores: b.MilliCores, MemoryMB: b.MemoryMB, Accelerators: j.Spec.Accelerators}
-	if no := s.checkCapacity(j, vm, want); no != allowed {
-		return no
+	if reason := s.checkCapacity(j, vm, want); reason != allowed {
+		return reason
 	}
 	s.setJobStatus(j, JobPlaced)
 	j.Worker = vm.ID
@@ -104,12 +104,12 @@
 }
 
 func (s *State) endJob(rec record.Record, b record.JobEnd) refusal {
-	j, no := s.job(rec)
-	if no != allowed {
-		return no
+	j, reason := s.job(rec)
+	if reason != allowed {
+		return reason
 	}
-	if no := j.checkResult(b); no != allowed {
-		return no
+	if reason := j.checkResult(b); reason != allowed {
+		return reason
 	}
 	s.endAttempt(j, b)
 	return allowed
@@ -199,9 +199,9 @@
 // preemptJob records that a placed job makes room. A throttle lowers what it
 // reserves at once; the room is real when the platform has throttled the task.
 func (s *State) preemptJob(rec record.Record, b record.JobPreempt) refusal {
-	j, no := s.job(rec)
-	if no != allowed {
-		return no
+	j, reason := s.job(rec)
+	if reason != allowed {
+		return reason
 	}
 	if j.Status != JobPlaced {
 		return refusef("job %s is %s", j.ID, j.Status)
@@ -209,8 +209,8 @@
 	if j.Preempt != nil && j.Preempt.Action == record.PreemptCheckpoint {
 		return refusef("job %s is being checkpointed", j.ID)
 	}
-	if no := s.checkPreempt(j, b); no != allowed {
-		return no
+	if reason := s.checkPreempt(j, b); reason != allowed {
+		return reason
 	}
 	if b.Action != record.PreemptCheckpoint {
 		s.indexPlaced(j, -1)
@@ -247,9 +247,9 @@
 }
 
 func (s *State) cancelJob(rec record.Record, b record.JobCancel) refusal {
-	j, no := s.job(rec)
-	if no != allowed {
-		return no
+	j, reason := s.job(rec)
+	if reason != allowed {
+		return reason
 	}
 	if j.Ended() {
 		return refusef("job %s is %s", j.ID, j.Status)
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -42,8 +42,8 @@
 	if n := len(s.poolVMs[name]); n > 0 {
 		return refusef("pool %s still has %d VMs; publish size = 0 and wait until they have left", name, n)
 	}
-	if no := s.checkUnreferenced(name); no != allowed {
-		return no
+	if reason := s.checkUnreferenced(name); reason != allowed {
+		return reason
 	}
 	delete(s.Services, svc.Doc.Service)
 	s.retire(rec.Subject, Head{Revision: record.Revision(s.Offset), LastID: rec.ID})
--- a/internal/ledger/vm.go
+++ b/internal/ledger/vm.go
@@ -11,8 +11,8 @@
 	if _, ok := s.VMs[rec.Subject.Name]; ok {
 		return refusef("VM %s is registered already", rec.Subject.Name)
 	}
-	if no := validateVM(b); no != allowed {
-		return no
+	if reason := validateVM(b); reason != allowed {
+		return reason
 	}
 	vm := &VM{
 		Head:         Head{Revision: record.Revision(s.Offset), LastID: rec.ID},
@@ -56,9 +56,9 @@
 }
 
 func (s *State) advanceVM(rec record.Record, b record.VMAdvance) refusal {
-	vm, no := s.vm(rec)
-	if no != allowed {
-		return no
+	vm, reason := s.vm(rec)
+	if reason != allowed {
+		return reason
 	}
 	if vm.Drain == nil {
 		return refusef("VM %s has no drain in progress", vm.ID)
@@ -102,9 +102,9 @@
 }
 
 func (s *State) joinVM(rec record.Record, b record.VMJoin) refusal {
-	vm, no := s.vm(rec)
-	if no != allowed {
-		return no
+	vm, reason := s.vm(rec)
+	if reason != allowed {
+		return reason
 	}
 	if _, ok := s.Services[b.Pool]; !ok {
 		return refusef("there is no pool %q", b.Pool)
@@ -112,8 +112,8 @@
 	if vm.Phase != record.PhaseFree && vm.Phase != record.PhaseReleased {
 		return refusef("VM %s is %s; only a free or released VM can join a pool", vm.ID, vm.Phase)
 	}
-	if no := s.checkJoin(vm, b); no != allowed {
-		return no
+	if reason := s.checkJoin(vm, b); reason != allowed {
+		return reason
 	}
 	if vm.Pool != "" && vm.Pool != b.Pool {
 		vm.Moves++
@@ -140,8 +140,8 @@
 	if vm.Down {
 		return refusef("VM %s is down", vm.ID)
 	}
-	if no := vm.checkSize(b.Pool, s.Services[b.Pool].Doc.Pool); no != allowed {
-		return no
+	if reason := vm.checkSize(b.Pool, s.Services[b.Pool].Doc.Pool); reason != allowed {
+		return reason
 	}
 	if b.Want == 0 {
 		return allowed
@@ -153,9 +153,9 @@
 }
 
 func (s *State) markVMDown(rec record.Record, b record.VMDown) refusal {
-	vm, no := s.vm(rec)
-	if no != allowed {
-		return no
+	vm, reason := s.vm(rec)
+	if reason != allowed {
+		return reason
 	}
 	if vm.Down {
 		return refusef("VM %s is down already", vm.ID)
@@ -172,9 +172,9 @@
 }
 
 func (s *State) markVMUp(rec record.Record) refusal {
-	vm, no := s.vm(rec)
-	if no != allowed {
-		return no
+	vm, reason := s.vm(rec)
+	if reason != allowed {
+		return reason
 	}
 	if !vm.Down && vm.Phase != record.PhaseReturning {
 		return refusef("VM %s is %s and not down", vm.ID, vm.Phase)
@@ -198,9 +198,9 @@
 }
 
 func (s *State) removeVM(rec record.Record) refusal {
-	vm, no := s.vm(rec)
-	if no != allowed {
-		return no
+	vm, reason := s.vm(rec)
+	if reason != allowed {
+		return reason
 	}
 	s.unindexVM(vm)
 	delete(s.VMs, vm.ID)
@@ -227,9 +227,9 @@
 }
 
 func (s *State) quarantineVM(rec record.Record, b record.VMQuarantine) refusal {
-	vm, no := s.vm(rec)
-	if no != allowed {
-		return no
+	vm, reason := s.vm(rec)
+	if reason != allowed {
+		return reason
 	}
 	if vm.Quarantined == b.On {
 		return refusef("VM %s is set aside already or not at all (%t)", vm.ID, b.On)
