--- a/internal/ledger/apply.go
+++ b/internal/ledger/apply.go
@@ -10,38 +10,40 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Status says what became of a record at its offset.
+// Status is the result of folding a record.
 type Status string
 
 // Statuses of a record.
 const (
-	// Effective: the state changed as the record says.
+	// Effective means that the record changed the state.
 	Effective Status = "effective"
-	// Stale: another record changed the subject first.
+	// Stale means that the record was not decided on the subject's current
+	// revision.
 	Stale Status = "stale"
-	// Duplicate: a second copy of the subject's latest record.
+	// Duplicate marks a further copy of the subject's latest record.
 	Duplicate Status = "duplicate"
-	// Refused: current, but not allowed, as over a budget.
+	// Refused means that the record was current but broke a rule, such as a
+	// budget.
 	Refused Status = "refused"
-	// Malformed: not a record, or of a kind this build does not know.
+	// Malformed means that the entry is no record, or of an unknown kind.
 	Malformed Status = "malformed"
 )
 
-// Outcome is the fold's answer to one record. It is equal on every node.
+// Outcome is the result of folding one record. It is the same on every node.
 type Outcome struct {
 	Offset  uint64
 	ID      string
 	Kind    record.Kind
 	Subject record.Subject
 	Status  Status
-	// Reason explains any status but Effective, for an operator to read.
+	// Reason explains any status other than Effective to the operator.
 	Reason string
 	// Current is the subject's revision after the record.
 	Current record.Revision
 }
 
-// refusal is a domain rule's "no", with the reason for the operator; empty
-// means allowed.
+// refusal is the reason why a rule refuses a record, written for the operator.
+// The empty string means allowed.
 type refusal string
 
 const allowed refusal = ""
@@ -50,10 +52,10 @@
 	return refusal(fmt.Sprintf(format, args...))
 }
 
-// maxReason bounds texts that the state keeps.
+// maxReason is the maximum length in bytes of the texts stored in the state.
 const maxReason = 1000
 
-// truncate shortens a text to maxReason bytes, at a character's boundary.
+// truncate shortens a text to maxReason bytes without splitting a character.
 func truncate(text string) string {
 	if len(text) <= maxReason {
 		return text
@@ -61,7 +63,7 @@
 	return strings.ToValidUTF8(text[:maxReason], "") + " ..."
 }
 
-// ApplyData folds the raw entry at offset.
+// ApplyData decodes and folds the raw entry at offset.
 func (s *State) ApplyData(offset uint64, data []byte) Outcome {
 	rec, err := record.Decode(data)
 	if err != nil {
@@ -74,13 +76,14 @@
 	return out
 }
 
-// Apply folds the record at offset. Offsets must rise; a gap is allowed, since
-// the log may skip numbers.
+// Apply folds the record at offset. Offsets must increase; gaps are allowed
+// because the log may skip numbers.
 //
-// A refused record moves its subject's revision as an effective one does. So
-// every copy of a record, effective or refused, is void by its Base alone, and
-// no list of seen IDs is needed: without this, a copy of a refused drain that
-// surfaced minutes later could take effect behind its author's back.
+// A refused record advances its subject's revision like an effective one. Every
+// further copy of a record, effective or refused, is therefore void by its Base
+// alone and the state needs no list of seen IDs. Otherwise a copy of a refused
+// drain that arrived minutes later could take effect without its author's
+// knowledge.
 func (s *State) Apply(offset uint64, rec record.Record) Outcome {
 	s.advanceOffset(offset)
 	s.advanceClock(rec)
@@ -112,8 +115,8 @@
 	s.expireRetired()
 }
 
-// updateRevision moves the subject's revision to the record's offset. A creating record
-// that was refused leaves a retired subject behind, which voids its copies.
+// updateRevision sets the subject's revision to the record's offset. A refused
+// creating record leaves a retired subject, which voids the record's copies.
 func (s *State) updateRevision(rec record.Record, reason refusal) {
 	if !checksBase(rec.Body) {
 		return
@@ -128,8 +131,9 @@
 	}
 }
 
-// checksBase reports whether the record competes for its subject's revision.
-// Suspicions of several members about one member must not void each other.
+// checksBase reports whether the record must be based on its subject's current
+// revision. Suspicions of several members about one member must not void each
+// other.
 func checksBase(b record.Body) bool {
 	switch b.(type) {
 	case record.MemberSuspect, record.MemberTrust, record.ClockWitness:
@@ -138,8 +142,8 @@
 	return true
 }
 
-// checkRevision decides whether the record was decided on the subject's present
-// revision.
+// checkRevision returns Effective if the record was decided on the subject's
+// current revision; otherwise the status and its reason.
 func (s *State) checkRevision(rec record.Record) (Status, string) {
 	h, exists := s.head(rec.Subject)
 	if h.LastID == rec.ID && rec.ID != "" {
@@ -185,7 +189,7 @@
 	case record.SubjectJob:
 		return s.applyToJob(rec)
 	case record.SubjectClock:
-		return allowed // its time was all that a witness had to say
+		return allowed // only its time matters; see advanceClock
 	}
 	return noRule(rec)
 }
@@ -270,8 +274,9 @@
 	return noRule(rec)
 }
 
-// checkSubjectKind refuses a body that does not belong to its subject's kind, as a
-// VM drain addressed to a service: it would move a foreign revision.
+// checkSubjectKind refuses a body that does not belong to its subject's kind,
+// for example a VM drain addressed to a service, which would advance the
+// revision of an unrelated subject.
 func checkSubjectKind(rec record.Record) refusal {
 	want := bodySubject(rec.Body)
 	if rec.Subject.Kind != want {
--- a/internal/ledger/budget.go
+++ b/internal/ledger/budget.go
@@ -7,7 +7,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Cause is what took a VM out of service.
+// Cause is the reason why a VM is out of service.
 type Cause int
 
 // Causes of unavailability, in the order of Segment.Out.
@@ -16,7 +16,7 @@
 	CauseMove
 	CauseOperator
 	CauseFailure
-	CauseMissing // the pool has fewer VMs than its document asks for
+	CauseMissing // the pool has fewer VMs than its declared size
 	causeCount
 )
 
@@ -30,37 +30,39 @@
 	return []Cause{CauseMaintenance, CauseMove, CauseOperator, CauseFailure, CauseMissing}
 }
 
-// Segment is the stretch of time since a pool's counts last changed.
+// Segment is the time since a pool's counts last changed.
 type Segment struct {
 	From  time.Time       `json:"from"`
-	Short int             `json:"short"` // VMs missing to the declared size
-	Spare int             `json:"spare"` // VMs serving beyond it
+	Short int             `json:"short"` // VMs short of the declared size
+	Spare int             `json:"spare"` // VMs serving beyond the declared size
 	Size  int             `json:"size"`
 	Out   [causeCount]int `json:"out"` // VMs out of service by cause
 }
 
-// Account is a pool's record of unavailability. A pool is charged the VM-seconds
-// by which its serving VMs fall short of the declared size. A VM stops counting
-// as serving at the offset of its drain, and counts again when it is seen
-// healthy, whatever the platform's lagging list says meanwhile.
+// Account records a pool's unavailability. A pool is charged the VM-seconds by
+// which its serving VMs fall short of the declared size. A VM stops counting as
+// serving at the offset of its drain and counts again once it is seen healthy,
+// whatever the platform's VM list, which lags behind, shows meanwhile.
 type Account struct {
 	// Since is when the account was opened.
 	Since time.Time `json:"since"`
 	Open  Segment   `json:"open"`
-	// Closed holds what was spent before Open, oldest first.
+	// Closed holds the charges before Open, oldest first.
 	Closed []Charge `json:"closed,omitempty"`
-	// SpareTotal is the VM-milliseconds of spare VMs from Since to Open.From.
+	// SpareTotal is the time of spare VMs from Since to Open.From, in
+	// VM-milliseconds.
 	SpareTotal int64 `json:"spare_total"`
-	// Events counts what took VMs out of service, by cause.
+	// Events counts the times that VMs went out of service, by cause.
 	Events [causeCount]int `json:"events"`
-	// Moves counts VMs that came from other pools, Reboots those rebooted.
+	// Moves counts the VMs that came from other pools, Reboots the VMs
+	// rebooted.
 	Moves   int `json:"moves"`
 	Reboots int `json:"reboots"`
-	// DrainDurations holds how long the latest drains lasted, oldest first.
+	// DrainDurations holds the durations of the latest drains, oldest first.
 	DrainDurations []time.Duration `json:"lasted,omitempty"`
-	// GapSince is since when the pool has had fewer healthy VMs than its size,
-	// SurplusSince since when it has had more; zero when it has not. Planning
-	// waits by them, so that a change that is soon taken back moves no VM.
+	// GapSince is when the pool's healthy VMs fell below its size, SurplusSince
+	// when they exceeded it; zero while neither holds. Planning waits for a
+	// while after them, so that a change that is soon reverted moves no VM.
 	GapSince     time.Time `json:"gap_since"`
 	SurplusSince time.Time `json:"surplus_since"`
 }
@@ -78,7 +80,7 @@
 	since(&a.SurplusSince, healthy > size)
 }
 
-// Unavailability counts a pool's VMs now.
+// Unavailability holds the current VM counts of a pool.
 type Unavailability struct {
 	Size    int
 	Serving int
@@ -86,7 +88,7 @@
 	Out     [causeCount]int
 }
 
-// Unavailability returns the counts of a pool.
+// Unavailability returns the current VM counts of a pool.
 func (s *State) Unavailability(pool string) Unavailability {
 	var u Unavailability
 	if svc, ok := s.Services[pool]; ok {
@@ -102,9 +104,10 @@
 	return u
 }
 
-// outCause says what keeps a VM out of service. A VM that was drained and then
-// found unhealthy, as one that did not come back from its reboot, counts as
-// failed; one that has joined and was not seen healthy yet, as moved.
+// outCause returns the cause that keeps a VM out of service. A drained VM that
+// was found unhealthy, for example because it did not return from its reboot,
+// counts as a failure; a VM that has joined and was not yet seen healthy counts
+// as a move.
 func outCause(vm *VM) Cause {
 	switch {
 	case vm.Down:
@@ -125,8 +128,8 @@
 	return CauseOperator
 }
 
-// updateAccount closes the pool's open segment at s.Now and opens the next one. It is
-// called after every change to the pool's VMs or document.
+// updateAccount closes the pool's open segment at s.Now and opens the next one.
+// It must be called after every change to the pool's VMs or document.
 func (s *State) updateAccount(pool string) {
 	svc, ok := s.Services[pool]
 	if !ok {
@@ -163,14 +166,14 @@
 	a.prune(end.Add(-keep))
 }
 
-// equalCounts reports whether two segments differ in nothing but their beginning.
+// equalCounts reports whether two segments differ only in their start.
 func (s Segment) equalCounts(o Segment) bool {
 	o.From = s.From
 	return s == o
 }
 
-// lastedMax is how many drains an account remembers, lastedMin how many it takes
-// before they correct an estimate.
+// maxDrainDurations is the number of drains that an account keeps,
+// minDrainDurations the number that Typical needs.
 const (
 	maxDrainDurations = 16
 	minDrainDurations = 3
@@ -183,10 +186,10 @@
 	}
 }
 
-// Typical returns how long three quarters of the pool's latest drains lasted at
-// most, 0 when too few are known. Estimates below it are raised to it: a
-// planner whose estimates are far too small would else overspend the budget
-// with every drain.
+// Typical returns the 75th percentile of the durations of the pool's latest
+// drains, 0 if too few are known. Shorter estimates are raised to it: otherwise
+// a planner whose estimates are far too low would overspend the budget with
+// every drain.
 func (a *Account) Typical() time.Duration {
 	if len(a.DrainDurations) < minDrainDurations {
 		return 0
--- a/internal/ledger/charge.go
+++ b/internal/ledger/charge.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// maxCharges bounds an account's charges. Beyond it neighbours are merged,
-// which keeps every sum and only blurs when exactly it was spent. Without a
-// bound a VM that goes up and down every few seconds would grow the state.
+// maxCharges limits an account's charges. Beyond it neighbors are merged, which
+// keeps every sum and only blurs the times. Without a limit a VM that goes up
+// and down every few seconds would grow the state.
 const maxCharges = 512
 
-// minChargeRetention is for how long charges are kept at least, for reports.
+// minChargeRetention is the minimum time that charges are kept, for reports.
 const minChargeRetention = 30 * 24 * time.Hour
 
-// Charge is what was spent between two times, in VM-milliseconds. Amounts are
-// integers so that every processor comes to the same sums.
+// Charge is the unavailability and spare time between two times, in
+// VM-milliseconds. Amounts are integers so that all processors compute the same
+// sums.
 type Charge struct {
 	From time.Time `json:"from"`
 	To   time.Time `json:"to"`
@@ -24,7 +25,7 @@
 	Spare int64 `json:"spare,omitempty"`
 }
 
-// charge ends the segment at the time to.
+// charge returns the charge of a segment that ends at to.
 func (s Segment) charge(to time.Time) Charge {
 	ms := to.Sub(s.From).Milliseconds()
 	c := Charge{From: s.From, To: to, Spare: int64(s.Spare) * ms}
@@ -32,8 +33,8 @@
 	return c
 }
 
-// splitByCause divides an amount among the causes in proportion to the VMs that each
-// has out of service. The rest that does not divide goes to the first cause.
+// splitByCause divides an amount among the causes in proportion to the VMs that
+// each has out of service. The remainder goes to the first cause.
 func (s Segment) splitByCause(amount int64) [causeCount]int64 {
 	var by [causeCount]int64
 	total, rest, first := 0, amount, -1
@@ -80,7 +81,7 @@
 	return part
 }
 
-// add returns the charge that covers c and a later one.
+// add returns the sum of c and a later charge.
 func (c Charge) add(o Charge) Charge {
 	sum := Charge{From: c.From, To: o.To, By: c.By, Spare: c.Spare + o.Spare}
 	for cause, amount := range o.By {
@@ -97,7 +98,7 @@
 	return sum
 }
 
-// openSegment closes the open segment at the time now and opens next.
+// openSegment closes the open segment at now and opens next.
 func (a *Account) openSegment(next Segment, now time.Time) {
 	if !a.Open.From.IsZero() && now.After(a.Open.From) && (a.Open.Short > 0 || a.Open.Spare > 0) {
 		c := a.Open.charge(now)
@@ -110,7 +111,7 @@
 	a.Open = next
 }
 
-// mergeCharges halves the number of charges.
+// mergeCharges merges pairs of neighbors, which halves the number of charges.
 func (a *Account) mergeCharges() {
 	merged := make([]Charge, 0, maxCharges)
 	for i := 0; i+1 < len(a.Closed); i += 2 {
@@ -130,7 +131,7 @@
 	a.Closed = a.Closed[n:]
 }
 
-// truncateAt takes back what was charged after the time now.
+// truncateAt removes what was charged after now.
 func (a *Account) truncateAt(now time.Time) {
 	kept := a.Closed[:0]
 	for _, c := range a.Closed {
@@ -145,8 +146,8 @@
 	a.Since = earlier(a.Since, now)
 }
 
-// chargeBetween returns the sum of what was spent between two times. The open segment
-// counts as going on until to.
+// chargeBetween returns the sum of the charges between two times. The open
+// segment counts as lasting until to.
 func (a *Account) chargeBetween(from, to time.Time) Charge {
 	sum := Charge{From: from, To: to}
 	for _, c := range a.Closed {
--- a/internal/ledger/clock.go
+++ b/internal/ledger/clock.go
@@ -7,47 +7,47 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// MaxSkew is how far the clocks of two healthy authors may lie apart.
+// MaxSkew is the maximum difference between the clocks of two healthy authors.
 const MaxSkew = 10 * time.Minute
 
-// maxDistrusted bounds the list of authors whose clocks were proved wrong.
+// maxDistrusted limits the list of authors whose clocks were found wrong.
 const maxDistrusted = 16
 
-// Claim is a time that an author's record carried.
+// Claim is a time stated by an author's record.
 type Claim struct {
 	Author string    `json:"author"`
 	Time   time.Time `json:"time"`
 }
 
-// Clock dates the fold by the times that authors put on their records. The
-// highest claim is the fold's time.
+// Clock derives the ledger's time from the times on the authors' records: the
+// highest claim is the current time.
 //
-// One author whose clock is years ahead would charge every VM that is out with
-// those years, move all charges out of the budgets' windows and then stand
-// still until the others have caught up. So a claim that jumps ahead by more
-// than MaxSkew can be overthrown: once two other authors, who had folded the
-// jump before they wrote, say that their clocks were behind it, the author is
-// distrusted, the fold goes back to the highest other claim, and charges are
-// cut off there. A claim that jumps ahead honestly, as the first record after a
-// quiet night, is never contradicted in this way, because those who write
-// after having seen it have clocks that are at least near it. While a jump is
-// neither confirmed nor contradicted, a budget is checked as of both times.
+// An author whose clock is years ahead would charge every unavailable VM with
+// those years, move all charges out of the budget windows and then stop the
+// ledger's time until the other clocks have caught up. A claim that jumps ahead
+// by more than MaxSkew can therefore be reverted: once two other authors, who
+// had folded the jump before they wrote, state times behind it, the author is
+// distrusted, the ledger's time goes back to the highest other claim and
+// charges are truncated there. A correct jump, such as the first record after a
+// quiet night, is never contradicted in this way, because whoever writes after
+// folding it has a clock at least near it. While a jump is neither confirmed
+// nor contradicted, budgets are checked as of both times.
 type Clock struct {
-	// Top is the highest claim, Other the highest of any other author.
+	// Top is the highest claim, Other the highest claim of any other author.
 	Top   Claim `json:"top"`
 	Other Claim `json:"other"`
-	// JumpFrom, JumpTo and JumpAt describe the latest jump of Top: the times
-	// before and after it and its offset.
+	// JumpFrom and JumpTo are the times before and after the latest jump of
+	// Top, JumpAt its offset.
 	JumpFrom time.Time `json:"jump_from"`
 	JumpTo   time.Time `json:"jump_to"`
 	JumpAt   uint64    `json:"jump_at"`
-	// Contradictions holds what clocks said that contradict the jump, one per author.
+	// Contradictions holds the claims that contradict the jump, one per author.
 	Contradictions []Claim  `json:"against,omitempty"`
 	Distrusted     []string `json:"distrusted,omitempty"`
 }
 
-// observe takes the time of one record and reports whether the fold's time must go
-// back to c.Top.
+// observe processes the time of one record and reports whether the ledger's
+// time must go back to c.Top.
 func (c *Clock) observe(offset uint64, rec record.Record) bool {
 	claim := Claim{Author: rec.Author, Time: rec.Time.UTC().Truncate(time.Millisecond)}
 	if claim.Time.IsZero() || c.rejects(claim) {
@@ -83,8 +83,8 @@
 	return !c.Other.Time.Before(c.JumpTo.Add(-MaxSkew))
 }
 
-// unconfirmedJump returns the time before the latest jump while that is neither
-// confirmed nor followed by MaxSkew of ordinary progress.
+// unconfirmedJump returns the time before the latest jump while the jump is
+// neither confirmed nor followed by MaxSkew of normal progress.
 func (c *Clock) unconfirmedJump() (time.Time, bool) {
 	if c.JumpFrom.IsZero() || c.confirmed() || !c.Top.Time.Before(c.JumpTo.Add(MaxSkew)) {
 		return time.Time{}, false
@@ -92,9 +92,10 @@
 	return c.JumpFrom, true
 }
 
-// recordContradiction counts a claim against the latest jump. seen tells that its author
-// read its clock after it had folded the jump; without that, a record that was
-// on its way for hours would look like a clock that is hours behind.
+// recordContradiction records a claim against the latest jump and reports
+// whether it reverted the jump. seen must be at or after the jump: the author
+// then read its clock after folding the jump. Without that condition a record
+// that was delayed for hours would look like a clock that is hours behind.
 func (c *Clock) recordContradiction(offset uint64, claim Claim, seen uint64) bool {
 	behind := claim.Time.Before(c.JumpTo.Add(-MaxSkew))
 	if seen < c.JumpAt || seen >= offset || !behind || claim.Author == c.Top.Author {
@@ -128,8 +129,8 @@
 	c.Contradictions = nil
 }
 
-// rejects reports whether the claim is to be passed over. An author whose
-// clock is back among the others' is trusted again.
+// rejects reports whether the claim must be ignored. An author whose clock
+// agrees with the others again is removed from Distrusted.
 func (c *Clock) rejects(claim Claim) bool {
 	i := slices.Index(c.Distrusted, claim.Author)
 	if i < 0 {
@@ -142,10 +143,10 @@
 	return false
 }
 
-// ClockAhead returns the offset of what is too far ahead of now, a node's own
-// clock: the fold's time or MembersEnd; 0 when neither is. The node then writes
-// a record.ClockWitness, so that a wrong clock is overthrown also when nothing
-// else is to be written.
+// ClockAhead returns the offset of the record that put the ledger's time or
+// MembersEnd too far ahead of now, the node's own clock, or 0 if neither is.
+// The node then writes a record.ClockWitness, so that a wrong clock is reverted
+// even when there is nothing else to write.
 func (s *State) ClockAhead(now time.Time) uint64 {
 	at := uint64(0)
 	if s.Now.After(now.Add(MaxSkew)) {
@@ -157,7 +158,7 @@
 	return at
 }
 
-// advanceClock moves the fold's time by one record.
+// advanceClock updates the ledger's time from one record.
 func (s *State) advanceClock(rec record.Record) {
 	back := s.Clock.observe(s.Offset, rec)
 	s.Now = s.Clock.Top.Time
@@ -166,7 +167,7 @@
 	}
 }
 
-// clampTimes cuts off at s.Now all that was dated by a clock that was overthrown.
+// clampTimes lowers to s.Now all times that came from a reverted clock.
 func (s *State) clampTimes() {
 	for _, svc := range s.Services {
 		svc.Account.truncateAt(s.Now)
--- a/internal/ledger/drain.go
+++ b/internal/ledger/drain.go
@@ -54,8 +54,8 @@
 // MaxEstimate is the longest estimate of a drain.
 const MaxEstimate = 7 * 24 * time.Hour
 
-// validateDrain refuses a drain that makes no sense by itself. A negative estimate
-// would lower what the budget check adds to what is spent.
+// validateDrain refuses a drain with invalid fields. A negative estimate would
+// lower the amount that the budget check adds to the spent time.
 func validateDrain(b record.VMDrain) refusal {
 	switch b.Reason {
 	case record.DrainMaintenance, record.DrainMove, record.DrainOperator:
@@ -68,7 +68,7 @@
 	return allowed
 }
 
-// checkTarget refuses a drain to a pool that could not take the VM.
+// checkTarget refuses a drain to a pool that cannot take the VM.
 func (s *State) checkTarget(vm *VM, target string) refusal {
 	if target == "" {
 		return allowed
@@ -89,8 +89,9 @@
 		v.ID, v.Cores, v.MemoryMB, v.Accelerators, pool)
 }
 
-// checkRunningJobs refuses to drain a VM whose jobs may not be disturbed, by the
-// document of its pool. An operator's drain goes on and waits for them.
+// checkRunningJobs refuses to drain a VM with running jobs if its pool's
+// document excludes such VMs from drains. An operator's drain proceeds and
+// waits for the jobs.
 func (s *State) checkRunningJobs(vm *VM, b record.VMDrain) refusal {
 	svc, ok := s.Services[vm.Pool]
 	if !ok || b.Reason == record.DrainOperator || svc.Doc.Jobs.OnDrain != document.LongJobsSkip {
@@ -120,8 +121,8 @@
 	return allowed
 }
 
-// checkLeave refuses to take a healthy VM away from a pool that would have too few
-// left. Two planners that each saw one VM too many would else take two.
+// checkLeave refuses to take a healthy VM from a pool that would have too few
+// left. Without it, two planners that each saw one surplus VM would take two.
 func (s *State) checkLeave(vm *VM, target string, release bool) refusal {
 	if target != "" && release {
 		return refusef("a drain cannot have both a target pool and a release")
@@ -145,7 +146,7 @@
 	return allowed
 }
 
-// redirectVM changes where a drain in progress leads.
+// redirectVM changes the destination of a drain in progress.
 func (s *State) redirectVM(rec record.Record, b record.VMRedirect) refusal {
 	vm, reason := s.vm(rec)
 	if reason != allowed {
@@ -161,7 +162,7 @@
 	return allowed
 }
 
-// Healthy counts the VMs that stay in the pool and are not down.
+// Healthy returns the number of VMs that stay in the pool and are not down.
 func (s *State) Healthy(pool string) int {
 	n := 0
 	for _, vm := range s.poolUnavailable[pool] {
@@ -172,9 +173,9 @@
 	return n + len(s.poolVMs[pool]) - len(s.poolUnavailable[pool])
 }
 
-// endTurn ends a VM's turn in every wave that waits for it, when it is back
-// from a drain. One reboot serves all of them; a VM that left for the common
-// reserve without one has no turn any more, since only serving VMs are drained.
+// endTurn ends the turn of a VM that returned from a drain in every active wave
+// that waits for it. One reboot counts for all waves. A VM that left for the
+// reserve without a reboot is skipped, since only serving VMs are drained.
 func (s *State) endTurn(vm *VM, d *Drain) {
 	if d.Rebooted {
 		vm.MaintainedAt = s.Now
--- a/internal/ledger/headroom.go
+++ b/internal/ledger/headroom.go
@@ -8,9 +8,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Headroom is what a pool's availability budget bears at one moment. Planners
-// keep a copy and Take from it what they propose, so that the drains of one
-// round fit together; the fold checks each drain against a fresh one.
+// Headroom is what a pool's availability budget allows at one moment. Planners
+// keep a copy and call Take for each drain that they propose, so that the
+// drains of one round fit together; the ledger checks each drain against a new
+// one.
 type Headroom struct {
 	Pool    string
 	Size    int
@@ -19,20 +20,20 @@
 	// Spent and Allowed are VM-seconds in the window that ends now.
 	Spent   float64
 	Allowed float64
-	// Typical is how long the pool's drains lasted lately; a smaller estimate is
-	// raised to it.
+	// Typical is the typical duration of the pool's latest drains; smaller
+	// estimates are raised to it.
 	Typical time.Duration
-	// Left holds, for each VM that is out or missing, how much longer it is
-	// expected to be so; 0 where nothing is known.
+	// Left holds the expected remaining outage of each VM that is out of
+	// service or missing, 0 if unknown.
 	Left []time.Duration
-	// OutRacks counts the VMs that are out of service by rack. VMs that failed
-	// and were replaced are left out: the pool is whole without them, and one
-	// that never comes back would else block every drain in other racks.
+	// OutRacks counts the VMs that are out of service by rack. It excludes
+	// failed VMs that were replaced: the pool is complete without them, and a
+	// VM that never returns would otherwise block every drain in other racks.
 	OutRacks map[string]int
 }
 
-// Headroom returns the pool's headroom at the time now, or false when the pool
-// has no document and so no budget.
+// Headroom returns the pool's headroom at now, or false if the pool has no
+// document and therefore no budget.
 func (s *State) Headroom(pool string, now time.Time) (Headroom, bool) {
 	svc, ok := s.Services[pool]
 	if !ok {
@@ -65,9 +66,10 @@
 	return h, true
 }
 
-// spentSeconds returns what counts against the pool's budget at the time now. While
-// the fold's time has made a doubtful jump, the window before it counts too: a
-// wrong clock could else move all charges out of the window.
+// spentSeconds returns the VM-seconds that count against the pool's budget at
+// now. While the ledger's time has made an unconfirmed jump, the window before
+// the jump counts too: otherwise a wrong clock could move all charges out of
+// the window.
 func (s *State) spentSeconds(svc *Service, now time.Time) float64 {
 	window := svc.Doc.Budget.Window
 	spent := svc.Account.Spent(now.Add(-window), now)
@@ -77,8 +79,8 @@
 	return spent
 }
 
-// remainingOutage returns how much longer a VM that is out is expected to be so, by the
-// estimate of its drain.
+// remainingOutage returns how much longer a VM is expected to be out of
+// service, by the estimate of its drain.
 func (v *VM) remainingOutage(now time.Time) time.Duration {
 	if v.Drain == nil {
 		return 0
@@ -87,16 +89,16 @@
 }
 
 // Refusal returns why one more planned drain in the rack, expected to last for
-// estimate, does not fit, or an empty string when it does. VMs beyond the
-// declared size are drained free of charge.
+// estimate, does not fit the budget, or "" if it fits. Draining VMs beyond the
+// declared size is free.
 func (h *Headroom) Refusal(rack string, estimate time.Duration) string {
 	return h.checkBounds(rack, estimate, h.Size-(h.Serving-1), 1)
 }
 
-// RefusalOf is Refusal for a certain VM and drain. The drain of a VM that is
-// down already costs no VM now, but keeps it from coming back for as long as
-// the drain lasts, so the bounds hold for it too. Only to leave its pool it is
-// always free: the pool loses nothing by it.
+// RefusalOf is like Refusal for a given VM and drain. Draining a VM that is
+// down removes no serving VM, but keeps the VM from returning for as long as
+// the drain lasts, so the limits apply to it too. A drain by which such a VM
+// leaves its pool is always free, since the pool loses nothing by it.
 func (h *Headroom) RefusalOf(vm *VM, b record.VMDrain) string {
 	switch {
 	case vm.Serving():
@@ -107,8 +109,8 @@
 	return h.checkBounds(vm.Rack, b.Estimate, h.Size-h.Serving, 0)
 }
 
-// checkBounds checks the bounds for a pool that would be short of so many VMs, with
-// more VMs out than now.
+// checkBounds checks the limits for a pool that would be short of shortfall VMs
+// with additional more VMs out than now.
 func (h *Headroom) checkBounds(rack string, estimate time.Duration, shortfall, additional int) string {
 	if shortfall <= 0 {
 		return ""
@@ -129,10 +131,10 @@
 	return ""
 }
 
-// requiredSeconds returns the VM-seconds that will be charged until all VMs are back. Each
-// VM that is out counts with what is left of its own estimate, and at least
-// with the new one's: those that are overdue, or failed, may stay out as long
-// again. The longest ones are those that spare VMs stand in for.
+// requiredSeconds returns the VM-seconds that will be charged until all VMs are
+// back. Each VM that is out counts with the remainder of its own estimate, but
+// at least with the new estimate, since overdue or failed VMs may stay out that
+// long. Spare VMs substitute for the VMs with the longest outages.
 func (h *Headroom) requiredSeconds(estimate time.Duration, shortfall, additional int) float64 {
 	left := slices.Clone(h.Left)
 	for range additional {
@@ -156,7 +158,8 @@
 	h.Left = append(h.Left, 0)
 }
 
-// otherRack returns the first rack by name, other than rack, with VMs out.
+// otherRack returns the first rack by name, other than rack, with VMs out of
+// service.
 func (h *Headroom) otherRack(rack string) string {
 	first := ""
 	for other, n := range h.OutRacks {
@@ -167,8 +170,8 @@
 	return first
 }
 
-// checkBudget refuses a drain that the pool's budget does not bear. Of two drains
-// that race for the last unit of budget the later one is refused.
+// checkBudget refuses a drain that the pool's budget does not allow. Of two
+// drains that race for the rest of the budget the later one is refused.
 func (s *State) checkBudget(vm *VM, b record.VMDrain) refusal {
 	h, ok := s.Headroom(vm.Pool, s.Now)
 	if !ok {
--- a/internal/ledger/index.go
+++ b/internal/ledger/index.go
@@ -4,7 +4,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// addTo puts v under outer and inner key, making the inner map if needed.
+// addTo stores v under the outer and inner key and creates the inner map if
+// needed.
 func addTo[V any](m map[string]map[string]V, outer, inner string, v V) {
 	if m[outer] == nil {
 		m[outer] = map[string]V{}
@@ -12,7 +13,7 @@
 	m[outer][inner] = v
 }
 
-// rebuildIndexes makes the indexes anew.
+// rebuildIndexes computes all indexes from the state.
 func (s *State) rebuildIndexes() {
 	s.poolVMs = map[string]map[string]*VM{}
 	s.poolUnavailable = map[string]map[string]*VM{}
@@ -33,8 +34,8 @@
 	s.indexJobs()
 }
 
-// indexVM puts a VM where its pool, phase and health belong. unindexVM takes it
-// out before any of them changes.
+// indexVM adds a VM to the indexes for its pool, phase and health. unindexVM
+// must be called before any of these changes.
 func (s *State) indexVM(vm *VM) {
 	if vm.Pool == "" {
 		if !vm.Down {
@@ -54,8 +55,8 @@
 	removeFrom(s.poolUnavailable, vm.Pool, vm.ID)
 }
 
-// changeVM changes a VM's pool, phase or health and keeps indexes and accounts
-// in step with it.
+// changeVM runs change, which may change the VM's pool, phase or health, and
+// updates indexes and accounts.
 func (s *State) changeVM(vm *VM, change func()) {
 	old := vm.Pool
 	s.unindexVM(vm)
@@ -70,7 +71,8 @@
 	}
 }
 
-// removeFrom takes inner out of the map under outer, and that when it is empty.
+// removeFrom deletes inner from the map under outer, and that map once it is
+// empty.
 func removeFrom[V any](m map[string]map[string]V, outer, inner string) {
 	delete(m[outer], inner)
 	if len(m[outer]) == 0 {
--- a/internal/ledger/job.go
+++ b/internal/ledger/job.go
@@ -6,18 +6,18 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// MaxTries bounds how many attempts of a repeatable job may fail or lapse.
+// MaxTries limits the attempts of a repeatable job that fail or lapse.
 const MaxTries = 5
 
-// ProbationJobs is how many jobs a worker that was let back from quarantine
+// ProbationJobs is the number of jobs that a worker released from quarantine
 // runs one at a time.
 const ProbationJobs = 3
 
-// MaxJobs bounds the jobs in the state, ended ones that are still remembered
-// included: a runaway submitter may not fill every node's memory.
+// MaxJobs limits the jobs in the state, including ended ones that are still
+// kept, so that a runaway submitter cannot fill the memory of all nodes.
 const MaxJobs = 50_000
 
-// JobStatus is where a job is in its life.
+// JobStatus is the status of a job.
 type JobStatus string
 
 // Statuses of a job.
@@ -28,7 +28,7 @@
 	JobCancelled JobStatus = "cancelled"
 )
 
-// Job is one job and its latest placement.
+// Job is a job and its latest placement.
 type Job struct {
 	Head
 	ID          string           `json:"id"`
@@ -39,19 +39,19 @@
 	StartedAt   time.Time        `json:"started_at"`
 	EndedAt     time.Time        `json:"ended_at"`
 	Worker      string           `json:"worker,omitempty"`
-	// Fence is the offset of the placement, the fencing token of its task.
+	// Fence is the offset of the placement and the fencing token of its task.
 	Fence uint64 `json:"fence,omitempty"`
-	// PlaceID is the ID of the placement's record, the operation ID of the
+	// PlaceID is the ID of the placement's record and the operation ID of the
 	// task's start.
 	PlaceID    string `json:"place_id,omitempty"`
 	Attempt    int    `json:"attempt"`
 	MilliCores int    `json:"milli_cores"` // reserved on the worker
 	MemoryMB   int    `json:"memory_mb"`
-	// FullMilliCores is what the placement reserved before any throttling.
+	// FullMilliCores is the reservation of the placement before any throttling.
 	FullMilliCores int `json:"full_milli_cores,omitempty"`
-	// Preempt is the latest decision that the placed job makes room, or nil.
+	// Preempt is the latest preemption of the placed job, or nil.
 	Preempt *Preemption `json:"preempt,omitempty"`
-	// CancelAsked is set when the job was cancelled, at CancelledAt; CancelID
+	// CancelAsked is set once the job was cancelled, at CancelledAt. CancelID
 	// and CancelFence identify the stop of its task.
 	CancelAsked bool             `json:"cancel_asked,omitempty"`
 	CancelledAt time.Time        `json:"cancelled_at,omitzero"`
@@ -60,12 +60,12 @@
 	Checkpoint  string           `json:"checkpoint,omitempty"`
 	Result      record.JobResult `json:"result,omitempty"`
 	Reason      string           `json:"reason,omitempty"`
-	// PeakMilliCores and PeakMemoryMB are the most that an attempt was seen to
-	// use; 0 when not known.
+	// PeakMilliCores and PeakMemoryMB are the highest usage seen in any
+	// attempt; 0 if unknown.
 	PeakMilliCores int `json:"peak_milli_cores,omitempty"`
 	PeakMemoryMB   int `json:"peak_memory_mb,omitempty"`
-	// Failures lists the failed attempts, latest last; Lapses counts those
-	// whose lease lapsed.
+	// Failures lists the failed attempts, latest last. Lapses counts the
+	// attempts whose lease lapsed.
 	Failures []Failure `json:"failures,omitempty"`
 	Lapses   int       `json:"lapses,omitempty"`
 }
@@ -77,8 +77,8 @@
 	Ended   time.Time `json:"ended"`
 }
 
-// Preemption is an effective decision that a placed job makes room. ID and
-// Fence identify the action on its task.
+// Preemption is an effective decision to preempt a placed job. ID and Fence
+// identify the action on its task.
 type Preemption struct {
 	Action record.PreemptAction `json:"action"`
 	ID     string               `json:"id"`
@@ -86,10 +86,10 @@
 	For    string               `json:"for,omitempty"`
 }
 
-// Ended reports whether the job is over.
+// Ended reports whether the job is done or cancelled.
 func (j *Job) Ended() bool { return j.Status == JobDone || j.Status == JobCancelled }
 
-// Succeeded reports whether the job is over and did its work.
+// Succeeded reports whether the job ended successfully.
 func (j *Job) Succeeded() bool { return j.Status == JobDone && j.Result == record.JobSucceeded }
 
 // Resources is an amount of worker resources.
@@ -99,7 +99,7 @@
 	Accelerators int
 }
 
-// Add returns the sum of r and o, with o counted times times.
+// Add returns r plus times times o.
 func (r Resources) Add(o Resources, times int) Resources {
 	return Resources{
 		MilliCores:   r.MilliCores + times*o.MilliCores,
@@ -108,27 +108,29 @@
 	}
 }
 
-// Within reports whether r does not exceed limit in any part.
+// Within reports whether r does not exceed limit in any resource.
 func (r Resources) Within(limit Resources) bool {
 	return r.MilliCores <= limit.MilliCores && r.MemoryMB <= limit.MemoryMB && r.Accelerators <= limit.Accelerators
 }
 
-// Resources returns what the VM has for jobs.
+// Resources returns the VM's capacity for jobs.
 func (v *VM) Resources() Resources {
 	return Resources{MilliCores: 1000 * v.Cores, MemoryMB: v.MemoryMB, Accelerators: v.Accelerators}
 }
 
 type teamKey struct{ service, team string }
 
-// Reserved returns what the job's placement holds on its worker.
+// Reserved returns the resources that the job's placement reserves on its
+// worker.
 func (j *Job) Reserved() Resources {
 	return Resources{MilliCores: j.MilliCores, MemoryMB: j.MemoryMB, Accelerators: j.Spec.Accelerators}
 }
 
-// TeamUse returns what a team's placed jobs hold in a service's pool.
+// TeamUse returns the resources reserved by a team's placed jobs in a service's
+// pool.
 func (s *State) TeamUse(service, team string) Resources { return s.teamUse[teamKey{service, team}] }
 
-// WorkerUse returns what placed jobs hold on a worker.
+// WorkerUse returns the resources reserved by the placed jobs of a worker.
 func (s *State) WorkerUse(worker string) Resources {
 	var sum Resources
 	for _, j := range s.workerJobs[worker] {
@@ -137,7 +139,8 @@
 	return sum
 }
 
-// Quota returns the team's quota in the service's pool.
+// Quota returns the team's quota in the service's pool, or false if it has
+// none.
 func (s *State) Quota(service, team string) (Resources, bool) {
 	svc, ok := s.Services[service]
 	if !ok {
@@ -151,7 +154,7 @@
 	return Resources{}, false
 }
 
-// indexJobs builds the indexes of a state whose jobs were restored.
+// indexJobs builds the job indexes of a restored state.
 func (s *State) indexJobs() {
 	for _, j := range s.Jobs {
 		addTo(s.poolJobs, j.Spec.Service, j.ID, j)
@@ -178,7 +181,7 @@
 	}
 }
 
-// setJobStatus changes a job's status and the count of queued jobs with it.
+// setJobStatus changes a job's status and updates the count of queued jobs.
 func (s *State) setJobStatus(j *Job, status JobStatus) {
 	if j.Status == JobQueued {
 		s.queuedJobs[j.Spec.Service]--
--- a/internal/ledger/job_rules.go
+++ b/internal/ledger/job_rules.go
@@ -37,9 +37,9 @@
 	return allowed
 }
 
-// placeJob reserves a worker for a job. The checks make a placement that was
-// planned on older state harmless: two planners cannot overfill a worker or a
-// quota between them.
+// placeJob reserves a worker for a job. The checks make placements that were
+// planned on an older state harmless: two planners together cannot exceed a
+// worker's capacity or a quota.
 func (s *State) placeJob(rec record.Record, b record.JobPlace) refusal {
 	j, reason := s.job(rec)
 	if reason != allowed {
@@ -74,8 +74,8 @@
 	return allowed
 }
 
-// checkWorkerAvailable refuses a worker that is set aside, that is on probation and busy,
-// or whose slots are taken.
+// checkWorkerAvailable refuses a worker that is quarantined, on probation and
+// busy, or has no free slot.
 func (s *State) checkWorkerAvailable(vm *VM) refusal {
 	if vm.Quarantined {
 		return refusef("worker %s is set aside", vm.ID)
@@ -90,8 +90,8 @@
 	return allowed
 }
 
-// checkCapacity checks that more fits the worker and the team's quota on top of
-// what is reserved.
+// checkCapacity checks that more fits the worker and the team's quota in
+// addition to what is reserved.
 func (s *State) checkCapacity(j *Job, vm *VM, more Resources) refusal {
 	if !s.WorkerUse(vm.ID).Add(more, 1).Within(vm.Resources()) {
 		return refusef("worker %s has no room for job %s", vm.ID, j.ID)
@@ -115,7 +115,7 @@
 	return allowed
 }
 
-// endAttempt ends the job's attempt, or a job that is never placed.
+// endAttempt ends the job's attempt, or a job that cannot be placed.
 func (s *State) endAttempt(j *Job, b record.JobEnd) {
 	if j.Status == JobPlaced {
 		s.indexPlaced(j, -1)
@@ -141,7 +141,7 @@
 	s.requeueOrClose(j)
 }
 
-// checkResult refuses a result that does not belong to the job's status.
+// checkResult refuses a result that does not match the job's status.
 func (j *Job) checkResult(b record.JobEnd) refusal {
 	if j.Ended() {
 		return refusef("job %s is %s", j.ID, j.Status)
@@ -180,10 +180,10 @@
 	}
 }
 
-// canRetry decides whether a job whose attempt is over may be placed once
-// more. A job that is not repeatable starts again only when its attempt
-// certainly did not run or was checkpointed: after a lapsed lease its task may
-// still be running, and a second start would run it twice.
+// canRetry reports whether a job whose attempt has ended may be placed again. A
+// job that is not repeatable may be only if the attempt certainly did not run
+// or was checkpointed: after a lapsed lease its task may still be running, and
+// a second start would run it twice.
 func (j *Job) canRetry() bool {
 	switch j.Result {
 	case record.JobNotStarted:
@@ -196,8 +196,9 @@
 	return false
 }
 
-// preemptJob records that a placed job makes room. A throttle lowers what it
-// reserves at once; the room is real when the platform has throttled the task.
+// preemptJob records the preemption of a placed job. A throttle lowers its
+// reservation at once, although the capacity is free only when the platform has
+// throttled the task.
 func (s *State) preemptJob(rec record.Record, b record.JobPreempt) refusal {
 	j, reason := s.job(rec)
 	if reason != allowed {
--- a/internal/ledger/member.go
+++ b/internal/ledger/member.go
@@ -8,7 +8,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Member is one run (incarnation) of an entry process.
+// Member is one incarnation of an entry process.
 type Member struct {
 	Head
 	Name     string    `json:"name"`
@@ -17,48 +17,51 @@
 	Address  string    `json:"address"`
 	JoinedAt uint64    `json:"joined_at"` // offset
 	Joined   time.Time `json:"joined"`
-	// Electorate is who may evict this member, itself included, sorted. Only
-	// the member's own join and refresh records set it: a member that is cut
-	// off from the log still knows whose word keeps it safe, though others have
-	// joined meanwhile.
+	// Electorate lists the members that may evict this one, including itself,
+	// sorted. Only the member's own join and refresh records set it, and
+	// removeElector removes members that left: a member that is cut off from
+	// the log then still knows whose acknowledgements keep it safe, although
+	// others have joined meanwhile.
 	Electorate []string `json:"electorate"`
-	// ElectedAt is when the member asked for Electorate, by its own wall clock:
-	// until then it granted claims on the word of an earlier electorate, of
-	// which the present one's votes know nothing.
+	// ElectedAt is when the member requested Electorate, by its own wall clock.
+	// Until then it granted claims on the acknowledgements of an earlier
+	// electorate, which the votes of the current one do not cover.
 	ElectedAt time.Time `json:"elected_at"`
-	// Votes holds the latest word of other members about this one, by member.
+	// Votes holds the latest vote of each other member about this one, by
+	// voter.
 	Votes map[string]Vote `json:"votes,omitempty"`
 }
 
-// Vote is one member's latest word about another.
+// Vote is a member's latest vote about another.
 type Vote struct {
 	Seq     uint64    `json:"seq"`
 	Suspect bool      `json:"suspect"`
 	Until   time.Time `json:"until"` // see record.MemberSuspect
 }
 
-// MemberRef names a member and where it answers other entry VMs.
+// MemberRef is a member's name and its address for other entry VMs.
 type MemberRef struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
 
-// MemberChange is what the record at Offset changed about the membership.
+// MemberChange is the membership change made by the record at Offset.
 type MemberChange struct {
 	Offset  uint64      `json:"offset"`
 	Joined  []MemberRef `json:"joined,omitempty"`
 	Removed []MemberRef `json:"removed,omitempty"`
-	// Until is when all members removed up to this change had stopped granting
-	// claims at the latest, by their own wall clocks or, for a join or leave, its
-	// author's.
+	// Until is the latest time at which a member removed up to this change may
+	// have granted claims, by the members' own wall clocks or, for a join or
+	// leave, by its author's.
 	Until time.Time `json:"until"`
 }
 
-// maxMemberChanges bounds State.MemberChanges. A node that is further behind
-// joins anew.
+// maxMemberChanges limits State.MemberChanges. A node that is further behind
+// joins again.
 const maxMemberChanges = 64
 
-// currentMemberChange returns the change of the record being applied.
+// currentMemberChange returns the change of the record being applied and
+// creates it if needed.
 func (s *State) currentMemberChange(until time.Time) *MemberChange {
 	n := len(s.MemberChanges)
 	if n == 0 || s.MemberChanges[n-1].Offset != s.Offset {
@@ -96,8 +99,8 @@
 		if !ok || m.Address != b.Address {
 			continue
 		}
-		// A join that was on its way for long may come from a run that is over,
-		// and would remove the member that runs at the address now.
+		// A delayed join may come from a process that has ended and would
+		// remove the member that now runs at the address.
 		if rec.Seen < m.JoinedAt {
 			return refusef("%s joined at %s after this record was written", name, b.Address)
 		}
@@ -132,12 +135,13 @@
 	return allowed
 }
 
-// removeElector takes a member that acks no more leases out of all electorates.
-// Else a rolling restart would leave electorates behind in which the departed
-// are a half, and a member lost right then could never be evicted. Leases that
-// rest on its last acks run until the given time, so whoever is evicted from now
-// on may have granted until then. An evicted member stays in the electorates: it
-// may not know that it is none, and ack on.
+// removeElector removes a member that acknowledges no more leases from all
+// electorates. Otherwise a rolling restart would leave electorates half of
+// which have left, and a member that failed then could never be evicted. Leases
+// that rest on its last acknowledgements run until the given time, so any
+// member that is evicted later may have granted claims until then. Evicted
+// members stay in the electorates: they may not know of their eviction and may
+// still acknowledge leases.
 func (s *State) removeElector(name string, until time.Time) {
 	if until.IsZero() {
 		return
@@ -154,8 +158,8 @@
 	}
 }
 
-// refreshMember takes the electorate that the member names. Names of members
-// that are gone do no harm: their votes don't count.
+// refreshMember sets the electorate that the member names. Names of removed
+// members are harmless: their votes do not count.
 func (s *State) refreshMember(rec record.Record, b record.MemberRefresh) refusal {
 	m, ok := s.Members[rec.Subject.Name]
 	if !ok {
@@ -182,8 +186,8 @@
 	return s.recordVote(rec, b.By, Vote{Seq: b.Seq})
 }
 
-// recordVote takes by's word about a member. A copy of an older word is refused: a
-// suspicion that surfaced again after by took it back would count towards an
+// recordVote records by's vote about a member. A copy of an older vote is
+// refused: otherwise a suspicion that by has taken back could count towards an
 // eviction while by still tells the member that it is safe.
 func (s *State) recordVote(rec record.Record, by string, v Vote) refusal {
 	name := rec.Subject.Name
@@ -209,8 +213,8 @@
 }
 
 // evictIfSuspected removes m once a strict majority of its electorate suspects
-// it. A member that hears from half of its electorate, itself counted, cannot
-// have been evicted: see docs/adr for the argument.
+// it. A member that hears from half of its electorate, including itself, cannot
+// have been evicted; docs/adr has the argument.
 func (s *State) evictIfSuspected(m *Member) {
 	votes := 0
 	until := m.ElectedAt
--- a/internal/ledger/member_end.go
+++ b/internal/ledger/member_end.go
@@ -7,33 +7,34 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// maxLead bounds how far the end of a lease may lie ahead of the clock of the
-// record that tells it: the settings allow no longer lease.
+// maxLead limits how far the end of a lease may lie ahead of the clock of the
+// record that states it. The settings allow no longer lease.
 const maxLead = time.Hour
 
-// MembersEnd watches over the times of members' clocks that the fold hands on to
+// MembersEnd guards the times from members' clocks that the ledger passes to
 // the owners of claims: MembersUntil and Member.ElectedAt.
 //
-// One member whose clock is years ahead would put such a time there when it
-// joins at an earlier one's address, refreshes or leaves. All keys of members
-// that are removed later would be answered "unknown" for those years. The fold
-// cannot tell such a time from an honest one after a quiet night, so it takes it
-// at once, and cuts it once two authors who had folded it before they read their
-// clocks show times that are behind it by more than MaxSkew, while the fold's
-// own time is behind it as well. All that was removed had stopped granting
-// before those clocks were read, or stops at most Lead after, so nothing that was
-// granted by a clock near theirs lies behind the cut.
+// A member whose clock is years ahead sets such a time when it joins at another
+// member's address, refreshes or leaves. For those years all keys of members
+// that are removed later would be answered "unknown". The ledger cannot tell
+// such a time from a correct one after a quiet night, so it accepts the time at
+// once and lowers it once two authors who had folded it before they read their
+// clocks state times more than MaxSkew behind it, while the ledger's own time
+// is behind it as well. Every removed member had stopped granting before those
+// clocks were read, or stops at most Lead later, so no claim granted by a clock
+// close to theirs ends after the lowered time.
 type MembersEnd struct {
-	// Time is the latest of those times, At the offset that last gave one.
+	// Time is the latest of those times, At the offset of the record that last
+	// set one.
 	Time time.Time `json:"time"`
 	At   uint64    `json:"at"`
-	// Lead is the most by which one lay ahead of its record's clock.
+	// Lead is the most by which such a time lay ahead of its record's clock.
 	Lead time.Duration `json:"lead"`
-	// Contradictions holds what clocks said that contradict Time, one per author.
+	// Contradictions holds the claims that contradict Time, one per author.
 	Contradictions []Claim `json:"against,omitempty"`
 }
 
-// recordMembersEnd takes a time that the record being applied hands on.
+// recordMembersEnd records a time that the record being applied states.
 func (s *State) recordMembersEnd(end time.Time) {
 	e := &s.MembersEnd
 	if end.After(e.Time) {
@@ -44,7 +45,8 @@
 	e.Contradictions = nil
 }
 
-// checkMembersEnd counts a record's clock against MembersEnd.Time.
+// checkMembersEnd counts a record's clock as a contradiction of MembersEnd.Time
+// if it is too far behind it.
 func (s *State) checkMembersEnd(rec record.Record) {
 	e := &s.MembersEnd
 	claim := Claim{Author: rec.Author, Time: rec.Time.UTC().Truncate(time.Millisecond)}
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// publishDocument puts a document in force. A document that does not pass validation is
-// refused on every node alike, and the last good one stays in force.
+// publishDocument puts a document in force. An invalid document is refused on
+// all nodes and the last valid one stays in force.
 func (s *State) publishDocument(rec record.Record, b record.DocumentPublish) refusal {
 	doc, problems := document.Parse(rec.Subject.Name+".toml", []byte(b.Text))
 	if len(problems) > 0 {
@@ -31,8 +31,9 @@
 	return allowed
 }
 
-// removeService is refused while VMs, jobs or a wave depend on the service:
-// shrink the pool to 0 first, so that every VM leaves by a drain.
+// removeService removes a service. It is refused while VMs, jobs or a wave
+// depend on the service: the pool must shrink to 0 first, so that every VM
+// leaves by a drain.
 func (s *State) removeService(rec record.Record) refusal {
 	name := rec.Subject.Name
 	svc, ok := s.Services[name]
@@ -50,8 +51,9 @@
 	return allowed
 }
 
-// checkUnreferenced refuses to remove a service that something else still names: its
-// jobs would wait, VMs be released for a pool and a wave go on, without end.
+// checkUnreferenced refuses to remove a service that jobs, drains or a wave
+// refer to: the jobs would stay queued, the VMs released and the wave active
+// forever.
 func (s *State) checkUnreferenced(service string) refusal {
 	if wave := s.activeWaveOf(service); wave != "" {
 		return refusef("pool %s is in wave %s; wait for it or abort it", service, wave)
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -13,31 +13,32 @@
 	"github.com/yuccadrift/yuccadrift/internal/document"
 )
 
-// A snapshot is a header, then the state as JSON in gzip. The header holds the
-// format, the state's offset and its digest, big-endian, so that the newest of
-// several snapshots is found without unpacking them.
+// A snapshot is a header followed by the state as gzipped JSON. The header
+// holds the format, the state's offset and its digest, big-endian, so that the
+// newest of several snapshots is found without decompressing them.
 const (
 	snapshotFormat     = "yd-state-1\n"
 	snapshotHeaderSize = len(snapshotFormat) + 8 + 8
-	// maxDecompressedBytes bounds a snapshot's JSON. It is some ten times what the size
-	// to design for needs; a damaged length may not exhaust the memory.
+	// maxDecompressedBytes limits a snapshot's JSON to about ten times the size
+	// needed by the largest supported fleet, so that a corrupt length cannot
+	// exhaust the memory.
 	maxDecompressedBytes = 256 << 20
 )
 
-// ErrSnapshot means that bytes are no usable snapshot of this build.
+// ErrSnapshot means that the data is not a snapshot that this build can use.
 var ErrSnapshot = errors.New("not a usable snapshot")
 
 // Digest returns a hash over the whole state. Nodes at the same offset have the
-// same digest; a difference is a fault of the fold or of a node's memory. It
-// encodes the state, so it takes milliseconds.
+// same digest; a difference means a bug in the fold or corrupt memory. It
+// encodes the state, which takes milliseconds.
 func (s *State) Digest() (uint64, error) {
 	data, err := json.Marshal(s)
 	return xxhash.Sum64(data), errors.Wrap(err, "encode state")
 }
 
-// EncodeSnapshot returns the state as a snapshot.
+// EncodeSnapshot encodes the state as a snapshot.
 func EncodeSnapshot(s *State) ([]byte, error) {
-	data, err := json.Marshal(s) // maps in key order, so equal states are equal bytes
+	data, err := json.Marshal(s) // maps are encoded in key order, so equal states give equal bytes
 	if err != nil {
 		return nil, errors.Wrap(err, "encode state")
 	}
@@ -58,7 +59,7 @@
 	return out.Bytes(), nil
 }
 
-// SnapshotOffset returns the offset that a snapshot covers, from its header.
+// SnapshotOffset returns the offset in the header of a snapshot.
 func SnapshotOffset(data []byte) (uint64, error) {
 	if len(data) < snapshotHeaderSize || string(data[:len(snapshotFormat)]) != snapshotFormat {
 		return 0, errors.Wrap(ErrSnapshot, "unknown format")
@@ -66,8 +67,9 @@
 	return binary.BigEndian.Uint64(data[len(snapshotFormat):]), nil
 }
 
-// DecodeSnapshot is the inverse of EncodeSnapshot: the state has the same digest
-// and folds the same records to the same outcomes. Its error is ErrSnapshot.
+// DecodeSnapshot is the inverse of EncodeSnapshot: the decoded state has the
+// same digest and folds the same records to the same outcomes. All errors wrap
+// ErrSnapshot.
 func DecodeSnapshot(data []byte) (*State, error) {
 	offset, err := SnapshotOffset(data)
 	if err != nil {
@@ -106,8 +108,8 @@
 	return text, err
 }
 
-// parseDocuments parses the documents in force anew. They were valid when they were
-// published; a later build that is stricter must not lose them.
+// parseDocuments parses the documents in force. They were valid when they were
+// published, so a stricter build must not reject them.
 func (s *State) parseDocuments() error {
 	for name, svc := range s.Services {
 		doc, err := document.Reload(svc.Text)
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -1,6 +1,6 @@
-// Package ledger folds the platform's log into the state that every node
-// shares. State.Apply is deterministic: it reads no clock, does no I/O and
-// depends on no map order, so nodes at the same offset hold equal state.
+// Package ledger folds the platform's log into the state that all nodes share.
+// State.Apply is deterministic: it reads no clock, does no I/O and does not
+// depend on the order of maps, so nodes at the same offset hold equal state.
 package ledger
 
 import (
@@ -12,9 +12,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// RetiredSpan is for how many offsets an ended or removed subject is
-// remembered. A creating record whose Seen lies further back is void, so a copy
-// that arrives after the subject was forgotten cannot create it a second time.
+// RetiredSpan is the number of offsets for which the ledger keeps an ended or
+// removed subject. A creating record whose Seen is older than that is stale, so
+// a copy that arrives after the subject was deleted cannot create it a second
+// time.
 const RetiredSpan = 16384
 
 // Head is the revision of a subject and the ID of the record that set it.
@@ -23,13 +24,14 @@
 	LastID   string          `json:"last_id"`
 }
 
-// State is the fold of the log up to and including Offset.
+// State is the result of folding the log up to and including Offset.
 type State struct {
 	Offset uint64 `json:"offset"`
-	// Tail is a hash of the entry at Offset, by which a follower sees whether a
-	// log continues this state; 0 when that entry was not folded from its bytes.
+	// Tail is the hash of the entry at Offset. A follower compares it with the
+	// log to check that the log continues this state. It is 0 if that entry was
+	// not folded from its bytes.
 	Tail uint64 `json:"tail"`
-	// Now is the fold's time, by which charges are dated: see Clock.
+	// Now is the ledger's time, which dates charges; see Clock.
 	Now      time.Time           `json:"now"`
 	Clock    Clock               `json:"clock"`
 	Services map[string]*Service `json:"services"`
@@ -39,27 +41,28 @@
 	Jobs     map[string]*Job     `json:"jobs"`
 	// Reserve is the account of the VMs that are in no pool.
 	Reserve Account `json:"reserve"`
-	// MemberChanges holds the latest changes of the membership, oldest first.
-	// The owners of claims go through them one by one: see internal/claim.
+	// MemberChanges holds the latest membership changes, oldest first. The
+	// owners of claims process them one by one; see internal/claim.
 	MemberChanges []MemberChange `json:"member_changes"`
 	// MembersUntil is the latest MemberChange.Until.
 	MembersUntil time.Time  `json:"members_until"`
 	MembersEnd   MembersEnd `json:"members_end"`
-	// Retired holds the heads of removed subjects, RetireQueue their order.
+	// Retired holds the heads of removed subjects; RetireQueue holds them in
+	// the order of their removal.
 	Retired     map[record.Subject]Head `json:"-"`
 	RetireQueue []Retirement            `json:"retire_queue"`
 
-	// recordTime is the time on the record being applied, zero between records.
+	// recordTime is the time of the record being applied, zero between records.
 	recordTime time.Time
 
-	// Indexes, derived from the above.
+	// Indexes derived from the fields above.
 	poolVMs         map[string]map[string]*VM  // pool -> VM ID
 	poolUnavailable map[string]map[string]*VM  // pool -> VM ID, VMs not serving
-	freeVMs         map[string]*VM             // VMs in no pool that are not down
+	freeVMs         map[string]*VM             // VMs that are in no pool and not down
 	workerJobs      map[string]map[string]*Job // worker -> job, placed jobs only
 	poolJobs        map[string]map[string]*Job // pool -> job, ended ones included
 	teamUse         map[teamKey]Resources
-	queuedJobs      map[string]int // pool -> jobs that wait for a placement
+	queuedJobs      map[string]int // pool -> number of jobs waiting for a placement
 }
 
 // Retirement is a removed subject and the offset of its removal.
@@ -69,8 +72,8 @@
 	At      uint64         `json:"at"`
 }
 
-// Service is a service's document in force and its budget account. The
-// service's pool has the service's name.
+// Service is a service's document in force and its budget account. Its pool has
+// the same name.
 type Service struct {
 	Head
 	Text        string    `json:"text"`
@@ -82,7 +85,7 @@
 	Doc document.Document `json:"-"`
 }
 
-// VM is what is decided and known about one VM.
+// VM holds the recorded state of a VM and the decisions about it.
 type VM struct {
 	Head
 	ID           string         `json:"id"`
@@ -92,33 +95,34 @@
 	Cores        int            `json:"cores"`
 	MemoryMB     int            `json:"memory_mb"`
 	Accelerators int            `json:"accelerators"`
-	Pool         string         `json:"pool"` // empty: in no pool
+	Pool         string         `json:"pool"` // empty if in no pool
 	Phase        record.VMPhase `json:"phase"`
 	PhaseSince   time.Time      `json:"phase_since"`
 	Down         bool           `json:"down"` // found unhealthy
 	DownCause    string         `json:"down_cause,omitempty"`
 	// HealthSince is when Down last changed.
 	HealthSince time.Time `json:"health_since"`
-	// Drain is the drain in progress, nil when serving or free.
+	// Drain is the drain in progress, nil while the VM is serving or free.
 	Drain *Drain `json:"drain,omitempty"`
-	// MaintainedAt is when the VM last came back from a maintenance reboot.
+	// MaintainedAt is when the VM last returned from a maintenance reboot.
 	MaintainedAt time.Time `json:"maintained_at"`
-	// Quarantined is set while the worker is set aside for job placement.
+	// Quarantined is set while no jobs may be placed on the worker.
 	Quarantined bool `json:"quarantined,omitempty"`
-	// QuarantineChanged is when the worker was last set aside or let back.
+	// QuarantineChanged is when the quarantine last began or ended.
 	QuarantineChanged time.Time `json:"quarantine_changed,omitzero"`
-	// ProbationLeft is how many jobs must still succeed, one at a time, before
-	// a worker that was let back takes several at once again.
+	// ProbationLeft is how many more jobs must succeed, one at a time, before a
+	// worker released from quarantine may run several at once again.
 	ProbationLeft int `json:"probation_left,omitempty"`
-	// Quarantines counts how often it was set aside without passing probation.
+	// Quarantines counts the quarantines since the worker last passed
+	// probation.
 	Quarantines int `json:"quarantines,omitempty"`
 	Moves       int `json:"moves"`   // joins after a first pool
 	Drains      int `json:"drains"`  // drains that took effect
 	Reboots     int `json:"reboots"` // reboots that took effect
 }
 
-// Drain is an effective drain decision. Fence, its offset, is the fencing token
-// of the actions that carry it out.
+// Drain is an effective drain decision. Fence, the decision's offset, is the
+// fencing token of the actions that carry it out.
 type Drain struct {
 	Reason   record.DrainReason `json:"reason"`
 	Wave     string             `json:"wave,omitempty"`
@@ -131,13 +135,13 @@
 	Rebooted bool               `json:"rebooted,omitempty"`
 }
 
-// Serving reports whether the VM takes requests for its pool.
+// Serving reports whether the VM serves requests for its pool.
 func (v *VM) Serving() bool {
 	return v.Phase == record.PhaseServing && !v.Down
 }
 
-// Staying reports whether the VM is a member of its pool that no drain in
-// progress takes away.
+// Staying reports whether the VM is in a pool and no drain in progress removes
+// it from there.
 func (v *VM) Staying() bool {
 	if v.Drain == nil || v.Phase == record.PhaseReturning {
 		return v.Pool != ""
@@ -145,8 +149,8 @@
 	return v.Drain.Target == "" && !v.Drain.Release
 }
 
-// Redirectable reports whether the VM is on its way through a drain that brings
-// it back to its pool and could still lead it elsewhere.
+// Redirectable reports whether the VM is in a drain that returns it to its pool
+// and that can still be redirected to another pool or the reserve.
 func (v *VM) Redirectable() bool {
 	if v.Drain == nil || v.Drain.Target != "" || v.Drain.Release {
 		return false
@@ -174,22 +178,22 @@
 // PoolVMs returns the VMs of a pool by ID. The caller must not change the map.
 func (s *State) PoolVMs(pool string) map[string]*VM { return s.poolVMs[pool] }
 
-// PoolJobs returns the jobs of a service by ID, those that ended within
-// RetiredSpan offsets included. The caller must not change the map.
+// PoolJobs returns the jobs of a service by ID, including those that ended
+// within RetiredSpan offsets. The caller must not change the map.
 func (s *State) PoolJobs(service string) map[string]*Job { return s.poolJobs[service] }
 
-// JobPools returns the services that jobs were submitted to, sorted, removed
-// ones included while they have jobs.
+// JobPools returns the names of the services that have jobs, sorted, including
+// removed services.
 func (s *State) JobPools() []string { return slices.Sorted(maps.Keys(s.poolJobs)) }
 
-// Queued returns how many jobs of a service wait for a placement.
+// Queued returns the number of jobs of a service that wait for a placement.
 func (s *State) Queued(service string) int { return s.queuedJobs[service] }
 
 // WorkerJobs returns the jobs placed on a worker by ID. The caller must not
 // change the map.
 func (s *State) WorkerJobs(worker string) map[string]*Job { return s.workerJobs[worker] }
 
-// liveHead returns the head of a subject that exists, else nil.
+// liveHead returns the head of an existing subject, or nil.
 func (s *State) liveHead(sub record.Subject) *Head {
 	switch sub.Kind {
 	case record.SubjectService:
@@ -216,8 +220,8 @@
 	return nil
 }
 
-// head returns the revision of a subject; ok is false when it does not exist.
-// A retired subject has ok false and its last head.
+// head returns the head of a subject. ok is false if the subject does not
+// exist; h is then its last head if it is retired, zero otherwise.
 func (s *State) head(sub record.Subject) (h Head, ok bool) {
 	if live := s.liveHead(sub); live != nil {
 		return *live, true
@@ -225,7 +229,7 @@
 	return s.Retired[sub], false
 }
 
-// Revision returns the subject's current revision, 0 when it does not exist.
+// Revision returns the subject's current revision, 0 if it does not exist.
 func (s *State) Revision(sub record.Subject) record.Revision {
 	h, ok := s.head(sub)
 	if !ok {
@@ -234,13 +238,14 @@
 	return h.Revision
 }
 
-// retire remembers a removed subject for RetiredSpan offsets.
+// retire keeps the head of a removed subject for RetiredSpan offsets.
 func (s *State) retire(sub record.Subject, h Head) {
 	s.Retired[sub] = h
 	s.RetireQueue = append(s.RetireQueue, Retirement{Subject: sub, Head: h, At: s.Offset})
 }
 
-// expireRetired forgets subjects retired more than RetiredSpan offsets ago.
+// expireRetired deletes subjects that were retired more than RetiredSpan
+// offsets ago.
 func (s *State) expireRetired() {
 	n := 0
 	for n < len(s.RetireQueue) && s.RetireQueue[n].At+RetiredSpan < s.Offset {
--- a/internal/ledger/vm.go
+++ b/internal/ledger/vm.go
@@ -31,8 +31,8 @@
 	return allowed
 }
 
-// validateVM refuses sizes that no VM has: sums over them would overflow, and a
-// negative one would make room on a full worker.
+// validateVM refuses invalid sizes: sums over them would overflow, and a
+// negative size would free capacity on a full worker.
 func validateVM(b record.VMRegister) refusal {
 	switch {
 	case b.Zone == "" || b.Rack == "" || b.Address == "":
@@ -47,8 +47,9 @@
 	return allowed
 }
 
-// nextPhases lists where a VM in a drain may go. A join leads from released to
-// returning and an up from returning to serving; both have their own records.
+// nextPhases lists the phases that a vm.advance record may lead to. The steps
+// from released to returning (a join) and from returning to serving (an up)
+// have their own records.
 var nextPhases = map[record.VMPhase][]record.VMPhase{
 	record.PhaseDraining:  {record.PhaseDrained},
 	record.PhaseDrained:   {record.PhaseRebooting, record.PhaseReleased, record.PhaseFree, record.PhaseReturning},
@@ -86,7 +87,7 @@
 	return allowed
 }
 
-// freeVM ends a release: the VM leaves its pool for the common reserve.
+// freeVM ends a release: the VM moves from its pool to the reserve.
 func (s *State) freeVM(vm *VM) refusal {
 	d := vm.Drain
 	if !d.Release {
@@ -126,10 +127,10 @@
 	return allowed
 }
 
-// checkJoin refuses a join that the pool does not want. A released VM has left its
-// old pool for its target and may join that, or turn back, whatever a later
-// document says: it would hang between the two. It may be down, since its new
-// pool counts on it only once it is seen healthy.
+// checkJoin refuses a join that the pool does not need. A released VM may
+// always join its target or return to its old pool, whatever a later document
+// says: otherwise it would be stuck between the two. It may be down, since its
+// new pool counts it only once it is seen healthy.
 func (s *State) checkJoin(vm *VM, b record.VMJoin) refusal {
 	if vm.Phase != record.PhaseFree {
 		if b.Pool != vm.Drain.Target && b.Pool != vm.Pool {
@@ -214,10 +215,10 @@
 	return allowed
 }
 
-// lapseJobs ends the attempts that were placed on a VM that is gone. Nobody can
-// say any more how they ended, so they count as lapsed: a repeatable job is
-// queued again, another one is over with its end unknown. Each job's revision
-// moves, which voids what was decided about the attempt meanwhile.
+// lapseJobs ends the attempts placed on a removed VM. How they ended is
+// unknown, so they count as lapsed: a repeatable job is queued again, any other
+// ends with an unknown result. The jobs' revisions advance, which voids
+// decisions made about the attempts meanwhile.
 func (s *State) lapseJobs(rec record.Record, vm string) {
 	for _, id := range slices.Sorted(maps.Keys(s.workerJobs[vm])) {
 		j := s.Jobs[id]
@@ -245,7 +246,7 @@
 	return allowed
 }
 
-// countProbationSuccess counts a job that succeeded on a worker under probation.
+// countProbationSuccess counts a job that succeeded on a worker on probation.
 func (s *State) countProbationSuccess(worker string) {
 	vm, ok := s.VMs[worker]
 	if !ok || vm.ProbationLeft == 0 {
@@ -269,7 +270,7 @@
 	s.changeVM(vm, func() { s.assignPhase(vm, phase) })
 }
 
-// assignPhase sets the phase inside changeVM.
+// assignPhase sets the phase. It must be called within changeVM.
 func (s *State) assignPhase(vm *VM, phase record.VMPhase) {
 	vm.Phase = phase
 	vm.PhaseSince = s.Now
--- a/internal/ledger/wave.go
+++ b/internal/ledger/wave.go
@@ -19,7 +19,7 @@
 	WaveDone    WaveStatus = "done"
 )
 
-// WaveProgress is how far one VM is in a wave.
+// WaveProgress is the progress of one VM in a wave.
 type WaveProgress string
 
 // Progress of a VM in a wave.
@@ -30,8 +30,8 @@
 	WaveSkipped WaveProgress = "skipped"
 )
 
-// Wave is a maintenance wave: every VM that its pools had at its start is
-// drained, rebooted and taken back once.
+// Wave is a maintenance wave: every VM that its pools have at its start is
+// drained, rebooted and returned to its pool once.
 type Wave struct {
 	Head
 	ID         string     `json:"id"`
@@ -41,7 +41,7 @@
 	Reason     string     `json:"reason,omitempty"`
 	StartedAt  time.Time  `json:"started_at"`
 	FinishedAt time.Time  `json:"finished_at"`
-	// VMs is the progress by VM ID, Skips the reasons of the skipped ones.
+	// VMs holds the progress by VM ID, Skips the reasons of the skipped VMs.
 	VMs   map[string]WaveProgress `json:"vms"`
 	Skips map[string]string       `json:"skips,omitempty"`
 }
