--- a/internal/ledger/clock_test.go
+++ b/internal/ledger/clock_test.go
@@ -10,18 +10,19 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// witness folds a record that only tells what author's clock shows.
+// witness folds a record that only states the time of author's clock.
 func (h *history) witness(author string, clock time.Time) {
 	rec := h.draft(record.SubjectClock, author, record.ClockWitness{})
 	rec.Author, rec.Time = author, clock
 	require.Equal(h.t, Effective, h.apply(rec).Status)
 }
 
-// An entry VM boots with its clock 74 years ahead and reports a VM down. While
-// nobody has contradicted it, the pool's budget looks overspent and its drains
-// are refused, though its earlier charges have left the window; once two other
-// nodes have read the record and told their time, the fold's time goes back, the
-// 74 years are taken off the budget, and time goes on with the others' clocks.
+// An entry VM boots with its clock 74 years ahead and reports a VM down. Until
+// this is contradicted, the pool's budget looks overspent and its drains are
+// refused, although its earlier charges have left the window. Once two other
+// nodes have read the record and stated their times, the ledger's time goes
+// back, the 74 years are removed from the budget, and time continues with the
+// other clocks.
 func TestFarFutureClockIsReverted(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 10, 10, "")
@@ -39,27 +40,27 @@
 	h.mustRefuse("VM-seconds in its window", record.SubjectVM, "p-3", drain(record.DrainMaintenance, 3*time.Hour))
 
 	h.now = h.now.Add(time.Minute)
-	require.NotZero(t, h.state.ClockAhead(h.now), "one contradiction could be a slow clock")
+	require.NotZero(t, h.state.ClockAhead(h.now), "a single contradiction may come from a slow clock")
 	h.witness("b", h.now)
 	require.Equal(t, h.now, h.state.Now)
-	require.Equal(t, charged, h.spent("p"), "down for no time yet by the fold's time")
+	require.Equal(t, charged, h.spent("p"), "p-2 has not been down yet by the ledger's time")
 
 	h.now = h.now.Add(time.Hour)
 	h.witness("b", h.now)
 	wrong = h.draft(record.SubjectVM, "p-2", record.VMUp{})
 	wrong.Author, wrong.Time = "w", h.now.AddDate(74, 0, 0)
 	h.apply(wrong)
-	require.Zero(t, h.state.ClockAhead(h.now), "a distrusted clock is passed over")
+	require.Zero(t, h.state.ClockAhead(h.now), "a distrusted clock is ignored")
 	require.Equal(t, h.now, h.state.Now)
 	require.Equal(t, charged+time.Hour.Seconds(), h.spent("p"), "p-2 was down for this hour")
 	h.witness("w", h.now.Add(time.Second))
-	require.Empty(t, h.state.Clock.Distrusted, "a clock among the others is trusted again")
+	require.Empty(t, h.state.Clock.Distrusted, "a clock that agrees with the others is trusted again")
 }
 
-// At night one steward alone writes, first that a VM is down and five hours
-// later that it is up. Its second record jumps five hours ahead, and the charge
-// must be five hours: nobody contradicts it. Then one node with a clock stuck in
-// the past cannot turn time back, nor can late copies of others' records.
+// At night a single steward writes that a VM is down and five hours later that
+// it is up. The second record jumps five hours ahead and is not contradicted,
+// so five hours must be charged. Afterwards neither a node whose clock is stuck
+// in the past nor late copies of other records can move the time back.
 func TestCorrectJumpIsKept(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 10, 10, "")
@@ -77,9 +78,9 @@
 	require.Equal(t, 5*time.Hour.Seconds(), h.spent("p"))
 }
 
-// A wrong clock empties a budget's window: with everything before it out of the
-// window, a drain that does not fit would be let through. While the jump is
-// doubtful the window before it counts as well.
+// A wrong clock moves all charges out of a budget's window, so that a drain
+// that exceeds the budget would be allowed. While the jump is unconfirmed the
+// window before it counts as well.
 func TestUnconfirmedJumpDoesNotEmptyTheBudget(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 10, 10, "")
@@ -91,12 +92,12 @@
 	h.mustRefuse("spent 82800 of 86400", record.SubjectVM, "p-2", drain(record.DrainMaintenance, 2*time.Hour))
 }
 
-// An entry VM is replaced, and the new process's clock is 74 years ahead: by its
-// join, claims of the old one count as granted until then, and so would those of
-// every member that is removed later. Others read the record and tell their
-// clocks: the fold's time goes back first, then the members' end, and a member
-// that leaves later gets an end by its own clock. One clock alone cuts nothing,
-// and neither do records that were written before the join was read.
+// An entry VM is replaced and the new process's clock is 74 years ahead. After
+// its join, claims of the old process, and of every member removed later, would
+// count as granted until then. Other members read the record and state their
+// clocks: first the ledger's time goes back, then the members' end, and a
+// member that leaves later gets an end by its own clock. A single clock changes
+// nothing, nor do records written before the join was read.
 func TestFarFutureMemberTimeIsReverted(t *testing.T) {
 	h := newHistory(t)
 	for i, name := range []string{"m1", "m2", "m3"} {
@@ -120,7 +121,7 @@
 	h.apply(late)
 	h.witness("c", h.now)
 	h.witness("w", wrong.Time.Add(5*time.Second))
-	require.Equal(t, wrong.Time, h.state.MembersUntil, "one clock cuts nothing")
+	require.Equal(t, wrong.Time, h.state.MembersUntil, "a single clock changes nothing")
 	h.witness("b", h.now)
 	require.Zero(t, h.state.ClockAhead(h.now))
 	for _, end := range []time.Time{h.state.MembersUntil, h.state.Members["w"].ElectedAt, h.state.MemberChanges[3].Until} {
@@ -131,8 +132,8 @@
 	require.Equal(t, h.now.Add(2*time.Second), h.state.MembersUntil)
 }
 
-// The only writer of a quiet night is a member that leaves five hours later: its
-// time is honest, and clocks near it cut nothing.
+// The only writer of a quiet night is a member that leaves five hours later.
+// Its time is correct, and clocks near it change nothing.
 func TestLeaveAfterQuietPeriodIsKept(t *testing.T) {
 	h := newHistory(t)
 	h.mustApply(record.SubjectMember, "m1", record.MemberJoin{Node: "m1", Address: "10.0.0.1:1"})
--- a/internal/ledger/fold_test.go
+++ b/internal/ledger/fold_test.go
@@ -10,10 +10,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// epoch is when every history begins.
+// epoch is the start time of every history.
 var epoch = time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC)
 
-// history folds records that tests write, at rising offsets.
+// history folds the records of a test at increasing offsets.
 type history struct {
 	t           *testing.T
 	state       *State
@@ -23,7 +23,7 @@
 
 func newHistory(t *testing.T) *history { return &history{t: t, state: New(), now: epoch} }
 
-// draft returns a record decided on the present state by author "a".
+// draft returns a record by author "a", decided on the current state.
 func (h *history) draft(kind record.SubjectKind, name string, body record.Body) record.Record {
 	h.recordCount++
 	sub := record.Subject{Kind: kind, Name: name}
@@ -44,14 +44,14 @@
 	return h.apply(h.draft(kind, name, body))
 }
 
-// mustApply folds a record that has to take effect.
+// mustApply folds a record that must take effect.
 func (h *history) mustApply(kind record.SubjectKind, name string, body record.Body) {
 	h.t.Helper()
 	out := h.applyNew(kind, name, body)
 	require.Equal(h.t, Effective, out.Status, out.Reason)
 }
 
-// mustRefuse folds a record that has to be refused for the reason.
+// mustRefuse folds a record that must be refused for the given reason.
 func (h *history) mustRefuse(reason string, kind record.SubjectKind, name string, body record.Body) {
 	h.t.Helper()
 	out := h.applyNew(kind, name, body)
@@ -66,7 +66,8 @@
 	}
 }
 
-// pool publishes a document and joins VMs name-1 to name-n, two to a rack.
+// pool publishes a document and adds VMs name-1 to name-n to the pool, two per
+// rack.
 func (h *history) pool(name string, size, vms int, more string) {
 	h.t.Helper()
 	h.publish(name, size, more)
@@ -81,7 +82,8 @@
 	h.mustApply(record.SubjectService, name, record.DocumentPublish{Text: documentText(name, size, more)})
 }
 
-// documentText is a document whose budget is up to 3 VMs at once and 0.1 of 24 hours.
+// documentText returns a document whose budget allows up to 3 unavailable VMs
+// at once and a share of 0.1 over 24 hours.
 func documentText(name string, size int, more string) string {
 	return fmt.Sprintf(`service = %q
 team = "team"
@@ -107,7 +109,7 @@
 	return record.VMDrain{Reason: reason, Estimate: estimate}
 }
 
-// returnToService takes a drained VM through to service again.
+// returnToService brings a draining VM back to service.
 var returnToService = []record.Body{
 	record.VMAdvance{To: record.PhaseDrained},
 	record.VMAdvance{To: record.PhaseReturning},
--- a/internal/ledger/generate_test.go
+++ b/internal/ledger/generate_test.go
@@ -23,12 +23,12 @@
 }
 
 // generator writes random logs: mostly what a healthy fleet would append next,
-// beside it decisions on old state, doubled and late copies, bodies that make
-// no sense and bytes that are no record.
+// mixed with decisions on old state, duplicate and late copies, invalid bodies
+// and bytes that are no record.
 type generator struct {
 	t            *rapid.T
 	rand         *rand.Rand
-	state        *State // the fold so far, by which plausible records are made
+	state        *State // the state so far, used to make plausible records
 	now          time.Time
 	oldRevisions map[record.Subject][]record.Revision
 	log          []entry
@@ -46,7 +46,7 @@
 )
 
 func newGenerator(t *rapid.T, after func(*generator, entry, Outcome)) *generator {
-	seed := rapid.Uint64().Draw(t, "seed") // rapid's own choices lean towards the least one
+	seed := rapid.Uint64().Draw(t, "seed") // rapid's own draws are biased towards small values
 	g := &generator{t: t, rand: rand.New(rand.NewPCG(seed, 0)), state: New(), now: epoch, oldRevisions: map[record.Subject][]record.Revision{}, after: after}
 	for _, name := range services {
 		g.append(g.draft(record.SubjectService, name, record.DocumentPublish{Text: documentText(name, 3, "")}))
@@ -64,7 +64,7 @@
 
 func pick[T any](g *generator, list ...T) T { return list[g.rand.IntN(len(list))] }
 
-// run appends so many entries.
+// run appends the given number of entries.
 func (g *generator) run(entries int) {
 	for range entries {
 		g.now = g.now.Add(time.Duration(g.int(0, 20)) * time.Minute)
@@ -110,7 +110,7 @@
 	return rec
 }
 
-// stale gives the record a base or offset that its author saw earlier, or never.
+// stale gives the record a base or offset that is outdated or never existed.
 func (g *generator) stale(rec record.Record) record.Record {
 	switch old := g.oldRevisions[rec.Subject]; g.int(0, 3) {
 	case 0:
@@ -163,7 +163,7 @@
 	return time.Duration(g.int(-1, 20)) * 15 * time.Minute
 }
 
-// vmBody returns what could come next for the VM, and now and then anything.
+// vmBody returns a plausible next body for the VM, and sometimes any body.
 func (g *generator) vmBody(vm *VM) record.Body {
 	switch {
 	case vm == nil:
--- a/internal/ledger/member_change_test.go
+++ b/internal/ledger/member_change_test.go
@@ -10,7 +10,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// membership folds membership records at rising offsets.
+// membership folds membership records at increasing offsets.
 type membership struct {
 	t           *testing.T
 	state       *State
@@ -33,9 +33,9 @@
 	require.Equal(m.t, Effective, m.apply(name, record.MemberJoin{Node: name, Address: address}))
 }
 
-// A VM is replaced and its new entry process takes the old one's address. The
-// old member goes in the same step, and the change tells other nodes of both:
-// an owner that saw only the join would not know whose claims are lost.
+// A VM is replaced and its new entry process uses the old one's address. The
+// same change must remove the old member and add the new one: an owner that saw
+// only the join would not know whose claims are lost.
 func TestJoinAtTheSameAddressReplaces(t *testing.T) {
 	m := &membership{t: t, state: New()}
 	m.join("a1", "10.0.0.1:7000")
@@ -49,9 +49,9 @@
 	}, m.state.MemberChanges[2])
 }
 
-// Three of five members suspect a fourth, which has shrunk its electorate to
-// itself and two of them. A strict majority of that electorate evicts it; a
-// vote from outside does not count, and neither does one taken back.
+// Three of five members suspect a fourth, which has reduced its electorate to
+// itself and two of them. Only a strict majority of that electorate evicts it;
+// votes from outside and withdrawn votes do not count.
 func TestEvictionCountsTheMembersOwnElectorate(t *testing.T) {
 	m := &membership{t: t, state: New()}
 	for i, name := range []string{"a", "b", "c", "d", "e"} {
@@ -80,11 +80,12 @@
 	require.Equal(t, m.state.Offset, m.state.MemberChanges[maxMemberChanges-1].Offset)
 }
 
-// Four members are restarted one after the other, and one is lost right after
-// the third: its electorate has not been refreshed since. Members that left in
-// order and said until when their acks run don't count in it any more, so the
-// living are a majority, and the floor reaches to the last of those acks. One
-// that was evicted may ack on, unknowing, and stays.
+// Members are restarted one after the other, and one fails right after the
+// third restart, before its electorate was refreshed. Members that left and
+// stated until when their acknowledgements hold must no longer count in it, so
+// that the remaining ones are a majority, and the change's Until covers the
+// last of those acknowledgements. A member that left without stating it stays
+// in the electorates, since it may still acknowledge leases.
 func TestDepartedMembersLeaveTheElectorates(t *testing.T) {
 	m := &membership{t: t, state: New()}
 	for i, name := range []string{"a", "b", "c", "d", "e"} {
--- a/internal/ledger/property_test.go
+++ b/internal/ledger/property_test.go
@@ -28,9 +28,10 @@
 	return d
 }
 
-// Nodes start from different snapshots of the same log, whose entries are
-// doubled, late, void and partly junk. They must answer every entry alike and
-// end with equal states, or two nodes would hold different decisions effective.
+// Nodes start from different snapshots of a log with duplicate, late, void and
+// malformed entries. They must compute the same outcome for every entry and end
+// with equal states; otherwise two nodes would treat different decisions as
+// effective.
 func TestRestartFromAnySnapshotGivesTheSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var snapshots []*State
@@ -53,8 +54,9 @@
 }
 
 // Whatever is appended, a record takes effect at most once, the document in
-// force is that of the latest effective publish, every VM is in one pool, and
-// the indexes by which decisions are checked are what a rebuild gives.
+// force is that of the latest effective publish, every VM is in at most one
+// pool, and the indexes that decisions are checked against equal those of a
+// rebuild.
 func TestInvariantsOfRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		effective := map[string]int{}
@@ -117,10 +119,10 @@
 	return out
 }
 
-// Drains, failures, moves and documents race. A model sums up each pool's
-// shortage second by second; the account must agree with it, and no drain of a
-// serving VM may be let through that leaves the pool shorter than
-// max_unavailable or that begins with the window's budget spent.
+// Drains, failures, moves and documents race. The account must agree with a
+// model that sums up each pool's shortfall over time, and no drain of a serving
+// VM may be allowed that leaves the pool shorter than max_unavailable permits
+// or that starts with the window's budget spent.
 func TestBudgetsHoldInRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spans := map[string][]span{}
@@ -138,7 +140,7 @@
 			for name, svc := range g.state.Services {
 				before[name] = g.state.Unavailability(name)
 				if svc.Account.Since.Equal(g.state.Now) {
-					spans[name] = nil // published anew: a new account
+					spans[name] = nil // published again, with a new account
 				}
 			}
 		})
@@ -146,7 +148,7 @@
 	})
 }
 
-// span is a stretch of time in which a pool was short of so many VMs.
+// span is a period during which a pool was short of that many VMs.
 type span struct {
 	from, to time.Time
 	short    int
--- a/internal/ledger/races_test.go
+++ b/internal/ledger/races_test.go
@@ -11,9 +11,9 @@
 )
 
 // Two authors decide on the same state and append at the same moment, so their
-// records stand in the log one after the other, in either order. Exactly the
-// first to come takes effect where both are about one subject; where they are
-// about two, the second is judged by what the first has changed.
+// records follow each other in the log in either order. Of two records about
+// one subject exactly the first takes effect; a record about another subject is
+// checked against what the first has changed.
 func TestRaces(t *testing.T) {
 	maintain := drain(record.DrainMaintenance, time.Minute)
 	inWave := record.VMDrain{Reason: record.DrainMaintenance, Wave: "w", Estimate: time.Minute}
@@ -25,9 +25,9 @@
 	}
 	for name, c := range map[string]struct {
 		a, b           act
-		bAfterA        Status // what b becomes after a took effect
+		bAfterA        Status // status of b after a took effect
 		aAfterB        Status
-		reasonB, state string // why b is void, and the phase of p-1 after a and b
+		reasonB, state string // why b has no effect, and the phase of p-1 after a and b
 	}{
 		"two stewards drain one VM": {
 			act{vm, "p-1", maintain}, act{vm, "p-1", maintain}, Stale, Stale, "decided on", "draining"},
@@ -84,9 +84,9 @@
 	}
 }
 
-// The reply to an append was lost and a second copy surfaces much later, when
-// what it once said would be allowed again. It must stay void: its author was
-// told the first outcome and has gone on from there.
+// The reply to an append is lost and a second copy of the record arrives much
+// later, when its content would be allowed again. It must stay void: its author
+// was told the first outcome and has acted on it.
 func TestLateCopiesStayVoid(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 4, 4, "")
@@ -115,6 +115,6 @@
 	submitted := h.draft(record.SubjectJob, "k", job("q"))
 	h.state.Offset += RetiredSpan
 	h.mustApply(record.SubjectClock, "n", record.ClockWitness{})
-	require.NotContains(t, h.state.Jobs, "j", "an ended job is forgotten in time")
-	require.Equal(t, Stale, h.apply(submitted).Status, "too late to tell whether there was a job k")
+	require.NotContains(t, h.state.Jobs, "j", "ended jobs are deleted after RetiredSpan offsets")
+	require.Equal(t, Stale, h.apply(submitted).Status, "too late to know whether job k existed")
 }
--- a/internal/ledger/rules_test.go
+++ b/internal/ledger/rules_test.go
@@ -11,9 +11,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// A steward with a fault, or a foreign writer, appends bodies that no healthy
-// node writes: negative sizes to make room, negative estimates to pass the
-// budget, records that claim to have seen the future. Each is refused alike.
+// A faulty steward or a foreign writer appends bodies that no healthy node
+// writes: negative sizes that free capacity, negative estimates that pass the
+// budget check, records that claim to have seen the future. All nodes must
+// refuse them.
 func TestInvalidBodiesAreRefused(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 4, 4, "")
@@ -61,9 +62,9 @@
 	require.Equal(t, Stale, h.apply(future).Status)
 }
 
-// A planner estimates a second for drains that take two hours. The first ones
-// teach the pool how long they last, and the rest are refused before the budget
-// of 14.4 VM-hours is broken.
+// A planner estimates a second for drains that take two hours. Once the
+// durations of the first drains are known, further ones are refused before they
+// exceed the budget of 14.4 VM-hours.
 func TestTooSmallEstimateIsRaisedToTypicalDuration(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 6, 6, "")
@@ -78,8 +79,9 @@
 	h.mustRefuse("spent 43200 of 51840 VM-seconds in its window; this drain needs about 14400", record.SubjectVM, "p-2", short)
 }
 
-// An open drain was estimated at ten hours and has just begun. A quick drain
-// beside it fits its own minute, but not what the open one still needs.
+// An open drain was estimated at ten hours and has just begun. A short drain
+// beside it fits the budget by itself, but not together with the remaining time
+// of the open one.
 func TestRemainingTimeOfOpenDrainsCounts(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 6, 6, "")
@@ -91,9 +93,10 @@
 	require.Equal(t, 20*time.Hour.Seconds(), h.spent("p"))
 }
 
-// A switch blinks and takes four VMs down; more are out than the document bears.
-// Draining one of them for maintenance would keep it out after the switch is
-// back, so it waits; to leave the pool for good it may always be drained.
+// A network switch fails and takes four VMs down, more than the document
+// allows. A maintenance drain of one of them is refused, because it would keep
+// the VM out after the switch is back; a drain by which the VM leaves the pool
+// is always allowed.
 func TestDrainOfDownVMIsCheckedAgainstBudget(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 8, 8, "")
@@ -106,9 +109,9 @@
 	h.vm("p-3", drain(record.DrainMaintenance, time.Minute))
 }
 
-// The pool shrinks from 8 to 4 while two VMs are out for maintenance: they come
-// back and are charged nothing from then on; grown again, the bounds hold as if
-// they had always been so.
+// The pool shrinks from 8 to 4 while two VMs are out for maintenance. They
+// return and are charged nothing from then on. Once the pool has grown back the
+// limits apply as before.
 func TestDocumentShrinksWhileDrainsRun(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 8, 8, "")
@@ -127,9 +130,9 @@
 	h.mustRefuse("max_unavailable", record.SubjectVM, "p-5", drain(record.DrainMaintenance, time.Minute))
 }
 
-// The platform loses a VM with two jobs on it. The repeatable one is queued
-// again; the other's end is unknown, so it must never start again. An end that
-// was decided before the loss is void.
+// The platform loses a VM with two jobs on it. The repeatable job is queued
+// again. The other's end is unknown, so it must never start again, and an end
+// that was decided before the loss is void.
 func TestGoneVMEndsItsJobs(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 4, 4, "")
@@ -150,8 +153,9 @@
 	require.Equal(t, 1, h.state.Unavailability("p").Out[CauseMissing])
 }
 
-// A document says that drains skip VMs with running jobs. The wave's drain waits
-// for the job, an operator's does not but cannot finish before the job has ended.
+// A document excludes VMs with running jobs from drains. The wave's drain waits
+// for the job; an operator's drain starts at once but cannot finish before the
+// job has ended.
 func TestDrainOfAVMWithJobs(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 4, 4, "[jobs]\non_drain = \"skip\"\n")
@@ -164,7 +168,8 @@
 	h.vm("p-1", returnToService...)
 }
 
-// VMs too small for a pool's document never join it, nor are they drained for it.
+// VMs that are too small for a pool's document never join it and are not
+// drained for it.
 func TestTooSmallVMsDoNotJoinPool(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 4, 5, "")
@@ -178,8 +183,8 @@
 	require.Equal(t, 0, h.state.Reserve.Open.Spare)
 }
 
-// A service is removed while other things still name it: each would wait for it
-// without end, so the removal is refused until they are through.
+// A service is removed while other objects still refer to it. They would wait
+// for it forever, so the removal is refused until they are done.
 func TestServiceIsRemovedOnlyWhenUnreferenced(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 4, 5, "")
@@ -197,8 +202,9 @@
 }
 
 // A pool is in a wave while one of its VMs leaves for the reserve and another
-// goes to a second pool whose own wave wants it too. The one has no turn any
-// more; the other's single reboot serves both waves, and both come to an end.
+// moves to a second pool whose own wave includes it too. The first has no turn
+// any longer; the other's single reboot counts for both waves, and both waves
+// finish.
 func TestOneRebootServesAllWaves(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 2, 4, "")
@@ -227,8 +233,8 @@
 	require.Equal(t, h.now, h.state.VMs["p-2"].MaintainedAt)
 }
 
-// A join of an entry process that ended long ago surfaces from the log after its
-// address was given to a new process. It must not remove the one that runs.
+// The join of an entry process that ended long ago arrives after its address
+// was given to a new process. It must not remove the running one.
 func TestLateJoinDoesNotReplaceALaterMember(t *testing.T) {
 	h := newHistory(t)
 	late := h.draft(record.SubjectMember, "m1", record.MemberJoin{Node: "n", Address: "10.0.0.1:1"})
--- a/internal/ledger/snapshot_test.go
+++ b/internal/ledger/snapshot_test.go
@@ -8,17 +8,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Sizes in bytes of gzip's own header, of its checksum and length at the end,
-// and of the two lengths of a stored block.
+// Sizes in bytes of gzip's header, of its trailer (checksum and length) and of
+// the two lengths of a stored block.
 const (
 	gzipHeader    = 10
 	gzipTrailer   = 8
 	storedLengths = 4
 )
 
-// A snapshot was cut short or damaged on its way. Starting from it must fail
-// whatever byte is wrong: a node with a state that no other node has would
-// decide on it.
+// A snapshot was truncated or corrupted in transit. Loading it must fail
+// whichever byte is wrong: a node with a state that no other node has would
+// base decisions on it.
 func TestDamagedSnapshotsAreRefused(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 4, 4, "")
@@ -32,8 +32,9 @@
 		damaged[i] ^= 0x10
 		if s, err := DecodeSnapshot(damaged); err == nil {
 			assert.Equal(t, digest(t, h.state), digest(t, s), "byte %d, unused by gzip, changes nothing", i)
-			// The stream ends with an empty stored block: some bits of its first byte
-			// pad it to the next one, where the block's two lengths begin.
+			// The stream ends with an empty stored block. Some bits of its
+			// first byte are padding up to the next byte, where the block's two
+			// lengths begin.
 			padded := len(data) - gzipTrailer - storedLengths - 1
 			assert.True(t, i < snapshotHeaderSize+gzipHeader || i == padded, "byte %d of %d", i, len(data))
 		} else {
@@ -44,9 +45,9 @@
 	}
 }
 
-// A document was accepted by an older build; this one would refuse it. A node of
-// this build that starts from the snapshot must keep it in force: else the
-// service would vanish with an upgrade.
+// A document was accepted by an older build that this build would refuse. A
+// node of this build that starts from the snapshot must keep it in force;
+// otherwise the service would disappear with an upgrade.
 func TestSnapshotKeepsDocumentsThatThisBuildWouldRefuse(t *testing.T) {
 	h := newHistory(t)
 	h.pool("p", 4, 4, "")
--- a/internal/ledger/vm.go
+++ b/internal/ledger/vm.go
@@ -233,7 +233,7 @@
 		return reason
 	}
 	if vm.Quarantined == b.On {
-		return refusef("VM %s is set aside already or not at all (%t)", vm.ID, b.On)
+		return refusef("VM %s already has quarantine = %t", vm.ID, b.On)
 	}
 	vm.Quarantined = b.On
 	vm.QuarantineChanged = s.Now
