--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -1,6 +1,6 @@
-// Package follower drives the ledger: it starts from the newest snapshot, reads
-// the platform's log, folds it, appends this process's proposals and publishes
-// snapshots. Every daemon has one.
+// Package follower keeps a process's ledger state: it loads the newest
+// snapshot, reads and folds the platform's log, appends the process's proposals
+// and publishes snapshots. Every daemon runs a Follower.
 package follower
 
 import (
@@ -17,65 +17,65 @@
 	"github.com/yuccadrift/yuccadrift/internal/supervise"
 )
 
-// Config is what a Follower needs. Only Log, Stream and Logger are required.
+// Config configures a Follower. Only Log, Stream and Logger are required.
 type Config struct {
 	Log    platform.Log
 	Stream string
 	Logger hclog.Logger
-	// Appender batches proposals; without it each is appended by itself. Its
-	// Serve is among the Follower's duties.
+	// Appender batches proposals; without it each proposal is appended by
+	// itself. Its Serve is one of the Follower's duties.
 	Appender *platform.Appender
-	// ReadWait is how long a read at the end of the log waits for an entry. On a
-	// quiet log Fresh becomes twice as old: a read that waits was sent when the
-	// one before it ended. DefaultReadWait when zero.
+	// ReadWait is how long a read at the end of the log waits for an entry. On
+	// a quiet log Fresh becomes up to twice as old, because each waiting read
+	// is sent when the previous one ends. DefaultReadWait if zero.
 	ReadWait time.Duration
-	// SnapshotStream is the stream of snapshots. Empty means that the process
-	// starts from the first entry of the log and publishes no snapshots.
+	// SnapshotStream is the stream of snapshots. If empty, the process starts
+	// from the first entry of the log and publishes no snapshots.
 	SnapshotStream string
-	// SnapshotInterval is the longest pause between two snapshots of all nodes
-	// together. Retention of both streams must be at least twice as long.
-	// DefaultSnapshotInterval when zero.
+	// SnapshotInterval is the longest time between two snapshots of all nodes
+	// together. The retention of both streams must be at least twice as long.
+	// DefaultSnapshotInterval if zero.
 	SnapshotInterval time.Duration
-	// Peers are asked for their state where the log does not help; may be nil.
+	// Peers provide state and entries while the log cannot; may be nil.
 	Peers Peers
-	// Node signs clock witnesses; empty writes none.
+	// Node is the author of clock witnesses; none are written if it is empty.
 	Node string
 }
 
-// Peers are other processes that may have folded further.
+// Peers are other processes whose state may be newer.
 type Peers interface {
-	// NewestState returns the snapshot with the highest offset that any peer
-	// has. The error is that of the last peer when none answers.
+	// NewestState returns the snapshot with the highest offset of any peer. If
+	// no peer answers, it returns the last peer's error.
 	NewestState(ctx context.Context) (snapshot []byte, err error)
 	// Tail returns the entries that a peer folded after an offset; see
 	// Follower.Tail.
 	Tail(ctx context.Context, after, hash uint64) (entries []platform.Entry, gap bool, err error)
 }
 
-// Condition is how the process stands to the log.
+// Condition describes whether the process follows the log.
 type Condition string
 
-// Conditions. Whatever it is, the state goes on being served; Fresh goes up
-// only while Following, so decisions and leases end with it.
+// Conditions of a Follower. The state is served in all of them, but Fresh
+// advances only while Following, so decisions and leases end in the others.
 const (
-	// Starting: no state is known yet.
+	// Starting means that no state is known yet.
 	Starting Condition = "starting"
-	// Following: the log is read and folded.
+	// Following means that the log is read and folded.
 	Following Condition = "following"
-	// CutOff: the log cannot be read.
+	// CutOff means that the log cannot be read.
 	CutOff Condition = "cut-off"
-	// Gap: the log no longer holds entries that were not folded, and neither a
-	// snapshot nor a peer covers them.
+	// Gap means that the log no longer holds entries that were not folded, and
+	// neither a snapshot nor a peer covers them.
 	Gap Condition = "gap"
-	// Foreign: the log is not the one that the state was folded from, as after
-	// the platform lost or replaced it.
+	// Foreign means that the log is not the one that the state was folded from,
+	// for example because the platform lost or replaced it.
 	Foreign Condition = "foreign-log"
 )
 
-// DefaultReadWait keeps Fresh within a second on a quiet log.
+// DefaultReadWait keeps Fresh less than a second old on a quiet log.
 const DefaultReadWait = 500 * time.Millisecond
 
-// Follower keeps the folded state of one process. It is safe for concurrent use.
+// Follower keeps the folded state of a process. It is safe for concurrent use.
 type Follower struct {
 	cfg     Config
 	store   snapshotStore
@@ -85,12 +85,12 @@
 	state           *ledger.State
 	condition       Condition
 	detail          string
-	snapshotChecked bool              // the newest snapshot was looked for
-	verifyPending   bool              // whether the log continues the state is to be checked
-	tookPeerState   bool              // a peer's state was asked for and came
-	tail            tail              // for peers
-	fresh           time.Time         // when the latest read that reached the tail was sent
-	lastRead        time.Time         // when the latest read succeeded
+	snapshotChecked bool              // the newest snapshot was looked up
+	verifyPending   bool              // the log must be checked against the state
+	tookPeerState   bool              // a peer's newest state was received
+	tail            tail              // latest entries, for peers
+	fresh           time.Time         // when the latest read that reached the log's end was sent
+	lastRead        time.Time         // when the latest successful read ended
 	first           platform.Offset   // lowest retained offset at the latest read
 	next            platform.Offset   // next offset at the latest read
 	waiters         map[string]waiter // by record ID
@@ -102,14 +102,15 @@
 
 type waiter chan ledger.Outcome
 
-// encodedState is the latest snapshot made for peers.
+// encodedState caches the latest snapshot made for peers.
 type encodedState struct {
 	mu     sync.Mutex
 	offset uint64
 	data   []byte
 }
 
-// New returns a Follower at offset 0. Its duties make it follow the log.
+// New returns a Follower at offset 0. Its Duties must run to make it follow the
+// log.
 func New(cfg Config) *Follower {
 	if cfg.ReadWait <= 0 {
 		cfg.ReadWait = DefaultReadWait
@@ -128,7 +129,7 @@
 	return f
 }
 
-// Duties returns what has to run.
+// Duties returns the duties that the process must run.
 func (f *Follower) Duties() []supervise.Duty {
 	duties := []supervise.Duty{{Name: "follow", Serve: f.Serve}}
 	if f.cfg.Appender != nil {
@@ -146,7 +147,8 @@
 	return duties
 }
 
-// View calls f with the state under a read lock. f must not keep or change it.
+// View calls fn with the state under a read lock. fn must not change the state
+// or keep a reference to it.
 func (f *Follower) View(fn func(*ledger.State)) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -154,23 +156,25 @@
 }
 
 // Fresh returns when the latest read that reached the end of the log was sent:
-// every record appended before then is folded. Zero until the first.
+// every record appended before then is folded. It is zero before the first such
+// read.
 func (f *Follower) Fresh() time.Time {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return f.fresh
 }
 
-// Condition returns how the process stands to the log, with a line for the
-// operator; the line is empty while Following.
+// Condition returns the condition with details for the operator, which are
+// empty while Following.
 func (f *Follower) Condition() (Condition, string) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return f.condition, f.detail
 }
 
-// Changed returns a channel that gets a value after the state has changed. The
-// channel holds one value: a slow reader misses repeats, never the last change.
+// Changed returns a channel that receives a value after the state has changed.
+// The channel holds one value: a slow reader misses intermediate changes but
+// never the last.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -179,7 +183,7 @@
 	return ch
 }
 
-// notify tells the readers of Changed; f.mu is held.
+// notify signals the channels of Changed. It must be called with f.mu held.
 func (f *Follower) notify() {
 	for _, ch := range f.changed {
 		select {
@@ -189,7 +193,7 @@
 	}
 }
 
-// Digest returns the offset and the digest of the state at it.
+// Digest returns the state's offset and digest.
 func (f *Follower) Digest() (offset, digest uint64, err error) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -197,44 +201,45 @@
 	return f.state.Offset, digest, err
 }
 
-// checkpointInterval is the distance of checkpoints in offsets. A checkpoint costs
-// an encoding of the state.
+// checkpointInterval is the distance between checkpoints in offsets. Each
+// checkpoint encodes the state.
 const checkpointInterval = 8192
 
-// Checkpoint is a digest of the state at an offset at which every node takes
-// one: the first entry at or past each multiple of checkpointEvery.
+// Checkpoint is a digest of the state at an offset where every node computes
+// one: that of the first entry at or past each multiple of checkpointInterval.
 type Checkpoint struct {
 	Offset uint64
 	Digest uint64
 }
 
-// Checkpoint returns the latest checkpoint; its Offset is 0 before the first.
-// Nodes whose checkpoints differ at one offset hold different states, which is a
-// fault of the fold, of a build or of a node's memory.
+// Checkpoint returns the latest checkpoint, with Offset 0 before the first.
+// Nodes whose checkpoints differ at the same offset hold different states,
+// which means a bug in the fold, incompatible builds or corrupt memory.
 func (f *Follower) Checkpoint() Checkpoint {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return f.lastCheckpoint
 }
 
-// checkpoint takes one if the state has just passed a multiple; f.mu is held.
+// checkpoint computes a checkpoint if the state has passed a multiple of
+// checkpointInterval since the offset before. It must be called with f.mu held.
 func (f *Follower) checkpoint(before uint64) {
 	if before/checkpointInterval == f.state.Offset/checkpointInterval {
 		return
 	}
 	digest, err := f.state.Digest()
 	if err != nil {
-		f.cfg.Logger.Error("the state cannot be encoded", "error", err)
+		f.cfg.Logger.Error("cannot encode the state", "error", err)
 		return
 	}
 	f.lastCheckpoint = Checkpoint{Offset: f.state.Offset, Digest: digest}
 	f.cfg.Logger.Info("checkpoint", "offset", f.state.Offset, "digest", fmt.Sprintf("%016x", digest))
 }
 
-// errNoState means that there is no state to pass on yet.
-var errNoState = errors.New("nothing was folded yet")
+// errNoState means that there is no state to return yet.
+var errNoState = errors.New("no entry was folded yet")
 
-// Snapshot returns the present state for a peer. Peers that start together get
+// Snapshot returns the encoded state for a peer. Peers that start together get
 // the same bytes, so that a restart of all nodes costs one encoding.
 func (f *Follower) Snapshot() ([]byte, error) {
 	f.encoded.mu.Lock()
@@ -255,9 +260,9 @@
 	return data, nil
 }
 
-// adopt takes over a state that is further than the present one and reports
-// whether it did. A node never steps back to a lower offset: documents in force
-// and effective drains would be undone.
+// adopt replaces the state by a snapshot that is newer and reports whether it
+// did. A node never goes back to a lower offset, which would undo documents in
+// force and effective drains.
 func (f *Follower) adopt(data []byte, from string) bool {
 	s, err := ledger.DecodeSnapshot(data)
 	if err != nil {
@@ -269,7 +274,7 @@
 	if s.Offset <= f.state.Offset {
 		return false
 	}
-	f.cfg.Logger.Info("took over a state", "from", from, "offset", s.Offset, "own_offset", f.state.Offset)
+	f.cfg.Logger.Info("state loaded", "from", from, "offset", s.Offset, "own_offset", f.state.Offset)
 	f.state = s
 	f.tail = tail{}
 	f.verifyPending = true
@@ -277,7 +282,7 @@
 	return true
 }
 
-// setCondition notes and reports a condition. It stays until another is set.
+// setCondition sets the condition and logs a change.
 func (f *Follower) setCondition(c Condition, detail string) {
 	f.mu.Lock()
 	if f.condition == c && f.detail == detail {
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -14,9 +14,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// The log keeps 100 entries. Three nodes write 400 and fall silent for three
-// hours, in which retention by age removes all entries and early snapshots. A node that starts at any of these times must find a snapshot and
-// end with the others' state; few snapshots are doubled by nodes that race.
+// The log keeps 100 entries. Three nodes write 400 and then nothing for three
+// hours, in which retention by age removes all entries and early snapshots. A
+// node that starts at any of these times must find a snapshot and reach the
+// others' state, and nodes that race must publish few duplicate snapshots.
 func TestStartFromSnapshotAndTail(t *testing.T) {
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{RetentionEntries: 100, RetentionAge: time.Hour})
@@ -42,10 +43,10 @@
 	})
 }
 
-// A node was cut off from the log for so long that retention removed entries
-// that it had not folded. While no snapshot covers them it asks its peers. Where
-// those are behind it keeps its state, says so and lets Fresh grow old, so that
-// it decides nothing; once a snapshot is there it goes on.
+// A node was cut off from the log until retention had removed entries that it
+// had not folded. While no snapshot covers them it asks its peers. If the peers
+// are behind too, it keeps its state, reports the gap and lets Fresh grow old,
+// so that it decides nothing. Once a snapshot is available it continues.
 func TestGap(t *testing.T) {
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{RetentionEntries: 50})
@@ -63,7 +64,7 @@
 		for _, n := range []*node{lone, withPeers} {
 			n.link.Cut(true)
 		}
-		settle(time.Second) // reads under way end
+		settle(time.Second) // reads in flight end
 		a.write(100)
 		asked.set(a)
 		behind.set(old)
@@ -82,8 +83,8 @@
 	})
 }
 
-// A node starts while the log is out. It serves the highest state of its peers,
-// and never a lower one; once the log is back it follows that.
+// A node starts while the log is unavailable. It serves the newest state of its
+// peers, never an older one, and follows the log once it is available again.
 func TestStartWhileLogIsUnavailable(t *testing.T) {
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{})
@@ -118,10 +119,10 @@
 	})
 }
 
-// A node loses its way to the log, not that to its peers. It learns within seconds
-// what the others fold, through their latest entries or, where those do not reach
-// back far enough, their state; its own knowledge of the log's end stays old. A
-// peer on another log teaches it nothing.
+// A node loses its connection to the log but not to its peers. Within seconds
+// it must learn what the others fold, through their latest entries or, if these
+// do not reach back far enough, their state. Its own Fresh must not advance. It
+// must ignore a peer that follows another log.
 func TestFollowThroughPeers(t *testing.T) {
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{AppendsPerSecond: -1})
@@ -141,7 +142,7 @@
 		require.False(t, cut.Fresh().After(lost))
 
 		asked.set()
-		a.write(1500) // more than a node keeps
+		a.write(1500) // more than a node keeps for peers
 		asked.set(a)
 		settle(time.Second)
 		same(t, a, cut)
@@ -163,10 +164,10 @@
 	})
 }
 
-// The platform loses its log and begins an empty one. A node keeps its state and
-// decides nothing. Others fill the new log past the node's offset: its entries
-// must not be folded on top of the old state. When the old log is back, the node
-// goes on.
+// The platform loses its log and starts an empty one. A node keeps its state
+// and decides nothing. Other nodes fill the new log past the node's offset, and
+// its entries must not be folded on top of the old state. When the old log is
+// back, the node continues.
 func TestForeignLog(t *testing.T) {
 	run(t, func(t *testing.T) {
 		log, fresh := standin.New(standin.Options{}), standin.New(standin.Options{})
@@ -192,9 +193,9 @@
 	})
 }
 
-// The same replacement happens while the node is stopped: it never sees the
-// short log, only one that has grown past its offset. After the pause it reads
-// the log through CatchUp before anything else.
+// The log is replaced while the node is stopped, so the node never sees the
+// short log but only one that has grown past its offset. After the pause the
+// first read is that of CatchUp, which must detect the replacement.
 func TestForeignLogAfterPause(t *testing.T) {
 	run(t, func(t *testing.T) {
 		log, fresh := standin.New(standin.Options{}), standin.New(standin.Options{})
@@ -214,9 +215,9 @@
 	})
 }
 
-// Leases rest on Fresh: on a quiet log it must never be older than a second, and
-// it must stand still from the moment the log cannot be read. A slow answer says
-// nothing about what was appended since its read was sent.
+// Leases depend on Fresh. On a quiet log it must never be older than a second,
+// and it must stop advancing when the log cannot be read. A slow reply says
+// nothing about what was appended after its read was sent.
 func TestFresh(t *testing.T) {
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{})
@@ -235,7 +236,7 @@
 		log.ClearAll()
 		settle(5 * time.Second)
 		n.link.Cut(true)
-		settle(2 * time.Second) // a read that was under way still counts
+		settle(2 * time.Second) // a read in flight still counts
 		last := n.Fresh()
 		settle(time.Hour)
 		require.Equal(t, last, n.Fresh())
@@ -246,9 +247,10 @@
 	})
 }
 
-// A node with a clock 74 years ahead joins as a member and nothing else is
-// written. The other nodes tell their clocks by themselves; time goes back, and
-// so does the time until which removed members count as granting.
+// A node whose clock is 74 years ahead joins as a member and nothing else is
+// written. The other nodes write their times on their own; the ledger's time
+// goes back, and so does the time until which removed members count as granting
+// claims.
 func TestWitnessesRevertWrongClock(t *testing.T) {
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{})
@@ -270,8 +272,9 @@
 	})
 }
 
-// A snapshot that does not fit one entry goes in parts, which may stand between
-// those of another node; unfinished and damaged ones are passed over.
+// A snapshot that does not fit one entry is published in parts, which may
+// interleave with those of another node. Incomplete and corrupt snapshots must
+// be skipped.
 func TestLargeSnapshots(t *testing.T) {
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{RetentionEntries: 500})
@@ -301,9 +304,9 @@
 	})
 }
 
-// Every process looks for the snapshots of others each few seconds. Were a whole
-// snapshot read to learn that there is no new one, that would be most of what a
-// process reads. In an hour two nodes read each snapshot once.
+// Every process checks for snapshots of others every few seconds. If each check
+// read a whole snapshot, that would be most of what a process reads. In an hour
+// two nodes must read each snapshot only once.
 func TestSnapshotsAreReadOnce(t *testing.T) {
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{})
@@ -325,9 +328,9 @@
 	})
 }
 
-// Nodes compare their states: both take a checkpoint at the same entries, though
-// one started from a snapshot in between. A node whose memory went wrong shows
-// another digest from then on.
+// Two nodes must compute checkpoints at the same entries, although one started
+// from a snapshot in between. A node with corrupt memory must show another
+// digest from then on.
 func TestCheckpoints(t *testing.T) {
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{AppendsPerSecond: -1})
--- a/internal/follower/harness_test.go
+++ b/internal/follower/harness_test.go
@@ -27,10 +27,10 @@
 	snapshots = "snapshots"
 )
 
-// link is one process's way to the log.
+// link is a node's connection to the log.
 type link struct {
 	*testkit.FaultyLog
-	// snapshotBytes counts what was read of the stream of snapshots.
+	// snapshotBytes counts the bytes read from the stream of snapshots.
 	snapshotBytes atomic.Int64
 }
 
@@ -44,7 +44,7 @@
 	return batch, err
 }
 
-// node is one process with a follower.
+// node is a process with a Follower.
 type node struct {
 	*follower.Follower
 	t    *testing.T
@@ -53,7 +53,8 @@
 	ids  int
 }
 
-// peers offers the states of other nodes; its own errors stand for silence.
+// peers provides the states of other nodes; a node that returns an error counts
+// as unreachable.
 type peers struct {
 	mu   sync.Mutex
 	list []*node
@@ -89,7 +90,7 @@
 	return best, nil
 }
 
-// Tail asks the peers in turn.
+// Tail asks the peers one after the other.
 func (p *peers) Tail(_ context.Context, after, hash uint64) ([]platform.Entry, bool, error) {
 	last, behind := error(platform.ErrUnavailable), false
 	for _, n := range p.get() {
@@ -102,7 +103,7 @@
 	return nil, behind, last
 }
 
-// start runs a node until the test ends. change edits its settings.
+// start runs a node until the test ends. change modifies its Config.
 func start(t *testing.T, log *standin.Platform, name string, change func(*follower.Config, *link)) *node {
 	l := &link{FaultyLog: testkit.NewFaultyLog(log)}
 	cfg := follower.Config{Log: l, Stream: stream, SnapshotStream: snapshots, Node: name, Logger: hclog.NewNullLogger()}
@@ -125,7 +126,7 @@
 
 func noSnapshots(c *follower.Config, _ *link) { c.SnapshotStream = "" }
 
-// run gives f a bubble of its own with a fake clock.
+// run runs f in a synctest bubble with a fake clock.
 func run(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
 
 func (n *node) offset() uint64 {
@@ -166,7 +167,8 @@
 	}
 }
 
-// settle lets d pass and everything due in it happen.
+// settle advances the fake clock by d and waits until everything due has
+// happened.
 func settle(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
@@ -178,7 +180,8 @@
 	require.Equal(t, a.digest(), b.digest())
 }
 
-// snapshotsOn counts the entries of the snapshot stream, also trimmed ones.
+// snapshotsOn returns the number of entries ever appended to the snapshot
+// stream, including trimmed ones.
 func snapshotsOn(t *testing.T, log *standin.Platform) int {
 	batch, err := log.Read(t.Context(), snapshots, 1, 1, 0)
 	if err != nil {
--- a/internal/follower/metrics.go
+++ b/internal/follower/metrics.go
@@ -11,7 +11,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-// metrics counts what the follower does. Gauges are read when scraped.
+// metrics holds the follower's metrics. Gauges are computed when scraped.
 type metrics struct {
 	records    *prometheus.CounterVec // by outcome
 	appends    *prometheus.CounterVec // by result
@@ -41,8 +41,8 @@
 	}
 }
 
-// checkpointDesc describes the latest checkpoint, as labels: a digest does not
-// fit a value.
+// checkpointDesc describes the latest checkpoint. Offset and digest are labels
+// because a digest does not fit a sample value.
 var checkpointDesc = prometheus.NewDesc("yuccadrift_log_checkpoint_info",
 	"1, with the offset and digest of the state at its latest checkpoint. Equal offsets have equal digests.",
 	[]string{"offset", "digest"}, nil)
--- a/internal/follower/metrics_test.go
+++ b/internal/follower/metrics_test.go
@@ -36,7 +36,7 @@
 		rules, err := os.ReadFile("../../examples/alerts-log.yml")
 		require.NoError(t, err)
 		for _, name := range regexp.MustCompile(`yuccadrift_[a-z_]+`).FindAllString(string(rules), -1) {
-			require.Contains(t, got, name, "an alert on a metric that nobody exports never fires")
+			require.Contains(t, got, name, "an alert on a metric that is not exported never fires")
 		}
 	})
 }
--- a/internal/follower/propose.go
+++ b/internal/follower/propose.go
@@ -11,29 +11,31 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Pauses of Propose.
+// Timeouts of Propose.
 const (
-	// appendTimeout bounds one append. Without it an append whose reply never
-	// comes would hold Propose back until its context ends, though the record
-	// was folded long before.
+	// appendTimeout is the timeout of one append. Without it an append whose
+	// reply never arrives would block Propose until its context ends, although
+	// the record was folded long before.
 	appendTimeout = time.Second
-	// unknownOutcomeTimeout is the wait for a record whose append has an unknown outcome
-	// before a second copy is appended.
+	// unknownOutcomeTimeout is how long Propose waits for a record whose append
+	// had an unknown outcome before it appends a second copy.
 	unknownOutcomeTimeout = time.Second
-	// foldTimeout is the wait for a record that certainly is on the log. It
-	// runs out only while the log cannot be read, or when this process took
-	// over a state beyond the record.
+	// foldTimeout is how long Propose waits for a record that was appended. It
+	// expires only while the log cannot be read, or if this process loaded a
+	// state beyond the record.
 	foldTimeout = 5 * time.Second
 )
 
 // Propose appends a record and waits until it is folded. The outcome says
-// whether it took effect. A lost reply is met by appending the same record
-// again: its second copy is void. Duplicate means that the record took its turn
-// in a part of the log that this process did not fold itself; whether it took
-// effect then shows in the state. The error is ctx's when the outcome is still
-// unknown at its end, and the record may yet take effect; or
-// platform.ErrRejected, and it never will. IDs must not be proposed twice at
-// once.
+// whether it took effect. After a lost reply the same record is appended again;
+// the second copy is void. The status Duplicate means that the record was
+// folded in a part of the log that this process did not fold itself; the state
+// then shows whether it took effect.
+//
+// The error is ctx's if the outcome is still unknown when ctx ends, and the
+// record may still take effect. It is platform.ErrRejected if the record was
+// rejected and never takes effect. An ID must not be proposed twice at the same
+// time.
 func (f *Follower) Propose(ctx context.Context, rec record.Record) (ledger.Outcome, error) {
 	data, err := record.Encode(rec)
 	if err != nil {
@@ -54,14 +56,14 @@
 			return out, nil
 		case <-ctx.Done():
 			timer.Stop()
-			return ledger.Outcome{}, errors.Wrap(ctx.Err(), "outcome of the record is unknown")
+			return ledger.Outcome{}, errors.Wrap(ctx.Err(), "the record's outcome is unknown")
 		case <-timer.C:
 		}
 	}
 }
 
-// waitAfterAppend returns how long to wait for the record after an append that ended
-// with err; growing is the pause for appends that certainly failed.
+// waitAfterAppend returns how long to wait for the record after an append that
+// returned err. retryDelay applies to appends that certainly failed.
 func waitAfterAppend(err error, retryDelay time.Duration) time.Duration {
 	switch {
 	case err == nil:
--- a/internal/follower/propose_test.go
+++ b/internal/follower/propose_test.go
@@ -14,9 +14,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// Replies to appends are lost, appends come late or never act, and the log
-// throttles, while fifty proposals are under way at once. Each ends with the outcome of its first
-// copy and takes effect once.
+// Replies to appends are lost, appends are delayed or never executed, and the
+// log throttles, while fifty proposals are in flight. Each must return the
+// outcome of its first copy and take effect exactly once.
 func TestProposeOverAFaultyLog(t *testing.T) {
 	for _, batched := range []bool{true, false} {
 		run(t, func(t *testing.T) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// The log is out. A proposal ends with its caller's context and an unknown
-// outcome, since a copy may still be on its way.
+// The log is unavailable. A proposal must return when its caller's context
+// ends, with an unknown outcome, since a copy may still be in flight.
 func TestProposeWhileLogIsUnavailable(t *testing.T) {
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{})
--- a/internal/follower/publish.go
+++ b/internal/follower/publish.go
@@ -12,36 +12,37 @@
 	"github.com/yuccadrift/yuccadrift/internal/wait"
 )
 
-// Pace of snapshots.
+// Timing of snapshots.
 const (
-	// DefaultSnapshotInterval is the longest pause between two snapshots.
+	// DefaultSnapshotInterval is the default of Config.SnapshotInterval.
 	DefaultSnapshotInterval = 10 * time.Minute
-	// maxEntriesPerSnapshot is after how many entries a snapshot is due, which bounds
-	// what a starting node has to fold.
+	// maxEntriesPerSnapshot is the number of entries after which a snapshot is
+	// due, which limits how many a starting node must fold.
 	maxEntriesPerSnapshot = 8192
-	// snapshotPollInterval is the pause between looks for the snapshots of other nodes.
+	// snapshotPollInterval is the interval between checks for the snapshots of
+	// other nodes.
 	snapshotPollInterval = 15 * time.Second
-	// maxPublishDelay is the range of the random wait before a due snapshot is
-	// published, so that mostly one of the nodes does it.
+	// maxPublishDelay is the maximum random delay before a due snapshot is
+	// published, so that usually only one node publishes it.
 	maxPublishDelay = 20 * time.Second
-	// publishTimeout bounds the appends of one snapshot.
+	// publishTimeout is the timeout for appending one snapshot.
 	publishTimeout = 30 * time.Second
-	// maxPublishReadAge is how old the latest read of the log's end may be.
+	// maxPublishReadAge is the maximum age of the latest read of the log's end.
 	maxPublishReadAge = 5 * time.Second
 )
 
-// publisher decides when this process publishes a snapshot. It knows of others'
-// by reading what is new on the stream.
+// publisher decides when this process publishes a snapshot. It learns of other
+// nodes' snapshots by reading the new entries of the stream.
 type publisher struct {
 	f       *Follower
-	next    platform.Offset // first entry of the stream not looked at yet
+	next    platform.Offset // first entry of the stream not yet read
 	parts   assembly
 	covered uint64    // offset of the newest snapshot
-	since   time.Time // when that was seen
+	since   time.Time // when that snapshot was seen
 }
 
-// serveSnapshots publishes snapshots that are due. Two nodes that publish at
-// once do no harm.
+// serveSnapshots publishes due snapshots. Two nodes that publish at the same
+// time do no harm.
 func (f *Follower) serveSnapshots(ctx context.Context) error {
 	p := &publisher{f: f, parts: assembly{}, since: time.Now()}
 	for ctx.Err() == nil {
@@ -53,8 +54,8 @@
 	return ctx.Err()
 }
 
-// publishIfDue looks twice before it publishes: when the snapshot is due, and after a
-// random wait in which another node may have published.
+// publishIfDue publishes a snapshot if it is due, and is still due after a
+// random delay in which another node may have published.
 func (p *publisher) publishIfDue(ctx context.Context) error {
 	if due, err := p.checkDue(ctx); !due || err != nil {
 		return err
@@ -73,9 +74,9 @@
 	return p.due(time.Now()), nil
 }
 
-// readNewEntries takes note of snapshots that appeared on the stream. It reads from the
-// first entry not looked at: a read of an older one would bring a whole snapshot
-// each time, which in every process is more than all other reads together.
+// readNewEntries reads the snapshots that appeared on the stream. It starts at
+// the first entry not yet read: reading an older one would fetch a whole
+// snapshot each time, more than all other reads of the process together.
 func (p *publisher) readNewEntries(ctx context.Context) error {
 	store := p.f.store
 	if p.next == 0 {
@@ -83,14 +84,14 @@
 		if err != nil {
 			return err
 		}
-		p.next = max(first, next-1) // of those published before only the newest counts
+		p.next = max(first, next-1) // only the newest existing entry counts
 	}
 	for {
 		batch, err := store.read(ctx, p.next)
 		if err != nil {
 			return err
 		}
-		if p.next < batch.First { // trimmed unseen
+		if p.next < batch.First { // trimmed before it was read
 			p.next = batch.First
 			continue
 		}
@@ -105,7 +106,7 @@
 	}
 }
 
-// addEntry takes note of an entry that may complete a snapshot.
+// addEntry processes an entry that may complete a snapshot.
 func (p *publisher) addEntry(entry []byte) {
 	snapshot := p.parts.add(entry)
 	if snapshot == nil {
@@ -117,8 +118,9 @@
 	}
 }
 
-// due reports whether a snapshot has to be published: none covers the retained
-// range, the newest is past its half, or it is too long ago in entries or time.
+// due reports whether a snapshot must be published: no snapshot covers the
+// retained range, the newest one is before its middle, or it is too old in
+// entries or time.
 func (p *publisher) due(now time.Time) bool {
 	f := p.f
 	f.mu.RLock()
@@ -154,6 +156,6 @@
 	}
 	p.covered, p.since = offset, time.Now()
 	p.f.metrics.snapshots.Inc()
-	p.f.cfg.Logger.Info("published a snapshot", "offset", offset, "bytes", len(data))
+	p.f.cfg.Logger.Info("snapshot published", "offset", offset, "bytes", len(data))
 	return nil
 }
--- a/internal/follower/read.go
+++ b/internal/follower/read.go
@@ -13,27 +13,29 @@
 	"github.com/yuccadrift/yuccadrift/internal/wait"
 )
 
-// Limits of reads and pauses between attempts.
+// Limits and timing of reads.
 const (
 	maxReadEntries = 1000
-	// readTimeout bounds a read beyond the time that it may wait for entries.
+	// readTimeout is the timeout of a read in addition to the time it waits for
+	// entries.
 	readTimeout   = 5 * time.Second
 	minRetryDelay = 100 * time.Millisecond
-	maxRetryDelay = 2 * time.Second // the longest pause, jitter included
-	// verifyAfter is for how long no read may have succeeded before it is checked
-	// that the log still continues the state.
+	maxRetryDelay = 2 * time.Second // including jitter
+	// verifyAfter is the time without a successful read after which the log is
+	// checked against the state.
 	verifyAfter = 30 * time.Second
 )
 
-// Errors of reading, beside those of platform.Log.
+// Errors of reading, in addition to those of platform.Log.
 var (
 	errGap     = errors.New("entries that were not folded are gone from the log")
 	errForeign = errors.New("the log does not continue the state")
 )
 
-// newBackoff returns growing pauses with jitter, so that nodes that lost the log
-// together do not come back together. The library adds its jitter to the longest
-// interval: left out of it, a node would come back up to a half later than retryMax.
+// newBackoff returns an exponential backoff with jitter, so that nodes that
+// lost the log together do not return together. The library adds jitter to
+// MaxInterval; MaxInterval is reduced accordingly, otherwise the longest pause
+// would exceed maxRetryDelay by half.
 func newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = minRetryDelay
@@ -58,7 +60,7 @@
 	return ctx.Err()
 }
 
-// recordFailure sets the condition that a failure of a step means.
+// recordFailure sets the condition for a failed step.
 func (f *Follower) recordFailure(err error) {
 	f.metrics.readErrors.Inc()
 	f.mu.RLock()
@@ -82,7 +84,7 @@
 		return err
 	}
 	wait := f.cfg.ReadWait
-	if f.Fresh().IsZero() { // a process that starts learns at once that the log is empty
+	if f.Fresh().IsZero() { // a starting process does not wait on an empty log
 		wait = 0
 	}
 	err := f.readAndFold(ctx, wait)
@@ -92,9 +94,9 @@
 	return err
 }
 
-// loadInitialState looks for the newest snapshot, or, while the log is out, for the state
-// of a peer. A process that started from a peer still looks for the snapshot
-// once the log is back.
+// loadInitialState loads the newest snapshot or, while the log is unavailable,
+// a peer's state. A process that started from a peer's state still looks for
+// the snapshot once the log is available.
 func (f *Follower) loadInitialState(ctx context.Context) error {
 	f.mu.RLock()
 	checked, offset := f.snapshotChecked, f.state.Offset
@@ -118,8 +120,8 @@
 	return nil
 }
 
-// askPeers takes over the newest state of the peers, if it is further. Its answer
-// is what a process starts from that cannot read the log.
+// askPeers adopts the newest state of the peers and reports whether it was
+// newer. A process that cannot read the log starts from it.
 func (f *Follower) askPeers(ctx context.Context) bool {
 	if f.cfg.Peers == nil {
 		return false
@@ -135,8 +137,8 @@
 	return f.adopt(data, "peer")
 }
 
-// recoverFromGap looks for a state beyond entries that retention has removed before
-// they were folded.
+// recoverFromGap looks for a state that covers entries which retention removed
+// before they were folded.
 func (f *Follower) recoverFromGap(ctx context.Context) error {
 	if f.cfg.SnapshotStream != "" {
 		data, err := f.store.newest(ctx)
@@ -155,16 +157,17 @@
 	return errors.Wrapf(errGap, "folded up to %d, retained from %d", f.state.Offset, f.first)
 }
 
-// isTrimmed reports whether the entry after the state is gone.
+// isTrimmed reports whether the entry after the state was removed.
 func (f *Follower) isTrimmed() bool {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return platform.Offset(f.state.Offset)+1 < f.first
 }
 
-// CatchUp reads and folds the log to its present end. It may run beside Serve:
-// a process that was paused needs the end of the log at once, while Serve may
-// wait on a connection that broke meanwhile.
+// CatchUp reads and folds the log up to its current end. It may run
+// concurrently with Serve: a process that was paused needs the end of the log
+// at once, while Serve may still wait on a connection that broke in the
+// meantime.
 func (f *Follower) CatchUp(ctx context.Context) error {
 	began := time.Now()
 	for f.Fresh().Before(began) {
@@ -175,7 +178,7 @@
 	return nil
 }
 
-// readAndFold reads once and folds what came.
+// readAndFold reads once and folds the entries.
 func (f *Follower) readAndFold(ctx context.Context, wait time.Duration) error {
 	if err := f.verify(ctx); err != nil {
 		return err
@@ -199,7 +202,7 @@
 	return nil
 }
 
-// readEntries reads entries and notes the retained range.
+// readEntries reads entries and records the retained range.
 func (f *Follower) readEntries(ctx context.Context, from platform.Offset, limit int, wait time.Duration) (platform.Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
@@ -213,10 +216,10 @@
 	return batch, err
 }
 
-// verify checks, after a takeover or a long time without a read, that the log
-// holds at the state's offset the entry that was folded there. A log that was
-// lost and has grown again past that offset would else be folded on top of a
-// state that it does not continue.
+// verify checks, after a state was adopted or no read succeeded for
+// verifyAfter, that the log's entry at the state's offset is the one that was
+// folded. Otherwise a log that was lost and has grown past that offset again
+// would be folded on top of an unrelated state.
 func (f *Follower) verify(ctx context.Context) error {
 	f.mu.RLock()
 	offset, tail := f.state.Offset, f.state.Tail
@@ -229,7 +232,7 @@
 	switch {
 	case batch.Next != 0 && batch.Next <= platform.Offset(offset):
 		return errors.Wrapf(errForeign, "folded up to %d, the log's next offset is %d", offset, batch.Next)
-	case errors.Is(err, platform.ErrTrimmed): // nothing left to compare with
+	case errors.Is(err, platform.ErrTrimmed): // nothing to compare with
 	case err != nil:
 		return err
 	case len(batch.Entries) > 0 && uint64(batch.Entries[0].Offset) == offset && tail != 0 && xxhash.Sum64(batch.Entries[0].Data) != tail:
@@ -242,8 +245,8 @@
 	return nil
 }
 
-// fold applies a batch. Entries that another read brought before are passed
-// over.
+// fold applies a batch. Entries that another read has already delivered are
+// skipped.
 func (f *Follower) fold(batch platform.Batch, sent time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -253,7 +256,8 @@
 	}
 }
 
-// apply folds entries and returns the offset reached; f.mu is held.
+// apply folds entries and returns the offset reached. It must be called with
+// f.mu held.
 func (f *Follower) apply(entries []platform.Entry) platform.Offset {
 	for _, e := range entries {
 		if uint64(e.Offset) <= f.state.Offset {
--- a/internal/follower/relay.go
+++ b/internal/follower/relay.go
@@ -12,23 +12,25 @@
 	"github.com/yuccadrift/yuccadrift/internal/wait"
 )
 
-// Bounds of following the log through peers.
+// Limits and timing of following the log through peers.
 const (
-	// peerPollInterval is the pause between two questions to peers.
+	// peerPollInterval is the interval between two requests to peers.
 	peerPollInterval = 250 * time.Millisecond
-	// readOverdueGrace is how much longer than ReadWait no read may have succeeded
-	// before peers are asked. With the pause it stays below the 3 s within which
-	// a drained backend server must get no more work.
+	// readOverdueGrace is the time beyond ReadWait without a successful read
+	// after which peers are asked. Together with peerPollInterval it stays
+	// below the 3 s within which a drained backend server must get no more
+	// work.
 	readOverdueGrace = time.Second
-	// tailEntries and tailBytes bound the entries kept for peers.
+	// tailEntries and tailBytes limit the entries kept for peers.
 	tailEntries = 1000
 	tailBytes   = 1 << 20
 )
 
-// ErrForeignTail means that a peer folded another entry at the offset asked for.
+// ErrForeignTail means that the peer folded another entry at the requested
+// offset.
 var ErrForeignTail = errors.New("the peer follows another log")
 
-// tail holds the entries folded last, without a gap.
+// tail holds the latest folded entries, without a gap.
 type tail struct {
 	entries []platform.Entry
 	bytes   int
@@ -45,9 +47,9 @@
 	t.entries = slices.Delete(t.entries, 0, drop)
 }
 
-// Started reports whether the state is fit to act on: the log was read to its
-// end once or, while it cannot be read, the newest state of the peers was taken
-// over. Before that a process would serve on documents that were replaced long
+// Started reports whether the state may be acted on: the log was read to its
+// end once or, while it cannot be read, the peers' newest state was received.
+// Before that a process would serve documents that may have been replaced long
 // ago.
 func (f *Follower) Started() bool {
 	f.mu.RLock()
@@ -56,9 +58,9 @@
 }
 
 // Tail returns the entries folded after an offset, for a peer that cannot read
-// the log. hash is that of the entry there, 0 when the peer does not know it.
-// gap means that this process is further and no longer holds the entries. The
-// error is ErrForeignTail.
+// the log. hash is the hash of the entry at the offset, 0 if the peer does not
+// know it. gap means that this process is ahead and no longer holds the
+// entries. The error is ErrForeignTail.
 func (f *Follower) Tail(after, hash uint64) (entries []platform.Entry, gap bool, err error) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -77,10 +79,11 @@
 	return slices.Clone(f.tail.entries[i+1:]), false, nil
 }
 
-// serveRelay follows the log through peers while it cannot be read. A process
-// that lost its way to the platform alone would else send work to a backend
-// server that the others have long drained, and serve replaced documents. Fresh
-// stays as it was: leases and decisions rest on the process's own reads.
+// serveRelay follows the log through peers while it cannot be read. Otherwise a
+// process that alone lost its connection to the platform would send work to a
+// backend server that the others drained long ago, and serve replaced
+// documents. Fresh does not advance: leases and decisions depend on the
+// process's own reads.
 func (f *Follower) serveRelay(ctx context.Context) error {
 	began := time.Now()
 	for ctx.Err() == nil {
@@ -92,7 +95,7 @@
 	return ctx.Err()
 }
 
-// readOverdue reports whether a read is overdue.
+// readOverdue reports whether no read has succeeded for too long.
 func (f *Follower) readOverdue(began time.Time) bool {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -115,7 +118,7 @@
 	switch {
 	case err != nil:
 		f.cfg.Logger.Debug("no entries from peers", "error", errors.Cause(err))
-	case gap && foreign: // the peers may follow that other log
+	case gap && foreign: // the peers may follow the other log
 	case gap:
 		f.askPeers(ctx)
 	case len(entries) > 0:
--- a/internal/follower/settings.go
+++ b/internal/follower/settings.go
@@ -7,8 +7,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/settings"
 )
 
-// FromSettings returns the Config of a daemon: it batches its proposals,
-// publishes snapshots, asks peers and tells its clock.
+// FromSettings returns the Config of a daemon, which batches its proposals,
+// publishes snapshots, asks peers and writes clock witnesses.
 func FromSettings(s settings.Common, log platform.Log, peers Peers, logger hclog.Logger) Config {
 	return Config{
 		Log:            log,
--- a/internal/follower/snapshots.go
+++ b/internal/follower/snapshots.go
@@ -11,19 +11,21 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-// A snapshot is cut into parts that fit an entry of the log. Each part starts
-// with the mark, a hash over the whole snapshot, its own number and their count.
+// A snapshot is split into parts that fit an entry of the log. Each part starts
+// with partMagic, a hash over the whole snapshot, the part's index and the
+// number of parts.
 const (
 	partMagic      = "yd-part-1\n"
 	partHeaderSize = len(partMagic) + 8 + 2 + 2
 	maxPartData    = platform.MaxEntryBytes - partHeaderSize
-	// maxParts bounds a snapshot, maxScan how many entries are looked through
-	// for one: the parts of two that were published at once, and a few more.
+	// maxParts limits the parts of a snapshot. maxScanEntries limits the
+	// entries scanned for one: the parts of two snapshots published at the same
+	// time, and a few more.
 	maxParts       = 64
 	maxScanEntries = 3 * maxParts
 )
 
-// snapshotStore is the stream of snapshots.
+// snapshotStore reads and writes the stream of snapshots.
 type snapshotStore struct {
 	log    platform.Log
 	stream string
@@ -69,7 +71,8 @@
 	return p, p.size >= 1 && p.size <= maxParts && p.index < p.size
 }
 
-// assembly collects the parts of several snapshots until one is whole.
+// assembly collects the parts of several snapshots by hash until one is
+// complete.
 type assembly map[uint64]map[int][]byte
 
 // add returns the snapshot that the entry completes, or nil.
@@ -101,7 +104,7 @@
 	return batch.First, batch.Next, err
 }
 
-// read returns at most one entry, none when it was trimmed or is yet to come.
+// read returns at most one entry, none if it was trimmed or not yet appended.
 func (s snapshotStore) read(ctx context.Context, at platform.Offset) (platform.Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -112,14 +115,14 @@
 	return batch, err
 }
 
-// NewestSnapshot returns the newest whole snapshot of a stream, or nil when
+// NewestSnapshot returns the newest complete snapshot of a stream, or nil if
 // there is none.
 func NewestSnapshot(ctx context.Context, log platform.Log, stream string) ([]byte, error) {
 	return snapshotStore{log: log, stream: stream}.newest(ctx)
 }
 
-// newest returns the newest whole snapshot of the stream, or nil when there is
-// none. Damaged and unfinished ones are passed over.
+// newest returns the newest complete snapshot of the stream, or nil if there is
+// none. Corrupt and incomplete snapshots are skipped.
 func (s snapshotStore) newest(ctx context.Context) ([]byte, error) {
 	first, next, err := s.bounds(ctx)
 	if err != nil {
@@ -138,7 +141,7 @@
 	return nil, nil
 }
 
-// entry returns one entry, nil when it was trimmed meanwhile.
+// entry returns one entry, nil if it was trimmed meanwhile.
 func (s snapshotStore) entry(ctx context.Context, at platform.Offset) ([]byte, error) {
 	batch, err := s.read(ctx, at)
 	if err != nil || len(batch.Entries) == 0 {
@@ -147,7 +150,8 @@
 	return batch.Entries[0].Data, nil
 }
 
-// append appends a snapshot. Parts of two nodes may mix: each is told by its hash.
+// append appends a snapshot. The parts of two nodes may interleave; they are
+// told apart by the snapshot's hash.
 func (s snapshotStore) append(ctx context.Context, snapshot []byte) error {
 	parts, err := splitSnapshot(snapshot)
 	if err != nil {
--- a/internal/follower/witness.go
+++ b/internal/follower/witness.go
@@ -11,12 +11,13 @@
 	"github.com/yuccadrift/yuccadrift/internal/wait"
 )
 
-// witnessInterval is the pause between looks at the fold's time.
+// witnessInterval is the interval between checks of the ledger's time, and the
+// timeout of writing a witness.
 const witnessInterval = 5 * time.Second
 
-// serveWitness tells this node's clock when the fold's time runs ahead of it:
-// some node's clock may be far ahead, and only the word of others can overthrow
-// it. See ledger.Clock.
+// serveWitness writes this node's time to the log while the ledger's time is
+// ahead of it. Some node's clock may be far ahead, and only records of other
+// nodes can revert that; see ledger.Clock.
 func (f *Follower) serveWitness(ctx context.Context) error {
 	witnessed := uint64(0)
 	for ctx.Err() == nil {
@@ -28,8 +29,8 @@
 	return ctx.Err()
 }
 
-// clockJump returns the offset of the record that put the fold's time or
-// members' ends ahead of now, 0 when none did.
+// clockJump returns the offset of the record that put the ledger's time or the
+// members' end ahead of now, 0 if none did.
 func (f *Follower) clockJump(now time.Time) uint64 {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -51,6 +52,6 @@
 	}
 	f.View(func(s *ledger.State) { rec.Seen = s.Offset })
 	_, err := f.Propose(ctx, rec)
-	f.cfg.Logger.Warn("the fold's time is ahead of this clock", "told", err == nil)
+	f.cfg.Logger.Warn("the ledger's time is ahead of this node's clock", "told", err == nil)
 	return err == nil
 }
