--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -88,7 +88,7 @@
 	snapshotChecked bool              // the newest snapshot was looked up
 	verifyPending   bool              // the log must be checked against the state
 	tookPeerState   bool              // a peer's newest state was received
-	tail            tail              // latest entries, for peers
+	recent          recentEntries     // latest entries, for peers
 	fresh           time.Time         // when the latest read that reached the log's end was sent
 	lastRead        time.Time         // when the latest successful read ended
 	first           platform.Offset   // lowest retained offset at the latest read
@@ -276,7 +276,7 @@
 	}
 	f.cfg.Logger.Info("state loaded", "from", from, "offset", s.Offset, "own_offset", f.state.Offset)
 	f.state = s
-	f.tail = tail{}
+	f.recent = recentEntries{}
 	f.verifyPending = true
 	f.notify()
 	return true
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -24,18 +24,18 @@
 		a, b, c := start(t, log, "a", nil), start(t, log, "b", nil), start(t, log, "c", nil)
 		for range 4 {
 			for range 100 {
-				a.write(1)
-				settle(2 * time.Second)
+				a.writeRecords(1)
+				advance(2 * time.Second)
 			}
 			late := start(t, log, "late", nil)
-			settle(2 * time.Second)
-			same(t, a, late)
+			advance(2 * time.Second)
+			requireSameState(t, a, late)
 		}
-		settle(3 * time.Hour)
+		advance(3 * time.Hour)
 		late := start(t, log, "late", nil)
-		settle(2 * time.Second)
+		advance(2 * time.Second)
 		for _, n := range []*node{b, c, late} {
-			same(t, a, n)
+			requireSameState(t, a, n)
 			require.Equal(t, follower.Following, n.condition())
 		}
 		due := 3*6 + 400/50 // by time, and at each half of the retained range
@@ -51,34 +51,34 @@
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{RetentionEntries: 50})
 		a := start(t, log, "a", noSnapshots)
-		asked, behind := &peers{}, &peers{}
+		asked, behind := &fakePeers{}, &fakePeers{}
 		old := start(t, log, "old", nil)
-		lone := start(t, log, "lone", func(c *follower.Config, _ *link) { c.Peers = behind })
-		withPeers := start(t, log, "with", func(c *follower.Config, _ *link) { c.Peers = asked })
-		settle(time.Second)
-		a.write(5)
-		old.link.Cut(true)
-		settle(time.Second)
-		a.write(5)
-		settle(time.Second)
+		lone := start(t, log, "lone", func(c *follower.Config, _ *logLink) { c.Peers = behind })
+		withPeers := start(t, log, "with", func(c *follower.Config, _ *logLink) { c.Peers = asked })
+		advance(time.Second)
+		a.writeRecords(5)
+		old.logLink.Cut(true)
+		advance(time.Second)
+		a.writeRecords(5)
+		advance(time.Second)
 		for _, n := range []*node{lone, withPeers} {
-			n.link.Cut(true)
+			n.logLink.Cut(true)
 		}
-		settle(time.Second) // reads in flight end
-		a.write(100)
+		advance(time.Second) // reads in flight end
+		a.writeRecords(100)
 		asked.set(a)
 		behind.set(old)
 		for _, n := range []*node{lone, withPeers} {
-			n.link.Cut(false)
+			n.logLink.Cut(false)
 		}
-		settle(5 * time.Second)
-		same(t, a, withPeers)
+		advance(5 * time.Second)
+		requireSameState(t, a, withPeers)
 		require.Equal(t, follower.Following, withPeers.condition())
 		require.Equal(t, follower.Gap, lone.condition())
 		require.EqualValues(t, 10, lone.offset())
 		require.Greater(t, time.Since(lone.Fresh()), 4*time.Second)
-		settle(time.Minute) // the node with peers has published a snapshot meanwhile
-		same(t, a, lone)
+		advance(time.Minute) // the node with peers has published a snapshot meanwhile
+		requireSameState(t, a, lone)
 		require.Equal(t, follower.Following, lone.condition())
 	})
 }
@@ -89,32 +89,32 @@
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{})
 		a, behind := start(t, log, "a", nil), start(t, log, "behind", nil)
-		settle(time.Second)
-		a.write(5)
-		settle(time.Second)
-		behind.link.Cut(true)
-		settle(time.Second)
-		a.write(5)
+		advance(time.Second)
+		a.writeRecords(5)
+		advance(time.Second)
+		behind.logLink.Cut(true)
+		advance(time.Second)
+		a.writeRecords(5)
 		_, err := log.Order(standin.Fault{Kind: standin.LogRefuse, Target: stream}, standin.Fault{Kind: standin.LogRefuse, Target: snapshots})
 		require.NoError(t, err)
-		asked := &peers{list: []*node{a, behind}}
-		late := start(t, log, "late", func(c *follower.Config, _ *link) { c.Peers = asked })
-		settle(time.Second)
-		same(t, a, late)
+		asked := &fakePeers{list: []*node{a, behind}}
+		late := start(t, log, "late", func(c *follower.Config, _ *logLink) { c.Peers = asked })
+		advance(time.Second)
+		requireSameState(t, a, late)
 		require.Equal(t, follower.CutOff, late.condition())
 		require.Zero(t, late.Fresh())
 		require.True(t, late.Started())
 		lonely := start(t, log, "lonely", nil)
-		settle(time.Minute)
+		advance(time.Minute)
 		require.Equal(t, follower.Starting, lonely.condition())
 		require.False(t, lonely.Started())
 
 		log.ClearAll()
-		settle(5 * time.Second)
-		a.write(1)
-		settle(time.Second)
-		same(t, a, late)
-		same(t, a, lonely)
+		advance(5 * time.Second)
+		a.writeRecords(1)
+		advance(time.Second)
+		requireSameState(t, a, late)
+		requireSameState(t, a, lonely)
 		require.Equal(t, follower.Following, late.condition())
 	})
 }
@@ -126,40 +126,40 @@
 func TestFollowThroughPeers(t *testing.T) {
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{AppendsPerSecond: -1})
-		asked := &peers{}
+		asked := &fakePeers{}
 		a := start(t, log, "a", nil)
-		cut := start(t, log, "cut", func(c *follower.Config, _ *link) { c.Peers = asked })
-		settle(time.Second)
-		a.write(5)
-		settle(time.Second)
-		cut.link.Cut(true)
+		cut := start(t, log, "cut", func(c *follower.Config, _ *logLink) { c.Peers = asked })
+		advance(time.Second)
+		a.writeRecords(5)
+		advance(time.Second)
+		cut.logLink.Cut(true)
 		asked.set(a)
 		lost := time.Now()
-		settle(2 * time.Second)
-		a.write(5)
-		settle(time.Second)
-		same(t, a, cut)
+		advance(2 * time.Second)
+		a.writeRecords(5)
+		advance(time.Second)
+		requireSameState(t, a, cut)
 		require.False(t, cut.Fresh().After(lost))
 
 		asked.set()
-		a.write(1500) // more than a node keeps for peers
+		a.writeRecords(1500) // more than a node keeps for peers
 		asked.set(a)
-		settle(time.Second)
-		same(t, a, cut)
+		advance(time.Second)
+		requireSameState(t, a, cut)
 
 		fresh := standin.New(standin.Options{AppendsPerSecond: -1})
 		other := start(t, fresh, "other", noSnapshots)
-		settle(time.Second)
-		other.write(int(cut.offset()) + 10)
+		advance(time.Second)
+		other.writeRecords(int(cut.offset()) + 10)
 		asked.set(other)
 		digest := cut.digest()
-		settle(time.Minute)
+		advance(time.Minute)
 		require.Equal(t, digest, cut.digest())
 
-		cut.link.Cut(false)
-		a.write(1)
-		settle(5 * time.Second)
-		same(t, a, cut)
+		cut.logLink.Cut(false)
+		a.writeRecords(1)
+		advance(5 * time.Second)
+		requireSameState(t, a, cut)
 		require.Equal(t, follower.Following, cut.condition())
 	})
 }
@@ -172,24 +172,24 @@
 	run(t, func(t *testing.T) {
 		log, fresh := standin.New(standin.Options{}), standin.New(standin.Options{})
 		n := start(t, log, "n", nil)
-		settle(time.Second)
-		n.write(20)
+		advance(time.Second)
+		n.writeRecords(20)
 		digest := n.digest()
-		n.link.Redirect(fresh)
-		settle(5 * time.Second)
+		n.logLink.Redirect(fresh)
+		advance(5 * time.Second)
 		require.Equal(t, follower.Foreign, n.condition())
 		other := start(t, fresh, "other", noSnapshots)
-		settle(time.Second)
-		other.write(40)
-		settle(time.Minute)
+		advance(time.Second)
+		other.writeRecords(40)
+		advance(time.Minute)
 		require.Equal(t, follower.Foreign, n.condition())
 		require.Equal(t, digest, n.digest())
 		require.Greater(t, time.Since(n.Fresh()), time.Minute)
 
-		n.link.Redirect(log)
-		settle(5 * time.Second)
+		n.logLink.Redirect(log)
+		advance(5 * time.Second)
 		require.Equal(t, follower.Following, n.condition())
-		n.write(1)
+		n.writeRecords(1)
 	})
 }
 
@@ -200,16 +200,16 @@
 	run(t, func(t *testing.T) {
 		log, fresh := standin.New(standin.Options{}), standin.New(standin.Options{})
 		n := start(t, log, "n", nil)
-		settle(time.Second)
-		n.write(5)
-		n.link.Cut(true)
+		advance(time.Second)
+		n.writeRecords(5)
+		n.logLink.Cut(true)
 		other := start(t, fresh, "other", noSnapshots)
-		settle(time.Minute)
-		other.write(40)
-		n.link.Redirect(fresh)
-		n.link.Cut(false)
+		advance(time.Minute)
+		other.writeRecords(40)
+		n.logLink.Redirect(fresh)
+		n.logLink.Cut(false)
 		require.Error(t, n.CatchUp(t.Context()))
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 		require.EqualValues(t, 5, n.offset())
 		require.Equal(t, follower.Foreign, n.condition())
 	})
@@ -223,26 +223,26 @@
 		log := standin.New(standin.Options{})
 		n := start(t, log, "n", nil)
 		for range 100 {
-			settle(370 * time.Millisecond)
+			advance(370 * time.Millisecond)
 			require.LessOrEqual(t, time.Since(n.Fresh()), time.Second)
 		}
 		_, err := log.Order(standin.Fault{Kind: standin.LogSlow, Target: "read", DelayMS: 3000})
 		require.NoError(t, err)
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 		for range 20 {
-			settle(370 * time.Millisecond)
+			advance(370 * time.Millisecond)
 			require.GreaterOrEqual(t, time.Since(n.Fresh()), 3*time.Second)
 		}
 		log.ClearAll()
-		settle(5 * time.Second)
-		n.link.Cut(true)
-		settle(2 * time.Second) // a read in flight still counts
+		advance(5 * time.Second)
+		n.logLink.Cut(true)
+		advance(2 * time.Second) // a read in flight still counts
 		last := n.Fresh()
-		settle(time.Hour)
+		advance(time.Hour)
 		require.Equal(t, last, n.Fresh())
 		require.Equal(t, follower.CutOff, n.condition())
-		n.link.Cut(false)
-		settle(3 * time.Second)
+		n.logLink.Cut(false)
+		advance(3 * time.Second)
 		require.LessOrEqual(t, time.Since(n.Fresh()), time.Second)
 	})
 }
@@ -256,14 +256,14 @@
 		log := standin.New(standin.Options{})
 		a := start(t, log, "a", nil)
 		start(t, log, "b", nil)
-		settle(time.Second)
+		advance(time.Second)
 		rec := a.draft()
 		rec.Author, rec.Time = "wrong", time.Now().AddDate(74, 0, 0)
 		rec.Subject.Kind, rec.Body = record.SubjectMember, record.MemberJoin{Node: "wrong", Address: "10.0.0.1:1"}
 		_, err := a.Propose(t.Context(), rec)
 		require.NoError(t, err)
 		a.View(func(s *ledger.State) { require.NotZero(t, s.ClockAhead(time.Now())) })
-		settle(15 * time.Second)
+		advance(15 * time.Second)
 		a.View(func(s *ledger.State) {
 			require.Zero(t, s.ClockAhead(time.Now()))
 			require.Equal(t, []string{"wrong"}, s.Clock.Distrusted)
@@ -279,7 +279,7 @@
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{RetentionEntries: 500})
 		a := start(t, log, "a", nil)
-		settle(time.Second)
+		advance(time.Second)
 		for range 200 {
 			rec := a.draft()
 			rec.Subject = record.Subject{Kind: record.SubjectService, Name: rec.ID}
@@ -291,16 +291,16 @@
 		data, err := a.Snapshot()
 		require.NoError(t, err)
 		require.Greater(t, len(data), 2*platform.MaxEntryBytes)
-		settle(11 * time.Minute)
+		advance(11 * time.Minute)
 		require.Greater(t, snapshotsOn(t, log), 2)
 		for _, junk := range []string{"", "yd-part-1\n", "yd-part-1\n12345678\x00\x00\x00\x02half"} {
 			_, err := log.Append(t.Context(), snapshots, [][]byte{[]byte(junk)})
 			require.NoError(t, err)
 		}
-		a.write(450)
+		a.writeRecords(450)
 		late := start(t, log, "late", nil)
-		settle(2 * time.Second)
-		same(t, a, late)
+		advance(2 * time.Second)
+		requireSameState(t, a, late)
 	})
 }
 
@@ -312,9 +312,9 @@
 		log := standin.New(standin.Options{})
 		a := start(t, log, "a", nil)
 		b := start(t, log, "b", nil)
-		settle(time.Second)
-		a.write(50)
-		settle(time.Hour)
+		advance(time.Second)
+		a.writeRecords(50)
+		advance(time.Hour)
 		var published int64
 		batch, err := log.Read(t.Context(), snapshots, 1, 1000, 0)
 		require.NoError(t, err)
@@ -323,7 +323,7 @@
 		}
 		require.Greater(t, published, int64(0))
 		for _, n := range []*node{a, b} {
-			require.LessOrEqual(t, n.link.snapshotBytes.Load(), published)
+			require.LessOrEqual(t, n.logLink.snapshotBytes.Load(), published)
 		}
 	})
 }
@@ -335,22 +335,22 @@
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{AppendsPerSecond: -1})
 		a := start(t, log, "a", nil)
-		settle(time.Second)
+		advance(time.Second)
 		junk := func(entries int) {
 			for range entries / 1000 {
 				_, err := log.Append(t.Context(), stream, slices.Repeat([][]byte{[]byte("junk")}, 1000))
 				require.NoError(t, err)
 			}
-			settle(time.Second)
+			advance(time.Second)
 		}
 		junk(9000)
 		require.EqualValues(t, 8192, a.Checkpoint().Offset)
-		settle(11 * time.Minute) // a snapshot was published
+		advance(11 * time.Minute) // a snapshot was published
 		b := start(t, log, "b", nil)
-		settle(time.Second)
+		advance(time.Second)
 		require.Zero(t, b.Checkpoint())
 		wrong := start(t, log, "wrong", nil)
-		settle(time.Second)
+		advance(time.Second)
 		wrong.View(func(s *ledger.State) { s.Members["ghost"] = &ledger.Member{} })
 		junk(9000)
 		require.EqualValues(t, 16384, a.Checkpoint().Offset)
--- a/internal/follower/harness_test.go
+++ b/internal/follower/harness_test.go
@@ -27,14 +27,14 @@
 	snapshots = "snapshots"
 )
 
-// link is a node's connection to the log.
-type link struct {
+// logLink is a node's connection to the log.
+type logLink struct {
 	*testkit.FaultyLog
 	// snapshotBytes counts the bytes read from the stream of snapshots.
 	snapshotBytes atomic.Int64
 }
 
-func (l *link) Read(ctx context.Context, name string, from platform.Offset, limit int, wait time.Duration) (platform.Batch, error) {
+func (l *logLink) Read(ctx context.Context, name string, from platform.Offset, limit int, wait time.Duration) (platform.Batch, error) {
 	batch, err := l.FaultyLog.Read(ctx, name, from, limit, wait)
 	if name == snapshots {
 		for _, e := range batch.Entries {
@@ -47,32 +47,32 @@
 // node is a process with a Follower.
 type node struct {
 	*follower.Follower
-	t    *testing.T
-	link *link
-	name string
-	ids  int
+	t       *testing.T
+	logLink *logLink
+	name    string
+	ids     int
 }
 
-// peers provides the states of other nodes; a node that returns an error counts
+// fakePeers provides the states of other nodes; a node that returns an error counts
 // as unreachable.
-type peers struct {
+type fakePeers struct {
 	mu   sync.Mutex
 	list []*node
 }
 
-func (p *peers) set(list ...*node) {
+func (p *fakePeers) set(list ...*node) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.list = list
 }
 
-func (p *peers) get() []*node {
+func (p *fakePeers) get() []*node {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.list
 }
 
-func (p *peers) NewestState(context.Context) ([]byte, error) {
+func (p *fakePeers) NewestState(context.Context) ([]byte, error) {
 	var best []byte
 	var top uint64
 	for _, n := range p.get() {
@@ -91,7 +91,7 @@
 }
 
 // Tail asks the peers one after the other.
-func (p *peers) Tail(_ context.Context, after, hash uint64) ([]platform.Entry, bool, error) {
+func (p *fakePeers) Tail(_ context.Context, after, hash uint64) ([]platform.Entry, bool, error) {
 	last, behind := error(platform.ErrUnavailable), false
 	for _, n := range p.get() {
 		entries, gap, err := n.Follower.Tail(after, hash)
@@ -104,14 +104,14 @@
 }
 
 // start runs a node until the test ends. change modifies its Config.
-func start(t *testing.T, log *standin.Platform, name string, change func(*follower.Config, *link)) *node {
-	l := &link{FaultyLog: testkit.NewFaultyLog(log)}
+func start(t *testing.T, log *standin.Platform, name string, change func(*follower.Config, *logLink)) *node {
+	l := &logLink{FaultyLog: testkit.NewFaultyLog(log)}
 	cfg := follower.Config{Log: l, Stream: stream, SnapshotStream: snapshots, Node: name, Logger: hclog.NewNullLogger()}
 	cfg.Appender = platform.NewAppender(l, stream, platform.AppenderOptions{})
 	if change != nil {
 		change(&cfg, l)
 	}
-	n := &node{Follower: follower.New(cfg), t: t, link: l, name: name}
+	n := &node{Follower: follower.New(cfg), t: t, logLink: l, name: name}
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	for _, duty := range n.Duties() {
@@ -124,7 +124,7 @@
 	return n
 }
 
-func noSnapshots(c *follower.Config, _ *link) { c.SnapshotStream = "" }
+func noSnapshots(c *follower.Config, _ *logLink) { c.SnapshotStream = "" }
 
 // run runs f in a synctest bubble with a fake clock.
 func run(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
@@ -156,7 +156,7 @@
 	return rec
 }
 
-func (n *node) write(records int) {
+func (n *node) writeRecords(records int) {
 	n.t.Helper()
 	for range records {
 		ctx, cancel := context.WithTimeout(n.t.Context(), time.Minute)
@@ -167,14 +167,14 @@
 	}
 }
 
-// settle advances the fake clock by d and waits until everything due has
+// advance advances the fake clock by d and waits until everything due has
 // happened.
-func settle(d time.Duration) {
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-func same(t *testing.T, a, b *node) {
+func requireSameState(t *testing.T, a, b *node) {
 	t.Helper()
 	require.Equal(t, a.offset(), b.offset())
 	require.Equal(t, a.digest(), b.digest())
--- a/internal/follower/metrics_test.go
+++ b/internal/follower/metrics_test.go
@@ -18,8 +18,8 @@
 		n := start(t, standin.New(standin.Options{}), "n", nil)
 		registry := prometheus.NewPedanticRegistry()
 		require.NoError(t, registry.Register(n))
-		settle(time.Second)
-		n.write(3)
+		advance(time.Second)
+		n.writeRecords(3)
 		got := values(t, registry)
 		require.Equal(t, 3.0, got["yuccadrift_log_records_total"])
 		require.Equal(t, 3.0, got["yuccadrift_log_appends_total"])
@@ -27,10 +27,10 @@
 		require.Equal(t, 1.0, got["yuccadrift_log_following"])
 		require.NotContains(t, got, "yuccadrift_log_checkpoint_info")
 		for range 9 {
-			_, err := n.link.Append(t.Context(), stream, slices.Repeat([][]byte{{}}, 1000))
+			_, err := n.logLink.Append(t.Context(), stream, slices.Repeat([][]byte{{}}, 1000))
 			require.NoError(t, err)
 		}
-		settle(time.Second)
+		advance(time.Second)
 		got = values(t, registry)
 		require.Equal(t, 1.0, got["yuccadrift_log_checkpoint_info"])
 		rules, err := os.ReadFile("../../examples/alerts-log.yml")
--- a/internal/follower/propose_test.go
+++ b/internal/follower/propose_test.go
@@ -21,12 +21,12 @@
 	for _, batched := range []bool{true, false} {
 		run(t, func(t *testing.T) {
 			log := standin.New(standin.Options{AppendsPerSecond: 40})
-			n := start(t, log, "n", func(c *follower.Config, l *link) {
+			n := start(t, log, "n", func(c *follower.Config, l *logLink) {
 				if !batched {
 					c.Appender = nil
 				}
 			})
-			settle(time.Second)
+			advance(time.Second)
 			_, err := log.Order(standin.Fault{Kind: standin.LogLoseReply, Target: stream, Count: 5},
 				standin.Fault{Kind: standin.LogHang, Target: "append", Count: 3},
 				standin.Fault{Kind: standin.LogLate, Target: stream, Count: 5, DelayMS: 3000})
@@ -43,7 +43,7 @@
 				})
 			}
 			all.Wait()
-			settle(10 * time.Second)
+			advance(10 * time.Second)
 			n.View(func(s *ledger.State) { require.Len(t, s.VMs, 50) })
 		})
 	}
@@ -55,8 +55,8 @@
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{})
 		n := start(t, log, "n", nil)
-		settle(time.Second)
-		n.link.Cut(true)
+		advance(time.Second)
+		n.logLink.Cut(true)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		began := time.Now()
@@ -64,7 +64,7 @@
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 		require.Equal(t, 10*time.Second, time.Since(began))
 		rec := n.draft()
-		n.link.Cut(false)
+		n.logLink.Cut(false)
 		_, err = log.Order(standin.Fault{Kind: standin.LogHang, Target: "append"})
 		require.NoError(t, err)
 		ctx, cancel = context.WithTimeout(t.Context(), 3*time.Second)
--- a/internal/follower/read.go
+++ b/internal/follower/read.go
@@ -222,7 +222,7 @@
 // would be folded on top of an unrelated state.
 func (f *Follower) verify(ctx context.Context) error {
 	f.mu.RLock()
-	offset, tail := f.state.Offset, f.state.Tail
+	offset, hash := f.state.Offset, f.state.EntryHash
 	pending := f.verifyPending || (!f.lastRead.IsZero() && time.Since(f.lastRead) > verifyAfter)
 	f.mu.RUnlock()
 	if !pending || offset == 0 {
@@ -235,7 +235,7 @@
 	case errors.Is(err, platform.ErrTrimmed): // nothing to compare with
 	case err != nil:
 		return err
-	case len(batch.Entries) > 0 && uint64(batch.Entries[0].Offset) == offset && tail != 0 && xxhash.Sum64(batch.Entries[0].Data) != tail:
+	case len(batch.Entries) > 0 && uint64(batch.Entries[0].Offset) == offset && hash != 0 && xxhash.Sum64(batch.Entries[0].Data) != hash:
 		return errors.Wrapf(errForeign, "its entry at offset %d is not the one folded", offset)
 	}
 	f.mu.Lock()
@@ -266,7 +266,7 @@
 		before := f.state.Offset
 		out := f.state.ApplyData(uint64(e.Offset), e.Data)
 		f.checkpoint(before)
-		f.tail.add(e)
+		f.recent.add(e)
 		f.metrics.records.WithLabelValues(string(out.Status)).Inc()
 		if w, ok := f.waiters[out.ID]; ok {
 			delete(f.waiters, out.ID)
--- a/internal/follower/relay.go
+++ b/internal/follower/relay.go
@@ -30,13 +30,13 @@
 // offset.
 var ErrForeignTail = errors.New("the peer follows another log")
 
-// tail holds the latest folded entries, without a gap.
-type tail struct {
+// recentEntries holds the latest folded entries, without a gap.
+type recentEntries struct {
 	entries []platform.Entry
 	bytes   int
 }
 
-func (t *tail) add(e platform.Entry) {
+func (t *recentEntries) add(e platform.Entry) {
 	t.entries = append(t.entries, e)
 	t.bytes += len(e.Data)
 	drop := 0
@@ -67,16 +67,16 @@
 	if after >= f.state.Offset {
 		return nil, false, nil
 	}
-	i, found := slices.BinarySearchFunc(f.tail.entries, platform.Offset(after), func(e platform.Entry, o platform.Offset) int {
+	i, found := slices.BinarySearchFunc(f.recent.entries, platform.Offset(after), func(e platform.Entry, o platform.Offset) int {
 		return int(e.Offset) - int(o)
 	})
 	if !found {
 		return nil, true, nil
 	}
-	if hash != 0 && xxhash.Sum64(f.tail.entries[i].Data) != hash {
+	if hash != 0 && xxhash.Sum64(f.recent.entries[i].Data) != hash {
 		return nil, false, errors.WithStack(ErrForeignTail)
 	}
-	return slices.Clone(f.tail.entries[i+1:]), false, nil
+	return slices.Clone(f.recent.entries[i+1:]), false, nil
 }
 
 // serveRelay follows the log through peers while it cannot be read. Otherwise a
@@ -112,7 +112,7 @@
 		return
 	}
 	f.mu.RLock()
-	after, hash, foreign := f.state.Offset, f.state.Tail, f.condition == Foreign
+	after, hash, foreign := f.state.Offset, f.state.EntryHash, f.condition == Foreign
 	f.mu.RUnlock()
 	entries, gap, err := f.cfg.Peers.Tail(ctx, after, hash)
 	switch {
--- a/internal/ledger/apply.go
+++ b/internal/ledger/apply.go
@@ -68,11 +68,11 @@
 	rec, err := record.Decode(data)
 	if err != nil {
 		s.advanceOffset(offset)
-		s.Tail = xxhash.Sum64(data)
+		s.EntryHash = xxhash.Sum64(data)
 		return Outcome{Offset: offset, Status: Malformed, Reason: err.Error()}
 	}
 	out := s.Apply(offset, rec)
-	s.Tail = xxhash.Sum64(data)
+	s.EntryHash = xxhash.Sum64(data)
 	return out
 }
 
@@ -111,7 +111,7 @@
 		panic(fmt.Sprintf("ledger: offset %d applied after %d", offset, s.Offset))
 	}
 	s.Offset = offset
-	s.Tail = 0
+	s.EntryHash = 0
 	s.expireRetired()
 }
 
--- a/internal/ledger/clock_test.go
+++ b/internal/ledger/clock_test.go
@@ -31,7 +31,7 @@
 	h.vm("p-1", returnToService...)
 	h.witness("b", h.now)
 	charged := 22 * time.Hour.Seconds()
-	require.Equal(t, charged, h.spent("p"))
+	require.Equal(t, charged, h.spentInWindow("p"))
 
 	wrong := h.draft(record.SubjectVM, "p-2", record.VMDown{Cause: "no answer"})
 	wrong.Author, wrong.Time = "w", h.now.AddDate(74, 0, 0)
@@ -43,7 +43,7 @@
 	require.NotZero(t, h.state.ClockAhead(h.now), "a single contradiction may come from a slow clock")
 	h.witness("b", h.now)
 	require.Equal(t, h.now, h.state.Now)
-	require.Equal(t, charged, h.spent("p"), "p-2 has not been down yet by the ledger's time")
+	require.Equal(t, charged, h.spentInWindow("p"), "p-2 has not been down yet by the ledger's time")
 
 	h.now = h.now.Add(time.Hour)
 	h.witness("b", h.now)
@@ -52,7 +52,7 @@
 	h.apply(wrong)
 	require.Zero(t, h.state.ClockAhead(h.now), "a distrusted clock is ignored")
 	require.Equal(t, h.now, h.state.Now)
-	require.Equal(t, charged+time.Hour.Seconds(), h.spent("p"), "p-2 was down for this hour")
+	require.Equal(t, charged+time.Hour.Seconds(), h.spentInWindow("p"), "p-2 was down for this hour")
 	h.witness("w", h.now.Add(time.Second))
 	require.Empty(t, h.state.Clock.Distrusted, "a clock that agrees with the others is trusted again")
 }
@@ -69,13 +69,13 @@
 	h.vm("p-1", record.VMDown{Cause: "no answer"})
 	h.now = h.now.Add(5 * time.Hour)
 	h.vm("p-1", record.VMUp{})
-	require.Equal(t, 5*time.Hour.Seconds(), h.spent("p"))
+	require.Equal(t, 5*time.Hour.Seconds(), h.spentInWindow("p"))
 	h.witness("stuck", epoch.AddDate(-56, 0, 0))
 	old.Author = "c"
 	h.apply(old)
 	h.witness("stuck", epoch.AddDate(-56, 0, 1))
 	require.Equal(t, h.now, h.state.Now)
-	require.Equal(t, 5*time.Hour.Seconds(), h.spent("p"))
+	require.Equal(t, 5*time.Hour.Seconds(), h.spentInWindow("p"))
 }
 
 // A wrong clock moves all charges out of a budget's window, so that a drain
--- a/internal/ledger/fold_test.go
+++ b/internal/ledger/fold_test.go
@@ -120,6 +120,6 @@
 	return record.JobSubmit{Service: service, Team: "team", MilliCores: 1000, MemoryMB: 1000}
 }
 
-func (h *history) spent(pool string) float64 {
+func (h *history) spentInWindow(pool string) float64 {
 	return h.state.Services[pool].Account.Spent(h.now.Add(-24*time.Hour), h.now)
 }
--- a/internal/ledger/property_test.go
+++ b/internal/ledger/property_test.go
@@ -14,7 +14,7 @@
 
 const entriesPerHistory = 120
 
-func restart(t require.TestingT, s *State) *State {
+func mustRestore(t require.TestingT, s *State) *State {
 	data, err := EncodeSnapshot(s)
 	require.NoError(t, err)
 	again, err := DecodeSnapshot(data)
@@ -22,7 +22,7 @@
 	return again
 }
 
-func digest(t require.TestingT, s *State) uint64 {
+func mustDigest(t require.TestingT, s *State) uint64 {
 	d, err := s.Digest()
 	require.NoError(t, err)
 	return d
@@ -40,15 +40,15 @@
 		g.wildClocks = rapid.Bool().Draw(t, "wild clocks")
 		for range 4 {
 			g.run(entriesPerHistory / 4)
-			snapshots = append(snapshots, restart(t, g.state))
+			snapshots = append(snapshots, mustRestore(t, g.state))
 		}
-		whole := digest(t, g.state)
+		whole := mustDigest(t, g.state)
 		for _, s := range append(snapshots, New()) {
 			first := slices.IndexFunc(g.log, func(e entry) bool { return e.offset > s.Offset })
 			for i := first; i >= 0 && i < len(g.log); i++ {
 				require.Equal(t, outcomes[i], s.ApplyData(g.log[i].offset, g.log[i].data))
 			}
-			require.Equal(t, whole, digest(t, s))
+			require.Equal(t, whole, mustDigest(t, s))
 		}
 	})
 }
@@ -90,7 +90,7 @@
 
 // requireIndexes compares the indexes with those of a rebuild.
 func requireIndexes(t require.TestingT, s *State) {
-	want := restart(t, s)
+	want := mustRestore(t, s)
 	require.Equal(t, keys(want.poolVMs), keys(s.poolVMs))
 	require.Equal(t, keys(want.poolUnavailable), keys(s.poolUnavailable))
 	require.Equal(t, keys(want.workerJobs), keys(s.workerJobs))
--- a/internal/ledger/rules_test.go
+++ b/internal/ledger/rules_test.go
@@ -74,7 +74,7 @@
 		h.now = h.now.Add(2 * time.Hour)
 		h.vm("p-1", returnToService...)
 	}
-	require.Equal(t, 12*time.Hour.Seconds(), h.spent("p"))
+	require.Equal(t, 12*time.Hour.Seconds(), h.spentInWindow("p"))
 	h.vm("p-1", short)
 	h.mustRefuse("spent 43200 of 51840 VM-seconds in its window; this drain needs about 14400", record.SubjectVM, "p-2", short)
 }
@@ -90,7 +90,7 @@
 	h.mustRefuse("needs about 51900", record.SubjectVM, "p-3", drain(record.DrainMaintenance, time.Minute))
 	h.now = h.now.Add(10 * time.Hour)
 	h.vm("p-1", returnToService...)
-	require.Equal(t, 20*time.Hour.Seconds(), h.spent("p"))
+	require.Equal(t, 20*time.Hour.Seconds(), h.spentInWindow("p"))
 }
 
 // A network switch fails and takes four VMs down, more than the document
@@ -119,10 +119,10 @@
 	h.vm("p-2", drain(record.DrainMaintenance, time.Hour))
 	h.now = h.now.Add(time.Hour)
 	h.publish("p", 4, "")
-	require.Equal(t, 2*time.Hour.Seconds(), h.spent("p"))
+	require.Equal(t, 2*time.Hour.Seconds(), h.spentInWindow("p"))
 	h.now = h.now.Add(time.Hour)
 	h.vm("p-1", returnToService...)
-	require.Equal(t, 2*time.Hour.Seconds(), h.spent("p"))
+	require.Equal(t, 2*time.Hour.Seconds(), h.spentInWindow("p"))
 	require.Equal(t, 2*time.Hour.Seconds(), h.state.Services["p"].Account.SpareSeconds(epoch, h.now))
 	h.publish("p", 8, "")
 	h.vm("p-3", drain(record.DrainMaintenance, time.Minute))
--- a/internal/ledger/snapshot_test.go
+++ b/internal/ledger/snapshot_test.go
@@ -31,7 +31,7 @@
 		damaged := append([]byte(nil), data...)
 		damaged[i] ^= 0x10
 		if s, err := DecodeSnapshot(damaged); err == nil {
-			assert.Equal(t, digest(t, h.state), digest(t, s), "byte %d, unused by gzip, changes nothing", i)
+			assert.Equal(t, mustDigest(t, h.state), mustDigest(t, s), "byte %d, unused by gzip, changes nothing", i)
 			// The stream ends with an empty stored block. Some bits of its
 			// first byte are padding up to the next byte, where the block's two
 			// lengths begin.
@@ -53,7 +53,7 @@
 	h.pool("p", 4, 4, "")
 	svc := h.state.Services["p"]
 	svc.Text = strings.Replace(svc.Text, "size = 4", "size = 1\nfuture_key = 3", 1)
-	require.Equal(t, 1, restart(t, h.state).Services["p"].Doc.Pool.Size)
+	require.Equal(t, 1, mustRestore(t, h.state).Services["p"].Doc.Pool.Size)
 	svc.Text = "["
 	data, err := EncodeSnapshot(h.state)
 	require.NoError(t, err)
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -27,10 +27,10 @@
 // State is the result of folding the log up to and including Offset.
 type State struct {
 	Offset uint64 `json:"offset"`
-	// Tail is the hash of the entry at Offset. A follower compares it with the
+	// EntryHash is the hash of the entry at Offset. A follower compares it with the
 	// log to check that the log continues this state. It is 0 if that entry was
 	// not folded from its bytes.
-	Tail uint64 `json:"tail"`
+	EntryHash uint64 `json:"tail"`
 	// Now is the ledger's time, which dates charges; see Clock.
 	Now      time.Time           `json:"now"`
 	Clock    Clock               `json:"clock"`
