--- a/internal/ledger/headroom.go
+++ b/internal/ledger/headroom.go
@@ -59,7 +59,7 @@
 			h.OutRacks[vm.Rack]++
 		}
 	}
-	for range min(h.Size-len(s.poolVMs[pool]), h.Budget.MaxUnavailable) { // more are refused anyway
+	for range min(h.Size-len(s.poolVMs[pool]), h.Budget.MaxUnavailable) { // a larger shortfall is refused anyway
 		h.Left = append(h.Left, 0)
 	}
 	h.Left = slices.Clip(h.Left)
--- a/internal/ledger/job_rules.go
+++ b/internal/ledger/job_rules.go
@@ -155,7 +155,7 @@
 	case record.JobSucceeded, record.JobFailed, record.JobPreempted,
 		record.JobNotStarted, record.JobLapsed, record.JobStopped:
 	default:
-		return refusef("%q is no result of a job", b.Result)
+		return refusef("%q is not a job result", b.Result)
 	}
 	if j.Status != JobPlaced {
 		return refusef("job %s is not placed", j.ID)
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -80,14 +80,14 @@
 		return nil, errors.Wrap(ErrSnapshot, err.Error())
 	}
 	if xxhash.Sum64(text) != binary.BigEndian.Uint64(data[len(snapshotFormat)+8:]) {
-		return nil, errors.Wrap(ErrSnapshot, "its digest does not fit its content")
+		return nil, errors.Wrap(ErrSnapshot, "digest does not match the content")
 	}
 	s := New()
 	if err := json.Unmarshal(text, s); err != nil {
 		return nil, errors.Wrap(ErrSnapshot, err.Error())
 	}
 	if s.Offset != offset {
-		return nil, errors.Wrap(ErrSnapshot, "its offset does not fit its content")
+		return nil, errors.Wrap(ErrSnapshot, "offset does not match the content")
 	}
 	if err := s.parseDocuments(); err != nil {
 		return nil, errors.Wrap(ErrSnapshot, err.Error())
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -27,9 +27,9 @@
 // State is the result of folding the log up to and including Offset.
 type State struct {
 	Offset uint64 `json:"offset"`
-	// EntryHash is the hash of the entry at Offset. A follower compares it with the
-	// log to check that the log continues this state. It is 0 if that entry was
-	// not folded from its bytes.
+	// EntryHash is the hash of the entry at Offset. A follower compares it with
+	// the log to check that the log continues this state. It is 0 if that entry
+	// was not folded from its bytes.
 	EntryHash uint64 `json:"tail"`
 	// Now is the ledger's time, which dates charges; see Clock.
 	Now      time.Time           `json:"now"`
@@ -117,8 +117,8 @@
 	// probation.
 	Quarantines int `json:"quarantines,omitempty"`
 	Moves       int `json:"moves"`   // joins after a first pool
-	Drains      int `json:"drains"`  // drains that took effect
-	Reboots     int `json:"reboots"` // reboots that took effect
+	Drains      int `json:"drains"`  // effective drains
+	Reboots     int `json:"reboots"` // effective reboots
 }
 
 // Drain is an effective drain decision. Fence, the decision's offset, is the
