--- a/internal/follower/propose_test.go
+++ b/internal/follower/propose_test.go
@@ -14,19 +14,19 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// Replies to appends are lost, appends come late or never act, and the log
-// throttles, while fifty proposals are under way at once. Each ends with the outcome of its first
-// copy and takes effect once.
+// Replies to appends are lost, appends are delayed or never executed, and the
+// log throttles, while fifty proposals are in flight. Each must return the
+// outcome of its first copy and take effect exactly once.
 func TestProposeOverAFaultyLog(t *testing.T) {
 	for _, batched := range []bool{true, false} {
 		run(t, func(t *testing.T) {
 			log := standin.New(standin.Options{AppendsPerSecond: 40})
-			n := start(t, log, "n", func(c *follower.Config, l *link) {
+			n := start(t, log, "n", func(c *follower.Config, l *logLink) {
 				if !batched {
 					c.Appender = nil
 				}
 			})
-			settle(time.Second)
+			advance(time.Second)
 			_, err := log.Order(standin.Fault{Kind: standin.LogLoseReply, Target: stream, Count: 5},
 				standin.Fault{Kind: standin.LogHang, Target: "append", Count: 3},
 				standin.Fault{Kind: standin.LogLate, Target: stream, Count: 5, DelayMS: 3000})
@@ -43,20 +43,20 @@
 				})
 			}
 			all.Wait()
-			settle(10 * time.Second)
+			advance(10 * time.Second)
 			n.View(func(s *ledger.State) { require.Len(t, s.VMs, 50) })
 		})
 	}
 }
 
-// The log is out. A proposal ends with its caller's context and an unknown
-// outcome, since a copy may still be on its way.
-func TestProposeWhileTheLogIsOut(t *testing.T) {
+// The log is unavailable. A proposal must return when its caller's context
+// ends, with an unknown outcome, since a copy may still be in flight.
+func TestProposeWhileLogIsUnavailable(t *testing.T) {
 	run(t, func(t *testing.T) {
 		log := standin.New(standin.Options{})
 		n := start(t, log, "n", nil)
-		settle(time.Second)
-		n.link.Cut(true)
+		advance(time.Second)
+		n.logLink.Cut(true)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		began := time.Now()
@@ -64,7 +64,7 @@
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 		require.Equal(t, 10*time.Second, time.Since(began))
 		rec := n.draft()
-		n.link.Cut(false)
+		n.logLink.Cut(false)
 		_, err = log.Order(standin.Fault{Kind: standin.LogHang, Target: "append"})
 		require.NoError(t, err)
 		ctx, cancel = context.WithTimeout(t.Context(), 3*time.Second)
--- a/internal/follower/publish.go
+++ b/internal/follower/publish.go
@@ -12,85 +12,86 @@
 	"github.com/yuccadrift/yuccadrift/internal/wait"
 )
 
-// Pace of snapshots.
+// Timing of snapshots.
 const (
-	// DefaultSnapshotInterval is the longest pause between two snapshots.
+	// DefaultSnapshotInterval is the default of Config.SnapshotInterval.
 	DefaultSnapshotInterval = 10 * time.Minute
-	// snapshotEvery is after how many entries a snapshot is due, which bounds
-	// what a starting node has to fold.
-	snapshotEvery = 8192
-	// lookPause is the pause between looks for the snapshots of other nodes.
-	lookPause = 15 * time.Second
-	// publishSpread is the range of the random wait before a due snapshot is
-	// published, so that mostly one of the nodes does it.
-	publishSpread = 20 * time.Second
-	// publishTimeout bounds the appends of one snapshot.
+	// maxEntriesPerSnapshot is the number of entries after which a snapshot is
+	// due, which limits how many a starting node must fold.
+	maxEntriesPerSnapshot = 8192
+	// snapshotPollInterval is the interval between checks for the snapshots of
+	// other nodes.
+	snapshotPollInterval = 15 * time.Second
+	// maxPublishDelay is the maximum random delay before a due snapshot is
+	// published, so that usually only one node publishes it.
+	maxPublishDelay = 20 * time.Second
+	// publishTimeout is the timeout for appending one snapshot.
 	publishTimeout = 30 * time.Second
-	// publishFresh is how old the latest read of the log's end may be.
-	publishFresh = 5 * time.Second
+	// maxPublishReadAge is the maximum age of the latest read of the log's end.
+	maxPublishReadAge = 5 * time.Second
 )
 
-// publisher decides when this process publishes a snapshot. It knows of others'
-// by reading what is new on the stream.
+// publisher decides when this process publishes a snapshot. It learns of other
+// nodes' snapshots by reading the new entries of the stream.
 type publisher struct {
 	f       *Follower
-	next    platform.Offset // first entry of the stream not looked at yet
+	next    platform.Offset // first entry of the stream not yet read
 	parts   assembly
 	covered uint64    // offset of the newest snapshot
-	since   time.Time // when that was seen
+	since   time.Time // when that snapshot was seen
 }
 
-// serveSnapshots publishes snapshots that are due. Two nodes that publish at
-// once do no harm.
+// serveSnapshots publishes due snapshots. Two nodes that publish at the same
+// time do no harm.
 func (f *Follower) serveSnapshots(ctx context.Context) error {
 	p := &publisher{f: f, parts: assembly{}, since: time.Now()}
 	for ctx.Err() == nil {
-		if err := p.round(ctx); err != nil && ctx.Err() == nil {
+		if err := p.publishIfDue(ctx); err != nil && ctx.Err() == nil {
 			f.cfg.Logger.Debug("snapshot not published", "error", errors.Cause(err))
 		}
-		wait.Sleep(ctx, lookPause)
+		wait.Sleep(ctx, snapshotPollInterval)
 	}
 	return ctx.Err()
 }
 
-// round looks twice before it publishes: when the snapshot is due, and after a
-// random wait in which another node may have published.
-func (p *publisher) round(ctx context.Context) error {
-	if due, err := p.lookDue(ctx); !due || err != nil {
+// publishIfDue publishes a snapshot if it is due, and is still due after a
+// random delay in which another node may have published.
+func (p *publisher) publishIfDue(ctx context.Context) error {
+	if due, err := p.checkDue(ctx); !due || err != nil {
 		return err
 	}
-	wait.Sleep(ctx, rand.N(publishSpread))
-	if due, err := p.lookDue(ctx); !due || err != nil {
+	wait.Sleep(ctx, rand.N(maxPublishDelay))
+	if due, err := p.checkDue(ctx); !due || err != nil {
 		return err
 	}
 	return p.publish(ctx)
 }
 
-func (p *publisher) lookDue(ctx context.Context) (bool, error) {
-	if err := p.look(ctx); err != nil {
+func (p *publisher) checkDue(ctx context.Context) (bool, error) {
+	if err := p.readNewEntries(ctx); err != nil {
 		return false, err
 	}
 	return p.due(time.Now()), nil
 }
 
-// look takes note of snapshots that appeared on the stream. It reads from the
-// first entry not looked at: a read of an older one would bring a whole snapshot
-// each time, which in every process is more than all other reads together.
-func (p *publisher) look(ctx context.Context) error {
+// readNewEntries reads the snapshots that appeared on the stream. It starts at
+// the first entry not yet read: reading an older one would fetch a whole
+// snapshot each time, more than all other reads of the process together.
+func (p *publisher) readNewEntries(ctx context.Context) error {
 	store := p.f.store
 	if p.next == 0 {
 		first, next, err := store.bounds(ctx)
 		if err != nil {
 			return err
 		}
-		p.next = max(first, next-1) // of those published before only the newest counts
+		p.next = max(first, next-1) // only the newest existing entry counts
 	}
 	for {
 		batch, err := store.read(ctx, p.next)
 		if err != nil {
 			return err
 		}
-		if p.next < batch.First { // trimmed unseen
+		if p.next < batch.First { // trimmed before it was read
 			p.next = batch.First
 			continue
 		}
@@ -100,13 +101,13 @@
 			}
 			return nil
 		}
-		p.note(batch.Entries[0].Data)
+		p.addEntry(batch.Entries[0].Data)
 		p.next++
 	}
 }
 
-// note takes note of an entry that may complete a snapshot.
-func (p *publisher) note(entry []byte) {
+// addEntry processes an entry that may complete a snapshot.
+func (p *publisher) addEntry(entry []byte) {
 	snapshot := p.parts.add(entry)
 	if snapshot == nil {
 		return
@@ -117,14 +118,15 @@
 	}
 }
 
-// due reports whether a snapshot has to be published: none covers the retained
-// range, the newest is past its half, or it is too long ago in entries or time.
+// due reports whether a snapshot must be published: no snapshot covers the
+// retained range, the newest one is before its middle, or it is too old in
+// entries or time.
 func (p *publisher) due(now time.Time) bool {
 	f := p.f
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	offset := f.state.Offset
-	if f.condition != Following || offset == 0 || now.Sub(f.fresh) > publishFresh {
+	if f.condition != Following || offset == 0 || now.Sub(f.fresh) > maxPublishReadAge {
 		return false
 	}
 	if now.Sub(p.since) >= f.cfg.SnapshotInterval {
@@ -135,7 +137,7 @@
 	}
 	covered := platform.Offset(p.covered)
 	trimmed := f.first > 1
-	return trimmed && covered < f.first+(f.next-f.first)/2 || offset-p.covered >= snapshotEvery
+	return trimmed && covered < f.first+(f.next-f.first)/2 || offset-p.covered >= maxEntriesPerSnapshot
 }
 
 func (p *publisher) publish(ctx context.Context) error {
@@ -145,7 +147,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
-	if err := p.f.store.put(ctx, data); err != nil {
+	if err := p.f.store.append(ctx, data); err != nil {
 		return err
 	}
 	offset, err := ledger.SnapshotOffset(data)
@@ -154,6 +156,6 @@
 	}
 	p.covered, p.since = offset, time.Now()
 	p.f.metrics.snapshots.Inc()
-	p.f.cfg.Logger.Info("published a snapshot", "offset", offset, "bytes", len(data))
+	p.f.cfg.Logger.Info("snapshot published", "offset", offset, "bytes", len(data))
 	return nil
 }
--- a/internal/follower/read.go
+++ b/internal/follower/read.go
@@ -13,31 +13,33 @@
 	"github.com/yuccadrift/yuccadrift/internal/wait"
 )
 
-// Limits of reads and pauses between attempts.
+// Limits and timing of reads.
 const (
-	readMax = 1000
-	// readTimeout bounds a read beyond the time that it may wait for entries.
-	readTimeout = 5 * time.Second
-	retryMin    = 100 * time.Millisecond
-	retryMax    = 2 * time.Second // the longest pause, jitter included
-	// doubtAfter is for how long no read may have succeeded before it is checked
-	// that the log still continues the state.
-	doubtAfter = 30 * time.Second
+	maxReadEntries = 1000
+	// readTimeout is the timeout of a read in addition to the time it waits for
+	// entries.
+	readTimeout   = 5 * time.Second
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 2 * time.Second // including jitter
+	// verifyAfter is the time without a successful read after which the log is
+	// checked against the state.
+	verifyAfter = 30 * time.Second
 )
 
-// Errors of reading, beside those of platform.Log.
+// Errors of reading, in addition to those of platform.Log.
 var (
 	errGap     = errors.New("entries that were not folded are gone from the log")
 	errForeign = errors.New("the log does not continue the state")
 )
 
-// newBackoff returns growing pauses with jitter, so that nodes that lost the log
-// together do not come back together. The library adds its jitter to the longest
-// interval: left out of it, a node would come back up to a half later than retryMax.
+// newBackoff returns an exponential backoff with jitter, so that nodes that
+// lost the log together do not return together. The library adds jitter to
+// MaxInterval; MaxInterval is reduced accordingly, otherwise the longest pause
+// would exceed maxRetryDelay by half.
 func newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = retryMin
-	b.MaxInterval = time.Duration(float64(retryMax) / (1 + b.RandomizationFactor))
+	b.InitialInterval = minRetryDelay
+	b.MaxInterval = time.Duration(float64(maxRetryDelay) / (1 + b.RandomizationFactor))
 	return b
 }
 
@@ -51,15 +53,15 @@
 			continue
 		}
 		if ctx.Err() == nil {
-			f.failed(err)
+			f.recordFailure(err)
 		}
 		wait.Sleep(ctx, retry.NextBackOff())
 	}
 	return ctx.Err()
 }
 
-// failed sets the condition that a failure of a step means.
-func (f *Follower) failed(err error) {
+// recordFailure sets the condition for a failed step.
+func (f *Follower) recordFailure(err error) {
 	f.metrics.readErrors.Inc()
 	f.mu.RLock()
 	offset := f.state.Offset
@@ -78,28 +80,28 @@
 }
 
 func (f *Follower) step(ctx context.Context) error {
-	if err := f.begin(ctx); err != nil {
+	if err := f.loadInitialState(ctx); err != nil {
 		return err
 	}
 	wait := f.cfg.ReadWait
-	if f.Fresh().IsZero() { // a process that starts learns at once that the log is empty
+	if f.Fresh().IsZero() { // a starting process does not wait on an empty log
 		wait = 0
 	}
-	err := f.read(ctx, wait)
+	err := f.readAndFold(ctx, wait)
 	if errors.Is(err, platform.ErrTrimmed) {
-		return f.bridge(ctx)
+		return f.recoverFromGap(ctx)
 	}
 	return err
 }
 
-// begin looks for the newest snapshot, or, while the log is out, for the state
-// of a peer. A process that started from a peer still looks for the snapshot
-// once the log is back.
-func (f *Follower) begin(ctx context.Context) error {
+// loadInitialState loads the newest snapshot or, while the log is unavailable,
+// a peer's state. A process that started from a peer's state still looks for
+// the snapshot once the log is available.
+func (f *Follower) loadInitialState(ctx context.Context) error {
 	f.mu.RLock()
-	begun, offset := f.begun, f.state.Offset
+	checked, offset := f.snapshotChecked, f.state.Offset
 	f.mu.RUnlock()
-	if begun || f.cfg.SnapshotStream == "" {
+	if checked || f.cfg.SnapshotStream == "" {
 		return nil
 	}
 	data, err := f.store.newest(ctx)
@@ -113,13 +115,13 @@
 		f.adopt(data, "snapshot stream")
 	}
 	f.mu.Lock()
-	f.begun = true
+	f.snapshotChecked = true
 	f.mu.Unlock()
 	return nil
 }
 
-// askPeers takes over the newest state of the peers, if it is further. Its answer
-// is what a process starts from that cannot read the log.
+// askPeers adopts the newest state of the peers and reports whether it was
+// newer. A process that cannot read the log starts from it.
 func (f *Follower) askPeers(ctx context.Context) bool {
 	if f.cfg.Peers == nil {
 		return false
@@ -130,24 +132,24 @@
 		return false
 	}
 	f.mu.Lock()
-	f.leaned = true
+	f.tookPeerState = true
 	f.mu.Unlock()
 	return f.adopt(data, "peer")
 }
 
-// bridge looks for a state beyond entries that retention has removed before
-// they were folded.
-func (f *Follower) bridge(ctx context.Context) error {
+// recoverFromGap looks for a state that covers entries which retention removed
+// before they were folded.
+func (f *Follower) recoverFromGap(ctx context.Context) error {
 	if f.cfg.SnapshotStream != "" {
 		data, err := f.store.newest(ctx)
 		if err != nil {
 			return err
 		}
-		if data != nil && f.adopt(data, "snapshot stream") && !f.trimmed() {
+		if data != nil && f.adopt(data, "snapshot stream") && !f.isTrimmed() {
 			return nil
 		}
 	}
-	if f.askPeers(ctx) && !f.trimmed() {
+	if f.askPeers(ctx) && !f.isTrimmed() {
 		return nil
 	}
 	f.mu.RLock()
@@ -155,28 +157,29 @@
 	return errors.Wrapf(errGap, "folded up to %d, retained from %d", f.state.Offset, f.first)
 }
 
-// trimmed reports whether the entry after the state is gone.
-func (f *Follower) trimmed() bool {
+// isTrimmed reports whether the entry after the state was removed.
+func (f *Follower) isTrimmed() bool {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return platform.Offset(f.state.Offset)+1 < f.first
 }
 
-// CatchUp reads and folds the log to its present end. It may run beside Serve:
-// a process that was paused needs the end of the log at once, while Serve may
-// wait on a connection that broke meanwhile.
+// CatchUp reads and folds the log up to its current end. It may run
+// concurrently with Serve: a process that was paused needs the end of the log
+// at once, while Serve may still wait on a connection that broke in the
+// meantime.
 func (f *Follower) CatchUp(ctx context.Context) error {
 	began := time.Now()
 	for f.Fresh().Before(began) {
-		if err := f.read(ctx, 0); err != nil {
+		if err := f.readAndFold(ctx, 0); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// read reads once and folds what came.
-func (f *Follower) read(ctx context.Context, wait time.Duration) error {
+// readAndFold reads once and folds the entries.
+func (f *Follower) readAndFold(ctx context.Context, wait time.Duration) error {
 	if err := f.verify(ctx); err != nil {
 		return err
 	}
@@ -184,13 +187,13 @@
 	from := platform.Offset(f.state.Offset + 1)
 	f.mu.RUnlock()
 	sent := time.Now()
-	batch, err := f.get(ctx, from, readMax, wait)
+	batch, err := f.readEntries(ctx, from, maxReadEntries, wait)
 	if err != nil {
 		return err
 	}
 	if batch.Next < from {
 		f.mu.Lock()
-		f.doubt = true
+		f.verifyPending = true
 		f.mu.Unlock()
 		return errors.Wrapf(errForeign, "folded up to %d, the log's next offset is %d", from-1, batch.Next)
 	}
@@ -199,8 +202,8 @@
 	return nil
 }
 
-// get reads entries and notes the retained range.
-func (f *Follower) get(ctx context.Context, from platform.Offset, limit int, wait time.Duration) (platform.Batch, error) {
+// readEntries reads entries and records the retained range.
+func (f *Follower) readEntries(ctx context.Context, from platform.Offset, limit int, wait time.Duration) (platform.Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
 	batch, err := f.cfg.Log.Read(ctx, f.cfg.Stream, from, limit, wait)
@@ -213,37 +216,37 @@
 	return batch, err
 }
 
-// verify checks, after a takeover or a long time without a read, that the log
-// holds at the state's offset the entry that was folded there. A log that was
-// lost and has grown again past that offset would else be folded on top of a
-// state that it does not continue.
+// verify checks, after a state was adopted or no read succeeded for
+// verifyAfter, that the log's entry at the state's offset is the one that was
+// folded. Otherwise a log that was lost and has grown past that offset again
+// would be folded on top of an unrelated state.
 func (f *Follower) verify(ctx context.Context) error {
 	f.mu.RLock()
-	offset, tail := f.state.Offset, f.state.Tail
-	doubt := f.doubt || (!f.lastRead.IsZero() && time.Since(f.lastRead) > doubtAfter)
+	offset, hash := f.state.Offset, f.state.EntryHash
+	pending := f.verifyPending || (!f.lastRead.IsZero() && time.Since(f.lastRead) > verifyAfter)
 	f.mu.RUnlock()
-	if !doubt || offset == 0 {
+	if !pending || offset == 0 {
 		return nil
 	}
-	batch, err := f.get(ctx, platform.Offset(offset), 1, 0)
+	batch, err := f.readEntries(ctx, platform.Offset(offset), 1, 0)
 	switch {
 	case batch.Next != 0 && batch.Next <= platform.Offset(offset):
 		return errors.Wrapf(errForeign, "folded up to %d, the log's next offset is %d", offset, batch.Next)
-	case errors.Is(err, platform.ErrTrimmed): // nothing left to compare with
+	case errors.Is(err, platform.ErrTrimmed): // nothing to compare with
 	case err != nil:
 		return err
-	case len(batch.Entries) > 0 && uint64(batch.Entries[0].Offset) == offset && tail != 0 && xxhash.Sum64(batch.Entries[0].Data) != tail:
+	case len(batch.Entries) > 0 && uint64(batch.Entries[0].Offset) == offset && hash != 0 && xxhash.Sum64(batch.Entries[0].Data) != hash:
 		return errors.Wrapf(errForeign, "its entry at offset %d is not the one folded", offset)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.doubt = false
+	f.verifyPending = false
 	f.lastRead = time.Now()
 	return nil
 }
 
-// fold applies a batch. Entries that another read brought before are passed
-// over.
+// fold applies a batch. Entries that another read has already delivered are
+// skipped.
 func (f *Follower) fold(batch platform.Batch, sent time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -253,7 +256,8 @@
 	}
 }
 
-// apply folds entries and returns the offset reached; f.mu is held.
+// apply folds entries and returns the offset reached. It must be called with
+// f.mu held.
 func (f *Follower) apply(entries []platform.Entry) platform.Offset {
 	for _, e := range entries {
 		if uint64(e.Offset) <= f.state.Offset {
@@ -262,7 +266,7 @@
 		before := f.state.Offset
 		out := f.state.ApplyData(uint64(e.Offset), e.Data)
 		f.checkpoint(before)
-		f.tail.add(e)
+		f.recent.add(e)
 		f.metrics.records.WithLabelValues(string(out.Status)).Inc()
 		if w, ok := f.waiters[out.ID]; ok {
 			delete(f.waiters, out.ID)
--- a/internal/ledger/apply.go
+++ b/internal/ledger/apply.go
@@ -10,38 +10,40 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Status says what became of a record at its offset.
+// Status is the result of folding a record.
 type Status string
 
 // Statuses of a record.
 const (
-	// Effective: the state changed as the record says.
+	// Effective means that the record changed the state.
 	Effective Status = "effective"
-	// Stale: another record changed the subject first.
+	// Stale means that the record was not decided on the subject's current
+	// revision.
 	Stale Status = "stale"
-	// Duplicate: a second copy of the subject's latest record.
+	// Duplicate marks a further copy of the subject's latest record.
 	Duplicate Status = "duplicate"
-	// Refused: current, but not allowed, as over a budget.
+	// Refused means that the record was current but broke a rule, such as a
+	// budget.
 	Refused Status = "refused"
-	// Malformed: not a record, or of a kind this build does not know.
+	// Malformed means that the entry is no record, or of an unknown kind.
 	Malformed Status = "malformed"
 )
 
-// Outcome is the fold's answer to one record. It is equal on every node.
+// Outcome is the result of folding one record. It is the same on every node.
 type Outcome struct {
 	Offset  uint64
 	ID      string
 	Kind    record.Kind
 	Subject record.Subject
 	Status  Status
-	// Reason explains any status but Effective, for an operator to read.
+	// Reason explains any status other than Effective to the operator.
 	Reason string
 	// Current is the subject's revision after the record.
 	Current record.Revision
 }
 
-// refusal is a domain rule's "no", with the reason for the operator; empty
-// means allowed.
+// refusal is the reason why a rule refuses a record, written for the operator.
+// The empty string means allowed.
 type refusal string
 
 const allowed refusal = ""
@@ -50,71 +52,72 @@
 	return refusal(fmt.Sprintf(format, args...))
 }
 
-// maxReason bounds texts that the state keeps.
+// maxReason is the maximum length in bytes of the texts stored in the state.
 const maxReason = 1000
 
-// clip shortens a text to maxReason bytes, at a character's boundary.
-func clip(text string) string {
+// truncate shortens a text to maxReason bytes without splitting a character.
+func truncate(text string) string {
 	if len(text) <= maxReason {
 		return text
 	}
 	return strings.ToValidUTF8(text[:maxReason], "") + " ..."
 }
 
-// ApplyData folds the raw entry at offset.
+// ApplyData decodes and folds the raw entry at offset.
 func (s *State) ApplyData(offset uint64, data []byte) Outcome {
 	rec, err := record.Decode(data)
 	if err != nil {
-		s.advance(offset)
-		s.Tail = xxhash.Sum64(data)
+		s.advanceOffset(offset)
+		s.EntryHash = xxhash.Sum64(data)
 		return Outcome{Offset: offset, Status: Malformed, Reason: err.Error()}
 	}
 	out := s.Apply(offset, rec)
-	s.Tail = xxhash.Sum64(data)
+	s.EntryHash = xxhash.Sum64(data)
 	return out
 }
 
-// Apply folds the record at offset. Offsets must rise; a gap is allowed, since
-// the log may skip numbers.
+// Apply folds the record at offset. Offsets must increase; gaps are allowed
+// because the log may skip numbers.
 //
-// A refused record moves its subject's revision as an effective one does. So
-// every copy of a record, effective or refused, is void by its Base alone, and
-// no list of seen IDs is needed: without this, a copy of a refused drain that
-// surfaced minutes later could take effect behind its author's back.
+// A refused record advances its subject's revision like an effective one. Every
+// further copy of a record, effective or refused, is therefore void by its Base
+// alone and the state needs no list of seen IDs. Otherwise a copy of a refused
+// drain that arrived minutes later could take effect without its author's
+// knowledge.
 func (s *State) Apply(offset uint64, rec record.Record) Outcome {
-	s.advance(offset)
-	s.tick(rec)
-	s.written = rec.Time
-	defer func() { s.written = time.Time{} }()
-	s.contradictMembersEnd(rec)
+	s.advanceOffset(offset)
+	s.advanceClock(rec)
+	s.recordTime = rec.Time
+	defer func() { s.recordTime = time.Time{} }()
+	s.checkMembersEnd(rec)
 	out := Outcome{Offset: offset, ID: rec.ID, Kind: rec.Body.Kind(), Subject: rec.Subject}
-	if status, reason := s.current(rec); status != Effective {
+	if status, reason := s.checkRevision(rec); status != Effective {
 		out.Status, out.Reason = status, reason
 		out.Current = s.Revision(rec.Subject)
 		return out
 	}
-	no := s.applyBody(rec)
+	reason := s.applyBody(rec)
 	out.Status = Effective
-	if no != allowed {
-		out.Status, out.Reason = Refused, string(no)
+	if reason != allowed {
+		out.Status, out.Reason = Refused, string(reason)
 	}
-	s.settle(rec, no)
+	s.updateRevision(rec, reason)
 	out.Current = s.Revision(rec.Subject)
 	return out
 }
 
-func (s *State) advance(offset uint64) {
+func (s *State) advanceOffset(offset uint64) {
 	if offset <= s.Offset {
 		panic(fmt.Sprintf("ledger: offset %d applied after %d", offset, s.Offset))
 	}
 	s.Offset = offset
-	s.Tail = 0
+	s.EntryHash = 0
 	s.expireRetired()
 }
 
-// settle moves the subject's revision to the record's offset. A creating record
-// that was refused leaves a retired subject behind, which voids its copies.
-func (s *State) settle(rec record.Record, no refusal) {
+// updateRevision sets the subject's revision to the record's offset. A refused
+// creating record leaves a retired subject, which voids the record's copies.
+func (s *State) updateRevision(rec record.Record, reason refusal) {
 	if !checksBase(rec.Body) {
 		return
 	}
@@ -123,13 +126,14 @@
 		*live = h
 		return
 	}
-	if no != allowed {
+	if reason != allowed {
 		s.retire(rec.Subject, h)
 	}
 }
 
-// checksBase reports whether the record competes for its subject's revision.
-// Suspicions of several members about one member must not void each other.
+// checksBase reports whether the record must be based on its subject's current
+// revision. Suspicions of several members about one member must not void each
+// other.
 func checksBase(b record.Body) bool {
 	switch b.(type) {
 	case record.MemberSuspect, record.MemberTrust, record.ClockWitness:
@@ -138,12 +142,12 @@
 	return true
 }
 
-// current decides whether the record was decided on the subject's present
-// revision.
-func (s *State) current(rec record.Record) (Status, string) {
+// checkRevision returns Effective if the record was decided on the subject's
+// current revision; otherwise the status and its reason.
+func (s *State) checkRevision(rec record.Record) (Status, string) {
 	h, exists := s.head(rec.Subject)
 	if h.LastID == rec.ID && rec.ID != "" {
-		return Duplicate, fmt.Sprintf("record %s already took its turn at offset %d", rec.ID, h.Revision)
+		return Duplicate, fmt.Sprintf("record %s was already folded at offset %d", rec.ID, h.Revision)
 	}
 	if !checksBase(rec.Body) {
 		return Effective, ""
@@ -155,7 +159,7 @@
 		return Effective, ""
 	}
 	if rec.Base != 0 {
-		return Stale, fmt.Sprintf("%s does not exist (any more)", rec.Subject)
+		return Stale, fmt.Sprintf("%s does not exist", rec.Subject)
 	}
 	if rec.Seen >= s.Offset {
 		return Stale, fmt.Sprintf("the record claims to have seen offset %d, which is not before its own", rec.Seen)
@@ -170,8 +174,8 @@
 }
 
 func (s *State) applyBody(rec record.Record) refusal {
-	if no := subjectKind(rec); no != allowed {
-		return no
+	if reason := checkSubjectKind(rec); reason != allowed {
+		return reason
 	}
 	switch rec.Subject.Kind {
 	case record.SubjectService:
@@ -185,7 +189,7 @@
 	case record.SubjectJob:
 		return s.applyToJob(rec)
 	case record.SubjectClock:
-		return allowed // its time was all that a witness had to say
+		return allowed // only its time matters; see advanceClock
 	}
 	return noRule(rec)
 }
@@ -195,7 +199,7 @@
 func (s *State) applyToService(rec record.Record) refusal {
 	switch b := rec.Body.(type) {
 	case record.DocumentPublish:
-		return s.publish(rec, b)
+		return s.publishDocument(rec, b)
 	case record.DocumentRemove:
 		return s.removeService(rec)
 	}
@@ -215,11 +219,11 @@
 	case record.VMJoin:
 		return s.joinVM(rec, b)
 	case record.VMDown:
-		return s.downVM(rec, b)
+		return s.markVMDown(rec, b)
 	case record.VMUp:
-		return s.upVM(rec)
+		return s.markVMUp(rec)
 	case record.VMGone:
-		return s.goneVM(rec)
+		return s.removeVM(rec)
 	case record.VMQuarantine:
 		return s.quarantineVM(rec, b)
 	}
@@ -270,9 +274,10 @@
 	return noRule(rec)
 }
 
-// subjectKind refuses a body that does not belong to its subject's kind, as a
-// VM drain addressed to a service: it would move a foreign revision.
-func subjectKind(rec record.Record) refusal {
+// checkSubjectKind refuses a body that does not belong to its subject's kind,
+// for example a VM drain addressed to a service, which would advance the
+// revision of an unrelated subject.
+func checkSubjectKind(rec record.Record) refusal {
 	want := bodySubject(rec.Body)
 	if rec.Subject.Kind != want {
 		return refusef("%s belongs to a %s, not to %s", rec.Body.Kind(), want, rec.Subject)
--- a/internal/ledger/index.go
+++ b/internal/ledger/index.go
@@ -4,23 +4,24 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// indexInto puts v under outer and inner key, making the inner map if needed.
-func indexInto[V any](m map[string]map[string]V, outer, inner string, v V) {
+// addTo stores v under the outer and inner key and creates the inner map if
+// needed.
+func addTo[V any](m map[string]map[string]V, outer, inner string, v V) {
 	if m[outer] == nil {
 		m[outer] = map[string]V{}
 	}
 	m[outer][inner] = v
 }
 
-// rebuild makes the indexes anew.
-func (s *State) rebuild() {
+// rebuildIndexes computes all indexes from the state.
+func (s *State) rebuildIndexes() {
 	s.poolVMs = map[string]map[string]*VM{}
-	s.poolOut = map[string]map[string]*VM{}
-	s.free = map[string]*VM{}
+	s.poolUnavailable = map[string]map[string]*VM{}
+	s.freeVMs = map[string]*VM{}
 	s.workerJobs = map[string]map[string]*Job{}
 	s.poolJobs = map[string]map[string]*Job{}
 	s.teamUse = map[teamKey]Resources{}
-	s.queued = map[string]int{}
+	s.queuedJobs = map[string]int{}
 	s.Retired = map[record.Subject]Head{}
 	for _, r := range s.RetireQueue {
 		if r.Head.Revision != 0 {
@@ -33,44 +34,45 @@
 	s.indexJobs()
 }
 
-// indexVM puts a VM where its pool, phase and health belong. unindexVM takes it
-// out before any of them changes.
+// indexVM adds a VM to the indexes for its pool, phase and health. unindexVM
+// must be called before any of these changes.
 func (s *State) indexVM(vm *VM) {
 	if vm.Pool == "" {
 		if !vm.Down {
-			s.free[vm.ID] = vm
+			s.freeVMs[vm.ID] = vm
 		}
 		return
 	}
-	indexInto(s.poolVMs, vm.Pool, vm.ID, vm)
+	addTo(s.poolVMs, vm.Pool, vm.ID, vm)
 	if !vm.Serving() {
-		indexInto(s.poolOut, vm.Pool, vm.ID, vm)
+		addTo(s.poolUnavailable, vm.Pool, vm.ID, vm)
 	}
 }
 
 func (s *State) unindexVM(vm *VM) {
-	delete(s.free, vm.ID)
+	delete(s.freeVMs, vm.ID)
 	removeFrom(s.poolVMs, vm.Pool, vm.ID)
-	removeFrom(s.poolOut, vm.Pool, vm.ID)
+	removeFrom(s.poolUnavailable, vm.Pool, vm.ID)
 }
 
-// changeVM changes a VM's pool, phase or health and keeps indexes and accounts
-// in step with it.
+// changeVM runs change, which may change the VM's pool, phase or health, and
+// updates indexes and accounts.
 func (s *State) changeVM(vm *VM, change func()) {
 	old := vm.Pool
 	s.unindexVM(vm)
 	change()
 	s.indexVM(vm)
-	s.account(old)
+	s.updateAccount(old)
 	if vm.Pool != old {
-		s.account(vm.Pool)
+		s.updateAccount(vm.Pool)
 	}
 	if vm.Pool == "" || old == "" {
-		s.accountReserve()
+		s.updateReserveAccount()
 	}
 }
 
-// removeFrom takes inner out of the map under outer, and that when it is empty.
+// removeFrom deletes inner from the map under outer, and that map once it is
+// empty.
 func removeFrom[V any](m map[string]map[string]V, outer, inner string) {
 	delete(m[outer], inner)
 	if len(m[outer]) == 0 {
--- a/internal/ledger/job_rules.go
+++ b/internal/ledger/job_rules.go
@@ -19,7 +19,7 @@
 		return refusef("job %s asks for more than any VM can have", rec.Subject.Name)
 	}
 	if n := len(s.Jobs); n >= MaxJobs {
-		return refusef("%d jobs are queued, placed or lately ended; no more are taken until some are forgotten", n)
+		return refusef("%d jobs are queued, placed or recently ended; no more are accepted until ended jobs expire", n)
 	}
 	if _, ok := s.Quota(b.Service, b.Team); !ok {
 		return refusef("team %q has no quota in service %s; its document's owner can add one", b.Team, b.Service)
@@ -32,18 +32,18 @@
 		QueuedAt:    s.Now,
 	}
 	s.Jobs[j.ID] = j
-	s.setStatus(j, JobQueued)
-	indexInto(s.poolJobs, b.Service, j.ID, j)
+	s.setJobStatus(j, JobQueued)
+	addTo(s.poolJobs, b.Service, j.ID, j)
 	return allowed
 }
 
-// placeJob reserves a worker for a job. The checks make a placement that was
-// planned on older state harmless: two planners cannot overfill a worker or a
-// quota between them.
+// placeJob reserves a worker for a job. The checks make placements that were
+// planned on an older state harmless: two planners together cannot exceed a
+// worker's capacity or a quota.
 func (s *State) placeJob(rec record.Record, b record.JobPlace) refusal {
-	j, no := s.job(rec)
-	if no != allowed {
-		return no
+	j, reason := s.job(rec)
+	if reason != allowed {
+		return reason
 	}
 	if j.Status != JobQueued {
 		return refusef("job %s is %s", j.ID, j.Status)
@@ -55,14 +55,14 @@
 	if b.MilliCores < 0 || b.MilliCores > 1000*document.MaxCores || b.MemoryMB < 0 || b.MemoryMB > document.MaxMemoryMB {
 		return refusef("the reservation for job %s is negative or larger than any VM", j.ID)
 	}
-	if no := s.mayTakeJob(vm); no != allowed {
-		return no
+	if reason := s.checkWorkerAvailable(vm); reason != allowed {
+		return reason
 	}
 	want := Resources{MilliCores: b.MilliCores, MemoryMB: b.MemoryMB, Accelerators: j.Spec.Accelerators}
-	if no := s.mayReserve(j, vm, want); no != allowed {
-		return no
+	if reason := s.checkCapacity(j, vm, want); reason != allowed {
+		return reason
 	}
-	s.setStatus(j, JobPlaced)
+	s.setJobStatus(j, JobPlaced)
 	j.Worker = vm.ID
 	j.Fence = s.Offset
 	j.PlaceID = rec.ID
@@ -74,9 +74,9 @@
 	return allowed
 }
 
-// mayTakeJob refuses a worker that is set aside, that is on probation and busy,
-// or whose slots are taken.
-func (s *State) mayTakeJob(vm *VM) refusal {
+// checkWorkerAvailable refuses a worker that is quarantined, on probation and
+// busy, or has no free slot.
+func (s *State) checkWorkerAvailable(vm *VM) refusal {
 	if vm.Quarantined {
 		return refusef("worker %s is set aside", vm.ID)
 	}
@@ -90,9 +90,9 @@
 	return allowed
 }
 
-// mayReserve checks that more fits the worker and the team's quota on top of
-// what is reserved.
-func (s *State) mayReserve(j *Job, vm *VM, more Resources) refusal {
+// checkCapacity checks that more fits the worker and the team's quota in
+// addition to what is reserved.
+func (s *State) checkCapacity(j *Job, vm *VM, more Resources) refusal {
 	if !s.WorkerUse(vm.ID).Add(more, 1).Within(vm.Resources()) {
 		return refusef("worker %s has no room for job %s", vm.ID, j.ID)
 	}
@@ -104,18 +104,18 @@
 }
 
 func (s *State) endJob(rec record.Record, b record.JobEnd) refusal {
-	j, no := s.job(rec)
-	if no != allowed {
-		return no
+	j, reason := s.job(rec)
+	if reason != allowed {
+		return reason
 	}
-	if no := j.mayEnd(b); no != allowed {
-		return no
+	if reason := j.checkResult(b); reason != allowed {
+		return reason
 	}
 	s.endAttempt(j, b)
 	return allowed
 }
 
-// endAttempt ends the job's attempt, or a job that is never placed.
+// endAttempt ends the job's attempt, or a job that cannot be placed.
 func (s *State) endAttempt(j *Job, b record.JobEnd) {
 	if j.Status == JobPlaced {
 		s.indexPlaced(j, -1)
@@ -126,7 +126,7 @@
 	case record.JobLapsed:
 		j.Lapses++
 	case record.JobSucceeded:
-		s.passProbation(j.Worker)
+		s.countProbationSuccess(j.Worker)
 	}
 	if b.Checkpoint != "" {
 		j.Checkpoint = b.Checkpoint
@@ -135,14 +135,14 @@
 	j.PeakMemoryMB = max(j.PeakMemoryMB, b.PeakMemoryMB)
 	j.Result = b.Result
 	if b.Reason != "" {
-		j.Reason = clip(b.Reason)
+		j.Reason = truncate(b.Reason)
 	}
 	j.Preempt = nil
-	s.afterEnd(j)
+	s.requeueOrClose(j)
 }
 
-// mayEnd refuses a result that does not belong to the job's status.
-func (j *Job) mayEnd(b record.JobEnd) refusal {
+// checkResult refuses a result that does not match the job's status.
+func (j *Job) checkResult(b record.JobEnd) refusal {
 	if j.Ended() {
 		return refusef("job %s is %s", j.ID, j.Status)
 	}
@@ -155,7 +155,7 @@
 	case record.JobSucceeded, record.JobFailed, record.JobPreempted,
 		record.JobNotStarted, record.JobLapsed, record.JobStopped:
 	default:
-		return refusef("%q is no result of a job", b.Result)
+		return refusef("%q is not a job result", b.Result)
 	}
 	if j.Status != JobPlaced {
 		return refusef("job %s is not placed", j.ID)
@@ -166,13 +166,13 @@
 	return allowed
 }
 
-// afterEnd queues the job again or ends it.
-func (s *State) afterEnd(j *Job) {
+// requeueOrClose queues the job again or ends it.
+func (s *State) requeueOrClose(j *Job) {
 	switch {
 	case j.CancelAsked && j.Result != record.JobSucceeded:
 		s.closeJob(j, JobCancelled)
-	case j.startsAgain():
-		s.setStatus(j, JobQueued)
+	case j.canRetry():
+		s.setJobStatus(j, JobQueued)
 		j.QueuedAt = s.Now
 		j.Worker = ""
 	default:
@@ -180,11 +180,11 @@
 	}
 }
 
-// startsAgain decides whether a job whose attempt is over may be placed once
-// more. A job that is not repeatable starts again only when its attempt
-// certainly did not run or was checkpointed: after a lapsed lease its task may
-// still be running, and a second start would run it twice.
-func (j *Job) startsAgain() bool {
+// canRetry reports whether a job whose attempt has ended may be placed again. A
+// job that is not repeatable may be only if the attempt certainly did not run
+// or was checkpointed: after a lapsed lease its task may still be running, and
+// a second start would run it twice.
+func (j *Job) canRetry() bool {
 	switch j.Result {
 	case record.JobNotStarted:
 		return true
@@ -196,12 +196,13 @@
 	return false
 }
 
-// preemptJob records that a placed job makes room. A throttle lowers what it
-// reserves at once; the room is real when the platform has throttled the task.
+// preemptJob records the preemption of a placed job. A throttle lowers its
+// reservation at once, although the capacity is free only when the platform has
+// throttled the task.
 func (s *State) preemptJob(rec record.Record, b record.JobPreempt) refusal {
-	j, no := s.job(rec)
-	if no != allowed {
-		return no
+	j, reason := s.job(rec)
+	if reason != allowed {
+		return reason
 	}
 	if j.Status != JobPlaced {
 		return refusef("job %s is %s", j.ID, j.Status)
@@ -209,8 +210,8 @@
 	if j.Preempt != nil && j.Preempt.Action == record.PreemptCheckpoint {
 		return refusef("job %s is being checkpointed", j.ID)
 	}
-	if no := s.mayPreempt(j, b); no != allowed {
-		return no
+	if reason := s.checkPreempt(j, b); reason != allowed {
+		return reason
 	}
 	if b.Action != record.PreemptCheckpoint {
 		s.indexPlaced(j, -1)
@@ -221,7 +222,7 @@
 	return allowed
 }
 
-func (s *State) mayPreempt(j *Job, b record.JobPreempt) refusal {
+func (s *State) checkPreempt(j *Job, b record.JobPreempt) refusal {
 	switch b.Action {
 	case record.PreemptCheckpoint:
 		if !j.Spec.Checkpointable {
@@ -241,15 +242,15 @@
 		if !ok {
 			return refusef("there is no VM %s", j.Worker)
 		}
-		return s.mayReserve(j, vm, Resources{MilliCores: b.MilliCores - j.MilliCores})
+		return s.checkCapacity(j, vm, Resources{MilliCores: b.MilliCores - j.MilliCores})
 	}
-	return refusef("%q is no way to make room", b.Action)
+	return refusef("%q is no preemption action", b.Action)
 }
 
 func (s *State) cancelJob(rec record.Record, b record.JobCancel) refusal {
-	j, no := s.job(rec)
-	if no != allowed {
-		return no
+	j, reason := s.job(rec)
+	if reason != allowed {
+		return reason
 	}
 	if j.Ended() {
 		return refusef("job %s is %s", j.ID, j.Status)
@@ -260,7 +261,7 @@
 	j.CancelAsked = true
 	j.CancelledAt = s.Now
 	j.CancelID, j.CancelFence = rec.ID, s.Offset
-	j.Reason = clip(b.Reason)
+	j.Reason = truncate(b.Reason)
 	if j.Status == JobQueued {
 		s.closeJob(j, JobCancelled)
 	}
@@ -269,7 +270,7 @@
 
 // closeJob ends a job and keeps it for RetiredSpan offsets.
 func (s *State) closeJob(j *Job, status JobStatus) {
-	s.setStatus(j, status)
+	s.setJobStatus(j, status)
 	j.EndedAt = s.Now
 	sub := record.Subject{Kind: record.SubjectJob, Name: j.ID}
 	s.RetireQueue = append(s.RetireQueue, Retirement{Subject: sub, At: s.Offset})
--- a/internal/ledger/property_test.go
+++ b/internal/ledger/property_test.go
@@ -14,7 +14,7 @@
 
 const entriesPerHistory = 120
 
-func restart(t require.TestingT, s *State) *State {
+func mustRestore(t require.TestingT, s *State) *State {
 	data, err := EncodeSnapshot(s)
 	require.NoError(t, err)
 	again, err := DecodeSnapshot(data)
@@ -22,39 +22,41 @@
 	return again
 }
 
-func digest(t require.TestingT, s *State) uint64 {
+func mustDigest(t require.TestingT, s *State) uint64 {
 	d, err := s.Digest()
 	require.NoError(t, err)
 	return d
 }
 
-// Nodes start from different snapshots of the same log, whose entries are
-// doubled, late, void and partly junk. They must answer every entry alike and
-// end with equal states, or two nodes would hold different decisions effective.
+// Nodes start from different snapshots of a log with duplicate, late, void and
+// malformed entries. They must compute the same outcome for every entry and end
+// with equal states; otherwise two nodes would treat different decisions as
+// effective.
 func TestRestartFromAnySnapshotGivesTheSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var snapshots []*State
 		var outcomes []Outcome
 		g := newGenerator(t, func(_ *generator, _ entry, out Outcome) { outcomes = append(outcomes, out) })
-		g.wild = rapid.Bool().Draw(t, "wild clocks")
+		g.wildClocks = rapid.Bool().Draw(t, "wild clocks")
 		for range 4 {
 			g.run(entriesPerHistory / 4)
-			snapshots = append(snapshots, restart(t, g.s))
+			snapshots = append(snapshots, mustRestore(t, g.state))
 		}
-		whole := digest(t, g.s)
+		whole := mustDigest(t, g.state)
 		for _, s := range append(snapshots, New()) {
 			first := slices.IndexFunc(g.log, func(e entry) bool { return e.offset > s.Offset })
 			for i := first; i >= 0 && i < len(g.log); i++ {
 				require.Equal(t, outcomes[i], s.ApplyData(g.log[i].offset, g.log[i].data))
 			}
-			require.Equal(t, whole, digest(t, s))
+			require.Equal(t, whole, mustDigest(t, s))
 		}
 	})
 }
 
 // Whatever is appended, a record takes effect at most once, the document in
-// force is that of the latest effective publish, every VM is in one pool, and
-// the indexes by which decisions are checked are what a rebuild gives.
+// force is that of the latest effective publish, every VM is in at most one
+// pool, and the indexes that decisions are checked against equal those of a
+// rebuild.
 func TestInvariantsOfRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		effective := map[string]int{}
@@ -72,15 +74,15 @@
 			if b, ok := rec.Body.(record.DocumentPublish); ok && out.Status == Effective {
 				require.Greater(t, record.Revision(e.offset), published[rec.Subject.Name])
 				published[rec.Subject.Name] = record.Revision(e.offset)
-				require.Equal(t, b.Text, g.s.Services[rec.Subject.Name].Text)
+				require.Equal(t, b.Text, g.state.Services[rec.Subject.Name].Text)
 			}
 		})
-		g.wild = rapid.Bool().Draw(t, "wild clocks")
+		g.wildClocks = rapid.Bool().Draw(t, "wild clocks")
 		for range 6 {
 			g.run(entriesPerHistory / 6)
-			requireIndexes(t, g.s)
+			requireIndexes(t, g.state)
 		}
-		for name, svc := range g.s.Services {
+		for name, svc := range g.state.Services {
 			require.GreaterOrEqual(t, svc.Revision, published[name])
 		}
 	})
@@ -88,14 +90,14 @@
 
 // requireIndexes compares the indexes with those of a rebuild.
 func requireIndexes(t require.TestingT, s *State) {
-	want := restart(t, s)
+	want := mustRestore(t, s)
 	require.Equal(t, keys(want.poolVMs), keys(s.poolVMs))
-	require.Equal(t, keys(want.poolOut), keys(s.poolOut))
+	require.Equal(t, keys(want.poolUnavailable), keys(s.poolUnavailable))
 	require.Equal(t, keys(want.workerJobs), keys(s.workerJobs))
 	require.Equal(t, keys(want.poolJobs), keys(s.poolJobs))
 	require.Equal(t, want.teamUse, s.teamUse)
 	require.Equal(t, want.Retired, s.Retired)
-	require.Equal(t, slices.Sorted(maps.Keys(want.free)), slices.Sorted(maps.Keys(s.free)))
+	require.Equal(t, slices.Sorted(maps.Keys(want.freeVMs)), slices.Sorted(maps.Keys(s.freeVMs)))
 	in := map[string]int{}
 	for pool, vms := range s.poolVMs {
 		for id, vm := range vms {
@@ -117,10 +119,10 @@
 	return out
 }
 
-// Drains, failures, moves and documents race. A model sums up each pool's
-// shortage second by second; the account must agree with it, and no drain of a
-// serving VM may be let through that leaves the pool shorter than
-// max_unavailable or that begins with the window's budget spent.
+// Drains, failures, moves and documents race. The account must agree with a
+// model that sums up each pool's shortfall over time, and no drain of a serving
+// VM may be allowed that leaves the pool shorter than max_unavailable permits
+// or that starts with the window's budget spent.
 func TestBudgetsHoldInRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spans := map[string][]span{}
@@ -128,17 +130,17 @@
 		var last time.Time
 		g := newGenerator(t, func(g *generator, e entry, out Outcome) {
 			for name, u := range before {
-				if g.s.Now.After(last) {
-					spans[name] = append(spans[name], span{last, g.s.Now, u.Short})
+				if g.state.Now.After(last) {
+					spans[name] = append(spans[name], span{last, g.state.Now, u.Short})
 				}
 			}
-			last = g.s.Now
-			checkDrain(t, g.s, e, out, before, spans)
+			last = g.state.Now
+			checkDrain(t, g.state, e, out, before, spans)
 			clear(before)
-			for name, svc := range g.s.Services {
-				before[name] = g.s.Unavailability(name)
-				if svc.Account.Since.Equal(g.s.Now) {
-					spans[name] = nil // published anew: a new account
+			for name, svc := range g.state.Services {
+				before[name] = g.state.Unavailability(name)
+				if svc.Account.Since.Equal(g.state.Now) {
+					spans[name] = nil // published again, with a new account
 				}
 			}
 		})
@@ -146,7 +148,7 @@
 	})
 }
 
-// span is a stretch of time in which a pool was short of so many VMs.
+// span is a period during which a pool was short of that many VMs.
 type span struct {
 	from, to time.Time
 	short    int
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -7,12 +7,12 @@
 	"slices"
 )
 
-// publish puts a document in force. A document that does not pass validation is
-// refused on every node alike, and the last good one stays in force.
-func (s *State) publish(rec record.Record, b record.DocumentPublish) refusal {
+// publishDocument puts a document in force. An invalid document is refused on
+// all nodes and the last valid one stays in force.
+func (s *State) publishDocument(rec record.Record, b record.DocumentPublish) refusal {
 	doc, problems := document.Parse(rec.Subject.Name+".toml", []byte(b.Text))
 	if len(problems) > 0 {
-		return refusal(clip(problems.Error()))
+		return refusal(truncate(problems.Error()))
 	}
 	if doc.Service != rec.Subject.Name {
 		return refusef("the document is for service %q, the record for %q", doc.Service, rec.Subject.Name)
@@ -27,12 +27,13 @@
 	svc.Doc = doc
 	svc.Author = rec.Author
 	svc.PublishedAt = s.Now
-	s.account(doc.Service)
+	s.updateAccount(doc.Service)
 	return allowed
 }
 
-// removeService is refused while VMs, jobs or a wave depend on the service:
-// shrink the pool to 0 first, so that every VM leaves by a drain.
+// removeService removes a service. It is refused while VMs, jobs or a wave
+// depend on the service: the pool must shrink to 0 first, so that every VM
+// leaves by a drain.
 func (s *State) removeService(rec record.Record) refusal {
 	name := rec.Subject.Name
 	svc, ok := s.Services[name]
@@ -42,17 +43,18 @@
 	if n := len(s.poolVMs[name]); n > 0 {
 		return refusef("pool %s still has %d VMs; publish size = 0 and wait until they have left", name, n)
 	}
-	if no := s.dependsOn(name); no != allowed {
-		return no
+	if reason := s.checkUnreferenced(name); reason != allowed {
+		return reason
 	}
 	delete(s.Services, svc.Doc.Service)
 	s.retire(rec.Subject, Head{Revision: record.Revision(s.Offset), LastID: rec.ID})
 	return allowed
 }
 
-// dependsOn refuses to remove a service that something else still names: its
-// jobs would wait, VMs be released for a pool and a wave go on, without end.
-func (s *State) dependsOn(service string) refusal {
+// checkUnreferenced refuses to remove a service that jobs, drains or a wave
+// refer to: the jobs would stay queued, the VMs released and the wave active
+// forever.
+func (s *State) checkUnreferenced(service string) refusal {
 	if wave := s.activeWaveOf(service); wave != "" {
 		return refusef("pool %s is in wave %s; wait for it or abort it", service, wave)
 	}
--- a/internal/ledger/wave.go
+++ b/internal/ledger/wave.go
@@ -19,7 +19,7 @@
 	WaveDone    WaveStatus = "done"
 )
 
-// WaveProgress is how far one VM is in a wave.
+// WaveProgress is the progress of one VM in a wave.
 type WaveProgress string
 
 // Progress of a VM in a wave.
@@ -30,8 +30,8 @@
 	WaveSkipped WaveProgress = "skipped"
 )
 
-// Wave is a maintenance wave: every VM that its pools had at its start is
-// drained, rebooted and taken back once.
+// Wave is a maintenance wave: every VM that its pools have at its start is
+// drained, rebooted and returned to its pool once.
 type Wave struct {
 	Head
 	ID         string     `json:"id"`
@@ -41,7 +41,7 @@
 	Reason     string     `json:"reason,omitempty"`
 	StartedAt  time.Time  `json:"started_at"`
 	FinishedAt time.Time  `json:"finished_at"`
-	// VMs is the progress by VM ID, Skips the reasons of the skipped ones.
+	// VMs holds the progress by VM ID, Skips the reasons of the skipped VMs.
 	VMs   map[string]WaveProgress `json:"vms"`
 	Skips map[string]string       `json:"skips,omitempty"`
 }
@@ -121,7 +121,7 @@
 	default:
 		return refusef("unknown wave command %q", b.Command)
 	}
-	w.Reason = clip(b.Reason)
+	w.Reason = truncate(b.Reason)
 	return allowed
 }
 
@@ -143,7 +143,7 @@
 	if w.Skips == nil {
 		w.Skips = map[string]string{}
 	}
-	w.Skips[vm] = clip(reason)
+	w.Skips[vm] = truncate(reason)
 	s.finishIfComplete(w)
 }
 
@@ -180,8 +180,8 @@
 	return ids
 }
 
-// markWave sets the progress of a VM in a wave.
-func (s *State) markWave(w *Wave, vm string, progress WaveProgress) {
+// setWaveProgress sets the progress of a VM in a wave.
+func (s *State) setWaveProgress(w *Wave, vm string, progress WaveProgress) {
 	w.VMs[vm] = progress
 	s.finishIfComplete(w)
 }
