--- a/internal/scheduler/authority_test.go
+++ b/internal/scheduler/authority_test.go
@@ -81,7 +81,7 @@
 // A run of an earlier owner that was listed once must not be given up before its lease has
 // expired. An owner without authority renews no lease, so only the earlier owner's lease bounds
 // the run.
-func TestAdoptedRunIsKeptForTheEarlierOwnersLease(t *testing.T) {
+func TestListedRunIsKeptForTheEarlierOwnersLease(t *testing.T) {
 	r := newRig(t, "w-1")
 	r.setWorkers("w-1", "w-2")
 	job := r.submit("0000000000000001", batchStep(1, 1000))
--- a/internal/scheduler/backlog_test.go
+++ b/internal/scheduler/backlog_test.go
@@ -14,13 +14,13 @@
 // saturatedService is a service whose workers are full while jobs wait.
 type saturatedService struct {
 	*rig
-	running        []scheduler.StartOrder
-	lastExitNumber map[string]int64 // number of the last exit, by worker
-	jobCount       int
+	running          []scheduler.StartOrder
+	lastExitSequence map[string]int64 // number of the last exit, by worker
+	jobCount         int
 }
 
 func newSaturatedService(t testing.TB, workers, waitingJobs int) *saturatedService {
-	f := &saturatedService{rig: newRig(t), lastExitNumber: map[string]int64{}}
+	f := &saturatedService{rig: newRig(t), lastExitSequence: map[string]int64{}}
 	var ids []string
 	for i := range workers {
 		ids = append(ids, fmt.Sprintf("worker-%03d", i))
@@ -56,8 +56,8 @@
 	oldest := f.running[0]
 	f.running = f.running[1:]
 	workerID := oldest.Worker.ID
-	f.lastExitNumber[workerID]++
-	report := exitReport(f.lastExitNumber[workerID], oldest, workload.ExitDone)
+	f.lastExitSequence[workerID]++
+	report := exitReport(f.lastExitSequence[workerID], oldest, workload.ExitDone)
 	for _, s := range f.running {
 		if s.Worker.ID == workerID {
 			report.Running = append(report.Running, workload.ListedRun{Task: s.Start.Task, Run: s.Start.Run, SpeedPercent: 100})
--- a/internal/scheduler/checks_test.go
+++ b/internal/scheduler/checks_test.go
@@ -29,7 +29,7 @@
 	job := w.jobs[r.task.Job]
 	spec := &job.submission.Spec.Steps[r.task.Step]
 	taskName := r.task.String()
-	if !spec.LongRunning || spec.MaxUnavailable == 0 || !job.cancelledAt.IsZero() || job.givenUp {
+	if !spec.LongRunning || spec.MaxUnavailable == 0 || !job.cancelledAt.IsZero() || job.failedForCrashes {
 		return
 	}
 	unavailable := 0
--- a/internal/scheduler/core_test.go
+++ b/internal/scheduler/core_test.go
@@ -47,7 +47,7 @@
 
 // A new owner finds a run of its predecessor. The run goes on, its task is not started a second
 // time, and its exit counts.
-func TestRunOfAnEarlierOwnerIsAdopted(t *testing.T) {
+func TestRunOfAnEarlierOwnerContinues(t *testing.T) {
 	r := newRig(t, "w-1")
 	r.setWorkers("w-1")
 	job := r.submit("0000000000000001", batchStep(1, 1000))
@@ -210,7 +210,7 @@
 	next.core.HandlePollResult(scheduler.PollResult{Worker: "w-1", Token: 4 << 10, SentAt: next.now, Answer: workload.WorkerAnswer{Status: workload.WorkerOutcomeUnknown}}, next.now)
 	next.core.HandlePollResult(scheduler.PollResult{Worker: "w-2", Token: 4 << 10, SentAt: next.now, Answer: workload.WorkerAnswer{ClockMS: 1000}}, next.now)
 	var started []workload.JobID
-	stepTimes := func(steps int) {
+	stepN := func(steps int) {
 		for range steps {
 			orders := next.step(100 * time.Millisecond)
 			for _, s := range orders.Starts {
@@ -224,16 +224,16 @@
 			}
 		}
 	}
-	stepTimes(30)
+	stepN(30)
 	assert.Equal(t, []workload.JobID{second}, started)
-	stepTimes(12)
+	stepN(12)
 	assert.Contains(t, started, first)
 }
 
 // The owner's process stalls while a worker answers, and wakes up to polls that have timed out.
 // It must poll once more before it gives up the worker's runs: the answer lists one as done, and
 // a second start would run the task twice.
-func TestStalledOwnerPollsAgainBeforeItGivesUpRuns(t *testing.T) {
+func TestStalledOwnerPollsAgainBeforeItDropsRuns(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
 	job := r.submit("0000000000000001", batchStep(1, 1000))
--- a/internal/scheduler/crash_test.go
+++ b/internal/scheduler/crash_test.go
@@ -15,7 +15,7 @@
 // A task crashes each worker that starts it. A crashed worker lists no exits, so that no failed
 // attempt was counted and the task started again without end. It must be given up and its job
 // shown as failed before a third start after three crashes.
-func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
+func TestJobWhoseTaskCrashesItsWorkersFails(t *testing.T) {
 	r := newRig(t)
 	job := r.submit("0000000000000001", batchStep(1, 1000))
 	starts := 0
@@ -62,35 +62,35 @@
 	return spec
 }
 
-// playCrashHistory plays two minutes of jobs on 16 workers; a few jobs crash their workers. At
+// runCrashHistory plays two minutes of jobs on 16 workers; a few jobs crash their workers. At
 // times a worker's capacity shrinks or a worker refuses connections. For odd seeds owners are
 // killed, replaced and hand over, and the store is unavailable at times. For every third seed the
 // workers don't enforce their capacity.
-func playCrashHistory(seed uint64) (w *world, crashingJobs []*fakeJob) {
-	return newWorld(seed, crashFaults).playCrashScenario(seed)
+func runCrashHistory(seed uint64) (w *world, crashingJobs []*fakeJob) {
+	return newWorld(seed, crashFaults).runCrashScenario(seed)
 }
 
-// playCrashRestartHistory is playCrashHistory with workers that come back under the same ID after
+// runCrashRestartHistory is playCrashHistory with workers that come back under the same ID after
 // a crash; some also restart without one.
-func playCrashRestartHistory(seed uint64) (w *world, crashingJobs []*fakeJob) {
+func runCrashRestartHistory(seed uint64) (w *world, crashingJobs []*fakeJob) {
 	w = newWorld(seed, crashFaults)
 	w.crashedWorkersRestart = true
-	return w.playCrashScenario(seed)
+	return w.runCrashScenario(seed)
 }
 
-// playVMLossHistory is playCrashHistory with workers that lose their VMs when they crash, under
+// runVMLossHistory is playCrashHistory with workers that lose their VMs when they crash, under
 // one owner: an owner that dies takes along what it has seen of a silent worker.
-func playVMLossHistory(seed uint64) (w *world, crashingJobs []*fakeJob) {
+func runVMLossHistory(seed uint64) (w *world, crashingJobs []*fakeJob) {
 	w = newWorld(seed, crashFaults)
 	w.crashesLoseVM = true
-	return w.playCrashScenario(2 * seed)
+	return w.runCrashScenario(2 * seed)
 }
 
 var crashFaults = faults{lostAnswer: 0.01, lostWriteAnswer: 0.02, lateOrder: 0.002}
 
-func (w *world) playCrashScenario(seed uint64) (_ *world, crashingJobs []*fakeJob) {
+func (w *world) runCrashScenario(seed uint64) (_ *world, crashingJobs []*fakeJob) {
 	if seed%3 == 0 {
-		w.unguarded = true
+		w.capacityNotEnforced = true
 		w.faults.lateOrder = 0 // an owner can't know of a capacity reduced by then
 	}
 	for i := range 16 {
@@ -153,7 +153,7 @@
 
 // injectOwnerFault injects one random fault of the owner or the store.
 func (w *world) injectOwnerFault() {
-	if w.owner.dead {
+	if w.owner.stopped {
 		return
 	}
 	switch w.rng.IntN(5) {
@@ -169,10 +169,10 @@
 	}
 }
 
-// crashSeedsToPlay returns the first n seeds and those that have shown a fault beyond them: three
+// crashHistorySeeds returns the first n seeds and those that have shown a fault beyond them: three
 // owners in a row were lost before the crash that they saw was stored or resolved (47, 81, 223),
 // or three starts in a row had no answer before their workers crashed (212, with restarts).
-func crashSeedsToPlay(n uint64) []uint64 {
+func crashHistorySeeds(n uint64) []uint64 {
 	var list []uint64
 	for seed := range n {
 		list = append(list, seed)
@@ -185,13 +185,13 @@
 // few crashes, all others must complete, and no start may exceed the capacity that a worker has
 // left.
 func TestTasksThatCrashWorkersInRandomHistories(t *testing.T) {
-	checkCrashHistories(t, playCrashHistory)
+	checkCrashHistories(t, runCrashHistory)
 }
 
 // The same histories with workers that come back under the same ID: a crash then shows only in
 // the worker's new incarnation.
 func TestTasksThatCrashRestartingWorkersInRandomHistories(t *testing.T) {
-	checkCrashHistories(t, playCrashRestartHistory)
+	checkCrashHistories(t, runCrashRestartHistory)
 }
 
 // maxSilentVMLosses is how many VMs may be lost to a task that loses its VM each time. Some are
@@ -201,13 +201,13 @@
 // A task that loses its worker's VM each time must not be started without end. No address refuses
 // connections and no successor answers, so that each loss looks like a worker that was cut off.
 func TestTasksThatLoseTheirVMsInRandomHistories(t *testing.T) {
-	checkCrashHistories(t, playVMLossHistory)
+	checkCrashHistories(t, runVMLossHistory)
 }
 
-func checkCrashHistories(t *testing.T, play func(seed uint64) (w *world, crashingJobs []*fakeJob)) {
-	crashes, maxCrashes, bystanderRunsLost := 0, 0, 0
-	for _, seed := range crashSeedsToPlay(historyCount(t) / 5) {
-		w, crashingJobs := play(seed)
+func checkCrashHistories(t *testing.T, runHistory func(seed uint64) (w *world, crashingJobs []*fakeJob)) {
+	crashes, maxCrashes, lostRunsOfOtherJobs := 0, 0, 0
+	for _, seed := range crashHistorySeeds(historyCount(t) / 5) {
+		w, crashingJobs := runHistory(seed)
 		require.Empty(t, w.violations, "seed %d", seed)
 		isCrashingJob := map[workload.JobID]bool{}
 		for _, job := range crashingJobs {
@@ -219,7 +219,7 @@
 				maxCrashes = max(maxCrashes, job.workerCrashes[taskName])
 			}
 		}
-		bystanderRunsLost += w.bystanderRunsLost
+		lostRunsOfOtherJobs += w.lostRunsOfOtherJobs
 		for _, job := range w.jobs {
 			state, known := w.owner.core.JobState(job.id)
 			require.True(t, known, "seed %d: job %s must be known", seed, job.id)
@@ -238,7 +238,7 @@
 			return
 		}
 	}
-	t.Log(fmt.Sprint(crashes, " crashes, at most ", maxCrashes, " under one task, ", bystanderRunsLost, " runs of other jobs lost"))
+	t.Log(fmt.Sprint(crashes, " crashes, at most ", maxCrashes, " under one task, ", lostRunsOfOtherJobs, " runs of other jobs lost"))
 }
 
 // Six jobs crash the three workers of a small service within seconds. Each long-running task ran
--- a/internal/scheduler/fakecrash_test.go
+++ b/internal/scheduler/fakecrash_test.go
@@ -28,19 +28,19 @@
 const crashDelay = 10 * time.Millisecond
 
 // crashFromRun ends the worker's process because of one of its tasks. All of its runs are lost.
-func (f *fakeWorker) crashFromRun(culprit *fakeRun) {
+func (f *fakeWorker) crashFromRun(cause *fakeRun) {
 	if f.terminated {
 		return
 	}
 	for _, r := range f.endProcess() {
 		taskName := r.task.String()
 		f.world.jobs[r.task.Job].workerCrashes[taskName]++
-		if r.task.Job != culprit.task.Job {
-			f.world.bystanderRunsLost++
+		if r.task.Job != cause.task.Job {
+			f.world.lostRunsOfOtherJobs++
 		}
 	}
 	if f.world.crashesLoseVM {
-		f.processCrashed = false // the VM is lost too: nothing at its address refuses calls
+		f.processDown = false // the VM is lost too: nothing at its address refuses calls
 		f.world.after(registryEntryTTL, func() { f.unregister() })
 		f.world.after(f.world.durationBetween(time.Second, 5*time.Second), func() { f.world.addWorker(f.info.ID+"+", f.info.Capacity) })
 		return
@@ -51,7 +51,7 @@
 	}
 	f.world.after(registryEntryTTL, func() { f.unregister() })
 	f.world.after(f.world.durationBetween(time.Second, 5*time.Second), func() {
-		f.hasSuccessor = true
+		f.hasReplacement = true
 		f.world.addWorker(f.info.ID+"'", f.info.Capacity)
 	})
 }
@@ -62,7 +62,7 @@
 // endProcess ends the worker's process and returns the runs that it had. Calls are refused from
 // then on.
 func (f *fakeWorker) endProcess() []*fakeRun {
-	f.terminated, f.processCrashed = true, true
+	f.terminated, f.processDown = true, true
 	runs := f.runs
 	f.runs = nil
 	for _, r := range runs {
@@ -98,12 +98,12 @@
 // the previous incarnation; its clock and exit numbers start over. Calls in flight reach it. Its
 // registry entry follows within a heartbeat.
 func (f *fakeWorker) startProcess() {
-	f.terminated, f.processCrashed = false, false
+	f.terminated, f.processDown = false, false
 	f.restartCount++
 	f.clockStartedAt = f.world.now
-	f.highestToken, f.leaseExpiresAt, f.lastExitNumber, f.ackedUpTo, f.lastExitAtLeaseExpiry = 0, 0, 0, 0, 0
+	f.highestToken, f.leaseExpiresAt, f.lastExitSequence, f.ackedUpTo, f.lastExitAtLeaseExpiry = 0, 0, 0, 0, 0
 	f.unackedExits = nil
-	f.highestRunByTask = map[string]int64{}
+	f.highestEndedRun = map[string]int64{}
 	f.info.Incarnation = f.world.now.UnixMilli()
 	f.world.after(f.world.durationBetween(0, 600*time.Millisecond), f.register)
 }
@@ -120,7 +120,7 @@
 // refusalAnswer returns the answer to a call to a worker whose process has ended or refuses
 // connections.
 func (f *fakeWorker) refusalAnswer() workload.WorkerAnswer {
-	if f.hasSuccessor {
+	if f.hasReplacement {
 		return workload.WorkerAnswer{Status: workload.WorkerReplaced}
 	}
 	return workload.WorkerAnswer{Status: workload.WorkerConnRefused}
--- a/internal/scheduler/fakeowner_test.go
+++ b/internal/scheduler/fakeowner_test.go
@@ -13,7 +13,7 @@
 	core         *scheduler.Core
 	epoch        int64
 	coreStarted  bool
-	dead         bool // killed or replaced: sends nothing more
+	stopped      bool // killed or replaced: sends nothing more
 	killed       bool
 	pendingWrite *scheduler.WriteOrder
 	// slowUntil is the time until which the process is slow: deliveries are delayed, in order,
@@ -46,7 +46,7 @@
 	}
 	o.lastDeliveryAt = deliverAt
 	w.after(deliverAt.Sub(w.now), func() {
-		if !o.dead {
+		if !o.stopped {
 			action()
 			o.step()
 		}
@@ -73,7 +73,7 @@
 
 func (o *fakeOwner) fence() {
 	w := o.world
-	if o.dead {
+	if o.stopped {
 		return
 	}
 	if o.storeUnreachable || !w.store.fence(o.epoch) {
@@ -85,7 +85,7 @@
 
 func (o *fakeOwner) load() {
 	w := o.world
-	if o.dead {
+	if o.stopped {
 		return
 	}
 	records := w.store.records()
@@ -99,7 +99,7 @@
 // startCore creates the Core from the records that were read.
 func (o *fakeOwner) startCore(records []workload.Record) {
 	w := o.world
-	if o.dead {
+	if o.stopped {
 		return
 	}
 	handover, lastEpoch := lastHandover(records)
@@ -178,7 +178,7 @@
 		if previous.epoch != epoch || previous.killed || !previous.coreStarted {
 			continue
 		}
-		previous.dead = true
+		previous.stopped = true
 		records := previous.core.UnstoredHandoverRecords(w.now)
 		if handover, _ := lastHandover(append([]workload.Record{{Takeover: &workload.Takeover{Epoch: epoch}}}, records...)); handover != nil {
 			w.directHandovers++
@@ -209,7 +209,7 @@
 // receiveRecord applies a stored record once the owner can reach the store.
 func (o *fakeOwner) receiveRecord(r workload.Record) {
 	switch {
-	case !o.coreStarted || o.dead:
+	case !o.coreStarted || o.stopped:
 	case o.storeUnreachable:
 		o.world.after(100*time.Millisecond, func() { o.receiveRecord(r) })
 	default:
@@ -221,11 +221,11 @@
 const testLease = 3500 * time.Millisecond
 
 func (o *fakeOwner) tick() {
-	if o.dead {
+	if o.stopped {
 		return
 	}
 	if o.world.replacedOwnersStop && !o.storeUnreachable && !o.world.store.unavailable && o.world.owner != o {
-		o.dead = true // its join shows that another owner has the partition
+		o.stopped = true // its join shows that another owner has the partition
 		return
 	}
 	o.confirmOwnership()
@@ -255,18 +255,18 @@
 
 // step steps the core and executes the orders.
 func (o *fakeOwner) step() {
-	if o.dead {
+	if o.stopped {
 		return
 	}
 	w := o.world
 	orders := o.core.Step(w.now)
 	for _, d := range orders.Decisions {
 		if d.Verb == "given-up" {
-			w.jobs[d.Job].givenUp = true
+			w.jobs[d.Job].failedForCrashes = true
 		}
 	}
 	if o.core.StepDownReason() != "" {
-		o.dead = true
+		o.stopped = true
 		if w.owner == o {
 			w.after(w.durationBetween(100*time.Millisecond, time.Second), w.takeOver)
 		}
@@ -295,7 +295,7 @@
 func (o *fakeOwner) write() {
 	w := o.world
 	w.after(w.durationBetween(4*time.Millisecond, 12*time.Millisecond), func() {
-		if o.dead {
+		if o.stopped {
 			return
 		}
 		if !o.storeUnreachable && o.epoch < w.store.epoch {
@@ -342,9 +342,9 @@
 	case w.chance(w.faults.lostAnswer):
 		w.after(latency, func() { f.execute(order) })
 		deliverAnswer(unanswered, time.Second)
-	case f.processCrashed || f.refusesConnections:
+	case f.processDown || f.refusesConnections:
 		deliverAnswer(f.refusalAnswer(), 2*latency)
-	case f.cutOff || f.terminated || o.links[worker] == linkDown:
+	case f.partitioned || f.terminated || o.links[worker] == linkDown:
 		deliverAnswer(unanswered, time.Second)
 	case o.links[worker] == linkAnswersLost:
 		w.after(latency, func() { f.execute(order) })
@@ -352,7 +352,7 @@
 	default:
 		w.after(latency, func() {
 			a, ok := f.execute(order)
-			if f.processCrashed {
+			if f.processDown {
 				deliverAnswer(unanswered, latency)
 				return
 			}
@@ -381,13 +381,13 @@
 		timeout = 400 * time.Millisecond
 	}
 	latency := w.durationBetween(500*time.Microsecond, 3*time.Millisecond)
-	if f.processCrashed || f.refusesConnections {
+	if f.processDown || f.refusesConnections {
 		w.after(2*latency, func() { deliverReport(workload.PollReport{}, f.refusalAnswer()) })
 		return
 	}
 	link := o.links[order.Worker.ID]
-	if f.cutOff || f.terminated || link != linkHealthy || w.chance(w.faults.lostAnswer) {
-		if !f.cutOff && !f.terminated && link != linkDown {
+	if f.partitioned || f.terminated || link != linkHealthy || w.chance(w.faults.lostAnswer) {
+		if !f.partitioned && !f.terminated && link != linkDown {
 			w.after(latency, func() { f.execute(func(f *fakeWorker) workload.WorkerAnswer { return f.poll(order.Poll) }) })
 		}
 		w.after(timeout, func() { deliverReport(workload.PollReport{}, unanswered) })
@@ -395,7 +395,7 @@
 	}
 	w.after(latency, func() {
 		a, ok := f.execute(func(f *fakeWorker) workload.WorkerAnswer { return f.poll(order.Poll) })
-		if f.processCrashed {
+		if f.processDown {
 			w.after(latency, func() { deliverReport(workload.PollReport{}, unanswered) })
 			return
 		}
@@ -404,11 +404,11 @@
 			return
 		}
 		f.respondOnExit(order.Poll.MaxWait, func() {
-			if f.processCrashed {
+			if f.processDown {
 				w.after(latency, func() { deliverReport(workload.PollReport{}, unanswered) })
 				return
 			}
-			if f.cutOff || f.terminated {
+			if f.partitioned || f.terminated {
 				w.after(timeout, func() { deliverReport(workload.PollReport{}, unanswered) })
 				return
 			}
@@ -421,7 +421,7 @@
 
 // killOwner ends the owner without a handover. Another owner follows after takeoverDelay.
 func (w *world) killOwner(takeoverDelay time.Duration) {
-	w.owner.dead = true
+	w.owner.stopped = true
 	w.owner.killed = true
 	w.after(takeoverDelay, w.takeOver)
 }
@@ -429,7 +429,7 @@
 // handOverOwner ends the owner after it has stored its pending write and its handover records.
 func (w *world) handOverOwner(takeoverDelay time.Duration) {
 	o := w.owner
-	o.dead = true
+	o.stopped = true
 	if o.coreStarted && !w.store.unavailable && o.epoch == w.store.epoch {
 		if o.pendingWrite != nil && o.pendingWrite.Sequence > w.store.lastSequence {
 			for _, r := range o.pendingWrite.Records {
--- a/internal/scheduler/fakeworker_test.go
+++ b/internal/scheduler/fakeworker_test.go
@@ -16,14 +16,14 @@
 	clockStartedAt time.Time // when the worker's clock read 0
 	// restartCount counts restarts of the process. A restarted worker keeps its ID.
 	restartCount int
-	cutOff       bool // unreachable, but its tasks run on
+	partitioned  bool // unreachable, but its tasks run on
 	// refusesConnections is set while connections to the worker are refused. Its tasks run on.
 	refusesConnections bool
 	terminated         bool // the process has ended
-	// processCrashed is set if the process has ended while its VM lives: calls are refused at
+	// processDown is set if the process has ended while its VM lives: calls are refused at
 	// once, or answered by the successor once it is there.
-	processCrashed    bool
-	hasSuccessor      bool
+	processDown       bool
+	hasReplacement    bool
 	capacityReducedAt time.Time // when the capacity was last reduced
 
 	highestToken          int64
@@ -31,8 +31,8 @@
 	runs                  []*fakeRun
 	unackedExits          []workload.RunExit
 	ackedUpTo             int64 // exits up to this number are forgotten, also later ones
-	lastExitNumber        int64
-	highestRunByTask      map[string]int64 // highest run that was stopped or has exited
+	lastExitSequence      int64
+	highestEndedRun       map[string]int64 // highest run that was stopped or has exited
 	lastExitAtLeaseExpiry int64            // last exit that was listed when the lease expired
 	waitingPolls          []func()
 }
@@ -55,11 +55,11 @@
 
 func (w *world) addWorker(id string, capacity workload.Resources) *fakeWorker {
 	f := &fakeWorker{
-		world:            w,
-		info:             workload.Worker{ID: id, Incarnation: w.now.UnixMilli(), Service: "service", Address: id, Capacity: capacity, Labels: []string{"a", "rack"}},
-		clockRate:        0.98 + 0.02*w.rng.Float64(),
-		clockStartedAt:   w.now.Add(-time.Hour),
-		highestRunByTask: map[string]int64{},
+		world:           w,
+		info:            workload.Worker{ID: id, Incarnation: w.now.UnixMilli(), Service: "service", Address: id, Capacity: capacity, Labels: []string{"a", "rack"}},
+		clockRate:       0.98 + 0.02*w.rng.Float64(),
+		clockStartedAt:  w.now.Add(-time.Hour),
+		highestEndedRun: map[string]int64{},
 	}
 	w.workers[id] = f
 	w.registry = append(w.registry, f.info)
@@ -78,7 +78,7 @@
 	}
 	a := order(f)
 	a.ClockMS = f.clockMillis()
-	return a, !f.cutOff
+	return a, !f.partitioned
 }
 
 // executeLate applies an order seconds after it was sent. The order is lost if the process that
@@ -109,7 +109,7 @@
 	if f.terminated || f.leaseExpiresAt == 0 || f.clockMillis() < f.leaseExpiresAt {
 		return
 	}
-	f.lastExitAtLeaseExpiry = f.lastExitNumber
+	f.lastExitAtLeaseExpiry = f.lastExitSequence
 	for _, r := range slices.Clone(f.runs) {
 		f.endRun(r, workload.ExitLeaseExpired)
 	}
@@ -133,7 +133,7 @@
 			return workload.WorkerAnswer{}
 		}
 	}
-	if s.Run <= f.highestRunByTask[taskName] {
+	if s.Run <= f.highestEndedRun[taskName] {
 		f.extendLease(s.LeaseExpiresAtMS)
 		return workload.WorkerAnswer{Status: workload.WorkerStaleRun}
 	}
@@ -144,7 +144,7 @@
 	job := f.world.jobs[s.Task.Job]
 	spec := &job.submission.Spec.Steps[s.Task.Step]
 	if !spec.Reservation().FitsIn(f.info.Capacity.Sub(f.usedCapacity())) {
-		if !f.world.unguarded {
+		if !f.world.capacityNotEnforced {
 			return workload.WorkerAnswer{Status: workload.WorkerFull}
 		}
 		f.world.checkCapacity(f, taskName)
@@ -185,16 +185,16 @@
 	r.exited = true
 	f.world.jobs[r.task.Job].lastRunningAt[r.task.String()] = f.world.now
 	f.runs = slices.DeleteFunc(f.runs, func(x *fakeRun) bool { return x == r })
-	f.lastExitNumber++
+	f.lastExitSequence++
 	taskName := r.task.String()
-	f.highestRunByTask[taskName] = max(f.highestRunByTask[taskName], r.runNumber)
-	exit := workload.RunExit{Sequence: f.lastExitNumber, Task: r.task, Run: r.runNumber, Reason: reason}
+	f.highestEndedRun[taskName] = max(f.highestEndedRun[taskName], r.runNumber)
+	exit := workload.RunExit{Sequence: f.lastExitSequence, Task: r.task, Run: r.runNumber, Reason: reason}
 	if reason == workload.ExitDone {
 		job := f.world.jobs[r.task.Job]
 		job.done[taskName] = true
 		job.doneRuns[taskName] = append(job.doneRuns[taskName], r.runNumber)
 	}
-	if f.lastExitNumber <= f.ackedUpTo {
+	if f.lastExitSequence <= f.ackedUpTo {
 		f.recordAck(exit) // already acknowledged: no owner will read it
 	} else {
 		f.unackedExits = append(f.unackedExits, exit)
@@ -228,7 +228,7 @@
 		return workload.WorkerAnswer{Status: workload.WorkerFenced}
 	}
 	taskName := s.Task.String()
-	f.highestRunByTask[taskName] = max(f.highestRunByTask[taskName], s.Run)
+	f.highestEndedRun[taskName] = max(f.highestEndedRun[taskName], s.Run)
 	for _, r := range f.runs {
 		if r.task == s.Task && r.runNumber <= s.Run && !r.stopRequested {
 			f.world.checkMaxUnavailable(r)
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -44,11 +44,11 @@
 	r.answerStart(starts[2], workload.WorkerFull)
 	stops := r.step(20 * time.Millisecond).Stops
 	require.Len(t, stops, 2)
-	lastExitNumber := map[string]int64{}
+	lastExitSequence := map[string]int64{}
 	for _, s := range stops {
-		lastExitNumber[s.Worker.ID]++
+		lastExitSequence[s.Worker.ID]++
 		r.core.HandleStopResult(scheduler.OrderResult{Worker: s.Worker.ID, Task: s.Task, Run: s.Run, Token: s.Token, Answer: workload.WorkerAnswer{ClockMS: 1000}}, r.now)
-		r.answerPoll(s.Worker.ID, r.now.Add(time.Millisecond), workload.PollReport{Exited: []workload.RunExit{{Sequence: lastExitNumber[s.Worker.ID], Task: s.Task, Run: s.Run, Reason: workload.ExitStopped}}})
+		r.answerPoll(s.Worker.ID, r.now.Add(time.Millisecond), workload.PollReport{Exited: []workload.RunExit{{Sequence: lastExitSequence[s.Worker.ID], Task: s.Task, Run: s.Run, Reason: workload.ExitStopped}}})
 	}
 	restarts := r.stepFor(time.Second).Starts
 	require.Len(t, restarts, 3)
@@ -59,7 +59,7 @@
 
 // The start of one member gets no answer, and its worker is silent. The other members must be
 // stopped before the gang timeout ends them without work done.
-func TestGangWithAnUncertainMemberIsStoppedBeforeTheGangTimeout(t *testing.T) {
+func TestGangWithAnUnansweredStartIsStoppedBeforeTheGangTimeout(t *testing.T) {
 	r := newRig(t)
 	starts := submitGang(r)
 	r.answerStart(starts[0], workload.WorkerOK)
--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -29,8 +29,8 @@
 // that each run plays.
 var regressionSeeds = []uint64{589, 726, 787, 1208}
 
-// seedsToPlay returns the first n seeds and regressionSeeds.
-func seedsToPlay(n uint64) []uint64 {
+// historySeeds returns the first n seeds and regressionSeeds.
+func historySeeds(n uint64) []uint64 {
 	var list []uint64
 	for seed := range n {
 		list = append(list, seed)
@@ -62,8 +62,8 @@
 	return spec
 }
 
-// playRandomHistory plays 25 s of jobs with faults, then runs without faults to 86 s.
-func playRandomHistory(seed uint64) *world {
+// runRandomHistory plays 25 s of jobs with faults, then runs without faults to 86 s.
+func runRandomHistory(seed uint64) *world {
 	w := newWorld(seed, faults{lostAnswer: 0.01, lateOrder: 0.01, failedTask: 0.01, lostWriteAnswer: 0.02})
 	for i := range 6 {
 		w.addWorker("worker-"+strconv.Itoa(i), workload.Resources{CPU: 32000, MemoryMB: 64000})
@@ -84,7 +84,7 @@
 		w.faultsStopped = true
 		w.store.unavailable = false
 		for _, f := range w.workers {
-			f.cutOff = false
+			f.partitioned = false
 		}
 	})
 	w.runUntil(86 * time.Second)
@@ -100,16 +100,16 @@
 	f := w.workers[ids[w.rng.IntN(len(ids))]]
 	switch w.rng.IntN(6) {
 	case 0:
-		if !w.owner.dead {
+		if !w.owner.stopped {
 			w.killOwner(w.durationBetween(300*time.Millisecond, 4*time.Second))
 		}
 	case 1:
-		if !w.owner.dead {
+		if !w.owner.stopped {
 			w.handOverOwner(w.durationBetween(20*time.Millisecond, 600*time.Millisecond))
 		}
 	case 2:
 		// The owner is frozen or cut off: another owner takes over while it lives.
-		if !w.owner.dead {
+		if !w.owner.stopped {
 			w.takeOver()
 		}
 	case 3:
@@ -117,8 +117,8 @@
 			f.loseVM()
 		}
 	case 4:
-		f.cutOff = true
-		w.after(w.durationBetween(500*time.Millisecond, 8*time.Second), func() { f.cutOff = false })
+		f.partitioned = true
+		w.after(w.durationBetween(500*time.Millisecond, 8*time.Second), func() { f.partitioned = false })
 	case 5:
 		w.store.unavailable = true
 		w.after(w.durationBetween(time.Second, 6*time.Second), func() { w.store.unavailable = false })
@@ -130,8 +130,8 @@
 // Each job must reach the state that its caller expects, without a violation.
 func TestRandomHistories(t *testing.T) {
 	starts := 0
-	for _, seed := range seedsToPlay(historyCount(t)) {
-		w := playRandomHistory(seed)
+	for _, seed := range historySeeds(historyCount(t)) {
+		w := runRandomHistory(seed)
 		starts += w.starts
 		require.Empty(t, w.violations, "seed %d", seed)
 		for _, job := range w.jobs {
@@ -161,7 +161,7 @@
 // TestNoTaskRunsTwiceAcrossHandovers plays histories in which owners hand over every second or so
 // while runs exit. No task may run twice, and none may be lost.
 func TestNoTaskRunsTwiceAcrossHandovers(t *testing.T) {
-	for _, seed := range seedsToPlay(historyCount(t) / 3) {
+	for _, seed := range historySeeds(historyCount(t) / 3) {
 		w := newWorld(seed, faults{})
 		for i := range 12 { // capacity for all, also if many tasks are long-running
 			w.addWorker("worker-"+strconv.Itoa(i), workload.Resources{CPU: 32000, MemoryMB: 64000})
@@ -172,7 +172,7 @@
 		}
 		for at := time.Second; at < 16*time.Second; at += w.durationBetween(300*time.Millisecond, 1500*time.Millisecond) {
 			w.after(at, func() {
-				if !w.owner.dead {
+				if !w.owner.stopped {
 					w.handOverOwner(w.durationBetween(10*time.Millisecond, 100*time.Millisecond))
 				}
 			})
@@ -227,7 +227,7 @@
 // MaxUnavailable allows, and no worker may be reported drained while it runs tasks. It does not
 // check that each worker becomes drained.
 func TestDrainingInRandomHistories(t *testing.T) {
-	for _, seed := range seedsToPlay(historyCount(t)) {
+	for _, seed := range historySeeds(historyCount(t)) {
 		w := newWorld(seed, faults{lostAnswer: 0.01, failedTask: 0.01, lostWriteAnswer: 0.02})
 		for i := range 8 {
 			w.addWorker("worker-"+strconv.Itoa(i), workload.Resources{CPU: 32000, MemoryMB: 64000})
@@ -258,7 +258,7 @@
 // seconds at a time, as on an overloaded VM: answers stay unread while leases run out. No task
 // may run twice.
 func TestNoTaskRunsTwiceUnderASlowOwner(t *testing.T) {
-	for _, seed := range seedsToPlay(historyCount(t)) {
+	for _, seed := range historySeeds(historyCount(t)) {
 		w := newWorld(seed, faults{lostAnswer: 0.01, failedTask: 0.01, lostWriteAnswer: 0.02})
 		for i := range 8 {
 			w.addWorker("worker-"+strconv.Itoa(i), workload.Resources{CPU: 32000, MemoryMB: 64000})
@@ -289,7 +289,7 @@
 		if f == nil || f.terminated || w.now.After(deadline) {
 			return
 		}
-		if !w.owner.dead && w.owner.coreStarted && w.owner.core.DrainWorker(id, w.now) != workload.NotDrained {
+		if !w.owner.stopped && w.owner.coreStarted && w.owner.core.DrainWorker(id, w.now) != workload.NotDrained {
 			if len(f.runs) > 0 {
 				w.recordViolation("CUT", id+" is reported drained but runs tasks")
 			}
@@ -320,7 +320,7 @@
 		}
 		for at := 3 * time.Second; at < 20*time.Second; at += w.durationBetween(300*time.Millisecond, 1500*time.Millisecond) {
 			w.after(at, func() {
-				if !w.owner.dead && w.owner.coreStarted {
+				if !w.owner.stopped && w.owner.coreStarted {
 					w.handOverOwner(w.durationBetween(20*time.Millisecond, 200*time.Millisecond))
 				}
 			})
@@ -344,7 +344,7 @@
 		if f == nil || f.terminated || w.now.After(deadline) {
 			return
 		}
-		if w.owner.dead || !w.owner.coreStarted || w.owner.core.DrainWorker(id, w.now) == workload.NotDrained {
+		if w.owner.stopped || !w.owner.coreStarted || w.owner.core.DrainWorker(id, w.now) == workload.NotDrained {
 			w.after(150*time.Millisecond, attempt)
 			return
 		}
--- a/internal/scheduler/incarnation_test.go
+++ b/internal/scheduler/incarnation_test.go
@@ -19,10 +19,10 @@
 
 // completeJob starts a job of one task on the worker and ends the task as done, with the given
 // exit number. It returns the poll that carries the acknowledgement.
-func (r *rig) completeJob(id string, exitNumber int64) scheduler.PollOrder {
+func (r *rig) completeJob(id string, sequence int64) scheduler.PollOrder {
 	s := r.startJob(id, batchStep(1, 1000))[0]
 	poll, _ := r.awaitPoll("w-1")
-	r.answerPollAs(poll, firstIncarnation, exitReport(exitNumber, s, workload.ExitDone))
+	r.answerPollAs(poll, firstIncarnation, exitReport(sequence, s, workload.ExitDone))
 	poll, _ = r.awaitPoll("w-1")
 	return poll
 }
@@ -69,7 +69,7 @@
 // Exit numbers start over with each incarnation. The exits of the new process must not be ignored
 // as known, and exits of the previous one must not be acknowledged to it, even if they are stored
 // only now.
-func TestExitNumbersStartOverWithANewIncarnation(t *testing.T) {
+func TestExitSequencesStartOverWithANewIncarnation(t *testing.T) {
 	r := newIncarnationRig(t)
 	r.answerPollAs(r.completeJob("0000000000000001", 57), firstIncarnation, workload.PollReport{})
 	s := r.startJob("0000000000000002", batchStep(1, 1000))[0]
@@ -338,7 +338,7 @@
 
 // A worker was forgotten and comes back under its ID. Its token must rise, or orders from before
 // would outrank later ones.
-func TestTokensOfAForgottenWorkerKeepRising(t *testing.T) {
+func TestTokensOfARemovedWorkerKeepRising(t *testing.T) {
 	r := newIncarnationRig(t)
 	poll, _ := r.restartWorker()
 	r.core.SetWorkers(nil, r.now)
--- a/internal/scheduler/inherited_test.go
+++ b/internal/scheduler/inherited_test.go
@@ -14,7 +14,7 @@
 // A worker restarts soon after a takeover. If the new owner took the inherited run, which is a
 // second old, for a run that has just started, the crash would count as an early crash and the
 // job would be given up.
-func TestCrashUnderAnInheritedRunIsNotAnEarlyCrash(t *testing.T) {
+func TestCrashDuringAnInheritedRunIsNotAnEarlyCrash(t *testing.T) {
 	const job = workload.JobID("0000000000000001")
 	const inheritedRun = int64(3<<16 + 2)
 	key := workload.TaskKey{Job: job}
@@ -23,8 +23,8 @@
 		tell func(next *rig) // how the new owner learns of the run
 	}{
 		{"handed over", func(next *rig) {
-			leftRun := workload.HandoverRun{Worker: "w-1", Task: key.String(), Run: inheritedRun, Incarnation: firstIncarnation, StartConfirmed: true}
-			next.core.RestoreHandover(&workload.Handover{Epoch: next.epoch - 1, Runs: []workload.HandoverRun{leftRun}}, next.now)
+			handoverRun := workload.HandoverRun{Worker: "w-1", Task: key.String(), Run: inheritedRun, Incarnation: firstIncarnation, StartConfirmed: true}
+			next.core.RestoreHandover(&workload.Handover{Epoch: next.epoch - 1, Runs: []workload.HandoverRun{handoverRun}}, next.now)
 			next.registerWorker("w-1", firstIncarnation)
 		}},
 		{"listed", func(next *rig) {
@@ -57,8 +57,8 @@
 	next := newRig(t).newSuccessor(job, &workload.Progress{Started: true, Crashes: map[string][]workload.Crash{"0.0.0": {planned}}})
 	next.setWorkers("w-1", "w-2")
 	poll, _ := next.awaitPoll("w-2")
-	row := workload.ListedRun{Task: workload.TaskKey{Job: job}, Run: isolatedRun + 3, SpeedPercent: 100}
-	next.answerPollAs(poll, 0, workload.PollReport{Running: []workload.ListedRun{row}})
+	listedRun := workload.ListedRun{Task: workload.TaskKey{Job: job}, Run: isolatedRun + 3, SpeedPercent: 100}
+	next.answerPollAs(poll, 0, workload.PollReport{Running: []workload.ListedRun{listedRun}})
 	for range 20 {
 		assert.Empty(t, next.step(20*time.Millisecond).Stops)
 	}
@@ -69,8 +69,8 @@
 	const job = workload.JobID("0000000000000001")
 	const run = int64(3<<16 + 2)
 	next := newRig(t).newSuccessor(job, &workload.Progress{Started: true})
-	leftRun := workload.HandoverRun{Worker: "w-1", Task: workload.TaskKey{Job: job}.String(), Run: run, StartConfirmed: true}
-	next.core.RestoreHandover(&workload.Handover{Epoch: next.epoch - 1, Runs: []workload.HandoverRun{leftRun}}, next.now)
+	handoverRun := workload.HandoverRun{Worker: "w-1", Task: workload.TaskKey{Job: job}.String(), Run: run, StartConfirmed: true}
+	next.core.RestoreHandover(&workload.Handover{Epoch: next.epoch - 1, Runs: []workload.HandoverRun{handoverRun}}, next.now)
 	next.setWorkers("w-1", "w-2")
 	poll, _ := next.awaitPoll("w-2")
 	next.answerPollAs(poll, 0, workload.PollReport{Running: []workload.ListedRun{{Task: workload.TaskKey{Job: job}, Run: run - 1}}})
@@ -133,7 +133,7 @@
 
 // A later process under the same ID was only cut off. That must not revoke the crash of the
 // earlier one.
-func TestCrashOfAnEarlierIncarnationIsNotRevoked(t *testing.T) {
+func TestCrashOfAnEarlierIncarnationIsNotRetracted(t *testing.T) {
 	r := newIncarnationRig(t)
 	r.startJob("0000000000000001", batchStep(1, 1000))
 	r.restartWorker()
--- a/internal/scheduler/isolationqueue_test.go
+++ b/internal/scheduler/isolationqueue_test.go
@@ -13,15 +13,15 @@
 
 // Suspects that are likely harmless must not wait behind those that take a worker with them for
 // seconds. The sole suspect of a crash is isolated last, though its job is the oldest.
-func TestSoleSuspectOfACrashIsIsolatedLast(t *testing.T) {
+func TestSoleCauseOfACrashIsIsolatedLast(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
 	short := batchStep(1, 8000)
 	short.EstimateMS = 50 // least work: ranked first otherwise
-	soleSuspect := r.startJob("0000000000000001", short)[0]
+	soleCause := r.startJob("0000000000000001", short)[0]
 	firstOfTwo := r.startJob("0000000000000002", batchStep(1, 5000))[0]
 	secondOfTwo := r.startJob("0000000000000003", batchStep(1, 3000))[0]
-	r.crashWorker(soleSuspect.Worker.ID)
+	r.crashWorker(soleCause.Worker.ID)
 	r.crashWorker(firstOfTwo.Worker.ID)
 	var isolated []workload.JobID
 	r.setWorkers("w-3")
@@ -38,7 +38,7 @@
 		}
 	}
 	require.Len(t, isolated, 3)
-	assert.Equal(t, soleSuspect.Start.Task.Job, isolated[2], "after %s and %s", firstOfTwo.Start.Task.Job, secondOfTwo.Start.Task.Job)
+	assert.Equal(t, soleCause.Start.Task.Job, isolated[2], "after %s and %s", firstOfTwo.Start.Task.Job, secondOfTwo.Start.Task.Job)
 }
 
 // On a small service a long queue of suspects takes minutes. It must request VMs and be logged; a
--- a/internal/scheduler/lease_test.go
+++ b/internal/scheduler/lease_test.go
@@ -24,7 +24,7 @@
 	})
 	w.runUntil(idleTime + 200*time.Millisecond)
 	require.Len(t, idle.runs, 1)
-	idle.cutOff = true
+	idle.partitioned = true
 	idle.unregister()
 	other := w.addWorker("worker-1", capacity)
 	w.runUntil(idleTime + 10*time.Second)
--- a/internal/scheduler/links_test.go
+++ b/internal/scheduler/links_test.go
@@ -38,11 +38,11 @@
 	return links
 }
 
-// cutOffOwner cuts the owner off from the store for a while, and from some workers. The group
+// disconnectOwnerFromStore cuts the owner off from the store for a while, and from some workers. The group
 // gives its partition to another owner, which is cut off from some workers too.
-func (w *world) cutOffOwner() {
+func (w *world) disconnectOwnerFromStore() {
 	old := w.owner
-	if old.dead || !old.coreStarted || old.storeUnreachable {
+	if old.stopped || !old.coreStarted || old.storeUnreachable {
 		return
 	}
 	old.storeUnreachable = true
@@ -59,13 +59,13 @@
 	})
 }
 
-// playLinkHistory plays 25 s of jobs while owners are cut off from the store and from single
+// runLinkHistory plays 25 s of jobs while owners are cut off from the store and from single
 // workers, and then runs without faults to 86 s.
-func playLinkHistory(seed uint64, f faults, injectFault func(w *world)) *world {
-	return playLinkScenario(newWorld(seed, f), injectFault)
+func runLinkHistory(seed uint64, f faults, injectFault func(w *world)) *world {
+	return runLinkScenario(newWorld(seed, f), injectFault)
 }
 
-func playLinkScenario(w *world, injectFault func(w *world)) *world {
+func runLinkScenario(w *world, injectFault func(w *world)) *world {
 	w.replacedOwnersStop = true
 	for i := range 6 {
 		w.addWorker("worker-"+strconv.Itoa(i), workload.Resources{CPU: 32000, MemoryMB: 64000})
@@ -75,7 +75,7 @@
 		w.after(at, func() { w.submit(w.randomJobSpec(), "quick") })
 	}
 	for range 3 {
-		w.after(w.durationBetween(2*time.Second, 24*time.Second), w.cutOffOwner)
+		w.after(w.durationBetween(2*time.Second, 24*time.Second), w.disconnectOwnerFromStore)
 	}
 	if injectFault != nil {
 		w.after(w.durationBetween(2*time.Second, 24*time.Second), func() { injectFault(w) })
@@ -87,7 +87,7 @@
 			o.storeUnreachable, o.links = false, nil
 		}
 		for _, f := range w.workers {
-			f.cutOff = false
+			f.partitioned = false
 		}
 	})
 	w.runUntil(86 * time.Second)
@@ -96,9 +96,9 @@
 
 // An owner that is cut off from the store goes on renewing its leases. A task that runs on a
 // worker that the successor can't reach would then be started again on another one.
-func TestOwnerCutOffFromTheStoreBesideASuccessorCutOffFromWorkers(t *testing.T) {
-	for _, seed := range seedsToPlay(historyCount(t)) {
-		w := playLinkHistory(seed, faults{}, nil)
+func TestOwnerDisconnectedFromTheStoreBesideASuccessorDisconnectedFromWorkers(t *testing.T) {
+	for _, seed := range historySeeds(historyCount(t)) {
+		w := runLinkHistory(seed, faults{}, nil)
 		require.Empty(t, w.violations, "seed %d", seed)
 		for _, j := range w.jobs {
 			if w.longRunningMemoryShare() > 0.8 {
@@ -112,9 +112,9 @@
 
 // The same with lost answers, workers that crash or are cut off from everything, owners that are
 // killed or hand over, and an unavailable store.
-func TestOwnersCutOffFromTheStoreBesideOtherFaults(t *testing.T) {
-	for _, seed := range seedsToPlay(historyCount(t)) {
-		w := playLinkHistory(seed, faults{lostAnswer: 0.01, failedTask: 0.01, lostWriteAnswer: 0.02}, (*world).injectRandomFault)
+func TestOwnersDisconnectedFromTheStoreBesideOtherFaults(t *testing.T) {
+	for _, seed := range historySeeds(historyCount(t)) {
+		w := runLinkHistory(seed, faults{lostAnswer: 0.01, failedTask: 0.01, lostWriteAnswer: 0.02}, (*world).injectRandomFault)
 		require.Empty(t, w.violations, "seed %d", seed)
 	}
 }
@@ -123,10 +123,10 @@
 // would run twice and jobs would be forgotten.
 func TestNoTaskRunsTwiceAfterDirectHandovers(t *testing.T) {
 	directHandovers := 0
-	for _, seed := range seedsToPlay(historyCount(t)) {
+	for _, seed := range historySeeds(historyCount(t)) {
 		w := newWorld(seed, faults{lostAnswer: 0.01, failedTask: 0.01, lostWriteAnswer: 0.02})
 		w.previousOwnerReachable = 0.8
-		playLinkScenario(w, (*world).injectRandomFault)
+		runLinkScenario(w, (*world).injectRandomFault)
 		directHandovers += w.directHandovers
 		require.Empty(t, w.violations, "seed %d", seed)
 		for _, j := range w.jobs {
--- a/internal/scheduler/longrunning_test.go
+++ b/internal/scheduler/longrunning_test.go
@@ -19,7 +19,7 @@
 	longRunning := workload.Step{Count: 1, Resources: workload.Resources{CPU: 1000, MemoryMB: 100}, LongRunning: true}
 	r.submit("0000000000000001", longRunning)
 	r.submit("0000000000000002", longRunning)
-	exitNumber := int64(0)
+	exitSequence := int64(0)
 	for range 8 {
 		starts := r.step(400 * time.Millisecond).Starts
 		require.NotEmpty(t, starts)
@@ -28,8 +28,8 @@
 		}
 		r.step(3 * time.Second)
 		for _, s := range starts {
-			exitNumber++
-			r.answerPoll("w-1", r.now, exitReport(exitNumber, s, workload.ExitFailed))
+			exitSequence++
+			r.answerPoll("w-1", r.now, exitReport(exitSequence, s, workload.ExitFailed))
 		}
 	}
 }
@@ -88,15 +88,15 @@
 		r.answerStart(s, workload.WorkerOK)
 	}
 	reportTail := func(tailMS float64) []scheduler.ThrottleOrder {
-		var rows []workload.ListedRun
+		var listedRuns []workload.ListedRun
 		for _, s := range starts {
-			row := workload.ListedRun{Task: s.Start.Task, Run: s.Start.Run, SpeedPercent: 100}
+			listedRun := workload.ListedRun{Task: s.Start.Task, Run: s.Start.Run, SpeedPercent: 100}
 			if s.Start.Task.Step == 0 {
-				row.Load = tailMS
+				listedRun.Load = tailMS
 			}
-			rows = append(rows, row)
+			listedRuns = append(listedRuns, listedRun)
 		}
-		r.answerPoll("w-1", r.now.Add(time.Millisecond), workload.PollReport{Running: rows})
+		r.answerPoll("w-1", r.now.Add(time.Millisecond), workload.PollReport{Running: listedRuns})
 		throttles := r.step(600 * time.Millisecond).Throttles
 		for _, p := range throttles {
 			r.core.HandleThrottleResult(scheduler.OrderResult{Worker: "w-1", Task: p.Task, Run: p.Run, Token: p.Token, Answer: workload.WorkerAnswer{ClockMS: 1000}}, r.now)
@@ -127,7 +127,7 @@
 		r.submit("00000000000001"+string(rune('0'+jobNumber/10))+string(rune('0'+jobNumber%10)), batchStep(8, 1000))
 	}
 	running := map[string][]scheduler.StartOrder{}
-	lastExitNumber := map[string]int64{}
+	lastExitSequence := map[string]int64{}
 	stepAndStart := func() (longRunningStarted bool) {
 		for _, s := range r.step(100 * time.Millisecond).Starts {
 			r.answerStart(s, workload.WorkerOK)
@@ -152,12 +152,12 @@
 		}
 		done := running[worker][0]
 		running[worker] = running[worker][1:]
-		lastExitNumber[worker]++
+		lastExitSequence[worker]++
 		var report workload.PollReport
 		for _, s := range running[worker] {
 			report.Running = append(report.Running, workload.ListedRun{Task: s.Start.Task, Run: s.Start.Run, SpeedPercent: 100})
 		}
-		report.Exited = exitReport(lastExitNumber[worker], done, workload.ExitDone).Exited
+		report.Exited = exitReport(lastExitSequence[worker], done, workload.ExitDone).Exited
 		r.answerPoll(worker, r.now.Add(time.Millisecond), report)
 		if round%3 == 0 {
 			submitShortJob()
--- a/internal/scheduler/peak_test.go
+++ b/internal/scheduler/peak_test.go
@@ -41,8 +41,8 @@
 	return spec
 }
 
-// playPeaks plays two peaks of lookups on a pool of workers.
-func playPeaks(seed uint64, workers int, ownerProcessor *processor, f faults) *world {
+// runPeaks plays two peaks of lookups on a pool of workers.
+func runPeaks(seed uint64, workers int, ownerProcessor *processor, f faults) *world {
 	w := newWorld(seed, f)
 	w.processor = ownerProcessor
 	for i := range workers {
@@ -104,7 +104,7 @@
 // workers.
 func TestOwnerKeepsUpWithAPeakOnASmallVM(t *testing.T) {
 	for seed := range uint64(2) {
-		w := playPeaks(seed, 220, &processor{}, faults{})
+		w := runPeaks(seed, 220, &processor{}, faults{})
 		jobs := w.jobsBySize()
 		all, largestTenth := shareInTime(jobs), shareInTime(jobs[:len(jobs)/10])
 		assert.Empty(t, w.violations)
@@ -118,7 +118,7 @@
 // served at least half as well as all jobs together.
 func TestLargestJobsAreServedByAFullService(t *testing.T) {
 	for seed := range uint64(3) {
-		w := playPeaks(seed, 105, nil, faults{})
+		w := runPeaks(seed, 105, nil, faults{})
 		jobs := w.jobsBySize()
 		all, largestTenth, nextFifth := shareInTime(jobs), shareInTime(jobs[:len(jobs)/10]), shareInTime(jobs[len(jobs)/10:3*len(jobs)/10])
 		assert.Empty(t, w.violations)
@@ -135,7 +135,7 @@
 // what is served without faults must be served.
 func TestPeakIsServedWhileAnswersAreLost(t *testing.T) {
 	servedShare := func(f faults) float64 {
-		w := playPeaks(1, 220, nil, f)
+		w := runPeaks(1, 220, nil, f)
 		assert.Empty(t, w.violations)
 		return shareInTime(w.jobsBySize())
 	}
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -121,7 +121,7 @@
 			w.faultsStopped = true
 			w.store.unavailable = false
 			for _, f := range w.workers {
-				f.cutOff = false
+				f.partitioned = false
 			}
 		})
 		w.runUntil(80 * time.Second)
--- a/internal/scheduler/processor_test.go
+++ b/internal/scheduler/processor_test.go
@@ -59,7 +59,7 @@
 // step runs the pending actions and steps the owner once.
 func (p *processor) step(o *fakeOwner) {
 	p.stepScheduled = false
-	if o.dead {
+	if o.stopped {
 		return
 	}
 	actions := p.pendingActions
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -11,9 +11,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// playOneRestart plays 20 s of jobs on one worker whose process restarts under its ID at 4 s, and
+// runOneRestart plays 20 s of jobs on one worker whose process restarts under its ID at 4 s, and
 // 20 s more.
-func playOneRestart(f faults) *world {
+func runOneRestart(f faults) *world {
 	w := newWorld(1, f)
 	worker := w.addWorker("worker", workload.Resources{CPU: 32000, MemoryMB: 64000})
 	w.takeOver()
@@ -28,7 +28,7 @@
 // A restarted worker numbers its exits from 1 again. They must not be taken for known exits and
 // acknowledged unread, or their tasks run again and again.
 func TestTasksRunOnceOnAWorkerThatRestarts(t *testing.T) {
-	w := playOneRestart(faults{})
+	w := runOneRestart(faults{})
 	require.Empty(t, w.violations)
 	for _, j := range w.jobs {
 		state, _ := w.owner.core.JobState(j.id)
@@ -38,7 +38,7 @@
 
 // Failed runs on a restarted worker must count as attempts.
 func TestFailedRunsOnARestartedWorkerCountAsAttempts(t *testing.T) {
-	w := playOneRestart(faults{failedTask: 0.6})
+	w := runOneRestart(faults{failedTask: 0.6})
 	require.Empty(t, w.violations)
 	for _, j := range w.jobs {
 		state, _ := w.owner.core.JobState(j.id)
@@ -46,11 +46,11 @@
 	}
 }
 
-// playRestartHistory plays 25 s of jobs on 6 workers and 60 s more. Workers crash and restart
+// runRestartHistory plays 25 s of jobs on 6 workers and 60 s more. Workers crash and restart
 // under their ID, some while they are cut off. For odd seeds owners are killed, replaced and hand
 // over, and the store is unavailable at times. Without late orders, no order sent before a
 // restart reaches the new process.
-func playRestartHistory(seed uint64, f faults) *world {
+func runRestartHistory(seed uint64, f faults) *world {
 	w := newWorld(seed, f)
 	for i := range 6 {
 		w.addWorker("worker-"+strconv.Itoa(i), workload.Resources{CPU: 32000, MemoryMB: 64000})
@@ -68,7 +68,7 @@
 		w.after(w.durationBetween(time.Second, 25*time.Second), w.restartRandomWorker)
 	}
 	for range 3 {
-		w.after(w.durationBetween(time.Second, 25*time.Second), w.cutOffRandomWorker)
+		w.after(w.durationBetween(time.Second, 25*time.Second), w.partitionRandomWorker)
 	}
 	if seed%2 == 1 {
 		for range 6 {
@@ -79,7 +79,7 @@
 		w.faultsStopped = true
 		w.store.unavailable = false
 		for _, f := range w.workers {
-			f.cutOff = false
+			f.partitioned = false
 		}
 	})
 	w.runUntil(86 * time.Second)
@@ -101,21 +101,21 @@
 	}
 }
 
-// cutOffRandomWorker cuts a worker off. Its process keeps running or restarts meanwhile.
-func (w *world) cutOffRandomWorker() {
+// partitionRandomWorker cuts a worker off. Its process keeps running or restarts meanwhile.
+func (w *world) partitionRandomWorker() {
 	f := w.randomWorker()
 	duration := w.durationBetween(500*time.Millisecond, 8*time.Second)
-	f.cutOff = true
-	w.after(duration, func() { f.cutOff = false })
+	f.partitioned = true
+	w.after(duration, func() { f.partitioned = false })
 	if w.rng.IntN(2) == 0 {
 		w.after(w.durationBetween(0, duration), func() { f.restart(w.durationBetween(300*time.Millisecond, 2*time.Second)) })
 	}
 }
 
-// isLikelyCulprit reports whether two workers ended soon after the start of one of the job's
+// looksLikeCrashCause reports whether two workers ended soon after the start of one of the job's
 // tasks, or four while they ran it. No owner can distinguish that from a task that crashes its
 // workers.
-func (j *fakeJob) isLikelyCulprit() bool {
+func (j *fakeJob) looksLikeCrashCause() bool {
 	for name, n := range j.workerExits {
 		if n >= 4 || j.earlyWorkerExits[name] >= 2 {
 			return true
@@ -134,7 +134,7 @@
 		case !job.cancelledAt.IsZero():
 			assert.True(t, state.IsTerminal(), "seed %d: cancelled job %s is %s", seed, job.id, state)
 			assert.Zero(t, w.runningCount(job.id), "seed %d: cancelled job %s must not run", seed, job.id)
-		case state == workload.Failed && job.isLikelyCulprit():
+		case state == workload.Failed && job.looksLikeCrashCause():
 		case job.submission.Spec.Steps[0].LongRunning:
 			assert.Equal(t, workload.Running, state, "seed %d: job %s", seed, job.id)
 			missing := w.runningCount(job.id) < job.submission.Spec.Steps[0].Count
@@ -179,8 +179,8 @@
 	} {
 		name, f := c.name, c.f
 		unreadExits := 0
-		for _, seed := range append(seedsToPlay(historyCount(t)/5), restartRegressionSeeds...) {
-			w := playRestartHistory(seed, f)
+		for _, seed := range append(historySeeds(historyCount(t)/5), restartRegressionSeeds...) {
+			w := runRestartHistory(seed, f)
 			require.Empty(t, w.violations, "%s, seed %d", name, seed)
 			checkJobOutcomes(t, w, seed)
 			unreadExits += w.unreadExitCount()
@@ -198,7 +198,7 @@
 // A worker that restarts by itself must not cause the job on it to be given up. Crashes a second
 // or two after the start of a task that is alone on its worker prove little: several of them
 // count as one early crash.
-func TestTaskIsNotGivenUpAfterAFewLateCrashes(t *testing.T) {
+func TestJobDoesNotFailAfterAFewLateCrashes(t *testing.T) {
 	r := newIncarnationRig(t)
 	job := r.submit("0000000000000001", batchStep(1, 1000))
 	incarnation := firstIncarnation
@@ -221,15 +221,15 @@
 
 // Two workers restart by themselves soon after the start of one of a job's long-running tasks.
 // The job must not be given up and its tasks stopped.
-func TestLongRunningJobIsNotGivenUpForUnrelatedRestarts(t *testing.T) {
-	w := playRestartHistory(117, faults{lostAnswer: 0.03, lostWriteAnswer: 0.02})
+func TestLongRunningJobDoesNotFailForUnrelatedRestarts(t *testing.T) {
+	w := runRestartHistory(117, faults{lostAnswer: 0.03, lostWriteAnswer: 0.02})
 	require.Empty(t, w.violations)
 }
 
 // A job's workers restart by themselves, none twice within half a second of a start nor four
 // times in all. The job must not be given up.
-func TestJobIsNotGivenUpForUnrelatedRestarts(t *testing.T) {
-	w := playRestartHistory(73, faults{})
+func TestJobDoesNotFailForUnrelatedRestarts(t *testing.T) {
+	w := runRestartHistory(73, faults{})
 	require.Empty(t, w.violations)
 	checkJobOutcomes(t, w, 73)
 }
@@ -263,19 +263,19 @@
 
 // A worker that was only cut off keeps its incarnation: its runs go on and its exits count. It
 // must not be taken for a new process, unlike a worker that restarted while it was cut off.
-func TestRunsOfAWorkerThatWasCutOffContinue(t *testing.T) {
+func TestRunsOfAPartitionedWorkerContinue(t *testing.T) {
 	w := newWorld(1, faults{})
-	cutOff := w.addWorker("same", workload.Resources{CPU: 8000, MemoryMB: 16000})
+	sameProcess := w.addWorker("same", workload.Resources{CPU: 8000, MemoryMB: 16000})
 	restarted := w.addWorker("other", workload.Resources{CPU: 8000, MemoryMB: 16000})
 	w.takeOver()
 	long := workload.Step{Count: 8, Resources: workload.Resources{CPU: 1000, MemoryMB: 1000}, EstimateMS: 6000, MaxPerWorker: 4}
 	var job *fakeJob
 	w.after(time.Second, func() { job = w.submit(workload.Spec{Steps: []workload.Step{long}}, "quick") })
 	w.after(2*time.Second, func() {
-		cutOff.cutOff, restarted.cutOff = true, true
+		sameProcess.partitioned, restarted.partitioned = true, true
 		restarted.restart(500 * time.Millisecond)
 	})
-	w.after(4500*time.Millisecond, func() { cutOff.cutOff, restarted.cutOff = false, false })
+	w.after(4500*time.Millisecond, func() { sameProcess.partitioned, restarted.partitioned = false, false })
 	w.runUntil(30 * time.Second)
 	require.Empty(t, w.violations)
 	state, _ := w.owner.core.JobState(job.id)
--- a/internal/scheduler/rig_test.go
+++ b/internal/scheduler/rig_test.go
@@ -121,8 +121,8 @@
 	return r.step(10 * time.Millisecond).Starts
 }
 
-func exitReport(exitNumber int64, s scheduler.StartOrder, reason workload.ExitReason) workload.PollReport {
-	return workload.PollReport{Exited: []workload.RunExit{{Sequence: exitNumber, Task: s.Start.Task, Run: s.Start.Run, Reason: reason}}}
+func exitReport(sequence int64, s scheduler.StartOrder, reason workload.ExitReason) workload.PollReport {
+	return workload.PollReport{Exited: []workload.RunExit{{Sequence: sequence, Task: s.Start.Task, Run: s.Start.Run, Reason: reason}}}
 }
 
 // answerPollAs answers a poll as the given incarnation of the worker.
@@ -187,11 +187,11 @@
 }
 
 // crashAndReplace crashes a worker, registers successors and answers their first polls.
-func (r *rig) crashAndReplace(worker string, successors ...string) {
+func (r *rig) crashAndReplace(worker string, replacements ...string) {
 	r.crashWorker(worker)
-	r.setWorkers(successors...)
+	r.setWorkers(replacements...)
 	r.step(0)
-	for _, id := range successors {
+	for _, id := range replacements {
 		r.answerPoll(id, r.now, workload.PollReport{})
 	}
 }
--- a/internal/scheduler/silence_test.go
+++ b/internal/scheduler/silence_test.go
@@ -71,7 +71,7 @@
 // An owner planned an isolated run and was lost, and the worker never answered the next owner.
 // The run may have made progress since it was planned, so that the silence must not count as
 // proof and the job must not be given up.
-func TestSilenceAfterAPossiblyLongIsolatedRunProvesNothing(t *testing.T) {
+func TestSilenceAfterAPossiblyLongIsolatedRunDoesNotCount(t *testing.T) {
 	const job = workload.JobID("0000000000000001")
 	for _, c := range []struct {
 		planned time.Duration // time from the plan to the takeover
--- a/internal/scheduler/suspect_test.go
+++ b/internal/scheduler/suspect_test.go
@@ -102,7 +102,7 @@
 // The worker list may show only after an apparent crash that the worker was leaving or that its
 // address belongs to another service. The crash must then be revoked, and the task starts like
 // any other.
-func TestTaskIsClearedWhenTheRegistryExplainsTheExit(t *testing.T) {
+func TestCrashIsRetractedWhenTheRegistryExplainsTheExit(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
 	start := r.startJob("0000000000000001", batchStep(1, 1000))[0]
@@ -242,7 +242,7 @@
 }
 
 // A job that was given up and is submitted again is a new job, without the crashes of the first.
-func TestResubmissionOfAGivenUpJobIsANewJob(t *testing.T) {
+func TestResubmissionOfAFailedJobIsANewJob(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
 	first := r.startJob("0000000000000001", batchStep(1, 1000))[0]
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -62,15 +62,15 @@
 	violations    []string
 	lastJobNumber int
 	starts        int
-	// unguarded is set if workers start tasks that exceed their capacity.
-	unguarded bool
+	// capacityNotEnforced is set if workers start tasks that exceed their capacity.
+	capacityNotEnforced bool
 	// crashingTasks holds the names of the tasks that crash each worker that starts them.
 	crashingTasks map[string]bool
 	// crashedWorkersRestart is set if a worker that crashes under a task comes back under the
 	// same ID, crashesLoseVM if its VM is lost with it.
 	crashedWorkersRestart, crashesLoseVM bool
-	// bystanderRunsLost counts the runs of other jobs that were lost in such crashes.
-	bystanderRunsLost int
+	// lostRunsOfOtherJobs counts the runs of other jobs that were lost in such crashes.
+	lostRunsOfOtherJobs int
 	// replacedOwnersStop is set if the group tells an owner that it was replaced.
 	replacedOwnersStop bool
 	// previousOwnerReachable is the probability that an owner reaches the node of the previous
@@ -105,7 +105,7 @@
 	startsAfterThreeCrashes map[string]int       // starts after three crashes, by task
 	stoppedNotRestarted     map[string]bool      // long-running tasks that were stopped and not restarted
 	lastRunningAt           map[string]time.Time // when the task was last running
-	givenUp                 bool                 // by an owner, because its task crashes workers
+	failedForCrashes        bool                 // by an owner, because its task crashes workers
 	shownState              workload.JobState
 	shownStateChangedAt     time.Time // when shownState last changed
 }
