--- a/internal/scheduler/checks_test.go
+++ b/internal/scheduler/checks_test.go
@@ -7,24 +7,26 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// capacityUpdateDelay is how long after a reduction an owner may still use a worker's old
-// capacity: the new one takes up to three seconds and a heartbeat to reach it.
+// capacityUpdateDelay is how long after a reduction an owner may still use a worker's old capacity:
+// the new capacity reaches the owner within three seconds and a heartbeat.
 const capacityUpdateDelay = 4500 * time.Millisecond
 
-// checkCapacity checks that no start exceeds the capacity of an unguarded worker.
+// checkCapacity checks the start of a task that exceeds the free capacity of a worker that does not
+// enforce it. The start is allowed within capacityUpdateDelay after a reduction of the capacity.
 func (w *world) checkCapacity(f *fakeWorker, task string) {
 	if w.now.Sub(f.capacityReducedAt) > capacityUpdateDelay {
 		w.recordViolation("LIMIT", task+" starts on "+f.info.ID+" and exceeds its capacity")
 	}
 }
 
-// unavailabilityGrace is how long a long-running task may be away, for whatever cause, before it
+// unavailabilityGrace is how long a long-running task may not run, for whatever cause, before it
 // counts as unavailable.
 const unavailabilityGrace = 4500 * time.Millisecond
 
 // checkMaxUnavailable checks that the stop of a long-running task keeps its step within
-// MaxUnavailable. Other tasks of the step count if they were stopped or have been away for long.
-// A job that was given up has ended with all its tasks.
+// MaxUnavailable. Another task of the step counts as unavailable if it was stopped and has not
+// started again, or has not run for more than unavailabilityGrace. Steps without MaxUnavailable,
+// cancelled jobs and jobs that failed because a task crashes workers are not checked.
 func (w *world) checkMaxUnavailable(r *fakeRun) {
 	job := w.jobs[r.task.Job]
 	spec := &job.submission.Spec.Steps[r.task.Step]
@@ -48,7 +50,7 @@
 	job.stoppedNotRestarted[taskName] = true
 }
 
-// isRunning reports whether a task runs on a live worker and is not being stopped.
+// isRunning reports whether a task runs on a worker whose process is up and is not being stopped.
 func (w *world) isRunning(key workload.TaskKey) bool {
 	for _, f := range w.workers {
 		for _, r := range f.runs {
@@ -60,16 +62,17 @@
 	return false
 }
 
+// runKey returns the key of a run in fakeJob.supersededDoneRuns.
 func runKey(task string, run int64) string { return fmt.Sprint(task, "#", run) }
 
-// checkStart checks the invariants of a start.
+// checkStart checks the rules for the start of a task.
 func (w *world) checkStart(job *fakeJob, spec *workload.Step, s workload.Start, target *fakeWorker) {
 	taskName := s.Task.String()
 	if job.acknowledged[taskName] && !spec.Speculative {
 		w.recordViolation("TWICE", taskName+" starts after its exit was acknowledged")
 	}
 	for _, run := range job.doneRuns[taskName] {
-		job.supersededDoneRuns[runKey(taskName, run)] = !spec.Speculative // allowed only if that exit is lost
+		job.supersededDoneRuns[runKey(taskName, run)] = !spec.Speculative // recordAck records a violation if that exit is acknowledged later
 	}
 	if job.shownState == workload.Completed {
 		w.recordViolation("TWICE", taskName+" starts after its job was shown as completed")
--- a/internal/scheduler/core_test.go
+++ b/internal/scheduler/core_test.go
@@ -12,8 +12,8 @@
 )
 
 // A worker may run what an earlier owner started. Until every such worker has answered under the
-// new token, nothing starts on any worker: the same task could still run on one that has not
-// answered.
+// new token, nothing may start on any worker: the same task could still run on a worker that has
+// not answered.
 func TestNothingStartsBeforeEveryUnresolvedWorkerAnswers(t *testing.T) {
 	r := newRig(t, "w-1", "w-2")
 	r.setWorkers("w-1", "w-2")
@@ -25,7 +25,7 @@
 	assert.Len(t, r.step(50*time.Millisecond).Starts, 1)
 }
 
-// A worker stays silent during a takeover. Nothing may start before the last lease that the
+// A worker does not answer during a takeover. Nothing may start before the last lease that the
 // earlier owner can have granted has expired, even on a clock that is 2% slow.
 func TestTakeoverWaitsForTheLeaseOfASilentWorker(t *testing.T) {
 	r := newRig(t, "w-1", "w-2")
@@ -45,8 +45,8 @@
 	assert.True(t, started)
 }
 
-// A new owner finds a run of its predecessor. The run goes on, its task is not started a second
-// time, and its exit counts.
+// A worker lists a run of an earlier owner. The run must continue, its task must not be started a
+// second time, and its exit must count.
 func TestRunOfAnEarlierOwnerContinues(t *testing.T) {
 	r := newRig(t, "w-1")
 	r.setWorkers("w-1")
@@ -87,8 +87,8 @@
 	assert.Greater(t, restarts[0].Start.Run, start.Start.Run)
 }
 
-// An exit is acknowledged to the worker and shown to the caller only once it is stored. Until
-// then the worker's report is all that a new owner would know of it.
+// An exit must be acknowledged to the worker and shown to the caller only once it is stored. Until
+// then a new owner can learn of it only from the worker's report.
 func TestExitIsStoredBeforeItIsAcknowledged(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -147,8 +147,8 @@
 	assert.NotEmpty(t, r.step(20*time.Millisecond).Stops)
 }
 
-// A worker without runs refuses a connection. It gets no work until it answers a poll, and must
-// be polled, or it would stay unused forever.
+// A start can't be sent to a worker without runs. The worker gets no starts until it answers a poll,
+// and must be polled, or it would stay unused forever.
 func TestIdleWorkerIsPolledAfterAnUndeliveredStart(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -162,8 +162,8 @@
 	assert.Len(t, r.step(400*time.Millisecond).Starts, 1)
 }
 
-// A worker fails everything that it starts. After a few failures of several jobs it gets no new
-// tasks, and the jobs run on other workers.
+// All tasks on a worker fail. After a few failures of several jobs the worker must get no new tasks,
+// and the jobs must run on other workers.
 func TestWorkerThatFailsTasksOfSeveralJobsGetsNoNewOnes(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -183,7 +183,7 @@
 }
 
 // An owner hands over while a worker does not answer. The next owner knows from the handover what
-// the worker may run: those tasks start once the lease has expired, all others at once.
+// the worker may run: those tasks must start once its leases have expired, all others immediately.
 func TestHandoverDelaysOnlyTasksThatMayStillRun(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -218,7 +218,7 @@
 			}
 			for _, poll := range orders.Polls {
 				if poll.Worker.ID != "w-1" {
-					continue // waits for an exit
+					continue // w-2 leaves the poll open until an exit
 				}
 				next.core.HandlePollResult(scheduler.PollResult{Worker: poll.Worker.ID, Token: poll.Poll.Token, SentAt: next.now, Answer: workload.WorkerAnswer{Status: workload.WorkerOutcomeUnknown}}, next.now)
 			}
@@ -230,9 +230,9 @@
 	assert.Contains(t, started, first)
 }
 
-// The owner's process stalls while a worker answers, and wakes up to polls that have timed out.
-// It must poll once more before it gives up the worker's runs: the answer lists one as done, and
-// a second start would run the task twice.
+// The owner's process stalls while a worker answers, and resumes after its polls have timed out.
+// It must poll once more before it drops the worker's runs: the answer lists one as done, and a
+// second start would run the task twice.
 func TestStalledOwnerPollsAgainBeforeItDropsRuns(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -256,8 +256,8 @@
 	assert.Equal(t, workload.Completed, state)
 }
 
-// Hundreds of tasks are ready at once. The starts in flight are bounded: on a small VM all of
-// them together would be answered too late and count as unanswered.
+// Hundreds of tasks are ready at once. The starts in flight must be bounded: if a node on a small VM
+// sent all of them, the answers would come too late and the starts would count as unanswered.
 func TestStartsInFlightAreBounded(t *testing.T) {
 	r := newRig(t)
 	var ids []string
@@ -278,9 +278,9 @@
 	assert.NotEmpty(t, r.step(20*time.Millisecond).Starts)
 }
 
-// A task exits while another one runs on the worker. The worker would answer each poll at once
-// until the exit is stored, so polling pauses until then and resumes without a delay. Otherwise
-// every exit would delay the next one on that worker by 400 ms.
+// A task exits while another one runs on the worker. The worker would answer each poll immediately
+// until the exit is acknowledged, so polling must pause until the exit is stored and resume without a
+// delay. Otherwise every exit would delay the next one on that worker by 400 ms.
 func TestPollFollowsAStoredExitAtOnce(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -304,7 +304,7 @@
 }
 
 // A job is cancelled, and the owner hands over before its stop has reached the worker. The next
-// owner knows the cancellation and the run, and must stop the run once the worker lists it.
+// owner knows of the cancellation and the run, and must stop the run once the worker lists it.
 // Otherwise a long-running task would run forever.
 func TestRunOfACancelledJobIsStoppedAfterAHandover(t *testing.T) {
 	r := newRig(t)
@@ -339,8 +339,8 @@
 }
 
 // A worker's capacity falls below what a waiting job requires and is restored later. Meanwhile
-// nothing starts there, its runs go on and the requirement is reported as unmet. The job starts
-// once the capacity is restored.
+// nothing may start there, its runs must continue and the requirement must be reported as unmet. The
+// job must start once the capacity is restored.
 func TestPlacementFollowsChangesOfWorkerCapacity(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
--- a/internal/scheduler/fakecrash_test.go
+++ b/internal/scheduler/fakecrash_test.go
@@ -6,7 +6,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// reduceCapacity reduces a worker's capacity to a fraction for a while.
+// reduceCapacity reduces a worker's capacity to a fraction for the given duration.
 func (f *fakeWorker) reduceCapacity(fraction float64, duration time.Duration) {
 	full := f.info.Capacity
 	f.capacityReducedAt = f.world.now
@@ -27,7 +27,9 @@
 // crashDelay is the time from the start of a crashing task to the crash of its worker.
 const crashDelay = 10 * time.Millisecond
 
-// crashFromRun ends the worker's process because of one of its tasks. All of its runs are lost.
+// crashFromRun ends the worker's process because one of its runs crashes it. All its runs are lost.
+// A process under the same ID, or a replacement with another ID, follows some seconds later; see
+// world.crashedWorkersRestart and world.crashesLoseVM.
 func (f *fakeWorker) crashFromRun(cause *fakeRun) {
 	if f.terminated {
 		return
@@ -40,7 +42,7 @@
 		}
 	}
 	if f.world.crashesLoseVM {
-		f.processDown = false // the VM is lost too: nothing at its address refuses calls
+		f.processDown = false // its VM is lost too: nothing refuses connections at its address
 		f.world.after(registryEntryTTL, func() { f.unregister() })
 		f.world.after(f.world.durationBetween(time.Second, 5*time.Second), func() { f.world.addWorker(f.info.ID+"+", f.info.Capacity) })
 		return
@@ -56,11 +58,11 @@
 	})
 }
 
-// earlyCrash is how soon after a run's start a crash of its worker is attributed to the task.
-const earlyCrash = 500 * time.Millisecond
+// maxEarlyExitAge is the age of a run below which the end of its worker's process may count as an
+// early crash. It equals the scheduler's minIsolatedRunTime.
+const maxEarlyExitAge = 500 * time.Millisecond
 
-// endProcess ends the worker's process and returns the runs that it had. Calls are refused from
-// then on.
+// endProcess ends the worker's process and returns its runs. Connections are refused from then on.
 func (f *fakeWorker) endProcess() []*fakeRun {
 	f.terminated, f.processDown = true, true
 	runs := f.runs
@@ -70,7 +72,7 @@
 		job := f.world.jobs[r.task.Job]
 		job.lastRunningAt[r.task.String()] = f.world.now
 		job.workerExits[r.task.String()]++
-		if f.world.now.Sub(r.startedAt) < earlyCrash {
+		if f.world.now.Sub(r.startedAt) < maxEarlyExitAge {
 			job.earlyWorkerExits[r.task.String()]++
 		}
 		if job.submission.Spec.Steps[r.task.Step].Gang {
@@ -94,9 +96,9 @@
 	f.world.after(downtime, f.startProcess)
 }
 
-// startProcess starts the worker's process again under the same ID. The process knows nothing of
-// the previous incarnation; its clock and exit numbers start over. Calls in flight reach it. Its
-// registry entry follows within a heartbeat.
+// startProcess starts the worker's process again under the same ID. The new incarnation has no state
+// of the previous one; its clock and the sequence numbers of its exits start over. Orders in flight
+// reach it. Its registry entry follows within a heartbeat.
 func (f *fakeWorker) startProcess() {
 	f.terminated, f.processDown = false, false
 	f.restartCount++
@@ -118,7 +120,7 @@
 }
 
 // refusalAnswer returns the answer to a call to a worker whose process has ended or refuses
-// connections.
+// connections: that of its replacement, if there is one.
 func (f *fakeWorker) refusalAnswer() workload.WorkerAnswer {
 	if f.hasReplacement {
 		return workload.WorkerAnswer{Status: workload.WorkerReplaced}
--- a/internal/scheduler/fakegang_test.go
+++ b/internal/scheduler/fakegang_test.go
@@ -6,8 +6,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// startGangWork ends all members of a gang as done, one estimated duration after the last of them
-// started.
+// startGangWork schedules the end of all members of a gang as done, one estimated duration after the
+// last of them has started.
 func (w *world) startGangWork(lastStarted *fakeRun, spec *workload.Step) {
 	if len(w.gangMembers(lastStarted)) < spec.Count {
 		return
--- a/internal/scheduler/fakeowner_test.go
+++ b/internal/scheduler/fakeowner_test.go
@@ -13,24 +13,24 @@
 	core         *scheduler.Core
 	epoch        int64
 	coreStarted  bool
-	stopped      bool // killed or replaced: sends nothing more
+	stopped      bool // killed, replaced or stepped down: handles and sends nothing any more
 	killed       bool
 	pendingWrite *scheduler.WriteOrder
-	// slowUntil is the time until which the process is slow: deliveries are delayed, in order,
-	// and steps are far apart.
+	// Until slowUntil the process is slow: deliveries are delayed, in order, and steps are far
+	// apart.
 	slowUntil      time.Time
 	lastDeliveryAt time.Time // when the latest delayed delivery is handled
-	// links holds the faulty links to workers, by worker ID. storeUnreachable is set while the
-	// owner is cut off from the store.
+	// links holds the faulty links to workers, by worker ID. storeUnreachable is set while this
+	// owner can't reach the store.
 	links            map[string]linkFault
 	storeUnreachable bool
-	// confirmedAt is when the group last confirmed the ownership of the partition.
+	// confirmedAt is when the members last confirmed its ownership of the partition.
 	confirmedAt time.Time
 	// processor models the CPU time of the owner's work. If nil, the work takes no time.
 	processor *processor
 }
 
-// deliver passes an event to the owner's process, which handles events in order.
+// deliver delivers an answer to the owner's process, which handles answers in order.
 func (o *fakeOwner) deliver(action func()) {
 	w := o.world
 	if o.processor != nil {
@@ -96,7 +96,8 @@
 	o.startCore(records)
 }
 
-// startCore creates the Core from the records that were read.
+// startCore creates the Core from the records that were read and from the handover of the previous
+// owner, if that one left or returns one.
 func (o *fakeOwner) startCore(records []workload.Record) {
 	w := o.world
 	if o.stopped {
@@ -144,14 +145,14 @@
 		o.core.RestoreHandover(handover, w.now)
 	}
 	for _, r := range w.store.records() {
-		o.applyRecord(r) // stored since the read: the owner follows the log
+		o.applyRecord(r) // also those stored since the read, as the owner follows the log
 	}
 	o.coreStarted = true
 	o.processor = w.processor
 	o.tick()
 }
 
-// lastHandover returns the handover record of the last owner, nil if it left none, and that
+// lastHandover returns the handover of the last owner, nil if that owner stored none, and the last
 // owner's epoch.
 func lastHandover(records []workload.Record) (handover *workload.Handover, lastEpoch int64) {
 	for _, r := range records {
@@ -168,8 +169,8 @@
 	return handover, lastEpoch
 }
 
-// requestHandover stops the owner of an epoch and returns the records that it has not stored. It
-// returns nil if that owner can't be reached, was killed or had not started.
+// requestHandover stops the owner of an epoch and returns its unstored handover records. It returns
+// nil if that owner can't be reached, was killed, had not started or has no handover.
 func (w *world) requestHandover(epoch int64) []workload.Record {
 	if w.previousOwnerReachable == 0 || !w.chance(w.previousOwnerReachable) {
 		return nil
@@ -197,8 +198,9 @@
 	}
 }
 
-// confirmOwnership lets the group confirm the ownership of the partition. While the store is
-// unavailable to all nodes, the other nodes confirm that none of them has become the owner.
+// confirmOwnership confirms the ownership of the partition if this is the current owner and can reach
+// the store. While the store is unavailable to all nodes, the other nodes confirm that none of them
+// has become the owner.
 func (o *fakeOwner) confirmOwnership() {
 	if o.world.owner == o && (!o.storeUnreachable || o.world.store.unavailable) {
 		o.confirmedAt = o.world.now
@@ -225,13 +227,13 @@
 		return
 	}
 	if o.world.replacedOwnersStop && !o.storeUnreachable && !o.world.store.unavailable && o.world.owner != o {
-		o.stopped = true // its join shows that another owner has the partition
+		o.stopped = true // its membership announcement shows that another owner has the partition
 		return
 	}
 	o.confirmOwnership()
 	updateWorkers := func() {
 		if o.world.owner == o {
-			// An owner receives the worker list only while the group confirms its ownership.
+			// An owner gets the list of workers only while its ownership is confirmed.
 			o.core.SetWorkers(o.world.registry, o.world.now)
 		}
 	}
@@ -243,7 +245,7 @@
 	o.world.after(interval, o.tick)
 }
 
-// deliverNow runs an action and steps, or leaves the action to the processor's next step.
+// deliverNow runs an action and steps the core, or leaves both to the processor if there is one.
 func (o *fakeOwner) deliverNow(action func()) {
 	if o.processor != nil {
 		o.processor.deliverAfter(o, 0, action)
@@ -291,7 +293,7 @@
 	}
 }
 
-// write repeats the pending write until its outcome is known.
+// write sends the pending write, and repeats it until the store answers.
 func (o *fakeOwner) write() {
 	w := o.world
 	w.after(w.durationBetween(4*time.Millisecond, 12*time.Millisecond), func() {
@@ -325,7 +327,7 @@
 	})
 }
 
-// sendOrder sends an order subject to the faults of the history.
+// sendOrder sends an order to a worker, subject to the faults of the history.
 func (o *fakeOwner) sendOrder(worker string, order func(f *fakeWorker) workload.WorkerAnswer, handleAnswer func(workload.WorkerAnswer)) {
 	w := o.world
 	deliverAnswer := func(a workload.WorkerAnswer, delay time.Duration) {
@@ -365,7 +367,8 @@
 	}
 }
 
-// sendPoll sends a poll. The answer waits for an exit, up to the poll's MaxWait.
+// sendPoll sends a poll, subject to the faults of the history. The answer waits for an exit, at most
+// for the poll's MaxWait.
 func (o *fakeOwner) sendPoll(order scheduler.PollOrder) {
 	w := o.world
 	sentAt := w.now
--- a/internal/scheduler/fakeworker_test.go
+++ b/internal/scheduler/fakeworker_test.go
@@ -8,7 +8,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// fakeWorker simulates a worker as the platform specifies it: fencing, leases, polls and exits.
+// fakeWorker simulates a worker as the platform specifies it: its fencing, leases, polls and exits.
 type fakeWorker struct {
 	world          *world
 	info           workload.Worker
@@ -16,12 +16,12 @@
 	clockStartedAt time.Time // when the worker's clock read 0
 	// restartCount counts restarts of the process. A restarted worker keeps its ID.
 	restartCount int
-	partitioned  bool // unreachable, but its tasks run on
-	// refusesConnections is set while connections to the worker are refused. Its tasks run on.
+	partitioned  bool // unreachable; its tasks continue
+	// refusesConnections is set while connections to the worker are refused. Its tasks continue.
 	refusesConnections bool
 	terminated         bool // the process has ended
-	// processDown is set if the process has ended while its VM lives: calls are refused at
-	// once, or answered by the successor once it is there.
+	// processDown is set while the process has ended and its VM is up. Connections are then refused
+	// until hasReplacement is set, and answered by another worker from then on.
 	processDown       bool
 	hasReplacement    bool
 	capacityReducedAt time.Time // when the capacity was last reduced
@@ -30,10 +30,10 @@
 	leaseExpiresAt        int64 // milliseconds on the worker's clock
 	runs                  []*fakeRun
 	unackedExits          []workload.RunExit
-	ackedUpTo             int64 // exits up to this number are forgotten, also later ones
+	ackedUpTo             int64 // exits up to this sequence number are dropped, including exits that happen later
 	lastExitSequence      int64
-	highestEndedRun       map[string]int64 // highest run that was stopped or has exited
-	lastExitAtLeaseExpiry int64            // last exit that was listed when the lease expired
+	highestEndedRun       map[string]int64 // highest run that has exited or whose stop was ordered, by task
+	lastExitAtLeaseExpiry int64            // lastExitSequence when a lease last expired
 	waitingPolls          []func()
 }
 
@@ -47,7 +47,7 @@
 	stopRequested bool
 }
 
-// maxLease is the longest lease that a worker grants, whatever is requested.
+// maxLease is the longest lease that a worker accepts. Longer ones are shortened to it.
 const maxLease = 10 * time.Second
 
 // stopDuration is the time from a stop order to the exit of the run.
@@ -70,7 +70,7 @@
 	return int64(float64(f.world.now.Sub(f.clockStartedAt).Milliseconds()) * f.clockRate)
 }
 
-// execute applies an order unless the process has ended. It returns false if no answer can reach
+// execute executes an order unless the process has ended. It returns false if no answer can reach
 // the owner.
 func (f *fakeWorker) execute(order func(f *fakeWorker) workload.WorkerAnswer) (workload.WorkerAnswer, bool) {
 	if f.terminated {
@@ -81,8 +81,8 @@
 	return a, !f.partitioned
 }
 
-// executeLate applies an order seconds after it was sent. The order is lost if the process that
-// it was sent to has ended since.
+// executeLate executes an order seconds after it was sent. The order is lost if the worker has
+// restarted since.
 func (f *fakeWorker) executeLate(restartCountWhenSent int, order func(f *fakeWorker) workload.WorkerAnswer) {
 	if f.restartCount == restartCountWhenSent {
 		f.execute(order)
@@ -195,7 +195,7 @@
 		job.doneRuns[taskName] = append(job.doneRuns[taskName], r.runNumber)
 	}
 	if f.lastExitSequence <= f.ackedUpTo {
-		f.recordAck(exit) // already acknowledged: no owner will read it
+		f.recordAck(exit) // acknowledged in advance: no owner will read it
 	} else {
 		f.unackedExits = append(f.unackedExits, exit)
 	}
@@ -264,7 +264,7 @@
 	case workload.ExitDone:
 		taskName := exit.Task.String()
 		if exit.Sequence <= f.lastExitAtLeaseExpiry {
-			return // the owner may have given up the run before it read the exit
+			return // the owner may have dropped the run before it read the exit
 		}
 		job.acknowledged[taskName] = true
 		if job.supersededDoneRuns[runKey(taskName, exit.Run)] {
@@ -287,8 +287,8 @@
 // registryEntryTTL is how long an entry stays in the registry after the worker's last heartbeat.
 const registryEntryTTL = 4500 * time.Millisecond
 
-// loseVM ends the worker with its VM. The registry entry expires after three missed heartbeats,
-// and a worker under another ID follows.
+// loseVM ends the worker together with its VM. Its registry entry expires after three missed
+// heartbeats, and a worker with another ID is added.
 func (f *fakeWorker) loseVM() {
 	f.terminated = true
 	for _, r := range f.runs {
--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -13,8 +13,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// historyCount returns how many seeds each test plays. YUCCADRIFT_HISTORIES overrides the
-// default.
+// historyCount returns the number of seeds for which a test runs a history; slower tests use a third,
+// a fifth or a tenth of it. YUCCADRIFT_HISTORIES overrides the default.
 func historyCount(t *testing.T) uint64 {
 	text := os.Getenv("YUCCADRIFT_HISTORIES")
 	if text == "" {
@@ -25,11 +25,11 @@
 	return n
 }
 
-// regressionSeeds once showed a fault of the scheduler or of the test, and lie outside the range
-// that each run plays.
+// regressionSeeds are seeds that showed a fault of the scheduler or of the test. They lie outside the
+// default range; if a larger YUCCADRIFT_HISTORIES includes them, they run twice.
 var regressionSeeds = []uint64{589, 726, 787, 1208}
 
-// historySeeds returns the first n seeds and regressionSeeds.
+// historySeeds returns the seeds below n and regressionSeeds.
 func historySeeds(n uint64) []uint64 {
 	var list []uint64
 	for seed := range n {
@@ -38,7 +38,7 @@
 	return append(list, regressionSeeds...)
 }
 
-// randomJobSpec draws a job of the kinds that users submit.
+// randomJobSpec draws a job of the kinds that callers submit.
 func (w *world) randomJobSpec() workload.Spec {
 	spec := workload.Spec{Payload: "work"}
 	for i := range 1 + w.rng.IntN(3) {
@@ -62,7 +62,8 @@
 	return spec
 }
 
-// runRandomHistory plays 25 s of jobs with faults, then runs without faults to 86 s.
+// runRandomHistory runs a history in which jobs are submitted and faults are injected for 25 s. New
+// faults end at 26 s, the history at 86 s.
 func runRandomHistory(seed uint64) *world {
 	w := newWorld(seed, faults{lostAnswer: 0.01, lateOrder: 0.01, failedTask: 0.01, lostWriteAnswer: 0.02})
 	for i := range 6 {
@@ -108,7 +109,7 @@
 			w.handOverOwner(w.durationBetween(20*time.Millisecond, 600*time.Millisecond))
 		}
 	case 2:
-		// The owner is frozen or cut off: another owner takes over while it lives.
+		// The owner has stalled or is partitioned: another owner takes over while it runs.
 		if !w.owner.stopped {
 			w.takeOver()
 		}
@@ -125,9 +126,9 @@
 	}
 }
 
-// TestRandomHistories plays histories in which owners are killed, replaced and hand over, workers
-// crash and are cut off, answers are lost, orders are executed late and the store is unavailable.
-// Each job must reach the state that its caller expects, without a violation.
+// TestRandomHistories runs histories in which owners are killed, replaced and hand over, workers lose
+// their VMs and are partitioned, answers are lost, orders are executed late and the store is
+// unavailable. Each job must reach a state that its caller may expect, without a violation.
 func TestRandomHistories(t *testing.T) {
 	starts := 0
 	for _, seed := range historySeeds(historyCount(t)) {
@@ -158,12 +159,12 @@
 	t.Log(fmt.Sprint(starts, " starts"))
 }
 
-// TestNoTaskRunsTwiceAcrossHandovers plays histories in which owners hand over every second or so
+// TestNoTaskRunsTwiceAcrossHandovers runs histories in which owners hand over about every second
 // while runs exit. No task may run twice, and none may be lost.
 func TestNoTaskRunsTwiceAcrossHandovers(t *testing.T) {
 	for _, seed := range historySeeds(historyCount(t) / 3) {
 		w := newWorld(seed, faults{})
-		for i := range 12 { // capacity for all, also if many tasks are long-running
+		for i := range 12 { // enough capacity for all jobs, even if many tasks are long-running
 			w.addWorker("worker-"+strconv.Itoa(i), workload.Resources{CPU: 32000, MemoryMB: 64000})
 		}
 		w.takeOver()
@@ -203,8 +204,8 @@
 	return float64(reservedMB) / float64(totalMB)
 }
 
-// hasFreeCapacity reports whether a worker could take one more task of a job's first step.
-// Long-running tasks may fill all workers.
+// hasFreeCapacity reports whether a worker has capacity for one more task of a job's first step. It
+// may have none because long-running tasks fill all workers.
 func (w *world) hasFreeCapacity(j *fakeJob) bool {
 	spec := &j.submission.Spec.Steps[0]
 	for _, f := range w.workers {
@@ -222,10 +223,11 @@
 	return false
 }
 
-// TestDrainingInRandomHistories drains one worker after the other, as in a maintenance wave,
-// while other faults occur. No more of a step's long-running tasks may be stopped at once than
-// MaxUnavailable allows, and no worker may be reported drained while it runs tasks. It does not
-// check that each worker becomes drained.
+// TestDrainingInRandomHistories drains one worker after the other, as in a maintenance wave, while
+// other faults occur. No more of a step's long-running tasks may be stopped at once than
+// MaxUnavailable allows, and no worker may be reported drained while it runs tasks. The test does not
+// check that any worker becomes drained: the number of drained workers is counted only because
+// drainAndRemove needs a counter.
 func TestDrainingInRandomHistories(t *testing.T) {
 	for _, seed := range historySeeds(historyCount(t)) {
 		w := newWorld(seed, faults{lostAnswer: 0.01, failedTask: 0.01, lostWriteAnswer: 0.02})
@@ -254,9 +256,8 @@
 	}
 }
 
-// TestNoTaskRunsTwiceUnderASlowOwner plays histories in which the owner's process is slow for
-// seconds at a time, as on an overloaded VM: answers stay unread while leases run out. No task
-// may run twice.
+// TestNoTaskRunsTwiceUnderASlowOwner runs histories in which the owner's process is slow for seconds
+// at a time, as on an overloaded VM: answers stay unread while leases expire. No task may run twice.
 func TestNoTaskRunsTwiceUnderASlowOwner(t *testing.T) {
 	for _, seed := range historySeeds(historyCount(t)) {
 		w := newWorld(seed, faults{lostAnswer: 0.01, failedTask: 0.01, lostWriteAnswer: 0.02})
@@ -279,8 +280,8 @@
 	}
 }
 
-// drainAndRemove drains a worker as the fleet's owner does, for up to 8 s, and removes its VM for
-// maintenance once it is drained.
+// drainAndRemove drains a worker as the fleet owner does, for up to 8 s. Once the worker is drained,
+// it checks that no task runs there, increments drained, and removes the VM for maintenance.
 func (w *world) drainAndRemove(id string, drained *int) {
 	deadline := w.now.Add(8 * time.Second)
 	var attempt func()
@@ -304,9 +305,10 @@
 	attempt()
 }
 
-// TestDrainedWorkersStayEmptyUntilTheirVMIsRemoved plays histories in which a VM is removed up to
-// a second after its worker was reported drained, since the order takes time, while owners hand
-// over. The worker must not run a task when its VM is removed.
+// TestDrainedWorkersStayEmptyUntilTheirVMIsRemoved runs histories in which owners hand over, and a VM
+// is removed up to a second after its worker was reported drained, because the order for the VM takes
+// time. The worker must not run a task when its VM is removed. At least one worker must become
+// drained.
 func TestDrainedWorkersStayEmptyUntilTheirVMIsRemoved(t *testing.T) {
 	drained := 0
 	for seed := range historyCount(t) / 3 {
@@ -334,8 +336,8 @@
 	require.NotZero(t, drained)
 }
 
-// drainAndRemoveLater is drainAndRemove with a removal up to a second after the worker is
-// reported drained.
+// drainAndRemoveLater is drainAndRemove with a VM that is removed up to a second after the worker is
+// reported drained. It checks for running tasks at the removal.
 func (w *world) drainAndRemoveLater(id string, drained *int) {
 	deadline := w.now.Add(8 * time.Second)
 	var attempt func()
@@ -362,7 +364,7 @@
 	attempt()
 }
 
-// runningCount returns the number of a job's runs on live workers.
+// runningCount returns the number of a job's runs on workers whose process is up.
 func (w *world) runningCount(id workload.JobID) int {
 	n := 0
 	for _, f := range w.workers {
--- a/internal/scheduler/rig_test.go
+++ b/internal/scheduler/rig_test.go
@@ -10,18 +10,18 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// rig is a Core whose workers answer only as a test directs.
+// rig is a Core whose workers answer only when a test calls for it.
 type rig struct {
 	t     testing.TB
 	core  *scheduler.Core
 	now   time.Time
 	epoch int64
-	// latestPolls holds each worker's latest poll that awaitPoll has not returned yet; extra
-	// polls are left out.
+	// latestPolls holds the latest poll of each worker, until awaitPoll returns it. Extra polls are
+	// left out.
 	latestPolls map[string]scheduler.PollOrder
 }
 
-// token returns the fencing token of the first orders to each worker.
+// token returns the first fencing token that this owner gives a worker.
 func (r *rig) token() int64 { return r.epoch << 10 }
 
 // gangTimeout is how long members of a gang wait for each other.
@@ -89,7 +89,7 @@
 	r.core.HandlePollResult(scheduler.PollResult{Worker: worker, Token: r.token(), SentAt: sentAt, Report: report, Answer: workload.WorkerAnswer{ClockMS: 1000}}, r.now)
 }
 
-// answerPollReplaced answers a poll as a worker's successor at the same address does.
+// answerPollReplaced answers a poll as a replacement at the worker's address does.
 func (r *rig) answerPollReplaced(worker string) {
 	r.core.HandlePollResult(scheduler.PollResult{Worker: worker, Token: r.token(), SentAt: r.now, Answer: workload.WorkerAnswer{Status: workload.WorkerReplaced}}, r.now)
 }
@@ -136,8 +136,8 @@
 	r.core.SetWorkers([]workload.Worker{{ID: id, Incarnation: incarnation, Service: "service", Address: id, Labels: []string{"a", "rack"}, Capacity: workload.Resources{CPU: 8000, MemoryMB: 16000}}}, r.now)
 }
 
-// awaitPoll steps until there is an unanswered poll of a worker, and returns the poll and the
-// starts meanwhile.
+// awaitPoll steps until a poll of a worker awaits its answer. It returns the poll and the starts that
+// were ordered meanwhile.
 func (r *rig) awaitPoll(id string) (poll scheduler.PollOrder, starts []scheduler.StartOrder) {
 	for range 100 {
 		if poll, ok := r.latestPolls[id]; ok {
@@ -150,19 +150,18 @@
 	return poll, starts
 }
 
-// answerPollRefused answers a poll with a refused connection, as the address of an ended process
-// does.
+// answerPollRefused answers a poll with a refused connection, as after the end of the process.
 func (r *rig) answerPollRefused(worker string) {
 	r.core.HandlePollResult(scheduler.PollResult{Worker: worker, Token: r.token(), SentAt: r.now, Answer: workload.WorkerAnswer{Status: workload.WorkerConnRefused}}, r.now)
 }
 
-// timeOutPoll lets a poll time out.
+// timeOutPoll answers a poll with a timeout: its outcome is unknown.
 func (r *rig) timeOutPoll(worker string) {
 	r.core.HandlePollResult(scheduler.PollResult{Worker: worker, Token: r.token(), SentAt: r.now, Answer: workload.WorkerAnswer{Status: workload.WorkerOutcomeUnknown}}, r.now)
 }
 
-// crashWorker simulates the crash of a worker's process: two polls are refused, then the
-// successor at its address answers.
+// crashWorker simulates the crash of a worker's process: two polls are refused, then a replacement
+// answers at its address.
 func (r *rig) crashWorker(worker string) {
 	r.answerPollRefused(worker)
 	r.now = r.now.Add(100 * time.Millisecond)
@@ -186,7 +185,7 @@
 	return collected
 }
 
-// crashAndReplace crashes a worker, registers successors and answers their first polls.
+// crashAndReplace crashes a worker, registers replacements and answers their first polls.
 func (r *rig) crashAndReplace(worker string, replacements ...string) {
 	r.crashWorker(worker)
 	r.setWorkers(replacements...)
--- a/internal/scheduler/suspect_test.go
+++ b/internal/scheduler/suspect_test.go
@@ -13,31 +13,31 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Only a crash of a worker's process makes a job's task a suspect, which is isolated and may be
-// given up. The end of a worker that leaves, is drained or is cut off must not count as a crash.
+// Only a crash of a worker's process may make its tasks suspects, whose jobs may fail. The end of a
+// worker that leaves, is drained or is partitioned must not count as a crash.
 func TestCrashIsDistinguishedFromOtherExits(t *testing.T) {
 	newWorker := func(id, service string, leaving bool) workload.Worker {
 		return workload.Worker{ID: id, Service: service, Address: "w-1", Leaving: leaving, Labels: []string{"a", "rack"}, Capacity: workload.Resources{CPU: 8000, MemoryMB: 16000}}
 	}
 	for name, c := range map[string]struct {
-		ends    func(r *rig)
-		crashes int
+		endWorker func(r *rig)
+		crashes   int // crashes that the owner must count
 	}{
 		"refused once, then answered": {func(r *rig) {
 			r.answerPollRefused("w-1")
 			r.answerPoll("w-1", r.now.Add(time.Millisecond), workload.PollReport{})
 		}, 0},
-		"refused, and no successor is registered": {func(r *rig) { r.refusePollsFor("w-1", 6*time.Second) }, 0},
+		"refused, and no replacement is registered": {func(r *rig) { r.refusePollsFor("w-1", 6*time.Second) }, 0},
 		"refused, then answered by the same worker": {func(r *rig) {
 			r.refusePollsFor("w-1", 6*time.Second)
 			r.answerPoll("w-1", r.now, workload.PollReport{})
 		}, 0},
-		"refused and then replaced": {func(r *rig) { r.crashWorker("w-1") }, 1},
-		"refused until its lease expired, then replaced": {func(r *rig) {
+		"refused twice, then answered by a replacement": {func(r *rig) { r.crashWorker("w-1") }, 1},
+		"refused until its lease expired, then answered by a replacement": {func(r *rig) {
 			r.refusePollsFor("w-1", 6*time.Second)
 			r.answerPollReplaced("w-1")
 		}, 1},
-		"refused until its lease expired, then a successor is registered": {func(r *rig) {
+		"refused until its lease expired, then a replacement is registered": {func(r *rig) {
 			r.core.SetWorkers([]workload.Worker{newWorker("w-2", "service", false)}, r.now)
 			r.refusePollsFor("w-1", 6*time.Second)
 			r.answerPoll("w-2", r.now, workload.PollReport{})
@@ -49,13 +49,13 @@
 			r.setWorkers("w-1")
 			r.answerPoll("w-1", r.now, workload.PollReport{})
 		}, 0},
-		"replaced at once": {func(r *rig) { r.answerPollReplaced("w-1") }, 1},
-		"cut off until its lease expired, then replaced": {func(r *rig) {
+		"answered by a replacement without a refusal": {func(r *rig) { r.answerPollReplaced("w-1") }, 1},
+		"timed out until its lease expired, then answered by a replacement": {func(r *rig) {
 			r.timeOutPoll("w-1")
 			r.now = r.now.Add(4 * time.Second)
 			r.answerPollReplaced("w-1")
 		}, 0},
-		"cut off and no longer registered": {func(r *rig) {
+		"timed out and no longer registered": {func(r *rig) {
 			r.timeOutPoll("w-1")
 			r.setWorkers()
 			r.now = r.now.Add(4 * time.Second)
@@ -66,15 +66,15 @@
 			r.core.SetWorkers([]workload.Worker{newWorker("w-1", "service", true)}, r.now)
 			r.crashWorker("w-1")
 		}, 0},
-		"drained for its VM": {func(r *rig) {
+		"drained by its owner": {func(r *rig) {
 			r.core.DrainWorker("w-1", r.now)
 			r.crashWorker("w-1")
 		}, 0},
-		"its address taken by another service of the partition": {func(r *rig) {
+		"its address reassigned to another service of the partition": {func(r *rig) {
 			r.core.SetWorkers([]workload.Worker{newWorker("w-1", "service", false), newWorker("w-2", "other", false)}, r.now)
 			r.answerPollReplaced("w-1")
 		}, 0},
-		"its address taken by another service elsewhere": {func(r *rig) {
+		"its address reassigned to another service of another partition": {func(r *rig) {
 			r.core.SetForeignAddresses([]string{"w-1"})
 			r.answerPollReplaced("w-1")
 		}, 0},
@@ -82,14 +82,14 @@
 		r := newRig(t)
 		r.syncWorkers("w-1")
 		r.startJob("0000000000000001", batchStep(1, 1000))
-		c.ends(r)
+		c.endWorker(r)
 		assert.Equal(t, c.crashes, r.core.Counts.WorkerCrashes, name)
 	}
 }
 
-// A worker that is cut off from its owner may refuse connections as if it had crashed, and run
-// on. Its task must not be started again before the lease has expired: a refusal is no proof that
-// the process has ended.
+// A worker that is partitioned from its owner may refuse connections as if it had crashed, and still
+// run its tasks. They must not be started again before the lease has expired: a refusal is no proof
+// that the process has ended.
 func TestTaskOfAWorkerThatRefusesConnectionsIsNotStartedTwice(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -99,9 +99,9 @@
 	assert.Empty(t, r.step(30*time.Millisecond).Starts)
 }
 
-// The worker list may show only after an apparent crash that the worker was leaving or that its
-// address belongs to another service. The crash must then be revoked, and the task starts like
-// any other.
+// The list of workers may show only after an apparent crash that the worker was leaving or that its
+// address belongs to another service. The crash must then be retracted, and the task must start
+// without an isolated run.
 func TestCrashIsRetractedWhenTheRegistryExplainsTheExit(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -114,8 +114,8 @@
 	assert.Zero(t, r.core.Counts.IsolatedRuns)
 }
 
-// A worker crashes with the tasks of two jobs. Each suspect must start on a worker where nothing
-// else has just started, so that a further crash takes no tasks of others.
+// A worker crashes while it runs the tasks of two jobs. Each suspect must start on a worker where
+// nothing else starts, so that a further crash ends no tasks of other jobs.
 func TestSuspectsRunOnWorkersOfTheirOwn(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -141,7 +141,7 @@
 }
 
 // On a service with one worker the second suspect must wait until the first has made progress,
-// whatever capacity is free. A crash under both would prove nothing.
+// whatever capacity is free. A crash while both run could be attributed to neither.
 func TestSuspectsShareNoWorker(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -157,8 +157,8 @@
 	assert.Len(t, r.stepFor(150*time.Millisecond).Starts, 1)
 }
 
-// The worker reserved for suspects lacks the label that the next suspect requires. The suspect
-// must get another worker, or it waits forever and keeps the reserved one idle.
+// The worker reserved for suspects lacks the label that the next suspect requires. The suspect must
+// get another worker, or it would wait forever while the reserved worker stays idle.
 func TestSuspectWithALabelGetsAWorkerThatHasIt(t *testing.T) {
 	r := newRig(t)
 	setLabelledWorkers := func(labels map[string]string) {
@@ -188,9 +188,8 @@
 	assert.Equal(t, "w-3", workerByJob["0000000000000002"])
 }
 
-// A long task ran beside one that crashed its worker. Once it has run longer than before the
-// crash it must be cleared: its worker takes other tasks again, and a much later crash counts as
-// its first.
+// A long task runs on a worker that crashes, and is isolated. Once its isolated run has lasted long
+// enough, the task must be cleared, and its worker must get other tasks again.
 func TestSuspectThatMakesProgressIsCleared(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -209,8 +208,9 @@
 	assert.Len(t, r.stepFor(100*time.Millisecond).Starts, 1)
 }
 
-// A silent worker may have crashed under its task. A speculative copy of a task that crashes
-// workers would crash a second one.
+// A worker that doesn't answer may have crashed because of a task, and a speculative copy of the task
+// could crash a second worker. No copy may start while connections are refused, nor within a second
+// after a poll has timed out. If polls only time out, a copy must start after that.
 func TestTaskOfAWorkerThatMayHaveCrashedGetsNoSpeculativeCopy(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -220,16 +220,17 @@
 	r.now = r.now.Add(950 * time.Millisecond)
 	r.timeOutPoll(s.Worker.ID)
 	assert.Empty(t, r.stepFor(900*time.Millisecond).Starts)
-	assert.NotEmpty(t, r.stepFor(300*time.Millisecond).Starts, "the worker is cut off")
+	assert.NotEmpty(t, r.stepFor(300*time.Millisecond).Starts, "a copy must start if polls only time out")
 
 	r = newRig(t)
 	r.syncWorkers("w-1", "w-2")
 	s = r.startJob("0000000000000001", speculative)[0]
 	r.now = r.now.Add(950 * time.Millisecond)
-	assert.Empty(t, r.refusePollsFor(s.Worker.ID, 2500*time.Millisecond).Starts, "the worker refuses connections")
+	assert.Empty(t, r.refusePollsFor(s.Worker.ID, 2500*time.Millisecond).Starts, "no copy may start while connections are refused")
 }
 
-// Suspects wait for a worker of their own, not for capacity, and must not request VMs.
+// Suspects wait for a worker that is reserved for them, not for capacity. A few of them must not count
+// as demand for VMs.
 func TestSuspectsRequestNoVMs(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -241,7 +242,8 @@
 	assert.Equal(t, 3000, waitingDemand().CPU)
 }
 
-// A job that was given up and is submitted again is a new job, without the crashes of the first.
+// A job that failed because its task crashes workers is submitted again. It must be a new job without
+// the crashes of the first.
 func TestResubmissionOfAFailedJobIsANewJob(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -265,8 +267,8 @@
 	assert.Equal(t, 1, r.core.Counts.CrashingJobs)
 }
 
-// The answers to a task's starts are lost and its workers crash. Such crashes must count too, or
-// the task crashes one worker after the other.
+// The answers to a task's starts are lost and its workers crash. Such crashes must count too, or the
+// task would crash one worker after the other.
 func TestCrashAfterAnUnansweredStartCounts(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-0")
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -13,7 +13,7 @@
 // historyStart is the start of each history in virtual time.
 var historyStart = time.UnixMilli(1_700_000_000_000)
 
-// event is an action that happens at a time of a history.
+// event is an action that is executed at a time of a history.
 type event struct {
 	at     time.Time
 	seq    int
@@ -42,19 +42,20 @@
 	return last
 }
 
-// world is one history in virtual time: workers, a store, successive owners, and faults. It
-// checks invariants against what workers and the store see, never against what an owner believes.
+// world runs one history: a simulated run of the whole system in virtual time, with faults. It has
+// workers, a store and successive owners. It checks rules (see recordViolation) against what the
+// workers execute and the store holds, never against what an owner believes.
 type world struct {
 	now           time.Time
 	rng           *rand.Rand
 	pendingEvents eventHeap
 	lastEventSeq  int
 	faults        faults
-	faultsStopped bool // no faults are drawn any more
+	faultsStopped bool // no more random faults are drawn
 
 	store         *fakeStore
 	workers       map[string]*fakeWorker
-	registry      []workload.Worker // registered workers
+	registry      []workload.Worker // entries of the registered workers
 	owner         *fakeOwner
 	owners        []*fakeOwner // all owners so far
 	epoch         int64
@@ -62,19 +63,19 @@
 	violations    []string
 	lastJobNumber int
 	starts        int
-	// capacityNotEnforced is set if workers start tasks that exceed their capacity.
+	// capacityNotEnforced is set if workers also start tasks that exceed their capacity.
 	capacityNotEnforced bool
 	// crashingTasks holds the names of the tasks that crash each worker that starts them.
 	crashingTasks map[string]bool
-	// crashedWorkersRestart is set if a worker that crashes under a task comes back under the
-	// same ID, crashesLoseVM if its VM is lost with it.
+	// crashedWorkersRestart is set if a worker that a task crashes restarts under the same ID,
+	// crashesLoseVM if its VM is lost with it.
 	crashedWorkersRestart, crashesLoseVM bool
-	// lostRunsOfOtherJobs counts the runs of other jobs that were lost in such crashes.
+	// lostRunsOfOtherJobs counts the runs that such crashes ended, without those of the jobs that caused them.
 	lostRunsOfOtherJobs int
-	// replacedOwnersStop is set if the group tells an owner that it was replaced.
+	// replacedOwnersStop is set if an owner that can reach the store stops once it was replaced.
 	replacedOwnersStop bool
-	// previousOwnerReachable is the probability that an owner reaches the node of the previous
-	// owner. directHandovers counts the handovers that it received this way.
+	// previousOwnerReachable is the probability that a new owner can reach the node of the
+	// previous owner. directHandovers counts the handovers that owners received this way.
 	previousOwnerReachable float64
 	directHandovers        int
 	// processor models the CPU of each owner's node. If nil, the owner's work takes no time.
@@ -84,28 +85,28 @@
 // faults holds the probabilities of faults, each between 0 and 1.
 type faults struct {
 	lostAnswer      float64 // an order is executed and its answer is lost
-	lateOrder       float64 // an order gets no answer and is executed seconds later
+	lateOrder       float64 // an order gets no answer and may be executed seconds later
 	failedTask      float64
 	lostWriteAnswer float64 // a write is stored and its answer is lost
 }
 
-// fakeJob is a job as its caller and its workers see it.
+// fakeJob records what a job's caller and its workers observe. The maps are keyed by task.
 type fakeJob struct {
 	id                      workload.JobID
 	submission              *workload.Submission
 	cancelledAt             time.Time // when the cancellation was stored
 	done                    map[string]bool
-	acknowledged            map[string]bool // tasks whose done exit was acknowledged
+	acknowledged            map[string]bool // done tasks whose exit was acknowledged
 	doneRuns                map[string][]int64
-	supersededDoneRuns      map[string]bool // runs that were done before the task was started again
+	supersededDoneRuns      map[string]bool // done runs after which the task was started again, by runKey
 	failures                map[string]int
-	workerCrashes           map[string]int       // worker crashes while the task ran, by task
-	workerExits             map[string]int       // ended worker processes, whatever the cause, by task
-	earlyWorkerExits        map[string]int       // of these, soon after the task's start
-	startsAfterThreeCrashes map[string]int       // starts after three crashes, by task
-	stoppedNotRestarted     map[string]bool      // long-running tasks that were stopped and not restarted
-	lastRunningAt           map[string]time.Time // when the task was last running
-	failedForCrashes        bool                 // by an owner, because its task crashes workers
+	workerCrashes           map[string]int       // crashes of a worker caused by a crashing task while it ran this task
+	workerExits             map[string]int       // ended processes of workers that ran the task, whatever the cause
+	earlyWorkerExits        map[string]int       // of these, within maxEarlyExitAge after the task's start
+	startsAfterThreeCrashes map[string]int       // starts after three crashes in workerCrashes
+	stoppedNotRestarted     map[string]bool      // long-running tasks that were stopped and have not started again
+	lastRunningAt           map[string]time.Time // when the task last started or ended
+	failedForCrashes        bool                 // an owner failed it because its task crashes workers
 	shownState              workload.JobState
 	shownStateChangedAt     time.Time // when shownState last changed
 }
@@ -151,11 +152,26 @@
 	return low + time.Duration(w.rng.Int64N(int64(high-low)+1))
 }
 
+// recordViolation records that the system has broken one of these rules:
+//
+//   - TWICE: a task that is not speculative doesn't start while it runs elsewhere, nor again after
+//     its done exit was acknowledged or its job was shown as completed.
+//   - MIXED: callers are shown a job as completed only once all its tasks are done, and a final
+//     state never changes.
+//   - ORDER: a task starts only once all tasks of the steps that its step depends on are done.
+//   - BUDGET: a task doesn't start after all its attempts have failed, or without end although it
+//     crashes its workers or loses their VMs.
+//   - UNASKED: a task doesn't start more than 3 s after the cancellation of its job was stored.
+//   - ROUTE: a worker runs no more tasks of a step than MaxPerWorker.
+//   - LIMIT: a task doesn't start on a worker whose capacity it exceeds.
+//   - AVAIL: a stop leaves no more long-running tasks of a step unavailable than MaxUnavailable.
+//   - CUT: a worker that is reported drained runs no task until its VM is removed, which would cut
+//     the task off.
 func (w *world) recordViolation(rule, detail string) {
 	w.violations = append(w.violations, rule+" at "+w.now.Sub(historyStart).String()+": "+detail)
 }
 
-// fakeStore keeps the newest record of each key and rejects fenced epochs.
+// fakeStore keeps the newest record of each key and fences earlier epochs.
 type fakeStore struct {
 	keys         []string // in the order of their first record
 	values       map[string][]byte
@@ -177,8 +193,8 @@
 	s.log = append(s.log, key)
 }
 
-// fence fences all earlier epochs. It returns false if the store is unavailable or a later epoch
-// is in force.
+// fence fences all earlier epochs. It returns false if the store is unavailable or this epoch is
+// fenced.
 func (s *fakeStore) fence(epoch int64) bool {
 	if s.unavailable || epoch < s.epoch {
 		return false
@@ -201,7 +217,7 @@
 	return out
 }
 
-// submit stores a job as a node does before it answers the caller.
+// submit stores a job's submission, as a node does before it answers the caller.
 func (w *world) submit(spec workload.Spec, queue string) *fakeJob {
 	w.lastJobNumber++
 	id := workload.JobID([]byte("0000000000000000"))
@@ -224,8 +240,7 @@
 	}
 }
 
-// appendRecord stores a caller's record and delivers it to all live owners, since each follows
-// the log.
+// appendRecord stores a caller's record and delivers it to every owner, since owners follow the log.
 func (w *world) appendRecord(r workload.Record) {
 	w.store.put(r)
 	for _, o := range w.owners {
@@ -233,7 +248,7 @@
 	}
 }
 
-// checkShownStates checks the job states that callers are shown.
+// checkShownStates checks the job states that the current owner shows to callers.
 func (w *world) checkShownStates() {
 	if w.owner == nil || !w.owner.coreStarted {
 		return
