--- a/internal/scheduler/authority_test.go
+++ b/internal/scheduler/authority_test.go
@@ -24,9 +24,9 @@
 	return collected
 }
 
-// An owner that may have a successor must not keep tasks alive on a worker that the successor
-// can't reach. Until its ownership is confirmed again it starts nothing, renews no lease and
-// moves no task.
+// An owner that may have a successor must not renew the leases of tasks on a worker that the successor
+// can't reach. Until its ownership is confirmed again it must start nothing, renew no lease and stop
+// no task.
 func TestOwnerWithoutAuthorityNeitherStartsNorRenews(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -48,7 +48,7 @@
 	r.submit("0000000000000002", batchStep(1, 1000))
 	r.core.DrainWorker("w-1", r.now)
 	orders := r.stepReporting(time.Second, "w-1", running)
-	assert.NotEmpty(t, orders.Polls, "workers are polled: one of them may report the successor's token")
+	assert.NotEmpty(t, orders.Polls, "workers must still be polled: a worker may report the successor's token")
 	assert.Zero(t, countRenewals(orders))
 	assert.Empty(t, orders.Starts)
 	assert.Empty(t, orders.Stops)
@@ -59,8 +59,8 @@
 	assert.NotEmpty(t, orders.Starts)
 }
 
-// The earlier owner may go on for MaxOwnerOverlap after its successor has begun. A successor that
-// counted the last lease from its own beginning would start tasks that still run.
+// The earlier owner may continue for MaxOwnerOverlap after its successor has started. If the successor
+// assumed that the last lease was granted before its own start, it would start tasks that still run.
 func TestTakeoverWaitsForLeasesRenewedAfterItBegan(t *testing.T) {
 	settings := testSettings(3)
 	settings.MaxOwnerOverlap = membershipTTL
@@ -78,9 +78,8 @@
 	assert.NotEmpty(t, r.stepFor(500*time.Millisecond).Starts)
 }
 
-// A run of an earlier owner that was listed once must not be given up before its lease has
-// expired. An owner without authority renews no lease, so only the earlier owner's lease bounds
-// the run.
+// A run of an earlier owner that a worker has listed must not be dropped before its lease has expired.
+// An owner without authority renews no lease, so only the earlier owner's lease limits the run.
 func TestListedRunIsKeptForTheEarlierOwnersLease(t *testing.T) {
 	r := newRig(t, "w-1")
 	r.setWorkers("w-1", "w-2")
--- a/internal/scheduler/backlog_test.go
+++ b/internal/scheduler/backlog_test.go
@@ -15,7 +15,7 @@
 type saturatedService struct {
 	*rig
 	running          []scheduler.StartOrder
-	lastExitSequence map[string]int64 // number of the last exit, by worker
+	lastExitSequence map[string]int64 // by worker
 	jobCount         int
 }
 
@@ -67,14 +67,15 @@
 	f.acceptStarts(f.step(3 * time.Millisecond).Starts)
 }
 
-// planWork returns the work that planning has cost so far: ranked jobs and placement checks.
+// planWork returns the work of all plans so far: the sum of ranked jobs and placement checks.
 func (f *saturatedService) planWork() int {
 	return f.core.Counts.RankedJobs + f.core.Counts.PlacementChecks
 }
 
-// A run exits and a task of a waiting job starts in its place. If the owner ranks all waiting
-// jobs for that and searches preemptible runs for each, the cost of a start grows with the
-// backlog: starts slow down beside free workers, and after a peak the owner does little but plan.
+// A run exits and a task of a waiting job starts in its place. If the owner ranked all waiting jobs
+// for that and searched for preemptible runs for each, the cost of a start would grow with the
+// backlog: starts would slow down although workers are free, and after a peak the owner would spend
+// most of its time on plans.
 func TestCostOfAStartDoesNotGrowWithTheBacklog(t *testing.T) {
 	const workers, starts = 20, 300
 	costPerStart := func(waiting int) float64 {
@@ -89,8 +90,8 @@
 	assert.Less(t, largeBacklog, 3*smallBacklog, "plan work per start with 2,000 jobs waiting must stay below three times that with 50")
 }
 
-// BenchmarkStartBesideABacklog measures an exit and the start in its place on 100 workers, for
-// growing backlogs.
+// BenchmarkStartBesideABacklog measures an exit and the start that follows, with 100 workers and
+// backlogs of several sizes.
 func BenchmarkStartBesideABacklog(b *testing.B) {
 	for _, waiting := range []int{10, 100, 1000, 3000} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
@@ -103,9 +104,9 @@
 	}
 }
 
-// A hundred jobs wait for a label that no worker has. A job with more work that fits must start
-// within two rankings, although a plan gives up on a service after that many steps without a
-// placement.
+// A hundred jobs wait for a label that no worker has. A plan ends its search for a service after
+// fewer steps without a placement, but a placeable job with more work must still start within two
+// rankings.
 func TestUnplaceableJobsDoNotDelayAPlaceableOne(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
--- a/internal/scheduler/crash_test.go
+++ b/internal/scheduler/crash_test.go
@@ -12,9 +12,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// A task crashes each worker that starts it. A crashed worker lists no exits, so that no failed
-// attempt was counted and the task started again without end. It must be given up and its job
-// shown as failed before a third start after three crashes.
+// A task crashes each worker that starts it. A crashed worker lists no exits, so no failed attempt is
+// counted, and the task could be started again without end. Its job must fail after at most five
+// starts.
 func TestJobWhoseTaskCrashesItsWorkersFails(t *testing.T) {
 	r := newRig(t)
 	job := r.submit("0000000000000001", batchStep(1, 1000))
@@ -36,7 +36,7 @@
 	assert.Equal(t, workload.Failed, state)
 }
 
-// randomCrashingSpec draws a job of any kind; one of its tasks crashes its workers.
+// randomCrashingSpec draws a job of any kind, of which the caller lets one task crash its workers.
 func (w *world) randomCrashingSpec() workload.Spec {
 	s := workload.Step{
 		Count:      1 + w.rng.IntN(4),
@@ -62,24 +62,24 @@
 	return spec
 }
 
-// runCrashHistory plays two minutes of jobs on 16 workers; a few jobs crash their workers. At
-// times a worker's capacity shrinks or a worker refuses connections. For odd seeds owners are
-// killed, replaced and hand over, and the store is unavailable at times. For every third seed the
-// workers don't enforce their capacity.
+// runCrashHistory runs a history of two minutes with 16 workers, in which up to four jobs have a task
+// that crashes its workers. At times a worker's capacity shrinks or a worker refuses connections. For
+// odd seeds owners are killed, replaced and hand over, and the store is unavailable at times. For
+// every third seed the workers don't enforce their capacity.
 func runCrashHistory(seed uint64) (w *world, crashingJobs []*fakeJob) {
 	return newWorld(seed, crashFaults).runCrashScenario(seed)
 }
 
-// runCrashRestartHistory is playCrashHistory with workers that come back under the same ID after
-// a crash; some also restart without one.
+// runCrashRestartHistory is runCrashHistory with workers that restart under the same ID after a
+// crash; some also restart without a crash.
 func runCrashRestartHistory(seed uint64) (w *world, crashingJobs []*fakeJob) {
 	w = newWorld(seed, crashFaults)
 	w.crashedWorkersRestart = true
 	return w.runCrashScenario(seed)
 }
 
-// runVMLossHistory is playCrashHistory with workers that lose their VMs when they crash, under
-// one owner: an owner that dies takes along what it has seen of a silent worker.
+// runVMLossHistory is runCrashHistory with workers that lose their VMs when they crash, and without
+// owner faults, as with its even seeds: what an owner knows of a silent worker is lost with it.
 func runVMLossHistory(seed uint64) (w *world, crashingJobs []*fakeJob) {
 	w = newWorld(seed, crashFaults)
 	w.crashesLoseVM = true
@@ -91,7 +91,7 @@
 func (w *world) runCrashScenario(seed uint64) (_ *world, crashingJobs []*fakeJob) {
 	if seed%3 == 0 {
 		w.capacityNotEnforced = true
-		w.faults.lateOrder = 0 // an owner can't know of a capacity reduced by then
+		w.faults.lateOrder = 0 // its worker's capacity may be reduced before the order is executed
 	}
 	for i := range 16 {
 		w.addWorker("worker-"+strconv.Itoa(i), workload.Resources{CPU: 32000, MemoryMB: 64000})
@@ -127,13 +127,13 @@
 	})
 	duration := 2 * time.Minute
 	if w.crashesLoseVM {
-		duration = 3 * time.Minute // a loss shows only once the leases have expired
+		duration = 3 * time.Minute // a loss is detected only once the leases have expired
 	}
 	w.runUntil(duration)
 	return w, crashingJobs
 }
 
-// shrinkRandomWorker reduces a worker's capacity for some seconds, at times to nothing.
+// shrinkRandomWorker reduces a worker's capacity for some seconds, at times to zero.
 func (w *world) shrinkRandomWorker() {
 	f := w.workers[w.registry[w.rng.IntN(len(w.registry))].ID]
 	if f.terminated || f.info.Capacity.CPU < 32000 {
@@ -143,8 +143,8 @@
 	f.reduceCapacity(fraction, w.durationBetween(2*time.Second, 10*time.Second))
 }
 
-// refuseConnectionsAtRandomWorker lets a worker refuse connections for some seconds while its
-// tasks run on.
+// refuseConnectionsAtRandomWorker lets a worker refuse connections for some seconds while its tasks
+// continue.
 func (w *world) refuseConnectionsAtRandomWorker() {
 	f := w.workers[w.registry[w.rng.IntN(len(w.registry))].ID]
 	f.refusesConnections = true
@@ -169,9 +169,9 @@
 	}
 }
 
-// crashHistorySeeds returns the first n seeds and those that have shown a fault beyond them: three
-// owners in a row were lost before the crash that they saw was stored or resolved (47, 81, 223),
-// or three starts in a row had no answer before their workers crashed (212, with restarts).
+// crashHistorySeeds returns the seeds below n and four seeds that showed a fault. With 47, 81 and 223
+// three owners in a row were lost before the crash that they had detected was stored or confirmed.
+// With 212 and restarts three starts in a row got no answer before their workers crashed.
 func crashHistorySeeds(n uint64) []uint64 {
 	var list []uint64
 	for seed := range n {
@@ -180,26 +180,26 @@
 	return append(list, 47, 81, 212, 223)
 }
 
-// Tasks of up to four jobs crash each worker that starts them; all tasks there become suspects,
-// and a killed owner takes along what only it knew. The jobs with crashing tasks must fail after
-// few crashes, all others must complete, and no start may exceed the capacity that a worker has
-// left.
+// Tasks of up to four jobs crash each worker that starts them. The other tasks there may become
+// suspects, and what an owner has not stored is lost when it is killed. The jobs with crashing tasks
+// must fail without a BUDGET violation, all others must complete, and no start may exceed a worker's
+// free capacity.
 func TestTasksThatCrashWorkersInRandomHistories(t *testing.T) {
 	checkCrashHistories(t, runCrashHistory)
 }
 
-// The same histories with workers that come back under the same ID: a crash then shows only in
-// the worker's new incarnation.
+// The same histories with workers that restart under the same ID: a crash is then detected only by the
+// worker's new incarnation.
 func TestTasksThatCrashRestartingWorkersInRandomHistories(t *testing.T) {
 	checkCrashHistories(t, runCrashRestartHistory)
 }
 
-// maxSilentVMLosses is how many VMs may be lost to a task that loses its VM each time. Some are
-// lost before the task is a suspect, and a loss proves less than a crash.
+// maxSilentVMLosses is how many VMs a task that crashes its VM each time may lose. Some are lost before
+// the task is a suspect, and a loss proves less than a crash.
 const maxSilentVMLosses = 12
 
-// A task that loses its worker's VM each time must not be started without end. No address refuses
-// connections and no successor answers, so that each loss looks like a worker that was cut off.
+// A task that crashes its worker's VM each time must not be started without end. No address refuses
+// connections and no replacement answers, so each loss looks like a partition of the worker.
 func TestTasksThatLoseTheirVMsInRandomHistories(t *testing.T) {
 	checkCrashHistories(t, runVMLossHistory)
 }
@@ -213,7 +213,7 @@
 		for _, job := range crashingJobs {
 			isCrashingJob[job.id] = true
 			state, _ := w.owner.core.JobState(job.id)
-			assert.Equal(t, workload.Failed, state, "seed %d: job %s has a task that crashes workers", seed, job.id)
+			assert.Equal(t, workload.Failed, state, "seed %d: job %s has a task that crashes workers and must fail", seed, job.id)
 			for taskName := range w.crashingTasks {
 				crashes += job.workerCrashes[taskName]
 				maxCrashes = max(maxCrashes, job.workerCrashes[taskName])
@@ -231,20 +231,20 @@
 				assert.False(t, missing && w.hasFreeCapacity(job), "seed %d: long-running tasks of %s must not be missing beside free capacity", seed, job.id)
 			case w.longRunningMemoryShare() > 0.8:
 			default:
-				assert.Equal(t, workload.Completed, state, "seed %d: job %s of another caller", seed, job.id)
+				assert.Equal(t, workload.Completed, state, "seed %d: job %s has no task that crashes workers and must complete", seed, job.id)
 			}
 		}
 		if t.Failed() {
 			return
 		}
 	}
-	t.Log(fmt.Sprint(crashes, " crashes, at most ", maxCrashes, " under one task, ", lostRunsOfOtherJobs, " runs of other jobs lost"))
+	t.Log(fmt.Sprint(crashes, " crashes, at most ", maxCrashes, " by one task, ", lostRunsOfOtherJobs, " runs of other jobs lost"))
 }
 
-// Six jobs crash the three workers of a small service within seconds. Each long-running task ran
-// there during many crashes and was isolated for ten seconds, one after the other, so that some
-// were unavailable for a minute. They must run again soon after the last crash: crashes with a
-// proven cause must not count against other tasks.
+// Six jobs crash the three workers of a small service within seconds. The long-running tasks run
+// there during many of the crashes. If these counted, the tasks would be isolated one after the other
+// for ten seconds each, and some would be unavailable for a minute. All must run again soon after the
+// last crash: crashes with a proven cause must not make other tasks suspects.
 func TestLongRunningTasksRecoverSoonBesideJobsThatCrashWorkers(t *testing.T) {
 	for seed := range historyCount(t) / 10 {
 		w := newWorld(seed, faults{})
--- a/internal/scheduler/drain_test.go
+++ b/internal/scheduler/drain_test.go
@@ -10,18 +10,17 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// After a takeover the owner reported a worker as drained before it had read its first worker
-// list, and started tasks there as soon as the list named the worker. The removal of the VM then
-// cut these tasks off.
+// A worker that is reported drained before it is listed must get no tasks until the drain request has
+// expired, because its VM may be removed and the removal would end the tasks.
 func TestWorkerReportedDrainedBeforeItIsListedGetsNoTasks(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		prepare func(r *rig)
 	}{
-		{"everything is handed over", func(r *rig) {
+		{"takeover with an empty handover", func(r *rig) {
 			r.core.RestoreHandover(&workload.Handover{Epoch: r.epoch - 1}, r.now)
 		}},
-		{"forgotten", func(r *rig) {
+		{"removed after it left the registry", func(r *rig) {
 			r.syncWorkers("w-1")
 			r.setWorkers()
 			r.stepFor(3 * time.Second)
@@ -29,7 +28,7 @@
 	} {
 		r := newRig(t)
 		c.prepare(r)
-		require.Equal(t, workload.DrainedUnconfirmed, r.core.DrainWorker("w-1", r.now), "%s: no task can run there", c.name)
+		require.Equal(t, workload.DrainedUnconfirmed, r.core.DrainWorker("w-1", r.now), "%s: no task can run on a worker that is not listed", c.name)
 		r.submit("0000000000000001", batchStep(1, 1000))
 		clear(r.latestPolls)
 		r.setWorkers("w-1")
@@ -38,15 +37,15 @@
 			r.answerPollAs(poll, firstIncarnation, workload.PollReport{})
 		}
 		answerNextPoll()
-		assert.Empty(t, r.stepFor(time.Second).Starts, "%s: the VM may be removed now", c.name)
+		assert.Empty(t, r.stepFor(time.Second).Starts, "%s: no start while the worker is drained", c.name)
 		r.stepFor(time.Second)
 		answerNextPoll()
-		assert.Len(t, r.stepFor(100*time.Millisecond).Starts, 1, "%s: the drain has ended", c.name)
+		assert.Len(t, r.stepFor(100*time.Millisecond).Starts, 1, "%s: starts again after the drain request has expired", c.name)
 	}
 }
 
-// A worker has ended while the list of VMs still names it. It must be reported drained, or its VM
-// is never maintained.
+// A worker is not registered any more while the list of VMs still has it. It must be reported drained
+// each time, or its VM would never be maintained.
 func TestUnlistedWorkerIsReportedDrainedEachTime(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-2")
@@ -57,8 +56,7 @@
 	assert.NotContains(t, r.core.ServiceLoads(r.now)[0].Workers, "w-1")
 }
 
-// A worker that may run what an earlier owner started must not be reported drained before it
-// answers.
+// A worker that may run tasks of an earlier owner must not be reported drained before it answers.
 func TestUnresolvedWorkerIsNotReportedDrainedBeforeItAnswers(t *testing.T) {
 	r := newRig(t, "w-1")
 	for range 3 {
@@ -67,14 +65,14 @@
 	}
 	r.setWorkers("w-1")
 	r.step(0)
-	require.Equal(t, workload.NotDrained, r.core.DrainWorker("w-1", r.now), "it is registered but has not answered")
+	require.Equal(t, workload.NotDrained, r.core.DrainWorker("w-1", r.now), "the worker is registered but has not answered")
 	r.answerPoll("w-1", r.now, workload.PollReport{})
 	assert.Equal(t, workload.Drained, r.core.DrainWorker("w-1", r.now))
 }
 
-// An idle worker is rarely polled, so that its process may have been replaced unseen. It is
-// confirmed drained only while it answers polls; otherwise the removal of the VM would cut off
-// tasks of the new process.
+// An idle worker is rarely polled, so its process may have been replaced unnoticed. It may be reported
+// as confirmed drained only while it answers polls; otherwise the removal of its VM could end tasks of
+// the new process.
 func TestIdleWorkerIsConfirmedDrainedOnlyOnceItAnswers(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -86,7 +84,7 @@
 	require.Equal(t, workload.Drained, r.core.DrainWorker("w-1", r.now))
 	poll, _ = r.awaitPoll("w-1")
 	r.timeOutPoll(poll.Worker.ID)
-	assert.Equal(t, workload.DrainedUnconfirmed, r.core.DrainWorker("w-1", r.now), "it no longer answers")
+	assert.Equal(t, workload.DrainedUnconfirmed, r.core.DrainWorker("w-1", r.now), "the worker no longer answers")
 	r.stepFor(400 * time.Millisecond)
 	assert.Equal(t, workload.DrainedUnconfirmed, r.core.DrainWorker("w-1", r.now))
 }
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -34,8 +34,8 @@
 }
 
 // A worker refuses one member of a gang, and the other members wait for it. They must be stopped
-// at once, as they hold capacity and get nothing done, and the gang restarts under a higher run
-// number.
+// immediately, because they occupy capacity without doing any work, and the gang must restart under a
+// higher run number.
 func TestGangWithARefusedMemberIsStoppedAndRestarted(t *testing.T) {
 	r := newRig(t)
 	starts := submitGang(r)
@@ -57,8 +57,8 @@
 	}
 }
 
-// The start of one member gets no answer, and its worker is silent. The other members must be
-// stopped before the gang timeout ends them without work done.
+// The start of one member of a gang gets no answer. The other members must be stopped before the gang
+// timeout, at which they would end without having done any work.
 func TestGangWithAnUnansweredStartIsStoppedBeforeTheGangTimeout(t *testing.T) {
 	r := newRig(t)
 	starts := submitGang(r)
@@ -74,7 +74,7 @@
 	assert.True(t, stopped[starts[1].Start.Task])
 }
 
-// A gang with all members running must not be stopped, however long it works.
+// A gang with all members running must not be stopped, however long it runs.
 func TestCompleteGangIsNotStopped(t *testing.T) {
 	r := newRig(t)
 	for _, s := range submitGang(r) {
@@ -83,9 +83,9 @@
 	assert.Empty(t, r.stepFor(2*gangTimeout).Stops)
 }
 
-// A drained VM moves to another pool with its worker, and the worker list still names it for
-// seconds. The worker must get no task before it has answered a poll again: the start would be
-// refused and delay the task by 0.3 s.
+// A VM is drained and moves to another pool, and its worker stays listed for seconds. After the drain
+// the worker must get no task before it has answered a poll: a start would be refused and delay the
+// task by 0.3 s.
 func TestDrainedWorkerGetsNoTaskBeforeItAnswersAPoll(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
