--- a/internal/scheduler/incarnation_test.go
+++ b/internal/scheduler/incarnation_test.go
@@ -18,7 +18,7 @@
 )
 
 // completeJob starts a job of one task on the worker and ends the task as done, with the given
-// exit number. It returns the poll that carries the acknowledgement.
+// sequence number of the exit. It returns the poll that carries the acknowledgement.
 func (r *rig) completeJob(id string, sequence int64) scheduler.PollOrder {
 	s := r.startJob(id, batchStep(1, 1000))[0]
 	poll, _ := r.awaitPoll("w-1")
@@ -27,16 +27,16 @@
 	return poll
 }
 
-// A new process of a worker would apply an acknowledgement to its own first exits and forget them
-// unread. After any pause in which the worker may have restarted, the owner must poll without an
-// acknowledgement first.
+// A new process of a worker would apply an acknowledgement of earlier exits to its own and drop them
+// unread. After any pause in which the worker may have restarted, the owner must first poll without
+// an acknowledgement.
 func TestAcknowledgementIsSentOnlyRightAfterAPollReport(t *testing.T) {
 	r := newIncarnationRig(t)
 	poll := r.completeJob("0000000000000001", 1)
 	require.Equal(t, int64(1), poll.Poll.AckedUpTo)
 	r.timeOutPoll("w-1")
 	poll, _ = r.awaitPoll("w-1")
-	assert.Zero(t, poll.Poll.AckedUpTo, "the worker was silent")
+	assert.Zero(t, poll.Poll.AckedUpTo, "no acknowledgement after an unanswered poll")
 	r.answerPollAs(poll, firstIncarnation, workload.PollReport{})
 	poll, _ = r.awaitPoll("w-1")
 	assert.Equal(t, int64(1), poll.Poll.AckedUpTo)
@@ -44,19 +44,19 @@
 
 	s := r.startJob("0000000000000002", batchStep(1, 1000))[0]
 	poll, _ = r.awaitPoll("w-1")
-	assert.Zero(t, poll.Poll.AckedUpTo, "the acknowledgement was delivered before")
+	assert.Zero(t, poll.Poll.AckedUpTo, "the acknowledgement has been delivered")
 	r.now = r.now.Add(300 * time.Millisecond)
 	r.answerPollAs(poll, firstIncarnation, exitReport(2, s, workload.ExitDone))
-	r.now = r.now.Add(300 * time.Millisecond) // a slow store
+	r.now = r.now.Add(300 * time.Millisecond) // the store is slow
 	poll, _ = r.awaitPoll("w-1")
-	assert.Zero(t, poll.Poll.AckedUpTo, "the report is old")
+	assert.Zero(t, poll.Poll.AckedUpTo, "no acknowledgement after an old report")
 	r.answerPollAs(poll, firstIncarnation, exitReport(2, s, workload.ExitDone))
 	poll, _ = r.awaitPoll("w-1")
 	assert.Equal(t, int64(2), poll.Poll.AckedUpTo)
 }
 
-// An acknowledgement that waits for the worker's next task would be sent with the first poll
-// after a restart. It must be sent to an idle worker at once.
+// An acknowledgement that waited for the worker's next task could be sent with the first poll after a
+// restart. It must be sent to an idle worker immediately.
 func TestAcknowledgementIsDeliveredToAnIdleWorker(t *testing.T) {
 	r := newIncarnationRig(t)
 	poll := r.completeJob("0000000000000001", 1)
@@ -66,9 +66,9 @@
 	assert.Empty(t, r.step(time.Second).Polls)
 }
 
-// Exit numbers start over with each incarnation. The exits of the new process must not be ignored
-// as known, and exits of the previous one must not be acknowledged to it, even if they are stored
-// only now.
+// The sequence numbers of exits start over with each incarnation. The exits of the new process must
+// not be ignored as known, and exits of the previous one must not be acknowledged to it, even if they
+// are stored only after the restart.
 func TestExitSequencesStartOverWithANewIncarnation(t *testing.T) {
 	r := newIncarnationRig(t)
 	r.answerPollAs(r.completeJob("0000000000000001", 57), firstIncarnation, workload.PollReport{})
@@ -97,8 +97,8 @@
 	assert.Equal(t, workload.Completed, state)
 }
 
-// A new process has seen no fencing token, so that orders sent before the restart would take
-// effect. Its first poll must carry a higher token, and no task may start before that poll is
+// A new process has received no fencing token, so orders that were sent before the restart would take
+// effect. A poll with a higher token must fence it, and no task may start before that poll is
 // answered.
 func TestEachIncarnationIsFenced(t *testing.T) {
 	r := newIncarnationRig(t)
@@ -120,8 +120,8 @@
 	assert.Empty(t, r.core.StepDownReason())
 }
 
-// A new incarnation refuses an order sent before the restart. The owner must not mistake the
-// refusal for a sign of a later owner.
+// A new incarnation refuses an order that was sent before the restart, because it has a higher token.
+// The owner must not conclude that a later owner exists.
 func TestOrderFencedByANewIncarnationDoesNotEndOwnership(t *testing.T) {
 	r := newIncarnationRig(t)
 	s := r.startJob("0000000000000001", batchStep(1, 1000))[0]
@@ -131,8 +131,8 @@
 	assert.Empty(t, r.core.StepDownReason())
 }
 
-// A start that has reached the new process must not count as lost with the old one, or its task
-// runs twice. The new process lists the run or its exit.
+// A start that has reached the new process, which lists the run or its exit, must not count as lost
+// with the previous process, or its task would run twice.
 func TestStartThatReachedTheNewIncarnationIsKept(t *testing.T) {
 	for _, exited := range []bool{false, true} {
 		r := newIncarnationRig(t)
@@ -154,9 +154,9 @@
 	}
 }
 
-// The clock of a new incarnation starts over. With a lease by the old clock the worker would
-// grant the longest lease that it can, and its runs would outlive the lease that the owner
-// assumes.
+// The clock of a new incarnation starts over. A lease on the previous clock would end far in the
+// future, so the worker would shorten it to the longest lease that it accepts, and its runs would
+// outlive the lease that the owner assumes.
 func TestLeasesFollowTheClockOfTheNewIncarnation(t *testing.T) {
 	r := newIncarnationRig(t)
 	s := r.startJob("0000000000000001", batchStep(1, 1000))[0]
@@ -170,7 +170,7 @@
 	poll, _ = r.awaitPoll("w-1")
 	assert.InDelta(t, r.now.UnixMilli()-nextIncarnation+testLease.Milliseconds(), poll.Poll.LeaseExpiresAtMS, 50)
 
-	// The worker is cut off and no longer registered. Its run counts as live for
+	// The worker no longer answers and is not registered. Its run counts as live for
 	// MaxLeaseDuration.
 	r.core.SetWorkers(nil, r.now)
 	stepUnanswered := func(d time.Duration) (starts []scheduler.StartOrder) {
@@ -189,12 +189,12 @@
 	assert.Equal(t, 1, r.core.Counts.ExpiredRuns)
 }
 
-// A worker's registry entry and its reports arrive in either order; tasks start only once both
-// name the same incarnation. The owner receives entries only while its ownership is confirmed, so
-// that a replaced owner can't start tasks on an incarnation that the next owner has not fenced.
+// A worker's registry entry and its reports arrive in either order. Tasks may start only once both
+// state the same incarnation. The owner receives entries only while its ownership is confirmed, so a
+// replaced owner can't start tasks on an incarnation that the next owner has not fenced.
 func TestRegistryEntryAndPollReportsMayArriveInEitherOrder(t *testing.T) {
 	r := newIncarnationRig(t)
-	r.registerWorker("w-1", nextIncarnation) // the entry comes first
+	r.registerWorker("w-1", nextIncarnation) // the entry arrives first
 	r.submit("0000000000000001", batchStep(1, 1000))
 	poll, starts := r.awaitPoll("w-1")
 	assert.Empty(t, starts)
@@ -206,7 +206,7 @@
 
 	r = newIncarnationRig(t)
 	r.startJob("0000000000000001", batchStep(1, 1000))
-	poll, _ = r.awaitPoll("w-1") // the report comes first
+	poll, _ = r.awaitPoll("w-1") // the report arrives first
 	r.answerPollAs(poll, nextIncarnation, workload.PollReport{})
 	fencingPoll, _ = r.awaitPoll("w-1")
 	r.answerPollAs(fencingPoll, nextIncarnation, workload.PollReport{})
@@ -216,8 +216,8 @@
 	assert.Len(t, r.stepFor(800*time.Millisecond).Starts, 1)
 }
 
-// A registry entry with another incarnation may come from another writer. It must not end the
-// worker's runs: the owner polls the worker.
+// A registry entry with another incarnation may come from another writer. The worker's runs must not
+// count as lost: the owner must poll the worker.
 func TestRegistryEntryOfAnotherIncarnationLosesNoRun(t *testing.T) {
 	r := newIncarnationRig(t)
 	s := r.startJob("0000000000000001", batchStep(1, 1000))[0]
@@ -235,8 +235,8 @@
 	assert.Zero(t, r.core.Counts.LostRuns)
 }
 
-// A report with a missing or invalid incarnation leaves the known one in place, logged once. An
-// incarnation that decreases is another process.
+// A report with a missing or invalid incarnation must not change the known one, and must be logged
+// once. A lower incarnation must count as a restart.
 func TestMissingInvalidOrDecreasingIncarnation(t *testing.T) {
 	r := newIncarnationRig(t)
 	s := r.startJob("0000000000000001", batchStep(1, 1000))[0]
@@ -264,8 +264,8 @@
 	assert.Equal(t, 1, r.core.Counts.LostRuns)
 }
 
-// If reports carry no incarnation, the owner must detect a restart by the worker's clock, which
-// starts over.
+// If reports state no incarnation, the owner must detect a restart by the worker's clock, which starts
+// over.
 func TestRestartIsDetectedByTheClockWithoutIncarnations(t *testing.T) {
 	r := newRig(t)
 	r.setWorkers("w-1")
@@ -281,8 +281,8 @@
 	assert.Equal(t, 1, r.core.Counts.WorkerRestarts)
 }
 
-// A worker that crashes may come back under the same ID. The crash must count, so that a task
-// that crashes its workers becomes a suspect and is given up, as with a successor of another ID.
+// A worker that crashes may restart under the same ID. The crash must count, so that the job of a task
+// that crashes its workers fails, as it does if a replacement with another ID answers.
 func TestRestartUnderTheSameIDCountsAsACrash(t *testing.T) {
 	r := newIncarnationRig(t)
 	job := r.submit("0000000000000001", batchStep(1, 1000))
@@ -304,12 +304,12 @@
 	}
 	state, _ := r.core.JobState(job)
 	assert.Equal(t, workload.Failed, state)
-	assert.Equal(t, 2, starts, "the task was alone on its worker")
+	assert.Equal(t, 2, starts, "the task was alone on its worker, so two crashes are enough")
 	assert.Equal(t, starts, r.core.Counts.WorkerCrashes)
 }
 
-// A worker that leaves may be replaced under its ID: by the time of its report the entry is that
-// of the next incarnation. The planned restart must not count as a crash.
+// A worker that leaves may restart under its ID. When its next report arrives, its registry entry may
+// already be that of the next incarnation. The planned restart must not count as a crash.
 func TestRestartOfALeavingWorkerIsNotACrash(t *testing.T) {
 	r := newIncarnationRig(t)
 	r.startJob("0000000000000001", batchStep(1, 1000))
@@ -323,8 +323,8 @@
 	assert.Zero(t, r.core.Counts.WorkerCrashes)
 }
 
-// A worker whose address another worker has taken must not stay unused forever: it may start
-// again elsewhere under its ID.
+// Another worker answers at a worker's address. The worker must not stay unused forever: it may
+// restart under its ID at another address.
 func TestReplacedWorkerIsUsedAgainAfterARestart(t *testing.T) {
 	r := newIncarnationRig(t)
 	r.answerPollReplaced("w-1")
@@ -336,8 +336,8 @@
 	r.startJob("0000000000000001", batchStep(1, 1000))
 }
 
-// A worker was forgotten and comes back under its ID. Its token must rise, or orders from before
-// would outrank later ones.
+// A worker was removed and is registered again under its ID. Its token must rise, or orders that were
+// sent before its removal would have a higher token than later ones.
 func TestTokensOfARemovedWorkerKeepRising(t *testing.T) {
 	r := newIncarnationRig(t)
 	poll, _ := r.restartWorker()
@@ -359,8 +359,8 @@
 	return fencingPoll, starts
 }
 
-// Tickets must not outlive the incarnation that they were issued for, nor be accepted if they
-// were requested before the restart.
+// Tickets that were requested before a restart must not be used for the new incarnation: the owner
+// must request advice again.
 func TestTicketsAreDroppedWithTheIncarnation(t *testing.T) {
 	r := newRig(t)
 	config := *testConfig
@@ -386,7 +386,8 @@
 	assert.Equal(t, 1, repeatedRequests)
 }
 
-// Failures of an earlier incarnation must not keep tasks from the next one.
+// A worker that gets no starts because of failed tasks restarts. Failures of the earlier incarnation
+// must not keep tasks from the new one.
 func TestFailuresOfAnEarlierIncarnationDoNotCountForTheNext(t *testing.T) {
 	r := newIncarnationRig(t)
 	for n, id := range []string{"0000000000000001", "0000000000000002", "0000000000000003"} {
@@ -398,7 +399,7 @@
 		r.answerPollAs(poll, firstIncarnation, workload.PollReport{})
 	}
 	r.submit("0000000000000004", batchStep(1, 1000))
-	require.Empty(t, r.stepFor(500*time.Millisecond).Starts, "the worker gets no tasks after its failures")
+	require.Empty(t, r.stepFor(500*time.Millisecond).Starts, "no starts after several failures")
 	_, starts := r.restartWorker()
 	assert.Len(t, append(starts, r.stepFor(200*time.Millisecond).Starts...), 1)
 }
--- a/internal/scheduler/inherited_test.go
+++ b/internal/scheduler/inherited_test.go
@@ -11,16 +11,15 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// A worker restarts soon after a takeover. If the new owner took the inherited run, which is a
-// second old, for a run that has just started, the crash would count as an early crash and the
-// job would be given up.
+// A worker crashes and restarts soon after a takeover. If the new owner treated the run of the earlier
+// owner as one that has just started, the crash would count as an early crash and the job would fail.
 func TestCrashDuringAnInheritedRunIsNotAnEarlyCrash(t *testing.T) {
 	const job = workload.JobID("0000000000000001")
 	const inheritedRun = int64(3<<16 + 2)
 	key := workload.TaskKey{Job: job}
 	for _, c := range []struct {
-		name string
-		tell func(next *rig) // how the new owner learns of the run
+		name       string
+		inheritRun func(next *rig) // lets the new owner inherit the run
 	}{
 		{"handed over", func(next *rig) {
 			handoverRun := workload.HandoverRun{Worker: "w-1", Task: key.String(), Run: inheritedRun, Incarnation: firstIncarnation, StartConfirmed: true}
@@ -35,7 +34,7 @@
 	} {
 		earlierCrash := workload.Crash{Worker: "w-0", Address: "w-0", Run: inheritedRun - 1, DetectedAtMS: historyStart.UnixMilli() - 1000, RunAgeMS: 100, LikelyCause: true, SoleCause: true}
 		next := newIncarnationRig(t).newSuccessor(job, &workload.Progress{Started: true, Crashes: map[string][]workload.Crash{"0.0.0": {earlierCrash}}})
-		c.tell(next)
+		c.inheritRun(next)
 		for next.core.Counts.WorkerCrashes == 0 {
 			poll, _ := next.awaitPoll("w-1")
 			next.answerPollAs(poll, nextIncarnation, workload.PollReport{})
@@ -47,9 +46,9 @@
 	}
 }
 
-// An isolated run was cleared, its worker crashed, and the owner started the task again but was
-// lost before it stored that. The next owner must conclude from the later run that the isolated
-// run has ended, or it stops the later one.
+// A suspect was cleared in its isolated run, the worker crashed later, and the owner was lost after it
+// had started the task again but before it had stored that. The next owner must conclude from the
+// later run that the isolated run has ended, or it would stop the later run.
 func TestLaterRunProvesThatEarlierRunsHaveEnded(t *testing.T) {
 	const job = workload.JobID("0000000000000001")
 	const isolatedRun = int64(3<<16 + 2)
@@ -79,8 +78,9 @@
 	assert.Equal(t, run-1, stops[0].Run)
 }
 
-// A successor must not mistake runs from before a restart for runs of the new incarnation. The
-// handover names the incarnation; a handover of an older program names none.
+// A handover states the incarnation of each run's worker. If the worker has restarted, the next owner
+// must count a crash and start the task again. If a handover of an older program states none, the
+// run must be stopped, as its start may still be executed.
 func TestHandoverNamesTheIncarnation(t *testing.T) {
 	for _, named := range []bool{true, false} {
 		r := newIncarnationRig(t)
@@ -107,12 +107,13 @@
 			continue
 		}
 		assert.Zero(t, next.core.Counts.WorkerCrashes)
-		assert.Len(t, next.step(20*time.Millisecond).Stops, 1, "the run may still begin")
+		assert.Len(t, next.step(20*time.Millisecond).Stops, 1, "the run may still start")
 	}
 }
 
-// A worker crashes under an isolated run and keeps its ID. The crash must not be forgotten with
-// the owner. A record of an older program names no incarnation and must be readable too.
+// A worker crashes during an isolated run and restarts under its ID, and its owner is lost. The next
+// owner must count the crash, so that the job fails. A record of an older program states no
+// incarnation: it must be accepted too, and the job must not fail.
 func TestIsolatedRunOnARestartedWorkerSurvivesATakeover(t *testing.T) {
 	for _, named := range []bool{true, false} {
 		r := newIncarnationRig(t)
@@ -131,8 +132,8 @@
 	}
 }
 
-// A later process under the same ID was only cut off. That must not revoke the crash of the
-// earlier one.
+// A worker crashes and restarts under its ID; the new process refuses a poll and then answers. That
+// must not retract the crash of the earlier process.
 func TestCrashOfAnEarlierIncarnationIsNotRetracted(t *testing.T) {
 	r := newIncarnationRig(t)
 	r.startJob("0000000000000001", batchStep(1, 1000))
@@ -164,9 +165,9 @@
 	assert.Equal(t, firstIncarnation, crashes[0].Incarnation)
 }
 
-// A crash is known only to the owner until it is stored. A suspect must not start while the store
-// is unavailable: if owners were lost one after the other, each would count from zero and the
-// task would crash a worker under every owner.
+// Until a crash is stored only the owner knows of it. A suspect must not start before that, also if the
+// store is unavailable: if owners were lost one after the other, no owner would know of the earlier
+// crashes, and the task would crash a worker for every owner.
 func TestSuspectWaitsUntilItsCrashIsStored(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -180,8 +181,8 @@
 	assert.NotEmpty(t, r.stepFor(200*time.Millisecond).Starts)
 }
 
-// stepAndStore steps and acknowledges writes. It returns the starts and the job progress that was
-// stored last, nil if none was.
+// stepAndStore steps once and confirms all writes that follow. It returns the starts and the job
+// progress that was stored last, nil if none was stored.
 func (r *rig) stepAndStore(d time.Duration) (starts []scheduler.StartOrder, progress *workload.Progress) {
 	r.now = r.now.Add(d)
 	orders := r.core.Step(r.now)
@@ -211,9 +212,9 @@
 	return next
 }
 
-// The owner is killed while a suspect runs, and the worker crashes before the next owner has
-// polled it. The start was stored before it was ordered, so that the next owner counts the crash
-// and gives the job up.
+// The owner is lost during an isolated run, and the worker crashes before the next owner has polled
+// it. The run was stored before it was started, so the next owner must count the crash and fail the
+// job.
 func TestIsolatedRunSurvivesATakeover(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -241,10 +242,10 @@
 	assert.Equal(t, workload.Failed, state)
 }
 
-// A worker refuses connections under a suspect, and the owner is lost before the crash is
-// confirmed. The crash is stored as unconfirmed with the address: the next owner polls there,
-// gets the successor's answer and gives the job up, though the crashed worker is no longer
-// registered.
+// A worker refuses connections during an isolated run, and the owner is lost before the crash is
+// confirmed. The crash is stored as unconfirmed together with the worker's address. The next owner
+// must poll that address, confirm the crash when a replacement answers there, and fail the job,
+// although the worker is no longer registered.
 func TestUnconfirmedCrashIsConfirmedByTheNextOwner(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
--- a/internal/scheduler/isolationqueue_test.go
+++ b/internal/scheduler/isolationqueue_test.go
@@ -11,13 +11,14 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Suspects that are likely harmless must not wait behind those that take a worker with them for
-// seconds. The sole suspect of a crash is isolated last, though its job is the oldest.
+// Suspects that probably crash no worker must not wait for those that do, since each crash makes a
+// worker unavailable for seconds. The sole cause of a crash must be isolated last, although its job is
+// the oldest.
 func TestSoleCauseOfACrashIsIsolatedLast(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
 	short := batchStep(1, 8000)
-	short.EstimateMS = 50 // least work: ranked first otherwise
+	short.EstimateMS = 50 // the least work, so its job is ranked first otherwise
 	soleCause := r.startJob("0000000000000001", short)[0]
 	firstOfTwo := r.startJob("0000000000000002", batchStep(1, 5000))[0]
 	secondOfTwo := r.startJob("0000000000000003", batchStep(1, 3000))[0]
@@ -41,8 +42,8 @@
 	assert.Equal(t, soleCause.Start.Task.Job, isolated[2], "after %s and %s", firstOfTwo.Start.Task.Job, secondOfTwo.Start.Task.Job)
 }
 
-// On a small service a long queue of suspects takes minutes. It must request VMs and be logged; a
-// short queue requests none.
+// On a small service the isolated runs of many suspects take minutes. A long queue of suspects must
+// count as demand for VMs, a short one must not. Either must be logged once.
 func TestLongQueueOfSuspectsRequestsVMs(t *testing.T) {
 	for _, c := range []struct{ suspects, vms int }{{4, 0}, {7, 1}} {
 		r := newRig(t)
@@ -65,8 +66,8 @@
 	}
 }
 
-// On a service that gets no VMs, a queue of tasks that crash workers must not delay the others
-// without end: 30 of 120 jobs have such a task, on 4 workers. Each job must end as it should.
+// On a service that gets no further VMs, tasks that crash workers must not delay the others forever.
+// Of 120 jobs on 4 workers, 30 have such a task and must fail, and the others must complete.
 func TestManyTasksThatCrashWorkersOnASmallService(t *testing.T) {
 	for seed := range uint64(3) {
 		w := newWorld(seed, faults{})
--- a/internal/scheduler/lease_test.go
+++ b/internal/scheduler/lease_test.go
@@ -10,8 +10,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// A worker with a slow clock is idle for three minutes. Its first lease then must not last longer
-// than the owner assumes.
+// A worker with a slow clock is idle for three minutes. Its first lease after that must not last
+// longer than the owner assumes.
 func TestLeaseAfterAnIdlePeriodIsNoLongerThanTheOwnerAssumes(t *testing.T) {
 	const idleTime = 3 * time.Minute
 	w := newWorld(1, faults{})
@@ -32,8 +32,8 @@
 	require.Len(t, other.runs, 1, "the lease must have expired on every clock")
 }
 
-// An idle worker's clock is estimated from its last answer. Without polls the first lease would
-// get shorter as the answer ages, until the worker refuses it.
+// An idle worker's clock is estimated from its last answer. The older the answer, the shorter is the
+// first lease. Without polls the worker would refuse it at some time as already expired.
 func TestIdleWorkerIsPolledForItsClock(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -47,8 +47,8 @@
 	require.Equal(t, 2, polls, "in 25 s")
 }
 
-// A worker whose registry entry has expired may be cut off from the store alone and run what an
-// earlier owner started. The takeover must wait for its lease all the same.
+// A worker whose registry entry has expired may only have lost its connection to the store, and may
+// still run tasks of an earlier owner. A takeover must wait for its leases, too.
 func TestTakeoverWaitsForAWorkerThatIsNoLongerListed(t *testing.T) {
 	r := newRig(t, "w-1", "w-2")
 	r.setWorkers("w-1", "w-2")
@@ -68,5 +68,5 @@
 		}
 	}
 	require.NotEmpty(t, starts)
-	require.GreaterOrEqual(t, r.now.Sub(beganAt), testLease, "the earlier owner's lease may last this long")
+	require.GreaterOrEqual(t, r.now.Sub(beganAt), testLease, "no start may precede the latest expiry of the earlier owner's lease")
 }
--- a/internal/scheduler/links_test.go
+++ b/internal/scheduler/links_test.go
@@ -19,11 +19,11 @@
 	linkAnswersLost           // orders arrive, answers are lost
 )
 
-// membershipTTL is how long after its last join an owner loses its partition.
+// membershipTTL is how long after its last membership announcement an owner may still own its
+// partition.
 const membershipTTL = 1150 * time.Millisecond
 
-// drawLinkFaults draws faults of an owner's links to the workers, each with the given
-// probability.
+// drawLinkFaults draws a fault for each of an owner's links to the workers with the given probability.
 func (w *world) drawLinkFaults(probability float64) map[string]linkFault {
 	links := map[string]linkFault{}
 	for _, id := range w.workerIDs() {
@@ -38,8 +38,8 @@
 	return links
 }
 
-// disconnectOwnerFromStore cuts the owner off from the store for a while, and from some workers. The group
-// gives its partition to another owner, which is cut off from some workers too.
+// disconnectOwnerFromStore disconnects the owner from the store and from some workers for some seconds.
+// Another owner takes over the partition; it can't reach some workers either.
 func (w *world) disconnectOwnerFromStore() {
 	old := w.owner
 	if old.stopped || !old.coreStarted || old.storeUnreachable {
@@ -59,8 +59,8 @@
 	})
 }
 
-// runLinkHistory plays 25 s of jobs while owners are cut off from the store and from single
-// workers, and then runs without faults to 86 s.
+// runLinkHistory runs a history in which jobs are submitted for 25 s while owners lose their
+// connections to the store and to single workers. All faults end at 36 s, the history at 86 s.
 func runLinkHistory(seed uint64, f faults, injectFault func(w *world)) *world {
 	return runLinkScenario(newWorld(seed, f), injectFault)
 }
@@ -94,8 +94,8 @@
 	return w
 }
 
-// An owner that is cut off from the store goes on renewing its leases. A task that runs on a
-// worker that the successor can't reach would then be started again on another one.
+// If an owner that can't reach the store continued to renew leases, a task could still run on a worker
+// that the owner's successor can't reach, while the successor starts it again on another worker.
 func TestOwnerDisconnectedFromTheStoreBesideASuccessorDisconnectedFromWorkers(t *testing.T) {
 	for _, seed := range historySeeds(historyCount(t)) {
 		w := runLinkHistory(seed, faults{}, nil)
@@ -110,8 +110,8 @@
 	}
 }
 
-// The same with lost answers, workers that crash or are cut off from everything, owners that are
-// killed or hand over, and an unavailable store.
+// The same with lost answers, workers that lose their VMs or are partitioned, owners that are killed or
+// hand over, and an unavailable store.
 func TestOwnersDisconnectedFromTheStoreBesideOtherFaults(t *testing.T) {
 	for _, seed := range historySeeds(historyCount(t)) {
 		w := runLinkHistory(seed, faults{lostAnswer: 0.01, failedTask: 0.01, lostWriteAnswer: 0.02}, (*world).injectRandomFault)
@@ -119,8 +119,8 @@
 	}
 }
 
-// The earlier owner reports to its successor what it could not store. Without that report tasks
-// would run twice and jobs would be forgotten.
+// The earlier owner sends its successor the records that it could not store. Without them tasks would
+// run twice and jobs would be lost.
 func TestNoTaskRunsTwiceAfterDirectHandovers(t *testing.T) {
 	directHandovers := 0
 	for _, seed := range historySeeds(historyCount(t)) {
