--- a/internal/scheduler/core_test.go
+++ b/internal/scheduler/core_test.go
@@ -367,8 +367,8 @@
 	assert.Len(t, r.stepFor(200*time.Millisecond).Starts, 1)
 }
 
-// A worker reserved for a large job shrinks below what the job requires. The reservation must
-// move to another worker, or the job would wait forever.
+// The capacity of a worker that is kept free for a large job falls below what the job requires. Another
+// worker must be kept free instead, or the job would wait forever.
 func TestReservationMovesWhenItsWorkerShrinks(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
--- a/internal/scheduler/crash_test.go
+++ b/internal/scheduler/crash_test.go
@@ -36,7 +36,8 @@
 	assert.Equal(t, workload.Failed, state)
 }
 
-// randomCrashingSpec draws a job of any kind, of which the caller lets one task crash its workers.
+// randomCrashingSpec draws a job of any kind, for histories in which one of its tasks crashes its
+// workers.
 func (w *world) randomCrashingSpec() workload.Spec {
 	s := workload.Step{
 		Count:      1 + w.rng.IntN(4),
@@ -78,8 +79,8 @@
 	return w.runCrashScenario(seed)
 }
 
-// runVMLossHistory is runCrashHistory with workers that lose their VMs when they crash, and without
-// owner faults, as with its even seeds: what an owner knows of a silent worker is lost with it.
+// runVMLossHistory is runCrashHistory with workers that lose their VMs when they crash, and with even
+// seeds only, that is without owner faults: what an owner knows of a silent worker is lost with it.
 func runVMLossHistory(seed uint64) (w *world, crashingJobs []*fakeJob) {
 	w = newWorld(seed, crashFaults)
 	w.crashesLoseVM = true
--- a/internal/scheduler/fakecrash_test.go
+++ b/internal/scheduler/fakecrash_test.go
@@ -97,8 +97,8 @@
 }
 
 // startProcess starts the worker's process again under the same ID. The new incarnation has no state
-// of the previous one; its clock and the sequence numbers of its exits start over. Orders in flight
-// reach it. Its registry entry follows within a heartbeat.
+// of the previous one; its clock and the sequence numbers of its exits start over. Its registry
+// entry follows within a heartbeat.
 func (f *fakeWorker) startProcess() {
 	f.terminated, f.processDown = false, false
 	f.restartCount++
--- a/internal/scheduler/longrunning_test.go
+++ b/internal/scheduler/longrunning_test.go
@@ -11,8 +11,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Long-running tasks fail by themselves now and then. Such failures must not keep their worker
-// from getting them again, however many there were.
+// Long-running tasks fail occasionally through no fault of their worker. However many such failures
+// there were, the worker must get the tasks again.
 func TestFailedLongRunningTasksAreRestartedOnTheSameWorker(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -34,8 +34,8 @@
 	}
 }
 
-// Two long-running tasks run on a worker that is drained, and one may be unavailable. The second
-// must not be stopped before the first runs at full speed on another worker.
+// Two long-running tasks run on a worker that is drained, and MaxUnavailable is 1. The second must not
+// be stopped before another worker lists the first as running.
 func TestDrainingRespectsMaxUnavailable(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -67,15 +67,15 @@
 	require.NotEqual(t, drainedWorker, orders.Starts[0].Worker.ID)
 	r.answerStart(orders.Starts[0], workload.WorkerOK)
 	r.core.DrainWorker(drainedWorker, r.now)
-	assert.Empty(t, r.step(20*time.Millisecond).Stops, "the first does not run yet")
+	assert.Empty(t, r.step(20*time.Millisecond).Stops, "the first task is not listed as running yet")
 	r.answerPoll(orders.Starts[0].Worker.ID, r.now.Add(time.Millisecond), workload.PollReport{Running: []workload.ListedRun{listedRun(orders.Starts[0], 100)}})
 	r.core.DrainWorker(drainedWorker, r.now)
 	assert.Len(t, r.step(20*time.Millisecond).Stops, 1)
 }
 
-// A serving task misses its latency target because of a best-effort task beside it. The
-// best-effort task is throttled, and released again once the tail latency is well below the
-// target.
+// A task with a latency target misses it because of a best-effort task on the same worker. The
+// best-effort task must be throttled, and its speed must be raised again once the tail latency is well
+// below the target.
 func TestBestEffortTasksAreThrottledBesideServingTasks(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -115,9 +115,9 @@
 	assert.Equal(t, 40, throttles[0].SpeedPercent)
 }
 
-// A service is full of short tasks, and a large long-running task has to start. Short tasks would
-// take all capacity that gets free, so that the large one would wait forever: a worker is
-// reserved for it until it fits.
+// A service is full of short tasks, and a large long-running task must start. Short tasks would take
+// all capacity that becomes free, and the large task would wait forever. A worker must be kept free
+// for it until it fits.
 func TestLargeLongRunningTaskIsPlacedOnAFullService(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -166,9 +166,10 @@
 	t.Fatal("the long-running task must start")
 }
 
-// Long-running tasks are placed together. If that puts one on a VM that the same maintenance wave
-// reaches next, the task moves twice, and a step allows only one move at a time. Workers due for
-// maintenance are avoided unless no other has capacity, and only while the mark is repeated.
+// Long-running tasks are placed together. On a VM that the same maintenance wave reaches next, such a
+// task would move twice, and MaxUnavailable allows only one move of its step at a time. Workers due
+// for maintenance must be avoided if another has capacity, and only while SetDueForMaintenance is
+// repeated.
 func TestLongRunningTasksAvoidWorkersDueForMaintenance(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -199,8 +200,8 @@
 }
 
 // A stop of a drained worker's task is lost, and meanwhile the worker of another task of the step
-// leaves. If the stop were resent after its timeout, two tasks of the step would be unavailable
-// though MaxUnavailable is 1. It must wait until the other task runs again.
+// leaves. If the stop were sent again after its timeout, two tasks of the step would be unavailable
+// although MaxUnavailable is 1. The stop must wait until the other task runs again.
 func TestLostStopIsNotResentWhileAnotherTaskIsUnavailable(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2", "w-3")
@@ -247,7 +248,7 @@
 	restarts := r.step(20 * time.Millisecond).Starts
 	require.Len(t, restarts, 1)
 	r.answerStart(restarts[0], workload.WorkerOK)
-	assert.Zero(t, resentStops(), "the other task does not run yet")
+	assert.Zero(t, resentStops(), "the other task is not listed as running yet")
 	r.answerPoll(restarts[0].Worker.ID, r.now.Add(time.Millisecond), runningReport(restarts[0]))
 	assert.Equal(t, 1, resentStops())
 }
--- a/internal/scheduler/peak_test.go
+++ b/internal/scheduler/peak_test.go
@@ -12,8 +12,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Load of a queue with alternating demand: several times its mean for some seconds, then a
-// twentieth of that. A lookup is one or two steps of a few tasks of 0.64 s.
+// Load of a queue whose demand alternates between peaks and quiet periods of some seconds. A lookup is
+// a job of one or two steps with a few tasks of 0.64 s.
 const (
 	peakLookupsPerSecond  = 180.0
 	quietLookupsPerSecond = 4.0
@@ -22,8 +22,8 @@
 	lookupEstimateMS      = 640
 )
 
-// randomLookupSpec draws a quick job. Jobs differ in the number of tasks and their size, so that
-// the largest tenth has about three times the mean work.
+// randomLookupSpec draws a lookup. Lookups differ in the number and the size of their tasks: the
+// largest tenth has about three times the mean work.
 func (w *world) randomLookupSpec() workload.Spec {
 	step := workload.Step{
 		Count:      2 + w.rng.IntN(6) + w.rng.IntN(6),
@@ -41,7 +41,7 @@
 	return spec
 }
 
-// runPeaks plays two peaks of lookups on a pool of workers.
+// runPeaks runs a history with two peaks of lookups. ownerProcessor may be nil.
 func runPeaks(seed uint64, workers int, ownerProcessor *processor, f faults) *world {
 	w := newWorld(seed, f)
 	w.processor = ownerProcessor
@@ -77,7 +77,7 @@
 	return float64(n) / float64(len(jobs))
 }
 
-// jobsBySize returns the jobs, those with the most work first.
+// jobsBySize returns all jobs, those with the most work first.
 func (w *world) jobsBySize() []*fakeJob {
 	var list []*fakeJob
 	for _, j := range w.jobs {
@@ -98,10 +98,10 @@
 	return work
 }
 
-// If each plan ranks all waiting jobs and searches preemptible runs for each, a peak makes an
-// owner on a small VM do little but plan: steps took 40 to 70% of the time, starts fell from
-// 1,500 to 300 a second, and a third of all jobs and nearly all large ones were late beside free
-// workers.
+// If each plan ranked all waiting jobs and searched for preemptible runs for each, an owner on a small
+// VM would spend most of a peak on plans. Before this was fixed, steps took 40 to 70% of the time,
+// starts fell from 1,500 to 300 a second, and a third of all jobs and nearly all large ones were late
+// although workers were free.
 func TestOwnerKeepsUpWithAPeakOnASmallVM(t *testing.T) {
 	for seed := range uint64(2) {
 		w := runPeaks(seed, 220, &processor{}, faults{})
@@ -113,9 +113,10 @@
 	}
 }
 
-// A queue asks for more than its workers hold. With the least work first, all capacity that gets
-// free goes to smaller jobs, and large ones nearly always miss their deadline. Each size must be
-// served at least half as well as all jobs together.
+// The demand of a queue exceeds the capacity of its workers. If jobs with the least work always started
+// first, smaller jobs would take all capacity that becomes free, and large ones would nearly always
+// miss their deadline. The share of jobs in time must be at least half of that of all jobs for the
+// largest tenth and for the next fifth.
 func TestLargestJobsAreServedByAFullService(t *testing.T) {
 	for seed := range uint64(3) {
 		w := runPeaks(seed, 105, nil, faults{})
@@ -129,10 +130,10 @@
 	}
 }
 
-// A start without an answer took one of the places for starts until it was given up after a
-// second; a poll without an answer hid its worker's exits for two seconds, after which the worker
-// got no starts for a while. One lost answer in seven cost most of the capacity. Nine tenths of
-// what is served without faults must be served.
+// A start without an answer counts as in flight until it times out after a second. A poll without an
+// answer delays its worker's exits for two seconds, and the worker then gets no starts for some time.
+// With both, one lost answer in seven cost most of the capacity. The share of jobs in time must be at
+// least nine tenths of the share without faults.
 func TestPeakIsServedWhileAnswersAreLost(t *testing.T) {
 	servedShare := func(f faults) float64 {
 		w := runPeaks(1, 220, nil, f)
--- a/internal/scheduler/pollresult_test.go
+++ b/internal/scheduler/pollresult_test.go
@@ -10,8 +10,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// A report may be older than another one though its poll was sent later. A run that has exited
-// must not be restored from it, or its task counts as running and its capacity as used.
+// A report may be older than another one although its poll was sent later. A run that has exited must
+// not be added again from it, or its task would count as running and its capacity as used.
 func TestOlderPollReportIsIgnored(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -24,7 +24,7 @@
 	answerPoll(sentAt, 2000, exitReport(1, s, workload.ExitDone))
 	running := workload.PollReport{Running: []workload.ListedRun{{Task: s.Start.Task, Run: s.Start.Run, SpeedPercent: 100}}}
 	answerPoll(sentAt.Add(100*time.Millisecond), 1990, running)
-	assert.Empty(t, r.step(50*time.Millisecond).Stops, "the run has ended")
+	assert.Empty(t, r.step(50*time.Millisecond).Stops, "the older report must not add the run again")
 
 	answerPoll(sentAt.Add(200*time.Millisecond), 2100, workload.PollReport{})
 	assert.Empty(t, r.step(50*time.Millisecond).Stops)
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -37,14 +37,13 @@
 }
 
 // Long tasks of a less urgent queue fill the service when an urgent job arrives. Only as many as
-// needed are stopped, those that lose least. The urgent job starts once they have exited; they
-// resume from their checkpoints later.
+// needed must be stopped, and the urgent job must start once they have exited.
 func TestUrgentJobPreemptsLessUrgentRuns(t *testing.T) {
 	r := newRig(t)
 	starts := fillWorker(r, checkpointedStep(4, 2000))
 	require.Len(t, starts, 4)
 	urgent := r.submit("0000000000000002", batchStep(1, 3000))
-	assert.Empty(t, r.step(50*time.Millisecond).Stops, "capacity may get free without preemption")
+	assert.Empty(t, r.step(50*time.Millisecond).Stops, "capacity may become free without preemption")
 	var stops []scheduler.StopOrder
 	for range 5 {
 		stops = append(stops, r.step(100*time.Millisecond).Stops...)
@@ -60,7 +59,7 @@
 	assert.Equal(t, urgent, nextStarts[0].Start.Task.Job)
 }
 
-// Runs that are as urgent, long-running, members of a gang or have much to lose must not be
+// Runs that are equally urgent, long-running, members of a gang or have much work to lose must not be
 // preempted.
 func TestOnlyLessUrgentRunsThatLoseLittleArePreempted(t *testing.T) {
 	longRunning := batchStep(4, 2000)
@@ -69,7 +68,7 @@
 	gang.Gang = true
 	costly := checkpointedStep(4, 2000)
 	costly.Checkpoints = false
-	for name, s := range map[string]workload.Step{"lasting": longRunning, "gang": gang, "costly": costly} {
+	for name, s := range map[string]workload.Step{"long-running": longRunning, "gang": gang, "costly": costly} {
 		r := newRig(t)
 		require.Len(t, fillWorker(r, s), 4, name)
 		r.now = r.now.Add(5 * time.Second)
@@ -86,8 +85,8 @@
 	assert.Empty(t, r.stepFor(time.Second).Stops, "runs of the same queue must not be preempted")
 }
 
-// A long-running task of an urgent queue has to start while less urgent work fills the service.
-// After a second it may also preempt a run without a checkpoint that loses little.
+// A long-running task of an urgent queue must start while less urgent work fills the service. It must
+// preempt one run, although that run has no checkpoint, because little work is lost.
 func TestLongRunningTaskPreemptsRunsWithoutCheckpoint(t *testing.T) {
 	r := newRig(t)
 	plain := batchStep(4, 2000)
@@ -98,9 +97,8 @@
 	assert.Len(t, r.stepFor(2*time.Second).Stops, 1)
 }
 
-// TestPreemptionInRandomHistories plays histories of an urgent and a less urgent queue on a
-// service that is too small, with the faults of the other histories. No invariant may be
-// violated.
+// TestPreemptionInRandomHistories runs histories with an urgent and a less urgent queue on a service
+// that is too small, with the faults of the other histories. No rule may be violated.
 func TestPreemptionInRandomHistories(t *testing.T) {
 	for seed := range historyCount(t) / 3 {
 		w := newWorld(seed, faults{lostAnswer: 0.01, lateOrder: 0.01, failedTask: 0.01, lostWriteAnswer: 0.02})
@@ -129,9 +127,9 @@
 	}
 }
 
-// More steps wait than a plan makes preemption searches, and the first ones can't be placed: no
-// worker has their label. If they used up the searches of each plan, a step behind them would
-// wait as long as the less urgent work lasts.
+// More steps wait than a plan makes preemption searches, and the first ones can't be placed, because
+// no worker has their label. If they used up the searches of each plan, a step ranked lower would
+// wait until the less urgent work is done.
 func TestUnplaceableStepsDoNotUseUpAllPreemptionSearches(t *testing.T) {
 	for _, longRunning := range []bool{true, false} {
 		r := newRig(t)
--- a/internal/scheduler/processor_test.go
+++ b/internal/scheduler/processor_test.go
@@ -20,11 +20,10 @@
 	stepPause = 3 * time.Millisecond
 )
 
-// processor is an owner's share of a core, shared by the goroutines of its calls and the steps of
-// its loop. Calls are many, so that each step handles only the few answers that came since the
-// last step.
+// processor models an owner's share of a core, which the goroutines of its calls and the steps of its
+// loop use. There are many calls, so each step handles only the few answers since the last step.
 type processor struct {
-	busyUntil       time.Time // when the work queued so far is done
+	busyUntil       time.Time // when the work so far is done
 	pendingActions  []func()
 	lastStepEndedAt time.Time
 	stepScheduled   bool
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -11,8 +11,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// runOneRestart plays 20 s of jobs on one worker whose process restarts under its ID at 4 s, and
-// 20 s more.
+// runOneRestart runs a history of 40 s with one worker, whose process restarts under its ID at 4 s.
+// Jobs are submitted for 20 s.
 func runOneRestart(f faults) *world {
 	w := newWorld(1, f)
 	worker := w.addWorker("worker", workload.Resources{CPU: 32000, MemoryMB: 64000})
@@ -25,8 +25,8 @@
 	return w
 }
 
-// A restarted worker numbers its exits from 1 again. They must not be taken for known exits and
-// acknowledged unread, or their tasks run again and again.
+// A restarted worker numbers its exits from 1 again. They must not be treated as known exits and
+// acknowledged unread, or their tasks would run again and again.
 func TestTasksRunOnceOnAWorkerThatRestarts(t *testing.T) {
 	w := runOneRestart(faults{})
 	require.Empty(t, w.violations)
@@ -46,10 +46,10 @@
 	}
 }
 
-// runRestartHistory plays 25 s of jobs on 6 workers and 60 s more. Workers crash and restart
-// under their ID, some while they are cut off. For odd seeds owners are killed, replaced and hand
-// over, and the store is unavailable at times. Without late orders, no order sent before a
-// restart reaches the new process.
+// runRestartHistory runs a history of 86 s with 6 workers, in which jobs are submitted for 25 s.
+// Workers restart under their ID, some while they are partitioned. For odd seeds owners are killed,
+// replaced and hand over, and the store is unavailable at times. Orders
+// that were sent before a restart never reach the new process: late orders are lost then.
 func runRestartHistory(seed uint64, f faults) *world {
 	w := newWorld(seed, f)
 	for i := range 6 {
@@ -91,7 +91,7 @@
 	return w.workers[w.registry[w.rng.IntN(len(w.registry))].ID]
 }
 
-// restartRandomWorker restarts a worker's process under its ID, at times twice in a row.
+// restartRandomWorker restarts a worker's process under its ID, sometimes twice in a row.
 func (w *world) restartRandomWorker() {
 	f := w.randomWorker()
 	downtime := w.durationBetween(300*time.Millisecond, 4*time.Second)
@@ -101,7 +101,7 @@
 	}
 }
 
-// partitionRandomWorker cuts a worker off. Its process keeps running or restarts meanwhile.
+// partitionRandomWorker partitions a worker for some seconds. Its process continues or restarts meanwhile.
 func (w *world) partitionRandomWorker() {
 	f := w.randomWorker()
 	duration := w.durationBetween(500*time.Millisecond, 8*time.Second)
@@ -112,9 +112,9 @@
 	}
 }
 
-// looksLikeCrashCause reports whether two workers ended soon after the start of one of the job's
-// tasks, or four while they ran it. No owner can distinguish that from a task that crashes its
-// workers.
+// looksLikeCrashCause reports whether one of the job's tasks ran on two workers whose process ended
+// within maxEarlyExitAge, or on four whose process ended at any time. No owner can distinguish that
+// from a task that crashes its workers.
 func (j *fakeJob) looksLikeCrashCause() bool {
 	for name, n := range j.workerExits {
 		if n >= 4 || j.earlyWorkerExits[name] >= 2 {
@@ -124,8 +124,9 @@
 	return false
 }
 
-// checkJobOutcomes checks that each job reached the state that its caller may expect. A job may
-// fail if tasks fail by themselves or if one of its tasks is a likely culprit by chance.
+// checkJobOutcomes checks that each job reached a state that its caller may expect. A job may fail if
+// the history has the fault failedTask or lateOrder, or if looksLikeCrashCause is true of it by
+// chance.
 func checkJobOutcomes(t *testing.T, w *world, seed uint64) {
 	for _, job := range w.jobs {
 		state, known := w.owner.core.JobState(job.id)
@@ -149,7 +150,7 @@
 	}
 }
 
-// unreadExitCount returns the number of runs whose exit no owner could read.
+// unreadExitCount returns how many runs had exits that were acknowledged before an owner read them.
 func (w *world) unreadExitCount() int {
 	count := 0
 	for _, o := range w.owners {
@@ -160,13 +161,12 @@
 	return count
 }
 
-// restartRegressionSeeds once showed a fault and lie beyond the seeds that are played anyway:
-// jobs were given up, and their long-running tasks stopped, though they did not crash their
-// workers.
+// restartRegressionSeeds are seeds outside the default range that showed a fault: jobs failed, and
+// their long-running tasks were stopped, although they did not crash their workers.
 var restartRegressionSeeds = []uint64{36, 59, 70, 88, 146, 152, 156, 195, 252, 276, 283, 286, 299}
 
-// After a restart, nothing that is known of a worker's previous process may be taken as known of
-// the new process under its ID. Random histories with changing owners.
+// Nothing that is known of a worker's process may be assumed of the next process under its ID. The
+// histories have changing owners for odd seeds.
 func TestRestartsInRandomHistories(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -195,9 +195,9 @@
 	}
 }
 
-// A worker that restarts by itself must not cause the job on it to be given up. Crashes a second
-// or two after the start of a task that is alone on its worker prove little: several of them
-// count as one early crash.
+// A worker that restarts repeatedly on its own must not make the job on it fail. Crashes a second or
+// two after the start of a task that is alone on its worker prove little: several of them count as
+// one early crash.
 func TestJobDoesNotFailAfterAFewLateCrashes(t *testing.T) {
 	r := newIncarnationRig(t)
 	job := r.submit("0000000000000001", batchStep(1, 1000))
@@ -219,24 +219,25 @@
 	assert.Equal(t, 4, r.core.Counts.WorkerCrashes)
 }
 
-// Two workers restart by themselves soon after the start of one of a job's long-running tasks.
-// The job must not be given up and its tasks stopped.
+// Two workers restart on their own soon after the start of one of a job's long-running tasks. The job
+// must not fail, which would stop its tasks. The test checks only the rules of recordViolation, not
+// the job's state.
 func TestLongRunningJobDoesNotFailForUnrelatedRestarts(t *testing.T) {
 	w := runRestartHistory(117, faults{lostAnswer: 0.03, lostWriteAnswer: 0.02})
 	require.Empty(t, w.violations)
 }
 
-// A job's workers restart by themselves, none twice within half a second of a start nor four
-// times in all. The job must not be given up.
+// A job's workers restart on their own, fewer than twice within half a second after a start and fewer
+// than four times in all. The job must not fail.
 func TestJobDoesNotFailForUnrelatedRestarts(t *testing.T) {
 	w := runRestartHistory(73, faults{})
 	require.Empty(t, w.violations)
 	checkJobOutcomes(t, w, 73)
 }
 
-// An exit was acknowledged before any owner read it, so that its task may be done. The task must
-// not be started again, nor may its job wait forever: the job fails. Long-running tasks and
-// speculative copies start again.
+// An exit was acknowledged before an owner read it. The task may be done and must not be started again,
+// and its job must fail, as it would otherwise wait forever. Long-running and speculative tasks, which
+// start again, are not checked.
 func TestExitAcknowledgedUnreadFailsItsJob(t *testing.T) {
 	w := newWorld(1, faults{})
 	f := w.addWorker("worker", workload.Resources{CPU: 32000, MemoryMB: 64000})
@@ -261,8 +262,9 @@
 	assert.Equal(t, 3, w.unreadExitCount())
 }
 
-// A worker that was only cut off keeps its incarnation: its runs go on and its exits count. It
-// must not be taken for a new process, unlike a worker that restarted while it was cut off.
+// A worker that was only partitioned keeps its incarnation: its runs must continue and its exits must
+// count. It must not be treated as a new process, unlike a worker that restarted while it was
+// partitioned.
 func TestRunsOfAPartitionedWorkerContinue(t *testing.T) {
 	w := newWorld(1, faults{})
 	sameProcess := w.addWorker("same", workload.Resources{CPU: 8000, MemoryMB: 16000})
--- a/internal/scheduler/silence_test.go
+++ b/internal/scheduler/silence_test.go
@@ -12,8 +12,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// silenceWorker lets a worker answer nothing until its leases have expired and it is no longer
-// registered, beside a worker that answers. It returns the starts that follow.
+// silenceWorker removes a worker from the registry and times out its polls until starts follow on
+// another worker, which answers. It returns these starts, nil if there are none within 10 s.
 func (r *rig) silenceWorker(id, answering string) (starts []scheduler.StartOrder) {
 	r.setWorkers(answering)
 	for range 200 {
@@ -30,9 +30,8 @@
 	return nil
 }
 
-// When a zone is cut off, hundreds of tasks lose their worker at once, some of them soon after
-// their start and some twice. They must not become suspects that are isolated one by one and
-// given up.
+// When a zone is partitioned, hundreds of tasks lose their worker at once, some of them soon after
+// their start and some twice. They must not become suspects, which would be isolated one by one.
 func TestTasksWhoseWorkersFallSilentTwiceAreNotSuspects(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-0")
@@ -47,8 +46,8 @@
 	assert.Equal(t, 2, r.core.Counts.ExpiredRuns)
 }
 
-// A job's workers are cut off for longer than their leases. A worker that answers again revokes
-// what its silence counted against the task, or the job is given up.
+// A job's workers are partitioned for longer than their leases. When a worker answers again, the crash
+// recorded for its silence must be retracted, or the job would fail.
 func TestSilenceDoesNotCountOnceTheWorkerAnswersAgain(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-0")
@@ -56,7 +55,7 @@
 	for n := range 12 {
 		id, next := "w-"+strconv.Itoa(n), "w-"+strconv.Itoa(n+1)
 		starts := r.silenceWorker(id, next)
-		require.Len(t, starts, 1, "lease of %s must have expired", id)
+		require.Len(t, starts, 1, "the lease of %s must expire and the task start again", id)
 		r.answerStart(starts[0], workload.WorkerOK)
 		r.setWorkers(id, next)
 		delete(r.latestPolls, id)
@@ -68,9 +67,9 @@
 	assert.Zero(t, r.core.Counts.IsolatedRuns)
 }
 
-// An owner planned an isolated run and was lost, and the worker never answered the next owner.
-// The run may have made progress since it was planned, so that the silence must not count as
-// proof and the job must not be given up.
+// An owner planned an isolated run and was lost, and the worker never answers the next owner. If the
+// run was planned seconds ago, it may have made progress since, so the silence must not count as proof
+// and the job must not fail. If it was planned just before the takeover, the job must fail.
 func TestSilenceAfterAPossiblyLongIsolatedRunDoesNotCount(t *testing.T) {
 	const job = workload.JobID("0000000000000001")
 	for _, c := range []struct {
--- a/internal/scheduler/starttracker_test.go
+++ b/internal/scheduler/starttracker_test.go
@@ -11,9 +11,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// Starts without an answer count as in flight for a second. With every sixth answer lost, 384
-// starts take all places and nothing else starts beside free workers. An unanswered start must
-// delay only its own task: all that fits must be ordered within some round trips.
+// A start without an answer could count as in flight until its timeout of a second. With every sixth
+// answer lost, 384 starts would then use up the limit, and nothing would start although workers are
+// free. An unanswered start must delay only its own task: all tasks that fit must be ordered within 40
+// round trips.
 func TestUnansweredStartsDoNotBlockOthers(t *testing.T) {
 	const (
 		workers        = 120
@@ -43,7 +44,7 @@
 	assert.Equal(t, workers*tasksPerWorker, ordered, "starts ordered within %s", 40*roundTrip)
 }
 
-// On an overloaded node answers come late. They must not count as lost: more starts would only
+// On an overloaded node all answers are late. They must not count as lost, because more starts would
 // delay them further.
 func TestStartsInFlightAreBoundedWhileAllAnswersAreLate(t *testing.T) {
 	const maxInFlight = 64
--- a/internal/scheduler/step_test.go
+++ b/internal/scheduler/step_test.go
@@ -33,8 +33,8 @@
 	assert.Equal(t, 1, dependentStarts[0].Start.Task.Step)
 }
 
-// A gang starts with all members under one run number, or not at all: members that start alone
-// hold capacity and get nothing done.
+// A gang must start with all members under one run number, or not at all: members that start alone
+// occupy capacity without doing any work.
 func TestGangStartsWholeOrNotAtAll(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -68,8 +68,9 @@
 	assert.False(t, startedAt[1].Before(due.Add(time.Second)))
 }
 
-// The tasks of a queue with advice may only run on some workers. The owner requests advice before
-// it starts them; each start carries the worker's ticket, and workers without a ticket get none.
+// The tasks of a queue with advice may run only on some workers. The owner must request advice before
+// it starts them, each start must carry the worker's ticket, and workers without a ticket must get no
+// start.
 func TestAdviceIsRequestedBeforeAStart(t *testing.T) {
 	r := newRig(t)
 	config := *testConfig
@@ -91,8 +92,8 @@
 	}
 }
 
-// Only occurrences that are due now or within seconds count as demand. All occurrences of a job
-// together would draw every VM to the pool of its service.
+// Only occurrences that are due now or within seconds may count as demand. If all occurrences of a job
+// counted, the pool of its service would get too many VMs.
 func TestOnlyOccurrencesDueSoonCountAsDemand(t *testing.T) {
 	r := newRig(t)
 	r.core.AddJob("0000000000000001", &workload.Submission{Queue: "quick", Service: "service", AcceptedAtMS: r.now.UnixMilli(), Spec: workload.Spec{
@@ -105,8 +106,8 @@
 	assert.Equal(t, 2000, loads[0].UpcomingDemand.CPU)
 }
 
-// An occurrence long past its deadline and a new job compete for capacity for one task. The job
-// starts first, as the occurrence can't meet its deadline any more.
+// An occurrence long past its deadline and a new job compete for the capacity for one task. The job
+// must start first, because the occurrence can't meet its deadline any more.
 func TestJobOnTimeStartsBeforeAnOverdueOccurrence(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -120,8 +121,8 @@
 }
 
 // A task needs a label that no worker of its service has, or more capacity than any worker has.
-// The fleet's owner must be told, or it never adds a suitable VM. Tasks that only wait for free
-// capacity are not reported.
+// That must be reported to the fleet owner, or it would never add a suitable VM. Tasks that only wait
+// for free capacity must not be reported.
 func TestUnmetRequirementsAreReported(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
@@ -144,8 +145,8 @@
 	assert.Equal(t, 8000, loads[0].DemandByLabel["rack-7"].CPU)
 }
 
-// After a takeover no worker has answered yet. Unmet requirements reported then would move VMs
-// needlessly.
+// After a takeover no worker has answered yet. No unmet requirement may be reported then, as VMs would
+// be moved needlessly.
 func TestNoUnmetRequirementsBeforeWorkersAnswer(t *testing.T) {
 	r := newRig(t)
 	r.setWorkers("w-1")
@@ -155,8 +156,8 @@
 	assert.Empty(t, loads[0].UnmetRequirements)
 }
 
-// Tasks run in the rack of their data while it has free capacity, and in other racks rather than
-// wait.
+// Tasks must run in the rack of their data while it has free capacity, and otherwise in other racks
+// rather than wait.
 func TestTasksRunNearTheirData(t *testing.T) {
 	r := newRig(t)
 	r.core.SetWorkers([]workload.Worker{
@@ -176,8 +177,8 @@
 	assert.Equal(t, map[string]int{"w-1": 1, "w-2": 2}, startsByWorker)
 }
 
-// Some jobs of a service require one kind of VM. Tasks without a required label leave these VMs
-// free while others have capacity, so that the next job that requires them starts at once.
+// Some jobs of a service require VMs with a label. Tasks without a required label must leave these VMs
+// free while others have capacity, so that the next job that requires them starts immediately.
 func TestUnconstrainedTasksLeaveLabelledWorkersFree(t *testing.T) {
 	r := newRig(t)
 	r.core.SetWorkers([]workload.Worker{
@@ -201,9 +202,9 @@
 	}
 }
 
-// Two jobs have waited for half a minute for more capacity than any worker has free. Only one
-// worker is reserved for them, and a small job starts on the other. If each job reserved a
-// worker, the service would stand still beside free capacity.
+// Two jobs have waited for 40 s for more capacity than any worker has free. Only one worker may be kept
+// free for them, and a small job must start on the other. If a worker were kept free for each of
+// them, nothing would start although there is free capacity.
 func TestJobsThatWaitedLongDoNotReserveAllWorkers(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1", "w-2")
@@ -219,9 +220,9 @@
 	assert.Equal(t, small, starts[0].Start.Task.Job)
 }
 
-// Jobs are overdue, and smaller ones keep joining them. The oldest starts first, however large it
-// is, or it would wait forever. The other overdue jobs don't start before a job that can still
-// meet its deadline.
+// Several jobs are overdue. The oldest must start first, however large it is, or it would wait forever
+// if smaller jobs keep becoming overdue. The other overdue jobs must not start before a job that can
+// still meet its deadline.
 func TestOldestOverdueJobStartsFirst(t *testing.T) {
 	r := newRig(t)
 	r.syncWorkers("w-1")
