--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -145,7 +145,7 @@
 			case job.submission.Spec.Steps[0].LongRunning:
 				assert.Equal(t, workload.Running, state, "seed %d: job %s", seed, job.id)
 				missing := w.runningCount(job.id) < job.submission.Spec.Steps[0].Count
-				assert.False(t, missing && w.hasFreeCapacity(job), "seed %d: long-running tasks of %s must not be missing beside free capacity", seed, job.id)
+				assert.False(t, missing && w.hasFreeCapacity(job), "seed %d: all long-running tasks of job %s must run, as there is free capacity", seed, job.id)
 			case w.longRunningMemoryShare() > 0.8:
 				// Long-running tasks fill the workers: others may wait forever.
 			default:
