--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -70,7 +70,8 @@
 	// crashedWorkersRestart is set if a worker that a task crashes restarts under the same ID,
 	// crashesLoseVM if its VM is lost with it.
 	crashedWorkersRestart, crashesLoseVM bool
-	// lostRunsOfOtherJobs counts the runs that such crashes ended, without those of the jobs that caused them.
+	// lostRunsOfOtherJobs counts the runs that such crashes ended, without those of the jobs that
+	// caused them.
 	lostRunsOfOtherJobs int
 	// replacedOwnersStop is set if an owner that can reach the store stops once it was replaced.
 	replacedOwnersStop bool
