--- a/internal/scheduler/fakeworker_test.go
+++ b/internal/scheduler/fakeworker_test.go
@@ -8,7 +8,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/workload"
 )
 
-// fakeWorker simulates a worker as the platform specifies it: fencing, leases, polls and exits.
+// fakeWorker simulates a worker as the platform specifies it: its fencing, leases, polls and exits.
 type fakeWorker struct {
 	world          *world
 	info           workload.Worker
@@ -16,24 +16,24 @@
 	clockStartedAt time.Time // when the worker's clock read 0
 	// restartCount counts restarts of the process. A restarted worker keeps its ID.
 	restartCount int
-	cutOff       bool // unreachable, but its tasks run on
-	// refusesConnections is set while connections to the worker are refused. Its tasks run on.
+	partitioned  bool // unreachable; its tasks continue
+	// refusesConnections is set while connections to the worker are refused. Its tasks continue.
 	refusesConnections bool
 	terminated         bool // the process has ended
-	// processCrashed is set if the process has ended while its VM lives: calls are refused at
-	// once, or answered by the successor once it is there.
-	processCrashed    bool
-	hasSuccessor      bool
+	// processDown is set while the process has ended and its VM is up. Connections are then refused
+	// until hasReplacement is set, and answered by another worker from then on.
+	processDown       bool
+	hasReplacement    bool
 	capacityReducedAt time.Time // when the capacity was last reduced
 
 	highestToken          int64
 	leaseExpiresAt        int64 // milliseconds on the worker's clock
 	runs                  []*fakeRun
 	unackedExits          []workload.RunExit
-	ackedUpTo             int64 // exits up to this number are forgotten, also later ones
-	lastExitNumber        int64
-	highestRunByTask      map[string]int64 // highest run that was stopped or has exited
-	lastExitAtLeaseExpiry int64            // last exit that was listed when the lease expired
+	ackedUpTo             int64 // exits up to this sequence number are dropped, including exits that happen later
+	lastExitSequence      int64
+	highestEndedRun       map[string]int64 // highest run that has exited or whose stop was ordered, by task
+	lastExitAtLeaseExpiry int64            // lastExitSequence when a lease last expired
 	waitingPolls          []func()
 }
 
@@ -47,7 +47,7 @@
 	stopRequested bool
 }
 
-// maxLease is the longest lease that a worker grants, whatever is requested.
+// maxLease is the longest lease that a worker accepts. Longer ones are shortened to it.
 const maxLease = 10 * time.Second
 
 // stopDuration is the time from a stop order to the exit of the run.
@@ -55,11 +55,11 @@
 
 func (w *world) addWorker(id string, capacity workload.Resources) *fakeWorker {
 	f := &fakeWorker{
-		world:            w,
-		info:             workload.Worker{ID: id, Incarnation: w.now.UnixMilli(), Service: "service", Address: id, Capacity: capacity, Labels: []string{"a", "rack"}},
-		clockRate:        0.98 + 0.02*w.rng.Float64(),
-		clockStartedAt:   w.now.Add(-time.Hour),
-		highestRunByTask: map[string]int64{},
+		world:           w,
+		info:            workload.Worker{ID: id, Incarnation: w.now.UnixMilli(), Service: "service", Address: id, Capacity: capacity, Labels: []string{"a", "rack"}},
+		clockRate:       0.98 + 0.02*w.rng.Float64(),
+		clockStartedAt:  w.now.Add(-time.Hour),
+		highestEndedRun: map[string]int64{},
 	}
 	w.workers[id] = f
 	w.registry = append(w.registry, f.info)
@@ -70,7 +70,7 @@
 	return int64(float64(f.world.now.Sub(f.clockStartedAt).Milliseconds()) * f.clockRate)
 }
 
-// execute applies an order unless the process has ended. It returns false if no answer can reach
+// execute executes an order unless the process has ended. It returns false if no answer can reach
 // the owner.
 func (f *fakeWorker) execute(order func(f *fakeWorker) workload.WorkerAnswer) (workload.WorkerAnswer, bool) {
 	if f.terminated {
@@ -78,11 +78,11 @@
 	}
 	a := order(f)
 	a.ClockMS = f.clockMillis()
-	return a, !f.cutOff
+	return a, !f.partitioned
 }
 
-// executeLate applies an order seconds after it was sent. The order is lost if the process that
-// it was sent to has ended since.
+// executeLate executes an order seconds after it was sent. The order is lost if the worker has
+// restarted since.
 func (f *fakeWorker) executeLate(restartCountWhenSent int, order func(f *fakeWorker) workload.WorkerAnswer) {
 	if f.restartCount == restartCountWhenSent {
 		f.execute(order)
@@ -109,7 +109,7 @@
 	if f.terminated || f.leaseExpiresAt == 0 || f.clockMillis() < f.leaseExpiresAt {
 		return
 	}
-	f.lastExitAtLeaseExpiry = f.lastExitNumber
+	f.lastExitAtLeaseExpiry = f.lastExitSequence
 	for _, r := range slices.Clone(f.runs) {
 		f.endRun(r, workload.ExitLeaseExpired)
 	}
@@ -133,7 +133,7 @@
 			return workload.WorkerAnswer{}
 		}
 	}
-	if s.Run <= f.highestRunByTask[taskName] {
+	if s.Run <= f.highestEndedRun[taskName] {
 		f.extendLease(s.LeaseExpiresAtMS)
 		return workload.WorkerAnswer{Status: workload.WorkerStaleRun}
 	}
@@ -144,7 +144,7 @@
 	job := f.world.jobs[s.Task.Job]
 	spec := &job.submission.Spec.Steps[s.Task.Step]
 	if !spec.Reservation().FitsIn(f.info.Capacity.Sub(f.usedCapacity())) {
-		if !f.world.unguarded {
+		if !f.world.capacityNotEnforced {
 			return workload.WorkerAnswer{Status: workload.WorkerFull}
 		}
 		f.world.checkCapacity(f, taskName)
@@ -185,17 +185,17 @@
 	r.exited = true
 	f.world.jobs[r.task.Job].lastRunningAt[r.task.String()] = f.world.now
 	f.runs = slices.DeleteFunc(f.runs, func(x *fakeRun) bool { return x == r })
-	f.lastExitNumber++
+	f.lastExitSequence++
 	taskName := r.task.String()
-	f.highestRunByTask[taskName] = max(f.highestRunByTask[taskName], r.runNumber)
-	exit := workload.RunExit{Sequence: f.lastExitNumber, Task: r.task, Run: r.runNumber, Reason: reason}
+	f.highestEndedRun[taskName] = max(f.highestEndedRun[taskName], r.runNumber)
+	exit := workload.RunExit{Sequence: f.lastExitSequence, Task: r.task, Run: r.runNumber, Reason: reason}
 	if reason == workload.ExitDone {
 		job := f.world.jobs[r.task.Job]
 		job.done[taskName] = true
 		job.doneRuns[taskName] = append(job.doneRuns[taskName], r.runNumber)
 	}
-	if f.lastExitNumber <= f.ackedUpTo {
-		f.recordAck(exit) // already acknowledged: no owner will read it
+	if f.lastExitSequence <= f.ackedUpTo {
+		f.recordAck(exit) // acknowledged in advance: no owner will read it
 	} else {
 		f.unackedExits = append(f.unackedExits, exit)
 	}
@@ -228,7 +228,7 @@
 		return workload.WorkerAnswer{Status: workload.WorkerFenced}
 	}
 	taskName := s.Task.String()
-	f.highestRunByTask[taskName] = max(f.highestRunByTask[taskName], s.Run)
+	f.highestEndedRun[taskName] = max(f.highestEndedRun[taskName], s.Run)
 	for _, r := range f.runs {
 		if r.task == s.Task && r.runNumber <= s.Run && !r.stopRequested {
 			f.world.checkMaxUnavailable(r)
@@ -264,7 +264,7 @@
 	case workload.ExitDone:
 		taskName := exit.Task.String()
 		if exit.Sequence <= f.lastExitAtLeaseExpiry {
-			return // the owner may have given up the run before it read the exit
+			return // the owner may have dropped the run before it read the exit
 		}
 		job.acknowledged[taskName] = true
 		if job.supersededDoneRuns[runKey(taskName, exit.Run)] {
@@ -287,8 +287,8 @@
 // registryEntryTTL is how long an entry stays in the registry after the worker's last heartbeat.
 const registryEntryTTL = 4500 * time.Millisecond
 
-// loseVM ends the worker with its VM. The registry entry expires after three missed heartbeats,
-// and a worker under another ID follows.
+// loseVM ends the worker together with its VM. Its registry entry expires after three missed
+// heartbeats, and a worker with another ID is added.
 func (f *fakeWorker) loseVM() {
 	f.terminated = true
 	for _, r := range f.runs {
