--- a/internal/claim/attempt_test.go
+++ b/internal/claim/attempt_test.go
@@ -24,14 +24,14 @@
 	until := n.clock().Wall.Add(5 * time.Second)
 	owner := n.owner.OwnerOf(a.key.key)
 	if owner == n.name {
-		n.answered(a, n.claim(req, a.id, until))
+		n.handleReply(a, n.claim(req, a.id, until))
 		return
 	}
 	p := n.peer(owner)
 	if p == nil {
 		return
 	}
-	a.open = true
+	a.mayBeGranted = true
 	n.w.send(n, p, func() {
 		if p.owner == nil {
 			return
@@ -39,7 +39,7 @@
 		r := p.claim(req, a.id, until)
 		n.w.send(p, n, func() {
 			if a.phase == asking && a.call == call {
-				n.answered(a, r)
+				n.handleReply(a, r)
 			}
 		})
 	})
@@ -47,14 +47,14 @@
 
 // claim decides on an attempt as the owner.
 func (n *simNode) claim(req Request, a Attempt, until time.Time) Reply {
-	if n.w.broken == noAhead {
+	if n.w.missing == noAhead {
 		n.owner.cfg.Ahead = time.Hour
 		defer func() { n.owner.cfg.Ahead = modelClaim.Ahead }()
 	}
 	return n.owner.Claim(n.clock(), req, a, until)
 }
 
-func (n *simNode) answered(a *simAttempt, r Reply) {
+func (n *simNode) handleReply(a *simAttempt, r Reply) {
 	switch r.Code {
 	case CodeGranted:
 		a.phase = granted
@@ -87,15 +87,15 @@
 // end ends an attempt without a grant; a claim that may have been granted in an
 // unheard reply is given back.
 func (n *simNode) end(a *simAttempt) {
-	a.phase = over
-	if a.open {
+	a.phase = ended
+	if a.mayBeGranted {
 		a.report = &Result{Key: a.key.key, Attempt: a.id, End: EndNotRun}
 		a.callDue = n.w.now
 	}
 }
 
 func (n *simNode) run(a *simAttempt) {
-	a.phase = over
+	a.phase = ended
 	res := &Result{Key: a.key.key, Attempt: a.id, End: EndRan}
 	switch {
 	case n.w.chance(0.1):
@@ -103,9 +103,9 @@
 		n.w.toldNotRun(a, "refused")
 	case n.w.chance(0.1):
 		res.End = EndUnknown // the reply was lost
-		n.w.run(a)
+		n.w.backendRun(a)
 	default:
-		n.w.run(a)
+		n.w.backendRun(a)
 	}
 	a.report = res
 	a.callDue = n.w.now
--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-type granting struct{}
+type alwaysValid struct{}
 
-func (granting) Valid(Instant) bool { return true }
+func (alwaysValid) Valid(Instant) bool { return true }
 
 // BenchmarkOwnerClaim measures one claim and its report at an owner among 8, and
 // the memory that a key takes.
@@ -17,7 +17,7 @@
 	cfg := modelClaim
 	cfg.Window = time.Hour
 	cfg.MaxRecords = 1 << 30
-	o := NewOwner(cfg, "m0", granting{})
+	o := NewOwner(cfg, "m0", alwaysValid{})
 	o.Join(Instant{}, nil, Change{Offset: 1, Joined: []string{"m0"}})
 	others := []string{"m1", "m2", "m3", "m4", "m5", "m6", "m7"}
 	now := Instant{Wall: epoch}
--- a/internal/claim/handover.go
+++ b/internal/claim/handover.go
@@ -24,7 +24,7 @@
 	Members []string
 }
 
-func (r keyRange) has(k Key) bool { return ownerOf(r.Members, k) == r.Owner }
+func (r keyRange) covers(k Key) bool { return ownerOf(r.Members, k) == r.Owner }
 
 // Floor marks keys whose claims are lost: those of its range that were minted
 // up to Until.
@@ -34,13 +34,13 @@
 	Until   time.Time
 }
 
-func (f Floor) has(k Key) bool {
-	return !k.Minted().After(f.Until) && keyRange{f.Owner, f.Members}.has(k)
+func (f Floor) covers(k Key) bool {
+	return !k.Minted().After(f.Until) && keyRange{f.Owner, f.Members}.covers(k)
 }
 
-// Debt names claims that the member has yet to get from Source before it may
+// PendingHandover names claims that the member has yet to get from Source before it may
 // grant the keys concerned.
-type Debt struct {
+type PendingHandover struct {
 	// Offset is the change that gave the member the keys.
 	Offset uint64
 	Source string
@@ -49,15 +49,15 @@
 	Lost string
 }
 
-type debt struct {
-	Debt
-	keys keyRange // that cannot be granted meanwhile
-	pull PullRequest
-	// removed is set once Source is no member; it is given up at lapses, on the
+type pendingHandover struct {
+	PendingHandover
+	blockedKeys keyRange // that cannot be granted meanwhile
+	request     PullRequest
+	// sourceRemoved is set once Source is no member; it is given up at lapses, on the
 	// monotonic clock, and floor then bounds what it granted.
-	removed bool
-	lapses  time.Duration
-	floor   time.Time
+	sourceRemoved bool
+	abandonAt     time.Duration
+	floorUntil    time.Time
 }
 
 // PullRequest asks Source for its records of the keys that Owner owns among
@@ -69,9 +69,9 @@
 	Offset  uint64
 	Owner   string
 	Members []string
-	// Whole asks Source to answer only once it has got everything that it is
+	// RequireComplete asks Source to answer only once it has got everything that it is
 	// owed from changes before Offset.
-	Whole bool
+	RequireComplete bool
 }
 
 // Join makes the Owner a member: before are the members before the change. With
@@ -82,11 +82,11 @@
 	o.Apply(now, c)
 	for _, m := range before {
 		if !contains(c.Removed, m) {
-			o.owe(c.Offset, m, keyRange{m, sorted(before)})
+			o.expectHandover(c.Offset, m, keyRange{m, sorted(before)})
 		}
 	}
 	if len(before) == 0 {
-		o.floors = append(o.floors, Floor{Until: o.floorOf(c.Until)})
+		o.floors = append(o.floors, Floor{Until: o.floorTime(c.Until)})
 	}
 }
 
@@ -106,46 +106,46 @@
 		o.retired = true
 	}
 	for _, m := range c.Removed {
-		o.owe(c.Offset, m, keyRange{m, before})
+		o.expectHandover(c.Offset, m, keyRange{m, before})
 	}
-	for i := range o.debts {
-		if d := &o.debts[i]; contains(c.Removed, d.Source) && !d.removed {
-			d.removed = true
-			d.lapses = now.Mono + o.cfg.Handover
-			d.floor = o.floorOf(c.Until)
+	for i := range o.pending {
+		if d := &o.pending[i]; contains(c.Removed, d.Source) && !d.sourceRemoved {
+			d.sourceRemoved = true
+			d.abandonAt = now.Mono + o.cfg.Handover
+			d.floorUntil = o.floorTime(c.Until)
 		}
 	}
-	o.loseHolders(c.Removed)
+	o.markHoldersLost(c.Removed)
 }
 
-// owe notes that source owned the keys before the change at offset.
-func (o *Owner) owe(offset uint64, source string, keys keyRange) {
-	o.debts = append(o.debts, debt{
-		Debt: Debt{Offset: offset, Source: source},
-		keys: keys,
-		pull: PullRequest{
-			Source:  source,
-			Puller:  o.self,
-			Offset:  offset,
-			Owner:   o.self,
-			Members: o.members,
-			Whole:   true,
+// expectHandover notes that source owned the keys before the change at offset.
+func (o *Owner) expectHandover(offset uint64, source string, keys keyRange) {
+	o.pending = append(o.pending, pendingHandover{
+		PendingHandover: PendingHandover{Offset: offset, Source: source},
+		blockedKeys:     keys,
+		request: PullRequest{
+			Source:          source,
+			Puller:          o.self,
+			Offset:          offset,
+			Owner:           o.self,
+			Members:         o.members,
+			RequireComplete: true,
 		},
 	})
 }
 
-// floorOf returns the mint time up to which a removed member may have granted
+// floorTime returns the mint time up to which a removed member may have granted
 // keys. It granted only what was minted up to its own clock plus Ahead, and only
 // while its lease held by that clock, which was until the given time. This
 // member's clock plays no part. Skew allows for a leave or a join, whose time
 // may be another process's.
-func (o *Owner) floorOf(until time.Time) time.Time {
+func (o *Owner) floorTime(until time.Time) time.Time {
 	return until.Add(o.cfg.Ahead + o.cfg.Skew)
 }
 
-// loseHolders marks the claims of removed members. A late report still ends
+// markHoldersLost marks the claims of removed members. A late report still ends
 // them.
-func (o *Owner) loseHolders(removed []string) {
+func (o *Owner) markHoldersLost(removed []string) {
 	for _, r := range o.table.records {
 		if r.State == StateInProgress && contains(removed, r.Attempt.Holder) {
 			r.State = StateUnknown
@@ -154,73 +154,73 @@
 	}
 }
 
-// Debts returns what the member has yet to pull.
-func (o *Owner) Debts() []Debt {
-	list := make([]Debt, len(o.debts))
-	for i, d := range o.debts {
-		list[i] = d.Debt
+// PendingHandovers returns what the member has yet to pull.
+func (o *Owner) PendingHandovers() []PendingHandover {
+	list := make([]PendingHandover, len(o.pending))
+	for i, d := range o.pending {
+		list[i] = d.PendingHandover
 	}
 	return list
 }
 
-// PullFor returns the request that settles a debt, false when it is settled.
-func (o *Owner) PullFor(d Debt) (PullRequest, bool) {
-	for _, x := range o.debts {
-		if x.Debt == d {
-			return x.pull, true
+// PullRequestFor returns the request that settles a debt, false when it is settled.
+func (o *Owner) PullRequestFor(d PendingHandover) (PullRequest, bool) {
+	for _, x := range o.pending {
+		if x.PendingHandover == d {
+			return x.request, true
 		}
 	}
 	return PullRequest{}, false
 }
 
-// Lapse gives up removed members that did not hand over in time, and drops
+// AbandonOverdueHandovers gives up removed members that did not hand over in time, and drops
 // floors below the claim window.
-func (o *Owner) Lapse(now Instant) {
-	var lapsed []debt
-	o.debts = slices.DeleteFunc(o.debts, func(d debt) bool {
-		if !d.removed || now.Mono < d.lapses {
+func (o *Owner) AbandonOverdueHandovers(now Instant) {
+	var overdue []pendingHandover
+	o.pending = slices.DeleteFunc(o.pending, func(d pendingHandover) bool {
+		if !d.sourceRemoved || now.Mono < d.abandonAt {
 			return false
 		}
-		lapsed = append(lapsed, d)
+		overdue = append(overdue, d)
 		return true
 	})
-	for _, d := range lapsed {
-		o.floors = append(o.floors, Floor{Owner: d.keys.Owner, Members: d.keys.Members, Until: d.floor})
+	for _, d := range overdue {
+		o.floors = append(o.floors, Floor{Owner: d.blockedKeys.Owner, Members: d.blockedKeys.Members, Until: d.floorUntil})
 		if d.Lost == "" {
-			o.askAll(d)
+			o.expectHandoverFromAll(d)
 		}
 	}
-	o.floors = slices.DeleteFunc(o.floors, func(f Floor) bool { return f.Until.Before(o.dropped) })
+	o.floors = slices.DeleteFunc(o.floors, func(f Floor) bool { return f.Until.Before(o.droppedUntil) })
 }
 
-// askAll makes every member owe what it holds of a lost owner's keys. The lost
+// expectHandoverFromAll makes every member owe what it holds of a lost owner's keys. The lost
 // one may have been owed claims itself: its predecessor may still be a member
 // that has not heard of it, and grants its keys. Those that were removed are
 // below the floor; the others must say that they know better, and what they
 // granted. They need not wait for what they are owed themselves, since all who
 // could owe it are asked.
-func (o *Owner) askAll(lost debt) {
+func (o *Owner) expectHandoverFromAll(lost pendingHandover) {
 	for _, m := range o.members {
 		if m == o.self {
 			continue
 		}
-		o.debts = append(o.debts, debt{
-			Debt: Debt{Offset: lost.Offset, Source: m, Lost: lost.Source},
-			keys: lost.keys,
-			pull: PullRequest{
+		o.pending = append(o.pending, pendingHandover{
+			PendingHandover: PendingHandover{Offset: lost.Offset, Source: m, Lost: lost.Source},
+			blockedKeys:     lost.blockedKeys,
+			request: PullRequest{
 				Source:  m,
 				Puller:  o.self,
 				Offset:  o.offset,
-				Owner:   lost.keys.Owner,
-				Members: lost.keys.Members,
+				Owner:   lost.blockedKeys.Owner,
+				Members: lost.blockedKeys.Members,
 			},
 		})
 	}
 }
 
-// Blind reports whether a floor covers every key that is minted now, as after
+// RefusesFreshKeys reports whether a floor covers every key that is minted now, as after
 // the first join: each not-repeatable request would be answered "unknown".
-func (o *Owner) Blind(now Instant) bool {
+func (o *Owner) RefusesFreshKeys(now Instant) bool {
 	return slices.ContainsFunc(o.floors, func(f Floor) bool {
 		return f.Owner == "" && f.Until.After(now.Wall)
 	})
@@ -229,12 +229,12 @@
 // Floors returns the number of floors.
 func (o *Owner) Floors() int { return len(o.floors) }
 
-func (o *Owner) indebted(k Key) bool {
-	return slices.ContainsFunc(o.debts, func(d debt) bool { return d.keys.has(k) })
+func (o *Owner) awaitsHandover(k Key) bool {
+	return slices.ContainsFunc(o.pending, func(d pendingHandover) bool { return d.blockedKeys.covers(k) })
 }
 
-func (o *Owner) floored(k Key) bool {
-	return slices.ContainsFunc(o.floors, func(f Floor) bool { return f.has(k) })
+func (o *Owner) belowFloor(k Key) bool {
+	return slices.ContainsFunc(o.floors, func(f Floor) bool { return f.covers(k) })
 }
 
 // PullStatus is an old owner's answer to a pull.
@@ -256,9 +256,9 @@
 type Handover struct {
 	Records []Record
 	Floors  []Floor
-	// Dropped is the mint time up to which the old owner may have dropped
+	// DroppedUntil is the mint time up to which the old owner may have dropped
 	// records.
-	Dropped time.Time
+	DroppedUntil time.Time
 }
 
 // Pull hands over what is asked for. After PullDone this member grants none of
@@ -275,31 +275,31 @@
 	if !contains(o.members, req.Puller) {
 		return Handover{}, PullRefused
 	}
-	if req.Whole && slices.ContainsFunc(o.debts, func(d debt) bool { return d.Offset < req.Offset }) {
+	if req.RequireComplete && slices.ContainsFunc(o.pending, func(d pendingHandover) bool { return d.Offset < req.Offset }) {
 		return Handover{}, PullLater
 	}
-	h := Handover{Floors: slices.Clone(o.floors), Dropped: o.dropped}
+	h := Handover{Floors: slices.Clone(o.floors), DroppedUntil: o.droppedUntil}
 	keys := keyRange{req.Owner, req.Members}
 	for _, r := range o.table.records {
-		if keys.has(r.Key) {
+		if keys.covers(r.Key) {
 			h.Records = append(h.Records, *r)
-			r.handed = o.owner(r.Key) != o.self
+			r.handedOver = o.owner(r.Key) != o.self
 		}
 	}
 	return h, PullDone
 }
 
-// Settle takes the handover for a debt.
-func (o *Owner) Settle(d Debt, h Handover) {
-	i := slices.IndexFunc(o.debts, func(x debt) bool { return x.Debt == d })
+// ApplyHandover takes the handover for a debt.
+func (o *Owner) ApplyHandover(d PendingHandover, h Handover) {
+	i := slices.IndexFunc(o.pending, func(x pendingHandover) bool { return x.PendingHandover == d })
 	if i < 0 {
 		return
 	}
-	o.debts = slices.Delete(o.debts, i, i+1)
+	o.pending = slices.Delete(o.pending, i, i+1)
 	for _, f := range h.Floors {
 		o.addFloor(f)
 	}
-	o.drop(h.Dropped)
+	o.advanceDropped(h.DroppedUntil)
 	for i := range h.Records {
 		o.merge(&h.Records[i])
 	}
@@ -316,35 +316,35 @@
 
 // merge takes a record from an old owner. A record that is here already and was
 // handed over since gives way; otherwise the one that says more of a run wins.
-func (o *Owner) merge(in *Record) {
-	in.handed = false
-	if in.State == StateInProgress && !contains(o.members, in.Attempt.Holder) {
-		in.State = StateUnknown
-		in.Reason = ReasonHolderLost
+func (o *Owner) merge(incoming *Record) {
+	incoming.handedOver = false
+	if incoming.State == StateInProgress && !contains(o.members, incoming.Attempt.Holder) {
+		incoming.State = StateUnknown
+		incoming.Reason = ReasonHolderLost
 	}
-	here := o.table.get(in.Key)
-	if here != nil {
-		in.endIf(here)
-		here.endIf(in)
-		if !here.handed && here.State > in.State {
+	existing := o.table.get(incoming.Key)
+	if existing != nil {
+		incoming.releaseIfReleasedIn(existing)
+		existing.releaseIfReleasedIn(incoming)
+		if !existing.handedOver && existing.State > incoming.State {
 			return
 		}
-		if here.State == StateRan && in.State != StateRan {
+		if existing.State == StateRan && incoming.State != StateRan {
 			return
 		}
 	}
-	answer := in.Answer
-	in.Answer = nil
-	if here != nil {
-		in.Answer = here.Answer
+	answer := incoming.Answer
+	incoming.Answer = nil
+	if existing != nil {
+		incoming.Answer = existing.Answer
 	}
-	o.table.put(in)
-	o.table.keep(in, answer, o.cfg.MaxAnswer, o.cfg.MaxAnswers)
+	o.table.put(incoming)
+	o.table.keepAnswer(incoming, answer, o.cfg.MaxAnswer, o.cfg.MaxAnswers)
 }
 
-// endIf releases the record's attempt when the other record knows that it ended
+// releaseIfReleasedIn releases the record's attempt when the other record knows that it ended
 // without a run.
-func (r *Record) endIf(other *Record) {
+func (r *Record) releaseIfReleasedIn(other *Record) {
 	if r.State == StateInProgress && other.releasedBefore(r.Attempt) {
 		r.release(r.Attempt)
 	}
--- a/internal/claim/lease.go
+++ b/internal/claim/lease.go
@@ -11,8 +11,8 @@
 	// itself counts on it for Margin less.
 	Duration time.Duration
 	Margin   time.Duration
-	// Silence is after how long without an exchange a peer counts as lost.
-	Silence time.Duration
+	// PeerTimeout is after how long without an exchange a peer counts as lost.
+	PeerTimeout time.Duration
 	// Skew is how far a member's clock may be ahead of a peer's for an ack.
 	Skew time.Duration
 }
@@ -42,15 +42,15 @@
 // SetElectorate takes the electorate that was folded.
 func (l *Lease) SetElectorate(names []string) { l.electorate = slices.Clone(names) }
 
-// Propose must be called before a refresh record is appended.
-func (l *Lease) Propose(names []string) { l.proposed = slices.Clone(names) }
+// ProposeElectorate must be called before a refresh record is appended.
+func (l *Lease) ProposeElectorate(names []string) { l.proposed = slices.Clone(names) }
 
-// Proposed ends Propose once the record's outcome was read back. SetElectorate
+// ConfirmElectorate ends Propose once the record's outcome was read back. SetElectorate
 // must have been called with the state after it.
-func (l *Lease) Proposed() { l.proposed = nil }
+func (l *Lease) ConfirmElectorate() { l.proposed = nil }
 
-// Acked notes a peer's ack to a request that was sent at the given time.
-func (l *Lease) Acked(peer string, sent Instant) { l.acks[peer] = sent }
+// RecordAck notes a peer's ack to a request that was sent at the given time.
+func (l *Lease) RecordAck(peer string, sent Instant) { l.acks[peer] = sent }
 
 // Valid implements Right.
 //
@@ -60,66 +60,66 @@
 // keys that it admits are as old as the lease, for which any new owner answers
 // "unknown" (see Watch).
 func (l *Lease) Valid(now Instant) bool {
-	return l.holds(l.electorate, now) && (l.proposed == nil || l.holds(l.proposed, now))
+	return l.ackedByHalf(l.electorate, now) && (l.proposed == nil || l.ackedByHalf(l.proposed, now))
 }
 
-func (l *Lease) holds(electorate []string, now Instant) bool {
+func (l *Lease) ackedByHalf(electorate []string, now Instant) bool {
 	count := 0
 	for _, m := range electorate {
-		if m == l.self || l.current(m, now) {
+		if m == l.self || l.ackCurrent(m, now) {
 			count++
 		}
 	}
 	return len(electorate) > 0 && 2*count >= len(electorate)
 }
 
-func (l *Lease) current(peer string, now Instant) bool {
+func (l *Lease) ackCurrent(peer string, now Instant) bool {
 	sent, ok := l.acks[peer]
 	term := l.cfg.Duration - l.cfg.Margin
 	return ok && now.Mono-sent.Mono < term && now.Wall.Sub(sent.Wall) < term
 }
 
-// clockVote is one peer's clock as seen from here.
-type clockVote struct {
-	ahead time.Duration // how far the peer's clock is ahead of ours at least
-	at    time.Duration
+// clockSample is one peer's clock as seen from here.
+type clockSample struct {
+	ahead   time.Duration // how far the peer's clock is ahead of ours at least
+	takenAt time.Duration
 }
 
-// Clocks compares this VM's clock with those of its peers. Keys carry mint
+// ClockCheck compares this VM's clock with those of its peers. Keys carry mint
 // times, so a member with a wrong clock must not decide on them.
-type Clocks struct {
-	skew  time.Duration
-	keep  time.Duration
-	votes map[string]clockVote
+type ClockCheck struct {
+	skew    time.Duration
+	maxAge  time.Duration
+	samples map[string]clockSample
 }
 
-// NewClocks returns a Clocks that allows a difference of skew and forgets a
+// NewClockCheck returns a Clocks that allows a difference of skew and forgets a
 // peer after keep.
-func NewClocks(skew, keep time.Duration) *Clocks {
-	return &Clocks{skew: skew, keep: keep, votes: map[string]clockVote{}}
+func NewClockCheck(skew, maxAge time.Duration) *ClockCheck {
+	return &ClockCheck{skew: skew, maxAge: maxAge, samples: map[string]clockSample{}}
 }
 
 // Observe notes a peer's clock, read between sent and received. What the
 // exchange took cannot count as a difference.
-func (c *Clocks) Observe(peer string, theirs time.Time, sent, received Instant) {
-	trip := received.Mono - sent.Mono
-	ahead := theirs.Sub(sent.Wall.Add(trip / 2))
+func (c *ClockCheck) Observe(peer string, peerTime time.Time, sent, received Instant) {
+	roundTrip := received.Mono - sent.Mono
+	ahead := peerTime.Sub(sent.Wall.Add(roundTrip / 2))
 	switch {
-	case ahead > trip/2:
-		ahead -= trip / 2
-	case ahead < -trip/2:
-		ahead += trip / 2
+	case ahead > roundTrip/2:
+		ahead -= roundTrip / 2
+	case ahead < -roundTrip/2:
+		ahead += roundTrip / 2
 	default:
 		ahead = 0
 	}
-	c.votes[peer] = clockVote{ahead: ahead, at: received.Mono}
+	c.samples[peer] = clockSample{ahead: ahead, takenAt: received.Mono}
 }
 
-// Right reports whether this VM's clock agrees with at least half of its peers.
-func (c *Clocks) Right(now Instant) bool {
+// Agrees reports whether this VM's clock agrees with at least half of its peers.
+func (c *ClockCheck) Agrees(now Instant) bool {
 	wrong, all := 0, 0
-	for _, v := range c.votes {
-		if now.Mono-v.at > c.keep {
+	for _, v := range c.samples {
+		if now.Mono-v.takenAt > c.maxAge {
 			continue
 		}
 		all++
--- a/internal/claim/model_test.go
+++ b/internal/claim/model_test.go
@@ -121,10 +121,10 @@
 	calmTicks  = 90 // at the end, without faults
 )
 
-// play runs a schedule of faults and stops at the first broken promise.
-func (w *world) play(faults []fault) {
+// runSchedule runs a schedule of faults and stops at the first broken promise.
+func (w *world) runSchedule(faults []fault) {
 	ends := map[int][]func(){}
-	for now := 1; now <= modelTicks && len(w.bad) == 0; now++ {
+	for now := 1; now <= modelTicks && len(w.violations) == 0; now++ {
 		for _, end := range ends[now] {
 			end()
 		}
@@ -153,17 +153,17 @@
 // key runs twice, no caller is told "not run" about a request that ran, and
 // "ran" is said only of one that did. In half of the schedules the nodes'
 // membership really changes hands; the counts below show that.
-func TestModelKeepsPromises(t *testing.T) {
+func TestModelUpholdsGuarantees(t *testing.T) {
 	var grants, evictions, handovers, unknowns int
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 6).Draw(t, "nodes"), allSafeguards)
-		w.play(drawFaults(t))
+		w.runSchedule(drawFaults(t))
 		grants += w.grants
 		evictions += w.evictions
 		handovers += w.handovers
 		unknowns += w.unknowns
-		if len(w.bad) > 0 {
-			t.Fatalf("%v", w.bad)
+		if len(w.violations) > 0 {
+			t.Fatalf("%v", w.violations)
 		}
 	})
 	t.Logf("grants %d, removals seen %d, records handed over %d, unknowns %d", grants, evictions, handovers, unknowns)
@@ -172,30 +172,30 @@
 	require.Positive(t, handovers)
 }
 
-// witness is where the schedules begin among which one breaks a promise when a
+// knownSchedule is where the schedules begin among which one breaks a promise when a
 // safeguard is left out: found by a search, so that the test need not repeat it.
 // Where the random faults seldom do it, they are given, with the nodes to begin
 // with, and only the rest is random.
-type witness struct {
+type knownSchedule struct {
 	first  int
 	nodes  int
 	faults []fault
 }
 
-var witnesses = map[safeguard]witness{
-	noLease:       {first: 54},
-	noWallClock:   {first: 824},
-	noFloor:       {first: 1},
-	lowFloor:      {first: 1},
-	noHandover:    {first: 0},
-	earlyPull:     {first: 18},
-	hungryPull:    {first: 7},
-	ackSuspected:  {first: 1018},
-	hastyTrust:    {first: 1647},
-	oldElectorate: {first: 237},
-	jumpedChanges: {first: 227},
-	noAhead:       {first: 35},
-	presentOwner:  {first: 1096},
+var knownSchedules = map[safeguard]knownSchedule{
+	noLease:        {first: 54},
+	noWallClock:    {first: 824},
+	noFloor:        {first: 1},
+	lowFloor:       {first: 1},
+	noHandover:     {first: 0},
+	earlyPull:      {first: 18},
+	incompletePull: {first: 7},
+	ackSuspected:   {first: 1018},
+	earlyTrust:     {first: 1647},
+	oldElectorate:  {first: 237},
+	mergedChanges:  {first: 227},
+	noAhead:        {first: 35},
+	presentOwner:   {first: 1096},
 	// A joining owner is lost before it got its keys' claims, from an old owner
 	// that does not hear of it.
 	noAskAll: {first: 4, nodes: 3, faults: []fault{
@@ -218,29 +218,29 @@
 	}},
 }
 
-func (w witness) play(number int, broken safeguard) *world {
+func (w knownSchedule) run(seed int, missing safeguard) *world {
 	if w.faults != nil {
-		world := newWorld(uint64(number), w.nodes, broken)
-		world.play(w.faults)
+		world := newWorld(uint64(seed), w.nodes, missing)
+		world.runSchedule(w.faults)
 		return world
 	}
-	world := newWorld(uint64(number), 2+number%5, broken)
-	world.play(rapid.Custom(drawFaults).Example(number))
+	world := newWorld(uint64(seed), 2+seed%5, missing)
+	world.runSchedule(rapid.Custom(drawFaults).Example(seed))
 	return world
 }
 
 // Each safeguard is left out once, and the model must then find a schedule in
 // which a promise breaks: a check that cannot fail would prove nothing. With all
 // safeguards the same schedule breaks none.
-func TestModelNoticesEachMissingSafeguard(t *testing.T) {
+func TestModelDetectsEachMissingSafeguard(t *testing.T) {
 	const schedules = 200
 	for s := allSafeguards + 1; s < numSafeguards; s++ {
 		t.Run(s.String(), func(t *testing.T) {
-			w := witnesses[s]
+			w := knownSchedules[s]
 			for n := w.first; n < w.first+schedules; n++ {
-				if bad := w.play(n, s).bad; len(bad) > 0 {
+				if bad := w.run(n, s).violations; len(bad) > 0 {
 					t.Logf("schedule %d: %s", n, bad[0])
-					require.Empty(t, w.play(n, allSafeguards).bad)
+					require.Empty(t, w.run(n, allSafeguards).violations)
 					return
 				}
 			}
--- a/internal/claim/node_test.go
+++ b/internal/claim/node_test.go
@@ -22,20 +22,20 @@
 	cut               map[*simNode]bool
 	logCut            bool
 
-	state      *ledger.State
-	reading    bool
-	readDue    int
-	readTo     int
-	joinID     string
-	owner      *Owner
-	lease      *Lease
-	watch      *Watch
-	gone       bool // removed, or leaving
-	refreshID  string
-	votes      map[string]Vote // proposed trust votes by record ID
-	attempts   []*simAttempt
-	pulling    map[Debt]int
-	rejoinTick int
+	state            *ledger.State
+	reading          bool
+	readDue          int
+	readTo           int
+	joinID           string
+	owner            *Owner
+	lease            *Lease
+	monitor          *PeerMonitor
+	removedOrLeaving bool // removed, or leaving
+	refreshID        string
+	trustVotes       map[string]Vote // proposed trust votes by record ID
+	attempts         []*simAttempt
+	nextPullTick     map[PendingHandover]int
+	rejoinTick       int
 }
 
 func (n *simNode) running() bool { return n.alive && !n.paused && !n.suspended }
@@ -56,7 +56,7 @@
 
 // Valid is the node's right to grant, with the safeguards that are left out.
 func (n *simNode) Valid(now Instant) bool {
-	switch n.w.broken {
+	switch n.w.missing {
 	case noLease:
 		return true
 	case noWallClock:
@@ -78,12 +78,12 @@
 		return
 	}
 	now := n.clock()
-	n.owner.Lapse(now)
-	switch n.w.broken {
+	n.owner.AbandonOverdueHandovers(now)
+	switch n.w.missing {
 	case noFloor:
 		n.owner.floors = nil
 	case noAskAll:
-		n.owner.debts = slices.DeleteFunc(n.owner.debts, func(d debt) bool { return d.Lost != "" })
+		n.owner.pending = slices.DeleteFunc(n.owner.pending, func(d pendingHandover) bool { return d.Lost != "" })
 	case lowFloor:
 		for i := range n.owner.floors {
 			n.owner.floors[i].Until = n.owner.floors[i].Until.Add(-modelLease.Duration - modelClaim.Ahead - modelClaim.Skew)
@@ -92,19 +92,19 @@
 	for _, a := range n.attempts {
 		n.drive(a)
 	}
-	n.attempts = slices.DeleteFunc(n.attempts, func(a *simAttempt) bool { return a.phase == over && a.report == nil })
+	n.attempts = slices.DeleteFunc(n.attempts, func(a *simAttempt) bool { return a.phase == ended && a.report == nil })
 	n.pull()
-	if n.gone {
+	if n.removedOrLeaving {
 		return
 	}
-	for _, v := range n.watch.Step(now, !n.w.logDown && !n.logCut) {
+	for _, v := range n.monitor.Step(now, !n.w.logDown && !n.logCut) {
 		var body record.Body = record.MemberTrust{By: n.name, Seq: v.Seq}
 		if v.Suspect {
 			body = record.MemberSuspect{By: n.name, Seq: v.Seq, Until: v.Until}
 		}
-		n.votes[n.w.propose(n, v.Member, body)] = v
-		if n.w.broken == hastyTrust {
-			n.watch.Settled(v)
+		n.trustVotes[n.w.propose(n, v.Member, body)] = v
+		if n.w.missing == earlyTrust {
+			n.monitor.ConfirmTrust(v)
 		}
 	}
 	if n.w.now%2 == 0 {
@@ -132,12 +132,12 @@
 	for int(n.state.Offset) < n.readTo {
 		members := n.members()
 		out := n.state.Apply(n.state.Offset+1, n.w.log[n.state.Offset])
-		if v, ok := n.votes[out.ID]; ok && out.Status == ledger.Effective {
-			n.watch.Settled(v)
+		if v, ok := n.trustVotes[out.ID]; ok && out.Status == ledger.Effective {
+			n.monitor.ConfirmTrust(v)
 		}
 		if c, ok := n.change(out.Offset); ok {
 			changed, last = true, c
-			if n.w.broken != jumpedChanges || n.owner == nil {
+			if n.w.missing != mergedChanges || n.owner == nil {
 				n.apply(members, c)
 				before = n.members()
 			}
@@ -150,10 +150,10 @@
 			if m := n.state.Members[n.name]; m != nil {
 				n.lease.SetElectorate(m.Electorate)
 			}
-			n.lease.Proposed()
+			n.lease.ConfirmElectorate()
 		}
 	}
-	if after := n.members(); n.w.broken == jumpedChanges && changed && !slices.Equal(before, after) {
+	if after := n.members(); n.w.missing == mergedChanges && changed && !slices.Equal(before, after) {
 		n.apply(before, Change{Offset: last.Offset, Until: last.Until, Joined: without(after, before), Removed: without(before, after)})
 	}
 }
@@ -182,24 +182,24 @@
 	case n.owner == nil && contains(c.Joined, n.name):
 		n.owner = NewOwner(modelClaim, n.name, n)
 		n.lease = NewLease(modelLease, n.name)
-		n.watch = NewWatch(modelLease)
-		n.votes = map[string]Vote{}
-		n.pulling = map[Debt]int{}
+		n.monitor = NewPeerMonitor(modelLease)
+		n.trustVotes = map[string]Vote{}
+		n.nextPullTick = map[PendingHandover]int{}
 		n.owner.Join(now, before, c)
-		if n.w.broken == noFirstFloor {
+		if n.w.missing == noFirstFloor {
 			n.owner.floors = nil
 		}
 	case n.owner == nil:
 		return
 	default:
-		if contains(c.Removed, n.name) && !n.gone {
-			n.gone = true
+		if contains(c.Removed, n.name) && !n.removedOrLeaving {
+			n.removedOrLeaving = true
 			n.rejoinTick = n.w.now + 30
 		}
 		n.owner.Apply(now, c)
 		n.w.evictions += len(c.Removed)
 	}
-	n.watch.SetPeers(now, without(n.members(), []string{n.name}))
+	n.monitor.SetPeers(now, without(n.members(), []string{n.name}))
 }
 
 func (n *simNode) peer(name string) *simNode {
@@ -217,17 +217,17 @@
 	for _, name := range without(n.members(), []string{n.name}) {
 		p := n.peer(name)
 		n.w.send(n, p, func() {
-			if p.watch == nil || p.gone {
+			if p.monitor == nil || p.removedOrLeaving {
 				return
 			}
-			acked := p.watch.Request(p.clock(), n.name, sent.Wall)
-			if n.w.broken == ackSuspected {
+			acked := p.monitor.HandleLeaseRequest(p.clock(), n.name, sent.Wall)
+			if n.w.missing == ackSuspected {
 				acked = true
 			}
 			n.w.send(p, n, func() {
-				n.watch.Reached(n.clock(), p.name)
+				n.monitor.RecordAnswer(n.clock(), p.name)
 				if acked {
-					n.lease.Acked(p.name, sent)
+					n.lease.RecordAck(p.name, sent)
 				}
 			})
 		})
@@ -240,8 +240,8 @@
 		return
 	}
 	if members := n.members(); !slices.Equal(members, m.Electorate) {
-		if n.w.broken != oldElectorate {
-			n.lease.Propose(members)
+		if n.w.missing != oldElectorate {
+			n.lease.ProposeElectorate(members)
 		}
 		n.refreshID = n.w.propose(n, n.name, record.MemberRefresh{Electorate: members})
 	}
@@ -249,13 +249,13 @@
 
 // pull asks the sources of all debts.
 func (n *simNode) pull() {
-	for _, d := range n.owner.Debts() {
-		if n.pulling[d] > n.w.now {
+	for _, d := range n.owner.PendingHandovers() {
+		if n.nextPullTick[d] > n.w.now {
 			continue
 		}
-		n.pulling[d] = n.w.now + 5
+		n.nextPullTick[d] = n.w.now + 5
 		src := n.peer(d.Source)
-		req, _ := n.owner.PullFor(d)
+		req, _ := n.owner.PullRequestFor(d)
 		n.w.send(n, src, func() {
 			if src.owner == nil {
 				return
@@ -266,17 +266,17 @@
 					return
 				}
 				n.w.handovers += len(h.Records)
-				if n.w.broken == noHandover {
+				if n.w.missing == noHandover {
 					h.Records = nil
 				}
-				n.owner.Settle(d, h)
+				n.owner.ApplyHandover(d, h)
 			})
 		})
 	}
 }
 
 func (n *simNode) handOver(req PullRequest) (Handover, PullStatus) {
-	switch n.w.broken {
+	switch n.w.missing {
 	case earlyPull:
 		req.Offset = 0
 		h, status := n.owner.Pull(req)
@@ -287,10 +287,10 @@
 			status = PullDone
 		}
 		return h, status
-	case hungryPull:
-		req.Whole = false
+	case incompletePull:
+		req.RequireComplete = false
 	case presentOwner:
-		if req.Whole {
+		if req.RequireComplete {
 			req.Members = n.owner.members
 		}
 	}
@@ -299,11 +299,11 @@
 
 // leave begins a planned leave.
 func (n *simNode) leave() {
-	if n.owner != nil && !n.gone {
+	if n.owner != nil && !n.removedOrLeaving {
 		n.owner.Retire()
-		n.gone = true
-		until := n.watch.Retire()
-		if n.w.broken == silentLeave {
+		n.removedOrLeaving = true
+		until := n.monitor.Retire()
+		if n.w.missing == silentLeave {
 			until = epoch
 		}
 		n.w.propose(n, n.name, record.MemberLeave{AcksUntil: until})
--- a/internal/claim/owner.go
+++ b/internal/claim/owner.go
@@ -34,8 +34,8 @@
 // expireBatch is how many expired records one call drops at most.
 const expireBatch = 16
 
-// Right tells whether the member may grant claims now.
-type Right interface {
+// Authority tells whether the member may grant claims now.
+type Authority interface {
 	Valid(now Instant) bool
 }
 
@@ -71,24 +71,24 @@
 // Owner is one member's part in granting claims. It is not safe for concurrent
 // use.
 type Owner struct {
-	cfg     Config
-	self    string
-	right   Right
-	members []string
-	offset  uint64
+	cfg       Config
+	self      string
+	authority Authority
+	members   []string
+	offset    uint64
 	// retired is set once the member was removed or is leaving; it is final.
 	retired bool
 	table   *table
-	debts   []debt
+	pending []pendingHandover
 	floors  []Floor
-	// dropped is the mint time up to which records may have been dropped, here
+	// droppedUntil is the mint time up to which records may have been dropped, here
 	// or by an old owner. No such key is granted, whatever the clock says later.
-	dropped time.Time
+	droppedUntil time.Time
 }
 
 // NewOwner returns the Owner of member self, which owns nothing before Join.
-func NewOwner(cfg Config, self string, right Right) *Owner {
-	return &Owner{cfg: cfg, self: self, right: right, table: newTable()}
+func NewOwner(cfg Config, self string, authority Authority) *Owner {
+	return &Owner{cfg: cfg, self: self, authority: authority, table: newTable()}
 }
 
 // Claim decides on an attempt. until is when the attempt counts as lost if its
@@ -104,31 +104,31 @@
 	}
 	rec := o.table.get(req.Key)
 	if rec != nil && rec.State == StateRan {
-		return o.remembered(now, rec, req, attempt)
+		return o.answerFromRecord(now, rec, req, attempt)
 	}
-	if o.indebted(req.Key) {
+	if o.awaitsHandover(req.Key) {
 		return o.reply(CodeMoving, ReasonMoving)
 	}
 	if rec != nil && (rec.State != StateReleased || rec.releasedBefore(attempt)) {
-		return o.remembered(now, rec, req, attempt)
+		return o.answerFromRecord(now, rec, req, attempt)
 	}
-	if no := o.refused(now, req.Key, rec == nil); no != nil {
+	if no := o.refusal(now, req.Key, rec == nil); no != nil {
 		return *no
 	}
 	o.grant(rec, req, attempt, until)
 	return o.reply(CodeGranted, ReasonNone)
 }
 
-// refused returns the answer to a key that may not be granted, nil otherwise.
-func (o *Owner) refused(now Instant, k Key, fresh bool) *Reply {
+// refusal returns the answer to a key that may not be granted, nil otherwise.
+func (o *Owner) refusal(now Instant, k Key, fresh bool) *Reply {
 	minted := k.Minted()
 	var r Reply
 	switch {
-	case minted.Before(now.Wall.Add(-o.cfg.Window)) || !minted.After(o.dropped):
+	case minted.Before(now.Wall.Add(-o.cfg.Window)) || !minted.After(o.droppedUntil):
 		r = o.reply(CodeUnknown, ReasonTooOld)
-	case o.floored(k):
+	case o.belowFloor(k):
 		r = o.reply(CodeUnknown, ReasonOwnerLost)
-	case o.retired || !o.right.Valid(now):
+	case o.retired || !o.authority.Valid(now):
 		r = o.reply(CodeNoLease, ReasonUnreachable)
 	case minted.After(now.Wall.Add(o.cfg.Ahead)):
 		// Not "not run": a member that was suspended, with its clock, may have
@@ -148,14 +148,14 @@
 		o.table.put(rec)
 	}
 	rec.State = StateInProgress
-	rec.handed = false
+	rec.handedOver = false
 	rec.Attempt = attempt
 	rec.Fingerprint = req.Fingerprint
 	rec.Until = until
 }
 
-// remembered answers from the record of an earlier attempt.
-func (o *Owner) remembered(now Instant, rec *Record, req Request, attempt Attempt) Reply {
+// answerFromRecord answers from the record of an earlier attempt.
+func (o *Owner) answerFromRecord(now Instant, rec *Record, req Request, attempt Attempt) Reply {
 	if rec.Fingerprint != 0 && req.Fingerprint != 0 && rec.Fingerprint != req.Fingerprint {
 		return o.reply(CodeUnknown, ReasonMismatch)
 	}
@@ -189,7 +189,7 @@
 		return false
 	}
 	o.expire(now)
-	if !res.Key.Minted().After(o.dropped) {
+	if !res.Key.Minted().After(o.droppedUntil) {
 		return true
 	}
 	rec := o.table.get(res.Key)
@@ -197,17 +197,17 @@
 		rec = &Record{Key: res.Key, Attempt: res.Attempt}
 		o.table.put(rec)
 	}
-	o.settleAttempt(rec, res)
+	o.recordEnd(rec, res)
 	return true
 }
 
-func (o *Owner) settleAttempt(rec *Record, res Result) {
+func (o *Owner) recordEnd(rec *Record, res Result) {
 	current := rec.Attempt == res.Attempt
 	switch {
 	case res.End == EndRan:
 		rec.State = StateRan
 		rec.Attempt = res.Attempt
-		o.table.keep(rec, res.Answer, o.cfg.MaxAnswer, o.cfg.MaxAnswers)
+		o.table.keepAnswer(rec, res.Answer, o.cfg.MaxAnswer, o.cfg.MaxAnswers)
 	case res.End == EndNotRun && current && rec.State != StateRan:
 		rec.release(res.Attempt)
 	case res.End == EndUnknown && current && rec.State != StateRan:
@@ -233,7 +233,7 @@
 func (o *Owner) Members() ([]string, uint64) { return slices.Clone(o.members), o.offset }
 
 // OwnerOf returns the member that owns the key.
-func (o *Owner) OwnerOf(k Key) string { return o.owner(k) }
+func (o *Owner) OwnerOf(key Key) string { return o.owner(key) }
 
 func (o *Owner) owner(k Key) string { return ownerOf(o.members, k) }
 
@@ -245,13 +245,13 @@
 // difference out of account, so that a new owner whose clock is slower still
 // admits every key inside its own window.
 func (o *Owner) expire(now Instant) {
-	o.drop(now.Wall.Add(-o.cfg.Window - 2*o.cfg.Skew))
-	o.table.expire(o.dropped, expireBatch)
+	o.advanceDropped(now.Wall.Add(-o.cfg.Window - 2*o.cfg.Skew))
+	o.table.expire(o.droppedUntil, expireBatch)
 }
 
-func (o *Owner) drop(until time.Time) {
-	if until.After(o.dropped) {
-		o.dropped = until
+func (o *Owner) advanceDropped(until time.Time) {
+	if until.After(o.droppedUntil) {
+		o.droppedUntil = until
 	}
 }
 
--- a/internal/claim/table.go
+++ b/internal/claim/table.go
@@ -36,9 +36,9 @@
 	// its end.
 	Released []Attempt
 
-	// handed is set once the record was handed over: by then another owner may
+	// handedOver is set once the record was handed over: by then another owner may
 	// know better.
-	handed bool
+	handedOver bool
 }
 
 // maxReleased bounds Record.Released.
@@ -88,8 +88,8 @@
 	t.records[r.Key] = r
 }
 
-// keep stores a reply for retries and forgets the oldest ones over the bound.
-func (t *table) keep(r *Record, a *Answer, maxOne, maxAll int) {
+// keepAnswer stores a reply for retries and forgets the oldest ones over the bound.
+func (t *table) keepAnswer(r *Record, a *Answer, maxOne, maxAll int) {
 	if a == nil || r.Answer != nil || a.Size() > maxOne {
 		return
 	}
@@ -112,8 +112,8 @@
 }
 
 // expire drops up to max records minted before the horizon.
-func (t *table) expire(horizon time.Time, max int) {
-	for range max {
+func (t *table) expire(horizon time.Time, limit int) {
+	for range limit {
 		if len(t.order) == 0 || !t.order[0].Minted().Before(horizon) {
 			return
 		}
--- a/internal/claim/watch.go
+++ b/internal/claim/watch.go
@@ -22,71 +22,71 @@
 const (
 	// trusted: acks are given.
 	trusted trust = iota
-	// suspecting: a suspicion is on the log or may be.
-	suspecting
-	// trusting: a record that takes the suspicion back is on its way.
-	trusting
+	// suspected: a suspicion is on the log or may be.
+	suspected
+	// trustPending: a record that takes the suspicion back is on its way.
+	trustPending
 )
 
-// watched is one peer as the Watch sees it. Times are of the monotonic clock.
-type watched struct {
-	trust   trust
-	seq     uint64
-	heard   time.Duration // last request from the peer
-	reached time.Duration // last answer from the peer
-	until   time.Time     // end of the last lease acked, by the peer's wall clock
+// peerState is one peer as the Watch sees it. Times are of the monotonic clock.
+type peerState struct {
+	trust       trust
+	seq         uint64
+	lastRequest time.Duration // last request from the peer
+	lastAnswer  time.Duration // last answer from the peer
+	ackedUntil  time.Time     // end of the last lease acked, by the peer's wall clock
 }
 
-// Watch is a member's part in the leases and the eviction of its peers.
+// PeerMonitor is a member's part in the leases and the eviction of its peers.
 //
 // The meaning of an ack is kept by three rules. A suspicion says until when the
 // last lease runs that was acked. No ack is given once a suspicion was appended.
 // And acks are given again only after a trust record with a higher sequence
 // number was read back, which makes every copy of the suspicion void, also one
 // still under way.
-type Watch struct {
-	cfg     LeaseConfig
-	peers   map[string]*watched
-	stepped time.Duration
-	// until is the end of the latest lease acked of all peers, those that are
+type PeerMonitor struct {
+	cfg      LeaseConfig
+	peers    map[string]*peerState
+	lastStep time.Duration
+	// ackedUntil is the end of the latest lease acked of all peers, those that are
 	// gone included. No ack is given once retired is set.
-	until   time.Time
-	retired bool
+	ackedUntil time.Time
+	retired    bool
 }
 
-// NewWatch returns a Watch without peers.
-func NewWatch(cfg LeaseConfig) *Watch {
-	return &Watch{cfg: cfg, peers: map[string]*watched{}}
+// NewPeerMonitor returns a Watch without peers.
+func NewPeerMonitor(cfg LeaseConfig) *PeerMonitor {
+	return &PeerMonitor{cfg: cfg, peers: map[string]*peerState{}}
 }
 
 // SetPeers takes the other members. A new one has Silence to be heard of.
-func (w *Watch) SetPeers(now Instant, names []string) {
+func (w *PeerMonitor) SetPeers(now Instant, names []string) {
 	for _, n := range names {
 		if w.peers[n] == nil {
-			w.peers[n] = &watched{heard: now.Mono, reached: now.Mono}
+			w.peers[n] = &peerState{lastRequest: now.Mono, lastAnswer: now.Mono}
 		}
 	}
-	maps.DeleteFunc(w.peers, func(n string, _ *watched) bool { return !contains(names, n) })
+	maps.DeleteFunc(w.peers, func(n string, _ *peerState) bool { return !contains(names, n) })
 }
 
-// Request notes a lease request that a peer sent at the given time of its wall
+// HandleLeaseRequest notes a lease request that a peer sent at the given time of its wall
 // clock, and returns whether it is acked. A peer whose clock is ahead gets no
 // ack: it would admit keys that a new owner must refuse for as long after its
 // eviction.
-func (w *Watch) Request(now Instant, peer string, sent time.Time) bool {
+func (w *PeerMonitor) HandleLeaseRequest(now Instant, peer string, sent time.Time) bool {
 	p := w.peers[peer]
 	if p == nil {
 		return false
 	}
-	p.heard = now.Mono
+	p.lastRequest = now.Mono
 	if w.retired || p.trust != trusted || sent.After(now.Wall.Add(w.cfg.Skew)) {
 		return false
 	}
-	if until := sent.Add(w.cfg.Duration); until.After(p.until) {
-		p.until = until
+	if until := sent.Add(w.cfg.Duration); until.After(p.ackedUntil) {
+		p.ackedUntil = until
 	}
-	if p.until.After(w.until) {
-		w.until = p.until
+	if p.ackedUntil.After(w.ackedUntil) {
+		w.ackedUntil = p.ackedUntil
 	}
 	return true
 }
@@ -94,15 +94,15 @@
 // Retire ends the acks for good, as before a planned leave, and returns when the
 // last of the leases runs out that were acked, by their holders' wall clocks;
 // zero when there were none.
-func (w *Watch) Retire() time.Time {
+func (w *PeerMonitor) Retire() time.Time {
 	w.retired = true
-	return w.until
+	return w.ackedUntil
 }
 
-// Reached notes that a peer answered a lease request of this member.
-func (w *Watch) Reached(now Instant, peer string) {
+// RecordAnswer notes that a peer answered a lease request of this member.
+func (w *PeerMonitor) RecordAnswer(now Instant, peer string) {
 	if p := w.peers[peer]; p != nil {
-		p.reached = now.Mono
+		p.lastAnswer = now.Mono
 	}
 }
 
@@ -113,62 +113,62 @@
 //
 // After a pause of this process nothing was heard for as long, which is no
 // evidence against the peers.
-func (w *Watch) Step(now Instant, logUp bool) []Vote {
-	paused := now.Mono-w.stepped > w.cfg.Silence/2
-	w.stepped = now.Mono
+func (w *PeerMonitor) Step(now Instant, logReachable bool) []Vote {
+	paused := now.Mono-w.lastStep > w.cfg.PeerTimeout/2
+	w.lastStep = now.Mono
 	var votes []Vote
 	for _, name := range slices.Sorted(maps.Keys(w.peers)) {
 		p := w.peers[name]
 		if paused {
-			p.heard, p.reached = now.Mono, now.Mono
+			p.lastRequest, p.lastAnswer = now.Mono, now.Mono
 		}
-		if w.step(now, p, logUp) {
+		if w.advance(now, p, logReachable) {
 			p.seq++
-			votes = append(votes, Vote{Member: name, Suspect: p.trust == suspecting, Seq: p.seq, Until: p.until})
+			votes = append(votes, Vote{Member: name, Suspect: p.trust == suspected, Seq: p.seq, Until: p.ackedUntil})
 		}
 	}
 	return votes
 }
 
-// step returns whether a vote is due.
-func (w *Watch) step(now Instant, p *watched, logUp bool) bool {
-	silent := now.Mono-min(p.heard, p.reached) > w.cfg.Silence
+// advance returns whether a vote is due.
+func (w *PeerMonitor) advance(now Instant, p *peerState, logReachable bool) bool {
+	silent := now.Mono-min(p.lastRequest, p.lastAnswer) > w.cfg.PeerTimeout
 	switch p.trust {
 	case trusted:
-		if silent && logUp {
-			p.trust = suspecting
+		if silent && logReachable {
+			p.trust = suspected
 			return true
 		}
-	case suspecting:
-		if !silent && logUp {
-			p.trust = trusting
+	case suspected:
+		if !silent && logReachable {
+			p.trust = trustPending
 			return true
 		}
-	case trusting:
-		if silent && logUp {
-			p.trust = suspecting
+	case trustPending:
+		if silent && logReachable {
+			p.trust = suspected
 			return true
 		}
 	}
 	return false
 }
 
-// Settled notes that a trust vote was read back as effective.
-func (w *Watch) Settled(v Vote) {
+// ConfirmTrust notes that a trust vote was read back as effective.
+func (w *PeerMonitor) ConfirmTrust(v Vote) {
 	p := w.peers[v.Member]
-	if p != nil && !v.Suspect && p.trust == trusting && p.seq == v.Seq {
+	if p != nil && !v.Suspect && p.trust == trustPending && p.seq == v.Seq {
 		p.trust = trusted
 	}
 }
 
 // Distrusts reports whether the peer has not this member's trust.
-func (w *Watch) Distrusts(peer string) bool {
+func (w *PeerMonitor) Distrusts(peer string) bool {
 	p := w.peers[peer]
 	return p != nil && p.trust != trusted
 }
 
 // Suspects returns the peers without this member's trust, by name.
-func (w *Watch) Suspects() []string {
+func (w *PeerMonitor) Suspects() []string {
 	var names []string
 	for n, p := range w.peers {
 		if p.trust != trusted {
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -29,10 +29,10 @@
 		MaxAnswers: 10000,
 	}
 	modelLease = LeaseConfig{
-		Duration: time.Second,
-		Margin:   100 * time.Millisecond,
-		Silence:  time.Second,
-		Skew:     300 * time.Millisecond,
+		Duration:    time.Second,
+		Margin:      100 * time.Millisecond,
+		PeerTimeout: time.Second,
+		Skew:        300 * time.Millisecond,
 	}
 	epoch = time.UnixMilli(1_733_000_000_000).UTC()
 )
@@ -42,23 +42,23 @@
 type safeguard int
 
 const (
-	allSafeguards safeguard = iota
-	noLease                 // an owner grants without a lease
-	noWallClock             // a lease is checked by the monotonic clock only
-	noFloor                 // a new owner grants keys of the lost owner
-	lowFloor                // the floor leaves the lost owner's last lease out
-	noHandover              // a joining owner starts without the records
-	earlyPull               // an old owner hands over before it knows of the change
-	hungryPull              // an old owner hands over what it has not got itself
-	ackSuspected            // acks go on while a suspicion is on the log
-	hastyTrust              // acks resume before the trust record was read back
-	oldElectorate           // a refresh in flight does not count for the lease
-	jumpedChanges           // several changes of the membership count as one
-	noAhead                 // an owner grants keys of any mint time
-	noAskAll                // a lost owner's predecessors are not asked
-	presentOwner            // an old owner hands over by the present members
-	noFirstFloor            // the first member grants keys of earlier ones
-	silentLeave             // a leave does not say how long its acks run
+	allSafeguards  safeguard = iota
+	noLease                  // an owner grants without a lease
+	noWallClock              // a lease is checked by the monotonic clock only
+	noFloor                  // a new owner grants keys of the lost owner
+	lowFloor                 // the floor leaves the lost owner's last lease out
+	noHandover               // a joining owner starts without the records
+	earlyPull                // an old owner hands over before it knows of the change
+	incompletePull           // an old owner hands over what it has not got itself
+	ackSuspected             // acks go on while a suspicion is on the log
+	earlyTrust               // acks resume before the trust record was read back
+	oldElectorate            // a refresh in flight does not count for the lease
+	mergedChanges            // several changes of the membership count as one
+	noAhead                  // an owner grants keys of any mint time
+	noAskAll                 // a lost owner's predecessors are not asked
+	presentOwner             // an old owner hands over by the present members
+	noFirstFloor             // the first member grants keys of earlier ones
+	silentLeave              // a leave does not say how long its acks run
 	numSafeguards
 )
 
@@ -92,42 +92,42 @@
 const (
 	asking phase = iota
 	granted
-	over
+	ended
 )
 
 type simAttempt struct {
-	key     *simKey
-	id      Attempt
-	at      *simNode
-	first   bool
-	phase   phase
-	until   int // tick at which asking ends
-	call    int // number of the call under way
-	callDue int // tick at which the next call is made
-	open    bool
-	runAt   int
-	report  *Result
-	repeats int
+	key          *simKey
+	id           Attempt
+	at           *simNode
+	first        bool
+	phase        phase
+	until        int // tick at which asking ends
+	call         int // number of the call under way
+	callDue      int // tick at which the next call is made
+	mayBeGranted bool
+	runAt        int
+	report       *Result
+	repeats      int
 }
 
 type world struct {
-	rng     *rand.Rand
-	broken  safeguard
-	now     int
-	log     []record.Record
-	logDown bool
-	waiting []*proposal
-	nodes   []*simNode
-	msgs    []message
-	keys    []*simKey
-	ids     uint64
-	bad     []string
+	rng        *rand.Rand
+	missing    safeguard
+	now        int
+	log        []record.Record
+	logDown    bool
+	waiting    []*proposal
+	nodes      []*simNode
+	msgs       []message
+	keys       []*simKey
+	ids        uint64
+	violations []string
 
 	grants, evictions, unknowns, handovers int
 }
 
-func newWorld(seed uint64, nodes int, broken safeguard) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), broken: broken}
+func newWorld(seed uint64, nodes int, missing safeguard) *world {
+	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), missing: missing}
 	for i := range nodes {
 		w.start(fmt.Sprintf("10.0.0.%d:1", i))
 	}
@@ -143,7 +143,7 @@
 }
 
 func (w *world) fail(format string, args ...any) {
-	w.bad = append(w.bad, fmt.Sprintf("tick %d: ", w.now)+fmt.Sprintf(format, args...))
+	w.violations = append(w.violations, fmt.Sprintf("tick %d: ", w.now)+fmt.Sprintf(format, args...))
 }
 
 // send puts a message on its way, now and then twice.
@@ -249,7 +249,7 @@
 		}
 		back := 1 + w.rng.IntN(min(len(w.keys), 10+w.rng.IntN(90)))
 		k := w.keys[len(w.keys)-back]
-		if first := k.attempts[0]; !first.first || first.phase == over {
+		if first := k.attempts[0]; !first.first || first.phase == ended {
 			w.attempt(k, false)
 		}
 	}
@@ -259,8 +259,8 @@
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	a := &simAttempt{key: k, first: first, at: n, until: w.now + 10 + w.rng.IntN(20), callDue: w.now}
 	k.attempts = append(k.attempts, a)
-	if !n.alive || n.owner == nil || n.gone {
-		a.phase = over
+	if !n.alive || n.owner == nil || n.removedOrLeaving {
+		a.phase = ended
 		return
 	}
 	a.id = Attempt{Holder: n.name, ID: w.id()}
@@ -274,8 +274,8 @@
 	}
 }
 
-// run is what a backend server counts.
-func (w *world) run(a *simAttempt) {
+// backendRun is what a backend server counts.
+func (w *world) backendRun(a *simAttempt) {
 	a.key.runs++
 	if a.key.runs > 1 {
 		w.fail("%s ran %d times, last by %s", a.key.key, a.key.runs, a.at.name)
--- a/internal/entrypeer/asker.go
+++ b/internal/entrypeer/asker.go
@@ -9,10 +9,10 @@
 )
 
 // Asker asks entry processes from a process that is none.
-type Asker struct{ conns *conns }
+type Asker struct{ conns *connPool }
 
 // NewAsker returns an Asker; Close ends its connections.
-func NewAsker() *Asker { return &Asker{conns: newConns(nil)} }
+func NewAsker() *Asker { return &Asker{conns: newConnPool(nil)} }
 
 // Close ends the connections.
 func (a *Asker) Close() { a.conns.close() }
@@ -23,7 +23,7 @@
 func (a *Asker) InFlight(ctx context.Context, address string) (offset uint64, vms map[string]int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, DefaultCallTimeout)
 	defer cancel()
-	c, err := a.conns.to(address)
+	c, err := a.conns.client(address)
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/entrypeer/bytes_test.go
+++ b/internal/entrypeer/bytes_test.go
@@ -34,7 +34,7 @@
 // second, so bytes that the transport adds to each are multiplied by the square
 // of the members. A ping and a window update with each message more than doubled
 // the control traffic.
-func TestSmallCallsCostFewBytes(t *testing.T) {
+func TestSmallCallsUseFewBytes(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	server := peerserver.New(listener)
@@ -43,11 +43,11 @@
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(ctx) }()
 	var bytes atomic.Int64
-	conns := newConns(func(ctx context.Context, address string) (net.Conn, error) {
+	conns := newConnPool(func(ctx context.Context, address string) (net.Conn, error) {
 		conn, err := dialTCP(ctx, address)
 		return countedConn{conn, &bytes}, err
 	})
-	client, err := conns.to(listener.Addr().String())
+	client, err := conns.client(listener.Addr().String())
 	require.NoError(t, err)
 	const warm, calls = 10, 100
 	for i := range warm + calls {
--- a/internal/entrypeer/claims.go
+++ b/internal/entrypeer/claims.go
@@ -21,48 +21,48 @@
 	awaitMax = 2 * time.Second
 )
 
-// unanswered is the reply that stands for an owner that gave none.
-var unanswered = claim.Reply{Code: claim.CodeNoLease, Reason: claim.ReasonUnreachable}
+// ownerUnreachable is the reply that stands for an owner that gave none.
+var ownerUnreachable = claim.Reply{Code: claim.CodeNoLease, Reason: claim.ReasonUnreachable}
 
 // Claim implements Claimer.
 func (n *Node) Claim(ctx context.Context, req claim.Request) claim.Decision {
 	m := n.current()
 	if m == nil {
-		return decide(req, claim.Attempt{}, unanswered)
+		return decide(req, claim.Attempt{}, ownerUnreachable)
 	}
 	until, ok := ctx.Deadline()
 	if !ok {
 		until = time.Now().Add(maxRun)
 	}
-	t := &try{
-		node:     n,
-		req:      req,
-		attempt:  claim.Attempt{Holder: m.Name(), ID: ulid.Make()},
-		until:    until.Add(reportSlack),
-		patience: time.Now().Add(n.cfg.Patience),
+	t := &claimCall{
+		node:       n,
+		req:        req,
+		attempt:    claim.Attempt{Holder: m.Name(), ID: ulid.Make()},
+		until:      until.Add(reportSlack),
+		retryUntil: time.Now().Add(n.cfg.Patience),
 	}
 	reply := t.run(ctx, m)
-	if reply.Code != claim.CodeGranted && t.open {
+	if reply.Code != claim.CodeGranted && t.mayBeGranted {
 		n.Report(claim.Result{Key: req.Key, Attempt: t.attempt, End: claim.EndNotRun})
 	}
 	return decide(req, t.attempt, reply)
 }
 
-// try is one attempt's way to a final reply. The attempt's ID stays the same
+// claimCall is one attempt's way to a final reply. The attempt's ID stays the same
 // throughout, so that an owner which granted the claim already, in a reply that
 // was lost, grants it again and no second claim is left behind.
-type try struct {
-	node     *Node
-	req      claim.Request
-	attempt  claim.Attempt
-	until    time.Time
-	patience time.Time
-	// open is set once a call went unanswered: its claim may have been granted,
+type claimCall struct {
+	node       *Node
+	req        claim.Request
+	attempt    claim.Attempt
+	until      time.Time
+	retryUntil time.Time
+	// mayBeGranted is set once a call went unanswered: its claim may have been granted,
 	// and must be given back when the attempt ends otherwise.
-	open bool
+	mayBeGranted bool
 }
 
-func (t *try) run(ctx context.Context, m *Member) claim.Reply {
+func (t *claimCall) run(ctx context.Context, m *Member) claim.Reply {
 	pause := retryMin
 	for {
 		owner, address := m.route(t.req.Key)
@@ -74,7 +74,7 @@
 			}
 			continue
 		case claim.CodeNotOwner, claim.CodeMoving, claim.CodeNoLease:
-			if ctx.Err() != nil || !time.Now().Before(t.patience) || m.suspected(owner) {
+			if ctx.Err() != nil || !time.Now().Before(t.retryUntil) || m.distrusts(owner) {
 				return reply
 			}
 		default:
@@ -86,21 +86,21 @@
 }
 
 // ask puts the claim to the owner once.
-func (t *try) ask(ctx context.Context, m *Member, owner, address string) claim.Reply {
+func (t *claimCall) ask(ctx context.Context, m *Member, owner, address string) claim.Reply {
 	if owner == m.Name() {
 		return m.claim(t.req, t.attempt, t.until)
 	}
 	reply, err := t.call(ctx, owner, address)
 	if err != nil {
-		t.open = true
+		t.mayBeGranted = true
 		t.node.cfg.Logger.Debug("the owner of a key does not answer", "owner", owner, "error", err)
-		return unanswered
+		return ownerUnreachable
 	}
 	return reply
 }
 
-func (t *try) call(ctx context.Context, owner, address string) (claim.Reply, error) {
-	c, err := t.node.conns.to(address)
+func (t *claimCall) call(ctx context.Context, owner, address string) (claim.Reply, error) {
+	c, err := t.node.conns.client(address)
 	if err != nil {
 		return claim.Reply{}, err
 	}
@@ -129,11 +129,11 @@
 
 // await waits at the owner for another attempt to end. It returns false when
 // too many wait there already.
-func (t *try) await(ctx context.Context, m *Member, owner, address string) bool {
+func (t *claimCall) await(ctx context.Context, m *Member, owner, address string) bool {
 	if owner == m.Name() {
 		return m.await(ctx, t.req.Key, t.attempt)
 	}
-	c, err := t.node.conns.to(address)
+	c, err := t.node.conns.client(address)
 	if err != nil {
 		return true
 	}
--- a/internal/entrypeer/conns.go
+++ b/internal/entrypeer/conns.go
@@ -24,20 +24,20 @@
 	redialMax      = time.Second
 )
 
-// conns keeps one connection per peer address. It carries no credentials yet:
+// connPool keeps one connection per peer address. It carries no credentials yet:
 // entry VMs talk in plain text inside their own network.
-type conns struct {
-	dial   func(ctx context.Context, address string) (net.Conn, error)
-	mu     sync.Mutex
-	closed bool
-	open   map[string]*grpc.ClientConn
+type connPool struct {
+	dial      func(ctx context.Context, address string) (net.Conn, error)
+	mu        sync.Mutex
+	closed    bool
+	byAddress map[string]*grpc.ClientConn
 }
 
-func newConns(dial func(ctx context.Context, address string) (net.Conn, error)) *conns {
+func newConnPool(dial func(ctx context.Context, address string) (net.Conn, error)) *connPool {
 	if dial == nil {
 		dial = dialTCP
 	}
-	return &conns{dial: dial, open: map[string]*grpc.ClientConn{}}
+	return &connPool{dial: dial, byAddress: map[string]*grpc.ClientConn{}}
 }
 
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
@@ -45,14 +45,14 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// to returns a client for the peer at address (IP:port).
-func (c *conns) to(address string) (pb.EntryPeerClient, error) {
+// client returns a client for the peer at address (IP:port).
+func (c *connPool) client(address string) (pb.EntryPeerClient, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return nil, errors.New("connections to peers are closed")
 	}
-	if conn, ok := c.open[address]; ok {
+	if conn, ok := c.byAddress[address]; ok {
 		return pb.NewEntryPeerClient(conn), nil
 	}
 	options := append(peerserver.DialOptions(),
@@ -68,17 +68,17 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "entry peer %s", address)
 	}
-	c.open[address] = conn
+	c.byAddress[address] = conn
 	return pb.NewEntryPeerClient(conn), nil
 }
 
 // drop closes the connection to address; the next call dials anew. After a
 // network split TCP would go on retransmitting at its grown interval for many
 // seconds, in which the peer seems lost though it can be reached again.
-func (c *conns) drop(address string) {
+func (c *connPool) drop(address string) {
 	c.mu.Lock()
-	conn := c.open[address]
-	delete(c.open, address)
+	conn := c.byAddress[address]
+	delete(c.byAddress, address)
 	c.mu.Unlock()
 	if conn != nil {
 		_ = conn.Close() // nothing to do about an error: the connection is given up
@@ -86,13 +86,13 @@
 }
 
 // retain closes the connections to all other addresses.
-func (c *conns) retain(keep map[string]bool) {
+func (c *connPool) retain(keep map[string]bool) {
 	c.mu.Lock()
 	var gone []*grpc.ClientConn
-	for a, conn := range c.open {
+	for a, conn := range c.byAddress {
 		if !keep[a] {
 			gone = append(gone, conn)
-			delete(c.open, a)
+			delete(c.byAddress, a)
 		}
 	}
 	c.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-func (c *conns) close() {
+func (c *connPool) close() {
 	c.retain(nil)
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/entrypeer/convert.go
+++ b/internal/entrypeer/convert.go
@@ -36,8 +36,8 @@
 	return claim.Attempt{Holder: a.GetHolder(), ID: id}, err
 }
 
-// subject reads the key and attempt that most calls carry.
-func subject(k *pb.Key, a *pb.Attempt) (claim.Key, claim.Attempt, error) {
+// keyAndAttempt reads the key and attempt that most calls carry.
+func keyAndAttempt(k *pb.Key, a *pb.Attempt) (claim.Key, claim.Attempt, error) {
 	key, err := keyOf(k)
 	if err != nil {
 		return key, claim.Attempt{}, err
@@ -87,7 +87,7 @@
 }
 
 func recordOf(r *pb.Record) (claim.Record, error) {
-	key, attempt, err := subject(r.GetKey(), r.GetAttempt())
+	key, attempt, err := keyAndAttempt(r.GetKey(), r.GetAttempt())
 	if err != nil {
 		return claim.Record{}, err
 	}
--- a/internal/entrypeer/decide.go
+++ b/internal/entrypeer/decide.go
@@ -32,18 +32,18 @@
 		d.Verdict = claim.Unknown
 		d.RetryAfter = retrySoon
 	case claim.CodeUnknown:
-		d.Verdict = withoutRecord(req, r.Reason)
+		d.Verdict = verdictWithoutRecord(req, r.Reason)
 	default:
-		d.Verdict = withoutRecord(req, claim.ReasonUnreachable)
+		d.Verdict = verdictWithoutRecord(req, claim.ReasonUnreachable)
 		d.RetryAfter = retrySoon
 	}
 	return d
 }
 
-// withoutRecord is the verdict where nothing is known of earlier attempts: the
+// verdictWithoutRecord is the verdict where nothing is known of earlier attempts: the
 // caller's word that there is none settles it, since this attempt has not run
 // and will not.
-func withoutRecord(req claim.Request, reason claim.Reason) claim.Verdict {
+func verdictWithoutRecord(req claim.Request, reason claim.Reason) claim.Verdict {
 	switch reason {
 	case claim.ReasonTooOld, claim.ReasonTooNew, claim.ReasonOwnerLost, claim.ReasonUnreachable, claim.ReasonMoving:
 		if req.First {
--- a/internal/entrypeer/local_test.go
+++ b/internal/entrypeer/local_test.go
@@ -56,7 +56,7 @@
 // The first attempt holds its claim and never ends. A retry gets "unknown" at
 // its own deadline and not before; after the first attempt reported that it did
 // not run, a third one may.
-func TestRetryEndsAtItsDeadline(t *testing.T) {
+func TestRetryGetsUnknownAtItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLocal("a", testConfig())
 		req := freshRequest()
--- a/internal/entrypeer/member.go
+++ b/internal/entrypeer/member.go
@@ -23,14 +23,14 @@
 type Member struct {
 	name string
 
-	mu        sync.Mutex
-	owner     *claim.Owner
-	lease     *claim.Lease
-	watch     *claim.Watch
-	clocks    *claim.Clocks
-	addresses map[string]string // of members and of those removed lately
-	waiting   waiting
-	pulled    map[string]uint64 // highest change that each peer pulled for
+	mu            sync.Mutex
+	owner         *claim.Owner
+	lease         *claim.Lease
+	monitor       *claim.PeerMonitor
+	clockCheck    *claim.ClockCheck
+	addresses     map[string]string // of members and of those removed lately
+	waiters       waiters
+	pulledOffsets map[string]uint64 // highest change that each peer pulled for
 }
 
 // MemberConfig is what a Member needs.
@@ -43,25 +43,25 @@
 // NewMember returns a Member that owns nothing before Join.
 func NewMember(cfg MemberConfig) *Member {
 	m := &Member{
-		name:      cfg.Name,
-		lease:     claim.NewLease(cfg.Lease, cfg.Name),
-		watch:     claim.NewWatch(cfg.Lease),
-		clocks:    claim.NewClocks(cfg.Claim.Skew, cfg.Lease.Silence),
-		addresses: map[string]string{},
-		waiting:   newWaiting(),
-		pulled:    map[string]uint64{},
+		name:          cfg.Name,
+		lease:         claim.NewLease(cfg.Lease, cfg.Name),
+		monitor:       claim.NewPeerMonitor(cfg.Lease),
+		clockCheck:    claim.NewClockCheck(cfg.Claim.Skew, cfg.Lease.PeerTimeout),
+		addresses:     map[string]string{},
+		waiters:       newWaiters(),
+		pulledOffsets: map[string]uint64{},
 	}
-	m.owner = claim.NewOwner(cfg.Claim, cfg.Name, right{m})
+	m.owner = claim.NewOwner(cfg.Claim, cfg.Name, memberAuthority{m})
 	return m
 }
 
-// right is the member's right to grant: a lease and a clock that peers agree
+// memberAuthority is the member's right to grant: a lease and a clock that peers agree
 // with.
-type right struct{ m *Member }
+type memberAuthority struct{ m *Member }
 
 // Valid implements claim.Right. The Member's lock is held.
-func (r right) Valid(now claim.Instant) bool {
-	return r.m.lease.Valid(now) && r.m.clocks.Right(now)
+func (r memberAuthority) Valid(now claim.Instant) bool {
+	return r.m.lease.Valid(now) && r.m.clockCheck.Agrees(now)
 }
 
 // Name returns the member's name.
@@ -72,31 +72,31 @@
 func (m *Member) Join(before []ledger.MemberRef, change ledger.MemberChange) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.remember(before)
-	m.remember(change.Joined)
+	m.recordAddresses(before)
+	m.recordAddresses(change.Joined)
 	m.owner.Join(Now(), names(before), claimChange(change))
-	m.repeer()
+	m.updatePeers()
 }
 
 // Apply takes a change of the membership.
 func (m *Member) Apply(change ledger.MemberChange) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.remember(change.Joined)
-	m.remember(change.Removed)
+	m.recordAddresses(change.Joined)
+	m.recordAddresses(change.Removed)
 	m.owner.Apply(Now(), claimChange(change))
-	m.repeer()
-	m.waiting.wakeAll()
+	m.updatePeers()
+	m.waiters.wakeAll()
 }
 
-func (m *Member) remember(refs []ledger.MemberRef) {
+func (m *Member) recordAddresses(refs []ledger.MemberRef) {
 	for _, r := range refs {
 		m.addresses[r.Name] = r.Address
 	}
 }
 
-// repeer takes the members other than this one as peers to watch.
-func (m *Member) repeer() {
+// updatePeers takes the members other than this one as peers to watch.
+func (m *Member) updatePeers() {
 	members, _ := m.owner.Members()
 	var peers []string
 	for _, n := range members {
@@ -104,7 +104,7 @@
 			peers = append(peers, n)
 		}
 	}
-	m.watch.SetPeers(Now(), peers)
+	m.monitor.SetPeers(Now(), peers)
 }
 
 func claimChange(c ledger.MemberChange) claim.Change {
@@ -133,13 +133,13 @@
 	return peers
 }
 
-// Contacts returns the addresses that this member may still have to call: of the
+// RequiredAddresses returns the addresses that this member may still have to call: of the
 // members and of those that owe it claims. It forgets all others.
-func (m *Member) Contacts() map[string]bool {
+func (m *Member) RequiredAddresses() map[string]bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	members, _ := m.owner.Members()
-	for _, d := range m.owner.Debts() {
+	for _, d := range m.owner.PendingHandovers() {
 		members = append(members, d.Source)
 	}
 	keep := map[string]bool{}
@@ -170,15 +170,15 @@
 func (m *Member) Valid() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return right{m}.Valid(Now())
+	return memberAuthority{m}.Valid(Now())
 }
 
-// Blind reports whether the member must answer "unknown" to every key that is
+// RefusesFreshKeys reports whether the member must answer "unknown" to every key that is
 // minted now.
-func (m *Member) Blind() bool {
+func (m *Member) RefusesFreshKeys() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.owner.Blind(Now())
+	return m.owner.RefusesFreshKeys(Now())
 }
 
 // Retire makes the member stop granting and giving acks for good, as before a
@@ -187,24 +187,24 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.owner.Retire()
-	return m.watch.Retire()
+	return m.monitor.Retire()
 }
 
 // Step moves the watch over the peers on, and the debts to removed ones. It
 // returns the votes that are due.
-func (m *Member) Step(logUp bool) []claim.Vote {
+func (m *Member) Step(logReachable bool) []claim.Vote {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := Now()
-	m.owner.Lapse(now)
-	return m.watch.Step(now, logUp)
+	m.owner.AbandonOverdueHandovers(now)
+	return m.monitor.Step(now, logReachable)
 }
 
-// Settled notes that a trust vote was read back as effective.
-func (m *Member) Settled(v claim.Vote) {
+// ConfirmTrust notes that a trust vote was read back as effective.
+func (m *Member) ConfirmTrust(v claim.Vote) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.watch.Settled(v)
+	m.monitor.ConfirmTrust(v)
 }
 
 // SetElectorate takes the electorate that was folded.
@@ -214,97 +214,97 @@
 	m.lease.SetElectorate(names)
 }
 
-// Propose must be called before a refresh of the electorate is appended.
-func (m *Member) Propose(names []string) {
+// ProposeElectorate must be called before a refresh of the electorate is appended.
+func (m *Member) ProposeElectorate(names []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lease.Propose(names)
+	m.lease.ProposeElectorate(names)
 }
 
-// Proposed takes the electorate after the refresh was read back.
-func (m *Member) Proposed(folded []string) {
+// ConfirmElectorate takes the electorate after the refresh was read back.
+func (m *Member) ConfirmElectorate(folded []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lease.SetElectorate(folded)
-	m.lease.Proposed()
+	m.lease.ConfirmElectorate()
 }
 
-// Debts returns the claims that the member has yet to pull.
-func (m *Member) Debts() []claim.Debt {
+// PendingHandovers returns the claims that the member has yet to pull.
+func (m *Member) PendingHandovers() []claim.PendingHandover {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.owner.Debts()
+	return m.owner.PendingHandovers()
 }
 
-// pullFor returns the request that settles a debt.
-func (m *Member) pullFor(d claim.Debt) (claim.PullRequest, bool) {
+// pullRequestFor returns the request that settles a debt.
+func (m *Member) pullRequestFor(d claim.PendingHandover) (claim.PullRequest, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.owner.PullFor(d)
+	return m.owner.PullRequestFor(d)
 }
 
-// Settle takes the handover for a debt.
-func (m *Member) Settle(d claim.Debt, h claim.Handover) {
+// ApplyHandover takes the handover for a debt.
+func (m *Member) ApplyHandover(d claim.PendingHandover, h claim.Handover) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.owner.Settle(d, h)
-	m.waiting.wakeAll()
+	m.owner.ApplyHandover(d, h)
+	m.waiters.wakeAll()
 }
 
-// pull answers a peer's pull.
-func (m *Member) pull(req claim.PullRequest) (claim.Handover, claim.PullStatus) {
+// handlePull answers a peer's pull.
+func (m *Member) handlePull(req claim.PullRequest) (claim.Handover, claim.PullStatus) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.owner.Pull(req)
 }
 
-// handedOver notes that a peer received a whole handover.
-func (m *Member) handedOver(offset uint64, puller string) {
+// recordHandover notes that a peer received a whole handover.
+func (m *Member) recordHandover(offset uint64, puller string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.pulled[puller] = max(m.pulled[puller], offset)
+	m.pulledOffsets[puller] = max(m.pulledOffsets[puller], offset)
 }
 
-// Awaited returns the members that have yet to pull for the change at offset.
-func (m *Member) Awaited(offset uint64) []string {
+// MembersYetToPull returns the members that have yet to pull for the change at offset.
+func (m *Member) MembersYetToPull(offset uint64) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	members, _ := m.owner.Members()
 	var list []string
 	for _, n := range members {
-		if n != m.name && m.pulled[n] < offset {
+		if n != m.name && m.pulledOffsets[n] < offset {
 			list = append(list, n)
 		}
 	}
 	return list
 }
 
-// leaseAsked answers a peer's lease request.
-func (m *Member) leaseAsked(peer string, clock time.Time) bool {
+// handleLeaseRequest answers a peer's lease request.
+func (m *Member) handleLeaseRequest(peer string, clock time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.watch.Request(Now(), peer, clock)
+	return m.monitor.HandleLeaseRequest(Now(), peer, clock)
 }
 
-// leaseAnswered takes a peer's answer to a lease request.
-func (m *Member) leaseAnswered(peer string, acked bool, clock time.Time, sent claim.Instant) {
+// handleLeaseReply takes a peer's answer to a lease request.
+func (m *Member) handleLeaseReply(peer string, acked bool, clock time.Time, sent claim.Instant) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := Now()
-	m.watch.Reached(now, peer)
-	m.clocks.Observe(peer, clock, sent, now)
+	m.monitor.RecordAnswer(now, peer)
+	m.clockCheck.Observe(peer, clock, sent, now)
 	if acked {
-		m.lease.Acked(peer, sent)
+		m.lease.RecordAck(peer, sent)
 	}
 }
 
 // Stats are figures of a Member.
 type Stats struct {
-	Records    int
-	InProgress int
-	Debts      int
-	Floors     int
-	Suspects   int
+	Records          int
+	InProgress       int
+	PendingHandovers int
+	Floors           int
+	Suspects         int
 }
 
 // Stats returns the member's figures.
@@ -313,20 +313,20 @@
 	defer m.mu.Unlock()
 	records, running := m.owner.Counts()
 	return Stats{
-		Records:    records,
-		InProgress: running,
-		Debts:      len(m.owner.Debts()),
-		Floors:     m.owner.Floors(),
-		Suspects:   len(m.watch.Suspects()),
+		Records:          records,
+		InProgress:       running,
+		PendingHandovers: len(m.owner.PendingHandovers()),
+		Floors:           m.owner.Floors(),
+		Suspects:         len(m.monitor.Suspects()),
 	}
 }
 
-// suspected reports whether this member has no trust in a peer, so that asking
+// distrusts reports whether this member has no trust in a peer, so that asking
 // it is vain.
-func (m *Member) suspected(peer string) bool {
+func (m *Member) distrusts(peer string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.watch.Distrusts(peer)
+	return m.monitor.Distrusts(peer)
 }
 
 // route returns the owner of the key and its address.
--- a/internal/entrypeer/metrics.go
+++ b/internal/entrypeer/metrics.go
@@ -4,14 +4,14 @@
 
 // collector reads a Node's figures when it is scraped.
 type collector struct {
-	node     *Node
-	records  *prometheus.Desc
-	running  *prometheus.Desc
-	awaited  *prometheus.Desc
-	floors   *prometheus.Desc
-	suspects *prometheus.Desc
-	granting *prometheus.Desc
-	dropped  *prometheus.Desc
+	node       *Node
+	records    *prometheus.Desc
+	inProgress *prometheus.Desc
+	handovers  *prometheus.Desc
+	floors     *prometheus.Desc
+	suspects   *prometheus.Desc
+	granting   *prometheus.Desc
+	dropped    *prometheus.Desc
 }
 
 // NewCollector returns the metrics of a Node.
@@ -20,14 +20,14 @@
 		return prometheus.NewDesc("yuccadrift_claims_"+name, help, nil, nil)
 	}
 	return &collector{
-		node:     node,
-		records:  desc("records", "Keys of not-repeatable requests that this member owns and remembers."),
-		running:  desc("in_progress", "Claims of this owner that are held by a running attempt."),
-		awaited:  desc("handovers_awaited", "Handovers from earlier owners that have not arrived yet."),
-		floors:   desc("floors", "Lost members whose keys of a certain age are answered with unknown."),
-		suspects: desc("suspects", "Peers that this member does not trust at present."),
-		granting: desc("granting", "1 while this process may grant claims."),
-		dropped:  desc("reports_dropped_total", "Ends of attempts that could not be reported to the owner of their key."),
+		node:       node,
+		records:    desc("records", "Keys of not-repeatable requests that this member owns and remembers."),
+		inProgress: desc("in_progress", "Claims of this owner that are held by a running attempt."),
+		handovers:  desc("handovers_awaited", "Handovers from earlier owners that have not arrived yet."),
+		floors:     desc("floors", "Lost members whose keys of a certain age are answered with unknown."),
+		suspects:   desc("suspects", "Peers that this member does not trust at present."),
+		granting:   desc("granting", "1 while this process may grant claims."),
+		dropped:    desc("reports_dropped_total", "Ends of attempts that could not be reported to the owner of their key."),
 	}
 }
 
@@ -43,8 +43,8 @@
 	}
 	s := c.node.Stats()
 	gauge(c.records, s.Records)
-	gauge(c.running, s.InProgress)
-	gauge(c.awaited, s.Debts)
+	gauge(c.inProgress, s.InProgress)
+	gauge(c.handovers, s.PendingHandovers)
 	gauge(c.floors, s.Floors)
 	gauge(c.suspects, s.Suspects)
 	granting := 0
--- a/internal/entrypeer/node.go
+++ b/internal/entrypeer/node.go
@@ -43,15 +43,15 @@
 // path.
 type Node struct {
 	cfg   NodeConfig
-	conns *conns
+	conns *connPool
 
 	mu      sync.Mutex
 	members []*Member // the current one is last; older ones still hand over
 	joined  bool
 
-	reports   chan report
-	reporting atomic.Int64
-	dropped   atomic.Int64
+	reports     chan report
+	undelivered atomic.Int64
+	dropped     atomic.Int64
 }
 
 // maxMemberships is how many earlier memberships of this process are kept to
@@ -60,7 +60,7 @@
 
 // NewNode returns a Node without membership. It grants nothing before Begin.
 func NewNode(cfg NodeConfig) *Node {
-	return &Node{cfg: cfg, conns: newConns(cfg.Dial), reports: make(chan report, maxReports)}
+	return &Node{cfg: cfg, conns: newConnPool(cfg.Dial), reports: make(chan report, maxReports)}
 }
 
 // Close ends the connections to peers.
@@ -128,7 +128,7 @@
 
 // Lease asks the peer for its promise on behalf of m.
 func (n *Node) Lease(ctx context.Context, m *Member, peer, address string) error {
-	c, err := n.conns.to(address)
+	c, err := n.conns.client(address)
 	if err != nil {
 		return err
 	}
@@ -140,13 +140,13 @@
 	if r.GetMember() != peer {
 		return errors.Errorf("%s answers at the address of %s", r.GetMember(), peer)
 	}
-	m.leaseAnswered(peer, r.GetAcked(), r.GetClock().AsTime(), sent)
+	m.handleLeaseReply(peer, r.GetAcked(), r.GetClock().AsTime(), sent)
 	return nil
 }
 
 // Probe asks whether any entry process answers at address.
 func (n *Node) Probe(ctx context.Context, address string) error {
-	c, err := n.conns.to(address)
+	c, err := n.conns.client(address)
 	if err != nil {
 		return err
 	}
@@ -161,13 +161,13 @@
 func (n *Node) Retain(addresses map[string]bool) { n.conns.retain(addresses) }
 
 // Pull asks the source of the debt for its claims on behalf of m.
-func (n *Node) Pull(ctx context.Context, m *Member, d claim.Debt) (claim.Handover, claim.PullStatus, error) {
+func (n *Node) Pull(ctx context.Context, m *Member, d claim.PendingHandover) (claim.Handover, claim.PullStatus, error) {
 	var h claim.Handover
-	req, open := m.pullFor(d)
+	req, open := m.pullRequestFor(d)
 	if !open {
 		return h, claim.PullLater, nil
 	}
-	c, err := n.conns.to(m.Address(d.Source))
+	c, err := n.conns.client(m.Address(d.Source))
 	if err != nil {
 		return h, claim.PullLater, err
 	}
@@ -177,7 +177,7 @@
 		Offset:  req.Offset,
 		Owner:   req.Owner,
 		Members: req.Members,
-		Whole:   req.Whole,
+		Whole:   req.RequireComplete,
 	})
 	if err != nil {
 		return h, claim.PullLater, errors.Wrapf(err, "pull from %s", d.Source)
@@ -210,7 +210,7 @@
 		h.Floors = append(h.Floors, floorOf(f))
 	}
 	if d := part.GetDropped(); d != nil {
-		h.Dropped = d.AsTime()
+		h.DroppedUntil = d.AsTime()
 	}
 	return nil
 }
--- a/internal/entrypeer/reports.go
+++ b/internal/entrypeer/reports.go
@@ -16,10 +16,10 @@
 	maxReports = 4096
 	// maxDeliveries bounds the deliveries at one time.
 	maxDeliveries = 256
-	// reportFor is for how long delivery of one report is tried.
-	reportFor = 15 * time.Second
-	// flushPoll is how often Flush looks.
-	flushPoll = 5 * time.Millisecond
+	// reportTimeout is for how long delivery of one report is tried.
+	reportTimeout = 15 * time.Second
+	// flushInterval is how often Flush looks.
+	flushInterval = 5 * time.Millisecond
 )
 
 // report is a result on its way to the key's owner.
@@ -34,11 +34,11 @@
 	if m != nil && m.report(res) {
 		return
 	}
-	n.reporting.Add(1)
+	n.undelivered.Add(1)
 	select {
-	case n.reports <- report{result: res, until: time.Now().Add(reportFor)}:
+	case n.reports <- report{result: res, until: time.Now().Add(reportTimeout)}:
 	default:
-		n.reporting.Add(-1)
+		n.undelivered.Add(-1)
 		n.dropped.Add(1)
 	}
 }
@@ -66,14 +66,14 @@
 
 // Flush waits until all reports are delivered or given up, or ctx ends.
 func (n *Node) Flush(ctx context.Context) {
-	for n.reporting.Load() > 0 && ctx.Err() == nil {
-		sleep(ctx, flushPoll)
+	for n.undelivered.Load() > 0 && ctx.Err() == nil {
+		sleep(ctx, flushInterval)
 	}
 }
 
 // deliver tries until the present owner of the key has taken the report.
 func (n *Node) deliver(ctx context.Context, r report) {
-	defer n.reporting.Add(-1)
+	defer n.undelivered.Add(-1)
 	pause := retryMin
 	for ctx.Err() == nil && time.Now().Before(r.until) {
 		if n.deliverOnce(ctx, r.result) {
@@ -94,7 +94,7 @@
 	if owner == m.Name() {
 		return m.report(res)
 	}
-	c, err := n.conns.to(address)
+	c, err := n.conns.client(address)
 	if err != nil {
 		return false
 	}
--- a/internal/entrypeer/server.go
+++ b/internal/entrypeer/server.go
@@ -22,7 +22,7 @@
 	pb.RegisterEntryPeerServer(to, &server{node: n})
 }
 
-var errNoMember = status.Error(codes.FailedPrecondition, "no such member here")
+var errUnknownMember = status.Error(codes.FailedPrecondition, "no such member here")
 
 func badRequest(err error) error { return status.Error(codes.InvalidArgument, err.Error()) }
 
@@ -33,7 +33,7 @@
 	if m := s.node.member(name); m != nil {
 		return m, nil
 	}
-	return nil, errNoMember
+	return nil, errUnknownMember
 }
 
 // Claim implements the gRPC service.
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	key, attempt, err := subject(in.GetKey(), in.GetAttempt())
+	key, attempt, err := keyAndAttempt(in.GetKey(), in.GetAttempt())
 	if err != nil {
 		return nil, badRequest(err)
 	}
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	key, attempt, err := subject(in.GetKey(), in.GetAttempt())
+	key, attempt, err := keyAndAttempt(in.GetKey(), in.GetAttempt())
 	if err != nil {
 		return nil, badRequest(err)
 	}
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	key, attempt, err := subject(in.GetKey(), in.GetAttempt())
+	key, attempt, err := keyAndAttempt(in.GetKey(), in.GetAttempt())
 	if err != nil {
 		return nil, badRequest(err)
 	}
@@ -93,7 +93,7 @@
 	out := &pb.LeaseReply{}
 	if m := s.node.current(); m != nil {
 		out.Member = m.Name()
-		out.Acked = m.leaseAsked(in.GetMember(), in.GetClock().AsTime())
+		out.Acked = m.handleLeaseRequest(in.GetMember(), in.GetClock().AsTime())
 	}
 	out.Clock = timeProto(Now().Wall)
 	return out, nil
@@ -108,13 +108,13 @@
 	if err != nil {
 		return err
 	}
-	h, code := m.pull(claim.PullRequest{
-		Source:  in.GetSource(),
-		Puller:  in.GetPuller(),
-		Offset:  in.GetOffset(),
-		Owner:   in.GetOwner(),
-		Members: in.GetMembers(),
-		Whole:   in.GetWhole(),
+	h, code := m.handlePull(claim.PullRequest{
+		Source:          in.GetSource(),
+		Puller:          in.GetPuller(),
+		Offset:          in.GetOffset(),
+		Owner:           in.GetOwner(),
+		Members:         in.GetMembers(),
+		RequireComplete: in.GetWhole(),
 	})
 	for len(h.Records) > 0 {
 		n := min(pullBatch, len(h.Records))
@@ -127,7 +127,7 @@
 		}
 		h.Records = h.Records[n:]
 	}
-	last := &pb.PullReply{Status: uint32(code), Dropped: timeProto(h.Dropped)}
+	last := &pb.PullReply{Status: uint32(code), Dropped: timeProto(h.DroppedUntil)}
 	for _, f := range h.Floors {
 		last.Floors = append(last.Floors, floorProto(f))
 	}
@@ -135,7 +135,7 @@
 		return err
 	}
 	if code == claim.PullDone {
-		m.handedOver(in.GetOffset(), in.GetPuller())
+		m.recordHandover(in.GetOffset(), in.GetPuller())
 	}
 	return nil
 }
--- a/internal/entrypeer/state.go
+++ b/internal/entrypeer/state.go
@@ -19,11 +19,11 @@
 
 // Bounds of passing on a state.
 const (
-	// statePart is the size of one message, in bytes.
-	statePart = 256 << 10
-	// stateFirst bounds the wait for the peers' offsets, stateTimeout the whole.
-	stateFirst   = 2 * time.Second
-	stateTimeout = 10 * time.Second
+	// statePartSize is the size of one message, in bytes.
+	statePartSize = 256 << 10
+	// stateFirstPartTimeout bounds the wait for the peers' offsets, stateTimeout the whole.
+	stateFirstPartTimeout = 2 * time.Second
+	stateTimeout          = 10 * time.Second
 )
 
 // StateSource is the folded state of a process and the entries of the log that it
@@ -70,7 +70,7 @@
 	if offset <= above {
 		return nil
 	}
-	for part := range slices.Chunk(snapshot, statePart) {
+	for part := range slices.Chunk(snapshot, statePartSize) {
 		if err := out.Send(&pb.StateReply{Offset: offset, Part: part}); err != nil {
 			return err
 		}
@@ -80,52 +80,52 @@
 
 // States asks peers for their folded state. It implements follower.Peers.
 type States struct {
-	conns     *conns
+	conns     *connPool
 	addresses []string
 }
 
 // NewStates returns a States that asks the peers at the addresses (IP:port).
 // Close ends its connections.
 func NewStates(addresses []string) *States {
-	return &States{conns: newConns(nil), addresses: addresses}
+	return &States{conns: newConnPool(nil), addresses: addresses}
 }
 
 // Close ends the connections.
 func (s *States) Close() { s.conns.close() }
 
-// offer is a peer's state of which the first part has come.
-type offer struct {
-	offset uint64
-	begun  []byte
-	rest   grpc.ServerStreamingClient[pb.StateReply]
+// peerSnapshot is a peer's state of which the first part has come.
+type peerSnapshot struct {
+	offset    uint64
+	firstPart []byte
+	rest      grpc.ServerStreamingClient[pb.StateReply]
 }
 
-var errNoOffer = errors.New("no peer has a state to pass on")
+var errNoSnapshot = errors.New("no peer has a state to pass on")
 
 // NewestState returns the snapshot with the highest offset among the peers that
 // answer. The error is that of one of them when none does.
 func (s *States) NewestState(ctx context.Context) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
-	offers, err := s.offers(ctx)
-	slices.SortFunc(offers, func(a, b offer) int { return cmp.Compare(b.offset, a.offset) })
+	offers, err := s.firstParts(ctx)
+	slices.SortFunc(offers, func(a, b peerSnapshot) int { return cmp.Compare(b.offset, a.offset) })
 	for _, o := range offers {
 		var snapshot []byte
-		if snapshot, err = o.take(); err == nil {
+		if snapshot, err = o.receiveRest(); err == nil {
 			return snapshot, nil
 		}
 	}
 	if err == nil {
-		err = errNoOffer
+		err = errNoSnapshot
 	}
 	return nil, err
 }
 
-// offers asks all peers at once and waits until each has answered, or for
+// firstParts asks all peers at once and waits until each has answered, or for
 // stateFirst.
-func (s *States) offers(ctx context.Context) ([]offer, error) {
+func (s *States) firstParts(ctx context.Context) ([]peerSnapshot, error) {
 	type answer struct {
-		offer offer
+		offer peerSnapshot
 		err   error
 	}
 	answers := make(chan answer, len(s.addresses))
@@ -135,44 +135,44 @@
 			answers <- answer{o, err}
 		}()
 	}
-	late := time.NewTimer(stateFirst)
-	defer late.Stop()
-	var offers []offer
-	var last error
+	timeout := time.NewTimer(stateFirstPartTimeout)
+	defer timeout.Stop()
+	var offers []peerSnapshot
+	var lastErr error
 	for range s.addresses {
 		select {
 		case a := <-answers:
 			if a.err != nil {
-				last = a.err
+				lastErr = a.err
 				continue
 			}
 			offers = append(offers, a.offer)
-		case <-late.C:
+		case <-timeout.C:
 			return offers, errors.New("peers did not answer in time")
 		}
 	}
-	return offers, last
+	return offers, lastErr
 }
 
-func (s *States) ask(ctx context.Context, address string) (offer, error) {
-	c, err := s.conns.to(address)
+func (s *States) ask(ctx context.Context, address string) (peerSnapshot, error) {
+	c, err := s.conns.client(address)
 	if err != nil {
-		return offer{}, err
+		return peerSnapshot{}, err
 	}
 	stream, err := c.State(ctx, &pb.StateRequest{})
 	if err != nil {
-		return offer{}, errors.Wrapf(err, "state of %s", address)
+		return peerSnapshot{}, errors.Wrapf(err, "state of %s", address)
 	}
 	first, err := stream.Recv()
 	if err != nil {
-		return offer{}, errors.Wrapf(err, "state of %s", address)
+		return peerSnapshot{}, errors.Wrapf(err, "state of %s", address)
 	}
-	return offer{offset: first.GetOffset(), begun: first.GetPart(), rest: stream}, nil
+	return peerSnapshot{offset: first.GetOffset(), firstPart: first.GetPart(), rest: stream}, nil
 }
 
-// take receives the rest of the state.
-func (o offer) take() ([]byte, error) {
-	snapshot := o.begun
+// receiveRest receives the rest of the state.
+func (o peerSnapshot) receiveRest() ([]byte, error) {
+	snapshot := o.firstPart
 	for {
 		part, err := o.rest.Recv()
 		if errors.Is(err, io.EOF) {
--- a/internal/entrypeer/state_test.go
+++ b/internal/entrypeer/state_test.go
@@ -52,11 +52,11 @@
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, dead.Close())
-	empty := serve(t, func() ([]byte, error) { return nil, errNoOffer })
+	empty := serve(t, func() ([]byte, error) { return nil, errNoSnapshot })
 	behind := serve(t, stateAt(t, 10))
 	furthest := stateAt(t, 20_000)
 	want, _ := furthest()
-	require.Greater(t, len(want), statePart)
+	require.Greater(t, len(want), statePartSize)
 
 	states := NewStates([]string{dead.Addr().String(), behind, empty, serve(t, furthest)})
 	defer states.Close()
--- a/internal/entrypeer/tail.go
+++ b/internal/entrypeer/tail.go
@@ -84,7 +84,7 @@
 }
 
 func (s *States) askTail(ctx context.Context, address string, in *pb.TailRequest) (*pb.TailReply, error) {
-	c, err := s.conns.to(address)
+	c, err := s.conns.client(address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/entrypeer/waiting.go
+++ b/internal/entrypeer/waiting.go
@@ -11,23 +11,23 @@
 // maxWaiters bounds the attempts that wait at one owner for others to end.
 const maxWaiters = 1024
 
-// waiting are the attempts that wait for a key to change. The Member's lock
+// waiters are the attempts that wait for a key to change. The Member's lock
 // guards it.
-type waiting struct {
+type waiters struct {
 	keys  map[claim.Key][]chan struct{}
 	count int
 }
 
-func newWaiting() waiting { return waiting{keys: map[claim.Key][]chan struct{}{}} }
+func newWaiters() waiters { return waiters{keys: map[claim.Key][]chan struct{}{}} }
 
-func (w *waiting) add(k claim.Key) chan struct{} {
+func (w *waiters) add(k claim.Key) chan struct{} {
 	ch := make(chan struct{})
 	w.keys[k] = append(w.keys[k], ch)
 	w.count++
 	return ch
 }
 
-func (w *waiting) remove(k claim.Key, ch chan struct{}) {
+func (w *waiters) remove(k claim.Key, ch chan struct{}) {
 	before := len(w.keys[k])
 	w.keys[k] = slices.DeleteFunc(w.keys[k], func(x chan struct{}) bool { return x == ch })
 	w.count -= before - len(w.keys[k])
@@ -36,7 +36,7 @@
 	}
 }
 
-func (w *waiting) wake(k claim.Key) {
+func (w *waiters) wake(k claim.Key) {
 	for _, ch := range w.keys[k] {
 		close(ch)
 	}
@@ -44,7 +44,7 @@
 	delete(w.keys, k)
 }
 
-func (w *waiting) wakeAll() {
+func (w *waiters) wakeAll() {
 	for k := range w.keys {
 		w.wake(k)
 	}
@@ -67,7 +67,7 @@
 	if !m.owner.Report(Now(), res) {
 		return false
 	}
-	m.waiting.wake(res.Key)
+	m.waiters.wake(res.Key)
 	return true
 }
 
@@ -83,7 +83,7 @@
 	case <-ctx.Done():
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.waiting.remove(k, ch)
+		m.waiters.remove(k, ch)
 	}
 	return true
 }
@@ -96,8 +96,8 @@
 	if !m.owner.InProgress(Now(), k, attempt) {
 		return nil, true
 	}
-	if m.waiting.count >= maxWaiters {
+	if m.waiters.count >= maxWaiters {
 		return nil, false
 	}
-	return m.waiting.add(k), true
+	return m.waiters.add(k), true
 }
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// marginPart is the part of a lease that its holder does not use, for clocks
+	// marginDivisor is the part of a lease that its holder does not use, for clocks
 	// that run at slightly different rates.
-	marginPart = 10
-	// handover is for how long the claims of a removed member are awaited.
-	handover = time.Second
+	marginDivisor = 10
+	// handoverTimeout is for how long the claims of a removed member are awaited.
+	handoverTimeout = time.Second
 	// maxRecords bounds the keys in one owner's memory: at 260 bytes each, 52 MB.
 	maxRecords = 200_000
 	// maxAnswer and maxAnswers bound the replies kept for retries, in bytes.
@@ -27,7 +27,7 @@
 		Window:     s.Window.Duration,
 		Ahead:      s.ClockAllowance.Duration,
 		Skew:       s.ClockAllowance.Duration,
-		Handover:   handover,
+		Handover:   handoverTimeout,
 		MaxRecords: maxRecords,
 		MaxAnswer:  maxAnswer,
 		MaxAnswers: maxAnswers,
@@ -38,9 +38,9 @@
 // was silent for a lease.
 func LeaseConfig(s settings.Claims) claim.LeaseConfig {
 	return claim.LeaseConfig{
-		Duration: s.Lease.Duration,
-		Margin:   s.Lease.Duration / marginPart,
-		Silence:  s.Lease.Duration,
-		Skew:     s.ClockAllowance.Duration,
+		Duration:    s.Lease.Duration,
+		Margin:      s.Lease.Duration / marginDivisor,
+		PeerTimeout: s.Lease.Duration,
+		Skew:        s.ClockAllowance.Duration,
 	}
 }
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// split cuts or mends the network between a and b in both directions.
-func (n *network) split(a, b string, cut bool) {
+// setCut cuts or mends the network between a and b in both directions.
+func (n *network) setCut(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, pair := range [][2]string{{a, b}, {b, a}} {
@@ -106,15 +106,15 @@
 		MaxAnswers: testAnswerBytes,
 	}
 	leaseConfig = claim.LeaseConfig{
-		Duration: 2 * time.Second,
-		Margin:   200 * time.Millisecond,
-		Silence:  2 * time.Second,
-		Skew:     500 * time.Millisecond,
+		Duration:    2 * time.Second,
+		Margin:      200 * time.Millisecond,
+		PeerTimeout: 2 * time.Second,
+		Skew:        500 * time.Millisecond,
 	}
 )
 
-// inCluster runs fn with n nodes that have joined, named n0, n1 and so on.
-func inCluster(t *testing.T, n int, fn func(*cluster)) {
+// withCluster runs fn with n nodes that have joined, named n0, n1 and so on.
+func withCluster(t *testing.T, n int, fn func(*cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{
@@ -126,7 +126,7 @@
 		for i := range n {
 			c.start(fmt.Sprintf("n%d", i))
 		}
-		c.until("all joined", func() bool { return len(c.ready()) == n })
+		c.waitFor("all joined", func() bool { return len(c.ready()) == n })
 		time.Sleep(3 * time.Second) // electorates refresh
 		fn(c)
 		for name := range c.nodes {
@@ -200,7 +200,7 @@
 	return count
 }
 
-func (c *cluster) until(what string, ok func() bool) time.Duration {
+func (c *cluster) waitFor(what string, ok func() bool) time.Duration {
 	c.t.Helper()
 	began := time.Now()
 	for !ok() {
@@ -218,7 +218,7 @@
 	return c.nodes[at].peers.Claim(ctx, claim.Request{Key: k})
 }
 
-func (c *cluster) run(at string, k claim.Key) {
+func (c *cluster) runRequest(at string, k claim.Key) {
 	c.t.Helper()
 	d := c.claim(at, k)
 	require.Equal(c.t, claim.Granted, d.Verdict, "%s", d.Reason)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -51,14 +51,14 @@
 }
 
 const (
-	// stepsPerSilence is how often the watch over peers moves on in the time
+	// stepsPerPeerTimeout is how often the watch over peers moves on in the time
 	// after which a peer counts as lost.
-	stepsPerSilence = 20
-	// beatsPerLease is how often a lease is renewed in its duration.
-	beatsPerLease = 5
-	// logQuiet is how old the latest read that reached the end of the log may
+	stepsPerPeerTimeout = 20
+	// renewalsPerLease is how often a lease is renewed in its duration.
+	renewalsPerLease = 5
+	// maxLogAge is how old the latest read that reached the end of the log may
 	// be while the log counts as reachable; a read waits for up to 2 s.
-	logQuiet = 5 * time.Second
+	maxLogAge = 5 * time.Second
 	// rejoinMin and rejoinMax bound the pause before a removed member joins
 	// again, which doubles with each removal.
 	rejoinMin = time.Second
@@ -79,22 +79,22 @@
 type Duty struct {
 	cfg Config
 
-	leave    chan struct{}
-	leaving  sync.Once
-	left     chan struct{}
-	departed sync.Once
+	leaveRequested chan struct{}
+	requestLeave   sync.Once
+	left           chan struct{}
+	closeLeft      sync.Once
 }
 
 // New returns a Duty that joins once it is served.
 func New(cfg Config) *Duty {
-	return &Duty{cfg: cfg, leave: make(chan struct{}), left: make(chan struct{})}
+	return &Duty{cfg: cfg, leaveRequested: make(chan struct{}), left: make(chan struct{})}
 }
 
 // Leave gives up the membership in good order and returns when the claims were
 // handed over, or after leaveLimit. The process must have ended its requests
 // before: claims of a member that is gone count as unknown.
 func (d *Duty) Leave(ctx context.Context) {
-	d.leaving.Do(func() { close(d.leave) })
+	d.requestLeave.Do(func() { close(d.leaveRequested) })
 	timer := time.NewTimer(leaveLimit)
 	defer timer.Stop()
 	select {
@@ -110,12 +110,12 @@
 func (d *Duty) Serve(ctx context.Context) error {
 	rejoin := rejoinMin
 	changed := d.cfg.Log.Changed()
-	d.ready("joining the entry VMs")
-	grace := time.AfterFunc(joinGrace, func() { d.ready("") })
+	d.setReadiness("joining the entry VMs")
+	grace := time.AfterFunc(joinGrace, func() { d.setReadiness("") })
 	defer grace.Stop()
 	for first := true; ; first = false {
-		if !d.mayJoin(ctx, changed, first) {
-			d.departed.Do(func() { close(d.left) })
+		if !d.waitUntilJoinable(ctx, changed, first) {
+			d.closeLeft.Do(func() { close(d.left) })
 			<-ctx.Done()
 			return ctx.Err()
 		}
@@ -125,60 +125,60 @@
 		}
 		grace.Stop()
 		began := time.Now()
-		over := s.serve(ctx, changed)
+		end := s.serve(ctx, changed)
 		d.cfg.Peers.End()
-		d.ready("removed from the entry VMs")
+		d.setReadiness("removed from the entry VMs")
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if over == leftInOrder {
+		if end == leftGracefully {
 			continue
 		}
 		d.cfg.Logger.Warn("removed from the entry VMs", "member", s.name, "joining_again_in", rejoin)
 		if time.Since(began) > rejoinMax {
 			rejoin = rejoinMin
 		}
-		wait.SleepUntil(ctx, rejoin, d.leave)
+		wait.SleepUntil(ctx, rejoin, d.leaveRequested)
 		rejoin = min(2*rejoin, rejoinMax)
 	}
 }
 
-// ready tells whether callers are welcome; unready is why not, or "".
-func (d *Duty) ready(unready string) {
+// setReadiness tells whether callers are welcome; unready is why not, or "".
+func (d *Duty) setReadiness(reason string) {
 	switch {
 	case d.cfg.Readiness == nil:
-	case unready == "":
+	case reason == "":
 		d.cfg.Readiness.Ready(readinessSource)
 	default:
-		d.cfg.Readiness.Unready(readinessSource, unready)
+		d.cfg.Readiness.Unready(readinessSource, reason)
 	}
 }
 
 func (d *Duty) isLeaving() bool {
 	select {
-	case <-d.leave:
+	case <-d.leaveRequested:
 		return true
 	default:
 		return false
 	}
 }
 
-// mayJoin waits until this process may join. It returns false when the process
+// waitUntilJoinable waits until this process may join. It returns false when the process
 // leaves or ctx ends.
 //
 // The state must have been read to its end once: a join decided on an old state
 // would be void. After a removal at least half of the members must answer, so
 // that a VM which is cut off does not come and go.
-func (d *Duty) mayJoin(ctx context.Context, changed <-chan struct{}, first bool) bool {
+func (d *Duty) waitUntilJoinable(ctx context.Context, changed <-chan struct{}, first bool) bool {
 	for ctx.Err() == nil && !d.isLeaving() {
-		if !d.cfg.Log.Fresh().IsZero() && (first || d.reachesHalf(ctx)) {
+		if !d.cfg.Log.Fresh().IsZero() && (first || d.reachesHalfOfMembers(ctx)) {
 			return true
 		}
 		timer := time.NewTimer(rejoinMin)
 		select {
 		case <-changed:
 		case <-timer.C:
-		case <-d.leave:
+		case <-d.leaveRequested:
 		case <-ctx.Done():
 		}
 		timer.Stop()
@@ -186,7 +186,7 @@
 	return false
 }
 
-func (d *Duty) reachesHalf(ctx context.Context) bool {
+func (d *Duty) reachesHalfOfMembers(ctx context.Context) bool {
 	var addresses []string
 	d.cfg.Log.View(func(s *ledger.State) {
 		for _, m := range s.Members {
@@ -228,10 +228,10 @@
 		}
 		if out.Status != ledger.Effective {
 			d.cfg.Logger.Warn("join is void", "status", out.Status, "reason", out.Reason)
-			wait.SleepUntil(ctx, rejoinMin, d.leave)
+			wait.SleepUntil(ctx, rejoinMin, d.leaveRequested)
 			continue
 		}
-		if s := d.begin(name, out.Offset); s != nil {
+		if s := d.newSession(name, out.Offset); s != nil {
 			d.cfg.Logger.Info("joined the entry VMs", "member", name, "offset", out.Offset)
 			return s, nil
 		}
@@ -255,9 +255,9 @@
 	return rec
 }
 
-// begin returns the session of the member that joined at offset, or nil when
+// newSession returns the session of the member that joined at offset, or nil when
 // the state does not hold that change any more.
-func (d *Duty) begin(name string, offset uint64) *session {
+func (d *Duty) newSession(name string, offset uint64) *session {
 	var before []ledger.MemberRef
 	var change ledger.MemberChange
 	found := false
@@ -269,8 +269,8 @@
 	}
 	m := entrypeer.NewMember(entrypeer.MemberConfig{Name: name, Claim: d.cfg.Claim, Lease: d.cfg.Lease})
 	m.Join(before, change)
-	s := &session{duty: d, name: name, member: m, offset: offset, votes: map[string]context.CancelFunc{}, pulls: map[claim.Debt]bool{}}
-	s.electorate()
+	s := &session{duty: d, name: name, member: m, offset: offset, votes: map[string]context.CancelFunc{}, pulls: map[claim.PendingHandover]bool{}}
+	s.loadElectorate()
 	d.cfg.Peers.Begin(m)
 	return s
 }
--- a/internal/membership/outage_test.go
+++ b/internal/membership/outage_test.go
@@ -25,7 +25,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/routing"
 )
 
-const shop = `service = "shop"
+const shopDocument = `service = "shop"
 team = "t"
 [pool]
 size = 3
@@ -42,24 +42,24 @@
 repeatable = false
 `
 
-// runners are backend servers that run each request and count.
-type runners struct{ runs atomic.Int64 }
+// countingBackends are backend servers that run each request and count.
+type countingBackends struct{ runs atomic.Int64 }
 
-func (r *runners) Update(map[string]int) {}
-func (r *runners) Do(context.Context, *backend.Request) backend.Answer {
+func (r *countingBackends) Update(map[string]int) {}
+func (r *countingBackends) Do(context.Context, *backend.Request) backend.Answer {
 	r.runs.Add(1)
 	return backend.Answer{Outcome: outcome.Ran, Status: http.StatusOK}
 }
 
-type unobserved struct{}
+type noopObserver struct{}
 
-func (unobserved) Retried(string, backend.Failure)              {}
-func (unobserved) Shed(string, document.Class, routing.Refusal) {}
+func (noopObserver) Retried(string, backend.Failure)              {}
+func (noopObserver) Shed(string, document.Class, routing.Refusal) {}
 
 // dispatch runs the request path of a node over its state and its claims.
-func (c *cluster) dispatch(n *node, to *runners) *dispatch.Dispatcher {
+func (c *cluster) dispatch(n *node, to *countingBackends) *dispatch.Dispatcher {
 	d := dispatch.New(dispatch.Config{Zone: "z", MaxConnections: 64, Backends: to, Claims: entry.NewClaims(n.peers),
-		Observer: unobserved{}, Rand: rand.New(rand.NewPCG(1, 2))})
+		Observer: noopObserver{}, Rand: rand.New(rand.NewPCG(1, 2))})
 	changed := n.follow.Changed()
 	ctx, stop := context.WithCancel(context.Background())
 	kill := n.stop
@@ -81,8 +81,8 @@
 	return d
 }
 
-// put makes a record effective.
-func (n *node) put(t *testing.T, kind record.SubjectKind, name string, body record.Body) {
+// propose makes a record effective.
+func (n *node) propose(t *testing.T, kind record.SubjectKind, name string, body record.Body) {
 	t.Helper()
 	rec := record.Record{ID: ulid.Make().String(), Subject: record.Subject{Kind: kind, Name: name}, Author: "test", Time: time.Now(), Body: body}
 	n.follow.View(func(s *ledger.State) { rec.Base, rec.Seen = s.Revision(rec.Subject), s.Offset })
@@ -97,33 +97,33 @@
 // Nobody is evicted, in the outage or at the return, and bookings go on then.
 // Why: the table stays in use, and an owner's right to grant rests on its peers'
 // word, not on the log, as long as nobody can be evicted either.
-func TestEntriesAnswerThroughHoursWithoutTheLog(t *testing.T) {
+func TestEntriesAnswerDuringHoursOfLogOutage(t *testing.T) {
 	t.Parallel()
-	inCluster(t, 3, func(c *cluster) {
-		to := &runners{}
+	withCluster(t, 3, func(c *cluster) {
+		to := &countingBackends{}
 		var paths []*dispatch.Dispatcher
 		for i := range 3 {
 			paths = append(paths, c.dispatch(c.nodes[fmt.Sprintf("n%d", i)], to))
 		}
 		n := c.nodes["n0"]
-		n.put(c.t, record.SubjectService, "shop", record.DocumentPublish{Text: shop})
+		n.propose(c.t, record.SubjectService, "shop", record.DocumentPublish{Text: shopDocument})
 		for _, vm := range []string{"vm-1", "vm-2", "vm-3"} {
-			n.put(c.t, record.SubjectVM, vm, record.VMRegister{Zone: "z", Rack: "r", Address: vm + ":80", Cores: 8, MemoryMB: 1024})
-			n.put(c.t, record.SubjectVM, vm, record.VMJoin{Pool: "shop"})
-			n.put(c.t, record.SubjectVM, vm, record.VMUp{})
+			n.propose(c.t, record.SubjectVM, vm, record.VMRegister{Zone: "z", Rack: "r", Address: vm + ":80", Cores: 8, MemoryMB: 1024})
+			n.propose(c.t, record.SubjectVM, vm, record.VMJoin{Pool: "shop"})
+			n.propose(c.t, record.SubjectVM, vm, record.VMUp{})
 		}
 		time.Sleep(time.Second)
 		before := c.nodes["n1"].names()
 		c.log.Cut(true)
 		for range 24 {
 			time.Sleep(15 * time.Minute)
-			c.serve(paths, to)
+			c.sendRequests(paths, to)
 			require.Equal(c.t, before, c.nodes["n1"].names())
 		}
 		c.log.Cut(false)
 		for range 10 {
 			time.Sleep(3 * time.Second)
-			c.serve(paths, to)
+			c.sendRequests(paths, to)
 		}
 		require.Equal(c.t, before, c.nodes["n1"].names(), "nobody was evicted at the return")
 	})
@@ -135,8 +135,8 @@
 	return names
 }
 
-// serve sends lookups and bookings, each booking twice, and checks the answers.
-func (c *cluster) serve(paths []*dispatch.Dispatcher, to *runners) {
+// sendRequests sends lookups and bookings, each booking twice, and checks the answers.
+func (c *cluster) sendRequests(paths []*dispatch.Dispatcher, to *countingBackends) {
 	c.t.Helper()
 	send := func(d *dispatch.Dispatcher, path, key string, first bool) {
 		svc := d.Table().Services["shop"]
