--- a/internal/claim/model_test.go
+++ b/internal/claim/model_test.go
@@ -183,19 +183,19 @@
 }
 
 var knownSchedules = map[safeguard]knownSchedule{
-	noLease:        {first: 54},
-	noWallClock:    {first: 824},
-	noFloor:        {first: 1},
-	lowFloor:       {first: 1},
-	noHandover:     {first: 0},
-	earlyPull:      {first: 18},
-	incompletePull: {first: 7},
-	ackSuspected:   {first: 1018},
-	earlyTrust:     {first: 1647},
-	oldElectorate:  {first: 237},
-	mergedChanges:  {first: 227},
-	noAhead:        {first: 35},
-	presentOwner:   {first: 1096},
+	noLease:       {first: 54},
+	noWallClock:   {first: 824},
+	noFloor:       {first: 1},
+	lowFloor:      {first: 1},
+	noHandover:    {first: 0},
+	earlyPull:     {first: 18},
+	hungryPull:    {first: 7},
+	ackSuspected:  {first: 1018},
+	hastyTrust:    {first: 1647},
+	oldElectorate: {first: 237},
+	jumpedChanges: {first: 227},
+	noAhead:       {first: 35},
+	presentOwner:  {first: 1096},
 	// A joining owner is lost before it received its keys' records. The old owner
 	// does not learn of the change.
 	noAskAll: {first: 4, nodes: 3, faults: []fault{
--- a/internal/claim/node_test.go
+++ b/internal/claim/node_test.go
@@ -104,7 +104,7 @@
 			body = record.MemberSuspect{By: n.name, Seq: v.Seq, Until: v.Until}
 		}
 		n.trustVotes[n.w.propose(n, v.Member, body)] = v
-		if n.w.missing == earlyTrust {
+		if n.w.missing == hastyTrust {
 			n.monitor.ConfirmTrust(v)
 		}
 	}
@@ -138,7 +138,7 @@
 		}
 		if c, ok := n.change(out.Offset); ok {
 			changed, last = true, c
-			if n.w.missing != mergedChanges || n.owner == nil {
+			if n.w.missing != jumpedChanges || n.owner == nil {
 				n.apply(members, c)
 				before = n.members()
 			}
@@ -154,7 +154,7 @@
 			n.lease.ConfirmElectorate()
 		}
 	}
-	if after := n.members(); n.w.missing == mergedChanges && changed && !slices.Equal(before, after) {
+	if after := n.members(); n.w.missing == jumpedChanges && changed && !slices.Equal(before, after) {
 		n.apply(before, Change{Offset: last.Offset, Until: last.Until, Joined: without(after, before), Removed: without(before, after)})
 	}
 }
@@ -288,7 +288,7 @@
 			status = PullDone
 		}
 		return h, status
-	case incompletePull:
+	case hungryPull:
 		req.RequireComplete = false
 	case presentOwner:
 		if req.RequireComplete {
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -43,23 +43,23 @@
 type safeguard int
 
 const (
-	allSafeguards  safeguard = iota
-	noLease                  // an owner grants without a lease
-	noWallClock              // a lease is checked by the monotonic clock only
-	noFloor                  // a new owner grants keys of the lost owner
-	lowFloor                 // the floor does not cover the lost owner's last lease
-	noHandover               // a joining owner starts without the records
-	earlyPull                // an old owner hands over before it has applied the change
-	incompletePull           // an old owner hands over before it has all records itself
-	ackSuspected             // acks continue while a suspicion is on the log
-	earlyTrust               // acks resume before the trust record was read back
-	oldElectorate            // the lease ignores a refresh in flight
-	mergedChanges            // several changes of the membership are applied as one
-	noAhead                  // an owner grants keys of any mint time
-	noAskAll                 // a lost owner's predecessors are not asked
-	presentOwner             // an old owner computes the keys from its current members
-	noFirstFloor             // the first member grants keys of earlier members
-	silentLeave              // a leave does not state the end of the last lease acked
+	allSafeguards safeguard = iota
+	noLease                 // an owner grants without a lease
+	noWallClock             // a lease is checked by the monotonic clock only
+	noFloor                 // a new owner grants keys of the lost owner
+	lowFloor                // the floor does not cover the lost owner's last lease
+	noHandover              // a joining owner starts without the records
+	earlyPull               // an old owner hands over before it has applied the change
+	hungryPull              // an old owner hands over before it has all records itself
+	ackSuspected            // acks continue while a suspicion is on the log
+	hastyTrust              // acks resume before the trust record was read back
+	oldElectorate           // the lease ignores a refresh in flight
+	jumpedChanges           // several changes of the membership are applied as one
+	noAhead                 // an owner grants keys of any mint time
+	noAskAll                // a lost owner's predecessors are not asked
+	presentOwner            // an old owner computes the keys from its current members
+	noFirstFloor            // the first member grants keys of earlier members
+	silentLeave             // a leave does not state the end of the last lease acked
 	numSafeguards
 )
 
