--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -229,9 +229,9 @@
 		if s.renewals[name] != nil {
 			continue
 		}
-		beatCtx, cancel := context.WithCancel(ctx)
+		renewCtx, cancel := context.WithCancel(ctx)
 		s.renewals[name] = cancel
-		s.helpers.Go(func() { s.renew(beatCtx, name, address) })
+		s.helpers.Go(func() { s.renew(renewCtx, name, address) })
 	}
 }
 
