--- a/internal/claim/handover.go
+++ b/internal/claim/handover.go
@@ -251,7 +251,8 @@
 	// PullLater: Source has not applied the change yet or awaits records of an
 	// earlier change itself.
 	PullLater PullStatus = iota
-	// PullDone: the handover is complete. Source no longer grants any of its keys.
+	// PullDone: the handover is complete. Source no longer grants the keys handed
+	// over.
 	PullDone
 	// PullRefused: the puller is not a member any more.
 	PullRefused
@@ -267,7 +268,7 @@
 }
 
 // Pull returns the requested handover. After PullDone this member grants none
-// of its keys: in the membership that it uses, they belong to the puller or a
+// of the keys handed over: in the membership that it uses, they belong to the puller or a
 // later owner, and it gets them back only by a pull of its own.
 //
 // The keys are computed from the members in the request, not from the current
--- a/internal/claim/node_test.go
+++ b/internal/claim/node_test.go
@@ -31,7 +31,7 @@
 	owner            *Owner
 	lease            *Lease
 	monitor          *PeerMonitor
-	removedOrLeaving bool // removed or leaving
+	removedOrLeaving bool
 	refreshID        string
 	trustVotes       map[string]Vote // proposed trust votes by record ID
 	attempts         []*simAttempt
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// marginDivisor is the part of a lease that its holder does not use, for clocks
-	// that run at slightly different rates.
+	// marginDivisor determines the part of a lease that its holder does not use,
+	// because clocks run at slightly different rates.
 	marginDivisor = 10
-	// handoverTimeout is for how long the claims of a removed member are awaited.
+	// handoverTimeout is how long the records of a removed member are awaited.
 	handoverTimeout = time.Second
-	// maxRecords bounds the keys in one owner's memory: at 260 bytes each, 52 MB.
+	// maxRecords limits the keys in one owner's memory: 52 MB at 260 bytes each.
 	maxRecords = 200_000
-	// maxAnswer and maxAnswers bound the replies kept for retries, in bytes.
+	// maxAnswer and maxAnswers limit one reply kept for retries and all of them,
+	// in bytes.
 	maxAnswer  = 16 << 10
 	maxAnswers = 32 << 20
 )
 
-// ClaimConfig returns the bounds of claims. Callers' clocks may be ahead of an
-// entry VM's by as much as two entry VMs' clocks may differ.
+// ClaimConfig returns the limits of claims. A caller's clock may be ahead of an
+// entry VM's by as much as the clocks of two entry VMs may differ.
 func ClaimConfig(s settings.Claims) claim.Config {
 	return claim.Config{
 		Window:     s.Window.Duration,
@@ -34,8 +35,8 @@
 	}
 }
 
-// LeaseConfig returns the durations of leases. A peer counts as lost once it
-// was silent for a lease.
+// LeaseConfig returns the durations of leases. A peer that was silent for the
+// duration of a lease counts as lost.
 func LeaseConfig(s settings.Claims) claim.LeaseConfig {
 	return claim.LeaseConfig{
 		Duration:    s.Lease.Duration,
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -9,21 +9,21 @@
 	"github.com/yuccadrift/yuccadrift/internal/supervise"
 )
 
-// Entry is what an entry process has besides its settings.
+// Entry holds the dependencies of the membership of an entry process.
 type Entry struct {
 	Settings  settings.Entry
-	Address   string // IP:port at which other nodes reach the peer server
+	Address   string // IP:port of the peer server for other nodes
 	Registry  prometheus.Registerer
 	Log       Log
 	Readiness Readiness
 	Logger    hclog.Logger
 	InFlight  func() (offset uint64, vms map[string]int)
-	// State is passed on to peers that cannot read the log.
+	// State is sent to peers that cannot read the log.
 	State entrypeer.StateSource
 }
 
-// NewEntry returns the membership of an entry process and its node among the
-// entry VMs, which is yet to be registered with the peer server.
+// NewEntry returns the membership of an entry process and its entrypeer.Node.
+// The caller must register the node with the peer server.
 func NewEntry(e Entry) (*Duty, *entrypeer.Node) {
 	node := entrypeer.NewNode(entrypeer.NodeConfig{
 		Logger:      e.Logger.Named("claims"),
@@ -47,7 +47,7 @@
 	return duty, node
 }
 
-// Duties returns what has to run.
+// Duties returns the functions that the supervisor must run.
 func (d *Duty) Duties() []supervise.Duty {
 	return []supervise.Duty{
 		{Name: "reports", Serve: d.cfg.Peers.Serve},
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -24,7 +24,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// network connects nodes in memory and can be cut between two of them.
+// network connects nodes in memory and can be partitioned between any two of
+// them.
 type network struct {
 	mu        sync.Mutex
 	listeners map[string]chan net.Conn
@@ -47,7 +48,7 @@
 	}
 }
 
-// setCut cuts or mends the network between a and b in both directions.
+// setCut cuts or restores the network between a and b in both directions.
 func (n *network) setCut(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -113,7 +114,7 @@
 	}
 )
 
-// withCluster runs fn with n nodes that have joined, named n0, n1 and so on.
+// withCluster runs fn with n joined nodes, named n0, n1 and so on.
 func withCluster(t *testing.T, n int, fn func(*cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -127,7 +128,7 @@
 			c.start(fmt.Sprintf("n%d", i))
 		}
 		c.waitFor("all joined", func() bool { return len(c.ready()) == n })
-		time.Sleep(3 * time.Second) // electorates refresh
+		time.Sleep(3 * time.Second) // until the electorates were refreshed
 		fn(c)
 		for name := range c.nodes {
 			c.kill(name)
@@ -135,7 +136,7 @@
 	})
 }
 
-// start begins a node whose address is its name.
+// start starts a node whose address is its name.
 func (c *cluster) start(name string) *node {
 	logger := hclog.NewNullLogger()
 	if testing.Verbose() {
@@ -175,13 +176,13 @@
 	return nd
 }
 
-// kill ends a node at once, as a lost VM does.
+// kill stops a node abruptly, as the loss of its VM does.
 func (c *cluster) kill(name string) {
 	c.nodes[name].stop()
 	delete(c.nodes, name)
 }
 
-// ready returns the nodes that may grant.
+// ready returns the nodes that may grant claims.
 func (c *cluster) ready() []string {
 	var list []string
 	for name, n := range c.nodes {
@@ -193,7 +194,7 @@
 	return list
 }
 
-// members returns how many members the node's folded state holds.
+// members returns the number of members in the node's folded state.
 func (n *node) members() int {
 	count := 0
 	n.follow.View(func(s *ledger.State) { count = len(s.Members) })
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,8 +1,9 @@
-// Package membership keeps this process a member of the entry VMs: it joins,
-// keeps the lease, follows the changes of the membership one by one, pulls
-// claims from old owners, votes on peers that fell silent, and leaves in order.
+// Package membership keeps this process a member of the entry VMs. It joins,
+// renews the lease, applies the changes of the membership one by one, pulls
+// records from old owners, votes on peers that fell silent, and leaves in a
+// planned way.
 //
-// What makes this safe is argued in docs/adr/0011-membership-leases-and-eviction.md.
+// For the safety argument see docs/adr/0011-membership-leases-and-eviction.md.
 package membership
 
 import (
@@ -21,7 +22,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/wait"
 )
 
-// Log is what the duty needs of the process's follower.
+// Log is the part of the process's follower that the membership uses.
 type Log interface {
 	View(func(*ledger.State))
 	Fresh() time.Time
@@ -29,9 +30,10 @@
 	Propose(ctx context.Context, rec record.Record) (ledger.Outcome, error)
 }
 
-// Config is what a Duty needs.
+// Config holds the dependencies and settings of a Duty.
 type Config struct {
-	// Node, Zone and Address (IP:port of the peer server) go into the join.
+	// Node, Zone and Address (IP:port of the peer server) are written to the join
+	// record.
 	Node    string
 	Zone    string
 	Address string
@@ -39,43 +41,44 @@
 	Peers   *entrypeer.Node
 	Claim   claim.Config
 	Lease   claim.LeaseConfig
-	// Readiness is told while the process is no member, nil for nobody.
+	// Readiness is set to unready while the process is not a member or refuses all
+	// new keys. May be nil.
 	Readiness Readiness
 	Logger    hclog.Logger
 }
 
-// Readiness tells the balancer whether to send callers here.
+// Readiness controls whether the balancer sends callers to this process.
 type Readiness interface {
 	Unready(source, reason string)
 	Ready(source string)
 }
 
 const (
-	// stepsPerPeerTimeout is how often the watch over peers moves on in the time
-	// after which a peer counts as lost.
+	// stepsPerPeerTimeout is how often the peer monitor runs in PeerTimeout.
 	stepsPerPeerTimeout = 20
 	// renewalsPerLease is how often a lease is renewed in its duration.
 	renewalsPerLease = 5
-	// maxLogAge is how old the latest read that reached the end of the log may
-	// be while the log counts as reachable; a read waits for up to 2 s.
+	// maxLogAge is the maximum age of the latest read that reached the end of the
+	// log for the log to count as reachable. A read waits for up to 2 s.
 	maxLogAge = 5 * time.Second
-	// rejoinMin and rejoinMax bound the pause before a removed member joins
-	// again, which doubles with each removal.
+	// rejoinMin and rejoinMax limit the pause before a removed member joins again.
+	// The pause doubles with each removal.
 	rejoinMin = time.Second
 	rejoinMax = time.Minute
-	// probeTimeout bounds the question whether a peer can be reached.
+	// probeTimeout limits one check whether a peer is reachable.
 	probeTimeout = 500 * time.Millisecond
-	// leaveLimit bounds a leave, the handing over included.
+	// leaveLimit limits a leave, including the handover.
 	leaveLimit = 10 * time.Second
-	// readinessSource names this duty to Readiness.
+	// readinessSource identifies this duty to Readiness.
 	readinessSource = "membership"
-	// joinGrace is for how long a process that starts waits for its join before
-	// it takes requests without one. With the log out it can still serve
-	// repeatable requests, and so may all others that start.
+	// joinGrace is how long a starting process waits for its join before it
+	// accepts callers without it. During an outage of the log it can still serve
+	// repeatable requests, and all other starting processes may be in the same
+	// state.
 	joinGrace = 3 * time.Second
 )
 
-// Duty keeps the membership. Serve is its Serve function.
+// Duty keeps the membership of this process.
 type Duty struct {
 	cfg Config
 
@@ -85,14 +88,15 @@
 	closeLeft      sync.Once
 }
 
-// New returns a Duty that joins once it is served.
+// New returns a Duty that joins when Serve runs.
 func New(cfg Config) *Duty {
 	return &Duty{cfg: cfg, leaveRequested: make(chan struct{}), left: make(chan struct{})}
 }
 
-// Leave gives up the membership in good order and returns when the claims were
-// handed over, or after leaveLimit. The process must have ended its requests
-// before: claims of a member that is gone count as unknown.
+// Leave ends the membership in a planned way. It returns once the records were
+// handed over, after leaveLimit or when ctx ends. The process must have ended
+// its requests before, because claims held by a member that left count as
+// unknown.
 func (d *Duty) Leave(ctx context.Context) {
 	d.requestLeave.Do(func() { close(d.leaveRequested) })
 	timer := time.NewTimer(leaveLimit)
@@ -100,12 +104,12 @@
 	select {
 	case <-d.left:
 	case <-timer.C:
-		d.cfg.Logger.Warn("did not leave the entry VMs in time")
+		d.cfg.Logger.Warn("leaving the entry VMs timed out")
 	case <-ctx.Done():
 	}
 }
 
-// Serve joins, keeps the membership, and joins anew after a removal, until ctx
+// Serve joins, keeps the membership, and joins again after a removal, until ctx
 // ends.
 func (d *Duty) Serve(ctx context.Context) error {
 	rejoin := rejoinMin
@@ -143,7 +147,8 @@
 	}
 }
 
-// setReadiness tells whether callers are welcome; unready is why not, or "".
+// setReadiness marks the process as unready for the given reason, or as ready
+// if the reason is empty.
 func (d *Duty) setReadiness(reason string) {
 	switch {
 	case d.cfg.Readiness == nil:
@@ -163,12 +168,12 @@
 	}
 }
 
-// waitUntilJoinable waits until this process may join. It returns false when the process
-// leaves or ctx ends.
+// waitUntilJoinable waits until this process may join. It returns false if the
+// process leaves or ctx ends.
 //
-// The state must have been read to its end once: a join decided on an old state
-// would be void. After a removal at least half of the members must answer, so
-// that a VM which is cut off does not come and go.
+// The log must have been read to its end once, because a join proposed on an
+// old state would be void. After a removal, at least half of the members must
+// answer, so that a partitioned VM does not join and get evicted over and over.
 func (d *Duty) waitUntilJoinable(ctx context.Context, changed <-chan struct{}, first bool) bool {
 	for ctx.Err() == nil && !d.isLeaving() {
 		if !d.cfg.Log.Fresh().IsZero() && (first || d.reachesHalfOfMembers(ctx)) {
@@ -210,8 +215,8 @@
 	return 2*reached >= len(addresses)
 }
 
-// join proposes the join of a new incarnation until it took effect, and returns
-// the session with it.
+// join proposes the join of a new incarnation until one takes effect, and
+// returns its session.
 func (d *Duty) join(ctx context.Context) (*session, error) {
 	for {
 		name := d.cfg.Node + "." + ulid.Make().String()
@@ -219,8 +224,8 @@
 			Node:    d.cfg.Node,
 			Zone:    d.cfg.Zone,
 			Address: d.cfg.Address,
-			// A former process at the address is over by now, and acked no clock
-			// further ahead than this VM's could be.
+			// An earlier process at the address has ended, and did not ack a clock
+			// further ahead than this VM's can be.
 			AcksUntil: time.Now().Add(d.cfg.Lease.Duration + 2*d.cfg.Lease.Skew),
 		}))
 		if err != nil {
@@ -238,7 +243,7 @@
 	}
 }
 
-// record returns a record about the named member, decided on the state now.
+// record returns a record about the named member, based on the current state.
 func (d *Duty) record(name string, body record.Body) record.Record {
 	sub := record.Subject{Kind: record.SubjectMember, Name: name}
 	rec := record.Record{
@@ -255,8 +260,8 @@
 	return rec
 }
 
-// newSession returns the session of the member that joined at offset, or nil when
-// the state does not hold that change any more.
+// newSession returns the session of the member that joined at offset, or nil if
+// the state no longer holds that change.
 func (d *Duty) newSession(name string, offset uint64) *session {
 	var before []ledger.MemberRef
 	var change ledger.MemberChange
@@ -275,8 +280,8 @@
 	return s
 }
 
-// membersBefore returns the change at offset and the members before it, by
-// undoing the changes since.
+// membersBefore returns the change at offset and the members before it, which
+// it derives by undoing all later changes.
 func membersBefore(s *ledger.State, offset uint64) ([]ledger.MemberRef, ledger.MemberChange, bool) {
 	members := map[string]ledger.MemberRef{}
 	for name, m := range s.Members {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -9,8 +9,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/claim"
 )
 
-// A caller's request ran by way of one entry VM; its retry comes in at another.
-// Whoever owns the key remembers, so the retry gets the reply and no second run.
+// A request ran through one entry VM, and its retry arrives at another. The
+// owner of the key has a record of the run, so the retry gets the reply and
+// does not run again.
 func TestRetryAtAnotherNodeGetsTheReply(t *testing.T) {
 	withCluster(t, 3, func(c *cluster) {
 		for range 20 {
@@ -23,9 +24,9 @@
 	})
 }
 
-// Requests ran; then an entry VM joins and takes over an eighth of the keys,
-// and after that another leaves in order. Each retry still gets its reply: the
-// claims moved with the keys, and nothing became unknown.
+// After some requests ran, an entry VM joins and takes over a part of the keys,
+// and then another one leaves in a planned way. Each retry must still get its
+// reply, because the records move with the keys.
 func TestJoinAndLeaveKeepClaims(t *testing.T) {
 	withCluster(t, 4, func(c *cluster) {
 		var keys []claim.Key
@@ -52,9 +53,9 @@
 	})
 }
 
-// An entry VM is lost with the claims that it owned. The others notice, evict
-// it and answer "unknown" to retries of the keys whose claims are lost, at most
-// about an eighth, and never grant them. Fresh keys are granted again soon.
+// An entry VM is lost with the records of the keys that it owned. The others
+// must evict it and answer "unknown" to retries of those keys, about an eighth
+// of all, instead of granting them. New keys must be granted again soon.
 func TestLostNodeIsEvictedAndItsClaimsAreUnknown(t *testing.T) {
 	withCluster(t, 8, func(c *cluster) {
 		var keys []claim.Key
@@ -85,10 +86,10 @@
 	})
 }
 
-// The platform's log is out for ten minutes, and an entry VM is lost meanwhile.
-// Nobody may be evicted; the others go on granting their own keys on the word
-// of their peers, and only keys of the lost one end without a grant. When the
-// log is back, the lost one is evicted.
+// An entry VM is lost during an outage of the log of ten minutes. No member can
+// be evicted meanwhile. The others must go on granting their own keys on the
+// acks of their peers; only keys of the lost owner get no grant. It must be
+// evicted when the log is back.
 func TestLogOutageKeepsGranting(t *testing.T) {
 	withCluster(t, 8, func(c *cluster) {
 		c.log.Cut(true)
@@ -114,9 +115,9 @@
 	})
 }
 
-// One entry VM is cut off from the others, but not from the log. It stops
-// granting when its lease ends, before the others may take its keys; it is
-// evicted, stays out while it is cut off, and joins again afterwards.
+// One entry VM is partitioned from the others, but not from the log. It must
+// stop granting when its lease ends, before the others take over its keys. It
+// must be evicted, not rejoin during the partition, and join again afterwards.
 func TestNodeCutOffFromPeersIsEvictedAndRejoins(t *testing.T) {
 	withCluster(t, 5, func(c *cluster) {
 		others := []string{"n1", "n2", "n3", "n4"}
@@ -138,9 +139,9 @@
 	})
 }
 
-// Eight entry VMs are split into two halves of four for a minute, with the log
-// in reach of all. Neither half can evict the other, each goes on granting its
-// own keys, and suspicions are taken back when the split ends.
+// Eight entry VMs are split into two halves for a minute, and all of them reach
+// the log. Neither half can evict the other, each must go on granting its own
+// keys, and suspicions must be withdrawn after the split.
 func TestHalvesSplitFromEachOtherKeepGranting(t *testing.T) {
 	withCluster(t, 8, func(c *cluster) {
 		left, right := []string{"n0", "n1", "n2", "n3"}, []string{"n4", "n5", "n6", "n7"}
@@ -171,9 +172,10 @@
 	})
 }
 
-// The log goes out right after a join, while the others' refreshes of their
-// electorates are in flight. Their outcome stays open, and the leases must hold
-// for the old and the new electorate alike: all go on granting.
+// The log becomes unreachable right after a join, while the other members'
+// refreshes of their electorates are in flight. Their outcome is not known, and
+// the leases must be valid under the old and the new electorate: all members
+// must go on granting.
 func TestLogOutageDuringElectorateRefreshKeepsGranting(t *testing.T) {
 	withCluster(t, 5, func(c *cluster) {
 		c.start("n5")
@@ -191,9 +193,9 @@
 	})
 }
 
-// Two of four entry VMs were restarted in order a moment ago when a third is
-// lost, before it could take the new ones for its electors. Those that left must
-// not count there as half: the third is evicted all the same.
+// Two of four entry VMs were restarted in a planned way when a third is lost,
+// before its electorate holds the new members. The members that left must not
+// count as half of the electorate: the third must be evicted.
 func TestNodeLostRightAfterARollingRestartIsEvicted(t *testing.T) {
 	withCluster(t, 4, func(c *cluster) {
 		for _, name := range []string{"n0", "n1"} {
--- a/internal/membership/outage_test.go
+++ b/internal/membership/outage_test.go
@@ -42,7 +42,8 @@
 repeatable = false
 `
 
-// countingBackends are backend servers that run each request and count.
+// countingBackends stands for backend servers that run each request and counts
+// the runs.
 type countingBackends struct{ runs atomic.Int64 }
 
 func (r *countingBackends) Update(map[string]int) {}
@@ -56,7 +57,8 @@
 func (noopObserver) Retried(string, backend.Failure)              {}
 func (noopObserver) Shed(string, document.Class, routing.Refusal) {}
 
-// dispatch runs the request path of a node over its state and its claims.
+// dispatch returns a dispatcher that uses the state and the claims of a node,
+// and keeps it up to date.
 func (c *cluster) dispatch(n *node, to *countingBackends) *dispatch.Dispatcher {
 	d := dispatch.New(dispatch.Config{Zone: "z", MaxConnections: 64, Backends: to, Claims: entry.NewClaims(n.peers),
 		Observer: noopObserver{}, Rand: rand.New(rand.NewPCG(1, 2))})
@@ -81,7 +83,7 @@
 	return d
 }
 
-// propose makes a record effective.
+// propose appends a record and requires that it takes effect.
 func (n *node) propose(t *testing.T, kind record.SubjectKind, name string, body record.Body) {
 	t.Helper()
 	rec := record.Record{ID: ulid.Make().String(), Subject: record.Subject{Kind: kind, Name: name}, Author: "test", Time: time.Now(), Body: body}
@@ -91,12 +93,12 @@
 	require.Equal(t, ledger.Effective, out.Status, out.Reason)
 }
 
-// The log is out for six hours. Callers notice nothing: every quarter of an hour
-// each entry VM answers lookups, and bookings with keys of all owners, and a
-// retry of a booking at another entry VM gets its answer and no second run.
-// Nobody is evicted, in the outage or at the return, and bookings go on then.
-// Why: the table stays in use, and an owner's right to grant rests on its peers'
-// word, not on the log, as long as nobody can be evicted either.
+// During an outage of the log of six hours, every entry VM must answer lookups,
+// and bookings with keys of all owners, every 15 minutes; a booking retried at
+// another entry VM must get its reply and not run again. No member may be
+// evicted during the outage or after it, and bookings must go on afterwards.
+// The routing table stays in use, and the right to grant rests on acks of the
+// peers instead of the log, as long as no member can be evicted either.
 func TestEntriesAnswerDuringHoursOfLogOutage(t *testing.T) {
 	t.Parallel()
 	withCluster(t, 3, func(c *cluster) {
@@ -125,17 +127,17 @@
 			time.Sleep(3 * time.Second)
 			c.sendRequests(paths, to)
 		}
-		require.Equal(c.t, before, c.nodes["n1"].names(), "nobody was evicted at the return")
+		require.Equal(c.t, before, c.nodes["n1"].names(), "no member may be evicted when the log is back")
 	})
 }
 
-// names returns the members that the node knows of.
+// names returns the members in the folded state of the node.
 func (n *node) names() (names []string) {
 	n.follow.View(func(s *ledger.State) { names = s.MemberNames() })
 	return names
 }
 
-// sendRequests sends lookups and bookings, each booking twice, and checks the answers.
+// sendRequests sends lookups, and each booking twice, and checks the answers.
 func (c *cluster) sendRequests(paths []*dispatch.Dispatcher, to *countingBackends) {
 	c.t.Helper()
 	send := func(d *dispatch.Dispatcher, path, key string, first bool) {
@@ -156,5 +158,5 @@
 		send(paths[i%3], "/book", key, true)
 		send(paths[(i+1)%3], "/book", key, false)
 	}
-	assert.EqualValues(c.t, rounds*(len(paths)+1), to.runs.Load()-ran, "a retry runs nothing")
+	assert.EqualValues(c.t, rounds*(len(paths)+1), to.runs.Load()-ran, "each lookup and each booking must run exactly once")
 }
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -13,7 +13,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/wait"
 )
 
-// sessionEnd is how a membership ended.
+// sessionEnd states how a membership ended.
 type sessionEnd uint8
 
 const (
@@ -22,31 +22,32 @@
 )
 
 const (
-	// minRefreshInterval is the least time between two refreshes of the electorate,
-	// so that a rolling restart costs one for several joins.
+	// minRefreshInterval is the minimum time between two refreshes of the
+	// electorate, so that one refresh covers several joins of a rolling restart.
 	minRefreshInterval = 200 * time.Millisecond
-	// leaveTimeout bounds the append of a leave. A process that cannot leave
-	// because the log is out goes without, and is removed later.
+	// leaveTimeout limits the append of a leave record. A process that cannot
+	// append it during an outage of the log ends without it and is evicted later.
 	leaveTimeout = 3 * time.Second
-	// pullRetryInterval is the pause between two pulls for one debt.
+	// pullRetryInterval is the pause between two pulls for one handover.
 	pullRetryInterval = 50 * time.Millisecond
-	// pullTimeout bounds one pull.
+	// pullTimeout limits one pull.
 	pullTimeout = 5 * time.Second
-	// dropAfterFailures is how many lease requests in a row may fail before the
-	// connection is given up.
+	// dropAfterFailures is the number of consecutive failed lease requests between
+	// two drops of the connection. The first drop follows the second failure.
 	dropAfterFailures = 3
 )
 
-// session is one membership, from its join to its end. Its own goroutine holds
-// the state below; helpers get what they need as arguments.
+// session is one membership, from its join to its end. Only the goroutine of
+// serve uses the mutable fields, except pulls, which pullsMu guards. Helpers
+// get what they need as arguments.
 type session struct {
 	duty   *Duty
 	name   string
 	member *entrypeer.Member
-	offset uint64 // of the last change applied
+	offset uint64 // of the latest change applied
 
 	lastRefresh time.Time
-	refreshDone chan struct{} // closed once the refresh was read back; nil without one
+	refreshDone chan struct{} // closed once the refresh was read back; nil if none is in flight
 	votes       map[string]context.CancelFunc
 	pulls       map[claim.PendingHandover]bool
 	pullsMu     sync.Mutex
@@ -84,12 +85,12 @@
 	}
 }
 
-// updateReadiness tells the readiness. A balancer that sent callers to a member that is
-// blind, for the second or two after the first join, would earn them "unknown"
-// for requests that never ran.
+// updateReadiness updates the readiness. In the one or two seconds after the
+// first join, the member refuses all new keys; callers sent to it would get
+// "unknown" for requests that never ran.
 func (s *session) updateReadiness() {
 	if s.member.RefusesFreshKeys() {
-		s.duty.setReadiness("keys that are minted now may be known to lost entry VMs")
+		s.duty.setReadiness("keys minted now may have claims at lost entry VMs")
 		return
 	}
 	s.duty.setReadiness("")
@@ -97,9 +98,9 @@
 
 func (s *session) logReachable() bool { return time.Since(s.duty.cfg.Log.Fresh()) < maxLogAge }
 
-// applyChanges applies the changes of the membership since the last call. It returns
-// false when this member was removed, or when the state does not hold all
-// changes any more and the claims of others cannot be accounted for.
+// applyChanges applies the changes of the membership since the last call. It
+// returns false if this member was removed, or if the state no longer holds all
+// of the changes, because the claims of the other members are then not known.
 func (s *session) applyChanges() bool {
 	var changes []ledger.MemberChange
 	complete, present := true, false
@@ -108,7 +109,7 @@
 		_, present = st.Members[s.name]
 	})
 	if !complete {
-		s.duty.cfg.Logger.Error("missed changes of the membership", "member", s.name)
+		s.duty.cfg.Logger.Error("the state no longer holds all changes of the membership", "member", s.name)
 		return false
 	}
 	for _, c := range changes {
@@ -124,8 +125,8 @@
 	return present
 }
 
-// changesAfter returns the changes after offset; complete is false when older
-// ones are no longer held.
+// changesAfter returns the changes after offset. complete is false if the state
+// no longer holds all of them.
 func changesAfter(st *ledger.State, offset uint64) (changes []ledger.MemberChange, complete bool) {
 	for _, c := range st.MemberChanges {
 		if c.Offset <= offset {
@@ -137,7 +138,7 @@
 	return changes, complete || len(changes) == 0
 }
 
-// loadElectorate takes the folded electorate.
+// loadElectorate sets the electorate from the folded state.
 func (s *session) loadElectorate() {
 	var names []string
 	s.duty.cfg.Log.View(func(st *ledger.State) {
@@ -148,8 +149,9 @@
 	s.member.SetElectorate(names)
 }
 
-// refreshElectorate sets the electorate to the present members once it differs. While its
-// outcome is open the lease must hold for both.
+// refreshElectorate proposes the current members as the electorate if they
+// differ from it. While the outcome is not known, the lease must be valid under
+// both electorates.
 func (s *session) refreshElectorate(ctx context.Context) {
 	if s.refreshDone != nil {
 		select {
@@ -179,7 +181,7 @@
 	s.helpers.Go(func() {
 		rec := s.duty.record(s.name, record.MemberRefresh{Electorate: members})
 		if _, err := s.duty.cfg.Log.Propose(ctx, rec); err != nil {
-			return // the session ends with the outcome open, and with it the lease
+			return // the session and its lease end with the outcome unknown
 		}
 		s.duty.cfg.Log.View(func(st *ledger.State) {
 			if m, ok := st.Members[s.name]; ok {
@@ -190,9 +192,9 @@
 	})
 }
 
-// castVotes appends votes. A later vote about the same peer ends the wait for an
-// earlier one; the earlier record may still take effect, and is void after the
-// later one by its lower sequence number.
+// castVotes appends votes. A later vote on the same peer cancels the wait for
+// an earlier one. The earlier record may still be appended, but is void after
+// the later one because its sequence number is lower.
 func (s *session) castVotes(ctx context.Context, votes []claim.Vote) {
 	for _, v := range votes {
 		if cancel := s.votes[v.Member]; cancel != nil {
@@ -209,14 +211,14 @@
 	if v.Suspect {
 		body = record.MemberSuspect{By: s.name, Seq: v.Seq, Until: v.Until}
 	}
-	s.duty.cfg.Logger.Warn("vote on an entry VM", "member", v.Member, "suspect", v.Suspect, "seq", v.Seq)
+	s.duty.cfg.Logger.Warn("voting on an entry VM", "member", v.Member, "suspect", v.Suspect, "seq", v.Seq)
 	out, err := s.duty.cfg.Log.Propose(ctx, s.duty.record(v.Member, body))
 	if err == nil && out.Status == ledger.Effective {
 		s.member.ConfirmTrust(v)
 	}
 }
 
-// updateRenewals runs one goroutine for each peer that renews the lease.
+// updateRenewals keeps one goroutine per peer that renews the lease.
 func (s *session) updateRenewals(ctx context.Context) {
 	peers := s.member.Peers()
 	for name, cancel := range s.renewals {
@@ -235,7 +237,7 @@
 	}
 }
 
-// renew asks one peer for its promise again and again.
+// renew sends lease requests to one peer until ctx ends.
 func (s *session) renew(ctx context.Context, peer, address string) {
 	every := s.duty.cfg.Lease.Duration / renewalsPerLease
 	tick := time.NewTicker(every)
@@ -259,7 +261,7 @@
 	}
 }
 
-// startPulls starts pulling for each debt that is new.
+// startPulls starts pulling for each new pending handover.
 func (s *session) startPulls(ctx context.Context) {
 	s.pullsMu.Lock()
 	defer s.pullsMu.Unlock()
@@ -277,7 +279,7 @@
 	}
 }
 
-// pullHandover pulls until the debt is settled or was given up.
+// pullHandover pulls until the handover was received or abandoned.
 func (s *session) pullHandover(ctx context.Context, pending claim.PendingHandover) {
 	for ctx.Err() == nil && slices.Contains(s.member.PendingHandovers(), pending) {
 		callCtx, cancel := context.WithTimeout(ctx, pullTimeout)
@@ -294,9 +296,9 @@
 	}
 }
 
-// leave leaves in order: it stops granting, waits for the reports of its own
-// requests to be delivered, appends the leave, and stays until every other
-// member has pulled, or until none would wait for it any longer.
+// leave ends the membership in a planned way. It stops granting, waits until
+// the reports of its own requests were delivered, appends the leave record, and
+// remains until every other member has pulled or would not wait any longer.
 func (s *session) leave(ctx context.Context, changed <-chan struct{}, tick <-chan time.Time) {
 	acksUntil := s.member.Retire()
 	appendCtx, cancel := context.WithTimeout(ctx, leaveTimeout)
@@ -304,7 +306,7 @@
 	s.duty.cfg.Peers.Flush(appendCtx)
 	out, err := s.duty.cfg.Log.Propose(appendCtx, s.duty.record(s.name, record.MemberLeave{AcksUntil: acksUntil}))
 	if err != nil {
-		s.duty.cfg.Logger.Warn("leaving without a record on the log", "member", s.name, "error", err)
+		s.duty.cfg.Logger.Warn("cannot append the leave record, leaving without it", "member", s.name, "error", err)
 		return
 	}
 	stayCtx, cancelStay := context.WithTimeout(ctx, 2*s.duty.cfg.Claim.Handover)
