--- a/internal/entrypeer/asker.go
+++ b/internal/entrypeer/asker.go
@@ -8,18 +8,18 @@
 	pb "github.com/yuccadrift/yuccadrift/internal/entrypeer/entrypeerpb"
 )
 
-// Asker asks entry processes from a process that is none.
+// Asker queries entry processes from a process that is not one.
 type Asker struct{ conns *connPool }
 
-// NewAsker returns an Asker; Close ends its connections.
+// NewAsker returns an Asker. Close closes its connections.
 func NewAsker() *Asker { return &Asker{conns: newConnPool(nil)} }
 
-// Close ends the connections.
+// Close closes the connections.
 func (a *Asker) Close() { a.conns.close() }
 
-// InFlight asks the entry process at the peer address (IP:port) for its
-// requests in flight by backend VM, and for the offset of the log that it acted
-// on when it counted.
+// InFlight returns the requests in flight by backend VM of the entry process at
+// the peer address (IP:port), and the log offset up to which it had applied the
+// log when it counted them.
 func (a *Asker) InFlight(ctx context.Context, address string) (offset uint64, vms map[string]int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, DefaultCallTimeout)
 	defer cancel()
@@ -29,7 +29,7 @@
 	}
 	r, err := c.InFlight(ctx, &pb.InFlightRequest{})
 	if err != nil {
-		return 0, nil, errors.Wrapf(err, "requests in flight at %s", address)
+		return 0, nil, errors.Wrapf(err, "read requests in flight from %s", address)
 	}
 	vms = map[string]int{}
 	for vm, n := range r.GetVms() {
--- a/internal/entrypeer/bytes_test.go
+++ b/internal/entrypeer/bytes_test.go
@@ -12,7 +12,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/peerserver"
 )
 
-// countedConn counts the bytes of a connection, in both directions.
+// countedConn counts the bytes of a connection in both directions.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -30,10 +30,10 @@
 	return n, err
 }
 
-// Every member exchanges a small message with every other several times a
-// second, so bytes that the transport adds to each are multiplied by the square
-// of the members. A ping and a window update with each message more than doubled
-// the control traffic.
+// Every member sends a small message to every other several times a second, so
+// bytes that the transport adds per message count with the square of the
+// members. A ping and a window update with each message more than doubled the
+// control traffic.
 func TestSmallCallsUseFewBytes(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/entrypeer/claims.go
+++ b/internal/entrypeer/claims.go
@@ -12,16 +12,16 @@
 	pb "github.com/yuccadrift/yuccadrift/internal/entrypeer/entrypeerpb"
 )
 
-// Pauses between two tries of a claim whose owner cannot grant it yet.
+// Pauses between two calls for a claim that its owner cannot grant yet.
 const (
 	retryMin = 10 * time.Millisecond
 	retryMax = 80 * time.Millisecond
-	// awaitMax bounds one wait at a remote owner, so that one which vanished is
+	// awaitMax limits one wait at a remote owner, so that the loss of the owner is
 	// noticed.
 	awaitMax = 2 * time.Second
 )
 
-// ownerUnreachable is the reply that stands for an owner that gave none.
+// ownerUnreachable stands for the reply of an owner that did not answer.
 var ownerUnreachable = claim.Reply{Code: claim.CodeNoLease, Reason: claim.ReasonUnreachable}
 
 // Claim implements Claimer.
@@ -48,17 +48,17 @@
 	return decide(req, t.attempt, reply)
 }
 
-// claimCall is one attempt's way to a final reply. The attempt's ID stays the same
-// throughout, so that an owner which granted the claim already, in a reply that
-// was lost, grants it again and no second claim is left behind.
+// claimCall obtains the final reply for one attempt. All calls carry the same
+// attempt ID: an owner that granted the claim in a reply that was lost grants
+// it again, and no second claim remains.
 type claimCall struct {
 	node       *Node
 	req        claim.Request
 	attempt    claim.Attempt
 	until      time.Time
 	retryUntil time.Time
-	// mayBeGranted is set once a call went unanswered: its claim may have been granted,
-	// and must be given back when the attempt ends otherwise.
+	// mayBeGranted is set once a call got no answer. Its claim may have been
+	// granted and must be released if the attempt ends without a grant.
 	mayBeGranted bool
 }
 
@@ -85,7 +85,7 @@
 	}
 }
 
-// ask puts the claim to the owner once.
+// ask sends the claim to the owner once.
 func (t *claimCall) ask(ctx context.Context, m *Member, owner, address string) claim.Reply {
 	if owner == m.Name() {
 		return m.claim(t.req, t.attempt, t.until)
@@ -127,8 +127,8 @@
 	}, nil
 }
 
-// await waits at the owner for another attempt to end. It returns false when
-// too many wait there already.
+// await waits at the owner until another attempt ends. It returns false if too
+// many attempts wait there already.
 func (t *claimCall) await(ctx context.Context, m *Member, owner, address string) bool {
 	if owner == m.Name() {
 		return m.await(ctx, t.req.Key, t.attempt)
--- a/internal/entrypeer/conns.go
+++ b/internal/entrypeer/conns.go
@@ -15,17 +15,17 @@
 	"github.com/yuccadrift/yuccadrift/internal/peerserver"
 )
 
-// Bounds of a connection to a peer.
+// Limits of connections to peers.
 const (
-	// maxMessage bounds one message, in bytes.
+	// maxMessage is the maximum size of a message in bytes.
 	maxMessage     = 4 << 20
 	connectTimeout = time.Second
 	redialMin      = 50 * time.Millisecond
 	redialMax      = time.Second
 )
 
-// connPool keeps one connection per peer address. It carries no credentials yet:
-// entry VMs talk in plain text inside their own network.
+// connPool keeps one connection per peer address. Connections are not encrypted
+// and carry no credentials; entry VMs use their own network.
 type connPool struct {
 	dial      func(ctx context.Context, address string) (net.Conn, error)
 	mu        sync.Mutex
@@ -45,7 +45,7 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// client returns a client for the peer at address (IP:port).
+// client returns a client of the peer at address (IP:port).
 func (c *connPool) client(address string) (pb.EntryPeerClient, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,26 +66,26 @@
 		}))
 	conn, err := grpc.NewClient("passthrough:///"+address, options...)
 	if err != nil {
-		return nil, errors.Wrapf(err, "entry peer %s", address)
+		return nil, errors.Wrapf(err, "connect to entry peer %s", address)
 	}
 	c.byAddress[address] = conn
 	return pb.NewEntryPeerClient(conn), nil
 }
 
-// drop closes the connection to address; the next call dials anew. After a
-// network split TCP would go on retransmitting at its grown interval for many
-// seconds, in which the peer seems lost though it can be reached again.
+// drop closes the connection to address; the next call connects again. After a
+// network partition, TCP would continue to retransmit at its increased interval
+// for many seconds, during which a reachable peer seems lost.
 func (c *connPool) drop(address string) {
 	c.mu.Lock()
 	conn := c.byAddress[address]
 	delete(c.byAddress, address)
 	c.mu.Unlock()
 	if conn != nil {
-		_ = conn.Close() // nothing to do about an error: the connection is given up
+		_ = conn.Close() // the connection is not used again
 	}
 }
 
-// retain closes the connections to all other addresses.
+// retain closes the connections to all addresses except those in keep.
 func (c *connPool) retain(keep map[string]bool) {
 	c.mu.Lock()
 	var gone []*grpc.ClientConn
--- a/internal/entrypeer/convert.go
+++ b/internal/entrypeer/convert.go
@@ -10,8 +10,8 @@
 	pb "github.com/yuccadrift/yuccadrift/internal/entrypeer/entrypeerpb"
 )
 
-// errMalformed means that a peer sent something that this build cannot read.
-var errMalformed = errors.New("malformed message of an entry peer")
+// errMalformed reports a message that this build cannot decode.
+var errMalformed = errors.New("malformed message from an entry peer")
 
 const idSize = 16
 
@@ -36,7 +36,7 @@
 	return claim.Attempt{Holder: a.GetHolder(), ID: id}, err
 }
 
-// keyAndAttempt reads the key and attempt that most calls carry.
+// keyAndAttempt decodes the key and the attempt that most calls carry.
 func keyAndAttempt(k *pb.Key, a *pb.Attempt) (claim.Key, claim.Attempt, error) {
 	key, err := keyOf(k)
 	if err != nil {
--- a/internal/entrypeer/decide.go
+++ b/internal/entrypeer/decide.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// maxRun is how long a run without a deadline may take before its claim
-	// counts as lost.
+	// maxRun is how long a run without a deadline may take before its claim counts
+	// as lost.
 	maxRun = time.Hour
-	// reportSlack is how long after a run's deadline its report may arrive.
+	// reportSlack is how long after the deadline of a run its report may arrive.
 	reportSlack = 10 * time.Second
-	// retrySoon is the Retry-After of a condition that passes by itself.
+	// retrySoon is the Retry-After of a temporary condition.
 	retrySoon = time.Second
 )
 
-// decide turns an owner's last reply into the decision for the caller.
+// decide derives the decision for the caller from the owner's last reply.
 func decide(req claim.Request, attempt claim.Attempt, r claim.Reply) claim.Decision {
 	d := claim.Decision{Reason: r.Reason, Answer: r.Answer}
 	switch r.Code {
@@ -40,9 +40,9 @@
 	return d
 }
 
-// verdictWithoutRecord is the verdict where nothing is known of earlier attempts: the
-// caller's word that there is none settles it, since this attempt has not run
-// and will not.
+// verdictWithoutRecord returns the verdict if earlier attempts are not known.
+// If the caller asserted that there is none, the verdict is NotRun, because
+// this attempt has not run and will not.
 func verdictWithoutRecord(req claim.Request, reason claim.Reason) claim.Verdict {
 	switch reason {
 	case claim.ReasonTooOld, claim.ReasonTooNew, claim.ReasonOwnerLost, claim.ReasonUnreachable, claim.ReasonMoving:
--- a/internal/entrypeer/local.go
+++ b/internal/entrypeer/local.go
@@ -9,8 +9,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/ledger"
 )
 
-// NewLocal returns the Claimer of a process that has no peers and owns every
-// key.
+// NewLocal returns the Claimer of a process without peers. It owns every key.
 func NewLocal(self string, cfg claim.Config) *Node {
 	n := NewNode(NodeConfig{Logger: hclog.NewNullLogger(), CallTimeout: time.Second})
 	m := NewMember(MemberConfig{Name: self, Claim: cfg})
--- a/internal/entrypeer/local_test.go
+++ b/internal/entrypeer/local_test.go
@@ -28,9 +28,9 @@
 	return claim.Request{Key: claim.Key{Service: "orders", ID: ulid.Make()}}
 }
 
-// A caller whose connection broke sends its request again while the first
-// attempt still runs. The retry waits, and gets the reply of the first attempt
-// when that one ends; only one of them ever has the right to run.
+// After its connection broke, a caller sends its request again while the first
+// attempt still runs. The retry must wait for the first attempt and get its
+// reply. Only one of them may be granted.
 func TestRetryWaitsForTheRunningAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLocal("a", testConfig())
@@ -53,9 +53,9 @@
 	})
 }
 
-// The first attempt holds its claim and never ends. A retry gets "unknown" at
-// its own deadline and not before; after the first attempt reported that it did
-// not run, a third one may.
+// The first attempt holds its claim and does not end. A retry must get
+// "unknown" at its own deadline and not before. After the first attempt
+// reported that it did not run, a third attempt may run.
 func TestRetryGetsUnknownAtItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLocal("a", testConfig())
--- a/internal/entrypeer/member.go
+++ b/internal/entrypeer/member.go
@@ -11,15 +11,15 @@
 // started is the origin of the monotonic clock of this process.
 var started = time.Now()
 
-// Now reads both clocks.
+// Now returns a reading of both clocks.
 func Now() claim.Instant {
 	t := time.Now()
 	return claim.Instant{Wall: t.Round(0), Mono: t.Sub(started)}
 }
 
-// Member is one membership of this process: from a join until it was removed.
-// It guards the pure machines of internal/claim, which share one lock so that
-// each claim is decided on one state of lease, membership and records.
+// Member is one membership of this process, from its join to its removal. It
+// guards the types of internal/claim by one lock, so that each claim is decided
+// on one consistent state of lease, membership and records.
 type Member struct {
 	name string
 
@@ -28,19 +28,19 @@
 	lease         *claim.Lease
 	monitor       *claim.PeerMonitor
 	clockCheck    *claim.ClockCheck
-	addresses     map[string]string // of members and of those removed lately
+	addresses     map[string]string // of members and of recently removed ones
 	waiters       waiters
-	pulledOffsets map[string]uint64 // highest change that each peer pulled for
+	pulledOffsets map[string]uint64 // highest offset for which each peer has pulled
 }
 
-// MemberConfig is what a Member needs.
+// MemberConfig holds the settings of a Member.
 type MemberConfig struct {
 	Name  string
 	Claim claim.Config
 	Lease claim.LeaseConfig
 }
 
-// NewMember returns a Member that owns nothing before Join.
+// NewMember returns a Member that owns no key before Join.
 func NewMember(cfg MemberConfig) *Member {
 	m := &Member{
 		name:          cfg.Name,
@@ -55,20 +55,21 @@
 	return m
 }
 
-// memberAuthority is the member's right to grant: a lease and a clock that peers agree
-// with.
+// memberAuthority is the member's right to grant: a valid lease, and a clock
+// with which the peers agree.
 type memberAuthority struct{ m *Member }
 
-// Valid implements claim.Right. The Member's lock is held.
+// Valid implements claim.Authority. It must be called with the mutex of the
+// Member held.
 func (r memberAuthority) Valid(now claim.Instant) bool {
 	return r.m.lease.Valid(now) && r.m.clockCheck.Agrees(now)
 }
 
-// Name returns the member's name.
+// Name returns the name of the member.
 func (m *Member) Name() string { return m.name }
 
-// Join makes the process a member by the change that joined it. before are the
-// members before the change.
+// Join makes this process a member by the given change. before are the members
+// before the change.
 func (m *Member) Join(before []ledger.MemberRef, change ledger.MemberChange) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -78,7 +79,7 @@
 	m.updatePeers()
 }
 
-// Apply takes a change of the membership.
+// Apply applies a change of the membership.
 func (m *Member) Apply(change ledger.MemberChange) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -95,7 +96,7 @@
 	}
 }
 
-// updatePeers takes the members other than this one as peers to watch.
+// updatePeers sets the other members as the peers to monitor.
 func (m *Member) updatePeers() {
 	members, _ := m.owner.Members()
 	var peers []string
@@ -133,8 +134,8 @@
 	return peers
 }
 
-// RequiredAddresses returns the addresses that this member may still have to call: of the
-// members and of those that owe it claims. It forgets all others.
+// RequiredAddresses returns the addresses of the members and of the sources of
+// pending handovers, and forgets all others.
 func (m *Member) RequiredAddresses() map[string]bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -152,14 +153,14 @@
 	return keep
 }
 
-// Address returns where a member, or one removed lately, answers.
+// Address returns the address of a member or of a recently removed one.
 func (m *Member) Address(name string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.addresses[name]
 }
 
-// Members returns the members and the offset of the last change, as applied.
+// Members returns the members and the offset of the latest change applied.
 func (m *Member) Members() ([]string, uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -173,16 +174,16 @@
 	return memberAuthority{m}.Valid(Now())
 }
 
-// RefusesFreshKeys reports whether the member must answer "unknown" to every key that is
-// minted now.
+// RefusesFreshKeys reports whether the member must answer "unknown" for every
+// key minted now.
 func (m *Member) RefusesFreshKeys() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.owner.RefusesFreshKeys(Now())
 }
 
-// Retire makes the member stop granting and giving acks for good, as before a
-// planned leave. It returns when the last lease runs out that it acked.
+// Retire makes the member stop granting and acking permanently, for example
+// before a planned leave. It returns the end of the last lease that it acked.
 func (m *Member) Retire() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -190,8 +191,8 @@
 	return m.monitor.Retire()
 }
 
-// Step moves the watch over the peers on, and the debts to removed ones. It
-// returns the votes that are due.
+// Step abandons overdue handovers of removed members and updates the trust in
+// the peers. It returns the votes that are due.
 func (m *Member) Step(logReachable bool) []claim.Vote {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -200,28 +201,30 @@
 	return m.monitor.Step(now, logReachable)
 }
 
-// ConfirmTrust notes that a trust vote was read back as effective.
+// ConfirmTrust records that a trust vote was read back as effective.
 func (m *Member) ConfirmTrust(v claim.Vote) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.monitor.ConfirmTrust(v)
 }
 
-// SetElectorate takes the electorate that was folded.
+// SetElectorate sets the electorate from the folded state.
 func (m *Member) SetElectorate(names []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lease.SetElectorate(names)
 }
 
-// ProposeElectorate must be called before a refresh of the electorate is appended.
+// ProposeElectorate must be called before a refresh record with the electorate
+// is appended.
 func (m *Member) ProposeElectorate(names []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lease.ProposeElectorate(names)
 }
 
-// ConfirmElectorate takes the electorate after the refresh was read back.
+// ConfirmElectorate sets the electorate from the folded state after a refresh
+// record was read back.
 func (m *Member) ConfirmElectorate(folded []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -229,21 +232,21 @@
 	m.lease.ConfirmElectorate()
 }
 
-// PendingHandovers returns the claims that the member has yet to pull.
+// PendingHandovers returns the handovers that the member awaits.
 func (m *Member) PendingHandovers() []claim.PendingHandover {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.owner.PendingHandovers()
 }
 
-// pullRequestFor returns the request that settles a debt.
+// pullRequestFor returns the pull request for a pending handover.
 func (m *Member) pullRequestFor(d claim.PendingHandover) (claim.PullRequest, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.owner.PullRequestFor(d)
 }
 
-// ApplyHandover takes the handover for a debt.
+// ApplyHandover takes over the state that was pulled for a pending handover.
 func (m *Member) ApplyHandover(d claim.PendingHandover, h claim.Handover) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -251,21 +254,22 @@
 	m.waiters.wakeAll()
 }
 
-// handlePull answers a peer's pull.
+// handlePull answers a pull request of a peer.
 func (m *Member) handlePull(req claim.PullRequest) (claim.Handover, claim.PullStatus) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.owner.Pull(req)
 }
 
-// recordHandover notes that a peer received a whole handover.
+// recordHandover records that a peer received a complete handover.
 func (m *Member) recordHandover(offset uint64, puller string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.pulledOffsets[puller] = max(m.pulledOffsets[puller], offset)
 }
 
-// MembersYetToPull returns the members that have yet to pull for the change at offset.
+// MembersYetToPull returns the members that have not pulled for the change at
+// offset.
 func (m *Member) MembersYetToPull(offset uint64) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -279,14 +283,14 @@
 	return list
 }
 
-// handleLeaseRequest answers a peer's lease request.
+// handleLeaseRequest reports whether a lease request of a peer is acked.
 func (m *Member) handleLeaseRequest(peer string, clock time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.monitor.HandleLeaseRequest(Now(), peer, clock)
 }
 
-// handleLeaseReply takes a peer's answer to a lease request.
+// handleLeaseReply records a peer's reply to a lease request.
 func (m *Member) handleLeaseReply(peer string, acked bool, clock time.Time, sent claim.Instant) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -298,7 +302,7 @@
 	}
 }
 
-// Stats are figures of a Member.
+// Stats holds figures of a Member for metrics.
 type Stats struct {
 	Records          int
 	InProgress       int
@@ -307,7 +311,7 @@
 	Suspects         int
 }
 
-// Stats returns the member's figures.
+// Stats returns the current figures.
 func (m *Member) Stats() Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -321,8 +325,8 @@
 	}
 }
 
-// distrusts reports whether this member has no trust in a peer, so that asking
-// it is vain.
+// distrusts reports whether this member does not trust the peer. Calls to it
+// would then be pointless.
 func (m *Member) distrusts(peer string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/entrypeer/node.go
+++ b/internal/entrypeer/node.go
@@ -15,38 +15,39 @@
 	pb "github.com/yuccadrift/yuccadrift/internal/entrypeer/entrypeerpb"
 )
 
-// Bounds that suit the latencies of today's sizes.
+// Defaults of NodeConfig, chosen for the latencies between entry VMs.
 const (
 	DefaultCallTimeout = 300 * time.Millisecond
 	DefaultPatience    = time.Second
 )
 
-// NodeConfig is what a Node needs.
+// NodeConfig holds the dependencies and settings of a Node.
 type NodeConfig struct {
 	Logger hclog.Logger
-	// InFlight returns the requests in flight by backend VM and how far the
-	// process acted on the log when it counted. Nil in a process that serves no
-	// callers.
+	// InFlight returns the requests in flight by backend VM, and the offset up to
+	// which the process had applied the log when it counted them. Nil in a process
+	// that serves no callers.
 	InFlight func() (offset uint64, vms map[string]int)
-	// State is passed on to nodes that cannot read the log. Nil where none is.
+	// State is sent to nodes that cannot read the log. Nil in a process without
+	// state.
 	State StateSource
-	// CallTimeout bounds one call to a peer that answers at once.
+	// CallTimeout limits one call that the peer answers at once.
 	CallTimeout time.Duration
-	// Patience is for how long a claim is tried again while its owner cannot be
-	// reached or must not grant.
+	// Patience is how long a claim is retried while its owner is unreachable or
+	// may not grant.
 	Patience time.Duration
-	// Dial connects to a peer address; nil stands for TCP.
+	// Dial connects to a peer address. Nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Node is this process among the entry VMs. It is the Claimer of the request
-// path.
+// Node is this process as one of the entry VMs. It implements Claimer for the
+// request path.
 type Node struct {
 	cfg   NodeConfig
 	conns *connPool
 
 	mu      sync.Mutex
-	members []*Member // the current one is last; older ones still hand over
+	members []*Member // the current one is the last; earlier ones still hand over
 	joined  bool
 
 	reports     chan report
@@ -54,16 +55,16 @@
 	dropped     atomic.Int64
 }
 
-// maxMemberships is how many earlier memberships of this process are kept to
-// hand their claims over.
+// maxMemberships is the number of memberships of this process that are kept,
+// including earlier ones that still hand over their records.
 const maxMemberships = 3
 
-// NewNode returns a Node without membership. It grants nothing before Begin.
+// NewNode returns a Node without membership. It grants no claims before Begin.
 func NewNode(cfg NodeConfig) *Node {
 	return &Node{cfg: cfg, conns: newConnPool(cfg.Dial), reports: make(chan report, maxReports)}
 }
 
-// Close ends the connections to peers.
+// Close closes the connections to peers.
 func (n *Node) Close() { n.conns.close() }
 
 // Begin makes m the current membership.
@@ -77,14 +78,14 @@
 	n.joined = true
 }
 
-// End ends the current membership. It goes on handing over.
+// End ends the current membership, which continues to hand over its records.
 func (n *Node) End() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.joined = false
 }
 
-// current returns the current membership, or nil.
+// current returns the current membership, or nil without one.
 func (n *Node) current() *Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -94,7 +95,7 @@
 	return n.members[len(n.members)-1]
 }
 
-// member returns a membership of this process by name, or nil.
+// member returns the membership of this process with the given name, or nil.
 func (n *Node) member(name string) *Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// Ready returns why the node cannot grant claims, or "".
+// Ready returns the reason why the node cannot grant claims, or "" if it can.
 func (n *Node) Ready() string {
 	m := n.current()
 	switch {
@@ -118,7 +119,7 @@
 	return ""
 }
 
-// Stats returns figures of the current membership, zero without one.
+// Stats returns the figures of the current membership, or zeros without one.
 func (n *Node) Stats() Stats {
 	if m := n.current(); m != nil {
 		return m.Stats()
@@ -126,7 +127,7 @@
 	return Stats{}
 }
 
-// Lease asks the peer for its promise on behalf of m.
+// Lease sends a lease request to the peer on behalf of m.
 func (n *Node) Lease(ctx context.Context, m *Member, peer, address string) error {
 	c, err := n.conns.client(address)
 	if err != nil {
@@ -135,16 +136,16 @@
 	sent := Now()
 	r, err := c.Lease(ctx, &pb.LeaseRequest{Member: m.Name(), Clock: timeProto(sent.Wall)})
 	if err != nil {
-		return errors.Wrapf(err, "lease from %s", peer)
+		return errors.Wrapf(err, "request a lease ack from %s", peer)
 	}
 	if r.GetMember() != peer {
-		return errors.Errorf("%s answers at the address of %s", r.GetMember(), peer)
+		return errors.Errorf("member %s answered at the address of %s", r.GetMember(), peer)
 	}
 	m.handleLeaseReply(peer, r.GetAcked(), r.GetClock().AsTime(), sent)
 	return nil
 }
 
-// Probe asks whether any entry process answers at address.
+// Probe returns nil if any entry process answers at address.
 func (n *Node) Probe(ctx context.Context, address string) error {
 	c, err := n.conns.client(address)
 	if err != nil {
@@ -154,13 +155,14 @@
 	return errors.Wrapf(err, "probe %s", address)
 }
 
-// Drop closes the connection to address, so that the next call dials anew.
+// Drop closes the connection to address. The next call connects again.
 func (n *Node) Drop(address string) { n.conns.drop(address) }
 
-// Retain closes the connections to all but the given addresses.
+// Retain closes the connections to all addresses except the given ones.
 func (n *Node) Retain(addresses map[string]bool) { n.conns.retain(addresses) }
 
-// Pull asks the source of the debt for its claims on behalf of m.
+// Pull pulls the records of a pending handover from its source on behalf of m.
+// It returns PullLater without a call if the handover is no longer pending.
 func (n *Node) Pull(ctx context.Context, m *Member, d claim.PendingHandover) (claim.Handover, claim.PullStatus, error) {
 	var h claim.Handover
 	req, open := m.pullRequestFor(d)
--- a/internal/entrypeer/reports.go
+++ b/internal/entrypeer/reports.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// maxReports bounds the reports that wait for delivery. A report over it is
-	// dropped, and its key's retries get "unknown" after the attempt's deadline.
+	// maxReports is the maximum number of reports that wait for delivery. Further
+	// reports are dropped, and retries of their keys get "unknown" after the
+	// deadline of the attempt.
 	maxReports = 4096
-	// maxDeliveries bounds the deliveries at one time.
+	// maxDeliveries is the maximum number of concurrent deliveries.
 	maxDeliveries = 256
-	// reportTimeout is for how long delivery of one report is tried.
+	// reportTimeout is how long the delivery of one report is retried.
 	reportTimeout = 15 * time.Second
-	// flushInterval is how often Flush looks.
+	// flushInterval is how often Flush checks for undelivered reports.
 	flushInterval = 5 * time.Millisecond
 )
 
-// report is a result on its way to the key's owner.
+// report is a result that was not delivered to the key's owner yet.
 type report struct {
 	result claim.Result
 	until  time.Time
@@ -43,10 +44,10 @@
 	}
 }
 
-// DroppedReports returns how many reports could not be delivered.
+// DroppedReports returns the number of reports that could not be delivered.
 func (n *Node) DroppedReports() int64 { return n.dropped.Load() }
 
-// Serve delivers reports until ctx ends. It is a duty's Serve function.
+// Serve delivers reports until ctx ends.
 func (n *Node) Serve(ctx context.Context) error {
 	var deliveries errgroup.Group
 	deliveries.SetLimit(maxDeliveries)
@@ -64,14 +65,14 @@
 	}
 }
 
-// Flush waits until all reports are delivered or given up, or ctx ends.
+// Flush waits until all reports were delivered or dropped, or until ctx ends.
 func (n *Node) Flush(ctx context.Context) {
 	for n.undelivered.Load() > 0 && ctx.Err() == nil {
 		sleep(ctx, flushInterval)
 	}
 }
 
-// deliver tries until the present owner of the key has taken the report.
+// deliver retries until the current owner of the key has accepted the report.
 func (n *Node) deliver(ctx context.Context, r report) {
 	defer n.undelivered.Add(-1)
 	pause := retryMin
--- a/internal/entrypeer/server.go
+++ b/internal/entrypeer/server.go
@@ -11,24 +11,24 @@
 	pb "github.com/yuccadrift/yuccadrift/internal/entrypeer/entrypeerpb"
 )
 
-// server answers other entry VMs for a Node.
+// server implements the EntryPeer service for a Node.
 type server struct {
 	pb.UnimplementedEntryPeerServer
 	node *Node
 }
 
-// Register adds the EntryPeer service to the daemon's gRPC server.
+// Register adds the EntryPeer service to the process's gRPC server.
 func (n *Node) Register(to grpc.ServiceRegistrar) {
 	pb.RegisterEntryPeerServer(to, &server{node: n})
 }
 
-var errUnknownMember = status.Error(codes.FailedPrecondition, "no such member here")
+var errUnknownMember = status.Error(codes.FailedPrecondition, "this process does not run the requested member")
 
 func badRequest(err error) error { return status.Error(codes.InvalidArgument, err.Error()) }
 
-// member returns the named membership of this process. A message for another
-// one, as from before a restart at the same address, must not be taken: the
-// sender means a memory that is gone.
+// member returns the membership of this process with the given name. A message
+// for another member, for example from before a restart at the same address,
+// must be refused, because it refers to records that are lost.
 func (s *server) member(name string) (*Member, error) {
 	if m := s.node.member(name); m != nil {
 		return m, nil
@@ -99,7 +99,8 @@
 	return out, nil
 }
 
-// pullBatch bounds the records of one message, and with MaxAnswer its bytes.
+// pullBatch is the maximum number of records per message. With MaxAnswer it
+// limits the size of a message.
 const pullBatch = 32
 
 // Pull implements the gRPC service.
--- a/internal/entrypeer/state.go
+++ b/internal/entrypeer/state.go
@@ -17,30 +17,31 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-// Bounds of passing on a state.
+// Limits of a state transfer.
 const (
-	// statePartSize is the size of one message, in bytes.
+	// statePartSize is the size of one message in bytes.
 	statePartSize = 256 << 10
-	// stateFirstPartTimeout bounds the wait for the peers' offsets, stateTimeout the whole.
+	// stateFirstPartTimeout limits the wait for the first parts of the peers'
+	// states, stateTimeout the whole transfer.
 	stateFirstPartTimeout = 2 * time.Second
 	stateTimeout          = 10 * time.Second
 )
 
-// StateSource is the folded state of a process and the entries of the log that it
-// folded last. It is implemented by follower.Follower.
+// StateSource provides the folded state of a process and the log entries that
+// it applied last. follower.Follower implements it.
 type StateSource interface {
 	Snapshot() ([]byte, error)
 	Tail(after, hash uint64) (entries []platform.Entry, gap bool, err error)
 }
 
-// stateServer offers the State and Tail calls alone.
+// stateServer implements only the State and Tail calls.
 type stateServer struct {
 	pb.UnimplementedEntryPeerServer
 	source StateSource
 }
 
-// RegisterState offers the folded state to peers from a daemon that is no entry
-// process.
+// RegisterState adds the State and Tail calls to the gRPC server of a process
+// that is not an entry process.
 func RegisterState(to grpc.ServiceRegistrar, source StateSource) {
 	pb.RegisterEntryPeerServer(to, &stateServer{source: source})
 }
@@ -57,7 +58,7 @@
 
 func sendState(source StateSource, above uint64, out grpc.ServerStreamingServer[pb.StateReply]) error {
 	if source == nil {
-		return status.Error(codes.Unimplemented, "this process passes on no state")
+		return status.Error(codes.Unimplemented, "this process does not serve its state")
 	}
 	snapshot, err := source.Snapshot()
 	if err != nil {
@@ -78,32 +79,33 @@
 	return nil
 }
 
-// States asks peers for their folded state. It implements follower.Peers.
+// States reads the folded state and log entries of peers. It implements
+// follower.Peers.
 type States struct {
 	conns     *connPool
 	addresses []string
 }
 
-// NewStates returns a States that asks the peers at the addresses (IP:port).
-// Close ends its connections.
+// NewStates returns a States for the peers at the addresses (IP:port). Close
+// closes its connections.
 func NewStates(addresses []string) *States {
 	return &States{conns: newConnPool(nil), addresses: addresses}
 }
 
-// Close ends the connections.
+// Close closes the connections.
 func (s *States) Close() { s.conns.close() }
 
-// peerSnapshot is a peer's state of which the first part has come.
+// peerSnapshot is a peer's state of which the first part was received.
 type peerSnapshot struct {
 	offset    uint64
 	firstPart []byte
 	rest      grpc.ServerStreamingClient[pb.StateReply]
 }
 
-var errNoSnapshot = errors.New("no peer has a state to pass on")
+var errNoSnapshot = errors.New("no peer sent a state")
 
-// NewestState returns the snapshot with the highest offset among the peers that
-// answer. The error is that of one of them when none does.
+// NewestState returns the snapshot with the highest offset of the peers that
+// answer. If no peer sends one, it returns the error of one of them.
 func (s *States) NewestState(ctx context.Context) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
@@ -121,8 +123,8 @@
 	return nil, err
 }
 
-// firstParts asks all peers at once and waits until each has answered, or for
-// stateFirst.
+// firstParts requests the state of all peers concurrently. It returns when each
+// has answered, and after stateFirstPartTimeout at the latest.
 func (s *States) firstParts(ctx context.Context) ([]peerSnapshot, error) {
 	type answer struct {
 		offer peerSnapshot
@@ -161,16 +163,16 @@
 	}
 	stream, err := c.State(ctx, &pb.StateRequest{})
 	if err != nil {
-		return peerSnapshot{}, errors.Wrapf(err, "state of %s", address)
+		return peerSnapshot{}, errors.Wrapf(err, "read state from %s", address)
 	}
 	first, err := stream.Recv()
 	if err != nil {
-		return peerSnapshot{}, errors.Wrapf(err, "state of %s", address)
+		return peerSnapshot{}, errors.Wrapf(err, "read state from %s", address)
 	}
 	return peerSnapshot{offset: first.GetOffset(), firstPart: first.GetPart(), rest: stream}, nil
 }
 
-// receiveRest receives the rest of the state.
+// receiveRest returns the complete snapshot.
 func (o peerSnapshot) receiveRest() ([]byte, error) {
 	snapshot := o.firstPart
 	for {
@@ -179,7 +181,7 @@
 			return snapshot, nil
 		}
 		if err != nil {
-			return nil, errors.Wrap(err, "state of a peer")
+			return nil, errors.Wrap(err, "read state from a peer")
 		}
 		snapshot = append(snapshot, part.GetPart()...)
 	}
--- a/internal/entrypeer/state_test.go
+++ b/internal/entrypeer/state_test.go
@@ -13,7 +13,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// stateFunc is a StateSource without entries.
+// stateFunc is a StateSource without log entries.
 type stateFunc func() ([]byte, error)
 
 // Snapshot implements StateSource.
@@ -22,7 +22,7 @@
 // Tail implements StateSource.
 func (stateFunc) Tail(uint64, uint64) ([]platform.Entry, bool, error) { return nil, true, nil }
 
-// serve offers source on a loopback address.
+// serve serves the state of source on a loopback address.
 func serve(t *testing.T, source func() ([]byte, error)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -33,7 +33,7 @@
 	return l.Addr().String()
 }
 
-// stateAt returns a snapshot at the offset, of more than one message.
+// stateAt returns the source of a snapshot at the offset.
 func stateAt(t *testing.T, offset uint64) func() ([]byte, error) {
 	s := ledger.New()
 	for o := range offset {
@@ -46,8 +46,9 @@
 	return func() ([]byte, error) { return data, nil }
 }
 
-// A node that starts while the log is out asks its peers: one is dead, one has
-// no state yet, one is behind. It gets the state of the one that is furthest.
+// A node that starts during an outage of the log reads the state of its peers,
+// of which one is down, one has no state, and one is behind. It must get the
+// state with the highest offset.
 func TestNewestStateOfPeers(t *testing.T) {
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/entrypeer/tail.go
+++ b/internal/entrypeer/tail.go
@@ -13,10 +13,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-// Bounds of asking for entries of the log.
+// Limits of reading log entries from peers.
 const (
-	// tailPeers is how many peers are asked at once: others are asked the next
-	// time, so that those cut off too hold nobody up for long.
+	// tailPeers is how many randomly chosen peers are asked at once. The next call
+	// asks others, so that unreachable peers cause no long delay.
 	tailPeers   = 3
 	tailTimeout = 400 * time.Millisecond
 )
@@ -33,7 +33,7 @@
 
 func tailReply(source StateSource, in *pb.TailRequest) (*pb.TailReply, error) {
 	if source == nil {
-		return nil, status.Error(codes.Unimplemented, "this process passes on no entries")
+		return nil, status.Error(codes.Unimplemented, "this process does not serve log entries")
 	}
 	entries, gap, err := source.Tail(in.GetAfter(), in.GetHash())
 	if err != nil {
@@ -46,9 +46,10 @@
 	return reply, nil
 }
 
-// Tail asks some peers for the entries of the log after an offset and returns
-// those of the peer that is furthest. gap means that the peers which are further
-// hold too few entries. The error is that of one of them when none answers.
+// Tail asks some peers for the log entries after an offset and returns the
+// longest list. gap reports that no peer returned entries and at least one no
+// longer holds the entries after the offset. If no peer answers, Tail returns
+// the error of one of them.
 func (s *States) Tail(ctx context.Context, after, hash uint64) (entries []platform.Entry, gap bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, tailTimeout)
 	defer cancel()
@@ -89,7 +90,7 @@
 		return nil, err
 	}
 	reply, err := c.Tail(ctx, in)
-	return reply, errors.Wrapf(err, "entries of %s", address)
+	return reply, errors.Wrapf(err, "read log entries from %s", address)
 }
 
 func entriesOf(list []*pb.LogEntry) []platform.Entry {
--- a/internal/entrypeer/waiting.go
+++ b/internal/entrypeer/waiting.go
@@ -8,11 +8,12 @@
 	"github.com/yuccadrift/yuccadrift/internal/claim"
 )
 
-// maxWaiters bounds the attempts that wait at one owner for others to end.
+// maxWaiters is the maximum number of attempts that wait at one owner for other
+// attempts to end.
 const maxWaiters = 1024
 
-// waiters are the attempts that wait for a key to change. The Member's lock
-// guards it.
+// waiters holds the attempts that wait for the record of a key to change. The
+// mutex of the Member guards it.
 type waiters struct {
 	keys  map[claim.Key][]chan struct{}
 	count int
@@ -50,17 +51,17 @@
 	}
 }
 
-// claim asks the owner for a decision. The clock is read with the request in
-// hand: a request that waited while the process was paused is judged by the
-// time after the pause.
+// claim lets the owner decide. It reads the clock only now, so that a request
+// which waited while the process was paused is judged by the time after the
+// pause.
 func (m *Member) claim(req claim.Request, attempt claim.Attempt, until time.Time) claim.Reply {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.owner.Claim(Now(), req, attempt, until)
 }
 
-// report passes the end of an attempt on and wakes the attempts that wait for
-// it. It returns false when another member owns the key.
+// report records the end of an attempt and wakes the attempts that wait for it.
+// It returns false if another member owns the key.
 func (m *Member) report(res claim.Result) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -71,8 +72,8 @@
 	return true
 }
 
-// await returns when something about the key may have changed, or at ctx's end.
-// It returns false at once when too many attempts wait already.
+// await returns when the record of the key may have changed, or at the end of
+// ctx. It returns false at once if too many attempts wait already.
 func (m *Member) await(ctx context.Context, k claim.Key, attempt claim.Attempt) bool {
 	ch, ok := m.enqueue(k, attempt)
 	if ch == nil {
@@ -88,8 +89,8 @@
 	return true
 }
 
-// enqueue returns no channel when the key is not in progress any more, or, with
-// false, when too many attempts wait.
+// enqueue adds a waiter. It returns a nil channel with true if the key is no
+// longer in progress, and with false if too many attempts wait.
 func (m *Member) enqueue(k claim.Key, attempt claim.Attempt) (chan struct{}, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
