--- a/internal/claim/attempt_test.go
+++ b/internal/claim/attempt_test.go
@@ -7,18 +7,18 @@
 	switch {
 	case a.report != nil:
 		n.deliverReport(a)
-	case a.phase == asking && n.w.now >= a.until:
+	case a.phase == asking && n.w.now >= a.giveUpTick:
 		n.giveUp(a, ReasonUnreachable)
-	case a.phase == asking && n.w.now >= a.callDue:
+	case a.phase == asking && n.w.now >= a.nextCallTick:
 		n.ask(a)
-	case a.phase == granted && n.w.now >= a.runAt:
+	case a.phase == granted && n.w.now >= a.runTick:
 		n.run(a)
 	}
 }
 
 func (n *simNode) ask(a *simAttempt) {
 	a.call++
-	a.callDue = n.w.now + 3
+	a.nextCallTick = n.w.now + 3
 	call := a.call
 	req := Request{Key: a.key.key, First: a.first}
 	until := n.clock().Wall.Add(5 * time.Second)
@@ -58,7 +58,7 @@
 	switch r.Code {
 	case CodeGranted:
 		a.phase = granted
-		a.runAt = n.w.now + n.w.rng.IntN(15)
+		a.runTick = n.w.now + n.w.rng.IntN(15)
 		n.w.grants++
 	case CodeRan:
 		if a.key.runs != 1 {
@@ -90,7 +90,7 @@
 	a.phase = ended
 	if a.mayBeGranted {
 		a.report = &Result{Key: a.key.key, Attempt: a.id, End: EndNotRun}
-		a.callDue = n.w.now
+		a.nextCallTick = n.w.now
 	}
 }
 
@@ -108,15 +108,15 @@
 		n.w.backendRun(a)
 	}
 	a.report = res
-	a.callDue = n.w.now
+	a.nextCallTick = n.w.now
 }
 
 func (n *simNode) deliverReport(a *simAttempt) {
-	if n.w.now < a.callDue {
+	if n.w.now < a.nextCallTick {
 		return
 	}
-	a.callDue = n.w.now + 3
-	if a.repeats++; a.repeats > 50 {
+	a.nextCallTick = n.w.now + 3
+	if a.reportCalls++; a.reportCalls > 50 {
 		a.report = nil
 		return
 	}
--- a/internal/claim/model_test.go
+++ b/internal/claim/model_test.go
@@ -117,8 +117,8 @@
 }
 
 const (
-	modelTicks = 330
-	calmTicks  = 90 // without faults, at the end
+	modelTicks     = 330
+	faultFreeTicks = 90 // without faults, at the end
 )
 
 // runSchedule runs a schedule of faults until a guarantee is violated.
@@ -130,7 +130,7 @@
 		}
 		for _, f := range faults {
 			if f.At == now {
-				over := min(now+f.For, modelTicks-calmTicks)
+				over := min(now+f.For, modelTicks-faultFreeTicks)
 				ends[over] = append(ends[over], w.inject(f))
 			}
 		}
--- a/internal/claim/owner.go
+++ b/internal/claim/owner.go
@@ -117,8 +117,8 @@
 	if rec != nil && (rec.State != StateReleased || rec.releasedBefore(attempt)) {
 		return o.answerFromRecord(now, rec, req, attempt)
 	}
-	if no := o.refusal(now, req.Key, rec == nil); no != nil {
-		return *no
+	if refused := o.refusal(now, req.Key, rec == nil); refused != nil {
+		return *refused
 	}
 	o.grant(rec, req, attempt, until)
 	return o.reply(CodeGranted, ReasonNone)
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -99,16 +99,16 @@
 type simAttempt struct {
 	key          *simKey
 	id           Attempt
-	at           *simNode
+	node         *simNode
 	first        bool
 	phase        phase
-	until        int // tick at which asking ends
+	giveUpTick   int // tick at which asking ends
 	call         int // number of the call under way
-	callDue      int // tick at which the next call is made
+	nextCallTick int // tick at which the next call is made
 	mayBeGranted bool
-	runAt        int
+	runTick      int
 	report       *Result
-	repeats      int
+	reportCalls  int
 }
 
 type world struct {
@@ -117,9 +117,9 @@
 	now        int
 	log        []record.Record
 	logDown    bool
-	waiting    []*proposal
+	proposals  []*proposal
 	nodes      []*simNode
-	msgs       []message
+	messages   []message
 	keys       []*simKey
 	ids        uint64
 	violations []string
@@ -157,7 +157,7 @@
 		if w.chance(0.03) {
 			due += w.rng.IntN(40)
 		}
-		w.msgs = append(w.msgs, message{due: due, from: from, to: to, deliver: deliver})
+		w.messages = append(w.messages, message{due: due, from: from, to: to, deliver: deliver})
 	}
 }
 
@@ -177,7 +177,7 @@
 	if w.chance(0.3) {
 		p.due = append(p.due, w.now+w.rng.IntN(60))
 	}
-	w.waiting = append(w.waiting, p)
+	w.proposals = append(w.proposals, p)
 	return id
 }
 
@@ -185,7 +185,7 @@
 	if w.logDown {
 		return
 	}
-	w.waiting = slices.DeleteFunc(w.waiting, func(p *proposal) bool {
+	w.proposals = slices.DeleteFunc(w.proposals, func(p *proposal) bool {
 		p.sent = p.sent || (p.by.running() && !p.by.logCut)
 		p.due = slices.DeleteFunc(p.due, func(due int) bool {
 			if !p.sent || due > w.now {
@@ -200,8 +200,8 @@
 
 func (w *world) deliverDue() {
 	var later []message
-	due := w.msgs
-	w.msgs = nil
+	due := w.messages
+	w.messages = nil
 	for _, m := range due {
 		switch {
 		case !m.to.alive || m.from.cutFrom(m.to):
@@ -211,7 +211,7 @@
 			m.deliver()
 		}
 	}
-	w.msgs = append(w.msgs, later...)
+	w.messages = append(w.messages, later...)
 }
 
 func (w *world) step() {
@@ -258,7 +258,7 @@
 
 func (w *world) attempt(k *simKey, first bool) {
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
-	a := &simAttempt{key: k, first: first, at: n, until: w.now + 10 + w.rng.IntN(20), callDue: w.now}
+	a := &simAttempt{key: k, first: first, node: n, giveUpTick: w.now + 10 + w.rng.IntN(20), nextCallTick: w.now}
 	k.attempts = append(k.attempts, a)
 	if !n.alive || n.owner == nil || n.removedOrLeaving {
 		a.phase = ended
@@ -280,7 +280,7 @@
 func (w *world) backendRun(a *simAttempt) {
 	a.key.runs++
 	if a.key.runs > 1 {
-		w.fail("%s ran %d times, last by %s", a.key.key, a.key.runs, a.at.name)
+		w.fail("%s ran %d times, last by %s", a.key.key, a.key.runs, a.node.name)
 	}
 }
 
--- a/internal/entrypeer/state_test.go
+++ b/internal/entrypeer/state_test.go
@@ -50,23 +50,23 @@
 // of which one is down, one has no state, and one is behind. It must get the
 // state with the highest offset.
 func TestNewestStateOfPeers(t *testing.T) {
-	dead, err := net.Listen("tcp", "127.0.0.1:0")
+	down, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	require.NoError(t, dead.Close())
+	require.NoError(t, down.Close())
 	empty := serve(t, func() ([]byte, error) { return nil, errNoSnapshot })
 	behind := serve(t, stateAt(t, 10))
 	furthest := stateAt(t, 20_000)
 	want, _ := furthest()
 	require.Greater(t, len(want), statePartSize)
 
-	states := NewStates([]string{dead.Addr().String(), behind, empty, serve(t, furthest)})
+	states := NewStates([]string{down.Addr().String(), behind, empty, serve(t, furthest)})
 	defer states.Close()
 	got, err := states.NewestState(t.Context())
 	require.NoError(t, err)
 	require.Equal(t, want, got)
 
-	lonely := NewStates([]string{dead.Addr().String(), empty})
-	defer lonely.Close()
-	_, err = lonely.NewestState(t.Context())
+	noState := NewStates([]string{down.Addr().String(), empty})
+	defer noState.Close()
+	_, err = noState.NewestState(t.Context())
 	require.Error(t, err)
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -65,8 +65,8 @@
 			keys = append(keys, k)
 		}
 		c.kill("n5")
-		gone := c.waitFor("evicted", func() bool { return c.nodes["n0"].members() == 7 })
-		require.Less(c.t, gone, 6*time.Second)
+		evictionTime := c.waitFor("evicted", func() bool { return c.nodes["n0"].members() == 7 })
+		require.Less(c.t, evictionTime, 6*time.Second)
 		time.Sleep(claimConfig.Handover + claimConfig.Ahead + claimConfig.Skew + time.Second)
 		unknown := 0
 		for _, k := range keys {
@@ -124,8 +124,8 @@
 		for _, o := range others {
 			c.net.setCut("n0", o, true)
 		}
-		lapsed := c.waitFor("stopped granting", func() bool { return c.nodes["n0"].peers.Ready() != "" })
-		require.Less(c.t, lapsed, leaseConfig.Duration)
+		stopTime := c.waitFor("stopped granting", func() bool { return c.nodes["n0"].peers.Ready() != "" })
+		require.Less(c.t, stopTime, leaseConfig.Duration)
 		require.Equal(c.t, 5, c.nodes["n1"].members())
 		c.waitFor("evicted", func() bool { return c.nodes["n1"].members() == 4 })
 		time.Sleep(3 * time.Minute)
@@ -205,7 +205,7 @@
 			c.waitFor("joined", func() bool { return c.nodes["n2"].members() == 4 })
 		}
 		c.kill("n2")
-		gone := c.waitFor("evicted", func() bool { return c.nodes["n3"].members() == 3 })
-		require.Less(c.t, gone, 10*time.Second)
+		evictionTime := c.waitFor("evicted", func() bool { return c.nodes["n3"].members() == 3 })
+		require.Less(c.t, evictionTime, 10*time.Second)
 	})
 }
--- a/internal/membership/outage_test.go
+++ b/internal/membership/outage_test.go
@@ -59,8 +59,8 @@
 
 // dispatch returns a dispatcher that uses the state and the claims of a node,
 // and keeps it up to date.
-func (c *cluster) dispatch(n *node, to *countingBackends) *dispatch.Dispatcher {
-	d := dispatch.New(dispatch.Config{Zone: "z", MaxConnections: 64, Backends: to, Claims: entry.NewClaims(n.peers),
+func (c *cluster) dispatch(n *node, backends *countingBackends) *dispatch.Dispatcher {
+	d := dispatch.New(dispatch.Config{Zone: "z", MaxConnections: 64, Backends: backends, Claims: entry.NewClaims(n.peers),
 		Observer: noopObserver{}, Rand: rand.New(rand.NewPCG(1, 2))})
 	changed := n.follow.Changed()
 	ctx, stop := context.WithCancel(context.Background())
@@ -102,10 +102,10 @@
 func TestEntriesAnswerDuringHoursOfLogOutage(t *testing.T) {
 	t.Parallel()
 	withCluster(t, 3, func(c *cluster) {
-		to := &countingBackends{}
-		var paths []*dispatch.Dispatcher
+		backends := &countingBackends{}
+		var dispatchers []*dispatch.Dispatcher
 		for i := range 3 {
-			paths = append(paths, c.dispatch(c.nodes[fmt.Sprintf("n%d", i)], to))
+			dispatchers = append(dispatchers, c.dispatch(c.nodes[fmt.Sprintf("n%d", i)], backends))
 		}
 		n := c.nodes["n0"]
 		n.propose(c.t, record.SubjectService, "shop", record.DocumentPublish{Text: shopDocument})
@@ -119,13 +119,13 @@
 		c.log.Cut(true)
 		for range 24 {
 			time.Sleep(15 * time.Minute)
-			c.sendRequests(paths, to)
+			c.sendRequests(dispatchers, backends)
 			require.Equal(c.t, before, c.nodes["n1"].names())
 		}
 		c.log.Cut(false)
 		for range 10 {
 			time.Sleep(3 * time.Second)
-			c.sendRequests(paths, to)
+			c.sendRequests(dispatchers, backends)
 		}
 		require.Equal(c.t, before, c.nodes["n1"].names(), "no member may be evicted when the log is back")
 	})
@@ -138,7 +138,7 @@
 }
 
 // sendRequests sends lookups, and each booking twice, and checks the answers.
-func (c *cluster) sendRequests(paths []*dispatch.Dispatcher, to *countingBackends) {
+func (c *cluster) sendRequests(dispatchers []*dispatch.Dispatcher, backends *countingBackends) {
 	c.t.Helper()
 	send := func(d *dispatch.Dispatcher, path, key string, first bool) {
 		svc := d.Table().Services["shop"]
@@ -149,14 +149,14 @@
 		assert.Equal(c.t, outcome.Ran, res.Outcome, "%s: %s", path, res.Reason)
 	}
 	const rounds = 8
-	ran := to.runs.Load()
+	ran := backends.runs.Load()
 	for i := range rounds {
-		for _, d := range paths {
+		for _, d := range dispatchers {
 			send(d, "/look", "", true)
 		}
 		key := ulid.Make().String()
-		send(paths[i%3], "/book", key, true)
-		send(paths[(i+1)%3], "/book", key, false)
+		send(dispatchers[i%3], "/book", key, true)
+		send(dispatchers[(i+1)%3], "/book", key, false)
 	}
-	assert.EqualValues(c.t, rounds*(len(paths)+1), to.runs.Load()-ran, "each lookup and each booking must run exactly once")
+	assert.EqualValues(c.t, rounds*(len(dispatchers)+1), backends.runs.Load()-ran, "each lookup and each booking must run exactly once")
 }
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -103,10 +103,10 @@
 // of the changes, because the claims of the other members are then not known.
 func (s *session) applyChanges() bool {
 	var changes []ledger.MemberChange
-	complete, present := true, false
+	complete, isMember := true, false
 	s.duty.cfg.Log.View(func(st *ledger.State) {
 		changes, complete = changesAfter(st, s.offset)
-		_, present = st.Members[s.name]
+		_, isMember = st.Members[s.name]
 	})
 	if !complete {
 		s.duty.cfg.Logger.Error("the state no longer holds all changes of the membership", "member", s.name)
@@ -119,10 +119,10 @@
 	if len(changes) > 0 {
 		s.duty.cfg.Peers.Retain(s.member.RequiredAddresses())
 	}
-	if present && s.refreshDone == nil {
+	if isMember && s.refreshDone == nil {
 		s.loadElectorate()
 	}
-	return present
+	return isMember
 }
 
 // changesAfter returns the changes after offset. complete is false if the state
