--- a/internal/claim/key_test.go
+++ b/internal/claim/key_test.go
@@ -19,7 +19,7 @@
 		{"01937dbb-9ca0-7abc-8def-0123456789ab", false}, // other mint time
 		{"01937ed9-7200-7abc-8def-0123456789ab", true},
 		{"01937ed9-7200-4abc-8def-0123456789ab", false}, // version 4
-		{"01937ed9-7200-7abc-0def-0123456789ab", false}, // variant
+		{"01937ed9-7200-7abc-0def-0123456789ab", false}, // wrong variant
 		{"01937ed9x7200-7abc-8def-0123456789ab", false},
 		{"01JDZDJWG0ABCDEFGHJKMNPQRU", false}, // U is not a ULID digit
 		{"81JDZEK780ABCDEFGHJKMNPQRS", false}, // more than 128 bits
--- a/internal/claim/model_test.go
+++ b/internal/claim/model_test.go
@@ -15,8 +15,8 @@
 // fault is one fault of a schedule.
 type fault struct {
 	Kind  string
-	At    int // tick
-	For   int // ticks
+	At    int // start, in ticks
+	For   int // duration, in ticks
 	Node  int
 	Other int
 }
@@ -151,8 +151,8 @@
 
 // Under any combination of faults of nodes, network and log, no key runs twice,
 // no caller gets "not run" for a request that ran, and "ran" is only answered
-// after a run. The counts at the end show that members were removed and records
-// handed over.
+// after a run. The counts at the end show that the membership changes in half
+// of the schedules.
 func TestModelUpholdsGuarantees(t *testing.T) {
 	var grants, evictions, handovers, unknowns int
 	rapid.Check(t, func(t *rapid.T) {
@@ -175,7 +175,7 @@
 // knownSchedule is the seed of the first schedule to try if a safeguard is
 // missing. Seeds were found by a search, so the test need not repeat it. If
 // random faults rarely violate a guarantee, the faults and the initial number
-// of nodes are given, and only the timing is random.
+// of nodes are given, and only the rest is random.
 type knownSchedule struct {
 	first  int
 	nodes  int
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -78,7 +78,7 @@
 type proposal struct {
 	by   *simNode
 	rec  record.Record
-	due  []int // one for each copy
+	due  []int // one tick per copy
 	sent bool
 }
 
@@ -102,9 +102,9 @@
 	node         *simNode
 	first        bool
 	phase        phase
-	giveUpTick   int // tick at which asking ends
-	call         int // number of the call under way
-	nextCallTick int // tick at which the next call is made
+	giveUpTick   int // end of the calls
+	call         int // number of the call in flight
+	nextCallTick int
 	mayBeGranted bool
 	runTick      int
 	report       *Result
@@ -268,7 +268,8 @@
 	n.attempts = append(n.attempts, a)
 }
 
-// toldNotRun fails the run if a caller gets "not run" about a request that ran.
+// toldNotRun records a violation if a caller gets "not run" for a request that
+// ran.
 func (w *world) toldNotRun(a *simAttempt, why Reason) {
 	if a.key.runs > 0 {
 		w.fail("%s: not-run (%s) after %d runs", a.key.key, why, a.key.runs)
--- a/internal/entrypeer/node.go
+++ b/internal/entrypeer/node.go
@@ -15,7 +15,7 @@
 	pb "github.com/yuccadrift/yuccadrift/internal/entrypeer/entrypeerpb"
 )
 
-// Defaults of NodeConfig, chosen for the latencies between entry VMs.
+// Defaults of NodeConfig for the latencies between entry VMs.
 const (
 	DefaultCallTimeout = 300 * time.Millisecond
 	DefaultPatience    = time.Second
--- a/internal/entrypeer/state.go
+++ b/internal/entrypeer/state.go
@@ -104,7 +104,7 @@
 
 var errNoSnapshot = errors.New("no peer sent a state")
 
-// NewestState returns the snapshot with the highest offset of the peers that
+// NewestState returns the snapshot with the highest offset among the peers that
 // answer. If no peer sends one, it returns the error of one of them.
 func (s *States) NewestState(ctx context.Context) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	// marginDivisor determines the part of a lease that its holder does not use,
-	// because clocks run at slightly different rates.
+	// marginDivisor is the divisor of the lease duration that gives the margin:
+	// the holder does not use that part, because clocks run at slightly different
+	// rates.
 	marginDivisor = 10
 	// handoverTimeout is how long the records of a removed member are awaited.
 	handoverTimeout = time.Second
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -26,7 +26,7 @@
 
 // After some requests ran, an entry VM joins and takes over a part of the keys,
 // and then another one leaves in a planned way. Each retry must still get its
-// reply, because the records move with the keys.
+// reply, because the records move with the keys and no claim becomes unknown.
 func TestJoinAndLeaveKeepClaims(t *testing.T) {
 	withCluster(t, 4, func(c *cluster) {
 		var keys []claim.Key
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -25,8 +25,9 @@
 	// minRefreshInterval is the minimum time between two refreshes of the
 	// electorate, so that one refresh covers several joins of a rolling restart.
 	minRefreshInterval = 200 * time.Millisecond
-	// leaveTimeout limits the append of a leave record. A process that cannot
-	// append it during an outage of the log ends without it and is evicted later.
+	// leaveTimeout limits the delivery of reports and the append of the leave
+	// record. A process that cannot append it during an outage of the log ends
+	// without it and is evicted later.
 	leaveTimeout = 3 * time.Second
 	// pullRetryInterval is the pause between two pulls for one handover.
 	pullRetryInterval = 50 * time.Millisecond
