--- a/internal/claim/attempt_test.go
+++ b/internal/claim/attempt_test.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// drive moves one attempt of the node on, as entrypeer.Node does.
+// drive takes the next step of one attempt, as entrypeer.Node does.
 func (n *simNode) drive(a *simAttempt) {
 	switch {
 	case a.report != nil:
 		n.deliverReport(a)
-	case a.phase == asking && n.w.now >= a.until:
+	case a.phase == asking && n.w.now >= a.giveUpTick:
 		n.giveUp(a, ReasonUnreachable)
-	case a.phase == asking && n.w.now >= a.callDue:
+	case a.phase == asking && n.w.now >= a.nextCallTick:
 		n.ask(a)
-	case a.phase == granted && n.w.now >= a.runAt:
+	case a.phase == granted && n.w.now >= a.runTick:
 		n.run(a)
 	}
 }
 
 func (n *simNode) ask(a *simAttempt) {
 	a.call++
-	a.callDue = n.w.now + 3
+	a.nextCallTick = n.w.now + 3
 	call := a.call
 	req := Request{Key: a.key.key, First: a.first}
 	until := n.clock().Wall.Add(5 * time.Second)
 	owner := n.owner.OwnerOf(a.key.key)
 	if owner == n.name {
-		n.answered(a, n.claim(req, a.id, until))
+		n.handleReply(a, n.claim(req, a.id, until))
 		return
 	}
 	p := n.peer(owner)
 	if p == nil {
 		return
 	}
-	a.open = true
+	a.mayBeGranted = true
 	n.w.send(n, p, func() {
 		if p.owner == nil {
 			return
@@ -39,30 +39,30 @@
 		r := p.claim(req, a.id, until)
 		n.w.send(p, n, func() {
 			if a.phase == asking && a.call == call {
-				n.answered(a, r)
+				n.handleReply(a, r)
 			}
 		})
 	})
 }
 
-// claim decides on an attempt as the owner.
+// claim lets the node decide on an attempt as the owner of its key.
 func (n *simNode) claim(req Request, a Attempt, until time.Time) Reply {
-	if n.w.broken == noAhead {
+	if n.w.missing == noAhead {
 		n.owner.cfg.Ahead = time.Hour
 		defer func() { n.owner.cfg.Ahead = modelClaim.Ahead }()
 	}
 	return n.owner.Claim(n.clock(), req, a, until)
 }
 
-func (n *simNode) answered(a *simAttempt, r Reply) {
+func (n *simNode) handleReply(a *simAttempt, r Reply) {
 	switch r.Code {
 	case CodeGranted:
 		a.phase = granted
-		a.runAt = n.w.now + n.w.rng.IntN(15)
+		a.runTick = n.w.now + n.w.rng.IntN(15)
 		n.w.grants++
 	case CodeRan:
 		if a.key.runs != 1 {
-			n.w.fail("%s: told ran after %d runs", a.key.key, a.key.runs)
+			n.w.fail("%s: the caller got ran after %d runs", a.key.key, a.key.runs)
 		}
 		n.end(a)
 	case CodeNotRun:
@@ -73,8 +73,8 @@
 	}
 }
 
-// giveUp answers "not-run" to an attempt that the caller called its first, and
-// else "unknown".
+// giveUp answers "not-run" if the caller asserted that this is its first
+// attempt, and "unknown" otherwise.
 func (n *simNode) giveUp(a *simAttempt, why Reason) {
 	if a.first && why != ReasonHolderLost && why != ReasonReported {
 		n.w.toldNotRun(a, why)
@@ -84,18 +84,18 @@
 	n.end(a)
 }
 
-// end ends an attempt without a grant; a claim that may have been granted in an
-// unheard reply is given back.
+// end ends an attempt without a grant. If a claim may have been granted in a
+// reply that was lost, it is released.
 func (n *simNode) end(a *simAttempt) {
-	a.phase = over
-	if a.open {
+	a.phase = ended
+	if a.mayBeGranted {
 		a.report = &Result{Key: a.key.key, Attempt: a.id, End: EndNotRun}
-		a.callDue = n.w.now
+		a.nextCallTick = n.w.now
 	}
 }
 
 func (n *simNode) run(a *simAttempt) {
-	a.phase = over
+	a.phase = ended
 	res := &Result{Key: a.key.key, Attempt: a.id, End: EndRan}
 	switch {
 	case n.w.chance(0.1):
@@ -103,20 +103,20 @@
 		n.w.toldNotRun(a, "refused")
 	case n.w.chance(0.1):
 		res.End = EndUnknown // the reply was lost
-		n.w.run(a)
+		n.w.backendRun(a)
 	default:
-		n.w.run(a)
+		n.w.backendRun(a)
 	}
 	a.report = res
-	a.callDue = n.w.now
+	a.nextCallTick = n.w.now
 }
 
 func (n *simNode) deliverReport(a *simAttempt) {
-	if n.w.now < a.callDue {
+	if n.w.now < a.nextCallTick {
 		return
 	}
-	a.callDue = n.w.now + 3
-	if a.repeats++; a.repeats > 50 {
+	a.nextCallTick = n.w.now + 3
+	if a.reportCalls++; a.reportCalls > 50 {
 		a.report = nil
 		return
 	}
--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-type granting struct{}
+type alwaysValid struct{}
 
-func (granting) Valid(Instant) bool { return true }
+func (alwaysValid) Valid(Instant) bool { return true }
 
-// BenchmarkOwnerClaim measures one claim and its report at an owner among 8, and
-// the memory that a key takes.
+// BenchmarkOwnerClaim measures one claim and its report at an owner among 8
+// members, and the memory used per key.
 func BenchmarkOwnerClaim(b *testing.B) {
 	cfg := modelClaim
 	cfg.Window = time.Hour
 	cfg.MaxRecords = 1 << 30
-	o := NewOwner(cfg, "m0", granting{})
+	o := NewOwner(cfg, "m0", alwaysValid{})
 	o.Join(Instant{}, nil, Change{Offset: 1, Joined: []string{"m0"}})
 	others := []string{"m1", "m2", "m3", "m4", "m5", "m6", "m7"}
 	now := Instant{Wall: epoch}
@@ -33,7 +33,7 @@
 		k := Key{Service: "orders"}
 		binary.BigEndian.PutUint64(k.ID[:8], uint64(epoch.UnixMilli())<<16)
 		binary.BigEndian.PutUint64(k.ID[8:], uint64(i))
-		_ = ownerOf(others, k) // what an owner among 8 computes besides
+		_ = ownerOf(others, k) // computed by an owner among 8 in addition
 		a := Attempt{Holder: "m0", ID: k.ID}
 		if r := o.Claim(now, Request{Key: k}, a, epoch.Add(time.Minute)); r.Code != CodeGranted {
 			b.Fatal(r)
--- a/internal/claim/model_test.go
+++ b/internal/claim/model_test.go
@@ -15,15 +15,15 @@
 // fault is one fault of a schedule.
 type fault struct {
 	Kind  string
-	At    int // tick
-	For   int // ticks
+	At    int // start, in ticks
+	For   int // duration, in ticks
 	Node  int
 	Other int
 }
 
 var faultKinds = []string{"cut", "halves", "pair", "logDown", "logCut", "pause", "suspend", "kill", "replace", "join", "leave"}
 
-// drawFaults draws faults that come together at a few moments.
+// drawFaults draws faults that cluster around a few moments.
 func drawFaults(t *rapid.T) []fault {
 	moments := rapid.SliceOfN(rapid.IntRange(1, 210), 1, 3).Draw(t, "moments")
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
@@ -37,7 +37,7 @@
 	}), 0, 10).Draw(t, "faults")
 }
 
-// inject begins a fault and returns what ends it.
+// inject starts a fault and returns the function that ends it.
 func (w *world) inject(f fault) (end func()) {
 	n := w.nodes[f.Node%len(w.nodes)]
 	other := w.nodes[f.Other%len(w.nodes)]
@@ -62,7 +62,7 @@
 		return func() { w.wake(n, f.Other) }
 	case "kill":
 		n.alive = false
-	case "replace": // only one process can have bound the address
+	case "replace": // only one process can listen on an address
 		for _, o := range w.nodes {
 			o.alive = o.alive && o.address != n.address
 		}
@@ -75,8 +75,8 @@
 	return func() {}
 }
 
-// wake ends a suspension. The clock is set at once, or only when the fault that
-// stands for its correction comes.
+// wake ends a suspension. For an even value of other, the wall clock is
+// corrected; otherwise it stays behind until a later wake corrects it.
 func (w *world) wake(n *simNode, other int) {
 	n.suspended = false
 	if other%2 == 0 {
@@ -117,20 +117,20 @@
 }
 
 const (
-	modelTicks = 330
-	calmTicks  = 90 // at the end, without faults
+	modelTicks     = 330
+	faultFreeTicks = 90 // without faults, at the end
 )
 
-// play runs a schedule of faults and stops at the first broken promise.
-func (w *world) play(faults []fault) {
+// runSchedule runs a schedule of faults until a guarantee is violated.
+func (w *world) runSchedule(faults []fault) {
 	ends := map[int][]func(){}
-	for now := 1; now <= modelTicks && len(w.bad) == 0; now++ {
+	for now := 1; now <= modelTicks && len(w.violations) == 0; now++ {
 		for _, end := range ends[now] {
 			end()
 		}
 		for _, f := range faults {
 			if f.At == now {
-				over := min(now+f.For, modelTicks-calmTicks)
+				over := min(now+f.For, modelTicks-faultFreeTicks)
 				ends[over] = append(ends[over], w.inject(f))
 			}
 		}
@@ -139,7 +139,7 @@
 	}
 }
 
-// rejoin starts a new incarnation of nodes that were evicted.
+// rejoin starts a new incarnation of each node that was evicted.
 func (w *world) rejoin() {
 	for _, n := range w.nodes {
 		if n.alive && n.rejoinTick > 0 && w.now > n.rejoinTick {
@@ -149,21 +149,21 @@
 	}
 }
 
-// Whatever happens to nodes, network and log, in any order and together: no
-// key runs twice, no caller is told "not run" about a request that ran, and
-// "ran" is said only of one that did. In half of the schedules the nodes'
-// membership really changes hands; the counts below show that.
-func TestModelKeepsPromises(t *testing.T) {
+// Under any combination of faults of nodes, network and log, no key runs twice,
+// no caller gets "not run" for a request that ran, and "ran" is only answered
+// after a run. The counts at the end show that the membership changes in half
+// of the schedules.
+func TestModelUpholdsGuarantees(t *testing.T) {
 	var grants, evictions, handovers, unknowns int
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 6).Draw(t, "nodes"), allSafeguards)
-		w.play(drawFaults(t))
+		w.runSchedule(drawFaults(t))
 		grants += w.grants
 		evictions += w.evictions
 		handovers += w.handovers
 		unknowns += w.unknowns
-		if len(w.bad) > 0 {
-			t.Fatalf("%v", w.bad)
+		if len(w.violations) > 0 {
+			t.Fatalf("%v", w.violations)
 		}
 	})
 	t.Logf("grants %d, removals seen %d, records handed over %d, unknowns %d", grants, evictions, handovers, unknowns)
@@ -172,17 +172,17 @@
 	require.Positive(t, handovers)
 }
 
-// witness is where the schedules begin among which one breaks a promise when a
-// safeguard is left out: found by a search, so that the test need not repeat it.
-// Where the random faults seldom do it, they are given, with the nodes to begin
-// with, and only the rest is random.
-type witness struct {
+// knownSchedule is the seed of the first schedule to try if a safeguard is
+// missing. Seeds were found by a search, so the test need not repeat it. If
+// random faults rarely violate a guarantee, the faults and the initial number
+// of nodes are given, and only the rest is random.
+type knownSchedule struct {
 	first  int
 	nodes  int
 	faults []fault
 }
 
-var witnesses = map[safeguard]witness{
+var knownSchedules = map[safeguard]knownSchedule{
 	noLease:       {first: 54},
 	noWallClock:   {first: 824},
 	noFloor:       {first: 1},
@@ -196,55 +196,56 @@
 	jumpedChanges: {first: 227},
 	noAhead:       {first: 35},
 	presentOwner:  {first: 1096},
-	// A joining owner is lost before it got its keys' claims, from an old owner
-	// that does not hear of it.
+	// A joining owner is lost before it received its keys' records. The old owner
+	// does not learn of the change.
 	noAskAll: {first: 4, nodes: 3, faults: []fault{
 		{Kind: "logCut", At: 60, For: 120, Node: 1},
 		{Kind: "join", At: 62},
 		{Kind: "join", At: 68},
 		{Kind: "kill", At: 74, Node: 3},
 	}},
-	// An owner reaches one peer only, which leaves, while the others evict it.
+	// An owner reaches only one peer, which leaves while the others evict the
+	// owner.
 	silentLeave: {first: 25, nodes: 4, faults: []fault{
 		{Kind: "pair", At: 60, For: 100, Node: 0, Other: 2},
 		{Kind: "pair", At: 60, For: 100, Node: 3, Other: 0},
 		{Kind: "logCut", At: 62, For: 80, Node: 0},
 		{Kind: "leave", At: 72, Node: 1},
 	}},
-	// The only member leaves, and another joins after it.
+	// The only member leaves, and another member joins afterwards.
 	noFirstFloor: {first: 0, nodes: 1, faults: []fault{
 		{Kind: "leave", At: 60},
 		{Kind: "join", At: 70},
 	}},
 }
 
-func (w witness) play(number int, broken safeguard) *world {
+func (w knownSchedule) run(seed int, missing safeguard) *world {
 	if w.faults != nil {
-		world := newWorld(uint64(number), w.nodes, broken)
-		world.play(w.faults)
+		world := newWorld(uint64(seed), w.nodes, missing)
+		world.runSchedule(w.faults)
 		return world
 	}
-	world := newWorld(uint64(number), 2+number%5, broken)
-	world.play(rapid.Custom(drawFaults).Example(number))
+	world := newWorld(uint64(seed), 2+seed%5, missing)
+	world.runSchedule(rapid.Custom(drawFaults).Example(seed))
 	return world
 }
 
-// Each safeguard is left out once, and the model must then find a schedule in
-// which a promise breaks: a check that cannot fail would prove nothing. With all
-// safeguards the same schedule breaks none.
-func TestModelNoticesEachMissingSafeguard(t *testing.T) {
+// Leaves out one safeguard at a time. The model must then find a schedule that
+// violates a guarantee, which shows that its checks can fail. The same schedule
+// with all safeguards must violate none.
+func TestModelDetectsEachMissingSafeguard(t *testing.T) {
 	const schedules = 200
 	for s := allSafeguards + 1; s < numSafeguards; s++ {
 		t.Run(s.String(), func(t *testing.T) {
-			w := witnesses[s]
+			w := knownSchedules[s]
 			for n := w.first; n < w.first+schedules; n++ {
-				if bad := w.play(n, s).bad; len(bad) > 0 {
+				if bad := w.run(n, s).violations; len(bad) > 0 {
 					t.Logf("schedule %d: %s", n, bad[0])
-					require.Empty(t, w.play(n, allSafeguards).bad)
+					require.Empty(t, w.run(n, allSafeguards).violations)
 					return
 				}
 			}
-			t.Fatalf("no schedule of %d broke a promise", schedules)
+			t.Fatalf("none of %d schedules violated a guarantee", schedules)
 		})
 	}
 }
--- a/internal/claim/node_test.go
+++ b/internal/claim/node_test.go
@@ -9,33 +9,34 @@
 )
 
 // simNode is one entry process of the model. Like internal/membership it feeds
-// the machines from the folded log and from messages.
+// the package's types from the folded log and from messages.
 type simNode struct {
 	w       *world
 	name    string
 	address string
 	alive   bool
-	// paused: nothing runs, clocks go on. suspended: clocks stand still too.
+	// paused: the process does not run, but its clocks advance. suspended: its
+	// clocks stop, too.
 	paused, suspended bool
 	skew              time.Duration
 	lagMono, lagWall  time.Duration
 	cut               map[*simNode]bool
 	logCut            bool
 
-	state      *ledger.State
-	reading    bool
-	readDue    int
-	readTo     int
-	joinID     string
-	owner      *Owner
-	lease      *Lease
-	watch      *Watch
-	gone       bool // removed, or leaving
-	refreshID  string
-	votes      map[string]Vote // proposed trust votes by record ID
-	attempts   []*simAttempt
-	pulling    map[Debt]int
-	rejoinTick int
+	state            *ledger.State
+	reading          bool
+	readDue          int
+	readTo           int
+	joinID           string
+	owner            *Owner
+	lease            *Lease
+	monitor          *PeerMonitor
+	removedOrLeaving bool
+	refreshID        string
+	trustVotes       map[string]Vote // proposed trust votes by record ID
+	attempts         []*simAttempt
+	nextPullTick     map[PendingHandover]int
+	rejoinTick       int
 }
 
 func (n *simNode) running() bool { return n.alive && !n.paused && !n.suspended }
@@ -54,9 +55,9 @@
 	return Instant{Wall: epoch.Add(t + n.skew - n.lagWall), Mono: t - n.lagMono}
 }
 
-// Valid is the node's right to grant, with the safeguards that are left out.
+// Valid implements Authority, without the safeguard that is missing.
 func (n *simNode) Valid(now Instant) bool {
-	switch n.w.broken {
+	switch n.w.missing {
 	case noLease:
 		return true
 	case noWallClock:
@@ -78,12 +79,12 @@
 		return
 	}
 	now := n.clock()
-	n.owner.Lapse(now)
-	switch n.w.broken {
+	n.owner.AbandonOverdueHandovers(now)
+	switch n.w.missing {
 	case noFloor:
 		n.owner.floors = nil
 	case noAskAll:
-		n.owner.debts = slices.DeleteFunc(n.owner.debts, func(d debt) bool { return d.Lost != "" })
+		n.owner.pending = slices.DeleteFunc(n.owner.pending, func(d pendingHandover) bool { return d.Lost != "" })
 	case lowFloor:
 		for i := range n.owner.floors {
 			n.owner.floors[i].Until = n.owner.floors[i].Until.Add(-modelLease.Duration - modelClaim.Ahead - modelClaim.Skew)
@@ -92,19 +93,19 @@
 	for _, a := range n.attempts {
 		n.drive(a)
 	}
-	n.attempts = slices.DeleteFunc(n.attempts, func(a *simAttempt) bool { return a.phase == over && a.report == nil })
+	n.attempts = slices.DeleteFunc(n.attempts, func(a *simAttempt) bool { return a.phase == ended && a.report == nil })
 	n.pull()
-	if n.gone {
+	if n.removedOrLeaving {
 		return
 	}
-	for _, v := range n.watch.Step(now, !n.w.logDown && !n.logCut) {
+	for _, v := range n.monitor.Step(now, !n.w.logDown && !n.logCut) {
 		var body record.Body = record.MemberTrust{By: n.name, Seq: v.Seq}
 		if v.Suspect {
 			body = record.MemberSuspect{By: n.name, Seq: v.Seq, Until: v.Until}
 		}
-		n.votes[n.w.propose(n, v.Member, body)] = v
-		if n.w.broken == hastyTrust {
-			n.watch.Settled(v)
+		n.trustVotes[n.w.propose(n, v.Member, body)] = v
+		if n.w.missing == hastyTrust {
+			n.monitor.ConfirmTrust(v)
 		}
 	}
 	if n.w.now%2 == 0 {
@@ -113,8 +114,8 @@
 	n.refresh()
 }
 
-// read follows the log. One read is under way at a time; its reply holds what
-// the log held when it was sent, however late the node takes it up.
+// read follows the log with one read in flight at a time. A reply holds the log
+// as of the time the read was sent, however late the node applies it.
 func (n *simNode) read() {
 	if !n.reading {
 		if n.w.logDown || n.logCut {
@@ -132,12 +133,12 @@
 	for int(n.state.Offset) < n.readTo {
 		members := n.members()
 		out := n.state.Apply(n.state.Offset+1, n.w.log[n.state.Offset])
-		if v, ok := n.votes[out.ID]; ok && out.Status == ledger.Effective {
-			n.watch.Settled(v)
+		if v, ok := n.trustVotes[out.ID]; ok && out.Status == ledger.Effective {
+			n.monitor.ConfirmTrust(v)
 		}
 		if c, ok := n.change(out.Offset); ok {
 			changed, last = true, c
-			if n.w.broken != jumpedChanges || n.owner == nil {
+			if n.w.missing != jumpedChanges || n.owner == nil {
 				n.apply(members, c)
 				before = n.members()
 			}
@@ -150,10 +151,10 @@
 			if m := n.state.Members[n.name]; m != nil {
 				n.lease.SetElectorate(m.Electorate)
 			}
-			n.lease.Proposed()
+			n.lease.ConfirmElectorate()
 		}
 	}
-	if after := n.members(); n.w.broken == jumpedChanges && changed && !slices.Equal(before, after) {
+	if after := n.members(); n.w.missing == jumpedChanges && changed && !slices.Equal(before, after) {
 		n.apply(before, Change{Offset: last.Offset, Until: last.Until, Joined: without(after, before), Removed: without(before, after)})
 	}
 }
@@ -182,24 +183,24 @@
 	case n.owner == nil && contains(c.Joined, n.name):
 		n.owner = NewOwner(modelClaim, n.name, n)
 		n.lease = NewLease(modelLease, n.name)
-		n.watch = NewWatch(modelLease)
-		n.votes = map[string]Vote{}
-		n.pulling = map[Debt]int{}
+		n.monitor = NewPeerMonitor(modelLease)
+		n.trustVotes = map[string]Vote{}
+		n.nextPullTick = map[PendingHandover]int{}
 		n.owner.Join(now, before, c)
-		if n.w.broken == noFirstFloor {
+		if n.w.missing == noFirstFloor {
 			n.owner.floors = nil
 		}
 	case n.owner == nil:
 		return
 	default:
-		if contains(c.Removed, n.name) && !n.gone {
-			n.gone = true
+		if contains(c.Removed, n.name) && !n.removedOrLeaving {
+			n.removedOrLeaving = true
 			n.rejoinTick = n.w.now + 30
 		}
 		n.owner.Apply(now, c)
 		n.w.evictions += len(c.Removed)
 	}
-	n.watch.SetPeers(now, without(n.members(), []string{n.name}))
+	n.monitor.SetPeers(now, without(n.members(), []string{n.name}))
 }
 
 func (n *simNode) peer(name string) *simNode {
@@ -211,23 +212,23 @@
 	return nil
 }
 
-// renew asks all peers for their promise.
+// renew sends a lease request to all peers.
 func (n *simNode) renew() {
 	sent := n.clock()
 	for _, name := range without(n.members(), []string{n.name}) {
 		p := n.peer(name)
 		n.w.send(n, p, func() {
-			if p.watch == nil || p.gone {
+			if p.monitor == nil || p.removedOrLeaving {
 				return
 			}
-			acked := p.watch.Request(p.clock(), n.name, sent.Wall)
-			if n.w.broken == ackSuspected {
+			acked := p.monitor.HandleLeaseRequest(p.clock(), n.name, sent.Wall)
+			if n.w.missing == ackSuspected {
 				acked = true
 			}
 			n.w.send(p, n, func() {
-				n.watch.Reached(n.clock(), p.name)
+				n.monitor.RecordAnswer(n.clock(), p.name)
 				if acked {
-					n.lease.Acked(p.name, sent)
+					n.lease.RecordAck(p.name, sent)
 				}
 			})
 		})
@@ -240,22 +241,22 @@
 		return
 	}
 	if members := n.members(); !slices.Equal(members, m.Electorate) {
-		if n.w.broken != oldElectorate {
-			n.lease.Propose(members)
+		if n.w.missing != oldElectorate {
+			n.lease.ProposeElectorate(members)
 		}
 		n.refreshID = n.w.propose(n, n.name, record.MemberRefresh{Electorate: members})
 	}
 }
 
-// pull asks the sources of all debts.
+// pull sends a pull request for each pending handover.
 func (n *simNode) pull() {
-	for _, d := range n.owner.Debts() {
-		if n.pulling[d] > n.w.now {
+	for _, d := range n.owner.PendingHandovers() {
+		if n.nextPullTick[d] > n.w.now {
 			continue
 		}
-		n.pulling[d] = n.w.now + 5
+		n.nextPullTick[d] = n.w.now + 5
 		src := n.peer(d.Source)
-		req, _ := n.owner.PullFor(d)
+		req, _ := n.owner.PullRequestFor(d)
 		n.w.send(n, src, func() {
 			if src.owner == nil {
 				return
@@ -266,21 +267,21 @@
 					return
 				}
 				n.w.handovers += len(h.Records)
-				if n.w.broken == noHandover {
+				if n.w.missing == noHandover {
 					h.Records = nil
 				}
-				n.owner.Settle(d, h)
+				n.owner.ApplyHandover(d, h)
 			})
 		})
 	}
 }
 
 func (n *simNode) handOver(req PullRequest) (Handover, PullStatus) {
-	switch n.w.broken {
+	switch n.w.missing {
 	case earlyPull:
 		req.Offset = 0
 		h, status := n.owner.Pull(req)
-		if status == PullRefused { // not known yet: give everything
+		if status == PullRefused { // the puller is not a member yet: hand over all records
 			for _, r := range n.owner.table.records {
 				h.Records = append(h.Records, *r)
 			}
@@ -288,22 +289,22 @@
 		}
 		return h, status
 	case hungryPull:
-		req.Whole = false
+		req.RequireComplete = false
 	case presentOwner:
-		if req.Whole {
+		if req.RequireComplete {
 			req.Members = n.owner.members
 		}
 	}
 	return n.owner.Pull(req)
 }
 
-// leave begins a planned leave.
+// leave starts a planned leave.
 func (n *simNode) leave() {
-	if n.owner != nil && !n.gone {
+	if n.owner != nil && !n.removedOrLeaving {
 		n.owner.Retire()
-		n.gone = true
-		until := n.watch.Retire()
-		if n.w.broken == silentLeave {
+		n.removedOrLeaving = true
+		until := n.monitor.Retire()
+		if n.w.missing == silentLeave {
 			until = epoch
 		}
 		n.w.propose(n, n.name, record.MemberLeave{AcksUntil: until})
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -11,10 +11,11 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// The world is a model of several nodes, a log and a network in steps of one
-// tick. Messages are late, doubled or lost; nodes are paused, suspended with
-// their clocks, cut off, killed; records are late, doubled or held by an outage
-// of the log. The nodes run the package's own machines.
+// The world is a model of several nodes, a log and a network that advances in
+// ticks. Messages are delayed, duplicated or lost. Nodes are paused, suspended
+// with their clocks, partitioned or killed. Records are delayed or duplicated,
+// or held back by an outage of the log. The nodes run the types of this
+// package.
 
 const tick = 100 * time.Millisecond
 
@@ -29,16 +30,16 @@
 		MaxAnswers: 10000,
 	}
 	modelLease = LeaseConfig{
-		Duration: time.Second,
-		Margin:   100 * time.Millisecond,
-		Silence:  time.Second,
-		Skew:     300 * time.Millisecond,
+		Duration:    time.Second,
+		Margin:      100 * time.Millisecond,
+		PeerTimeout: time.Second,
+		Skew:        300 * time.Millisecond,
 	}
 	epoch = time.UnixMilli(1_733_000_000_000).UTC()
 )
 
 // safeguard is a part of the design that a run of the model leaves out, to show
-// that the model notices.
+// that the model detects its absence.
 type safeguard int
 
 const (
@@ -46,19 +47,19 @@
 	noLease                 // an owner grants without a lease
 	noWallClock             // a lease is checked by the monotonic clock only
 	noFloor                 // a new owner grants keys of the lost owner
-	lowFloor                // the floor leaves the lost owner's last lease out
+	lowFloor                // the floor does not cover the lost owner's last lease
 	noHandover              // a joining owner starts without the records
-	earlyPull               // an old owner hands over before it knows of the change
-	hungryPull              // an old owner hands over what it has not got itself
-	ackSuspected            // acks go on while a suspicion is on the log
+	earlyPull               // an old owner hands over before it has applied the change
+	hungryPull              // an old owner hands over before it has all records itself
+	ackSuspected            // acks continue while a suspicion is on the log
 	hastyTrust              // acks resume before the trust record was read back
-	oldElectorate           // a refresh in flight does not count for the lease
-	jumpedChanges           // several changes of the membership count as one
+	oldElectorate           // the lease ignores a refresh in flight
+	jumpedChanges           // several changes of the membership are applied as one
 	noAhead                 // an owner grants keys of any mint time
 	noAskAll                // a lost owner's predecessors are not asked
-	presentOwner            // an old owner hands over by the present members
-	noFirstFloor            // the first member grants keys of earlier ones
-	silentLeave             // a leave does not say how long its acks run
+	presentOwner            // an old owner computes the keys from its current members
+	noFirstFloor            // the first member grants keys of earlier members
+	silentLeave             // a leave does not state the end of the last lease acked
 	numSafeguards
 )
 
@@ -77,7 +78,7 @@
 type proposal struct {
 	by   *simNode
 	rec  record.Record
-	due  []int // one for each copy
+	due  []int // one tick per copy
 	sent bool
 }
 
@@ -92,42 +93,42 @@
 const (
 	asking phase = iota
 	granted
-	over
+	ended
 )
 
 type simAttempt struct {
-	key     *simKey
-	id      Attempt
-	at      *simNode
-	first   bool
-	phase   phase
-	until   int // tick at which asking ends
-	call    int // number of the call under way
-	callDue int // tick at which the next call is made
-	open    bool
-	runAt   int
-	report  *Result
-	repeats int
+	key          *simKey
+	id           Attempt
+	node         *simNode
+	first        bool
+	phase        phase
+	giveUpTick   int // end of the calls
+	call         int // number of the call in flight
+	nextCallTick int
+	mayBeGranted bool
+	runTick      int
+	report       *Result
+	reportCalls  int
 }
 
 type world struct {
-	rng     *rand.Rand
-	broken  safeguard
-	now     int
-	log     []record.Record
-	logDown bool
-	waiting []*proposal
-	nodes   []*simNode
-	msgs    []message
-	keys    []*simKey
-	ids     uint64
-	bad     []string
+	rng        *rand.Rand
+	missing    safeguard
+	now        int
+	log        []record.Record
+	logDown    bool
+	proposals  []*proposal
+	nodes      []*simNode
+	messages   []message
+	keys       []*simKey
+	ids        uint64
+	violations []string
 
 	grants, evictions, unknowns, handovers int
 }
 
-func newWorld(seed uint64, nodes int, broken safeguard) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), broken: broken}
+func newWorld(seed uint64, nodes int, missing safeguard) *world {
+	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), missing: missing}
 	for i := range nodes {
 		w.start(fmt.Sprintf("10.0.0.%d:1", i))
 	}
@@ -143,10 +144,10 @@
 }
 
 func (w *world) fail(format string, args ...any) {
-	w.bad = append(w.bad, fmt.Sprintf("tick %d: ", w.now)+fmt.Sprintf(format, args...))
+	w.violations = append(w.violations, fmt.Sprintf("tick %d: ", w.now)+fmt.Sprintf(format, args...))
 }
 
-// send puts a message on its way, now and then twice.
+// send queues a message for delivery, occasionally twice.
 func (w *world) send(from, to *simNode, deliver func()) {
 	if from.cutFrom(to) {
 		return
@@ -156,12 +157,12 @@
 		if w.chance(0.03) {
 			due += w.rng.IntN(40)
 		}
-		w.msgs = append(w.msgs, message{due: due, from: from, to: to, deliver: deliver})
+		w.messages = append(w.messages, message{due: due, from: from, to: to, deliver: deliver})
 	}
 }
 
-// propose appends a record late, perhaps twice, and once the node and the log
-// can be reached.
+// propose appends a record with a delay, possibly twice, as soon as the node
+// runs and the log is reachable.
 func (w *world) propose(by *simNode, name string, body record.Body) string {
 	sub := record.Subject{Kind: record.SubjectMember, Name: name}
 	id := fmt.Sprintf("%x", w.id())
@@ -176,7 +177,7 @@
 	if w.chance(0.3) {
 		p.due = append(p.due, w.now+w.rng.IntN(60))
 	}
-	w.waiting = append(w.waiting, p)
+	w.proposals = append(w.proposals, p)
 	return id
 }
 
@@ -184,7 +185,7 @@
 	if w.logDown {
 		return
 	}
-	w.waiting = slices.DeleteFunc(w.waiting, func(p *proposal) bool {
+	w.proposals = slices.DeleteFunc(w.proposals, func(p *proposal) bool {
 		p.sent = p.sent || (p.by.running() && !p.by.logCut)
 		p.due = slices.DeleteFunc(p.due, func(due int) bool {
 			if !p.sent || due > w.now {
@@ -199,8 +200,8 @@
 
 func (w *world) deliverDue() {
 	var later []message
-	due := w.msgs
-	w.msgs = nil
+	due := w.messages
+	w.messages = nil
 	for _, m := range due {
 		switch {
 		case !m.to.alive || m.from.cutFrom(m.to):
@@ -210,7 +211,7 @@
 			m.deliver()
 		}
 	}
-	w.msgs = append(w.msgs, later...)
+	w.messages = append(w.messages, later...)
 }
 
 func (w *world) step() {
@@ -228,11 +229,11 @@
 	w.callers()
 }
 
-// callers send fresh requests and retries.
+// callers sends new requests and retries.
 func (w *world) callers() {
 	if w.chance(0.5) {
 		minted := epoch.Add(time.Duration(w.now) * tick).Add(time.Duration(w.rng.IntN(400)-200) * time.Millisecond)
-		if w.chance(0.1) { // a caller with a wrong clock
+		if w.chance(0.1) { // the clock of the caller is wrong
 			minted = minted.Add(time.Duration(w.rng.IntN(4000)) * time.Millisecond)
 		}
 		k := &simKey{key: Key{Service: "s", ID: w.id()}}
@@ -249,7 +250,7 @@
 		}
 		back := 1 + w.rng.IntN(min(len(w.keys), 10+w.rng.IntN(90)))
 		k := w.keys[len(w.keys)-back]
-		if first := k.attempts[0]; !first.first || first.phase == over {
+		if first := k.attempts[0]; !first.first || first.phase == ended {
 			w.attempt(k, false)
 		}
 	}
@@ -257,32 +258,34 @@
 
 func (w *world) attempt(k *simKey, first bool) {
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
-	a := &simAttempt{key: k, first: first, at: n, until: w.now + 10 + w.rng.IntN(20), callDue: w.now}
+	a := &simAttempt{key: k, first: first, node: n, giveUpTick: w.now + 10 + w.rng.IntN(20), nextCallTick: w.now}
 	k.attempts = append(k.attempts, a)
-	if !n.alive || n.owner == nil || n.gone {
-		a.phase = over
+	if !n.alive || n.owner == nil || n.removedOrLeaving {
+		a.phase = ended
 		return
 	}
 	a.id = Attempt{Holder: n.name, ID: w.id()}
 	n.attempts = append(n.attempts, a)
 }
 
-// toldNotRun checks that an answer "not run" is true.
+// toldNotRun records a violation if a caller gets "not run" for a request that
+// ran.
 func (w *world) toldNotRun(a *simAttempt, why Reason) {
 	if a.key.runs > 0 {
 		w.fail("%s: not-run (%s) after %d runs", a.key.key, why, a.key.runs)
 	}
 }
 
-// run is what a backend server counts.
-func (w *world) run(a *simAttempt) {
+// backendRun counts a run at the backend server and records a violation at the
+// second run of a key.
+func (w *world) backendRun(a *simAttempt) {
 	a.key.runs++
 	if a.key.runs > 1 {
-		w.fail("%s ran %d times, last by %s", a.key.key, a.key.runs, a.at.name)
+		w.fail("%s ran %d times, last by %s", a.key.key, a.key.runs, a.node.name)
 	}
 }
 
-// start starts a node at an address; it joins once it has read the log.
+// start starts a node at an address. It joins once it has read the log.
 func (w *world) start(address string) *simNode {
 	n := &simNode{
 		w: w, alive: true, address: address, state: ledger.New(),
--- a/internal/entrypeer/bytes_test.go
+++ b/internal/entrypeer/bytes_test.go
@@ -12,7 +12,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/peerserver"
 )
 
-// countedConn counts the bytes of a connection, in both directions.
+// countedConn counts the bytes of a connection in both directions.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -30,11 +30,11 @@
 	return n, err
 }
 
-// Every member exchanges a small message with every other several times a
-// second, so bytes that the transport adds to each are multiplied by the square
-// of the members. A ping and a window update with each message more than doubled
-// the control traffic.
-func TestSmallCallsCostFewBytes(t *testing.T) {
+// Every member sends a small message to every other several times a second, so
+// bytes that the transport adds per message count with the square of the
+// members. A ping and a window update with each message more than doubled the
+// control traffic.
+func TestSmallCallsUseFewBytes(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	server := peerserver.New(listener)
@@ -43,11 +43,11 @@
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(ctx) }()
 	var bytes atomic.Int64
-	conns := newConns(func(ctx context.Context, address string) (net.Conn, error) {
+	conns := newConnPool(func(ctx context.Context, address string) (net.Conn, error) {
 		conn, err := dialTCP(ctx, address)
 		return countedConn{conn, &bytes}, err
 	})
-	client, err := conns.to(listener.Addr().String())
+	client, err := conns.client(listener.Addr().String())
 	require.NoError(t, err)
 	const warm, calls = 10, 100
 	for i := range warm + calls {
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -24,7 +24,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// network connects nodes in memory and can be cut between two of them.
+// network connects nodes in memory and can be partitioned between any two of
+// them.
 type network struct {
 	mu        sync.Mutex
 	listeners map[string]chan net.Conn
@@ -47,8 +48,8 @@
 	}
 }
 
-// split cuts or mends the network between a and b in both directions.
-func (n *network) split(a, b string, cut bool) {
+// setCut cuts or restores the network between a and b in both directions.
+func (n *network) setCut(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, pair := range [][2]string{{a, b}, {b, a}} {
@@ -106,15 +107,15 @@
 		MaxAnswers: testAnswerBytes,
 	}
 	leaseConfig = claim.LeaseConfig{
-		Duration: 2 * time.Second,
-		Margin:   200 * time.Millisecond,
-		Silence:  2 * time.Second,
-		Skew:     500 * time.Millisecond,
+		Duration:    2 * time.Second,
+		Margin:      200 * time.Millisecond,
+		PeerTimeout: 2 * time.Second,
+		Skew:        500 * time.Millisecond,
 	}
 )
 
-// inCluster runs fn with n nodes that have joined, named n0, n1 and so on.
-func inCluster(t *testing.T, n int, fn func(*cluster)) {
+// withCluster runs fn with n joined nodes, named n0, n1 and so on.
+func withCluster(t *testing.T, n int, fn func(*cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{
@@ -126,8 +127,8 @@
 		for i := range n {
 			c.start(fmt.Sprintf("n%d", i))
 		}
-		c.until("all joined", func() bool { return len(c.ready()) == n })
-		time.Sleep(3 * time.Second) // electorates refresh
+		c.waitFor("all joined", func() bool { return len(c.ready()) == n })
+		time.Sleep(3 * time.Second) // until the electorates were refreshed
 		fn(c)
 		for name := range c.nodes {
 			c.kill(name)
@@ -135,7 +136,7 @@
 	})
 }
 
-// start begins a node whose address is its name.
+// start starts a node whose address is its name.
 func (c *cluster) start(name string) *node {
 	logger := hclog.NewNullLogger()
 	if testing.Verbose() {
@@ -175,13 +176,13 @@
 	return nd
 }
 
-// kill ends a node at once, as a lost VM does.
+// kill stops a node abruptly, as the loss of its VM does.
 func (c *cluster) kill(name string) {
 	c.nodes[name].stop()
 	delete(c.nodes, name)
 }
 
-// ready returns the nodes that may grant.
+// ready returns the nodes that may grant claims.
 func (c *cluster) ready() []string {
 	var list []string
 	for name, n := range c.nodes {
@@ -193,14 +194,14 @@
 	return list
 }
 
-// members returns how many members the node's folded state holds.
+// members returns the number of members in the node's folded state.
 func (n *node) members() int {
 	count := 0
 	n.follow.View(func(s *ledger.State) { count = len(s.Members) })
 	return count
 }
 
-func (c *cluster) until(what string, ok func() bool) time.Duration {
+func (c *cluster) waitFor(what string, ok func() bool) time.Duration {
 	c.t.Helper()
 	began := time.Now()
 	for !ok() {
@@ -218,7 +219,7 @@
 	return c.nodes[at].peers.Claim(ctx, claim.Request{Key: k})
 }
 
-func (c *cluster) run(at string, k claim.Key) {
+func (c *cluster) runRequest(at string, k claim.Key) {
 	c.t.Helper()
 	d := c.claim(at, k)
 	require.Equal(c.t, claim.Granted, d.Verdict, "%s", d.Reason)
--- a/internal/membership/outage_test.go
+++ b/internal/membership/outage_test.go
@@ -25,7 +25,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/routing"
 )
 
-const shop = `service = "shop"
+const shopDocument = `service = "shop"
 team = "t"
 [pool]
 size = 3
@@ -42,24 +42,26 @@
 repeatable = false
 `
 
-// runners are backend servers that run each request and count.
-type runners struct{ runs atomic.Int64 }
+// countingBackends stands for backend servers that run each request and counts
+// the runs.
+type countingBackends struct{ runs atomic.Int64 }
 
-func (r *runners) Update(map[string]int) {}
-func (r *runners) Do(context.Context, *backend.Request) backend.Answer {
+func (r *countingBackends) Update(map[string]int) {}
+func (r *countingBackends) Do(context.Context, *backend.Request) backend.Answer {
 	r.runs.Add(1)
 	return backend.Answer{Outcome: outcome.Ran, Status: http.StatusOK}
 }
 
-type unobserved struct{}
+type noopObserver struct{}
 
-func (unobserved) Retried(string, backend.Failure)              {}
-func (unobserved) Shed(string, document.Class, routing.Refusal) {}
+func (noopObserver) Retried(string, backend.Failure)              {}
+func (noopObserver) Shed(string, document.Class, routing.Refusal) {}
 
-// dispatch runs the request path of a node over its state and its claims.
-func (c *cluster) dispatch(n *node, to *runners) *dispatch.Dispatcher {
-	d := dispatch.New(dispatch.Config{Zone: "z", MaxConnections: 64, Backends: to, Claims: entry.NewClaims(n.peers),
-		Observer: unobserved{}, Rand: rand.New(rand.NewPCG(1, 2))})
+// dispatch returns a dispatcher that uses the state and the claims of a node,
+// and keeps it up to date.
+func (c *cluster) dispatch(n *node, backends *countingBackends) *dispatch.Dispatcher {
+	d := dispatch.New(dispatch.Config{Zone: "z", MaxConnections: 64, Backends: backends, Claims: entry.NewClaims(n.peers),
+		Observer: noopObserver{}, Rand: rand.New(rand.NewPCG(1, 2))})
 	changed := n.follow.Changed()
 	ctx, stop := context.WithCancel(context.Background())
 	kill := n.stop
@@ -81,8 +83,8 @@
 	return d
 }
 
-// put makes a record effective.
-func (n *node) put(t *testing.T, kind record.SubjectKind, name string, body record.Body) {
+// propose appends a record and requires that it takes effect.
+func (n *node) propose(t *testing.T, kind record.SubjectKind, name string, body record.Body) {
 	t.Helper()
 	rec := record.Record{ID: ulid.Make().String(), Subject: record.Subject{Kind: kind, Name: name}, Author: "test", Time: time.Now(), Body: body}
 	n.follow.View(func(s *ledger.State) { rec.Base, rec.Seen = s.Revision(rec.Subject), s.Offset })
@@ -91,52 +93,52 @@
 	require.Equal(t, ledger.Effective, out.Status, out.Reason)
 }
 
-// The log is out for six hours. Callers notice nothing: every quarter of an hour
-// each entry VM answers lookups, and bookings with keys of all owners, and a
-// retry of a booking at another entry VM gets its answer and no second run.
-// Nobody is evicted, in the outage or at the return, and bookings go on then.
-// Why: the table stays in use, and an owner's right to grant rests on its peers'
-// word, not on the log, as long as nobody can be evicted either.
-func TestEntriesAnswerThroughHoursWithoutTheLog(t *testing.T) {
+// During an outage of the log of six hours, every entry VM must answer lookups,
+// and bookings with keys of all owners, every 15 minutes; a booking retried at
+// another entry VM must get its reply and not run again. No member may be
+// evicted during the outage or after it, and bookings must go on afterwards.
+// The routing table stays in use, and the right to grant rests on acks of the
+// peers instead of the log, as long as no member can be evicted either.
+func TestEntriesAnswerDuringHoursOfLogOutage(t *testing.T) {
 	t.Parallel()
-	inCluster(t, 3, func(c *cluster) {
-		to := &runners{}
-		var paths []*dispatch.Dispatcher
+	withCluster(t, 3, func(c *cluster) {
+		backends := &countingBackends{}
+		var dispatchers []*dispatch.Dispatcher
 		for i := range 3 {
-			paths = append(paths, c.dispatch(c.nodes[fmt.Sprintf("n%d", i)], to))
+			dispatchers = append(dispatchers, c.dispatch(c.nodes[fmt.Sprintf("n%d", i)], backends))
 		}
 		n := c.nodes["n0"]
-		n.put(c.t, record.SubjectService, "shop", record.DocumentPublish{Text: shop})
+		n.propose(c.t, record.SubjectService, "shop", record.DocumentPublish{Text: shopDocument})
 		for _, vm := range []string{"vm-1", "vm-2", "vm-3"} {
-			n.put(c.t, record.SubjectVM, vm, record.VMRegister{Zone: "z", Rack: "r", Address: vm + ":80", Cores: 8, MemoryMB: 1024})
-			n.put(c.t, record.SubjectVM, vm, record.VMJoin{Pool: "shop"})
-			n.put(c.t, record.SubjectVM, vm, record.VMUp{})
+			n.propose(c.t, record.SubjectVM, vm, record.VMRegister{Zone: "z", Rack: "r", Address: vm + ":80", Cores: 8, MemoryMB: 1024})
+			n.propose(c.t, record.SubjectVM, vm, record.VMJoin{Pool: "shop"})
+			n.propose(c.t, record.SubjectVM, vm, record.VMUp{})
 		}
 		time.Sleep(time.Second)
 		before := c.nodes["n1"].names()
 		c.log.Cut(true)
 		for range 24 {
 			time.Sleep(15 * time.Minute)
-			c.serve(paths, to)
+			c.sendRequests(dispatchers, backends)
 			require.Equal(c.t, before, c.nodes["n1"].names())
 		}
 		c.log.Cut(false)
 		for range 10 {
 			time.Sleep(3 * time.Second)
-			c.serve(paths, to)
+			c.sendRequests(dispatchers, backends)
 		}
-		require.Equal(c.t, before, c.nodes["n1"].names(), "nobody was evicted at the return")
+		require.Equal(c.t, before, c.nodes["n1"].names(), "no member may be evicted when the log is back")
 	})
 }
 
-// names returns the members that the node knows of.
+// names returns the members in the folded state of the node.
 func (n *node) names() (names []string) {
 	n.follow.View(func(s *ledger.State) { names = s.MemberNames() })
 	return names
 }
 
-// serve sends lookups and bookings, each booking twice, and checks the answers.
-func (c *cluster) serve(paths []*dispatch.Dispatcher, to *runners) {
+// sendRequests sends lookups, and each booking twice, and checks the answers.
+func (c *cluster) sendRequests(dispatchers []*dispatch.Dispatcher, backends *countingBackends) {
 	c.t.Helper()
 	send := func(d *dispatch.Dispatcher, path, key string, first bool) {
 		svc := d.Table().Services["shop"]
@@ -147,14 +149,14 @@
 		assert.Equal(c.t, outcome.Ran, res.Outcome, "%s: %s", path, res.Reason)
 	}
 	const rounds = 8
-	ran := to.runs.Load()
+	ran := backends.runs.Load()
 	for i := range rounds {
-		for _, d := range paths {
+		for _, d := range dispatchers {
 			send(d, "/look", "", true)
 		}
 		key := ulid.Make().String()
-		send(paths[i%3], "/book", key, true)
-		send(paths[(i+1)%3], "/book", key, false)
+		send(dispatchers[i%3], "/book", key, true)
+		send(dispatchers[(i+1)%3], "/book", key, false)
 	}
-	assert.EqualValues(c.t, rounds*(len(paths)+1), to.runs.Load()-ran, "a retry runs nothing")
+	assert.EqualValues(c.t, rounds*(len(dispatchers)+1), backends.runs.Load()-ran, "each lookup and each booking must run exactly once")
 }
