--- a/internal/jobrunner/burst.go
+++ b/internal/jobrunner/burst.go
@@ -15,8 +15,8 @@
 	burstWindow = 2 * time.Second
 )
 
-// settling returns the teams that are cancelling a batch of jobs.
-func settling(st *ledger.State, pool string, now time.Time) map[string]bool {
+// teamsCancellingBatch returns the teams that are cancelling a batch of jobs.
+func teamsCancellingBatch(st *ledger.State, pool string, now time.Time) map[string]bool {
 	cancelled := map[string]int{}
 	for _, j := range st.PoolJobs(pool) {
 		if j.CancelAsked && now.Sub(j.CancelledAt) < burstWindow {
--- a/internal/jobrunner/core.go
+++ b/internal/jobrunner/core.go
@@ -14,22 +14,22 @@
 
 // Times of the driver.
 const (
-	// pauseLimit is the gap between two steps that counts as a pause of the
+	// maxStepGap is the gap between two steps that counts as a pause of the
 	// process.
-	pauseLimit = 2 * time.Second
-	// staleLimit is how old the latest read of the log's end may be for new
+	maxStepGap = 2 * time.Second
+	// maxReadAge is how old the latest read of the log's end may be for new
 	// decisions. An idle follower reads every 2 s.
-	staleLimit = 5 * time.Second
-	// takeover is how long work of a better placed steward may lie undone for
+	maxReadAge = 5 * time.Second
+	// takeoverDelay is how long work of a better placed steward may lie undone for
 	// each rank before the next one does it.
-	takeover = 1500 * time.Millisecond
-	// keepers is how many stewards renew the leases of a pool's tasks, so that
+	takeoverDelay = 1500 * time.Millisecond
+	// leaseRenewers is how many stewards renew the leases of a pool's tasks, so that
 	// the death of one costs no task.
-	keepers = 2
+	leaseRenewers = 2
 	// usageInterval is the pause between reads of the usage reports.
 	usageInterval = 10 * time.Second
-	// rememberFor is for how long undone work is remembered for a takeover.
-	rememberFor = 10 * time.Minute
+	// pendingWorkTTL is for how long undone work is remembered for a takeover.
+	pendingWorkTTL = 10 * time.Minute
 )
 
 // CoreConfig is what a Core needs.
@@ -55,27 +55,27 @@
 	cfg CoreConfig
 
 	lastStep time.Time
-	// wakeAt is when the process began or last woke from a pause. Nothing is
+	// resumedAt is when the process began or last woke from a pause. Nothing is
 	// decided on what was folded before.
-	wakeAt time.Time
+	resumedAt time.Time
 
-	estimates *usage.Estimator
-	counted   map[string]bool             // ended jobs whose use was counted
-	own       map[string]time.Time        // placements and preemptions written here, by record ID
-	tasks     map[string]*task            // by job
-	workers   map[string]*worker          // by VM
-	since     map[string]time.Time        // undone work of others
-	applied   map[string]string           // preemptions carried out, by ID: job
-	busy      map[string]bool             // keys of actions in flight
-	inFlight  [laneCount]int              // actions in flight
-	usageAt   time.Time                   // when usage was last asked for
-	reports   map[string]ledger.Resources // latest use, by task
-	out       []Action
-	leaving   bool
-	unsettled int                  // own placements not known to run, while leaving
-	plannedAt map[string]time.Time // by pool
-	turn      int                  // rotates which pool comes first
-	Stats     Stats
+	estimates          *usage.Estimator
+	countedJobs        map[string]bool             // ended jobs whose use was counted
+	ownRecords         map[string]time.Time        // placements and preemptions written here, by record ID
+	tasks              map[string]*task            // by job
+	workers            map[string]*worker          // by VM
+	firstSeenUndone    map[string]time.Time        // undone work of others
+	appliedPreemptions map[string]string           // preemptions carried out, by ID: job
+	busyKeys           map[string]bool             // keys of actions in flight
+	inFlight           [laneCount]int              // actions in flight
+	usageRequestedAt   time.Time                   // when usage was last asked for
+	usageReports       map[string]ledger.Resources // latest use, by task
+	actions            []Action
+	shuttingDown       bool
+	unconfirmedStarts  int                  // own placements not known to run, while leaving
+	plannedAt          map[string]time.Time // by pool
+	firstPool          int                  // rotates which pool comes first
+	Stats              Stats
 }
 
 // Stats counts what happened, for metrics and measurements.
@@ -97,30 +97,30 @@
 
 // worker is what is remembered about a VM.
 type worker struct {
-	// closedUntil keeps new jobs away after a refused start.
-	closedUntil time.Time
-	refusals    int
-	// renewAfter puts renewals off after a failed one.
-	renewAfter time.Time
+	// noStartsBefore keeps new jobs away after a refused start.
+	noStartsBefore time.Time
+	refusals       int
+	// noRenewalBefore puts renewals off after a failed one.
+	noRenewalBefore time.Time
 }
 
 // NewCore returns a Core that knows nothing. It decides nothing before a read
 // of the log that was sent after now.
 func NewCore(cfg CoreConfig, now time.Time) *Core {
 	return &Core{
-		cfg:       cfg,
-		lastStep:  now,
-		wakeAt:    now,
-		estimates: usage.NewEstimator(),
-		counted:   map[string]bool{},
-		own:       map[string]time.Time{},
-		tasks:     map[string]*task{},
-		workers:   map[string]*worker{},
-		since:     map[string]time.Time{},
-		applied:   map[string]string{},
-		busy:      map[string]bool{},
-		reports:   map[string]ledger.Resources{},
-		plannedAt: map[string]time.Time{},
+		cfg:                cfg,
+		lastStep:           now,
+		resumedAt:          now,
+		estimates:          usage.NewEstimator(),
+		countedJobs:        map[string]bool{},
+		ownRecords:         map[string]time.Time{},
+		tasks:              map[string]*task{},
+		workers:            map[string]*worker{},
+		firstSeenUndone:    map[string]time.Time{},
+		appliedPreemptions: map[string]string{},
+		busyKeys:           map[string]bool{},
+		usageReports:       map[string]ledger.Resources{},
+		plannedAt:          map[string]time.Time{},
 	}
 }
 
@@ -132,77 +132,77 @@
 // or start a job that was cancelled. So after a gap it does nothing until the
 // log was read again, and renews only tasks whose status it has seen since.
 func (c *Core) Step(st *ledger.State, fresh, now time.Time) []Action {
-	if now.Sub(c.lastStep) > pauseLimit {
-		c.wakeAt = now
+	if now.Sub(c.lastStep) > maxStepGap {
+		c.resumedAt = now
 	}
 	c.lastStep = now
-	c.out = nil
-	if fresh.Before(c.wakeAt) {
+	c.actions = nil
+	if fresh.Before(c.resumedAt) {
 		return nil
 	}
-	c.forget(st, now)
-	mayDecide := now.Sub(fresh) <= staleLimit
-	if c.leaving {
-		c.settle(st, mayDecide, now)
-		return c.out
+	c.forgetRemoved(st, now)
+	mayDecide := now.Sub(fresh) <= maxReadAge
+	if c.shuttingDown {
+		c.finishOwnStarts(st, mayDecide, now)
+		return c.actions
 	}
 	pools := st.JobPools()
-	c.turn++
+	c.firstPool++
 	for i := range pools {
-		pool := pools[(i+c.turn)%len(pools)]
+		pool := pools[(i+c.firstPool)%len(pools)]
 		rank := c.cfg.Rank(pool)
-		c.attendPool(st, pool, rank, mayDecide, now)
+		c.drivePool(st, pool, rank, mayDecide, now)
 		if mayDecide && c.planDue(st, pool, rank, now) {
 			c.planPool(st, pool, rank, now)
 		}
 	}
-	c.askUsage(now)
-	return c.out
+	c.requestUsage(now)
+	return c.actions
 }
 
-// Leave makes the core decide nothing new: it only starts what it has placed.
+// BeginShutdown makes the core decide nothing new: it only starts what it has placed.
 // Without that, each placement that a stopping steward leaves behind is one whose
 // start is in doubt to the others, and a job that is not repeatable is lost.
-func (c *Core) Leave() { c.leaving = true }
+func (c *Core) BeginShutdown() { c.shuttingDown = true }
 
-// Settled reports whether a leaving core has nothing left to do.
-func (c *Core) Settled() bool {
-	flying := 0
+// ShutdownComplete reports whether a leaving core has nothing left to do.
+func (c *Core) ShutdownComplete() bool {
+	inFlight := 0
 	for _, n := range c.inFlight {
-		flying += n
+		inFlight += n
 	}
-	return c.leaving && c.unsettled == 0 && flying == 0
+	return c.shuttingDown && c.unconfirmedStarts == 0 && inFlight == 0
 }
 
-// settle starts own placements and counts those that are not known to run.
-func (c *Core) settle(st *ledger.State, mayDecide bool, now time.Time) {
-	c.unsettled = 0
+// finishOwnStarts starts own placements and counts those that are not known to run.
+func (c *Core) finishOwnStarts(st *ledger.State, mayDecide bool, now time.Time) {
+	c.unconfirmedStarts = 0
 	for _, pool := range st.JobPools() {
 		lease := leaseOf(st.Services[pool])
 		for _, j := range st.PoolJobs(pool) {
-			if j.Status != ledger.JobPlaced || !c.wrote(j.PlaceID) {
+			if j.Status != ledger.JobPlaced || !c.isOwnRecord(j.PlaceID) {
 				continue
 			}
 			if t := c.task(j, now); !t.known {
-				c.unsettled++
-				c.begin(st, j, t, 0, lease, mayDecide, now)
+				c.unconfirmedStarts++
+				c.startTask(st, j, t, 0, lease, mayDecide, now)
 			}
 		}
 	}
 }
 
-// Awake reports whether the log was read since the process began or woke.
-func (c *Core) Awake(fresh time.Time) bool { return !fresh.Before(c.wakeAt) }
+// ReadSinceResume reports whether the log was read since the process began or woke.
+func (c *Core) ReadSinceResume(fresh time.Time) bool { return !fresh.Before(c.resumedAt) }
 
 // emit adds an action unless its key is held or its lane is full.
 func (c *Core) emit(a Action) bool {
-	if c.busy[a.Key] || c.inFlight[a.Lane] >= laneLimits[a.Lane] {
+	if c.busyKeys[a.Key] || c.inFlight[a.Lane] >= laneLimits[a.Lane] {
 		return false
 	}
-	c.busy[a.Key] = true
+	c.busyKeys[a.Key] = true
 	c.inFlight[a.Lane]++
-	a.NotAfter = c.lastStep.Add(pauseLimit)
-	c.out = append(c.out, a)
+	a.NotAfter = c.lastStep.Add(maxStepGap)
+	c.actions = append(c.actions, a)
 	return true
 }
 
@@ -231,31 +231,31 @@
 	return record.Subject{Kind: record.SubjectJob, Name: id}
 }
 
-// due reports whether undone work falls to this steward now. item names the
+// claim reports whether undone work falls to this steward now. item names the
 // work and what it was decided on, so that it is new after every change.
-func (c *Core) due(item string, rank int, now time.Time) bool {
+func (c *Core) claim(item string, rank int, now time.Time) bool {
 	if rank == 0 {
 		return true
 	}
-	first, ok := c.since[item]
+	first, ok := c.firstSeenUndone[item]
 	if !ok {
-		c.since[item] = now
+		c.firstSeenUndone[item] = now
 		return false
 	}
-	return now.Sub(first) >= time.Duration(rank)*takeover
+	return now.Sub(first) >= time.Duration(rank)*takeoverDelay
 }
 
-// forget drops what is remembered about jobs and workers that are gone.
-func (c *Core) forget(st *ledger.State, now time.Time) {
+// forgetRemoved drops what is remembered about jobs and workers that are gone.
+func (c *Core) forgetRemoved(st *ledger.State, now time.Time) {
 	for id, t := range c.tasks {
 		if j, ok := st.Jobs[id]; !ok || j.Status != ledger.JobPlaced || j.PlaceID != t.placeID {
 			delete(c.tasks, id)
-			delete(c.reports, t.id)
+			delete(c.usageReports, t.id)
 		}
 	}
-	for id := range c.counted {
+	for id := range c.countedJobs {
 		if _, ok := st.Jobs[id]; !ok {
-			delete(c.counted, id)
+			delete(c.countedJobs, id)
 		}
 	}
 	for id := range c.workers {
@@ -263,18 +263,18 @@
 			delete(c.workers, id)
 		}
 	}
-	for id, job := range c.applied {
+	for id, job := range c.appliedPreemptions {
 		if c.tasks[job] == nil {
-			delete(c.applied, id)
+			delete(c.appliedPreemptions, id)
 		}
 	}
-	forgetOld(c.since, now)
-	forgetOld(c.own, now)
+	dropExpired(c.firstSeenUndone, now)
+	dropExpired(c.ownRecords, now)
 }
 
-func forgetOld(m map[string]time.Time, now time.Time) {
+func dropExpired(m map[string]time.Time, now time.Time) {
 	for key, at := range m {
-		if now.Sub(at) > rememberFor {
+		if now.Sub(at) > pendingWorkTTL {
 			delete(m, key)
 		}
 	}
--- a/internal/jobrunner/core_test.go
+++ b/internal/jobrunner/core_test.go
@@ -15,20 +15,20 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-func once(s *record.JobSubmit) { s.Repeatable = false }
+func notRepeatable(s *record.JobSubmit) { s.Repeatable = false }
 
-func ended(w *world, id string) func() bool {
+func hasEnded(w *world, id string) func() bool {
 	return func() bool { return w.job(id).Ended() }
 }
 
-func placed(w *world, id string) func() bool {
+func isPlaced(w *world, id string) func() bool {
 	return func() bool { return w.job(id).Status == ledger.JobPlaced }
 }
 
-func TestJobRunsOnceAndItsEndIsFolded(t *testing.T) {
+func TestJobRunsOnceAndItsEndIsRecorded(t *testing.T) {
 	w := newWorld(t, 3, 2)
-	w.submit("j", once)
-	require.True(t, w.run(time.Minute, ended(w, "j")))
+	w.submit("j", notRepeatable)
+	require.True(t, w.run(time.Minute, hasEnded(w, "j")))
 	assert.Equal(t, record.JobSucceeded, w.job("j").Result)
 	assert.Equal(t, 1, w.starts("j"))
 	assert.Less(t, w.job("j").EndedAt.Sub(w.job("j").SubmittedAt), 22*time.Second)
@@ -39,9 +39,9 @@
 // and learns that it runs. A start under a new ID would run it a second time.
 func TestLostReplyToAStartDoesNotStartTwice(t *testing.T) {
 	w := newWorld(t, 2, 2)
-	w.order(standin.Fault{Kind: standin.APILoseReply, Target: "j.1", Count: 3})
-	w.submit("j", once)
-	require.True(t, w.run(time.Minute, ended(w, "j")))
+	w.injectFaults(standin.Fault{Kind: standin.APILoseReply, Target: "j.1", Count: 3})
+	w.submit("j", notRepeatable)
+	require.True(t, w.run(time.Minute, hasEnded(w, "j")))
 	assert.Equal(t, record.JobSucceeded, w.job("j").Result)
 	assert.Equal(t, 1, w.starts("j"))
 }
@@ -51,10 +51,10 @@
 // export ends as lapsed and is never started again.
 func TestPlacementOfADeadStewardIsNotStartedByAnother(t *testing.T) {
 	w := newWorld(t, 2, 2)
-	w.submit("j", once)
-	require.True(t, w.run(time.Minute, placed(w, "j")))
+	w.submit("j", notRepeatable)
+	require.True(t, w.run(time.Minute, isPlaced(w, "j")))
 	w.Nodes[0] = nil
-	require.True(t, w.run(time.Minute, ended(w, "j")))
+	require.True(t, w.run(time.Minute, hasEnded(w, "j")))
 	assert.Equal(t, record.JobLapsed, w.job("j").Result)
 	assert.Contains(t, w.job("j").Reason, "whether the job started is unknown")
 	assert.Zero(t, w.starts("j"))
@@ -63,7 +63,7 @@
 func TestRepeatablePlacementOfADeadStewardIsStartedByTheNext(t *testing.T) {
 	w := newWorld(t, 2, 2)
 	w.submit("j", func(s *record.JobSubmit) { s.Urgent = true })
-	require.True(t, w.run(time.Minute, placed(w, "j")))
+	require.True(t, w.run(time.Minute, isPlaced(w, "j")))
 	w.Nodes[0] = nil
 	require.True(t, w.run(6700*time.Millisecond, func() bool { return w.starts("j") == 1 }))
 }
@@ -72,7 +72,7 @@
 // renew it. The platform ends the task. On waking, the steward must not renew
 // or start on its old picture: the job ends as lapsed, once, and only a
 // repeatable one runs again.
-func TestPausedStewardReadsLogAndStatusBeforeItActs(t *testing.T) {
+func TestResumedStewardReadsLogAndStatusBeforeItActs(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		w := newWorld(t, 1, 2)
 		w.submit("j", func(s *record.JobSubmit) { s.Repeatable, s.RunTime = repeatable, time.Minute })
@@ -84,7 +84,7 @@
 		assert.Equal(t, ledger.JobPlaced, w.job("j").Status)
 		assert.Equal(t, 1, w.starts("j"))
 		w.Nodes[0].CutOff = false
-		require.True(t, w.run(5*time.Minute, ended(w, "j")))
+		require.True(t, w.run(5*time.Minute, hasEnded(w, "j")))
 		assert.Equal(t, map[bool]int{true: 2, false: 1}[repeatable], w.starts("j"))
 		assert.Equal(t, map[bool]record.JobResult{true: record.JobSucceeded, false: record.JobLapsed}[repeatable], w.job("j").Result)
 	}
@@ -93,7 +93,7 @@
 // The log is out for minutes while the platform runs tasks. Leases are renewed
 // all the while, since giving up every long job would be the greater harm, and
 // nothing new is started.
-func TestLeasesAreRenewedWhileTheLogIsOut(t *testing.T) {
+func TestLeasesAreRenewedWhileTheLogIsUnavailable(t *testing.T) {
 	w := newWorld(t, 2, 2)
 	w.submit("long", func(s *record.JobSubmit) { s.RunTime = 4 * time.Minute; s.Repeatable = false })
 	require.True(t, w.run(time.Minute, func() bool { return w.starts("long") == 1 }))
@@ -106,7 +106,7 @@
 	for _, n := range w.Nodes {
 		n.CutOff = false
 	}
-	require.True(t, w.run(time.Minute, ended(w, "long")))
+	require.True(t, w.run(time.Minute, hasEnded(w, "long")))
 	assert.Equal(t, record.JobSucceeded, w.job("long").Result)
 	require.True(t, w.run(time.Minute, func() bool { return w.starts("later") == 1 }))
 }
@@ -124,7 +124,7 @@
 	w.run(time.Second, nil)
 	before := w.Platform.Counters().JobStarts
 	for _, id := range ids {
-		w.must(jobSubject(id), record.JobCancel{})
+		w.mustWrite(jobSubject(id), record.JobCancel{})
 	}
 	require.True(t, w.run(30*time.Second, func() bool {
 		for _, id := range ids {
@@ -146,7 +146,7 @@
 // A hundred jobs are cancelled one after the other in the order of their
 // submission. Each one that is stopped makes room for the next in line, which is
 // about to be cancelled as well: after the first few none is started any more.
-func TestCancellationsInTurnWasteFewStarts(t *testing.T) {
+func TestSequentialCancellationsCauseFewStarts(t *testing.T) {
 	w := newWorld(t, 2, 2)
 	id := func(i int) string { return fmt.Sprintf("j%03d", i) }
 	for i := range 100 {
@@ -155,7 +155,7 @@
 	w.run(time.Second, nil)
 	before := len(w.Platform.Counters().JobStarts)
 	for i := range 100 {
-		w.must(jobSubject(id(i)), record.JobCancel{})
+		w.mustWrite(jobSubject(id(i)), record.JobCancel{})
 		w.run(2*stepTime, nil)
 	}
 	assert.LessOrEqual(t, len(w.Platform.Counters().JobStarts)-before, 4)
@@ -166,16 +166,16 @@
 // Both workers are full of checkpointable work when an urgent job comes: one
 // job is checkpointed, the urgent one starts within 6.7 s, and the displaced
 // one goes on later from its checkpoint.
-func TestUrgentJobDisplacesCheckpointableWork(t *testing.T) {
+func TestUrgentJobPreemptsCheckpointableWork(t *testing.T) {
 	for dead := range 3 {
-		displace(t, dead)
+		checkUrgentPreemption(t, dead)
 	}
 }
 
-// displace runs the case with the first stewards in line dead.
-func displace(t *testing.T, dead int) {
+// checkUrgentPreemption runs the case with the first stewards in line dead.
+func checkUrgentPreemption(t *testing.T, dead int) {
 	w := newWorld(t, 3, 2)
-	w.edit(noHold)
+	w.editDocument(noUrgentReserve)
 	for _, id := range []string{"x", "y"} {
 		w.submit(id, func(s *record.JobSubmit) { s.MilliCores, s.Checkpointable, s.RunTime = 6000, true, time.Minute })
 	}
@@ -188,7 +188,7 @@
 	if dead == 2 {
 		return // no one renews leases until the membership lets the dead go
 	}
-	require.True(t, w.run(5*time.Minute, func() bool { return ended(w, "x")() && ended(w, "y")() }))
+	require.True(t, w.run(5*time.Minute, func() bool { return hasEnded(w, "x")() && hasEnded(w, "y")() }))
 	assert.Equal(t, 3, w.starts("x")+w.starts("y"))
 	assert.NotEmpty(t, w.job("x").Checkpoint+w.job("y").Checkpoint)
 }
@@ -197,22 +197,22 @@
 // job and restored after it.
 func TestUrgentJobThrottlesOtherWork(t *testing.T) {
 	w := newWorld(t, 1, 1)
-	w.edit(noHold)
+	w.editDocument(noUrgentReserve)
 	w.submit("x", func(s *record.JobSubmit) { s.MilliCores, s.RunTime, s.Repeatable = 8000, time.Minute, false })
 	w.run(2*time.Second, nil)
 	w.submit("u", func(s *record.JobSubmit) { s.MilliCores, s.Urgent, s.RunTime = 6000, true, 10*time.Second })
 	require.True(t, w.run(6700*time.Millisecond, func() bool { return w.starts("u") == 1 }))
 	assert.Equal(t, 2000, w.job("x").MilliCores)
 	require.True(t, w.run(30*time.Second, func() bool { return w.job("x").MilliCores == 8000 }))
-	require.True(t, w.run(2*time.Minute, ended(w, "x")))
+	require.True(t, w.run(2*time.Minute, hasEnded(w, "x")))
 	assert.Equal(t, 1, w.starts("x"))
 	assert.Equal(t, record.JobSucceeded, w.job("x").Result)
 }
 
-func TestJobThatCanNeverRunIsEndedAtOnceWithTheReason(t *testing.T) {
+func TestUnplaceableJobEndsAtOnceWithAReason(t *testing.T) {
 	w := newWorld(t, 2, 2)
 	w.submit("j", func(s *record.JobSubmit) { s.MilliCores = 9000 })
-	require.True(t, w.run(time.Second, ended(w, "j")))
+	require.True(t, w.run(time.Second, hasEnded(w, "j")))
 	assert.Equal(t, record.JobUnplaceable, w.job("j").Result)
 	assert.Contains(t, w.job("j").Reason, "9 cores of 8")
 }
@@ -221,10 +221,10 @@
 // several shapes fail there and succeed elsewhere: it is set aside, comes back
 // on probation after FirstTerm with one job at a time, and, mended, is trusted
 // again.
-func TestBlackHoleIsSetAsideAndComesBackOnProbation(t *testing.T) {
+func TestFailingWorkerIsQuarantinedAndReturnsOnProbation(t *testing.T) {
 	w := newWorld(t, 2, 5)
-	w.edit(func(d *document.Document) { d.Quotas[0].MilliCores = 40_000 })
-	w.order(standin.Fault{Kind: standin.WorkerFails, Target: "vm-01", DelayMS: 50})
+	w.editDocument(func(d *document.Document) { d.Quotas[0].MilliCores = 40_000 })
+	w.injectFaults(standin.Fault{Kind: standin.WorkerFails, Target: "vm-01", DelayMS: 50})
 	n := 0
 	feed := func() bool {
 		if n++; n%3 == 0 {
@@ -253,12 +253,12 @@
 // shape is known, a worker of 8 cores is given two of them and not eight.
 func TestReservationFollowsLateUsageReports(t *testing.T) {
 	w := newWorld(t, 1, 1)
-	w.order(
+	w.injectFaults(
 		standin.Fault{Kind: standin.TaskReality, CoresFactor: 3},
 		standin.Fault{Kind: standin.UsageLag, DelayMS: 5000},
 	)
 	w.submit("first", func(s *record.JobSubmit) { s.RunTime = 40 * time.Second })
-	require.True(t, w.run(2*time.Minute, ended(w, "first")))
+	require.True(t, w.run(2*time.Minute, hasEnded(w, "first")))
 	assert.Equal(t, 3000, w.job("first").PeakMilliCores)
 	for _, id := range []string{"a", "b", "c", "d"} {
 		w.submit(id, func(s *record.JobSubmit) { s.RunTime = 40 * time.Second })
@@ -269,7 +269,7 @@
 
 // A worker is drained with a checkpointable and another job on it: the first is
 // checkpointed and goes on elsewhere, the second is waited for.
-func TestDrainChecksPointsJobsByTheDocument(t *testing.T) {
+func TestDrainCheckpointsJobsAsConfigured(t *testing.T) {
 	w := newWorld(t, 2, 2)
 	w.submit("c", func(s *record.JobSubmit) { s.MilliCores, s.Checkpointable, s.RunTime = 3000, true, time.Minute })
 	w.submit("w", func(s *record.JobSubmit) { s.RunTime, s.Repeatable = time.Minute, false })
@@ -282,7 +282,7 @@
 	}
 	require.True(t, w.run(10*time.Second, func() bool { return w.starts("c") == 2 }))
 	assert.NotEqual(t, worker, w.job("c").Worker)
-	require.True(t, w.run(3*time.Minute, ended(w, "w")))
+	require.True(t, w.run(3*time.Minute, hasEnded(w, "w")))
 	assert.Equal(t, record.JobSucceeded, w.job("w").Result)
 }
 
@@ -293,18 +293,18 @@
 func TestJobCancelledBeforeItsStartIsNeverStarted(t *testing.T) {
 	for _, paused := range []bool{false, true} {
 		w := newWorld(t, 1, 2)
-		w.order(standin.Fault{Kind: standin.APIRefuse, ForMS: 5000})
+		w.injectFaults(standin.Fault{Kind: standin.APIRefuse, ForMS: 5000})
 		w.submit("j", nil)
-		require.True(t, w.run(time.Second, placed(w, "j")))
+		require.True(t, w.run(time.Second, isPlaced(w, "j")))
 		w.run(time.Second, nil)
 		if paused {
 			w.Nodes[0].Wakes = w.Now.Add(4 * time.Second)
 			w.Nodes[0].CutOff = true
 		}
-		w.must(jobSubject("j"), record.JobCancel{})
+		w.mustWrite(jobSubject("j"), record.JobCancel{})
 		w.run(6*time.Second, nil)
 		w.Nodes[0].CutOff = false
-		require.True(t, w.run(time.Minute, ended(w, "j")))
+		require.True(t, w.run(time.Minute, hasEnded(w, "j")))
 		assert.Equal(t, ledger.JobCancelled, w.job("j").Status)
 		assert.Zero(t, w.starts("j"))
 	}
@@ -318,8 +318,8 @@
 	w.submit("j", nil)
 	w.run(time.Second, nil)
 	w.Strays = func() (time.Duration, bool) { return 0, false }
-	w.must(jobSubject("j"), record.JobCancel{})
-	require.True(t, w.run(time.Minute, ended(w, "j")))
+	w.mustWrite(jobSubject("j"), record.JobCancel{})
+	require.True(t, w.run(time.Minute, hasEnded(w, "j")))
 	assert.Equal(t, ledger.JobCancelled, w.job("j").Status)
 	assert.Zero(t, w.starts("j"))
 }
@@ -338,16 +338,16 @@
 	assert.Equal(t, jobrunner.VerbStatus, w.Trace[0])
 }
 
-func TestLeavingStewardStartsWhatItPlacedAndNothingElse(t *testing.T) {
+func TestStoppingStewardStartsOnlyItsOwnPlacements(t *testing.T) {
 	w := newWorld(t, 1, 2)
-	w.order(standin.Fault{Kind: standin.APIRefuse, ForMS: 1000})
-	w.submit("placed", once)
-	require.True(t, w.run(time.Second, placed(w, "placed")))
-	w.Nodes[0].Core.Leave()
-	w.submit("later", once)
+	w.injectFaults(standin.Fault{Kind: standin.APIRefuse, ForMS: 1000})
+	w.submit("placed", notRepeatable)
+	require.True(t, w.run(time.Second, isPlaced(w, "placed")))
+	w.Nodes[0].Core.BeginShutdown()
+	w.submit("later", notRepeatable)
 	w.Step()
-	assert.False(t, w.Nodes[0].Core.Settled())
-	require.True(t, w.run(5*time.Second, w.Nodes[0].Core.Settled))
+	assert.False(t, w.Nodes[0].Core.ShutdownComplete())
+	require.True(t, w.run(5*time.Second, w.Nodes[0].Core.ShutdownComplete))
 	assert.Equal(t, 1, w.starts("placed"))
 	assert.Equal(t, ledger.JobQueued, w.job("later").Status)
 }
--- a/internal/jobrunner/decide.go
+++ b/internal/jobrunner/decide.go
@@ -48,37 +48,37 @@
 // planPool decides on a pool's queue and on its workers' standing. A steward of
 // a lower rank takes only what has lain undone for long.
 func (c *Core) planPool(st *ledger.State, pool string, rank int, now time.Time) {
-	c.learn(st, pool)
-	found := quarantine.Assessment{}
+	c.learnUsage(st, pool)
+	assessment := quarantine.Assessment{}
 	if !c.cfg.NoQuarantine {
-		found = quarantine.Assess(st, pool, now)
+		assessment = quarantine.Assess(st, pool, now)
 	}
-	settles := settling(st, pool, now)
-	know := placement.Knowledge{
-		Settling: func(team string) bool { return settles[team] && !c.cfg.NoSettling },
-		Want:     c.want,
+	cancelling := teamsCancellingBatch(st, pool, now)
+	knowledge := placement.Knowledge{
+		Settling: func(team string) bool { return cancelling[team] && !c.cfg.NoSettling },
+		Want:     c.reservation,
 		RunTime:  c.runTime,
-		Standing: func(vm *ledger.VM) placement.Standing { return c.standing(vm, found, now) },
-		Measured: func(worker string) ledger.Resources { return c.measuredOn(st, worker) },
-		Applied:  func(id string) bool { return c.applied[id] != "" },
+		Standing: func(vm *ledger.VM) placement.Standing { return c.standing(vm, assessment, now) },
+		Measured: func(worker string) ledger.Resources { return c.measuredUse(st, worker) },
+		Applied:  func(id string) bool { return c.appliedPreemptions[id] != "" },
 	}
-	p, queue := placement.FromState(st, pool, know)
+	p, queue := placement.FromState(st, pool, knowledge)
 	queue = slices.DeleteFunc(queue, func(j placement.Job) bool {
 		key := "job/" + j.ID
-		return c.busy["propose/"+key] || !c.due("place/"+j.ID+"/"+j.Queued.String(), rank, now)
+		return c.busyKeys["propose/"+key] || !c.claim("place/"+j.ID+"/"+j.Queued.String(), rank, now)
 	})
 	round := placement.Plan(p, queue, c.cfg.Policy, now)
 	for _, d := range round.Decisions {
-		c.decided(st, d, now)
+		c.proposeDecision(st, d, now)
 	}
 	for _, pre := range round.Preemptions {
-		c.preempted(st, pre, rank, now)
+		c.proposePreemption(st, pre, rank, now)
 	}
-	c.judge(st, found, rank, now)
-	c.clearForDrains(st, pool, rank, now)
+	c.proposeQuarantines(st, assessment, rank, now)
+	c.checkpointForDrains(st, pool, rank, now)
 }
 
-func (c *Core) want(j *ledger.Job) ledger.Resources {
+func (c *Core) reservation(j *ledger.Job) ledger.Resources {
 	if c.cfg.NoCorrection {
 		return ledger.Resources{MilliCores: j.Spec.MilliCores, MemoryMB: j.Spec.MemoryMB, Accelerators: j.Spec.Accelerators}
 	}
@@ -90,25 +90,25 @@
 }
 
 // standing says how far a worker may be used now.
-func (c *Core) standing(vm *ledger.VM, found quarantine.Assessment, now time.Time) placement.Standing {
+func (c *Core) standing(vm *ledger.VM, assessment quarantine.Assessment, now time.Time) placement.Standing {
 	switch {
-	case vm.Quarantined || now.Before(c.worker(vm.ID).closedUntil):
+	case vm.Quarantined || now.Before(c.worker(vm.ID).noStartsBefore):
 		return placement.SetAside
-	case found.Probation[vm.ID]:
+	case assessment.Probation[vm.ID]:
 		return placement.Probation
-	case found.Doubtful[vm.ID]:
+	case assessment.Doubtful[vm.ID]:
 		return placement.Doubtful
 	}
 	return placement.Open
 }
 
-// measuredOn sums the latest reports on a worker's tasks. One that has not been
+// measuredUse sums the latest reports on a worker's tasks. One that has not been
 // reported yet counts as what it reserved, and so does a throttled one, whose
 // report may be older than its throttling.
-func (c *Core) measuredOn(st *ledger.State, worker string) ledger.Resources {
+func (c *Core) measuredUse(st *ledger.State, worker string) ledger.Resources {
 	var sum ledger.Resources
 	for _, j := range st.WorkerJobs(worker) {
-		seen, ok := c.reports[TaskID(j.ID, j.Attempt)]
+		seen, ok := c.usageReports[TaskID(j.ID, j.Attempt)]
 		if !ok || j.MilliCores < j.FullMilliCores {
 			seen = j.Reserved()
 		}
@@ -117,8 +117,8 @@
 	return sum
 }
 
-// decided proposes a placement, or the end of a job that can never be placed.
-func (c *Core) decided(st *ledger.State, d placement.Decision, now time.Time) {
+// proposeDecision proposes a placement, or the end of a job that can never be placed.
+func (c *Core) proposeDecision(st *ledger.State, d placement.Decision, now time.Time) {
 	switch d.Kind {
 	case placement.Unplaceable:
 		c.propose(st, jobSubject(d.Job), record.JobEnd{Result: record.JobUnplaceable, Reason: d.Reason}, now)
@@ -130,33 +130,33 @@
 			Attempt:    st.Jobs[d.Job].Attempt + 1,
 		}, now)
 		if ok {
-			c.own[id] = now
+			c.ownRecords[id] = now
 		}
 	}
 }
 
-// preempted proposes that a job makes room or gets its cores back. Room for an
+// proposePreemption proposes that a job makes room or gets its cores back. Room for an
 // urgent job is due as soon as its placement was: to wait a second time would
 // eat up the bound.
-func (c *Core) preempted(st *ledger.State, pre placement.Preemption, rank int, now time.Time) {
-	if pre.For == "" && !c.due("restore/"+pre.Victim+"/"+st.Jobs[pre.Victim].PlaceID, rank, now) {
+func (c *Core) proposePreemption(st *ledger.State, pre placement.Preemption, rank int, now time.Time) {
+	if pre.For == "" && !c.claim("restore/"+pre.Victim+"/"+st.Jobs[pre.Victim].PlaceID, rank, now) {
 		return
 	}
 	id, ok := c.propose(st, jobSubject(pre.Victim), record.JobPreempt{Action: pre.Action, MilliCores: pre.MilliCores, For: pre.For}, now)
 	if ok {
-		c.own[id] = now
+		c.ownRecords[id] = now
 	}
 }
 
-// judge proposes which workers are set aside and which come back.
-func (c *Core) judge(st *ledger.State, found quarantine.Assessment, rank int, now time.Time) {
-	for _, f := range found.SetAside {
-		if c.due("set-aside/"+f.Worker+"/"+f.Jobs[0], rank, now) {
+// proposeQuarantines proposes which workers are set aside and which come back.
+func (c *Core) proposeQuarantines(st *ledger.State, assessment quarantine.Assessment, rank int, now time.Time) {
+	for _, f := range assessment.SetAside {
+		if c.claim("set-aside/"+f.Worker+"/"+f.Jobs[0], rank, now) {
 			c.propose(st, vmSubject(f.Worker), record.VMQuarantine{On: true, Evidence: f.Jobs}, now)
 		}
 	}
-	for _, id := range found.LetBack {
-		if c.due("let-back/"+id+"/"+st.VMs[id].QuarantineChanged.String(), rank, now) {
+	for _, id := range assessment.LetBack {
+		if c.claim("let-back/"+id+"/"+st.VMs[id].QuarantineChanged.String(), rank, now) {
 			c.propose(st, vmSubject(id), record.VMQuarantine{}, now)
 		}
 	}
@@ -164,21 +164,21 @@
 
 func vmSubject(id string) record.Subject { return record.Subject{Kind: record.SubjectVM, Name: id} }
 
-// learn takes the peaks of jobs that ended since the last look. They come from
+// learnUsage takes the peaks of jobs that ended since the last look. They come from
 // the fold, so a steward that has just started learns from all that is
 // remembered.
-func (c *Core) learn(st *ledger.State, pool string) {
-	var fresh []*ledger.Job
+func (c *Core) learnUsage(st *ledger.State, pool string) {
+	var ended []*ledger.Job
 	for _, j := range st.PoolJobs(pool) {
-		if j.Ended() && !c.counted[j.ID] {
-			fresh = append(fresh, j)
+		if j.Ended() && !c.countedJobs[j.ID] {
+			ended = append(ended, j)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b *ledger.Job) int {
+	slices.SortFunc(ended, func(a, b *ledger.Job) int {
 		return cmp.Or(a.EndedAt.Compare(b.EndedAt), cmp.Compare(a.ID, b.ID))
 	})
-	for _, j := range fresh {
-		c.counted[j.ID] = true
+	for _, j := range ended {
+		c.countedJobs[j.ID] = true
 		if !j.Succeeded() {
 			continue
 		}
@@ -190,9 +190,9 @@
 	}
 }
 
-// clearForDrains checkpoints the jobs on draining workers where the document
+// checkpointForDrains checkpoints the jobs on draining workers where the document
 // says so. Jobs that cannot be checkpointed are waited for.
-func (c *Core) clearForDrains(st *ledger.State, pool string, rank int, now time.Time) {
+func (c *Core) checkpointForDrains(st *ledger.State, pool string, rank int, now time.Time) {
 	svc, ok := st.Services[pool]
 	if !ok || svc.Doc.Jobs.OnDrain != document.LongJobsCheckpoint {
 		return
@@ -204,19 +204,19 @@
 		}
 		for _, j := range Tasks(st, id) {
 			checkpointing := j.Preempt != nil && j.Preempt.Action == record.PreemptCheckpoint
-			if j.Spec.Checkpointable && !checkpointing && c.due("clear/"+id+"/"+j.PlaceID, rank, now) {
+			if j.Spec.Checkpointable && !checkpointing && c.claim("clear/"+id+"/"+j.PlaceID, rank, now) {
 				c.propose(st, jobSubject(j.ID), record.JobPreempt{Action: record.PreemptCheckpoint, For: id}, now)
 			}
 		}
 	}
 }
 
-// askUsage reads the usage reports now and then, while there are tasks.
-func (c *Core) askUsage(now time.Time) {
-	if len(c.tasks) == 0 || now.Sub(c.usageAt) < usageInterval {
+// requestUsage reads the usage reports now and then, while there are tasks.
+func (c *Core) requestUsage(now time.Time) {
+	if len(c.tasks) == 0 || now.Sub(c.usageRequestedAt) < usageInterval {
 		return
 	}
 	if c.emit(Action{Verb: VerbUsage, Lane: LaneTasks, Key: "usage"}) {
-		c.usageAt = now
+		c.usageRequestedAt = now
 	}
 }
--- a/internal/jobrunner/keep.go
+++ b/internal/jobrunner/keep.go
@@ -13,22 +13,22 @@
 	milli        = 1000
 )
 
-// keep renews the leases of a worker's tasks in one call, and asks for their
+// renewLeases renews the leases of a worker's tasks in one call, and asks for their
 // status when one is due. The first keeper renews after a third of the lease,
 // the second after two thirds: when the first dies, its last renewal lasts
 // beyond the second's next one.
-func (c *Core) keep(st *ledger.State, id string, tasks []*task, rank int, lease time.Duration, now time.Time) {
+func (c *Core) renewLeases(st *ledger.State, id string, tasks []*task, rank int, lease time.Duration, now time.Time) {
 	var jobs, renew []string
 	var fence uint64
-	due, look := false, false
+	renewalDue, statusWanted := false, false
 	for _, t := range tasks {
 		if t.ended != nil {
 			continue
 		}
 		j := st.Jobs[t.job]
 		jobs = append(jobs, t.job)
-		look = look || c.looksDue(j, t, lease, now)
-		if !t.known || t.verified.Before(c.wakeAt) {
+		statusWanted = statusWanted || c.statusDue(j, t, lease, now)
+		if !t.known || t.verifiedAt.Before(c.resumedAt) {
 			continue
 		}
 		renew = append(renew, t.id)
@@ -36,9 +36,9 @@
 		if j.Preempt != nil {
 			fence = max(fence, j.Preempt.Fence)
 		}
-		due = due || now.Sub(t.renewedAt) >= lease*time.Duration(1+min(rank, keepers-1))/renewShare
+		renewalDue = renewalDue || now.Sub(t.renewedAt) >= lease*time.Duration(1+min(rank, leaseRenewers-1))/renewFraction
 	}
-	if due && !now.Before(c.worker(id).renewAfter) && c.emit(Action{
+	if renewalDue && !now.Before(c.worker(id).noRenewalBefore) && c.emit(Action{
 		Verb:   VerbRenew,
 		Lane:   LaneTasks,
 		Key:    "renew/" + id,
@@ -50,50 +50,50 @@
 	}) {
 		return
 	}
-	if look && !c.busy["renew/"+id] {
+	if statusWanted && !c.busyKeys["renew/"+id] {
 		c.emit(Action{Verb: VerbStatus, Lane: LaneTasks, Key: "status/" + id, Worker: id, Jobs: jobs})
 	}
 }
 
-// looksDue reports whether the task's status is wanted.
-func (c *Core) looksDue(j *ledger.Job, t *task, lease time.Duration, now time.Time) bool {
-	if now.Sub(t.lookedAt) < min(t.lookPause, lease/renewShare) {
+// statusDue reports whether the task's status is wanted.
+func (c *Core) statusDue(j *ledger.Job, t *task, lease time.Duration, now time.Time) bool {
+	if now.Sub(t.statusReadAt) < min(t.statusPause, lease/renewFraction) {
 		return false
 	}
 	switch {
-	case t.verified.Before(c.wakeAt):
+	case t.verifiedAt.Before(c.resumedAt):
 		// Not seen since the process woke. One that is to be started by this
 		// process is shown by the reply to the start.
-		return !t.mine || t.sent && t.uncertain || t.known
-	case !t.missing.IsZero():
+		return !t.ownPlacement || t.startSent && t.startUncertain || t.known
+	case !t.missingSince.IsZero():
 		return true
-	case t.lookPause <= lease/renewShare:
+	case t.statusPause <= lease/renewFraction:
 		return true
 	}
 	expected := j.StartedAt.Add(c.runTime(j))
-	return t.lookedAt.Before(expected.Add(lookMargin)) && !now.Before(expected.Add(lookMargin))
+	return t.statusReadAt.Before(expected.Add(statusMargin)) && !now.Before(expected.Add(statusMargin))
 }
 
-// noteStatus takes the platform's word on a task.
-func (c *Core) noteStatus(t *task, s platform.TaskStatus, now time.Time) {
-	if !t.known && t.mine {
+// recordStatus takes the platform's word on a task.
+func (c *Core) recordStatus(t *task, s platform.TaskStatus, now time.Time) {
+	if !t.known && t.ownPlacement {
 		c.Stats.Started++
 		c.Stats.StartWaits = append(c.Stats.StartWaits, StartWait{Urgent: t.urgent, Wait: now.Sub(t.submitted)})
 	}
 	t.known = true
-	t.verified, t.lookedAt = now, now
-	t.missing = time.Time{}
-	t.retry, t.retryAt = 0, time.Time{}
+	t.verifiedAt, t.statusReadAt = now, now
+	t.missingSince = time.Time{}
+	t.retryPause, t.retryAt = 0, time.Time{}
 	if s.Phase != platform.TaskRunning {
 		ended := s
 		t.ended = &ended
 	}
 }
 
-// noteMissing notes that the platform does not know the task.
-func (t *task) noteMissing(now time.Time) {
-	t.lookedAt = now
-	if t.missing.IsZero() {
-		t.missing = now
+// recordMissing notes that the platform does not know the task.
+func (t *task) recordMissing(now time.Time) {
+	t.statusReadAt = now
+	if t.missingSince.IsZero() {
+		t.missingSince = now
 	}
 }
--- a/internal/jobrunner/metrics.go
+++ b/internal/jobrunner/metrics.go
@@ -10,7 +10,7 @@
 type Metrics struct {
 	startWait *prometheus.HistogramVec
 	events    *prometheus.CounterVec
-	last      Stats
+	reported  Stats
 }
 
 // startBuckets are in seconds; 6.7 s is the bound for urgent work.
@@ -43,13 +43,13 @@
 	for _, w := range waits {
 		m.startWait.WithLabelValues(strconv.FormatBool(w.Urgent)).Observe(w.Wait.Seconds())
 	}
-	m.count("started", s.Started-m.last.Started)
-	m.count("start_refused", s.Refused-m.last.Refused)
-	m.count("lapsed", s.Lapsed-m.last.Lapsed)
-	m.count("unplaceable", s.Unplaceable-m.last.Unplaceable)
-	m.count("preempted", s.Preempted-m.last.Preempted)
-	m.count("worker_set_aside", s.SetAside-m.last.SetAside)
-	m.last = *s
+	m.count("started", s.Started-m.reported.Started)
+	m.count("start_refused", s.Refused-m.reported.Refused)
+	m.count("lapsed", s.Lapsed-m.reported.Lapsed)
+	m.count("unplaceable", s.Unplaceable-m.reported.Unplaceable)
+	m.count("preempted", s.Preempted-m.reported.Preempted)
+	m.count("worker_set_aside", s.SetAside-m.reported.SetAside)
+	m.reported = *s
 }
 
 func (m *Metrics) count(event string, n int) { m.events.WithLabelValues(event).Add(float64(n)) }
--- a/internal/jobrunner/property_test.go
+++ b/internal/jobrunner/property_test.go
@@ -20,7 +20,7 @@
 // quota is exceeded, a job that is not repeatable starts at most once (and once
 // more for each checkpoint), a job cancelled before it was placed never starts,
 // and once the faults are over every job comes to its end.
-func TestRandomHistoriesKeepThePromises(t *testing.T) {
+func TestRandomHistoriesKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, 3, 4)
 		w.Latency = func() time.Duration {
@@ -30,27 +30,27 @@
 			seconds := rapid.SampledFrom([]int{0, 0, 0, 0, 1, 5, 30}).Draw(t, "stray")
 			return time.Duration(seconds) * time.Second, seconds > 0
 		}
-		h := &history{world: w, t: t}
+		h := &randomHistory{world: w, t: t}
 		for range rapid.IntRange(10, 40).Draw(t, "events") {
-			h.event()
+			h.randomEvent()
 			w.run(time.Duration(rapid.IntRange(1, 30).Draw(t, "steps"))*stepTime, nil)
-			h.check()
+			h.checkInvariants()
 		}
-		h.heal()
-		require.True(t, w.run(40*time.Minute, h.over), "jobs are left over: %s", h.left())
-		h.check()
+		h.clearFaults()
+		require.True(t, w.run(40*time.Minute, h.allJobsEnded), "jobs are left over: %s", h.unfinishedJob())
+		h.checkInvariants()
 	})
 }
 
-// history makes random events happen in a world.
-type history struct {
+// randomHistory makes random events happen in a world.
+type randomHistory struct {
 	*world
 	t    *rapid.T
 	jobs int
 	down []string
 }
 
-func (h *history) event() {
+func (h *randomHistory) randomEvent() {
 	switch rapid.SampledFrom([]string{"submit", "submit", "submit", "cancel", "die", "pause", "cut", "join", "lose", "crash", "recover", "fail"}).Draw(h.t, "event") {
 	case "submit":
 		h.submitRandom()
@@ -67,17 +67,17 @@
 	case "join":
 		h.Nodes[h.anyNode()].CutOff = false
 	case "lose":
-		h.order(standin.Fault{Kind: standin.APILoseReply, Count: rapid.IntRange(1, 5).Draw(h.t, "lost")})
+		h.injectFaults(standin.Fault{Kind: standin.APILoseReply, Count: rapid.IntRange(1, 5).Draw(h.t, "lost")})
 	case "crash":
 		h.crash(h.anyWorker())
 	case "recover":
 		h.recover()
 	case "fail":
-		h.order(standin.Fault{Kind: standin.WorkerFails, Target: h.anyWorker(), DelayMS: 100, ForMS: 20_000})
+		h.injectFaults(standin.Fault{Kind: standin.WorkerFails, Target: h.anyWorker(), DelayMS: 100, ForMS: 20_000})
 	}
 }
 
-func (h *history) submitRandom() {
+func (h *randomHistory) submitRandom() {
 	for range rapid.IntRange(1, 6).Draw(h.t, "jobs") {
 		h.jobs++
 		h.Write(jobSubject(fmt.Sprintf("j%03d", h.jobs)), record.JobSubmit{
@@ -93,42 +93,42 @@
 	}
 }
 
-func (h *history) anyNode() int { return rapid.IntRange(0, len(h.Nodes)-1).Draw(h.t, "node") }
+func (h *randomHistory) anyNode() int { return rapid.IntRange(0, len(h.Nodes)-1).Draw(h.t, "node") }
 
-func (h *history) anyWorker() string {
+func (h *randomHistory) anyWorker() string {
 	return fmt.Sprintf("vm-%02d", rapid.IntRange(1, 4).Draw(h.t, "worker"))
 }
 
-func (h *history) anyJob() string {
+func (h *randomHistory) anyJob() string {
 	if h.jobs == 0 {
 		return ""
 	}
 	return fmt.Sprintf("j%03d", rapid.IntRange(1, h.jobs).Draw(h.t, "job"))
 }
 
-func (h *history) crash(id string) {
+func (h *randomHistory) crash(id string) {
 	if h.Main.VMs[id].Down || len(h.down) > 1 {
 		return
 	}
 	h.down = append(h.down, id)
-	h.order(standin.Fault{Kind: standin.VMCrash, Target: id})
+	h.injectFaults(standin.Fault{Kind: standin.VMCrash, Target: id})
 	if rapid.Bool().Draw(h.t, "noticed") {
-		h.must(vmSubject(id), record.VMDown{Cause: "crash"})
+		h.mustWrite(vmSubject(id), record.VMDown{Cause: "crash"})
 	}
 }
 
-func (h *history) recover() {
+func (h *randomHistory) recover() {
 	for _, id := range h.down {
-		h.order(standin.Fault{Kind: standin.VMRecover, Target: id})
+		h.injectFaults(standin.Fault{Kind: standin.VMRecover, Target: id})
 		if h.Main.VMs[id].Down {
-			h.must(vmSubject(id), record.VMUp{})
+			h.mustWrite(vmSubject(id), record.VMUp{})
 		}
 	}
 	h.down = nil
 }
 
-// heal ends all faults.
-func (h *history) heal() {
+// clearFaults ends all faults.
+func (h *randomHistory) clearFaults() {
 	h.Platform.ClearAll()
 	h.recover()
 	h.Latency = func() time.Duration { return 0 }
@@ -141,9 +141,9 @@
 	}
 }
 
-func (h *history) over() bool { return h.left() == "" }
+func (h *randomHistory) allJobsEnded() bool { return h.unfinishedJob() == "" }
 
-func (h *history) left() string {
+func (h *randomHistory) unfinishedJob() string {
 	for id, j := range h.Main.Jobs {
 		if !j.Ended() {
 			return fmt.Sprintf("%s is %s on %s: %+v", id, j.Status, j.Worker, j.Spec)
@@ -152,7 +152,7 @@
 	return ""
 }
 
-func (h *history) check() {
+func (h *randomHistory) checkInvariants() {
 	counters := h.Platform.Counters()
 	for id, vm := range h.Main.VMs {
 		require.True(h.t, h.Main.WorkerUse(id).Within(vm.Resources()), "worker %s is overfilled", id)
@@ -174,7 +174,7 @@
 }
 
 // checkpoints counts the placements of a job that ended by a checkpoint.
-func (h *history) checkpoints(j *ledger.Job) int {
+func (h *randomHistory) checkpoints(j *ledger.Job) int {
 	if j.Checkpoint == "" {
 		return 0
 	}
@@ -185,10 +185,10 @@
 // may die, and calls take their time. An urgent job that fits a worker starts
 // within its bound. Jobs whose start is in doubt are left out: they hold their
 // room for a lease.
-func TestUrgentJobStartsWithinItsBoundWhereRoomCanBeMade(t *testing.T) {
+func TestUrgentJobStartsInTimeWherePreemptionFreesCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, 3, 4)
-		w.edit(func(d *document.Document) {
+		w.editDocument(func(d *document.Document) {
 			d.Quotas[0].MilliCores = 32_000
 			d.Jobs.UrgentMilliCores = 1000 * rapid.SampledFrom([]int{0, 4, 8}).Draw(t, "hold")
 		})
--- a/internal/jobrunner/result.go
+++ b/internal/jobrunner/result.go
@@ -22,33 +22,33 @@
 
 // Done takes the result of an action that Step returned.
 func (c *Core) Done(r Result, now time.Time) {
-	delete(c.busy, r.Action.Key)
+	delete(c.busyKeys, r.Action.Key)
 	c.inFlight[r.Action.Lane]--
 	switch r.Action.Verb {
 	case VerbPropose:
-		c.proposed(r)
+		c.handleProposal(r)
 	case VerbStart:
-		c.started(r, now)
+		c.handleStart(r, now)
 	case VerbStop, VerbCheckpoint, VerbThrottle:
-		c.acted(r, now)
+		c.handleTaskAction(r, now)
 	case VerbRenew:
-		c.renewed(r, now)
+		c.handleRenewal(r, now)
 	case VerbStatus:
-		c.looked(r, now)
+		c.handleStatus(r, now)
 	case VerbUsage:
-		c.measured(r, now)
+		c.handleUsage(r, now)
 	}
 }
 
-// proposed forgets a decision that did not take effect. One whose outcome is
+// handleProposal forgets a decision that did not take effect. One whose outcome is
 // unknown may yet do so, and is still this process's own to carry out.
-func (c *Core) proposed(r Result) {
+func (c *Core) handleProposal(r Result) {
 	if r.Err != nil && !errors.Is(r.Err, platform.ErrRejected) && !errors.Is(r.Err, ErrOutdated) {
 		return
 	}
 	effective := r.Err == nil && r.Outcome.Status == ledger.Effective
 	if !effective {
-		delete(c.own, r.Action.Record.ID)
+		delete(c.ownRecords, r.Action.Record.ID)
 		return
 	}
 	switch b := r.Action.Record.Body.(type) {
@@ -68,44 +68,44 @@
 	}
 }
 
-// current returns the memory of the task that the action was for, if the job
+// currentTask returns the memory of the task that the action was for, if the job
 // has not been placed anew since.
-func (c *Core) current(a Action) (*task, bool) {
+func (c *Core) currentTask(a Action) (*task, bool) {
 	t, ok := c.tasks[a.Job]
 	return t, ok && t.placeID == a.PlaceID
 }
 
-// started takes the reply to a start. Only a reply says whether the task was
+// handleStart takes the reply to a start. Only a reply says whether the task was
 // started; without one the same operation is sent again.
-func (c *Core) started(r Result, now time.Time) {
-	t, ok := c.current(r.Action)
+func (c *Core) handleStart(r Result, now time.Time) {
+	t, ok := c.currentTask(r.Action)
 	if !ok {
 		return
 	}
 	w := c.worker(r.Action.Worker)
 	switch {
 	case r.Err == nil:
-		t.sent = true
+		t.startSent = true
 		t.renewedAt = now
 		w.refusals = 0
-		c.noteStatus(t, r.Status, now)
+		c.recordStatus(t, r.Status, now)
 	case errors.Is(r.Err, ErrOutdated):
-	case notSent(r.Err):
+	case notExecuted(r.Err):
 		t.backOff(now)
 	case errors.Is(r.Err, platform.ErrRejected), errors.Is(r.Err, platform.ErrNotFound), errors.Is(r.Err, platform.ErrFenced):
-		t.sent = true
-		t.refused = r.Err.Error()
+		t.startSent = true
+		t.refusalReason = r.Err.Error()
 		t.backOff(now)
 		w.refusals++
-		w.closedUntil = now.Add(refusalTerm(w.refusals))
+		w.noStartsBefore = now.Add(refusalBackoff(w.refusals))
 		c.Stats.Refused++
 	default:
-		t.sent, t.uncertain = true, true
+		t.startSent, t.startUncertain = true, true
 		t.backOff(now)
 	}
 }
 
-func refusalTerm(n int) time.Duration {
+func refusalBackoff(n int) time.Duration {
 	d := refusalPause
 	for ; n > 1 && d < maxRefusalPause; n-- {
 		d *= 2
@@ -113,14 +113,14 @@
 	return min(d, maxRefusalPause)
 }
 
-// notSent reports that the platform certainly did not act.
-func notSent(err error) bool {
+// notExecuted reports that the platform certainly did not act.
+func notExecuted(err error) bool {
 	return errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrThrottled)
 }
 
-// acted takes the reply to an action on a running task.
-func (c *Core) acted(r Result, now time.Time) {
-	t, ok := c.current(r.Action)
+// handleTaskAction takes the reply to an action on a running task.
+func (c *Core) handleTaskAction(r Result, now time.Time) {
+	t, ok := c.currentTask(r.Action)
 	if !ok {
 		return
 	}
@@ -128,16 +128,16 @@
 	case errors.Is(r.Err, ErrOutdated):
 		return
 	case errors.Is(r.Err, platform.ErrNotFound):
-		t.noteMissing(now)
+		t.recordMissing(now)
 		t.backOff(now)
 		return
 	case r.Err != nil:
 		t.backOff(now)
 		return
 	}
-	c.noteStatus(t, r.Status, now)
+	c.recordStatus(t, r.Status, now)
 	if r.Action.Verb == VerbThrottle {
-		c.applied[r.Action.Op.ID] = t.job
+		c.appliedPreemptions[r.Action.Op.ID] = t.job
 	}
 	if r.Action.Verb != VerbThrottle && t.ended == nil {
 		t.backOff(now) // the task is still at it; ask again
@@ -155,13 +155,13 @@
 	return tasks
 }
 
-// renewed takes the reply to a renewal. A task that the platform names as not
+// handleRenewal takes the reply to a renewal. A task that the platform names as not
 // running has ended: its status is asked for.
-func (c *Core) renewed(r Result, now time.Time) {
+func (c *Core) handleRenewal(r Result, now time.Time) {
 	w := c.worker(r.Action.Worker)
 	missing := errors.Is(r.Err, platform.ErrNotFound) || errors.Is(r.Err, platform.ErrFenced)
 	if r.Err != nil {
-		w.renewAfter = now.Add(renewRetry)
+		w.noRenewalBefore = now.Add(renewRetry)
 	}
 	if r.Err != nil && !missing {
 		return
@@ -169,40 +169,40 @@
 	for _, t := range c.tasksOf(r.Action) {
 		t.renewedAt = now
 		if missing {
-			t.lookedAt, t.lookPause = time.Time{}, firstLook
+			t.statusReadAt, t.statusPause = time.Time{}, firstStatusPause
 		}
 	}
 }
 
-// looked takes a worker's status.
-func (c *Core) looked(r Result, now time.Time) {
+// handleStatus takes a worker's status.
+func (c *Core) handleStatus(r Result, now time.Time) {
 	unknownWorker := errors.Is(r.Err, platform.ErrNotFound)
-	shown := map[string]platform.TaskStatus{}
+	statuses := map[string]platform.TaskStatus{}
 	for _, s := range r.Statuses {
-		shown[s.ID] = s
+		statuses[s.ID] = s
 	}
 	for _, t := range c.tasksOf(r.Action) {
-		s, ok := shown[t.id]
+		s, ok := statuses[t.id]
 		switch {
 		case ok:
-			c.noteStatus(t, s, now)
+			c.recordStatus(t, s, now)
 		case r.Err == nil || unknownWorker:
-			t.noteMissing(now)
+			t.recordMissing(now)
 		default:
-			t.lookedAt = now
+			t.statusReadAt = now
 			continue
 		}
-		t.lookPause *= 2
+		t.statusPause *= 2
 	}
 }
 
-// measured takes the usage reports. They raise the estimates at once; a
+// handleUsage takes the usage reports. They raise the estimates at once; a
 // throttled task shows less than it needs, which raises nothing.
-func (c *Core) measured(r Result, now time.Time) {
+func (c *Core) handleUsage(r Result, now time.Time) {
 	if r.Err != nil {
 		return
 	}
-	clear(c.reports)
+	clear(c.usageReports)
 	byID := map[string]*task{}
 	for _, t := range c.tasks {
 		byID[t.id] = t
@@ -213,7 +213,7 @@
 			continue
 		}
 		seen := ledger.Resources{MilliCores: int(u.Cores * milli), MemoryMB: u.MemoryMB}
-		c.reports[t.id] = seen
+		c.usageReports[t.id] = seen
 		t.peak.MilliCores = max(t.peak.MilliCores, seen.MilliCores)
 		t.peak.MemoryMB = max(t.peak.MemoryMB, seen.MemoryMB)
 		c.estimates.Running(t.shape, usage.Sample{MilliCores: seen.MilliCores, MemoryMB: seen.MemoryMB})
--- a/internal/jobrunner/runner.go
+++ b/internal/jobrunner/runner.go
@@ -16,19 +16,19 @@
 
 // Pauses and timeouts of the duties.
 const (
-	// tick is the pause between steps when nothing changes.
-	tick = 200 * time.Millisecond
-	// minGap is the least pause between two steps: changes that come meanwhile
+	// stepInterval is the pause between steps when nothing changes.
+	stepInterval = 200 * time.Millisecond
+	// minStepGap is the least pause between two steps: changes that come meanwhile
 	// are met together.
-	minGap = 10 * time.Millisecond
+	minStepGap = 10 * time.Millisecond
 	// proposeTimeout bounds the wait for a record's outcome.
 	proposeTimeout = 10 * time.Second
 	// catchUpTimeout bounds one read to the end of the log after a pause.
 	catchUpTimeout = 2 * time.Second
-	// leaveLimit bounds the settling of own placements when the process stops,
+	// shutdownTimeout bounds the settling of own placements when the process stops,
 	// stopWithin that and the calls in flight.
-	leaveLimit = 3 * time.Second
-	stopWithin = leaveLimit + DefaultCallTimeout
+	shutdownTimeout = 3 * time.Second
+	stopWithin      = shutdownTimeout + DefaultCallTimeout
 	// DefaultCallTimeout bounds one call to the platform.
 	DefaultCallTimeout = 2 * time.Second
 )
@@ -46,11 +46,11 @@
 
 // Runner executes what a Core decides.
 type Runner struct {
-	cfg     Config
-	core    *Core
-	lanes   [laneCount]chan Action
-	results chan Result
-	left    chan struct{} // closed once the deciding duty has settled
+	cfg           Config
+	core          *Core
+	lanes         [laneCount]chan Action
+	results       chan Result
+	decideStopped chan struct{} // closed once the deciding duty has settled
 }
 
 // New returns a Runner; its Duties are to be supervised by the caller.
@@ -58,7 +58,7 @@
 	if cfg.CallTimeout <= 0 {
 		cfg.CallTimeout = DefaultCallTimeout
 	}
-	r := &Runner{cfg: cfg, left: make(chan struct{}), core: NewCore(cfg.Core, time.Now())}
+	r := &Runner{cfg: cfg, decideStopped: make(chan struct{}), core: NewCore(cfg.Core, time.Now())}
 	total := 0
 	for lane, limit := range laneLimits {
 		r.lanes[lane] = make(chan Action, limit)
@@ -74,53 +74,53 @@
 // for an executor.
 func (r *Runner) Duties() []supervise.Duty {
 	names := [laneCount]string{LaneLog: "job records", LaneTasks: "job tasks", LaneUrgent: "urgent job tasks"}
-	duties := []supervise.Duty{{Name: "jobs", Serve: r.decide, StopWithin: stopWithin}}
+	duties := []supervise.Duty{{Name: "jobs", Serve: r.runSteps, StopWithin: stopWithin}}
 	for lane, name := range names {
-		duties = append(duties, supervise.Duty{Name: name, Serve: r.lane(Lane(lane)), StopWithin: stopWithin})
+		duties = append(duties, supervise.Duty{Name: name, Serve: r.serveLane(Lane(lane)), StopWithin: stopWithin})
 	}
 	return duties
 }
 
-// decide steps the core after each change and result.
-func (r *Runner) decide(ctx context.Context) error {
+// runSteps steps the core after each change and result.
+func (r *Runner) runSteps(ctx context.Context) error {
 	changed := r.cfg.Follower.Changed()
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			r.leave(ctx)
+			r.shutDown(ctx)
 			return ctx.Err()
 		case <-ticker.C:
 		case <-changed:
 		case res := <-r.results:
-			r.done(res)
+			r.handleResult(res)
 		}
-		r.gather(ctx)
+		r.collectResults(ctx)
 		r.step(ctx)
 	}
 }
 
-// leave settles what this process has placed, for at most leaveLimit. The
+// shutDown settles what this process has placed, for at most leaveLimit. The
 // follower's own duty may have ended already, so the log is read here.
-func (r *Runner) leave(ctx context.Context) {
-	defer close(r.left)
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveLimit)
+func (r *Runner) shutDown(ctx context.Context) {
+	defer close(r.decideStopped)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
-	r.core.Leave()
+	r.core.BeginShutdown()
 	for ctx.Err() == nil {
 		r.catchUp(ctx)
 		r.step(ctx)
-		if r.core.Settled() {
+		if r.core.ShutdownComplete() {
 			return
 		}
-		r.gather(ctx)
+		r.collectResults(ctx)
 	}
 }
 
-// gather waits a moment for further results, so that one step meets them all.
-func (r *Runner) gather(ctx context.Context) {
-	gap := time.NewTimer(minGap)
+// collectResults waits a moment for further results, so that one step meets them all.
+func (r *Runner) collectResults(ctx context.Context) {
+	gap := time.NewTimer(minStepGap)
 	defer gap.Stop()
 	for {
 		select {
@@ -129,12 +129,12 @@
 		case <-gap.C:
 			return
 		case res := <-r.results:
-			r.done(res)
+			r.handleResult(res)
 		}
 	}
 }
 
-func (r *Runner) done(res Result) {
+func (r *Runner) handleResult(res Result) {
 	if res.Err != nil && !errors.Is(res.Err, context.Canceled) {
 		r.cfg.Logger.Debug("an action failed", "verb", res.Action.Verb, "key", res.Action.Key, "error", res.Err)
 	}
@@ -150,7 +150,7 @@
 	for _, a := range actions {
 		r.lanes[a.Lane] <- a
 	}
-	if !r.core.Awake(fresh) {
+	if !r.core.ReadSinceResume(fresh) {
 		r.catchUp(ctx)
 	}
 	r.cfg.Metrics.observe(&r.core.Stats)
@@ -166,25 +166,25 @@
 	}
 }
 
-// lane returns the duty of a lane. Its executors go on until the deciding duty
+// serveLane returns the duty of a lane. Its executors go on until the deciding duty
 // has settled, beyond the end of ctx.
-func (r *Runner) lane(lane Lane) func(context.Context) error {
+func (r *Runner) serveLane(lane Lane) func(context.Context) error {
 	return func(ctx context.Context) error {
-		work, stop := context.WithCancel(context.WithoutCancel(ctx))
+		executorCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 		defer stop()
 		var executors sync.WaitGroup
 		for range laneLimits[lane] {
-			executors.Go(func() { r.executor(work, r.lanes[lane]) })
+			executors.Go(func() { r.runExecutor(executorCtx, r.lanes[lane]) })
 		}
-		<-r.left
+		<-r.decideStopped
 		stop()
 		executors.Wait()
 		return ctx.Err()
 	}
 }
 
-// executor carries actions out one at a time until ctx ends.
-func (r *Runner) executor(ctx context.Context, lane <-chan Action) {
+// runExecutor carries actions out one at a time until ctx ends.
+func (r *Runner) runExecutor(ctx context.Context, lane <-chan Action) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/jobrunner/world_test.go
+++ b/internal/jobrunner/world_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// edit changes the document on every node, as a publish would.
-func (w *world) edit(change func(*document.Document)) {
+// editDocument changes the document on every node, as a publish would.
+func (w *world) editDocument(change func(*document.Document)) {
 	change(&w.Doc)
 	w.Main.Services[service].Doc = w.Doc
 	for _, n := range w.Nodes {
@@ -58,12 +58,12 @@
 	}
 }
 
-func noHold(d *document.Document) { d.Jobs.UrgentMilliCores = 0 }
+func noUrgentReserve(d *document.Document) { d.Jobs.UrgentMilliCores = 0 }
 
 func vmSubject(id string) record.Subject  { return record.Subject{Kind: record.SubjectVM, Name: id} }
 func jobSubject(id string) record.Subject { return record.Subject{Kind: record.SubjectJob, Name: id} }
 
-func (w *world) must(sub record.Subject, body record.Body) {
+func (w *world) mustWrite(sub record.Subject, body record.Body) {
 	out := w.Write(sub, body)
 	require.Equal(w.t, ledger.Effective, out.Status, out.Reason)
 }
@@ -73,7 +73,7 @@
 	if change != nil {
 		change(&spec)
 	}
-	w.must(jobSubject(id), spec)
+	w.mustWrite(jobSubject(id), spec)
 }
 
 func (w *world) job(id string) *ledger.Job { return w.Main.Jobs[id] }
@@ -89,8 +89,8 @@
 	return done == nil || done()
 }
 
-// order orders faults at the stand-in.
-func (w *world) order(faults ...standin.Fault) {
+// injectFaults orders faults at the stand-in.
+func (w *world) injectFaults(faults ...standin.Fault) {
 	_, err := w.Platform.Order(faults...)
 	require.NoError(w.t, err)
 }
--- a/internal/placement/explain.go
+++ b/internal/placement/explain.go
@@ -8,8 +8,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/ledger"
 )
 
-// Never returns why the job cannot be placed however long it waits, or "".
-func (p *Pool) Never(j *Job) string {
+// UnplaceableReason returns why the job cannot be placed however long it waits, or "".
+func (p *Pool) UnplaceableReason(j *Job) string {
 	q, ok := p.Teams[j.Team]
 	if !ok {
 		return fmt.Sprintf("team %s has no quota in pool %s; add one to the document of service %s", j.Team, p.Name, p.Name)
@@ -20,7 +20,7 @@
 	if len(p.Admitted) == 0 || slices.ContainsFunc(p.Admitted, j.Declared.Within) {
 		return ""
 	}
-	over := exceeds(j.Declared, most(p.Admitted))
+	over := exceeds(j.Declared, maxOfEach(p.Admitted))
 	if over == "" {
 		over = "cores, memory and accelerators that are together"
 	}
@@ -45,27 +45,27 @@
 }
 
 var obstacleNames = [obstacleCount]string{
-	setAside:       "set aside",
-	doubtful:       "kept to one repeatable job after a failure",
-	failedThere:    "where it failed before",
-	noSlot:         "without a free slot",
-	noCores:        "without the cores",
-	noMemory:       "without the memory",
-	noAccelerators: "without the accelerators",
-	heldUrgent:     "with room that is held back for urgent work",
-	heldOther:      "with room that is kept for a job that has waited longer",
+	setAside:            "set aside",
+	onProbation:         "kept to one repeatable job after a failure",
+	failedBefore:        "where it failed before",
+	noSlot:              "without a free slot",
+	noCores:             "without the cores",
+	noMemory:            "without the memory",
+	noAccelerators:      "without the accelerators",
+	reservedForUrgent:   "with room that is held back for urgent work",
+	reservedForStarving: "with room that is kept for a job that has waited longer",
 }
 
 // Explain says what a queued job waits for, for an operator to read.
 func (p *Pool) Explain(j *Job, pol Policy) string {
-	if reason := p.Never(j); reason != "" {
+	if reason := p.UnplaceableReason(j); reason != "" {
 		return reason
 	}
 	q := p.Teams[j.Team]
 	if over := exceeds(q.Used.Add(j.Want, 1), q.Limit); over != "" {
 		return fmt.Sprintf("waits for the quota of team %s: with it the team would hold %s", j.Team, over)
 	}
-	if p.settles(j) {
+	if p.teamSettling(j) {
 		return fmt.Sprintf("waits a moment, as team %s is cancelling many jobs", j.Team)
 	}
 	if len(p.Workers) == 0 {
--- a/internal/placement/place.go
+++ b/internal/placement/place.go
@@ -51,14 +51,14 @@
 const (
 	fits obstacle = iota
 	setAside
-	doubtful
-	failedThere
+	onProbation
+	failedBefore
 	noSlot
 	noCores
 	noMemory
 	noAccelerators
-	heldUrgent
-	heldOther
+	reservedForUrgent
+	reservedForStarving
 	obstacleCount
 )
 
@@ -75,32 +75,32 @@
 		return noMemory
 	case w.Free.Accelerators < j.Want.Accelerators:
 		return noAccelerators
-	case w.heldFor != "" && w.heldFor != j.ID && !j.Urgent:
-		return heldOther
+	case w.reservedFor != "" && w.reservedFor != j.ID && !j.Urgent:
+		return reservedForStarving
 	case w.Standing != Open && (len(w.Running) > 0 || j.Urgent || !j.Repeatable):
-		return doubtful
+		return onProbation
 	case slices.Contains(j.FailedOn, w.ID):
-		return failedThere
-	case !j.Urgent && !pol.IgnoreHold && p.eatsHold(w, j.Want, 1):
-		return heldUrgent
+		return failedBefore
+	case !j.Urgent && !pol.IgnoreHold && p.takesUrgentReserve(w, j.Want, 1):
+		return reservedForUrgent
 	}
 	return fits
 }
 
-// eatsHold reports whether more use of the worker would take room that is held
+// takesUrgentReserve reports whether more use of the worker would take room that is held
 // back for urgent work.
-func (p *Pool) eatsHold(w *Worker, more ledger.Resources, slots int) bool {
+func (p *Pool) takesUrgentReserve(w *Worker, extra ledger.Resources, slots int) bool {
 	if p.UrgentHold <= 0 {
 		return false
 	}
-	before := p.urgentRoom(w)
-	after := Worker{Free: w.Free.Add(more, -1), Slots: w.Slots - slots, Standing: w.Standing}
-	lost := before - p.urgentRoom(&after)
-	return lost > 0 && p.usable-lost < p.UrgentHold
+	before := p.urgentCapacity(w)
+	after := Worker{Free: w.Free.Add(extra, -1), Slots: w.Slots - slots, Standing: w.Standing}
+	lost := before - p.urgentCapacity(&after)
+	return lost > 0 && p.usableByUrgent-lost < p.UrgentHold
 }
 
-// find returns the best worker for the job, or nil.
-func (p *Pool) find(j *Job, pol Policy) *Worker {
+// findWorker returns the best worker for the job, or nil.
+func (p *Pool) findWorker(j *Job, pol Policy) *Worker {
 	n := len(p.Workers)
 	if n == 0 {
 		return nil
@@ -168,22 +168,22 @@
 
 // Place finds a worker for one job and reserves its room in the snapshot.
 func (p *Pool) Place(j *Job, pol Policy, now time.Time) Decision {
-	if reason := p.Never(j); reason != "" {
+	if reason := p.UnplaceableReason(j); reason != "" {
 		return Decision{Job: j.ID, Kind: Unplaceable, Reason: reason}
 	}
-	if !p.quotaAllows(j) || p.settles(j) {
+	if !p.quotaAllows(j) || p.teamSettling(j) {
 		return Decision{Job: j.ID, Kind: Waits}
 	}
-	w := p.find(j, pol)
+	w := p.findWorker(j, pol)
 	if w == nil && p.failedEverywhere(j) {
-		again := *j
-		again.FailedOn = nil
-		w = p.find(&again, pol)
+		retried := *j
+		retried.FailedOn = nil
+		w = p.findWorker(&retried, pol)
 	}
 	if w == nil {
 		return Decision{Job: j.ID, Kind: Waits}
 	}
-	p.take(w, j, now)
+	p.reserve(w, j, now)
 	return Decision{Job: j.ID, Kind: Placed, Worker: w.ID, Reserved: j.Want}
 }
 
@@ -192,7 +192,7 @@
 	return q.Used.Add(j.Want, 1).Within(q.Limit)
 }
 
-func (p *Pool) settles(j *Job) bool { return p.Teams[j.Team].Settling && !j.Urgent }
+func (p *Pool) teamSettling(j *Job) bool { return p.Teams[j.Team].Settling && !j.Urgent }
 
 // failedEverywhere reports whether the job has failed on every worker that
 // could take it; then it is tried on them again.
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -24,8 +24,8 @@
 	return ledger.Resources{MilliCores: cores * 1000, MemoryMB: memoryMB}
 }
 
-// pool returns a pool of alike workers and one team "a" that may fill it.
-func pool(workers, cores, memoryMB int) *placement.Pool {
+// newPool returns a pool of alike workers and one team "a" that may fill it.
+func newPool(workers, cores, memoryMB int) *placement.Pool {
 	p := &placement.Pool{Name: "p", Admitted: []ledger.Resources{size(cores, memoryMB)}}
 	for i := range workers {
 		p.Workers = append(p.Workers, placement.Worker{
@@ -40,13 +40,13 @@
 	return p
 }
 
-func job(id string, cores, memoryMB int) placement.Job {
+func newJob(id string, cores, memoryMB int) placement.Job {
 	s := size(cores, memoryMB)
 	return placement.Job{ID: id, Team: "a", Want: s, Declared: s, Repeatable: true, Submitted: now, Queued: now, RunTime: time.Hour}
 }
 
-// run puts a running job on worker i.
-func run(p *placement.Pool, i int, id string, cores int, change func(*placement.Running)) {
+// addRunning puts a running job on worker i.
+func addRunning(p *placement.Pool, i int, id string, cores int, change func(*placement.Running)) {
 	r := placement.Running{Job: id, Team: "a", Reserved: size(cores, 1), FullMilliCores: cores * 1000, Started: now.Add(-time.Hour)}
 	if change != nil {
 		change(&r)
@@ -58,15 +58,15 @@
 	p.Prepare()
 }
 
-func TestJobThatCanNeverBePlacedSaysWhy(t *testing.T) {
-	p := pool(2, 32, 65536)
+func TestUnplaceableJobHasAReason(t *testing.T) {
+	p := newPool(2, 32, 65536)
 	p.Teams["b"] = placement.Quota{Limit: size(4, 65536)}
 	for want, change := range map[string]func(*placement.Job){
 		"more than any worker": func(j *placement.Job) { j.Declared = size(33, 1) },
 		"whole quota":          func(j *placement.Job) { j.Team = "b" },
 		"has no quota":         func(j *placement.Job) { j.Team = "c" },
 	} {
-		j := job("j", 8, 1)
+		j := newJob("j", 8, 1)
 		change(&j)
 		r := placement.Plan(p, []placement.Job{j}, placement.Policy{}, now)
 		require.Len(t, r.Decisions, 1)
@@ -75,25 +75,25 @@
 	}
 }
 
-func TestJobThatMustWaitSaysForWhat(t *testing.T) {
-	p := pool(3, 32, 65536)
-	run(p, 0, "x", 30, nil)
+func TestExplainStatesWhatAJobWaitsFor(t *testing.T) {
+	p := newPool(3, 32, 65536)
+	addRunning(p, 0, "x", 30, nil)
 	p.Workers[1].Standing = placement.SetAside
 	p.UrgentHold, p.UrgentPiece = 32000, size(32, 1)
 	p.Prepare()
-	j := job("j", 8, 1)
+	j := newJob("j", 8, 1)
 	assert.Empty(t, placement.Plan(p, []placement.Job{j}, placement.Policy{}, now).Decisions)
 	assert.Equal(t, "waits for room (8 cores, 1 MB): of 3 workers 1 set aside, 1 without the cores, "+
 		"1 with room that is held back for urgent work", p.Explain(&j, placement.Policy{}))
 }
 
-func TestUrgentJobTakesTheHeldRoomAndTheRestIsKept(t *testing.T) {
-	p := pool(2, 32, 65536)
+func TestUrgentJobUsesTheUrgentReserveAndOthersDoNot(t *testing.T) {
+	p := newPool(2, 32, 65536)
 	p.UrgentHold, p.UrgentPiece = 32000, size(16, 1)
 	p.Prepare()
-	urgent := job("u", 16, 1)
+	urgent := newJob("u", 16, 1)
 	urgent.Urgent = true
-	r := placement.Plan(p, []placement.Job{job("a", 16, 1), job("b", 16, 1), job("c", 16, 1), urgent}, placement.Policy{}, now)
+	r := placement.Plan(p, []placement.Job{newJob("a", 16, 1), newJob("b", 16, 1), newJob("c", 16, 1), urgent}, placement.Policy{}, now)
 	var placed []string
 	for _, d := range r.Decisions {
 		placed = append(placed, d.Job)
@@ -101,18 +101,18 @@
 	assert.Equal(t, []string{"u", "a"}, placed)
 }
 
-func TestUrgentJobDisturbsTheFewestWithTheLeastProgress(t *testing.T) {
+func TestUrgentJobPreemptsFewestJobsWithLeastProgress(t *testing.T) {
 	checkpointable := func(ran time.Duration) func(*placement.Running) {
 		return func(r *placement.Running) { r.Checkpointable, r.Repeatable, r.Started = true, true, now.Add(-ran) }
 	}
-	p := pool(3, 32, 65536)
-	run(p, 0, "old", 30, checkpointable(time.Hour))
-	run(p, 1, "young", 30, checkpointable(time.Minute))
-	run(p, 2, "half-1", 15, checkpointable(time.Second))
-	run(p, 2, "half-2", 15, checkpointable(time.Second))
-	urgent := job("u", 30, 1)
+	p := newPool(3, 32, 65536)
+	addRunning(p, 0, "old", 30, checkpointable(time.Hour))
+	addRunning(p, 1, "young", 30, checkpointable(time.Minute))
+	addRunning(p, 2, "half-1", 15, checkpointable(time.Second))
+	addRunning(p, 2, "half-2", 15, checkpointable(time.Second))
+	urgent := newJob("u", 30, 1)
 	urgent.Urgent = true
-	r := placement.Plan(p, []placement.Job{urgent, job("later", 8, 1)}, placement.Policy{}, now)
+	r := placement.Plan(p, []placement.Job{urgent, newJob("later", 8, 1)}, placement.Policy{}, now)
 	assert.Equal(t, []placement.Preemption{{Victim: "young", Worker: "w01", Action: record.PreemptCheckpoint, For: "u"}}, r.Preemptions)
 	assert.Empty(t, r.Decisions, "the room that is being made is not given to others")
 }
@@ -120,13 +120,13 @@
 // The team's quota is used up by its own long jobs, while workers have room: the
 // urgent job displaces one of them rather than wait for a quota that its own
 // team holds. Another team's jobs would not help and are left alone.
-func TestUrgentJobTakesQuotaBackFromItsOwnTeam(t *testing.T) {
-	p := pool(2, 32, 65536)
+func TestUrgentJobPreemptsItsOwnTeamForQuota(t *testing.T) {
+	p := newPool(2, 32, 65536)
 	p.Teams["a"] = placement.Quota{Limit: size(16, 1<<20), Used: size(16, 2)}
 	p.Teams["b"] = placement.Quota{Limit: size(64, 1<<20), Used: size(20, 1)}
-	run(p, 0, "theirs", 20, func(r *placement.Running) { r.Team, r.Checkpointable = "b", true })
-	run(p, 1, "own", 16, func(r *placement.Running) { r.Checkpointable = true })
-	urgent := job("u", 8, 1)
+	addRunning(p, 0, "theirs", 20, func(r *placement.Running) { r.Team, r.Checkpointable = "b", true })
+	addRunning(p, 1, "own", 16, func(r *placement.Running) { r.Checkpointable = true })
+	urgent := newJob("u", 8, 1)
 	urgent.Urgent = true
 	r := placement.Plan(p, []placement.Job{urgent}, placement.Policy{}, now)
 	require.Len(t, r.Preemptions, 1)
@@ -134,15 +134,15 @@
 }
 
 func TestUrgentJobThrottlesWorkThatCannotBeCheckpointed(t *testing.T) {
-	p := pool(1, 32, 65536)
-	run(p, 0, "long", 32, nil)
-	urgent := job("u", 20, 1)
+	p := newPool(1, 32, 65536)
+	addRunning(p, 0, "long", 32, nil)
+	urgent := newJob("u", 20, 1)
 	urgent.Urgent = true
 	r := placement.Plan(p, []placement.Job{urgent}, placement.Policy{}, now)
 	assert.Equal(t, []placement.Preemption{{Victim: "long", Worker: "w00", Action: record.PreemptThrottle, MilliCores: 8000, For: "u"}}, r.Preemptions)
 
-	p = pool(1, 32, 65536)
-	run(p, 0, "long", 8, func(r *placement.Running) { r.FullMilliCores = 32000 })
+	p = newPool(1, 32, 65536)
+	addRunning(p, 0, "long", 8, func(r *placement.Running) { r.FullMilliCores = 32000 })
 	r = placement.Plan(p, nil, placement.Policy{}, now)
 	assert.Equal(t, []placement.Preemption{{Victim: "long", Worker: "w00", Action: record.PreemptRestore, MilliCores: 32000}}, r.Preemptions)
 }
@@ -150,25 +150,25 @@
 // A large job waits while small ones keep taking each room that comes free.
 // After StarvingAfter one worker is kept for it: small jobs go elsewhere.
 func TestLargeJobIsNotStarvedBySmallOnes(t *testing.T) {
-	p := pool(2, 32, 65536)
-	run(p, 0, "x", 4, func(r *placement.Running) { r.Ends = now.Add(time.Minute) })
-	run(p, 1, "y", 4, func(r *placement.Running) { r.Ends = now.Add(time.Hour) })
-	large := job("large", 32, 1)
+	p := newPool(2, 32, 65536)
+	addRunning(p, 0, "x", 4, func(r *placement.Running) { r.ExpectedEnd = now.Add(time.Minute) })
+	addRunning(p, 1, "y", 4, func(r *placement.Running) { r.ExpectedEnd = now.Add(time.Hour) })
+	large := newJob("large", 32, 1)
 	large.Queued = now.Add(-placement.StarvingAfter)
-	r := placement.Plan(p, []placement.Job{large, job("small", 4, 1)}, placement.Policy{}, now)
+	r := placement.Plan(p, []placement.Job{large, newJob("small", 4, 1)}, placement.Policy{}, now)
 	require.Len(t, r.Decisions, 1)
 	assert.Equal(t, "w01", r.Decisions[0].Worker)
 }
 
-func TestTeamsTakeTurnsByTheirShareOfQuota(t *testing.T) {
-	p := pool(1, 4, 65536)
+func TestTeamsAreQueuedByTheirShareOfQuota(t *testing.T) {
+	p := newPool(1, 4, 65536)
 	p.Teams["b"] = placement.Quota{Limit: size(4, 65536)}
 	var queue []placement.Job
 	for i := range 4 {
-		queue = append(queue, job(fmt.Sprintf("a%d", i), 1, 1))
+		queue = append(queue, newJob(fmt.Sprintf("a%d", i), 1, 1))
 	}
 	for i := range 2 {
-		j := job(fmt.Sprintf("b%d", i), 1, 1)
+		j := newJob(fmt.Sprintf("b%d", i), 1, 1)
 		j.Team, j.Submitted = "b", now.Add(time.Second)
 		queue = append(queue, j)
 	}
@@ -180,11 +180,11 @@
 }
 
 func TestDoubtfulWorkerGetsOneRepeatableJobAtATime(t *testing.T) {
-	p := pool(1, 32, 65536)
+	p := newPool(1, 32, 65536)
 	p.Workers[0].Standing = placement.Doubtful
-	once := job("a-once", 1, 1)
+	once := newJob("a-once", 1, 1)
 	once.Repeatable = false
-	r := placement.Plan(p, []placement.Job{once, job("b", 1, 1), job("c", 1, 1)}, placement.Policy{}, now)
+	r := placement.Plan(p, []placement.Job{once, newJob("b", 1, 1), newJob("c", 1, 1)}, placement.Policy{}, now)
 	require.Len(t, r.Decisions, 1)
 	assert.Equal(t, "b", r.Decisions[0].Job)
 }
@@ -196,12 +196,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p, queue := randomPool(t)
 		pol := placement.Policy{Rank: placement.Rank(rapid.IntRange(0, 2).Draw(t, "rank")), NoPreempt: true}
-		before := usable(p)
+		before := usableByUrgent(p)
 		for i := range queue {
 			queue[i].Urgent = queue[i].Urgent && p.UrgentHold == 0
 		}
 		round := placement.Plan(p, queue, pol, now)
-		require.GreaterOrEqual(t, usable(p), min(before, p.UrgentHold), "room held back for urgent work was given away")
+		require.GreaterOrEqual(t, usableByUrgent(p), min(before, p.UrgentHold), "room held back for urgent work was given away")
 		for _, w := range p.Workers {
 			require.True(t, ledger.Resources{}.Within(w.Free), "worker %s is overfilled: %+v", w.ID, w.Free)
 			require.GreaterOrEqual(t, w.Slots, 0)
@@ -221,9 +221,9 @@
 	})
 }
 
-// usable counts the room for urgent jobs of the pool's piece, in thousandths of
+// usableByUrgent counts the room for urgent jobs of the pool's piece, in thousandths of
 // a core.
-func usable(p *placement.Pool) int {
+func usableByUrgent(p *placement.Pool) int {
 	n := 0
 	for _, w := range p.Workers {
 		if w.Standing == placement.Open {
@@ -234,12 +234,12 @@
 }
 
 func randomPool(t *rapid.T) (*placement.Pool, []placement.Job) {
-	p := pool(rapid.IntRange(1, 6).Draw(t, "workers"), 16, 4096)
+	p := newPool(rapid.IntRange(1, 6).Draw(t, "workers"), 16, 4096)
 	p.Teams["b"] = placement.Quota{Limit: size(rapid.IntRange(1, 40).Draw(t, "quota"), 1<<20)}
 	for i := range p.Workers {
 		p.Workers[i].Standing = placement.Standing(rapid.SampledFrom([]int{0, 0, 0, 1, 2, 3}).Draw(t, "standing"))
 		for k := range rapid.IntRange(0, 3).Draw(t, "running") {
-			run(p, i, fmt.Sprintf("r%d-%d", i, k), rapid.IntRange(1, 5).Draw(t, "cores"), nil)
+			addRunning(p, i, fmt.Sprintf("r%d-%d", i, k), rapid.IntRange(1, 5).Draw(t, "cores"), nil)
 		}
 	}
 	p.UrgentHold = 1000 * rapid.SampledFrom([]int{0, 4, 16, 32}).Draw(t, "hold")
@@ -247,7 +247,7 @@
 	p.Prepare()
 	var queue []placement.Job
 	for i := range rapid.IntRange(0, 30).Draw(t, "queue") {
-		j := job(fmt.Sprintf("j%02d", i), rapid.IntRange(1, 16).Draw(t, "cores"), rapid.IntRange(1, 4096).Draw(t, "memory"))
+		j := newJob(fmt.Sprintf("j%02d", i), rapid.IntRange(1, 16).Draw(t, "cores"), rapid.IntRange(1, 4096).Draw(t, "memory"))
 		j.Team = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team")
 		j.Urgent = rapid.Bool().Draw(t, "urgent")
 		j.Repeatable = rapid.Bool().Draw(t, "repeatable")
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -16,8 +16,8 @@
 	// StarvingAfter is the wait after which a job that fits no worker gets one
 	// kept free for it.
 	StarvingAfter = 5 * time.Minute
-	// maxHeld bounds the workers kept for starving jobs, as a share of the pool.
-	maxHeld = 0.25
+	// maxReservedShare bounds the workers kept for starving jobs, as a share of the pool.
+	maxReservedShare = 0.25
 )
 
 // Round is what one planning round decided.
@@ -31,13 +31,13 @@
 // Plan decides on the queue in one pass. It changes the snapshot as it goes.
 func Plan(p *Pool, queue []Job, pol Policy, now time.Time) Round {
 	var r Round
-	keepForStarving(p, queue, pol, now)
+	reserveForStarving(p, queue, pol, now)
 	full := map[shape]bool{}
 	urgentWaits, restored := false, false
-	next := order(p, queue, pol)
+	next := queueOrder(p, queue, pol)
 	for j := next(); j != nil && len(r.Decisions) < maxRound; j = next() {
 		if !j.Urgent && !restored && !urgentWaits {
-			r.Preemptions = append(r.Preemptions, p.restore(pol)...)
+			r.Preemptions = append(r.Preemptions, p.restoreThrottled(pol)...)
 			restored = true
 		}
 		if !full[shapeOf(j)] && !r.decide(p, j, pol, now) {
@@ -46,7 +46,7 @@
 		}
 	}
 	if !restored && !urgentWaits {
-		r.Preemptions = append(r.Preemptions, p.restore(pol)...)
+		r.Preemptions = append(r.Preemptions, p.restoreThrottled(pol)...)
 	}
 	return r
 }
@@ -84,17 +84,17 @@
 	return s
 }
 
-// order returns an iterator over the queue: urgent jobs first, then job by job
+// queueOrder returns an iterator over the queue: urgent jobs first, then job by job
 // from the team that holds the smallest share of its quota. First come, first
 // served would let one team's burst keep the others waiting.
-func order(p *Pool, queue []Job, pol Policy) func() *Job {
+func queueOrder(p *Pool, queue []Job, pol Policy) func() *Job {
 	sorted := make([]*Job, 0, len(queue))
 	for i := range queue {
 		sorted = append(sorted, &queue[i])
 	}
 	slices.SortFunc(sorted, func(a, b *Job) int {
 		if a.Urgent != b.Urgent {
-			return cmp.Compare(rankOf(b.Urgent), rankOf(a.Urgent))
+			return cmp.Compare(intOf(b.Urgent), intOf(a.Urgent))
 		}
 		if pol.MinMin {
 			return cmp.Or(cmp.Compare(a.RunTime, b.RunTime), cmp.Compare(a.ID, b.ID))
@@ -108,18 +108,18 @@
 	if pol.FirstCome || pol.MinMin {
 		urgent = len(sorted)
 	}
-	return inTurn(p, sorted[:urgent], sorted[urgent:])
+	return byTeamShare(p, sorted[:urgent], sorted[urgent:])
 }
 
-func rankOf(b bool) int {
+func intOf(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// inTurn yields first as it is, then rest by the teams' shares.
-func inTurn(p *Pool, first, rest []*Job) func() *Job {
+// byTeamShare yields first as it is, then rest by the teams' shares.
+func byTeamShare(p *Pool, first, rest []*Job) func() *Job {
 	teams := map[string][]*Job{}
 	var names []string
 	for _, j := range rest {
@@ -164,23 +164,23 @@
 	)
 }
 
-// keepForStarving keeps one worker's room for each job that has waited long.
+// reserveForStarving keeps one worker's room for each job that has waited long.
 // Without it a job that needs most of a worker waits for ever while small ones
 // take each crumb of room that comes free.
-func keepForStarving(p *Pool, queue []Job, pol Policy, now time.Time) {
+func reserveForStarving(p *Pool, queue []Job, pol Policy, now time.Time) {
 	if pol.NoAging || len(p.Workers) < 2 {
 		return
 	}
 	var starving []*Job
 	for i := range queue {
-		if now.Sub(queue[i].Queued) >= StarvingAfter && p.Never(&queue[i]) == "" {
+		if now.Sub(queue[i].Queued) >= StarvingAfter && p.UnplaceableReason(&queue[i]) == "" {
 			starving = append(starving, &queue[i])
 		}
 	}
 	slices.SortFunc(starving, func(a, b *Job) int {
 		return cmp.Or(a.Submitted.Compare(b.Submitted), cmp.Compare(a.ID, b.ID))
 	})
-	limit := max(1, int(maxHeld*float64(len(p.Workers))))
+	limit := max(1, int(maxReservedShare*float64(len(p.Workers))))
 	for _, j := range starving {
 		if limit == 0 {
 			return
@@ -188,21 +188,21 @@
 		if !p.quotaAllows(j) {
 			continue // waits for its team, not for a worker
 		}
-		if w := p.soonest(j, now); w != nil {
-			w.heldFor = j.ID
+		if w := p.firstToBeFree(j, now); w != nil {
+			w.reservedFor = j.ID
 			limit--
 		}
 	}
 }
 
-// soonest returns the worker on which the job's room is expected to be free
+// firstToBeFree returns the worker on which the job's room is expected to be free
 // first, or nil.
-func (p *Pool) soonest(j *Job, now time.Time) *Worker {
+func (p *Pool) firstToBeFree(j *Job, now time.Time) *Worker {
 	var best *Worker
 	var bestAt time.Time
 	for i := range p.Workers {
 		w := &p.Workers[i]
-		if w.heldFor != "" || w.Standing != Open || !j.Want.Within(w.Capacity) || slices.Contains(j.FailedOn, w.ID) {
+		if w.reservedFor != "" || w.Standing != Open || !j.Want.Within(w.Capacity) || slices.Contains(j.FailedOn, w.ID) {
 			continue
 		}
 		at := w.freeAt(j.Want, now)
@@ -219,7 +219,7 @@
 	free, slots := w.Free, w.Slots
 	ends := slices.Clone(w.Running)
 	slices.SortFunc(ends, func(a, b Running) int {
-		return cmp.Or(a.Ends.Compare(b.Ends), cmp.Compare(a.Job, b.Job))
+		return cmp.Or(a.ExpectedEnd.Compare(b.ExpectedEnd), cmp.Compare(a.Job, b.Job))
 	})
 	at := now
 	for _, r := range ends {
@@ -228,8 +228,8 @@
 		}
 		free = free.Add(r.Reserved, 1)
 		slots++
-		if r.Ends.After(at) {
-			at = r.Ends
+		if r.ExpectedEnd.After(at) {
+			at = r.ExpectedEnd
 		}
 	}
 	return at
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -41,13 +41,13 @@
 	Repeatable     bool
 	Checkpointable bool
 	Started        time.Time
-	// Ends is when it is expected to end.
-	Ends time.Time
+	// ExpectedEnd is when it is expected to end.
+	ExpectedEnd time.Time
 	// Pending is set while an action that makes room is under way. Coming is
 	// the room that it will free, which is not in the worker's Free yet.
-	Pending     bool
-	Coming      ledger.Resources
-	ComingSlots int
+	Pending      bool
+	Freeing      ledger.Resources
+	FreeingSlots int
 }
 
 // Throttled returns how many thousandths of a core a throttled job gave up.
@@ -64,8 +64,8 @@
 	Slots    int
 	Standing Standing
 	Running  []Running
-	// heldFor is a starving job that the worker's room is kept for.
-	heldFor string
+	// reservedFor is a starving job that the worker's room is kept for.
+	reservedFor string
 }
 
 // Quota is what a team may hold and holds in the pool.
@@ -91,7 +91,7 @@
 	UrgentHold  int
 	UrgentPiece ledger.Resources
 
-	usable int // room for urgent work, in thousandths of a core
+	usableByUrgent int // room for urgent work, in thousandths of a core
 }
 
 // Job is a queued job.
@@ -113,22 +113,22 @@
 
 // Prepare computes what the decisions need; call it once on a new Pool.
 func (p *Pool) Prepare() {
-	p.usable = 0
+	p.usableByUrgent = 0
 	for i := range p.Workers {
-		p.usable += p.urgentRoom(&p.Workers[i])
+		p.usableByUrgent += p.urgentCapacity(&p.Workers[i])
 	}
 }
 
-// urgentRoom returns the part of a worker's free room that urgent jobs of the
+// urgentCapacity returns the part of a worker's free room that urgent jobs of the
 // usual size can use, in thousandths of a core.
-func (p *Pool) urgentRoom(w *Worker) int {
+func (p *Pool) urgentCapacity(w *Worker) int {
 	if w.Standing != Open || w.Slots <= 0 {
 		return 0
 	}
-	return pieces(w.Free, p.UrgentPiece, w.Slots) * p.UrgentPiece.MilliCores
+	return countPieces(w.Free, p.UrgentPiece, w.Slots) * p.UrgentPiece.MilliCores
 }
 
-func pieces(free, piece ledger.Resources, slots int) int {
+func countPieces(free, piece ledger.Resources, slots int) int {
 	if piece.MilliCores <= 0 {
 		return 0
 	}
@@ -142,9 +142,9 @@
 	return max(0, n)
 }
 
-// take reserves a worker's room for a job.
-func (p *Pool) take(w *Worker, j *Job, now time.Time) {
-	p.usable -= p.urgentRoom(w)
+// reserve reserves a worker's room for a job.
+func (p *Pool) reserve(w *Worker, j *Job, now time.Time) {
+	p.usableByUrgent -= p.urgentCapacity(w)
 	w.Free = w.Free.Add(j.Want, -1)
 	w.Slots--
 	w.Running = append(w.Running, Running{
@@ -156,9 +156,9 @@
 		Repeatable:     j.Repeatable,
 		Checkpointable: j.Checkpointable,
 		Started:        now,
-		Ends:           now.Add(j.RunTime),
+		ExpectedEnd:    now.Add(j.RunTime),
 	})
-	p.usable += p.urgentRoom(w)
+	p.usableByUrgent += p.urgentCapacity(w)
 	q := p.Teams[j.Team]
 	q.Used = q.Used.Add(j.Want, 1)
 	p.Teams[j.Team] = q
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -12,11 +12,11 @@
 
 // Bounds of making room.
 const (
-	// throttleKeep is the part of its cores that a throttled job keeps, so that
+	// throttleDivisor is the part of its cores that a throttled job keeps, so that
 	// it goes on and its lease is worth renewing.
-	throttleKeep = 4 // one part in four
-	// maxExact bounds the victims that are tried in every combination.
-	maxExact = 8
+	throttleDivisor = 4 // one part in four
+	// maxVictims bounds the victims that are tried in every combination.
+	maxVictims = 8
 )
 
 // Preemption asks one placed job to make room for an urgent one.
@@ -31,13 +31,13 @@
 
 // cost of a way to make room: fewer is better, in the order of the fields.
 type cost struct {
-	once int           // jobs that are not repeatable
-	jobs int           // jobs disturbed
-	lost time.Duration // progress that a checkpoint may lose
+	notRepeatable int           // jobs that are not repeatable
+	jobs          int           // jobs disturbed
+	lostProgress  time.Duration // progress that a checkpoint may lose
 }
 
 func (c cost) compare(o cost) int {
-	return cmp.Or(cmp.Compare(c.once, o.once), cmp.Compare(c.jobs, o.jobs), cmp.Compare(c.lost, o.lost))
+	return cmp.Or(cmp.Compare(c.notRepeatable, o.notRepeatable), cmp.Compare(c.jobs, o.jobs), cmp.Compare(c.lostProgress, o.lostProgress))
 }
 
 // MakeRoom chooses the jobs that make room for an urgent job that found none:
@@ -46,7 +46,7 @@
 // up, its own lesser jobs give way. The room is reserved in the snapshot, so
 // that other jobs do not take it.
 func (p *Pool) MakeRoom(j *Job, now time.Time) ([]Preemption, bool) {
-	need := need{job: j, quota: p.quotaLack(j)}
+	need := deficit{job: j, quota: p.quotaDeficit(j)}
 	var best *Worker
 	var bestSet []Preemption
 	var bestCost cost
@@ -55,7 +55,7 @@
 		if w.Standing != Open || !j.Want.Within(w.Capacity) || slices.Contains(j.FailedOn, w.ID) {
 			continue
 		}
-		set, c, ok := w.cheapest(need, now)
+		set, c, ok := w.cheapestPreemption(need, now)
 		if ok && (best == nil || c.compare(bestCost) < 0) {
 			best, bestSet, bestCost = w, set, c
 		}
@@ -63,68 +63,68 @@
 	if best == nil {
 		return nil, false
 	}
-	p.usable -= p.urgentRoom(best)
-	p.yield(best, bestSet)
-	p.usable += p.urgentRoom(best)
-	p.take(best, j, now)
+	p.usableByUrgent -= p.urgentCapacity(best)
+	p.applyPreemptions(best, bestSet)
+	p.usableByUrgent += p.urgentCapacity(best)
+	p.reserve(best, j, now)
 	return bestSet, true
 }
 
-// need is what an urgent job lacks on a worker: room, a slot, and what its
+// deficit is what an urgent job lacks on a worker: room, a slot, and what its
 // team's own jobs must give back for the quota to allow it.
-type need struct {
-	job   *Job
-	room  ledger.Resources
-	slot  bool
-	quota ledger.Resources
+type deficit struct {
+	job      *Job
+	capacity ledger.Resources
+	slot     bool
+	quota    ledger.Resources
 }
 
-func (n need) none() bool {
-	return n.room == (ledger.Resources{}) && n.quota == (ledger.Resources{}) && !n.slot
+func (n deficit) empty() bool {
+	return n.capacity == (ledger.Resources{}) && n.quota == (ledger.Resources{}) && !n.slot
 }
 
-// quotaLack returns by how much the job exceeds its team's quota, room that is
+// quotaDeficit returns by how much the job exceeds its team's quota, room that is
 // being given back left out.
-func (p *Pool) quotaLack(j *Job) ledger.Resources {
+func (p *Pool) quotaDeficit(j *Job) ledger.Resources {
 	q := p.Teams[j.Team]
-	lack := shortfall(q.Used.Add(j.Want, 1), q.Limit)
-	if lack == (ledger.Resources{}) {
-		return lack
+	deficit := shortfall(q.Used.Add(j.Want, 1), q.Limit)
+	if deficit == (ledger.Resources{}) {
+		return deficit
 	}
-	var coming ledger.Resources
+	var freeing ledger.Resources
 	for i := range p.Workers {
 		for _, r := range p.Workers[i].Running {
-			if r.Team == j.Team && r.ComingSlots > 0 {
-				coming = coming.Add(r.Coming, 1)
+			if r.Team == j.Team && r.FreeingSlots > 0 {
+				freeing = freeing.Add(r.Freeing, 1)
 			}
 		}
 	}
-	return shortfall(lack, coming)
+	return shortfall(deficit, freeing)
 }
 
-// cheapest returns the cheapest way to make room on the worker.
-func (w *Worker) cheapest(n need, now time.Time) ([]Preemption, cost, bool) {
-	coming, comingSlots := w.coming()
-	n.room = shortfall(n.job.Want, w.Free.Add(coming, 1))
-	n.slot = w.Slots+comingSlots <= 0
-	if n.none() {
+// cheapestPreemption returns the cheapest way to make room on the worker.
+func (w *Worker) cheapestPreemption(n deficit, now time.Time) ([]Preemption, cost, bool) {
+	freeing, freeingSlots := w.beingFreed()
+	n.capacity = shortfall(n.job.Want, w.Free.Add(freeing, 1))
+	n.slot = w.Slots+freeingSlots <= 0
+	if n.empty() {
 		return nil, cost{}, true // room that is being made already
 	}
-	throttle, tc, canThrottle := w.subset(n, record.PreemptThrottle, now)
-	checkpoint, cc, canCheckpoint := w.subset(n, record.PreemptCheckpoint, now)
-	if canThrottle && (!canCheckpoint || tc.compare(cc) <= 0) {
-		return throttle, tc, true
+	throttle, throttleCost, canThrottle := w.cheapestVictims(n, record.PreemptThrottle, now)
+	checkpoint, checkpointCost, canCheckpoint := w.cheapestVictims(n, record.PreemptCheckpoint, now)
+	if canThrottle && (!canCheckpoint || throttleCost.compare(checkpointCost) <= 0) {
+		return throttle, throttleCost, true
 	}
-	return checkpoint, cc, canCheckpoint
+	return checkpoint, checkpointCost, canCheckpoint
 }
 
-// coming is the room that decided actions will free.
-func (w *Worker) coming() (ledger.Resources, int) {
+// beingFreed is the room that decided actions will free.
+func (w *Worker) beingFreed() (ledger.Resources, int) {
 	var sum ledger.Resources
 	slots := 0
 	for _, r := range w.Running {
-		sum = sum.Add(r.Coming, 1)
-		slots += r.ComingSlots
+		sum = sum.Add(r.Freeing, 1)
+		slots += r.FreeingSlots
 	}
 	return sum, slots
 }
@@ -137,22 +137,22 @@
 	}
 }
 
-// frees returns the room that the action on a running job frees.
-func (r *Running) frees(action record.PreemptAction) (ledger.Resources, bool) {
+// freedBy returns the room that the action on a running job frees.
+func (r *Running) freedBy(action record.PreemptAction) (ledger.Resources, bool) {
 	if r.Urgent || r.Pending {
 		return ledger.Resources{}, false
 	}
 	if action == record.PreemptCheckpoint {
 		return r.Reserved, r.Checkpointable
 	}
-	gain := r.Reserved.MilliCores - r.FullMilliCores/throttleKeep
-	return ledger.Resources{MilliCores: gain}, gain > 0 && r.FullMilliCores >= throttleKeep
+	gain := r.Reserved.MilliCores - r.FullMilliCores/throttleDivisor
+	return ledger.Resources{MilliCores: gain}, gain > 0 && r.FullMilliCores >= throttleDivisor
 }
 
-// subset finds the cheapest set of running jobs that frees enough by one
+// cheapestVictims finds the cheapest set of running jobs that frees enough by one
 // action. Up to maxExact victims every combination is tried.
-func (w *Worker) subset(n need, action record.PreemptAction, now time.Time) ([]Preemption, cost, bool) {
-	if action == record.PreemptThrottle && (n.slot || n.room.MemoryMB > 0 || n.room.Accelerators > 0) {
+func (w *Worker) cheapestVictims(n deficit, action record.PreemptAction, now time.Time) ([]Preemption, cost, bool) {
+	if action == record.PreemptThrottle && (n.slot || n.capacity.MemoryMB > 0 || n.capacity.Accelerators > 0) {
 		return nil, cost{}, false
 	}
 	victims := w.victims(n.job.Team, action, now)
@@ -160,7 +160,7 @@
 	var bestCost cost
 	found := false
 	for mask := uint(1); mask < 1<<len(victims); mask++ {
-		if found && bits.OnesCount(mask) > bestCost.jobs && bestCost.once == 0 {
+		if found && bits.OnesCount(mask) > bestCost.jobs && bestCost.notRepeatable == 0 {
 			continue
 		}
 		var freed, own ledger.Resources
@@ -168,11 +168,11 @@
 		for i := range victims {
 			if mask&(1<<i) != 0 {
 				freed = freed.Add(victims[i].freed, 1)
-				own = own.Add(victims[i].own, 1)
+				own = own.Add(victims[i].ownTeamFreed, 1)
 				c = c.plus(victims[i].cost)
 			}
 		}
-		if n.room.Within(freed) && n.quota.Within(own) && (!found || c.compare(bestCost) < 0) {
+		if n.capacity.Within(freed) && n.quota.Within(own) && (!found || c.compare(bestCost) < 0) {
 			best, bestCost, found = mask, c, true
 		}
 	}
@@ -186,15 +186,15 @@
 }
 
 func (c cost) plus(o cost) cost {
-	return cost{once: c.once + o.once, jobs: c.jobs + o.jobs, lost: c.lost + o.lost}
+	return cost{notRepeatable: c.notRepeatable + o.notRepeatable, jobs: c.jobs + o.jobs, lostProgress: c.lostProgress + o.lostProgress}
 }
 
 // victim is a running job that can make room.
 type victim struct {
-	running *Running
-	freed   ledger.Resources
-	own     ledger.Resources // of freed, what the urgent job's team gives back
-	cost    cost
+	running      *Running
+	freed        ledger.Resources
+	ownTeamFreed ledger.Resources // of freed, what the urgent job's team gives back
+	cost         cost
 }
 
 // victims lists the jobs that the action can be taken on, the largest first and
@@ -203,17 +203,17 @@
 	var list []victim
 	for i := range w.Running {
 		r := &w.Running[i]
-		freed, ok := r.frees(action)
+		freed, ok := r.freedBy(action)
 		if !ok {
 			continue
 		}
 		v := victim{running: r, freed: freed, cost: cost{jobs: 1}}
 		if r.Team == team {
-			v.own = freed
+			v.ownTeamFreed = freed
 		}
 		if action == record.PreemptCheckpoint {
-			v.cost.lost = now.Sub(r.Started)
-			v.cost.once = rankOf(!r.Repeatable)
+			v.cost.lostProgress = now.Sub(r.Started)
+			v.cost.notRepeatable = intOf(!r.Repeatable)
 		}
 		list = append(list, v)
 	}
@@ -224,7 +224,7 @@
 			cmp.Compare(a.running.Job, b.running.Job),
 		)
 	})
-	return list[:min(len(list), maxExact)]
+	return list[:min(len(list), maxVictims)]
 }
 
 func (v victim) preemption(w *Worker, j *Job, action record.PreemptAction) Preemption {
@@ -235,16 +235,16 @@
 	return pre
 }
 
-// restore gives throttled jobs their cores back where room has come free that
+// restoreThrottled gives throttled jobs their cores back where room has come free that
 // neither urgent work nor its reserve needs.
-func (p *Pool) restore(pol Policy) []Preemption {
+func (p *Pool) restoreThrottled(pol Policy) []Preemption {
 	var list []Preemption
 	for i := range p.Workers {
 		w := &p.Workers[i]
 		for k := range w.Running {
 			r := &w.Running[k]
 			gain := ledger.Resources{MilliCores: r.Throttled()}
-			if gain.MilliCores <= 0 || r.Pending || !p.mayGrow(w, r, gain, pol) {
+			if gain.MilliCores <= 0 || r.Pending || !p.canRestore(w, r, gain, pol) {
 				continue
 			}
 			list = append(list, Preemption{
@@ -253,9 +253,9 @@
 				Action:     record.PreemptRestore,
 				MilliCores: r.FullMilliCores,
 			})
-			p.usable -= p.urgentRoom(w)
+			p.usableByUrgent -= p.urgentCapacity(w)
 			w.Free = w.Free.Add(gain, -1)
-			p.usable += p.urgentRoom(w)
+			p.usableByUrgent += p.urgentCapacity(w)
 			q := p.Teams[r.Team]
 			q.Used = q.Used.Add(gain, 1)
 			p.Teams[r.Team] = q
@@ -266,23 +266,23 @@
 	return list
 }
 
-func (p *Pool) mayGrow(w *Worker, r *Running, gain ledger.Resources, pol Policy) bool {
+func (p *Pool) canRestore(w *Worker, r *Running, gain ledger.Resources, pol Policy) bool {
 	q := p.Teams[r.Team]
 	if !gain.Within(w.Free) || !q.Used.Add(gain, 1).Within(q.Limit) {
 		return false
 	}
-	return pol.IgnoreHold || !p.eatsHold(w, gain, 0)
+	return pol.IgnoreHold || !p.takesUrgentReserve(w, gain, 0)
 }
 
-// yield marks the victims and adds the room and the quota that they free.
-func (p *Pool) yield(w *Worker, set []Preemption) {
+// applyPreemptions marks the victims and adds the room and the quota that they free.
+func (p *Pool) applyPreemptions(w *Worker, set []Preemption) {
 	for _, pre := range set {
 		for i := range w.Running {
 			r := &w.Running[i]
 			if r.Job != pre.Victim {
 				continue
 			}
-			freed, _ := r.frees(pre.Action)
+			freed, _ := r.freedBy(pre.Action)
 			w.Free = w.Free.Add(freed, 1)
 			q := p.Teams[r.Team]
 			q.Used = q.Used.Add(freed, -1)
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -81,28 +81,28 @@
 	}
 	for _, vm := range st.PoolVMs(service) {
 		if vm.Serving() {
-			p.Workers = append(p.Workers, worker(st, vm, svc.Doc.Limits.Slots, k))
+			p.Workers = append(p.Workers, newWorker(st, vm, svc.Doc.Limits.Slots, k))
 		}
 	}
 	slices.SortFunc(p.Workers, func(a, b Worker) int { return cmp.Compare(a.ID, b.ID) })
 	var queue []Job
 	for _, j := range st.PoolJobs(service) {
-		p.noteUrgent(j)
+		p.growUrgentPiece(j)
 		if j.Status == ledger.JobQueued {
-			queue = append(queue, queued(j, k))
+			queue = append(queue, newJob(j, k))
 		}
 	}
 	slices.SortFunc(queue, func(a, b Job) int { return cmp.Compare(a.ID, b.ID) })
 	if len(queue) > 0 {
 		p.Admitted = admitted(st, svc.Doc.Pool)
 	}
-	p.clamp(queue)
-	p.hold(svc.Doc.Jobs.UrgentMilliCores)
+	p.clampReservations(queue)
+	p.setUrgentReserve(svc.Doc.Jobs.UrgentMilliCores)
 	p.Prepare()
 	return p, queue
 }
 
-func worker(st *ledger.State, vm *ledger.VM, slots int, k Knowledge) Worker {
+func newWorker(st *ledger.State, vm *ledger.VM, slots int, k Knowledge) Worker {
 	w := Worker{
 		ID:       vm.ID,
 		Zone:     vm.Zone,
@@ -112,10 +112,10 @@
 	}
 	var used ledger.Resources
 	for _, j := range st.WorkerJobs(vm.ID) {
-		r := running(j, k)
+		r := newRunning(j, k)
 		used = used.Add(r.Reserved, 1)
-		if r.Coming != (ledger.Resources{}) && r.ComingSlots == 0 {
-			used = used.Add(r.Coming, 1)
+		if r.Freeing != (ledger.Resources{}) && r.FreeingSlots == 0 {
+			used = used.Add(r.Freeing, 1)
 		}
 		w.Running = append(w.Running, r)
 	}
@@ -131,9 +131,9 @@
 	return w
 }
 
-// running describes a placed job. A throttle that the platform has not carried
+// newRunning describes a placed job. A throttle that the platform has not carried
 // out yet still holds the cores that it will give up.
-func running(j *ledger.Job, k Knowledge) Running {
+func newRunning(j *ledger.Job, k Knowledge) Running {
 	r := Running{
 		Job:            j.ID,
 		Team:           j.Spec.Team,
@@ -143,23 +143,23 @@
 		Repeatable:     j.Spec.Repeatable,
 		Checkpointable: j.Spec.Checkpointable,
 		Started:        j.StartedAt,
-		Ends:           j.StartedAt.Add(k.RunTime(j)),
+		ExpectedEnd:    j.StartedAt.Add(k.RunTime(j)),
 	}
 	if j.Preempt == nil {
 		return r
 	}
 	switch j.Preempt.Action {
 	case record.PreemptCheckpoint:
-		r.Pending, r.Coming, r.ComingSlots = true, r.Reserved, 1
+		r.Pending, r.Freeing, r.FreeingSlots = true, r.Reserved, 1
 	case record.PreemptThrottle:
 		if !k.Applied(j.Preempt.ID) {
-			r.Pending, r.Coming = true, ledger.Resources{MilliCores: r.Throttled()}
+			r.Pending, r.Freeing = true, ledger.Resources{MilliCores: r.Throttled()}
 		}
 	}
 	return r
 }
 
-func queued(j *ledger.Job, k Knowledge) Job {
+func newJob(j *ledger.Job, k Knowledge) Job {
 	q := Job{
 		ID:             j.ID,
 		Team:           j.Spec.Team,
@@ -195,8 +195,8 @@
 	})
 }
 
-// most returns the most of each resource that one of the sizes has.
-func most(sizes []ledger.Resources) ledger.Resources {
+// maxOfEach returns the most of each resource that one of the sizes has.
+func maxOfEach(sizes []ledger.Resources) ledger.Resources {
 	var m ledger.Resources
 	for _, r := range sizes {
 		m.MilliCores = max(m.MilliCores, r.MilliCores)
@@ -206,10 +206,10 @@
 	return m
 }
 
-// clamp keeps corrected sizes placeable: what a job declares fits, so what is
+// clampReservations keeps corrected sizes placeable: what a job declares fits, so what is
 // learnt about it must not make it wait for ever. Beyond the declared size it
 // reserves no more than the quota and the smallest worker that takes it.
-func (p *Pool) clamp(queue []Job) {
+func (p *Pool) clampReservations(queue []Job) {
 	for i := range queue {
 		j := &queue[i]
 		limit := p.Teams[j.Team].Limit
@@ -225,8 +225,8 @@
 	}
 }
 
-// noteUrgent grows the urgent piece to the size of the pool's urgent jobs.
-func (p *Pool) noteUrgent(j *ledger.Job) {
+// growUrgentPiece grows the urgent piece to the size of the pool's urgent jobs.
+func (p *Pool) growUrgentPiece(j *ledger.Job) {
 	if !j.Spec.Urgent {
 		return
 	}
@@ -236,9 +236,9 @@
 	p.UrgentPiece.Accelerators = max(p.UrgentPiece.Accelerators, d.Accelerators)
 }
 
-// hold sets the room held back. While no urgent job has been seen, one piece is
+// setUrgentReserve sets the room held back. While no urgent job has been seen, one piece is
 // taken to be half of the smallest worker.
-func (p *Pool) hold(milliCores int) {
+func (p *Pool) setUrgentReserve(milliCores int) {
 	p.UrgentHold = milliCores
 	if milliCores <= 0 || len(p.Workers) == 0 {
 		return
--- a/internal/steward/daemon.go
+++ b/internal/steward/daemon.go
@@ -48,7 +48,7 @@
 	d := newDaemon(s, client, states, logger)
 	registry := admin.NewRegistry(name)
 	registry.MustRegister(d.follower, burnmetrics.New(d.follower, time.Now))
-	steward := d.steward(client, entries, stewards, registry)
+	decider := d.newSteward(client, entries, stewards, registry)
 	server := admin.New(admin.Config{
 		Listener:  adminListener,
 		Registry:  registry,
@@ -57,20 +57,20 @@
 		Logger:    logger.Named("admin"),
 	})
 	peers := peerserver.New(peerListener)
-	d.offer(peers, steward)
+	d.registerServices(peers, decider)
 	logger.Info("steward started", "admin", adminListener.Addr())
-	duties := append(d.follower.Duties(), steward.Duties()...)
-	duties = append(duties, d.jobs(client, steward, registry).Duties()...)
+	duties := append(d.follower.Duties(), decider.Duties()...)
+	duties = append(duties, d.newJobRunner(client, decider, registry).Duties()...)
 	return supervise.Run(ctx, name, logger, append(duties,
 		supervise.Duty{Name: "admin", Serve: server.Serve},
 		supervise.Duty{Name: "peers", Serve: peers.Serve},
 		supervise.Duty{Name: "greet", Serve: stewards.Serve},
-		supervise.Duty{Name: "ready", Serve: func(ctx context.Context) error { return d.watchLog(ctx, steward) }},
+		supervise.Duty{Name: "ready", Serve: func(ctx context.Context) error { return d.reportLogReadiness(ctx, decider) }},
 	)...)
 }
 
-// watchLog shows on the readiness page whether the steward may decide.
-func (d daemon) watchLog(ctx context.Context, s *Steward) error {
+// reportLogReadiness shows on the readiness page whether the steward may decide.
+func (d daemon) reportLogReadiness(ctx context.Context, s *Steward) error {
 	return every(ctx, time.Second, func(context.Context) {
 		if s.MayDecide() {
 			d.readiness.Ready("log")
@@ -100,8 +100,8 @@
 	}
 }
 
-// offer registers what the daemon answers on its peer address.
-func (d daemon) offer(peers *peerserver.Server, s *Steward) {
+// registerServices registers what the daemon answers on its peer address.
+func (d daemon) registerServices(peers *peerserver.Server, s *Steward) {
 	operator.Register(peers.Registrar(), operator.ServerConfig{
 		Node:    d.settings.Node.ID,
 		Role:    operator.RoleSteward,
@@ -117,8 +117,8 @@
 	})
 }
 
-// steward returns the decider and its duties' common part.
-func (d daemon) steward(fleet platform.Fleet, entries Entries, peers Peers, registry prometheus.Registerer) *Steward {
+// newSteward returns the decider and its duties' common part.
+func (d daemon) newSteward(fleet platform.Fleet, entries Entries, peers Peers, registry prometheus.Registerer) *Steward {
 	return New(Config{
 		Node:          d.settings.Node.ID,
 		Follower:      d.follower,
@@ -135,8 +135,8 @@
 	})
 }
 
-// jobs returns the driver of the pools' jobs.
-func (d daemon) jobs(tasks platform.Tasks, s *Steward, registry prometheus.Registerer) *jobrunner.Runner {
+// newJobRunner returns the driver of the pools' jobs.
+func (d daemon) newJobRunner(tasks platform.Tasks, s *Steward, registry prometheus.Registerer) *jobrunner.Runner {
 	return jobrunner.New(jobrunner.Config{
 		Core: jobrunner.CoreConfig{
 			Node:  d.settings.Node.ID,
--- a/internal/steward/evidence.go
+++ b/internal/steward/evidence.go
@@ -29,19 +29,19 @@
 // Healthy implements Peers.
 func (NoPeers) Healthy(context.Context, []string) (map[string]bool, int) { return nil, 0 }
 
-// suspect is a VM that fails its health checks here.
-type suspect struct {
+// failingVM is a VM that fails its health checks here.
+type failingVM struct {
 	vm    ledger.VM
 	cause string
 }
 
-// confirmed returns the suspects that are down. The failure is that this node's
+// confirmFailures returns the suspects that are down. The failure is that this node's
 // own network is cut: all VMs then fail here at once, and recording them as down
 // would spend the budgets of pools that serve. So a peer that reaches a VM
 // clears it; without any peer's word, failures in several racks at once count
 // as this node's own. sample holds the round's results of VMs that were checked
 // whether or not they had failed before.
-func (h *health) confirmed(ctx context.Context, failing []suspect, sample []error) []suspect {
+func (h *health) confirmFailures(ctx context.Context, failing []failingVM, sample []error) []failingVM {
 	if len(failing) == 0 {
 		return nil
 	}
@@ -51,17 +51,17 @@
 		addresses = append(addresses, s.vm.Address)
 		racks[s.vm.Rack] = true
 	}
-	reached, asked := h.cfg.Peers.Healthy(ctx, addresses)
-	own := len(racks) > 1 && (h.cfg.Peers.Configured() || mostFailed(sample))
-	if asked == 0 && own {
-		h.metrics.held.Add(float64(len(failing)))
+	healthyAtPeer, asked := h.cfg.Peers.Healthy(ctx, addresses)
+	localFault := len(racks) > 1 && (h.cfg.Peers.Configured() || atLeastHalfFailed(sample))
+	if asked == 0 && localFault {
+		h.metrics.heldBack.Add(float64(len(failing)))
 		h.cfg.Logger.Warn("failures held back: this node's own network may be cut", "vms", len(failing), "racks", len(racks))
 		return nil
 	}
-	var down []suspect
+	var down []failingVM
 	for _, s := range failing {
-		if reached[s.vm.Address] {
-			h.metrics.held.Inc()
+		if healthyAtPeer[s.vm.Address] {
+			h.metrics.heldBack.Inc()
 			h.cfg.Logger.Warn("a peer reaches a VM that fails here", "vm", s.vm.ID, "cause", s.cause)
 			continue
 		}
@@ -70,7 +70,7 @@
 	return down
 }
 
-func mostFailed(results []error) bool {
+func atLeastHalfFailed(results []error) bool {
 	failed := 0
 	for _, err := range results {
 		if err != nil {
--- a/internal/steward/evidence_test.go
+++ b/internal/steward/evidence_test.go
@@ -17,30 +17,30 @@
 	"github.com/yuccadrift/yuccadrift/internal/steward"
 )
 
-// failing is a Checker that fails for the VMs whose address has a prefix.
-type failing struct{ prefix atomic.Value }
+// prefixChecker is a Checker that fails for the VMs whose address has a prefix.
+type prefixChecker struct{ prefix atomic.Value }
 
-func (f *failing) Check(_ context.Context, address string) error {
+func (f *prefixChecker) Check(_ context.Context, address string) error {
 	if p, _ := f.prefix.Load().(string); p != "" && strings.HasPrefix(address, p) {
 		return errors.New("no answer")
 	}
 	return nil
 }
 
-// opinion is a peer that reaches all VMs, or none, or does not answer itself.
-type opinion struct {
-	reaches bool
-	silent  bool
+// fakePeer is a peer that reaches all VMs, or none, or does not answer itself.
+type fakePeer struct {
+	reaches     bool
+	unreachable bool
 }
 
-func (o opinion) Configured() bool { return true }
-func (o opinion) Nodes() []string  { return nil }
-func (o opinion) Healthy(_ context.Context, addresses []string) (map[string]bool, int) {
+func (o fakePeer) Configured() bool { return true }
+func (o fakePeer) Nodes() []string  { return nil }
+func (o fakePeer) Healthy(_ context.Context, addresses []string) (map[string]bool, int) {
 	healthy := map[string]bool{}
 	for _, a := range addresses {
 		healthy[a] = o.reaches
 	}
-	if o.silent {
+	if o.unreachable {
 		return nil, 0
 	}
 	return healthy, 1
@@ -54,22 +54,22 @@
 // one rack when no peer can be heard, count.
 func TestFailuresSeenByOneStewardOnly(t *testing.T) {
 	cases := map[string]struct {
-		peer   opinion
+		peer   fakePeer
 		prefix string
 		down   int
 	}{
-		"a peer reaches them":            {opinion{reaches: true}, "10.", 0},
-		"a peer fails too":               {opinion{}, "10.", 12},
-		"no peer, several racks":         {opinion{silent: true}, "10.", 0},
-		"no peer, one VM":                {opinion{silent: true}, "10.0.0.3:", 1},
-		"one VM that a peer still sees":  {opinion{reaches: true}, "10.0.0.3:", 0},
-		"one VM that no steward reaches": {opinion{}, "10.0.0.3:", 1},
+		"a peer reaches them":            {fakePeer{reaches: true}, "10.", 0},
+		"a peer fails too":               {fakePeer{}, "10.", 12},
+		"no peer, several racks":         {fakePeer{unreachable: true}, "10.", 0},
+		"no peer, one VM":                {fakePeer{unreachable: true}, "10.0.0.3:", 1},
+		"one VM that a peer still sees":  {fakePeer{reaches: true}, "10.0.0.3:", 0},
+		"one VM that no steward reaches": {fakePeer{}, "10.0.0.3:", 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 12, Zones: []string{"a", "b", "c"}}}})
-				check := &failing{}
+				check := &prefixChecker{}
 				n := startNode(t, fake, "entry-1", func(cfg *steward.Config) { cfg.Health, cfg.Peers = check, c.peer })
 				time.Sleep(time.Second)
 				publish(t, n, "ramcharan", "booking")
--- a/internal/steward/executor.go
+++ b/internal/steward/executor.go
@@ -14,14 +14,14 @@
 
 // Pauses of the executor.
 const (
-	// lookInterval is the pause between looks for VMs with a step due.
-	lookInterval = 200 * time.Millisecond
-	// maxStepPause bounds the pause before a step that was not through is done
+	// enqueueInterval is the pause between looks for VMs with a step due.
+	enqueueInterval = 200 * time.Millisecond
+	// maxBackoff bounds the pause before a step that was not through is done
 	// again. It doubles from lookInterval: a drain or reboot that takes minutes
 	// would else ask the platform and every entry process five times a second.
-	maxStepPause = time.Second
-	// rememberFor is for how long undone work is remembered for a takeover.
-	rememberFor = 10 * time.Minute
+	maxBackoff = time.Second
+	// pendingWorkTTL is for how long undone work is remembered for a takeover.
+	pendingWorkTTL = 10 * time.Minute
 )
 
 // executor carries out the effective drains and joins, one step at a time. It
@@ -29,26 +29,26 @@
 // folded phase, and the platform carries out an operation ID once.
 type executor struct {
 	*Steward
-	work chan string
+	queue chan string
 
-	mu    sync.Mutex
-	busy  map[string]bool
-	rests map[string]rest
+	mu       sync.Mutex
+	queued   map[string]bool
+	backoffs map[string]backoff
 }
 
-// rest is the pause before a VM's step is tried again.
-type rest struct {
+// backoff is the pause before a VM's step is tried again.
+type backoff struct {
 	revision record.Revision // of the VM; the pause ends when it changes
-	pause    time.Duration
+	delay    time.Duration
 	until    time.Time
 }
 
 func newExecutor(s *Steward) *executor {
 	return &executor{
-		Steward: s,
-		work:    make(chan string, s.cfg.MaxActions),
-		busy:    map[string]bool{},
-		rests:   map[string]rest{},
+		Steward:  s,
+		queue:    make(chan string, s.cfg.MaxActions),
+		queued:   map[string]bool{},
+		backoffs: map[string]backoff{},
 	}
 }
 
@@ -57,93 +57,93 @@
 func (e *executor) serve(ctx context.Context) error {
 	var wg sync.WaitGroup
 	for range e.cfg.MaxActions {
-		wg.Go(func() { e.worker(ctx) })
+		wg.Go(func() { e.runWorker(ctx) })
 	}
 	defer wg.Wait()
-	return every(ctx, lookInterval, e.look)
+	return every(ctx, enqueueInterval, e.enqueueDue)
 }
 
-func (e *executor) worker(ctx context.Context) {
+func (e *executor) runWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case id := <-e.work:
+		case id := <-e.queue:
 			for e.step(ctx, id) && ctx.Err() == nil {
 			}
-			e.finish(id, time.Now())
+			e.backOff(id, time.Now())
 		}
 	}
 }
 
-// look hands out the VMs whose step falls to this steward. A full channel is
+// enqueueDue hands out the VMs whose step falls to this steward. A full channel is
 // met by the next look. A steward that was paused or cut off acts only once it
 // has caught up: what it holds for the next step may be long done.
-func (e *executor) look(ctx context.Context) {
+func (e *executor) enqueueDue(ctx context.Context) {
 	if !e.MayDecide() {
 		return
 	}
 	now := time.Now()
 	var due []string
 	e.cfg.Follower.View(func(st *ledger.State) {
-		e.shares.follow(st, e.cfg.Peers)
+		e.shares.updateNodes(st, e.cfg.Peers)
 		for id, vm := range st.VMs {
 			if maintenance.Next(vm) == maintenance.StepNone {
 				continue
 			}
-			if !e.resting(vm, now) && e.shares.mine(id, fmt.Sprintf("act/%s/%d", id, vm.Revision), now) {
+			if !e.backingOff(vm, now) && e.shares.claim(id, fmt.Sprintf("act/%s/%d", id, vm.Revision), now) {
 				due = append(due, id)
 			}
 		}
 	})
-	e.shares.forget(now.Add(-rememberFor))
-	e.forget(now.Add(-rememberFor))
+	e.shares.dropBefore(now.Add(-pendingWorkTTL))
+	e.dropExpiredBackoffs(now.Add(-pendingWorkTTL))
 	for _, id := range due {
-		if !e.offer(id) {
+		if !e.tryEnqueue(id) {
 			return
 		}
 	}
 }
 
-// finish ends the work on a VM and lets it rest.
-func (e *executor) finish(id string, now time.Time) {
+// backOff ends the work on a VM and lets it rest.
+func (e *executor) backOff(id string, now time.Time) {
 	vm, _ := e.vm(id)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.busy, id)
-	r := e.rests[id]
+	delete(e.queued, id)
+	r := e.backoffs[id]
 	if r.revision != vm.Revision {
-		r = rest{revision: vm.Revision}
+		r = backoff{revision: vm.Revision}
 	}
-	r.pause = min(max(2*r.pause, lookInterval), maxStepPause)
-	r.until = now.Add(r.pause)
-	e.rests[id] = r
+	r.delay = min(max(2*r.delay, enqueueInterval), maxBackoff)
+	r.until = now.Add(r.delay)
+	e.backoffs[id] = r
 }
 
-// forget drops the rests that ended before the time.
-func (e *executor) forget(before time.Time) {
+// dropExpiredBackoffs drops the rests that ended before the time.
+func (e *executor) dropExpiredBackoffs(before time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	maps.DeleteFunc(e.rests, func(_ string, r rest) bool { return r.until.Before(before) })
+	maps.DeleteFunc(e.backoffs, func(_ string, r backoff) bool { return r.until.Before(before) })
 }
 
-// resting reports whether the VM's step is to be left for now.
-func (e *executor) resting(vm *ledger.VM, now time.Time) bool {
+// backingOff reports whether the VM's step is to be left for now.
+func (e *executor) backingOff(vm *ledger.VM, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r, ok := e.rests[vm.ID]
+	r, ok := e.backoffs[vm.ID]
 	return ok && r.revision == vm.Revision && now.Before(r.until)
 }
 
-func (e *executor) offer(id string) bool {
+func (e *executor) tryEnqueue(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.busy[id] {
+	if e.queued[id] {
 		return true
 	}
 	select {
-	case e.work <- id:
-		e.busy[id] = true
+	case e.queue <- id:
+		e.queued[id] = true
 		return true
 	default:
 		return false
--- a/internal/steward/faults_test.go
+++ b/internal/steward/faults_test.go
@@ -17,10 +17,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/steward"
 )
 
-// listed is a Checker that reaches the VMs that the platform's list shows.
-type listed struct{ fake *standin.Platform }
+// listedChecker is a Checker that reaches the VMs that the platform's list shows.
+type listedChecker struct{ fake *standin.Platform }
 
-func (l listed) Check(ctx context.Context, address string) error {
+func (l listedChecker) Check(ctx context.Context, address string) error {
 	list, err := l.fake.List(ctx)
 	for _, vm := range list.VMs {
 		if err == nil && vm.Address == address {
@@ -38,16 +38,16 @@
 func TestWaveUnderPlatformFaults(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { waveUnderFaults(t, rand.New(rand.NewPCG(seed, 3))) })
+			synctest.Test(t, func(t *testing.T) { checkWaveUnderFaults(t, rand.New(rand.NewPCG(seed, 3))) })
 		})
 	}
 }
 
-func waveUnderFaults(t *testing.T, r *rand.Rand) {
+func checkWaveUnderFaults(t *testing.T, r *rand.Rand) {
 	fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 14, Zones: []string{"a", "b", "c"}}}})
 	var nodes []*node
 	for i := range 3 {
-		nodes = append(nodes, startNode(t, fake, fmt.Sprintf("entry-%d", i+1), func(cfg *steward.Config) { cfg.Health = listed{fake} }))
+		nodes = append(nodes, startNode(t, fake, fmt.Sprintf("entry-%d", i+1), func(cfg *steward.Config) { cfg.Health = listedChecker{fake} }))
 	}
 	time.Sleep(time.Second)
 	publish(t, nodes[0], "ramcharan", "booking")
@@ -75,7 +75,7 @@
 	time.Sleep(30 * time.Minute)
 
 	reboots := fake.Counters().Reboots
-	nodes[2].follow.View(func(s *ledger.State) {
+	nodes[2].follower.View(func(s *ledger.State) {
 		assert.Equal(t, ledger.WaveDone, s.Waves["w1"].Status)
 		assert.GreaterOrEqual(t, s.Unavailability("booking").Serving, 12)
 		for id, vm := range s.VMs {
--- a/internal/steward/health.go
+++ b/internal/steward/health.go
@@ -32,57 +32,59 @@
 // health watches the VMs of this steward's share.
 type health struct {
 	*Steward
-	streaks map[string]*streak
+	results map[string]*consecutiveResults
 }
 
-// streak counts like results in a row.
-type streak struct {
-	good, bad int
-	cause     string
-	at        time.Time // of the latest check
+// consecutiveResults counts like results in a row.
+type consecutiveResults struct {
+	successes, failures int
+	cause               string
+	checkedAt           time.Time // of the latest check
 }
 
-func newHealth(s *Steward) *health { return &health{Steward: s, streaks: map[string]*streak{}} }
+func newHealth(s *Steward) *health {
+	return &health{Steward: s, results: map[string]*consecutiveResults{}}
+}
 
 func (h *health) serve(ctx context.Context) error {
-	return every(ctx, h.cfg.CheckInterval, h.round)
+	return every(ctx, h.cfg.CheckInterval, h.runRound)
 }
 
-func (h *health) round(ctx context.Context) {
-	share, seen := h.watched()
-	vms, sample := h.due(share)
-	results := h.checkAll(ctx, vms)
+func (h *health) runRound(ctx context.Context) {
+	share, seen := h.ownServingVMs()
+	vms, sample := h.selectVMs(share)
+	checkResults := h.checkAll(ctx, vms)
 	now := time.Now()
 	var proposals []pool.Proposal
-	var failing []suspect
+	var failing []failingVM
 	for i, vm := range vms {
-		s := h.note(vm.ID, results[i])
-		s.at = now
+		s := h.recordResult(vm.ID, checkResults[i])
+		s.checkedAt = now
 		switch {
-		case !vm.Down && s.bad >= downAfter:
-			failing = append(failing, suspect{vm: vm, cause: s.cause})
-		case vm.Down && s.good >= upAfter:
+		case !vm.Down && s.failures >= downAfter:
+			failing = append(failing, failingVM{vm: vm, cause: s.cause})
+		case vm.Down && s.successes >= upAfter:
 			proposals = append(proposals, pool.OnVM(&pool.VM{VM: vm}, record.VMUp{}, vm.ID, "healthy again"))
 		}
 	}
-	for _, s := range h.confirmed(ctx, failing, results[:sample]) {
+	for _, s := range h.confirmFailures(ctx, failing, checkResults[:sample]) {
 		proposals = append(proposals, pool.OnVM(&pool.VM{VM: s.vm}, record.VMDown{Cause: s.cause}, s.vm.ID, s.cause))
 	}
 	if h.MayDecide() {
-		h.propose.all(ctx, seen, proposals)
+		h.proposer.proposeAll(ctx, seen, proposals)
 	}
 }
 
-// watched returns the VMs of this steward's share that are not on their way
+// ownServingVMs returns the VMs of this steward's share that are not on their way
 // through a drain: those are the executor's.
-func (h *health) watched() ([]ledger.VM, uint64) {
+func (h *health) ownServingVMs() ([]ledger.VM, uint64) {
 	var vms []ledger.VM
 	var seen uint64
 	now := time.Now()
 	h.cfg.Follower.View(func(st *ledger.State) {
 		seen = st.Offset
 		for id, vm := range st.VMs {
-			if maintenance.Next(vm) == maintenance.StepNone && h.shares.first(id, now) {
+			if maintenance.Next(vm) == maintenance.StepNone && h.shares.isFirst(id, now) {
 				vms = append(vms, copyVM(vm))
 			}
 		}
@@ -90,16 +92,16 @@
 	return vms, seen
 }
 
-// due returns the VMs to check in this round: those whose latest check is the
+// selectVMs returns the VMs to check in this round: those whose latest check is the
 // oldest, whose number sample also returns, and those with news to settle.
-func (h *health) due(share []ledger.VM) (vms []ledger.VM, sample int) {
+func (h *health) selectVMs(share []ledger.VM) (vms []ledger.VM, sample int) {
 	slices.SortFunc(share, func(a, b ledger.VM) int {
-		return cmp.Or(h.streak(a.ID).at.Compare(h.streak(b.ID).at), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(h.resultsOf(a.ID).checkedAt.Compare(h.resultsOf(b.ID).checkedAt), cmp.Compare(a.ID, b.ID))
 	})
 	sample = min(len(share), max(1, int(checksPerSecond*h.cfg.CheckInterval.Seconds())))
 	vms = slices.Clone(share[:sample])
 	for _, vm := range share[sample:] {
-		if s := h.streak(vm.ID); (!vm.Down && s.bad > 0) || (vm.Down && s.good > 0) {
+		if s := h.resultsOf(vm.ID); (!vm.Down && s.failures > 0) || (vm.Down && s.successes > 0) {
 			vms = append(vms, vm)
 		}
 	}
@@ -108,12 +110,12 @@
 
 func (h *health) checkAll(ctx context.Context, vms []ledger.VM) []error {
 	results := make([]error, len(vms))
-	room := make(chan struct{}, checkParallel)
+	slots := make(chan struct{}, checkParallel)
 	var wg sync.WaitGroup
 	for i := range vms {
-		room <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			results[i] = h.cfg.Health.Check(ctx, vms[i].Address)
 		})
 	}
@@ -121,21 +123,21 @@
 	return results
 }
 
-func (h *health) streak(vm string) *streak {
-	s := h.streaks[vm]
+func (h *health) resultsOf(vm string) *consecutiveResults {
+	s := h.results[vm]
 	if s == nil {
-		s = &streak{}
-		h.streaks[vm] = s
+		s = &consecutiveResults{}
+		h.results[vm] = s
 	}
 	return s
 }
 
-func (h *health) note(vm string, result error) *streak {
-	s := h.streak(vm)
+func (h *health) recordResult(vm string, result error) *consecutiveResults {
+	s := h.resultsOf(vm)
 	if result == nil {
-		s.good, s.bad, s.cause = s.good+1, 0, ""
+		s.successes, s.failures, s.cause = s.successes+1, 0, ""
 		return s
 	}
-	s.good, s.bad, s.cause = 0, s.bad+1, result.Error()
+	s.successes, s.failures, s.cause = 0, s.failures+1, result.Error()
 	return s
 }
--- a/internal/steward/metrics.go
+++ b/internal/steward/metrics.go
@@ -12,11 +12,11 @@
 
 // metrics are the steward's own; what concerns the fleet is the report's.
 type metrics struct {
-	proposals *prometheus.CounterVec
-	actions   *prometheus.CounterVec
-	round     prometheus.Histogram
-	held      prometheus.Counter
-	spare     *prometheus.GaugeVec
+	proposals    *prometheus.CounterVec
+	actions      *prometheus.CounterVec
+	roundSeconds prometheus.Histogram
+	heldBack     prometheus.Counter
+	spare        *prometheus.GaugeVec
 }
 
 func newMetrics(to prometheus.Registerer) *metrics {
@@ -29,12 +29,12 @@
 			Name: "yuccadrift_steward_actions_total",
 			Help: "Actions sent to the platform, repeats included, by action and what the reply proved.",
 		}, []string{"action", "result"}),
-		round: prometheus.NewHistogram(prometheus.HistogramOpts{
+		roundSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "yuccadrift_steward_planning_round_seconds",
 			Help:    "Time that one planning round takes, the appends left out.",
 			Buckets: prometheus.ExponentialBuckets(0.0001, 2, 12),
 		}),
-		held: prometheus.NewCounter(prometheus.CounterOpts{
+		heldBack: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "yuccadrift_steward_failures_held_back_total",
 			Help: "Failed health checks not recorded because the fault may lie in this node's network.",
 		}),
@@ -44,20 +44,20 @@
 		}, []string{"kept"}),
 	}
 	if to != nil {
-		to.MustRegister(m.proposals, m.actions, m.round, m.held, m.spare)
+		to.MustRegister(m.proposals, m.actions, m.roundSeconds, m.heldBack, m.spare)
 	}
 	return m
 }
 
-func (m *metrics) proposed(kind record.Kind, outcome ledger.Status) {
+func (m *metrics) observeProposal(kind record.Kind, outcome ledger.Status) {
 	m.proposals.WithLabelValues(string(kind), string(outcome)).Inc()
 }
 
 // outcomeUnknown labels proposals whose outcome did not come in time.
 const outcomeUnknown ledger.Status = "unknown"
 
-func (m *metrics) acted(verb maintenance.Verb, r maintenance.Result) {
+func (m *metrics) observeAction(verb maintenance.Verb, r maintenance.Result) {
 	m.actions.WithLabelValues(string(verb), r.String()).Inc()
 }
 
-func (m *metrics) planned(took time.Duration) { m.round.Observe(took.Seconds()) }
+func (m *metrics) observeRound(took time.Duration) { m.roundSeconds.Observe(took.Seconds()) }
--- a/internal/steward/outage_test.go
+++ b/internal/steward/outage_test.go
@@ -23,95 +23,95 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// act is something that a steward did: an append, or an action on a VM.
-type act struct {
+// attempt is something that a steward did: an append, or an action on a VM.
+type attempt struct {
 	at     time.Time
 	what   string
 	offset uint64 // that the steward had folded
 }
 
-// way is one steward's way to the platform. Its two parts can be cut, and it
+// platformLink is one steward's way to the platform. Its two parts can be cut, and it
 // notes what the steward tries, also while it is cut.
-type way struct {
+type platformLink struct {
 	platform.Fleet
 	*testkit.FaultyLog
-	node      atomic.Pointer[node]
-	noActions atomic.Bool
+	node        atomic.Pointer[node]
+	actionsFail atomic.Bool
 
-	mu   sync.Mutex
-	acts []act
+	mu       sync.Mutex
+	attempts []attempt
 }
 
-func (w *way) note(what string) {
-	a := act{at: time.Now(), what: what}
+func (w *platformLink) recordAttempt(what string) {
+	a := attempt{at: time.Now(), what: what}
 	if n := w.node.Load(); n != nil {
-		n.follow.View(func(s *ledger.State) { a.offset = s.Offset })
+		n.follower.View(func(s *ledger.State) { a.offset = s.Offset })
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.acts = append(w.acts, a)
+	w.attempts = append(w.attempts, a)
 }
 
-// since returns what was tried after the time.
-func (w *way) since(at time.Time) []act {
+// attemptsAfter returns what was tried after the time.
+func (w *platformLink) attemptsAfter(at time.Time) []attempt {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(w.acts), func(a act) bool { return !a.at.After(at) })
+	return slices.DeleteFunc(slices.Clone(w.attempts), func(a attempt) bool { return !a.at.After(at) })
 }
 
-func (w *way) Append(ctx context.Context, name string, entries [][]byte) (platform.Offset, error) {
-	w.note("append")
+func (w *platformLink) Append(ctx context.Context, name string, entries [][]byte) (platform.Offset, error) {
+	w.recordAttempt("append")
 	return w.FaultyLog.Append(ctx, name, entries)
 }
 
 type action func(context.Context, string, platform.Operation) (platform.OperationStatus, error)
 
-func (w *way) act(ctx context.Context, do action, verb, vm string, op platform.Operation) (platform.OperationStatus, error) {
-	w.note(verb + " " + vm)
-	if w.noActions.Load() {
+func (w *platformLink) try(ctx context.Context, do action, verb, vm string, op platform.Operation) (platform.OperationStatus, error) {
+	w.recordAttempt(verb + " " + vm)
+	if w.actionsFail.Load() {
 		return "", platform.ErrUnavailable
 	}
 	return do(ctx, vm, op)
 }
 
-func (w *way) Drain(ctx context.Context, vm string, op platform.Operation) (platform.OperationStatus, error) {
-	return w.act(ctx, w.Fleet.Drain, "drain", vm, op)
+func (w *platformLink) Drain(ctx context.Context, vm string, op platform.Operation) (platform.OperationStatus, error) {
+	return w.try(ctx, w.Fleet.Drain, "drain", vm, op)
 }
 
-func (w *way) Undrain(ctx context.Context, vm string, op platform.Operation) (platform.OperationStatus, error) {
-	return w.act(ctx, w.Fleet.Undrain, "undrain", vm, op)
+func (w *platformLink) Undrain(ctx context.Context, vm string, op platform.Operation) (platform.OperationStatus, error) {
+	return w.try(ctx, w.Fleet.Undrain, "undrain", vm, op)
 }
 
-func (w *way) Reboot(ctx context.Context, vm string, op platform.Operation) (platform.OperationStatus, error) {
-	return w.act(ctx, w.Fleet.Reboot, "reboot", vm, op)
+func (w *platformLink) Reboot(ctx context.Context, vm string, op platform.Operation) (platform.OperationStatus, error) {
+	return w.try(ctx, w.Fleet.Reboot, "reboot", vm, op)
 }
 
-func (w *way) List(ctx context.Context) (platform.VMList, error) {
-	if w.noActions.Load() {
+func (w *platformLink) List(ctx context.Context) (platform.VMList, error) {
+	if w.actionsFail.Load() {
 		return platform.VMList{}, platform.ErrUnavailable
 	}
 	return w.Fleet.List(ctx)
 }
 
-// midWave is three stewards in the middle of a wave, and an operator who has a
+// waveInProgress is three stewards in the middle of a wave, and an operator who has a
 // way of his own to the log.
-type midWave struct {
+type waveInProgress struct {
 	*testing.T
 	fake     *standin.Platform
-	ways     []*way
+	links    []*platformLink
 	operator *node
 }
 
-func startMidWave(t *testing.T, opts standin.Options) *midWave {
+func startWaveInProgress(t *testing.T, opts standin.Options) *waveInProgress {
 	opts.AppendsPerSecond = -1
 	opts.Groups = []standin.Group{{Prefix: "vm", Count: 14, Zones: []string{"a", "b", "c"}}}
-	m := &midWave{T: t, fake: standin.New(opts)}
-	m.operator = &node{follow: follower.New(follower.Config{Log: m.fake, Stream: stream, Logger: hclog.NewNullLogger()})}
-	go func() { _ = m.operator.follow.Serve(t.Context()) }()
+	m := &waveInProgress{T: t, fake: standin.New(opts)}
+	m.operator = &node{follower: follower.New(follower.Config{Log: m.fake, Stream: stream, Logger: hclog.NewNullLogger()})}
+	go func() { _ = m.operator.follower.Serve(t.Context()) }()
 	for i := range 3 {
-		w := &way{Fleet: m.fake, FaultyLog: testkit.NewFaultyLog(m.fake)}
-		w.node.Store(startNode(t, w, fmt.Sprintf("entry-%d", i+1), func(cfg *steward.Config) { cfg.Health = listed{m.fake} }))
-		m.ways = append(m.ways, w)
+		w := &platformLink{Fleet: m.fake, FaultyLog: testkit.NewFaultyLog(m.fake)}
+		w.node.Store(startNode(t, w, fmt.Sprintf("entry-%d", i+1), func(cfg *steward.Config) { cfg.Health = listedChecker{m.fake} }))
+		m.links = append(m.links, w)
 	}
 	time.Sleep(time.Second)
 	publish(t, m.operator, "ramcharan", "booking")
@@ -124,27 +124,27 @@
 	return m
 }
 
-// fail loses a VM, or those of a rack.
-func (m *midWave) fail(target string) {
+// crash loses a VM, or those of a rack.
+func (m *waveInProgress) crash(target string) {
 	_, err := m.fake.Order(standin.Fault{Kind: standin.VMCrash, Target: target})
 	require.NoError(m, err)
 }
 
-// idle lets d pass and checks that no steward tried anything once its state had
+// requireNoAttempts lets d pass and checks that no steward tried anything once its state had
 // grown old, except to end an append that was under way.
-func (m *midWave) idle(d time.Duration) {
+func (m *waveInProgress) requireNoAttempts(d time.Duration) {
 	m.Helper()
 	time.Sleep(15 * time.Second)
 	began := time.Now()
 	time.Sleep(d)
-	for i, w := range m.ways {
-		tried := w.since(began)
-		assert.Empty(m, tried[:min(3, len(tried))], "%d acts of steward %d", len(tried), i+1)
+	for i, w := range m.links {
+		attempts := w.attemptsAfter(began)
+		assert.Empty(m, attempts[:min(3, len(attempts))], "%d acts of steward %d", len(attempts), i+1)
 	}
 }
 
-// write appends more records than one read brings, and returns the log's end.
-func (m *midWave) write(records int) uint64 {
+// appendRecords appends more records than one read brings, and returns the log's end.
+func (m *waveInProgress) appendRecords(records int) uint64 {
 	const most = 500
 	for ; records > 0; records -= most {
 		_, err := m.fake.Append(m.Context(), stream, slices.Repeat([][]byte{[]byte("of another system")}, min(most, records)))
@@ -152,7 +152,7 @@
 	}
 	time.Sleep(time.Second)
 	var tail uint64
-	m.operator.follow.View(func(s *ledger.State) { tail = s.Offset })
+	m.operator.follower.View(func(s *ledger.State) { tail = s.Offset })
 	return tail
 }
 
@@ -165,43 +165,43 @@
 // them: the wave takes no further VM, and what failed is replaced. Why: a
 // decision needs a read of the log's end that is seconds old at most, and a read
 // that ended before the end does not count.
-func TestPlatformOutOfReachForHours(t *testing.T) {
+func TestStewardsDoNothingWhileThePlatformIsUnreachable(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		m := startMidWave(t, standin.Options{})
-		for _, w := range m.ways {
+		m := startWaveInProgress(t, standin.Options{})
+		for _, w := range m.links {
 			w.Cut(true)
 		}
-		m.fail("rack/a-r01")
-		m.idle(3 * time.Hour)
-		for _, w := range m.ways {
-			w.noActions.Store(true)
+		m.crash("rack/a-r01")
+		m.requireNoAttempts(3 * time.Hour)
+		for _, w := range m.links {
+			w.actionsFail.Store(true)
 		}
-		m.fail("vm-02")
-		m.idle(3 * time.Hour)
+		m.crash("vm-02")
+		m.requireNoAttempts(3 * time.Hour)
 
-		m.write(3500)
+		m.appendRecords(3500)
 		m.operator.propose(t, record.Subject{Kind: record.SubjectWave, Name: "w1"}, record.WaveControl{Command: record.WaveAbort})
 		publish(t, m.operator, "ramcharan", "returns")
-		tail := m.write(0)
+		tail := m.appendRecords(0)
 		_, err := m.fake.Order(standin.Fault{Kind: standin.LogSlow, Target: "read", DelayMS: 900})
 		require.NoError(t, err)
 		rejoin := time.Now()
-		for _, w := range m.ways {
+		for _, w := range m.links {
 			w.Cut(false)
-			w.noActions.Store(false)
+			w.actionsFail.Store(false)
 		}
 		time.Sleep(5 * time.Minute)
-		var did []act
-		for i, w := range m.ways {
-			acts := w.since(rejoin)
+		var attempts []attempt
+		for i, w := range m.links {
+			acts := w.attemptsAfter(rejoin)
 			if len(acts) > 0 {
 				assert.GreaterOrEqual(t, acts[0].offset, tail, "steward %d: %s", i+1, acts[0].what)
 			}
-			did = append(did, acts...)
+			attempts = append(attempts, acts...)
 		}
-		assert.NotEmpty(t, did, "the stewards go on")
-		m.operator.follow.View(func(s *ledger.State) {
+		assert.NotEmpty(t, attempts, "the stewards go on")
+		m.operator.follower.View(func(s *ledger.State) {
 			assert.Equal(t, ledger.WaveAborted, s.Waves["w1"].Status)
 			assert.NotNil(t, s.Services["returns"])
 			for id, vm := range s.VMs {
@@ -218,57 +218,57 @@
 // not folded yet, or as another one that begins anew and is shorter. A rack has
 // failed. No steward acts on what it has: it keeps its state and says what is
 // wrong. When the true log is back, they act on its end.
-func TestLogThatComesBackOtherThanItWas(t *testing.T) {
+func TestStewardsActOnlyOnTheLogThatTheyFollowed(t *testing.T) {
 	t.Parallel()
 	for _, condition := range []follower.Condition{follower.Gap, follower.Foreign} {
 		t.Run(string(condition), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				m := startMidWave(t, standin.Options{RetentionEntries: 1000})
+				m := startWaveInProgress(t, standin.Options{RetentionEntries: 1000})
 				another := standin.New(standin.Options{})
 				_, err := another.Append(t.Context(), stream, [][]byte{[]byte("first")})
 				require.NoError(t, err)
-				for _, w := range m.ways {
+				for _, w := range m.links {
 					w.Cut(true)
 				}
-				m.fail("rack/a-r01")
-				m.idle(20 * time.Minute)
+				m.crash("rack/a-r01")
+				m.requireNoAttempts(20 * time.Minute)
 				if condition == follower.Gap {
-					m.write(4000)
+					m.appendRecords(4000)
 				}
-				for _, w := range m.ways {
+				for _, w := range m.links {
 					if condition == follower.Foreign {
 						w.Redirect(another)
 					}
 					w.Cut(false)
 				}
-				m.idle(20 * time.Minute)
-				for _, w := range m.ways {
-					is, detail := w.node.Load().follow.Condition()
+				m.requireNoAttempts(20 * time.Minute)
+				for _, w := range m.links {
+					is, detail := w.node.Load().follower.Condition()
 					assert.Equal(t, condition, is)
 					assert.NotEmpty(t, detail)
 				}
 				if condition == follower.Gap {
 					return
 				}
-				tail := m.write(10)
+				tail := m.appendRecords(10)
 				back := time.Now()
-				for _, w := range m.ways {
+				for _, w := range m.links {
 					w.Redirect(m.fake)
 				}
 				time.Sleep(5 * time.Minute)
 				// A steward may find that the others have done all there was to do, but
 				// each follows the log to its end.
-				var did []act
-				for i, w := range m.ways {
-					is, detail := w.node.Load().follow.Condition()
+				var attempts []attempt
+				for i, w := range m.links {
+					is, detail := w.node.Load().follower.Condition()
 					assert.Equal(t, follower.Following, is, "steward %d: %s", i+1, detail)
-					w.node.Load().follow.View(func(s *ledger.State) { assert.GreaterOrEqual(t, s.Offset, tail) })
-					for _, a := range w.since(back) {
+					w.node.Load().follower.View(func(s *ledger.State) { assert.GreaterOrEqual(t, s.Offset, tail) })
+					for _, a := range w.attemptsAfter(back) {
 						assert.GreaterOrEqual(t, a.offset, tail, "steward %d: %s", i+1, a.what)
-						did = append(did, a)
+						attempts = append(attempts, a)
 					}
 				}
-				assert.NotEmpty(t, did, "the stewards go on")
+				assert.NotEmpty(t, attempts, "the stewards go on")
 			})
 		})
 	}
--- a/internal/steward/pace_test.go
+++ b/internal/steward/pace_test.go
@@ -19,18 +19,18 @@
 	"github.com/yuccadrift/yuccadrift/internal/steward"
 )
 
-// betweenTicks keeps a count from beginning in the middle of a round: duties
+// tickOffset keeps a count from beginning in the middle of a round: duties
 // and the test would else wake at the same instant, in any order.
-const betweenTicks = 50 * time.Millisecond
+const tickOffset = 50 * time.Millisecond
 
-// tally counts the checks of each address and fails those of one.
-type tally struct {
+// countingChecker counts the checks of each address and fails those of one.
+type countingChecker struct {
 	mu    sync.Mutex
 	count map[string]int
 	bad   string
 }
 
-func (c *tally) Check(_ context.Context, address string) error {
+func (c *countingChecker) Check(_ context.Context, address string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.count[address]++
@@ -40,14 +40,14 @@
 	return nil
 }
 
-// restart forgets the counts and names the address that fails from now on.
-func (c *tally) restart(bad string) {
+// reset forgets the counts and names the address that fails from now on.
+func (c *countingChecker) reset(bad string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.count, c.bad = map[string]int{}, bad
 }
 
-func (c *tally) sum() (total int) {
+func (c *countingChecker) sum() (total int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, n := range c.count {
@@ -60,67 +60,67 @@
 // would cost more than the node may spend. 60 VMs take turns, 10 a second, and
 // none is left out; one that begins to fail is down within its turn and two
 // more seconds, not after three turns.
-func TestHealthChecksOfManyVMsTakeTurns(t *testing.T) {
+func TestHealthChecksRotateOverManyVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 60, Zones: []string{"a", "b", "c"}}}})
-		check := &tally{count: map[string]int{}}
+		check := &countingChecker{count: map[string]int{}}
 		n := startNode(t, fake, "entry-1", func(cfg *steward.Config) { cfg.Health = check })
-		time.Sleep(20*time.Second + betweenTicks)
-		check.restart("")
+		time.Sleep(20*time.Second + tickOffset)
+		check.reset("")
 		time.Sleep(6 * time.Second)
 		assert.Len(t, check.count, 60, "every VM had its turn")
 		assert.Equal(t, 60, check.sum())
 		list, err := fake.List(t.Context())
 		require.NoError(t, err)
-		check.restart(list.VMs[47].Address)
+		check.reset(list.VMs[47].Address)
 		time.Sleep(9 * time.Second)
 		assert.Equal(t, 1, n.count(func(vm *ledger.VM) bool { return vm.Down }))
-		check.restart("")
+		check.reset("")
 		time.Sleep(9 * time.Second)
 		assert.Zero(t, n.count(func(vm *ledger.VM) bool { return vm.Down }))
 	})
 }
 
-// asked counts the calls to the platform.
-type asked struct {
+// countingFleet counts the calls to the platform.
+type countingFleet struct {
 	platform.Fleet
 	mu     sync.Mutex
 	lists  int
 	drains int
 }
 
-func (a *asked) List(ctx context.Context) (platform.VMList, error) {
+func (a *countingFleet) List(ctx context.Context) (platform.VMList, error) {
 	a.mu.Lock()
 	a.lists++
 	a.mu.Unlock()
 	return a.Fleet.List(ctx)
 }
 
-func (a *asked) Drain(ctx context.Context, vm string, op platform.Operation) (platform.OperationStatus, error) {
+func (a *countingFleet) Drain(ctx context.Context, vm string, op platform.Operation) (platform.OperationStatus, error) {
 	a.mu.Lock()
 	a.drains++
 	a.mu.Unlock()
 	return a.Fleet.Drain(ctx, vm, op)
 }
 
-// beside is a steward's view of others that are there.
-type beside []string
+// fixedPeers is a steward's view of others that are there.
+type fixedPeers []string
 
-func (b beside) Configured() bool { return true }
-func (b beside) Nodes() []string  { return b }
-func (b beside) Healthy(context.Context, []string) (map[string]bool, int) {
+func (b fixedPeers) Configured() bool { return true }
+func (b fixedPeers) Nodes() []string  { return b }
+func (b fixedPeers) Healthy(context.Context, []string) (map[string]bool, int) {
 	return nil, 0
 }
 
 // The list has a line for every VM. Three stewards that each read it at every
 // interval would cost the platform and themselves three times what is needed.
 // They take turns, and whoever reads a new VM first makes it known.
-func TestStewardsReadTheListByTurns(t *testing.T) {
+func TestStewardsTakeTurnsReadingTheVMList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 6, Zones: []string{"a"}}}})
-		fleet := &asked{Fleet: fake}
+		fleet := &countingFleet{Fleet: fake}
 		var n *node
-		for _, others := range []beside{{"entry-2", "entry-3"}, {"entry-1", "entry-3"}, {"entry-1", "entry-2"}} {
+		for _, others := range []fixedPeers{{"entry-2", "entry-3"}, {"entry-1", "entry-3"}, {"entry-1", "entry-2"}} {
 			name := map[string]string{"entry-2": "entry-1", "entry-1": "entry-2"}[others[0]]
 			if others[1] == "entry-2" {
 				name = "entry-3"
@@ -141,17 +141,17 @@
 // A drain waits for long requests, here for its whole bound as the one entry
 // process cannot be asked. Asking the platform five times a second all the while
 // would be most of a steward's traffic during a wave.
-func TestStepNotThroughIsTriedLessOften(t *testing.T) {
+func TestUnfinishedStepIsRetriedWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 12, Zones: []string{"a", "b", "c"}}}})
-		fleet := &asked{Fleet: fake}
+		fleet := &countingFleet{Fleet: fake}
 		n := startNode(t, fake, "entry-1", func(cfg *steward.Config) { cfg.Fleet = fleet })
 		time.Sleep(time.Second)
 		publish(t, n, "ramcharan", "booking")
 		n.propose(t, record.Subject{Kind: record.SubjectMember, Name: "entry-1.x"}, record.MemberJoin{Node: "entry-1", Zone: "a", Address: "10.9.9.9:1"})
 		time.Sleep(20 * time.Second)
 		var vm string
-		n.follow.View(func(s *ledger.State) {
+		n.follower.View(func(s *ledger.State) {
 			for id := range s.PoolVMs("booking") {
 				vm = id
 			}
@@ -165,34 +165,34 @@
 	})
 }
 
-// others is a steward's view of others that come and go.
-type others struct {
-	beside
+// changingPeers is a steward's view of others that come and go.
+type changingPeers struct {
+	fixedPeers
 	mu    sync.Mutex
-	there []string
+	nodes []string
 }
 
-func (o *others) set(nodes ...string) {
+func (o *changingPeers) set(nodes ...string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.there = nodes
+	o.nodes = nodes
 }
 
-func (o *others) Nodes() []string {
+func (o *changingPeers) Nodes() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.there
+	return o.nodes
 }
 
 // A steward remembers which VMs are its share. Other stewards come and then are
 // lost: it must leave their shares to them, and take all back, or the VMs of a
 // lost steward would never be found down.
-func TestShareOfHealthChecksFollowsTheStewards(t *testing.T) {
+func TestHealthCheckShareFollowsLiveStewards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 30, Zones: []string{"a", "b", "c"}}}})
-		check, peers := &tally{count: map[string]int{}}, &others{}
+		check, peers := &countingChecker{count: map[string]int{}}, &changingPeers{}
 		startNode(t, fake, "entry-1", func(cfg *steward.Config) { cfg.Health, cfg.Peers = check, peers })
-		time.Sleep(20*time.Second + betweenTicks)
+		time.Sleep(20*time.Second + tickOffset)
 		for _, step := range []struct {
 			there []string
 			least int
@@ -200,7 +200,7 @@
 		}{{nil, 30, 30}, {[]string{"entry-2", "entry-3"}, 4, 18}, {nil, 30, 30}} {
 			peers.set(step.there...)
 			time.Sleep(10 * time.Second) // until a duty asks who is there
-			check.restart("")
+			check.reset("")
 			time.Sleep(10 * time.Second)
 			assert.GreaterOrEqual(t, len(check.count), step.least)
 			assert.LessOrEqual(t, len(check.count), step.most)
@@ -211,7 +211,7 @@
 // A round of planning over thousands of VMs costs as much whether or not there
 // is anything to do. While nothing changes rounds come five times less often; a
 // document that is published meanwhile must not wait for the next of them.
-func TestPlanningRestsWhileNothingChanges(t *testing.T) {
+func TestPlanningSlowsDownWhileNothingChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 12, Zones: []string{"a", "b", "c"}}}})
 		registry := prometheus.NewRegistry()
--- a/internal/steward/propose.go
+++ b/internal/steward/propose.go
@@ -30,10 +30,10 @@
 	metrics  *metrics
 }
 
-// one appends a proposal that was decided at offset seen and reports whether it
+// propose appends a proposal that was decided at offset seen and reports whether it
 // took effect. An unknown outcome counts as "no": if the record takes effect
 // later, the next look at the state finds it.
-func (p *proposer) one(ctx context.Context, seen uint64, d pool.Proposal) bool {
+func (p *proposer) propose(ctx context.Context, seen uint64, d pool.Proposal) bool {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	out, err := p.follower.Propose(ctx, record.Record{
@@ -46,25 +46,25 @@
 		Body:    d.Body,
 	})
 	if err != nil {
-		p.metrics.proposed(d.Body.Kind(), outcomeUnknown)
+		p.metrics.observeProposal(d.Body.Kind(), outcomeUnknown)
 		p.logger.Warn("outcome unknown", "subject", d.Subject, "kind", d.Body.Kind(), "error", err)
 		return false
 	}
-	p.metrics.proposed(d.Body.Kind(), out.Status)
+	p.metrics.observeProposal(d.Body.Kind(), out.Status)
 	p.logger.Debug("proposed", "subject", d.Subject, "kind", d.Body.Kind(), "why", d.Why,
 		"status", out.Status, "reason", out.Reason, "offset", out.Offset)
 	return out.Status == ledger.Effective
 }
 
-// all appends the proposals of one round, several at a time, and waits.
-func (p *proposer) all(ctx context.Context, seen uint64, list []pool.Proposal) {
+// proposeAll appends the proposals of one round, several at a time, and waits.
+func (p *proposer) proposeAll(ctx context.Context, seen uint64, list []pool.Proposal) {
 	var wg sync.WaitGroup
-	room := make(chan struct{}, proposeParallel)
+	slots := make(chan struct{}, proposeParallel)
 	for _, d := range list {
-		room <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-room }()
-			p.one(ctx, seen, d)
+			defer func() { <-slots }()
+			p.propose(ctx, seen, d)
 		})
 	}
 	wg.Wait()
--- a/internal/steward/quiet.go
+++ b/internal/steward/quiet.go
@@ -29,27 +29,27 @@
 // flight: the time in which every entry process stops sending new ones.
 const drainGrace = 5 * time.Second
 
-// quiet reports whether no request is in flight on the VM: each entry process
+// requestsFinished reports whether no request is in flight on the VM: each entry process
 // has folded the drain and reports none. An entry process that is paused or cut
 // off cannot be asked; its requests end by the document's bound, so after that
 // the drain goes on without its word rather than hold the wave for ever.
-func (s *Steward) quiet(ctx context.Context, vm *ledger.VM) bool {
+func (s *Steward) requestsFinished(ctx context.Context, vm *ledger.VM) bool {
 	var members []string
-	var bound time.Duration
+	var drainLimit time.Duration
 	jobs := 0
 	s.cfg.Follower.View(func(st *ledger.State) {
 		for _, name := range st.MemberNames() {
 			members = append(members, st.Members[name].Address)
 		}
 		if svc, ok := st.Services[vm.Pool]; ok {
-			bound = svc.Doc.Limits.Drain
+			drainLimit = svc.Doc.Limits.Drain
 		}
 		jobs = len(st.WorkerJobs(vm.ID))
 	})
 	if jobs > 0 { // the fold refuses the next phase until their ends are recorded
 		return false
 	}
-	if time.Since(vm.Drain.Since) > bound+drainGrace {
+	if time.Since(vm.Drain.Since) > drainLimit+drainGrace {
 		return true
 	}
 	for _, address := range members {
--- a/internal/steward/shares.go
+++ b/internal/steward/shares.go
@@ -10,17 +10,17 @@
 	"github.com/yuccadrift/yuccadrift/internal/ledger"
 )
 
-// shares divides the work among the stewards by rendezvous hashing. It only
+// workShares divides the work among the stewards by rendezvous hashing. It only
 // saves work: two stewards that do the same do no harm, since the fold lets one
 // decision take effect and the platform carries out an operation ID once.
-type shares struct {
+type workShares struct {
 	self string
 
-	mu      sync.Mutex
-	nodes   []string
-	since   map[string]time.Time // when a key's work was first seen undone
-	suspect map[string]time.Time // until when a node counts as gone
-	top     map[string]bool      // by key: whether this steward comes first among nodes
+	mu                sync.Mutex
+	nodes             []string
+	firstSeen         map[string]time.Time // when a key's work was first seen undone
+	presumedGoneUntil map[string]time.Time // until when a node counts as gone
+	firstByKey        map[string]bool      // by key: whether this steward comes first among nodes
 }
 
 // Times of taking over the work of a steward that seems to be gone.
@@ -28,19 +28,19 @@
 	// takeoverAfter is how long the work of a better placed steward may lie
 	// undone before the next one does it.
 	takeoverAfter = 3 * time.Second
-	// suspectFor is for how long a steward whose work was taken over is passed
+	// presumedGoneFor is for how long a steward whose work was taken over is passed
 	// over, so that the wait comes once and not with every step.
-	suspectFor = 30 * time.Second
+	presumedGoneFor = 30 * time.Second
 )
 
-func newShares(self string) *shares {
-	return &shares{self: self, nodes: []string{self}, since: map[string]time.Time{}, suspect: map[string]time.Time{}, top: map[string]bool{}}
+func newWorkShares(self string) *workShares {
+	return &workShares{self: self, nodes: []string{self}, firstSeen: map[string]time.Time{}, presumedGoneUntil: map[string]time.Time{}, firstByKey: map[string]bool{}}
 }
 
-// follow takes the stewards to share with: the peers that are there, or, when
+// updateNodes takes the stewards to share with: the peers that are there, or, when
 // none are set, the nodes of the folded membership, since each entry VM runs an
 // entry process, which is a member, and a steward.
-func (s *shares) follow(st *ledger.State, peers Peers) {
+func (s *workShares) updateNodes(st *ledger.State, peers Peers) {
 	others := peers.Nodes()
 	if !peers.Configured() {
 		for _, name := range st.MemberNames() {
@@ -57,26 +57,26 @@
 	defer s.mu.Unlock()
 	if !slices.Equal(nodes, s.nodes) {
 		s.nodes = nodes
-		clear(s.top)
+		clear(s.firstByKey)
 	}
 }
 
-// before returns the stewards that come before this one for the key.
-func (s *shares) before(key string, now time.Time) []string {
-	own := weight(s.self, key)
+// higherRanked returns the stewards that come before this one for the key.
+func (s *workShares) higherRanked(key string, now time.Time) []string {
+	own := rendezvousWeight(s.self, key)
 	var nodes []string
 	for _, node := range s.nodes {
-		if w := weight(node, key); w > own && !now.Before(s.suspect[node]) {
+		if w := rendezvousWeight(node, key); w > own && !now.Before(s.presumedGoneUntil[node]) {
 			nodes = append(nodes, node)
 		}
 	}
 	return nodes
 }
 
-// turn returns how long it is to this steward's next turn, when the stewards take
+// untilNextTurn returns how long it is to this steward's next turn, when the stewards take
 // turns of the given length in the order of their names. It goes by the clock:
 // one that is wrong makes two turns fall together, no more.
-func (s *shares) turn(now time.Time, length time.Duration) time.Duration {
+func (s *workShares) untilNextTurn(now time.Time, length time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := 0
@@ -94,63 +94,63 @@
 }
 
 // rank returns how many living stewards come before this one for the key.
-func (s *shares) rank(key string, now time.Time) int {
+func (s *workShares) rank(key string, now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.before(key, now))
+	return len(s.higherRanked(key, now))
 }
 
-// first reports whether no living steward comes before this one for the key. It
+// isFirst reports whether no living steward comes before this one for the key. It
 // remembers its answers: the health checks ask for every VM at each interval.
-func (s *shares) first(key string, now time.Time) bool {
+func (s *workShares) isFirst(key string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, until := range s.suspect {
+	for _, until := range s.presumedGoneUntil {
 		if now.Before(until) {
-			return len(s.before(key, now)) == 0
+			return len(s.higherRanked(key, now)) == 0
 		}
 	}
-	first, ok := s.top[key]
+	first, ok := s.firstByKey[key]
 	if !ok {
-		first = len(s.before(key, now)) == 0
-		s.top[key] = first
+		first = len(s.higherRanked(key, now)) == 0
+		s.firstByKey[key] = first
 	}
 	return first
 }
 
-func weight(node, key string) uint64 { return xxhash.Sum64String(node + "\x00" + key) }
+func rendezvousWeight(node, key string) uint64 { return xxhash.Sum64String(node + "\x00" + key) }
 
-// mine reports whether work that is due under item falls to this steward now.
+// claim reports whether work that is due under item falls to this steward now.
 // item names the work and the revision that it was decided on, so that it is
 // new after every change.
-func (s *shares) mine(key, item string, now time.Time) bool {
+func (s *workShares) claim(key, item string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.before(key, now)
+	before := s.higherRanked(key, now)
 	if len(before) == 0 {
 		return true
 	}
-	first, ok := s.since[item]
+	first, ok := s.firstSeen[item]
 	if !ok {
-		s.since[item] = now
+		s.firstSeen[item] = now
 		return false
 	}
 	if now.Sub(first) < time.Duration(len(before))*takeoverAfter {
 		return false
 	}
 	for _, node := range before {
-		s.suspect[node] = now.Add(suspectFor)
+		s.presumedGoneUntil[node] = now.Add(presumedGoneFor)
 	}
 	return true
 }
 
-// forget drops items first seen before the time.
-func (s *shares) forget(before time.Time) {
+// dropBefore drops items first seen before the time.
+func (s *workShares) dropBefore(before time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for item, first := range s.since {
+	for item, first := range s.firstSeen {
 		if first.Before(before) {
-			delete(s.since, item)
+			delete(s.firstSeen, item)
 		}
 	}
 }
--- a/internal/steward/step.go
+++ b/internal/steward/step.go
@@ -24,40 +24,40 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.ActionTimeout)
 	defer cancel()
-	if result := e.act(ctx, &vm); !maintenance.Settled(&vm, result, e.healthy(ctx, &vm)) {
-		e.overdue(ctx, &vm)
+	if result := e.sendAction(ctx, &vm); !maintenance.Settled(&vm, result, e.checkHealth(ctx, &vm)) {
+		e.handleOverdue(ctx, &vm)
 		return false
 	}
 	switch maintenance.Next(&vm) {
 	case maintenance.StepQuiesce:
-		return e.quiet(ctx, &vm) &&
-			e.decide(ctx, &vm, record.VMAdvance{To: maintenance.After(&vm)}, "no task and no request is left on it")
+		return e.requestsFinished(ctx, &vm) &&
+			e.proposeForVM(ctx, &vm, record.VMAdvance{To: maintenance.After(&vm)}, "no task and no request is left on it")
 	case maintenance.StepDecide, maintenance.StepReboot:
-		return e.decide(ctx, &vm, record.VMAdvance{To: maintenance.After(&vm)}, "the step before is done")
+		return e.proposeForVM(ctx, &vm, record.VMAdvance{To: maintenance.After(&vm)}, "the step before is done")
 	case maintenance.StepJoin:
 		return e.join(ctx, &vm)
 	case maintenance.StepReturn:
-		return e.decide(ctx, &vm, record.VMUp{}, "seen healthy")
+		return e.proposeForVM(ctx, &vm, record.VMUp{}, "seen healthy")
 	}
 	return false
 }
 
-// overdue gives a VM up that is out for far longer than expected: it counts as
+// handleOverdue gives a VM up that is out for far longer than expected: it counts as
 // failed from then on, so that its pool can get another, and its wave goes on
 // without it. Should it come back after all, the drain goes on.
-func (e *executor) overdue(ctx context.Context, vm *ledger.VM) {
+func (e *executor) handleOverdue(ctx context.Context, vm *ledger.VM) {
 	if !maintenance.Overdue(vm, time.Now()) {
 		return
 	}
 	if !vm.Down {
-		e.decide(ctx, vm, record.VMDown{Cause: "did not come back from " + string(vm.Phase)}, "out for too long")
+		e.proposeForVM(ctx, vm, record.VMDown{Cause: "did not come back from " + string(vm.Phase)}, "out for too long")
 		return
 	}
-	e.skipTurn(ctx, vm)
+	e.skipInWave(ctx, vm)
 }
 
-// skipTurn takes a VM that was given up out of its wave.
-func (e *executor) skipTurn(ctx context.Context, vm *ledger.VM) {
+// skipInWave takes a VM that was given up out of its wave.
+func (e *executor) skipInWave(ctx context.Context, vm *ledger.VM) {
 	if vm.Drain == nil || vm.Drain.Wave == "" || !e.MayDecide() {
 		return
 	}
@@ -73,11 +73,11 @@
 		return
 	}
 	reason := fmt.Sprintf("did not come back: %s since %s", vm.Phase, vm.PhaseSince.Format(time.RFC3339))
-	e.propose.one(ctx, seen, pool.OnWave(w, record.WaveSkip{VM: vm.ID, Reason: reason}, "out for too long"))
+	e.proposer.propose(ctx, seen, pool.OnWave(w, record.WaveSkip{VM: vm.ID, Reason: reason}, "out for too long"))
 }
 
-// act sends the action of the VM's step.
-func (e *executor) act(ctx context.Context, vm *ledger.VM) maintenance.Result {
+// sendAction sends the action of the VM's step.
+func (e *executor) sendAction(ctx context.Context, vm *ledger.VM) maintenance.Result {
 	a, ok := maintenance.ActionOf(vm)
 	if !ok {
 		return maintenance.ResultDone
@@ -97,7 +97,7 @@
 		e.cfg.Logger.Debug("action not confirmed", "vm", vm.ID, "action", a.Verb, "error", err)
 	}
 	result := ResultOf(status, err)
-	e.metrics.acted(a.Verb, result)
+	e.metrics.observeAction(a.Verb, result)
 	return result
 }
 
@@ -118,8 +118,8 @@
 	return maintenance.ResultRunning
 }
 
-// healthy asks the VM itself; only reboots and returns depend on the answer.
-func (e *executor) healthy(ctx context.Context, vm *ledger.VM) bool {
+// checkHealth asks the VM itself; only reboots and returns depend on the answer.
+func (e *executor) checkHealth(ctx context.Context, vm *ledger.VM) bool {
 	switch maintenance.Next(vm) {
 	case maintenance.StepReboot, maintenance.StepReturn:
 		return e.cfg.Health.Check(ctx, vm.Address) == nil
@@ -136,12 +136,12 @@
 			target = vm.Pool
 		}
 	})
-	return e.decide(ctx, vm, record.VMJoin{Pool: target}, "released for its new pool")
+	return e.proposeForVM(ctx, vm, record.VMJoin{Pool: target}, "released for its new pool")
 }
 
-func (e *executor) decide(ctx context.Context, vm *ledger.VM, body record.Body, why string) bool {
+func (e *executor) proposeForVM(ctx context.Context, vm *ledger.VM, body record.Body, why string) bool {
 	if !e.MayDecide() {
 		return false
 	}
-	return e.propose.one(ctx, uint64(vm.Revision), pool.OnVM(&pool.VM{VM: *vm}, body, vm.ID, why))
+	return e.proposer.propose(ctx, uint64(vm.Revision), pool.OnVM(&pool.VM{VM: *vm}, body, vm.ID, why))
 }
--- a/internal/steward/steward.go
+++ b/internal/steward/steward.go
@@ -53,10 +53,10 @@
 
 // Steward is the duties of one node over one follower.
 type Steward struct {
-	cfg     Config
-	propose *proposer
-	shares  *shares
-	metrics *metrics
+	cfg      Config
+	proposer *proposer
+	shares   *workShares
+	metrics  *metrics
 }
 
 // New returns a Steward; Duties are to be supervised by the caller.
@@ -64,10 +64,10 @@
 	cfg = withDefaults(cfg)
 	m := newMetrics(cfg.Metrics)
 	return &Steward{
-		cfg:     cfg,
-		propose: &proposer{follower: cfg.Follower, author: cfg.Node, logger: cfg.Logger.Named("propose"), metrics: m},
-		shares:  newShares(cfg.Node),
-		metrics: m,
+		cfg:      cfg,
+		proposer: &proposer{follower: cfg.Follower, author: cfg.Node, logger: cfg.Logger.Named("propose"), metrics: m},
+		shares:   newWorkShares(cfg.Node),
+		metrics:  m,
 	}
 }
 
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -31,17 +31,17 @@
 
 // node is one steward in the test's process.
 type node struct {
-	follow *follower.Follower
-	stop   context.CancelFunc
+	follower *follower.Follower
+	stop     context.CancelFunc
 }
 
-// world is what a steward has of the platform.
-type world interface {
+// platformAPI is what a steward has of the platform.
+type platformAPI interface {
 	platform.Log
 	platform.Fleet
 }
 
-func startNode(t *testing.T, fake world, name string, options ...func(*steward.Config)) *node {
+func startNode(t *testing.T, fake platformAPI, name string, options ...func(*steward.Config)) *node {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	logger := hclog.New(&hclog.LoggerOptions{Name: name, Level: hclog.Warn, Output: t.Output()})
@@ -60,13 +60,13 @@
 	s := steward.New(cfg)
 	duties := append(s.Duties(), supervise.Duty{Name: "follow", Serve: f.Serve})
 	go func() { _ = supervise.Run(ctx, name, logger, duties...) }()
-	return &node{follow: f, stop: cancel}
+	return &node{follower: f, stop: cancel}
 }
 
 // count counts the VMs that f holds for.
 func (n *node) count(f func(*ledger.VM) bool) int {
 	sum := 0
-	n.follow.View(func(s *ledger.State) {
+	n.follower.View(func(s *ledger.State) {
 		for _, vm := range s.VMs {
 			if f(vm) {
 				sum++
@@ -80,8 +80,8 @@
 	t.Helper()
 	var base record.Revision
 	var seen uint64
-	n.follow.View(func(s *ledger.State) { base, seen = s.Revision(sub), s.Offset })
-	out, err := n.follow.Propose(t.Context(), record.Record{
+	n.follower.View(func(s *ledger.State) { base, seen = s.Revision(sub), s.Offset })
+	out, err := n.follower.Propose(t.Context(), record.Record{
 		ID: ulid.Make().String(), Subject: sub, Base: base, Seen: seen, Author: "test", Time: time.Now(), Body: body,
 	})
 	require.NoError(t, err)
@@ -105,16 +105,16 @@
 		time.Sleep(time.Second)
 		publish(t, n, "ramcharan", "booking")
 		time.Sleep(20 * time.Second)
-		n.follow.View(func(s *ledger.State) {
+		n.follower.View(func(s *ledger.State) {
 			assert.Equal(t, 12, s.Unavailability("booking").Serving)
 		})
 		n.propose(t, record.Subject{Kind: record.SubjectWave, Name: "w1"}, record.WaveStart{Pools: []string{"booking"}, Deadline: time.Now().Add(time.Hour)})
 		short := 0
 		for range 600 {
 			time.Sleep(time.Second)
-			n.follow.View(func(s *ledger.State) { short = max(short, s.Unavailability("booking").Short) })
+			n.follower.View(func(s *ledger.State) { short = max(short, s.Unavailability("booking").Short) })
 		}
-		n.follow.View(func(s *ledger.State) {
+		n.follower.View(func(s *ledger.State) {
 			assert.Equal(t, ledger.WaveDone, s.Waves["w1"].Status)
 			assert.LessOrEqual(t, short, s.Services["booking"].Doc.Budget.MaxUnavailable)
 			for _, vm := range s.VMs {
--- a/internal/stewardpeer/peers.go
+++ b/internal/stewardpeer/peers.go
@@ -23,9 +23,9 @@
 	// peers each is greeted less often, so that greetings cost a node the same
 	// however many there are.
 	hellosPerInterval = 8
-	// aliveFor is how many rounds of greetings a peer counts as there after its
+	// aliveIntervals is how many rounds of greetings a peer counts as there after its
 	// last answer.
-	aliveFor = 3
+	aliveIntervals = 3
 )
 
 // Peers greets the other stewards and knows which of them are there.
@@ -36,14 +36,14 @@
 }
 
 type peer struct {
-	address  string
-	conn     *grpc.ClientConn
-	rpc      pb.StewardPeerClient
-	aliveFor time.Duration
-
-	mu   sync.Mutex
-	node string
-	at   time.Time // of the last answer that said "able"
+	address      string
+	conn         *grpc.ClientConn
+	rpc          pb.StewardPeerClient
+	aliveTimeout time.Duration
+
+	mu         sync.Mutex
+	node       string
+	answeredAt time.Time // of the last answer that said "able"
 }
 
 // NewPeers returns Peers for the stewards at the addresses (IP:port). Serve
@@ -58,10 +58,10 @@
 			return nil, errors.Wrapf(err, "steward %s", address)
 		}
 		p.peers = append(p.peers, &peer{
-			address:  address,
-			conn:     conn,
-			rpc:      pb.NewStewardPeerClient(conn),
-			aliveFor: aliveFor * p.interval,
+			address:      address,
+			conn:         conn,
+			rpc:          pb.NewStewardPeerClient(conn),
+			aliveTimeout: aliveIntervals * p.interval,
 		})
 	}
 	return p, nil
@@ -79,7 +79,7 @@
 	ticker := time.NewTicker(p.interval)
 	defer ticker.Stop()
 	for {
-		p.greet(ctx)
+		p.helloAll(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -88,7 +88,7 @@
 	}
 }
 
-func (p *Peers) greet(ctx context.Context) {
+func (p *Peers) helloAll(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, peer := range p.peers {
 		wg.Go(func() {
@@ -110,14 +110,14 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.node, p.at = reply.GetNode(), sent
+	p.node, p.answeredAt = reply.GetNode(), sent
 	return nil
 }
 
 func (p *peer) alive() (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.node, time.Since(p.at) < p.aliveFor
+	return p.node, time.Since(p.answeredAt) < p.aliveTimeout
 }
 
 // Configured reports whether any peer is set.
@@ -135,15 +135,15 @@
 	return nodes
 }
 
-// maxAsked is how many peers give a second opinion.
-const maxAsked = 2
+// maxPeersAsked is how many peers give a second opinion.
+const maxPeersAsked = 2
 
 // Healthy asks living peers which of the backend servers answer them, and how
 // many peers did reply. A server is in the result if any of them reached it.
 func (p *Peers) Healthy(ctx context.Context, addresses []string) (healthy map[string]bool, asked int) {
 	healthy = map[string]bool{}
 	for _, peer := range p.peers {
-		if _, ok := peer.alive(); !ok || asked == maxAsked {
+		if _, ok := peer.alive(); !ok || asked == maxPeersAsked {
 			continue
 		}
 		if peer.check(ctx, addresses, healthy) == nil {
--- a/internal/stewardpeer/peers_test.go
+++ b/internal/stewardpeer/peers_test.go
@@ -12,7 +12,7 @@
 // Every steward greets every other. With the square of the stewards the
 // greetings would outgrow what a node may send, so beyond hellosPerInterval
 // peers each is greeted less often, and counts as there for longer.
-func TestGreetingsPerSecondAreBounded(t *testing.T) {
+func TestHellosPerSecondAreBounded(t *testing.T) {
 	for peers, interval := range map[int]time.Duration{0: 1, 1: 1, 7: 1, 8: 1, 9: 2, 23: 3, 95: 12} {
 		var addresses []string
 		for i := range peers {
@@ -22,7 +22,7 @@
 		require.NoError(t, err)
 		require.Equal(t, interval*time.Second, p.interval, "%d peers", peers)
 		for _, peer := range p.peers {
-			require.Greater(t, peer.aliveFor, 2*p.interval)
+			require.Greater(t, peer.aliveTimeout, 2*p.interval)
 		}
 		p.Close()
 	}
--- a/internal/stewardpeer/server.go
+++ b/internal/stewardpeer/server.go
@@ -54,12 +54,12 @@
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	healthy := make([]bool, len(addresses))
-	room := make(chan struct{}, checkParallel)
+	slots := make(chan struct{}, checkParallel)
 	var wg sync.WaitGroup
 	for i, address := range addresses {
-		room <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			healthy[i] = s.cfg.Check(ctx, address) == nil
 		})
 	}
