--- a/internal/steward/daemon.go
+++ b/internal/steward/daemon.go
@@ -23,8 +23,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/supervise"
 )
 
-// Run runs the daemon name by its settings until ctx ends or a duty fails for
-// good.
+// Run runs the steward daemon until ctx ends or a duty fails permanently. name
+// identifies the daemon in logs and metrics.
 func Run(ctx context.Context, name string, s settings.Steward, logger hclog.Logger) error {
 	adminListener, err := listen.TCP(ctx, "admin.listen", s.Admin.Listen)
 	if err != nil {
@@ -69,7 +69,8 @@
 	)...)
 }
 
-// reportLogReadiness shows on the readiness page whether the steward may decide.
+// reportLogReadiness keeps the "log" entry of the readiness page: ready while
+// the steward may decide.
 func (d daemon) reportLogReadiness(ctx context.Context, s *Steward) error {
 	return every(ctx, time.Second, func(context.Context) {
 		if s.MayDecide() {
@@ -77,11 +78,11 @@
 			return
 		}
 		_, detail := d.follower.Condition()
-		d.readiness.Unready("log", "the end of the log was not reached lately; nothing is decided; "+detail)
+		d.readiness.Unready("log", "the end of the log has not been read recently, so nothing is decided; "+detail)
 	})
 }
 
-// daemon is what the daemon's services share.
+// daemon holds what the daemon's services share.
 type daemon struct {
 	settings  settings.Steward
 	logger    hclog.Logger
@@ -100,7 +101,7 @@
 	}
 }
 
-// registerServices registers what the daemon answers on its peer address.
+// registerServices registers the gRPC services of the daemon's peer address.
 func (d daemon) registerServices(peers *peerserver.Server, s *Steward) {
 	operator.Register(peers.Registrar(), operator.ServerConfig{
 		Node:    d.settings.Node.ID,
@@ -117,7 +118,7 @@
 	})
 }
 
-// newSteward returns the decider and its duties' common part.
+// newSteward returns the Steward that decides about the fleet.
 func (d daemon) newSteward(fleet platform.Fleet, entries Entries, peers Peers, registry prometheus.Registerer) *Steward {
 	return New(Config{
 		Node:          d.settings.Node.ID,
@@ -135,7 +136,7 @@
 	})
 }
 
-// newJobRunner returns the driver of the pools' jobs.
+// newJobRunner returns the Runner of the pools' jobs.
 func (d daemon) newJobRunner(tasks platform.Tasks, s *Steward, registry prometheus.Registerer) *jobrunner.Runner {
 	return jobrunner.New(jobrunner.Config{
 		Core: jobrunner.CoreConfig{
--- a/internal/steward/executor.go
+++ b/internal/steward/executor.go
@@ -12,21 +12,22 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Pauses of the executor.
+// Times of the executor.
 const (
-	// enqueueInterval is the pause between looks for VMs with a step due.
+	// enqueueInterval is the pause between searches for VMs with a step due.
 	enqueueInterval = 200 * time.Millisecond
-	// maxBackoff bounds the pause before a step that was not through is done
-	// again. It doubles from lookInterval: a drain or reboot that takes minutes
-	// would else ask the platform and every entry process five times a second.
+	// maxBackoff bounds the pause before an unfinished step is tried again. The
+	// pause doubles from enqueueInterval: without a backoff, a drain or reboot
+	// that takes minutes would call the platform and every entry process five
+	// times a second.
 	maxBackoff = time.Second
-	// pendingWorkTTL is for how long undone work is remembered for a takeover.
+	// pendingWorkTTL is how long undone work is remembered for a takeover.
 	pendingWorkTTL = 10 * time.Minute
 )
 
-// executor carries out the effective drains and joins, one step at a time. It
-// holds no state of its own that matters: any steward can go on from the
-// folded phase, and the platform carries out an operation ID once.
+// executor carries out effective drains and joins, one step at a time. Its own
+// state may be lost: any steward can continue from the folded phase, and the
+// platform carries out an operation ID once.
 type executor struct {
 	*Steward
 	queue chan string
@@ -52,8 +53,7 @@
 	}
 }
 
-// serve looks for due steps and hands them to a fixed number of workers over a
-// bounded channel.
+// serve enqueues due steps for a fixed number of workers.
 func (e *executor) serve(ctx context.Context) error {
 	var wg sync.WaitGroup
 	for range e.cfg.MaxActions {
@@ -76,9 +76,10 @@
 	}
 }
 
-// enqueueDue hands out the VMs whose step falls to this steward. A full channel is
-// met by the next look. A steward that was paused or cut off acts only once it
-// has caught up: what it holds for the next step may be long done.
+// enqueueDue enqueues the VMs whose step falls to this steward. VMs that do not
+// fit into the queue are enqueued by a later call. A steward that was paused or
+// cut off enqueues nothing until it has caught up, since its state may show
+// steps as due that were finished long ago.
 func (e *executor) enqueueDue(ctx context.Context) {
 	if !e.MayDecide() {
 		return
@@ -105,7 +106,7 @@
 	}
 }
 
-// backOff ends the work on a VM and lets it rest.
+// backOff ends the work on a VM and delays its next step.
 func (e *executor) backOff(id string, now time.Time) {
 	vm, _ := e.vm(id)
 	e.mu.Lock()
@@ -120,14 +121,14 @@
 	e.backoffs[id] = r
 }
 
-// dropExpiredBackoffs drops the rests that ended before the time.
+// dropExpiredBackoffs drops the backoffs that ended before the given time.
 func (e *executor) dropExpiredBackoffs(before time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	maps.DeleteFunc(e.backoffs, func(_ string, r backoff) bool { return r.until.Before(before) })
 }
 
-// backingOff reports whether the VM's step is to be left for now.
+// backingOff reports whether the VM's step must wait.
 func (e *executor) backingOff(vm *ledger.VM, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/steward/health.go
+++ b/internal/steward/health.go
@@ -13,29 +13,29 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Checker asks a backend server whether it is healthy; nil means yes.
+// Checker checks a backend server; a nil error means that it is healthy.
 type Checker interface {
 	Check(ctx context.Context, address string) error
 }
 
-// Bounds of health checks.
+// Limits of health checks.
 const (
 	checkParallel = 32
 	downAfter     = 3 // failures in a row
 	upAfter       = 2 // successes in a row
-	// checksPerSecond bounds the checks of VMs without news. In a large share
-	// each VM's turn comes later; one that fails, or recovers, is checked at
-	// every interval until that is settled.
+	// checksPerSecond bounds the routine checks. The larger the share, the
+	// longer a VM waits for its next one. A VM whose state is about to change
+	// is checked at every interval.
 	checksPerSecond = 10
 )
 
-// health watches the VMs of this steward's share.
+// health checks the VMs of this steward's share.
 type health struct {
 	*Steward
 	results map[string]*consecutiveResults
 }
 
-// consecutiveResults counts like results in a row.
+// consecutiveResults counts equal results in a row.
 type consecutiveResults struct {
 	successes, failures int
 	cause               string
@@ -75,8 +75,8 @@
 	}
 }
 
-// ownServingVMs returns the VMs of this steward's share that are not on their way
-// through a drain: those are the executor's.
+// ownServingVMs returns the VMs of this steward's share, except those in a
+// drain, which the executor handles, and the offset of the state.
 func (h *health) ownServingVMs() ([]ledger.VM, uint64) {
 	var vms []ledger.VM
 	var seen uint64
@@ -92,8 +92,9 @@
 	return vms, seen
 }
 
-// selectVMs returns the VMs to check in this round: those whose latest check is the
-// oldest, whose number sample also returns, and those with news to settle.
+// selectVMs returns the VMs to check in this round: first the sample, which are
+// the VMs whose last check is the oldest, then the VMs with results that
+// contradict their recorded state.
 func (h *health) selectVMs(share []ledger.VM) (vms []ledger.VM, sample int) {
 	slices.SortFunc(share, func(a, b ledger.VM) int {
 		return cmp.Or(h.resultsOf(a.ID).checkedAt.Compare(h.resultsOf(b.ID).checkedAt), cmp.Compare(a.ID, b.ID))
--- a/internal/steward/lister.go
+++ b/internal/steward/lister.go
@@ -12,27 +12,28 @@
 	"github.com/yuccadrift/yuccadrift/internal/wait"
 )
 
-// goneAfterIntervals is for how many list intervals lists must lack a VM before it
-// counts as gone.
+// goneAfterIntervals is the number of list intervals after which a VM that no
+// list shows counts as gone.
 const goneAfterIntervals = 5
 
-// maxUnsharedProposals is how many registrations and removals one steward proposes
-// without regard to shares.
+// maxUnsharedProposals is the largest number of registrations and removals that
+// a steward proposes regardless of shares.
 const maxUnsharedProposals = 64
 
-// lister reads the platform's list of VMs. The list lags: it makes VMs known
-// and, with the VM's own silence, ends them, and decides nothing else.
+// lister reads the platform's list of VMs. The list lags, so it is used only to
+// register VMs and to remove those that are also down.
 type lister struct {
 	*Steward
 	asOf        time.Time
-	absentSince map[string]time.Time // since which list a VM is missing
+	absentSince map[string]time.Time // by VM: time of the first list without it
 }
 
 func newLister(s *Steward) *lister { return &lister{Steward: s, absentSince: map[string]time.Time{}} }
 
-// serve reads the list by turns with the other stewards, so that one of them
-// reads it in each interval. The list has a line for every VM: were it read by
-// all of them at each interval, it would cost a node more than all else.
+// serve reads the list in turns with the other stewards, so that one of them
+// reads it in each interval. The list has an entry for every VM: a read by
+// every steward at each interval would cost a node more than all its other
+// work.
 func (l *lister) serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		l.poll(ctx)
@@ -57,9 +58,10 @@
 	l.proposer.proposeAll(ctx, seen, proposals)
 }
 
-// diff returns the registrations and removals that the list calls for. This
-// steward has the newest list, so it proposes them whoever's share they are. Of
-// many at once, as when all stewards start, it proposes those of its share only.
+// diff returns the registrations and removals that the list calls for, and the
+// offset of the state. This steward has the newest list, so it proposes them
+// regardless of shares. If there are more than maxUnsharedProposals, as when
+// all stewards start, it proposes only those of its share.
 func (l *lister) diff(list platform.VMList) (uint64, []pool.Proposal) {
 	var proposals []pool.Proposal
 	listed := map[string]bool{}
@@ -88,8 +90,9 @@
 	})
 }
 
-// shouldRemove reports whether a VM is to be removed. Absence from the list alone does
-// not do: the list lags and may leave out a VM that still answers requests.
+// shouldRemove reports whether a VM must be removed. Absence from the list
+// alone is not enough: the list lags and may omit a VM that still answers
+// requests.
 func (l *lister) shouldRemove(vm *ledger.VM, listed bool) bool {
 	if listed {
 		delete(l.absentSince, vm.ID)
--- a/internal/steward/metrics.go
+++ b/internal/steward/metrics.go
@@ -10,7 +10,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// metrics are the steward's own; what concerns the fleet is the report's.
+// metrics holds the metrics of the steward itself. Metrics of the fleet are in
+// package burnmetrics.
 type metrics struct {
 	proposals    *prometheus.CounterVec
 	actions      *prometheus.CounterVec
@@ -27,20 +28,20 @@
 		}, []string{"kind", "outcome"}),
 		actions: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "yuccadrift_steward_actions_total",
-			Help: "Actions sent to the platform, repeats included, by action and what the reply proved.",
+			Help: "Actions sent to the platform, including repeats, by action and result.",
 		}, []string{"action", "result"}),
 		roundSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "yuccadrift_steward_planning_round_seconds",
-			Help:    "Time that one planning round takes, the appends left out.",
+			Help:    "Duration of a planning round without its appends.",
 			Buckets: prometheus.ExponentialBuckets(0.0001, 2, 12),
 		}),
 		heldBack: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "yuccadrift_steward_failures_held_back_total",
-			Help: "Failed health checks not recorded because the fault may lie in this node's network.",
+			Help: "VM failures not recorded because this node's network may be the cause.",
 		}),
 		spare: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "yuccadrift_spare_vms_needed",
-			Help: "Spare VMs that failures call for: as one reserve, or as the sum of each pool's own.",
+			Help: "Spare VMs needed to cover failures, as one shared reserve or as the sum of one reserve per pool.",
 		}, []string{"kept"}),
 	}
 	if to != nil {
@@ -53,7 +54,7 @@
 	m.proposals.WithLabelValues(string(kind), string(outcome)).Inc()
 }
 
-// outcomeUnknown labels proposals whose outcome did not come in time.
+// outcomeUnknown labels proposals whose outcome did not arrive in time.
 const outcomeUnknown ledger.Status = "unknown"
 
 func (m *metrics) observeAction(verb maintenance.Verb, r maintenance.Result) {
--- a/internal/steward/planner.go
+++ b/internal/steward/planner.go
@@ -14,7 +14,7 @@
 // planner runs the planning rounds.
 type planner struct {
 	*Steward
-	plannedOffset  uint64 // of the state at the latest round
+	plannedOffset  uint64 // of the state of the last round
 	changed        <-chan struct{}
 	spareUpdatedAt time.Time
 	waitingWaves   map[string]bool // by wave and pool
@@ -24,19 +24,18 @@
 	return &planner{Steward: s, changed: s.cfg.Follower.Changed()}
 }
 
-// Pauses between rounds. A burst of records is met by one round, not by one
-// each, and planning takes at most one part in pausePerRound of a core, however
-// large the fleet is.
+// Pauses between rounds. One round handles a burst of records, and planning
+// takes at most 1/pauseFactor of a core, however large the fleet is.
 const (
 	minRoundPause = 200 * time.Millisecond
 	pauseFactor   = 50
-	// idleIntervals is how many planning intervals pass between rounds while
-	// the state stays the same and nothing is planned: only time can bring a
-	// decision then, and those that wait for time wait for minutes.
+	// idleIntervals is the number of planning intervals between rounds while
+	// the state is unchanged and nothing is planned. Only the passage of time
+	// can then cause a decision, and such decisions wait for minutes.
 	idleIntervals = 5
 )
 
-// serve plans at each interval, and sooner after a change.
+// serve plans at each interval, and earlier after a change.
 func (p *planner) serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		took, idle := p.runRound(ctx)
@@ -51,9 +50,9 @@
 	return ctx.Err()
 }
 
-// runRound plans once and appends what falls to this steward. It returns how long
-// planning took, and whether it found nothing to do on a state that it had
-// planned on before.
+// runRound plans once and appends the proposals that fall to this steward. It
+// returns the duration of the planning, and idle if nothing was planned on a
+// state that an earlier round has already planned on.
 func (p *planner) runRound(ctx context.Context) (took time.Duration, idle bool) {
 	if !p.MayDecide() {
 		return 0, false
@@ -82,7 +81,7 @@
 	return took, idle
 }
 
-// logWaits logs when a wave begins to hold back from a pool, and when it goes on.
+// logWaits logs when a wave starts to wait for a pool, and when it continues.
 func (p *planner) logWaits(waits []pool.Wait) {
 	current := map[string]bool{}
 	for _, w := range waits {
@@ -100,8 +99,8 @@
 	p.waitingWaves = current
 }
 
-// spareInterval is the pause between sizings of the spare VMs, which change
-// only with documents and pools.
+// spareInterval is the pause between computations of the spare VMs, which
+// depend only on documents and pools.
 const spareInterval = time.Minute
 
 func (p *planner) updateSpareMetrics(view *pool.View) {
--- a/internal/steward/propose.go
+++ b/internal/steward/propose.go
@@ -14,11 +14,12 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Bounds of proposing.
+// Limits of proposals.
 const (
-	// proposeTimeout bounds the wait for one record's outcome.
+	// proposeTimeout bounds the wait for the outcome of a record.
 	proposeTimeout = 10 * time.Second
-	// proposeParallel is how many records of one round are under way at once.
+	// proposeParallel is the number of records of a round that are appended
+	// concurrently.
 	proposeParallel = 16
 )
 
@@ -30,9 +31,9 @@
 	metrics  *metrics
 }
 
-// propose appends a proposal that was decided at offset seen and reports whether it
-// took effect. An unknown outcome counts as "no": if the record takes effect
-// later, the next look at the state finds it.
+// propose appends a proposal that was decided at offset seen and reports
+// whether it took effect. It returns false if the outcome is unknown: if the
+// record takes effect later, the next read of the state shows it.
 func (p *proposer) propose(ctx context.Context, seen uint64, d pool.Proposal) bool {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -56,7 +57,8 @@
 	return out.Status == ledger.Effective
 }
 
-// proposeAll appends the proposals of one round, several at a time, and waits.
+// proposeAll appends the proposals of a round concurrently and waits for their
+// outcomes.
 func (p *proposer) proposeAll(ctx context.Context, seen uint64, list []pool.Proposal) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, proposeParallel)
--- a/internal/steward/quiet.go
+++ b/internal/steward/quiet.go
@@ -9,30 +9,32 @@
 	"github.com/yuccadrift/yuccadrift/internal/ledger"
 )
 
-// Entries asks entry processes.
+// Entries queries entry processes.
 type Entries interface {
-	// InFlight returns the requests in flight by VM of the entry process at the
-	// peer address, and the offset of the log that it acted on when it counted.
+	// InFlight returns the requests in flight, by VM, of the entry process at
+	// the peer address, and the log offset that the process had folded when it
+	// counted them.
 	InFlight(ctx context.Context, address string) (offset uint64, vms map[string]int, err error)
 }
 
-// UnreachableEntries stands for entry processes that cannot be asked: every
-// drain then waits for its full bound.
+// UnreachableEntries implements Entries for entry processes that cannot be
+// queried: every drain then waits for the full drain limit.
 type UnreachableEntries struct{}
 
 // InFlight implements Entries.
 func (UnreachableEntries) InFlight(context.Context, string) (uint64, map[string]int, error) {
-	return 0, nil, errors.New("entry processes cannot be asked")
+	return 0, nil, errors.New("entry processes cannot be queried")
 }
 
-// drainGrace is what a drain waits beyond the document's bound on requests in
-// flight: the time in which every entry process stops sending new ones.
+// drainGrace is the time for which a drain waits beyond the document's drain
+// limit: within it, every entry process stops sending new requests to the VM.
 const drainGrace = 5 * time.Second
 
-// requestsFinished reports whether no request is in flight on the VM: each entry process
-// has folded the drain and reports none. An entry process that is paused or cut
-// off cannot be asked; its requests end by the document's bound, so after that
-// the drain goes on without its word rather than hold the wave for ever.
+// requestsFinished reports whether no job and no request is left on the VM:
+// each entry process has folded the drain and reports no request in flight. An
+// entry process that is paused or cut off cannot be queried. Its requests end
+// within the document's drain limit, so the drain continues after that limit
+// and does not block the wave.
 func (s *Steward) requestsFinished(ctx context.Context, vm *ledger.VM) bool {
 	var members []string
 	var drainLimit time.Duration
@@ -46,7 +48,7 @@
 		}
 		jobs = len(st.WorkerJobs(vm.ID))
 	})
-	if jobs > 0 { // the fold refuses the next phase until their ends are recorded
+	if jobs > 0 { // the fold rejects the next phase until their ends are recorded
 		return false
 	}
 	if time.Since(vm.Drain.Since) > drainLimit+drainGrace {
--- a/internal/steward/shares.go
+++ b/internal/steward/shares.go
@@ -11,25 +11,26 @@
 )
 
 // workShares divides the work among the stewards by rendezvous hashing. It only
-// saves work: two stewards that do the same do no harm, since the fold lets one
-// decision take effect and the platform carries out an operation ID once.
+// avoids duplicate work. Two stewards that do the same work are harmless: the
+// fold lets one decision take effect, and the platform carries out an operation
+// ID once.
 type workShares struct {
 	self string
 
 	mu                sync.Mutex
 	nodes             []string
-	firstSeen         map[string]time.Time // when a key's work was first seen undone
-	presumedGoneUntil map[string]time.Time // until when a node counts as gone
-	firstByKey        map[string]bool      // by key: whether this steward comes first among nodes
+	firstSeen         map[string]time.Time // by item: when its work was first seen undone
+	presumedGoneUntil map[string]time.Time // by node
+	firstByKey        map[string]bool      // by key: whether this steward ranks first
 }
 
-// Times of taking over the work of a steward that seems to be gone.
+// Times of taking over the work of a steward that appears to be gone.
 const (
-	// takeoverAfter is how long the work of a better placed steward may lie
-	// undone before the next one does it.
+	// takeoverAfter is how long work may remain undone, for each steward that
+	// ranks higher, before this steward does it.
 	takeoverAfter = 3 * time.Second
-	// presumedGoneFor is for how long a steward whose work was taken over is passed
-	// over, so that the wait comes once and not with every step.
+	// presumedGoneFor is how long a steward is skipped after its work was taken
+	// over, so that only the first step waits for it.
 	presumedGoneFor = 30 * time.Second
 )
 
@@ -37,9 +38,9 @@
 	return &workShares{self: self, nodes: []string{self}, firstSeen: map[string]time.Time{}, presumedGoneUntil: map[string]time.Time{}, firstByKey: map[string]bool{}}
 }
 
-// updateNodes takes the stewards to share with: the peers that are there, or, when
-// none are set, the nodes of the folded membership, since each entry VM runs an
-// entry process, which is a member, and a steward.
+// updateNodes sets the stewards that share the work: the live peers, or, if no
+// peers are configured, the nodes of the folded membership. Each entry VM runs
+// a steward and an entry process, which is a member.
 func (s *workShares) updateNodes(st *ledger.State, peers Peers) {
 	others := peers.Nodes()
 	if !peers.Configured() {
@@ -61,7 +62,8 @@
 	}
 }
 
-// higherRanked returns the stewards that come before this one for the key.
+// higherRanked returns the stewards that rank higher than this one for the key.
+// It must be called with mu held.
 func (s *workShares) higherRanked(key string, now time.Time) []string {
 	own := rendezvousWeight(s.self, key)
 	var nodes []string
@@ -73,9 +75,9 @@
 	return nodes
 }
 
-// untilNextTurn returns how long it is to this steward's next turn, when the stewards take
-// turns of the given length in the order of their names. It goes by the clock:
-// one that is wrong makes two turns fall together, no more.
+// untilNextTurn returns the time until this steward's next turn. The stewards
+// take turns of the given length in the order of their names, by the wall
+// clock: a wrong clock only makes two turns overlap.
 func (s *workShares) untilNextTurn(now time.Time, length time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,15 +95,15 @@
 	return wait
 }
 
-// rank returns how many living stewards come before this one for the key.
+// rank returns the number of live stewards that rank higher for the key.
 func (s *workShares) rank(key string, now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.higherRanked(key, now))
 }
 
-// isFirst reports whether no living steward comes before this one for the key. It
-// remembers its answers: the health checks ask for every VM at each interval.
+// isFirst reports whether no live steward ranks higher for the key. It caches
+// its results, since the health checks call it for every VM at each interval.
 func (s *workShares) isFirst(key string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,9 +122,9 @@
 
 func rendezvousWeight(node, key string) uint64 { return xxhash.Sum64String(node + "\x00" + key) }
 
-// claim reports whether work that is due under item falls to this steward now.
-// item names the work and the revision that it was decided on, so that it is
-// new after every change.
+// claim reports whether the work identified by item falls to this steward now.
+// item names the work and the revision that it was decided on, so each change
+// makes a new item.
 func (s *workShares) claim(key, item string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +146,7 @@
 	return true
 }
 
-// dropBefore drops items first seen before the time.
+// dropBefore drops the items that were first seen before the given time.
 func (s *workShares) dropBefore(before time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/steward/step.go
+++ b/internal/steward/step.go
@@ -14,9 +14,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// step does what the VM's phase calls for now and reports whether a decision
-// took effect, so that the next step can follow at once. It does not wait: a
-// step that is not through is done again at the next look.
+// step carries out the step of the VM's phase and reports whether a decision
+// took effect, so that the next step can follow at once. It does not wait: an
+// unfinished step is tried again later.
 func (e *executor) step(ctx context.Context, id string) bool {
 	vm, ok := e.vm(id)
 	if !ok {
@@ -31,9 +31,9 @@
 	switch maintenance.Next(&vm) {
 	case maintenance.StepQuiesce:
 		return e.requestsFinished(ctx, &vm) &&
-			e.proposeForVM(ctx, &vm, record.VMAdvance{To: maintenance.After(&vm)}, "no task and no request is left on it")
+			e.proposeForVM(ctx, &vm, record.VMAdvance{To: maintenance.After(&vm)}, "no job and no request is left on the VM")
 	case maintenance.StepDecide, maintenance.StepReboot:
-		return e.proposeForVM(ctx, &vm, record.VMAdvance{To: maintenance.After(&vm)}, "the step before is done")
+		return e.proposeForVM(ctx, &vm, record.VMAdvance{To: maintenance.After(&vm)}, "the previous step is done")
 	case maintenance.StepJoin:
 		return e.join(ctx, &vm)
 	case maintenance.StepReturn:
@@ -42,9 +42,10 @@
 	return false
 }
 
-// handleOverdue gives a VM up that is out for far longer than expected: it counts as
-// failed from then on, so that its pool can get another, and its wave goes on
-// without it. Should it come back after all, the drain goes on.
+// handleOverdue records a VM as down if it is out of service for far longer
+// than expected, so that its pool can get a replacement. If the VM is already
+// down, it is skipped in its wave. If the VM returns later, the drain
+// continues.
 func (e *executor) handleOverdue(ctx context.Context, vm *ledger.VM) {
 	if !maintenance.Overdue(vm, time.Now()) {
 		return
@@ -56,7 +57,7 @@
 	e.skipInWave(ctx, vm)
 }
 
-// skipInWave takes a VM that was given up out of its wave.
+// skipInWave removes an overdue VM from its wave.
 func (e *executor) skipInWave(ctx context.Context, vm *ledger.VM) {
 	if vm.Drain == nil || vm.Drain.Wave == "" || !e.MayDecide() {
 		return
@@ -76,7 +77,7 @@
 	e.proposer.propose(ctx, seen, pool.OnWave(w, record.WaveSkip{VM: vm.ID, Reason: reason}, "out for too long"))
 }
 
-// sendAction sends the action of the VM's step.
+// sendAction sends the action of the VM's step to the platform.
 func (e *executor) sendAction(ctx context.Context, vm *ledger.VM) maintenance.Result {
 	a, ok := maintenance.ActionOf(vm)
 	if !ok {
@@ -101,9 +102,9 @@
 	return result
 }
 
-// ResultOf tells what a reply proves. After any error the action is sent again
-// under the same operation ID at the next look: a lost reply is unknown, never
-// failed.
+// ResultOf returns the result that a reply proves. A lost reply means unknown
+// and never failed: after any error the action is sent again under the same
+// operation ID.
 func ResultOf(status platform.OperationStatus, err error) maintenance.Result {
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
@@ -118,7 +119,8 @@
 	return maintenance.ResultRunning
 }
 
-// checkHealth asks the VM itself; only reboots and returns depend on the answer.
+// checkHealth reports whether the VM is healthy. It checks the VM only for
+// reboots and returns; other steps do not depend on the result.
 func (e *executor) checkHealth(ctx context.Context, vm *ledger.VM) bool {
 	switch maintenance.Next(vm) {
 	case maintenance.StepReboot, maintenance.StepReturn:
@@ -127,8 +129,8 @@
 	return true
 }
 
-// join puts a released VM into its target, or back into its old pool when the
-// target was removed meanwhile.
+// join moves a released VM into its target pool, or back into its old pool if
+// the target was removed in the meantime.
 func (e *executor) join(ctx context.Context, vm *ledger.VM) bool {
 	target := vm.Drain.Target
 	e.cfg.Follower.View(func(st *ledger.State) {
@@ -136,7 +138,7 @@
 			target = vm.Pool
 		}
 	})
-	return e.proposeForVM(ctx, vm, record.VMJoin{Pool: target}, "released for its new pool")
+	return e.proposeForVM(ctx, vm, record.VMJoin{Pool: target}, "released for its target pool")
 }
 
 func (e *executor) proposeForVM(ctx context.Context, vm *ledger.VM, body record.Body, why string) bool {
--- a/internal/steward/steward.go
+++ b/internal/steward/steward.go
@@ -1,6 +1,7 @@
-// Package steward carries the fleet decisions: it watches the platform's list
-// and the VMs' health, plans, appends what was planned, and carries out what
-// took effect. Every node runs one; none leads.
+// Package steward decides about the fleet: it reads the platform's list of VMs,
+// checks the VMs' health, plans, appends the planned decisions to the log, and
+// carries out those that took effect. Every node runs a steward; there is no
+// leader.
 package steward
 
 import (
@@ -18,20 +19,20 @@
 	"github.com/yuccadrift/yuccadrift/internal/supervise"
 )
 
-// Config is what a Steward needs. Zero durations and counts take the defaults of
-// the settings.
+// Config configures a Steward. Zero durations and counts stand for the
+// defaults.
 type Config struct {
 	Node     string
 	Follower *follower.Follower
 	Fleet    platform.Fleet
-	// Entries tells the requests in flight at the entry processes.
+	// Entries reports the requests in flight at the entry processes.
 	Entries Entries
 	// Health checks a backend server.
 	Health Checker
-	// Peers are the other stewards; nil means none.
+	// Peers gives access to the other stewards; nil means none.
 	Peers  Peers
 	Logger hclog.Logger
-	// Metrics takes the steward's metrics; nil keeps them unseen.
+	// Metrics registers the steward's metrics; nil leaves them unregistered.
 	Metrics prometheus.Registerer
 
 	Policy        pool.Policy
@@ -45,13 +46,13 @@
 const (
 	// defaultCheckInterval is the pause between rounds of health checks.
 	defaultCheckInterval = time.Second
-	// freshWithin is how old the latest read of the log's end may be for a
-	// disruptive decision. A steward that is cut off from the log decides
-	// nothing: its picture may be hours old.
+	// freshWithin is the maximum age of the last read of the log's end for a
+	// decision. A steward that is cut off from the log decides nothing, since
+	// its state may be hours old.
 	freshWithin = 5 * time.Second
 )
 
-// Steward is the duties of one node over one follower.
+// Steward runs the fleet duties of one node on the state of one follower.
 type Steward struct {
 	cfg      Config
 	proposer *proposer
@@ -59,7 +60,7 @@
 	metrics  *metrics
 }
 
-// New returns a Steward; Duties are to be supervised by the caller.
+// New returns a Steward. The caller must supervise its Duties.
 func New(cfg Config) *Steward {
 	cfg = withDefaults(cfg)
 	m := newMetrics(cfg.Metrics)
@@ -103,17 +104,16 @@
 	}
 }
 
-// Rank returns how many live stewards come before this one for a pool's jobs.
+// Rank returns the number of live stewards that rank higher for a pool's jobs.
 func (s *Steward) Rank(pool string) int { return s.shares.rank("jobs/"+pool, time.Now()) }
 
-// MayDecide reports whether the folded state is recent enough for a decision
-// that disturbs a VM.
+// MayDecide reports whether the folded state is recent enough for decisions.
 func (s *Steward) MayDecide() bool {
 	fresh := s.cfg.Follower.Fresh()
 	return !fresh.IsZero() && time.Since(fresh) <= freshWithin
 }
 
-// vm returns a copy of a VM's state.
+// vm returns a copy of a VM's state, and false if the VM is unknown.
 func (s *Steward) vm(id string) (ledger.VM, bool) {
 	var vm ledger.VM
 	found := false
@@ -134,7 +134,7 @@
 	return vm
 }
 
-// every calls f at once and then at each tick until ctx ends.
+// every calls f immediately and then at each tick until ctx ends.
 func every(ctx context.Context, interval time.Duration, f func(context.Context)) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
