--- a/internal/steward/evidence_test.go
+++ b/internal/steward/evidence_test.go
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// fakePeer is a peer that reaches all VMs, or none, or does not answer itself.
+// fakePeer is a peer that reaches all VMs or none, or that does not reply.
 type fakePeer struct {
 	reaches     bool
 	unreachable bool
@@ -46,23 +46,22 @@
 	return healthy, 1
 }
 
-// A steward's network towards the backend servers is cut while it still reaches
-// the log: every VM fails its health checks at that steward, none fails for
-// callers. Recorded as down, all pools would lose their budgets and VMs would
-// be replaced that serve. Order: VMs serve, the checks begin to fail in all
-// racks, the peer is asked. Only failures that a peer sees too, or that lie in
-// one rack when no peer can be heard, count.
+// A steward's network to the backend servers is cut while it still reaches the
+// log: every VM fails its health checks at that steward only. If the VMs were
+// recorded as down, all pools would lose their budgets and serving VMs would be
+// replaced. Only failures that a peer confirms count, or failures within one
+// rack if no peer replies.
 func TestFailuresSeenByOneStewardOnly(t *testing.T) {
 	cases := map[string]struct {
 		peer   fakePeer
 		prefix string
 		down   int
 	}{
-		"a peer reaches them":            {fakePeer{reaches: true}, "10.", 0},
-		"a peer fails too":               {fakePeer{}, "10.", 12},
+		"a peer reaches the VMs":         {fakePeer{reaches: true}, "10.", 0},
+		"the peer's checks fail too":     {fakePeer{}, "10.", 12},
 		"no peer, several racks":         {fakePeer{unreachable: true}, "10.", 0},
 		"no peer, one VM":                {fakePeer{unreachable: true}, "10.0.0.3:", 1},
-		"one VM that a peer still sees":  {fakePeer{reaches: true}, "10.0.0.3:", 0},
+		"one VM that a peer reaches":     {fakePeer{reaches: true}, "10.0.0.3:", 0},
 		"one VM that no steward reaches": {fakePeer{}, "10.0.0.3:", 1},
 	}
 	for name, c := range cases {
--- a/internal/steward/faults_test.go
+++ b/internal/steward/faults_test.go
@@ -17,7 +17,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/steward"
 )
 
-// listedChecker is a Checker that reaches the VMs that the platform's list shows.
+// listedChecker is a Checker that reaches the VMs in the platform's list.
 type listedChecker struct{ fake *standin.Platform }
 
 func (l listedChecker) Check(ctx context.Context, address string) error {
@@ -30,11 +30,11 @@
 	return errors.New("no answer")
 }
 
-// Three stewards run a wave while the platform loses replies, is slow, is away
-// for a quarter of an hour and loses a rack. Operators see the wave end, the
-// budget kept by the stewards' own acts, and one reboot for each decision. Order
-// and times differ by seed. Why: acts follow decisions that were read back, and
-// every repeat carries the same operation ID.
+// Three stewards run a wave while the platform loses replies, is slow, is
+// unavailable for a quarter of an hour and loses a rack. The wave must end, the
+// budget must hold, and each reboot decision must cause one reboot: actions
+// follow decisions that were read back, and each repeat carries the same
+// operation ID. The order and times of the faults depend on the seed.
 func TestWaveUnderPlatformFaults(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -80,7 +80,7 @@
 		assert.GreaterOrEqual(t, s.Unavailability("booking").Serving, 12)
 		for id, vm := range s.VMs {
 			assert.LessOrEqual(t, reboots[id], 1, id)
-			if vm.Rack != "a-r01" { // those that were lost may be known anew
+			if vm.Rack != "a-r01" { // VMs of the lost rack may have been registered again
 				assert.Equal(t, vm.Reboots, reboots[id], id)
 			}
 			assert.Nil(t, vm.Drain, "%s is %s", id, vm.Phase)
--- a/internal/steward/outage_test.go
+++ b/internal/steward/outage_test.go
@@ -23,15 +23,16 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// attempt is something that a steward did: an append, or an action on a VM.
+// attempt is an append or an action that a steward tried.
 type attempt struct {
 	at     time.Time
 	what   string
-	offset uint64 // that the steward had folded
+	offset uint64 // folded by the steward
 }
 
-// platformLink is one steward's way to the platform. Its two parts can be cut, and it
-// notes what the steward tries, also while it is cut.
+// platformLink connects one steward to the platform. Access to the log and to
+// the VMs can be cut separately. It records what the steward tries, also while
+// it is cut.
 type platformLink struct {
 	platform.Fleet
 	*testkit.FaultyLog
@@ -52,7 +53,7 @@
 	w.attempts = append(w.attempts, a)
 }
 
-// attemptsAfter returns what was tried after the time.
+// attemptsAfter returns the attempts after the given time.
 func (w *platformLink) attemptsAfter(at time.Time) []attempt {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -93,8 +94,8 @@
 	return w.Fleet.List(ctx)
 }
 
-// waveInProgress is three stewards in the middle of a wave, and an operator who has a
-// way of his own to the log.
+// waveInProgress is three stewards in the middle of a wave, and an operator
+// with separate access to the log.
 type waveInProgress struct {
 	*testing.T
 	fake     *standin.Platform
@@ -120,18 +121,18 @@
 	for m.operator.count(func(vm *ledger.VM) bool { return vm.Reboots > 0 }) < 2 {
 		time.Sleep(time.Second)
 	}
-	require.Positive(t, m.operator.count(func(vm *ledger.VM) bool { return vm.Drain != nil }), "VMs are under way")
+	require.Positive(t, m.operator.count(func(vm *ledger.VM) bool { return vm.Drain != nil }), "some VMs must be in a drain")
 	return m
 }
 
-// crash loses a VM, or those of a rack.
+// crash crashes a VM or the VMs of a rack.
 func (m *waveInProgress) crash(target string) {
 	_, err := m.fake.Order(standin.Fault{Kind: standin.VMCrash, Target: target})
 	require.NoError(m, err)
 }
 
-// requireNoAttempts lets d pass and checks that no steward tried anything once its state had
-// grown old, except to end an append that was under way.
+// requireNoAttempts lets d pass and checks that no steward tries anything after
+// its state is too old, which leaves 15 s to end an append in flight.
 func (m *waveInProgress) requireNoAttempts(d time.Duration) {
 	m.Helper()
 	time.Sleep(15 * time.Second)
@@ -139,11 +140,12 @@
 	time.Sleep(d)
 	for i, w := range m.links {
 		attempts := w.attemptsAfter(began)
-		assert.Empty(m, attempts[:min(3, len(attempts))], "%d acts of steward %d", len(attempts), i+1)
+		assert.Empty(m, attempts[:min(3, len(attempts))], "%d attempts of steward %d", len(attempts), i+1)
 	}
 }
 
-// appendRecords appends more records than one read brings, and returns the log's end.
+// appendRecords appends records of another system and returns the log's end.
+// Callers use it to write more records than one read returns.
 func (m *waveInProgress) appendRecords(records int) uint64 {
 	const most = 500
 	for ; records > 0; records -= most {
@@ -156,15 +158,15 @@
 	return tail
 }
 
-// In the middle of a wave the log is out of the stewards' reach for three hours,
-// in which they still reach the VMs, and then all of the platform for three
-// more. Racks fail meanwhile. Nobody sees a VM drained, rebooted or moved. An
-// operator who still reaches the log aborts the wave and publishes a document,
-// the last of more records than the stewards fold in one read, and reads are
-// slow. The first thing that each steward does after its return rests on all of
-// them: the wave takes no further VM, and what failed is replaced. Why: a
-// decision needs a read of the log's end that is seconds old at most, and a read
-// that ended before the end does not count.
+// In the middle of a wave the stewards lose the log for three hours, while they
+// still reach the VMs, and then the whole platform for three more. Racks fail
+// meanwhile. No VM may be drained, rebooted or moved. An operator who still
+// reaches the log aborts the wave and publishes a document, as the last of more
+// records than the stewards fold in one read, and reads are slow. The first
+// decision of each steward after its return must be based on all of these
+// records: the wave takes no further VM, and failed VMs are replaced. A
+// decision needs a read of the log's end that is seconds old at most; a read
+// that stops before the end does not count.
 func TestStewardsDoNothingWhileThePlatformIsUnreachable(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -200,13 +202,13 @@
 			}
 			attempts = append(attempts, acts...)
 		}
-		assert.NotEmpty(t, attempts, "the stewards go on")
+		assert.NotEmpty(t, attempts, "the stewards must act again")
 		m.operator.follower.View(func(s *ledger.State) {
 			assert.Equal(t, ledger.WaveAborted, s.Waves["w1"].Status)
 			assert.NotNil(t, s.Services["returns"])
 			for id, vm := range s.VMs {
 				if vm.Drain != nil && vm.Drain.Wave != "" {
-					assert.LessOrEqual(t, vm.Drain.Fence, tail, "%s was drained for a wave that is over", id)
+					assert.LessOrEqual(t, vm.Drain.Fence, tail, "%s was drained for a wave that has ended", id)
 				}
 				assert.LessOrEqual(t, m.fake.Counters().Reboots[id], 1, id)
 			}
@@ -214,10 +216,10 @@
 	})
 }
 
-// After an outage the log comes back without the records that the stewards had
-// not folded yet, or as another one that begins anew and is shorter. A rack has
-// failed. No steward acts on what it has: it keeps its state and says what is
-// wrong. When the true log is back, they act on its end.
+// After an outage the log returns without records that the stewards had not
+// folded yet, or as another log that is shorter. A rack has failed. No steward
+// may act: each keeps its state and reports the condition. When the original
+// log returns, the stewards act on its end.
 func TestStewardsActOnlyOnTheLogThatTheyFollowed(t *testing.T) {
 	t.Parallel()
 	for _, condition := range []follower.Condition{follower.Gap, follower.Foreign} {
@@ -256,8 +258,8 @@
 					w.Redirect(m.fake)
 				}
 				time.Sleep(5 * time.Minute)
-				// A steward may find that the others have done all there was to do, but
-				// each follows the log to its end.
+				// The other stewards may have done all the work already, but
+				// each steward must have folded the log to its end.
 				var attempts []attempt
 				for i, w := range m.links {
 					is, detail := w.node.Load().follower.Condition()
@@ -268,7 +270,7 @@
 						attempts = append(attempts, a)
 					}
 				}
-				assert.NotEmpty(t, attempts, "the stewards go on")
+				assert.NotEmpty(t, attempts, "the stewards must act again")
 			})
 		})
 	}
--- a/internal/steward/pace_test.go
+++ b/internal/steward/pace_test.go
@@ -19,11 +19,12 @@
 	"github.com/yuccadrift/yuccadrift/internal/steward"
 )
 
-// tickOffset keeps a count from beginning in the middle of a round: duties
-// and the test would else wake at the same instant, in any order.
+// tickOffset keeps a count from starting in the middle of a round: without it,
+// duties and the test would wake at the same instant, in any order.
 const tickOffset = 50 * time.Millisecond
 
-// countingChecker counts the checks of each address and fails those of one.
+// countingChecker counts the checks of each address and fails those of one
+// address.
 type countingChecker struct {
 	mu    sync.Mutex
 	count map[string]int
@@ -40,7 +41,7 @@
 	return nil
 }
 
-// reset forgets the counts and names the address that fails from now on.
+// reset clears the counts and sets the address that fails from now on.
 func (c *countingChecker) reset(bad string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,10 +57,10 @@
 	return total
 }
 
-// A steward watches many VMs: were each checked every second, the checks alone
-// would cost more than the node may spend. 60 VMs take turns, 10 a second, and
-// none is left out; one that begins to fail is down within its turn and two
-// more seconds, not after three turns.
+// If each of many VMs were checked every second, the checks alone would cost
+// more than the node may spend. 60 VMs are checked in rotation, 10 a second,
+// and none is left out. A VM that starts to fail is recorded as down after one
+// rotation and two more seconds, not after three rotations.
 func TestHealthChecksRotateOverManyVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 60, Zones: []string{"a", "b", "c"}}}})
@@ -68,7 +69,7 @@
 		time.Sleep(20*time.Second + tickOffset)
 		check.reset("")
 		time.Sleep(6 * time.Second)
-		assert.Len(t, check.count, 60, "every VM had its turn")
+		assert.Len(t, check.count, 60, "every VM must be checked")
 		assert.Equal(t, 60, check.sum())
 		list, err := fake.List(t.Context())
 		require.NoError(t, err)
@@ -103,7 +104,7 @@
 	return a.Fleet.Drain(ctx, vm, op)
 }
 
-// fixedPeers is a steward's view of others that are there.
+// fixedPeers is a fixed set of live peers.
 type fixedPeers []string
 
 func (b fixedPeers) Configured() bool { return true }
@@ -112,9 +113,9 @@
 	return nil, 0
 }
 
-// The list has a line for every VM. Three stewards that each read it at every
+// The list has an entry for every VM. Three stewards that each read it at every
 // interval would cost the platform and themselves three times what is needed.
-// They take turns, and whoever reads a new VM first makes it known.
+// They take turns, and the steward that reads a new VM first registers it.
 func TestStewardsTakeTurnsReadingTheVMList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 6, Zones: []string{"a"}}}})
@@ -133,14 +134,14 @@
 		assert.InDelta(t, 30, fleet.lists, 2)
 		_, err := fake.Order(standin.Fault{Kind: standin.VMAdd, Target: "vm"})
 		require.NoError(t, err)
-		time.Sleep(5 * time.Second) // the list's lag and one turn
+		time.Sleep(5 * time.Second) // the lag of the list and one turn
 		assert.Equal(t, 7, n.count(func(*ledger.VM) bool { return true }))
 	})
 }
 
-// A drain waits for long requests, here for its whole bound as the one entry
-// process cannot be asked. Asking the platform five times a second all the while
-// would be most of a steward's traffic during a wave.
+// A drain waits for long requests, here until its limit since the only entry
+// process cannot be queried. Calling the platform five times a second for so
+// long would be most of a steward's traffic during a wave.
 func TestUnfinishedStepIsRetriedWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 12, Zones: []string{"a", "b", "c"}}}})
@@ -159,13 +160,13 @@
 		n.propose(t, record.Subject{Kind: record.SubjectVM, Name: vm}, record.VMDrain{Reason: record.DrainOperator, Estimate: time.Minute})
 		time.Sleep(30 * time.Second)
 		assert.Equal(t, 1, n.count(func(vm *ledger.VM) bool { return vm.Phase == record.PhaseDraining }))
-		assert.InDelta(t, 33, fleet.drains, 5, "once a second after the first")
+		assert.InDelta(t, 33, fleet.drains, 5, "one call a second after the first ones")
 		time.Sleep(3 * time.Minute)
 		assert.Zero(t, n.count(func(vm *ledger.VM) bool { return vm.Drain != nil }))
 	})
 }
 
-// changingPeers is a steward's view of others that come and go.
+// changingPeers is a set of live peers that changes.
 type changingPeers struct {
 	fixedPeers
 	mu    sync.Mutex
@@ -184,9 +185,9 @@
 	return o.nodes
 }
 
-// A steward remembers which VMs are its share. Other stewards come and then are
-// lost: it must leave their shares to them, and take all back, or the VMs of a
-// lost steward would never be found down.
+// A steward caches which VMs are in its share. When other stewards join it must
+// leave their shares to them, and when they are lost it must take the shares
+// back: otherwise the VMs of a lost steward are never found down.
 func TestHealthCheckShareFollowsLiveStewards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 30, Zones: []string{"a", "b", "c"}}}})
@@ -199,7 +200,7 @@
 			most  int
 		}{{nil, 30, 30}, {[]string{"entry-2", "entry-3"}, 4, 18}, {nil, 30, 30}} {
 			peers.set(step.there...)
-			time.Sleep(10 * time.Second) // until a duty asks who is there
+			time.Sleep(10 * time.Second) // until a duty reads the peers
 			check.reset("")
 			time.Sleep(10 * time.Second)
 			assert.GreaterOrEqual(t, len(check.count), step.least)
@@ -208,8 +209,8 @@
 	})
 }
 
-// A round of planning over thousands of VMs costs as much whether or not there
-// is anything to do. While nothing changes rounds come five times less often; a
+// A planning round over thousands of VMs costs the same whether or not there is
+// anything to do. While nothing changes, rounds run five times less often. A
 // document that is published meanwhile must not wait for the next of them.
 func TestPlanningSlowsDownWhileNothingChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -24,18 +24,18 @@
 
 const stream = "yuccadrift"
 
-// alwaysHealthy is a Checker for VMs that answer.
+// alwaysHealthy is a Checker that finds every VM healthy.
 type alwaysHealthy struct{}
 
 func (alwaysHealthy) Check(context.Context, string) error { return nil }
 
-// node is one steward in the test's process.
+// node is a steward in the test's process.
 type node struct {
 	follower *follower.Follower
 	stop     context.CancelFunc
 }
 
-// platformAPI is what a steward has of the platform.
+// platformAPI is the part of the platform that a steward uses.
 type platformAPI interface {
 	platform.Log
 	platform.Fleet
@@ -63,7 +63,7 @@
 	return &node{follower: f, stop: cancel}
 }
 
-// count counts the VMs that f holds for.
+// count returns the number of VMs for which f returns true.
 func (n *node) count(f func(*ledger.VM) bool) int {
 	sum := 0
 	n.follower.View(func(s *ledger.State) {
@@ -95,9 +95,9 @@
 	n.propose(t, record.Subject{Kind: record.SubjectService, Name: service}, record.DocumentPublish{Text: string(text)})
 }
 
-// The thin path: VMs of the platform's list become known and join the pool that
-// the document asks for; a wave drains, reboots and takes back each of them,
-// and never more at once than the budget allows.
+// VMs of the platform's list are registered and join the pool that the document
+// asks for. A wave drains, reboots and returns each of them, and never has more
+// out of service at once than the budget allows.
 func TestWaveOverOnePool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 12, Zones: []string{"a", "b", "c"}}}})
--- a/internal/stewardpeer/peers.go
+++ b/internal/stewardpeer/peers.go
@@ -15,24 +15,24 @@
 	pb "github.com/yuccadrift/yuccadrift/internal/stewardpeer/stewardpeerpb"
 )
 
-// Pace of the greetings.
+// Times and limits of hello calls.
 const (
 	helloInterval = time.Second
 	helloTimeout  = time.Second
-	// hellosPerInterval bounds the greetings sent in one interval. With more
-	// peers each is greeted less often, so that greetings cost a node the same
-	// however many there are.
+	// hellosPerInterval bounds the hello calls per interval. With more peers,
+	// each is called less often, so the cost for a node does not grow with the
+	// number of peers.
 	hellosPerInterval = 8
-	// aliveIntervals is how many rounds of greetings a peer counts as there after its
-	// last answer.
+	// aliveIntervals is the number of intervals for which a peer counts as
+	// alive after its last reply.
 	aliveIntervals = 3
 )
 
-// Peers greets the other stewards and knows which of them are there.
+// Peers calls the other stewards regularly and tracks which of them are alive.
 type Peers struct {
 	logger   hclog.Logger
 	peers    []*peer
-	interval time.Duration // between greetings of one peer
+	interval time.Duration // between hello calls to one peer
 }
 
 type peer struct {
@@ -43,11 +43,11 @@
 
 	mu         sync.Mutex
 	node       string
-	answeredAt time.Time // of the last answer that said "able"
+	answeredAt time.Time // when the last hello with the reply "able" was sent
 }
 
 // NewPeers returns Peers for the stewards at the addresses (IP:port). Serve
-// makes it greet them.
+// must run for peers to count as alive.
 func NewPeers(addresses []string, logger hclog.Logger) (*Peers, error) {
 	rounds := max(1, (len(addresses)+hellosPerInterval-1)/hellosPerInterval)
 	p := &Peers{logger: logger, interval: time.Duration(rounds) * helloInterval}
@@ -67,14 +67,14 @@
 	return p, nil
 }
 
-// Close ends the connections.
+// Close closes the connections.
 func (p *Peers) Close() {
 	for _, peer := range p.peers {
 		_ = peer.conn.Close()
 	}
 }
 
-// Serve greets the peers until ctx ends. It is a duty's Serve function.
+// Serve calls the peers until ctx ends. It is a duty's Serve function.
 func (p *Peers) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(p.interval)
 	defer ticker.Stop()
@@ -120,10 +120,10 @@
 	return p.node, time.Since(p.answeredAt) < p.aliveTimeout
 }
 
-// Configured reports whether any peer is set.
+// Configured reports whether any peers are configured.
 func (p *Peers) Configured() bool { return len(p.peers) > 0 }
 
-// Nodes returns the nodes whose stewards answered lately and may decide, sorted.
+// Nodes returns the nodes whose stewards are alive and may decide, sorted.
 func (p *Peers) Nodes() []string {
 	var nodes []string
 	for _, peer := range p.peers {
@@ -135,11 +135,12 @@
 	return nodes
 }
 
-// maxPeersAsked is how many peers give a second opinion.
+// maxPeersAsked is the number of peers that check failing backend servers.
 const maxPeersAsked = 2
 
-// Healthy asks living peers which of the backend servers answer them, and how
-// many peers did reply. A server is in the result if any of them reached it.
+// Healthy asks live peers which of the backend servers they reach. It returns
+// the servers that at least one of them reached, and the number of peers that
+// replied.
 func (p *Peers) Healthy(ctx context.Context, addresses []string) (healthy map[string]bool, asked int) {
 	healthy = map[string]bool{}
 	for _, peer := range p.peers {
--- a/internal/stewardpeer/peers_test.go
+++ b/internal/stewardpeer/peers_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every steward greets every other. With the square of the stewards the
-// greetings would outgrow what a node may send, so beyond hellosPerInterval
-// peers each is greeted less often, and counts as there for longer.
+// Every steward calls every other, so the number of hello calls grows with the
+// square of the number of stewards. Beyond hellosPerInterval peers, each is
+// called less often and counts as alive for longer.
 func TestHellosPerSecondAreBounded(t *testing.T) {
 	for peers, interval := range map[int]time.Duration{0: 1, 1: 1, 7: 1, 8: 1, 9: 2, 23: 3, 95: 12} {
 		var addresses []string
--- a/internal/stewardpeer/server.go
+++ b/internal/stewardpeer/server.go
@@ -1,5 +1,6 @@
-// Package stewardpeer is the peer package for the other nodes' stewards: who is
-// there to share the work, and a second opinion on a backend server's health.
+// Package stewardpeer connects the stewards of different nodes: they find out
+// which stewards are alive to share the work, and check backend servers for
+// each other.
 package stewardpeer
 
 import (
@@ -14,19 +15,19 @@
 	pb "github.com/yuccadrift/yuccadrift/internal/stewardpeer/stewardpeerpb"
 )
 
-// Bounds of one Check.
+// Limits of one Check call.
 const (
 	maxAddresses  = 256
 	checkParallel = 32
 	checkTimeout  = 2 * time.Second
 )
 
-// ServerConfig is what a steward tells its peers.
+// ServerConfig configures the service that a steward offers its peers.
 type ServerConfig struct {
 	Node string
 	// Able reports whether the steward may decide now.
 	Able func() bool
-	// Check asks one backend server; nil means healthy.
+	// Check checks one backend server; a nil error means healthy.
 	Check func(ctx context.Context, address string) error
 }
 
