--- a/internal/jobrunner/action.go
+++ b/internal/jobrunner/action.go
@@ -1,11 +1,12 @@
-// Package jobrunner drives the pools' jobs: it decides placements with package
-// placement, appends them, and carries out on the platform what took effect.
+// Package jobrunner runs the pools' jobs: it decides placements with package
+// placement, appends them to the log, and carries out on the platform those
+// that took effect.
 //
-// Core holds every decision and does no I/O: Step looks at the folded state and
-// returns the actions that are due, Done takes their results. Runner executes
-// the actions in duties joined by bounded channels. Any steward may drive any
-// pool at any time: what it remembers only saves work, the fold and the
-// platform's operation IDs keep it safe.
+// Core makes every decision and does no I/O: Step reads the folded state and
+// returns the actions that are due, Done handles their results. Runner executes
+// the actions in duties connected by bounded channels. Any steward may run any
+// pool's jobs at any time: Core's own state only avoids duplicate work, and the
+// fold and the platform's operation IDs ensure safety.
 package jobrunner
 
 import (
@@ -18,7 +19,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Verb names what an action does.
+// Verb is the kind of an action.
 type Verb string
 
 // Verbs of actions.
@@ -33,12 +34,12 @@
 	VerbUsage      Verb = "usage"
 )
 
-// Lane is a class of actions with executors of its own, so that slow calls of
-// one class do not hold back another.
+// Lane is a class of actions with its own executors, so that slow calls of one
+// class do not delay another.
 type Lane int
 
-// Lanes. Urgent work has its own: while calls to dead workers wait for their
-// timeouts in the common lane, urgent work must still start within its bound.
+// Lanes. Urgent work has its own lane: it must start within its bound even
+// while calls to dead workers wait for their timeouts in the common lane.
 const (
 	LaneLog Lane = iota
 	LaneTasks
@@ -46,18 +47,18 @@
 	laneCount
 )
 
-// laneLimits bounds the actions in flight in each lane.
+// laneLimits limits the actions in flight in each lane.
 var laneLimits = [laneCount]int{LaneLog: 64, LaneTasks: 32, LaneUrgent: 16}
 
-// Action is one call to make. Only the fields of its verb are set.
+// Action is a call to make. Only the fields of its verb are set.
 type Action struct {
 	Verb Verb
 	Lane Lane
-	// Key is held by one action at a time.
+	// Key excludes concurrent actions: only one action per key is in flight.
 	Key string
-	// NotAfter is when the decision behind the action is too old to act on. An
-	// executor that was paused between the decision and the call must drop it:
-	// the job may have been cancelled or given up meanwhile.
+	// NotAfter is the time after which the action must be dropped. If an
+	// executor is paused between the decision and the call, the job may have
+	// been cancelled or ended in the meantime.
 	NotAfter time.Time
 
 	Record record.Record
@@ -70,17 +71,17 @@
 	Share   float64
 
 	Worker string
-	Jobs   []string // whose tasks on the worker a renewal or status is for
+	Jobs   []string // whose tasks on Worker a renewal or status read covers
 	Tasks  []string
 	Lease  time.Duration
 	Fence  platform.Offset
 }
 
-// ErrOutdated means that an action was dropped because its time had passed;
-// nothing was sent.
+// ErrOutdated means that an action was dropped after its NotAfter time; nothing
+// was sent.
 var ErrOutdated = errors.New("the decision is too old to act on")
 
-// Result is what an action brought back.
+// Result is the result of an action.
 type Result struct {
 	Action   Action
 	Err      error
--- a/internal/jobrunner/burst.go
+++ b/internal/jobrunner/burst.go
@@ -7,15 +7,16 @@
 )
 
 // A team that cancels burstJobs jobs within burstWindow is cancelling a batch.
-// Each job that is stopped makes room for the next of the batch, which would be
-// placed and started only to be stopped a moment later. So the team's other jobs
-// wait until burstWindow has passed without a cancellation.
+// Each stopped job frees capacity for the next job of the batch, which would be
+// placed and started only to be stopped a moment later. The team's other jobs
+// therefore wait until burstWindow has passed without a cancellation.
 const (
 	burstJobs   = 4
 	burstWindow = 2 * time.Second
 )
 
-// teamsCancellingBatch returns the teams that are cancelling a batch of jobs.
+// teamsCancellingBatch returns, by team, whether the team is cancelling a batch
+// of jobs in the pool.
 func teamsCancellingBatch(st *ledger.State, pool string, now time.Time) map[string]bool {
 	cancelled := map[string]int{}
 	for _, j := range st.PoolJobs(pool) {
--- a/internal/jobrunner/core.go
+++ b/internal/jobrunner/core.go
@@ -12,73 +12,74 @@
 	"github.com/yuccadrift/yuccadrift/internal/usage"
 )
 
-// Times of the driver.
+// Times of the core.
 const (
-	// maxStepGap is the gap between two steps that counts as a pause of the
-	// process.
+	// maxStepGap is the gap between two steps above which the process counts as
+	// having been paused.
 	maxStepGap = 2 * time.Second
-	// maxReadAge is how old the latest read of the log's end may be for new
+	// maxReadAge is the maximum age of the last read of the log's end for new
 	// decisions. An idle follower reads every 2 s.
 	maxReadAge = 5 * time.Second
-	// takeoverDelay is how long work of a better placed steward may lie undone for
-	// each rank before the next one does it.
+	// takeoverDelay is how long work may remain undone, for each steward that
+	// ranks higher, before this steward does it.
 	takeoverDelay = 1500 * time.Millisecond
-	// leaseRenewers is how many stewards renew the leases of a pool's tasks, so that
-	// the death of one costs no task.
+	// leaseRenewers is the number of stewards that renew the leases of a pool's
+	// tasks, so that no task is lost when one of them dies.
 	leaseRenewers = 2
 	// usageInterval is the pause between reads of the usage reports.
 	usageInterval = 10 * time.Second
-	// pendingWorkTTL is for how long undone work is remembered for a takeover.
+	// pendingWorkTTL is how long undone work and own records are remembered.
 	pendingWorkTTL = 10 * time.Minute
 )
 
-// CoreConfig is what a Core needs.
+// CoreConfig configures a Core.
 type CoreConfig struct {
-	// Node names this process in the records that it writes.
+	// Node is the author of the records that this process writes.
 	Node string
 	// NewID returns a unique record ID.
 	NewID func() string
-	// Rank returns how many live stewards come before this one for a pool.
+	// Rank returns the number of live stewards that rank higher for a pool.
 	Rank func(pool string) int
-	// Policy of placement; the zero value is the full policy.
+	// Policy is the placement policy; the zero value is the full policy.
 	Policy placement.Policy
-	// NoCorrection reserves what jobs declare: a baseline of the measurements.
+	// NoCorrection reserves what jobs declare instead of corrected sizes. It is
+	// a baseline for measurements, as are the next two.
 	NoCorrection bool
-	// NoSettling places the jobs of a team that is cancelling many: a baseline.
+	// NoSettling also places jobs of teams that are cancelling a batch.
 	NoSettling bool
-	// NoQuarantine trusts every worker: a baseline.
+	// NoQuarantine trusts every worker.
 	NoQuarantine bool
 }
 
-// Core decides what is due. It is not safe for concurrent use.
+// Core decides which actions are due. It is not safe for concurrent use.
 type Core struct {
 	cfg CoreConfig
 
 	lastStep time.Time
-	// resumedAt is when the process began or last woke from a pause. Nothing is
-	// decided on what was folded before.
+	// resumedAt is when the process started or last resumed after a pause.
+	// Nothing is decided on a state that was read earlier.
 	resumedAt time.Time
 
 	estimates          *usage.Estimator
-	countedJobs        map[string]bool             // ended jobs whose use was counted
-	ownRecords         map[string]time.Time        // placements and preemptions written here, by record ID
+	countedJobs        map[string]bool             // ended jobs whose usage has been learned
+	ownRecords         map[string]time.Time        // placements and preemptions of this process, by record ID
 	tasks              map[string]*task            // by job
 	workers            map[string]*worker          // by VM
-	firstSeenUndone    map[string]time.Time        // undone work of others
-	appliedPreemptions map[string]string           // preemptions carried out, by ID: job
+	firstSeenUndone    map[string]time.Time        // undone work of other stewards, by item
+	appliedPreemptions map[string]string           // preemptions carried out: job by preemption ID
 	busyKeys           map[string]bool             // keys of actions in flight
 	inFlight           [laneCount]int              // actions in flight
-	usageRequestedAt   time.Time                   // when usage was last asked for
-	usageReports       map[string]ledger.Resources // latest use, by task
+	usageRequestedAt   time.Time                   // when usage was last requested
+	usageReports       map[string]ledger.Resources // latest usage by task
 	actions            []Action
 	shuttingDown       bool
-	unconfirmedStarts  int                  // own placements not known to run, while leaving
+	unconfirmedStarts  int                  // own placements not known to run, during shutdown
 	plannedAt          map[string]time.Time // by pool
-	firstPool          int                  // rotates which pool comes first
+	firstPool          int                  // rotates the pool that comes first
 	Stats              Stats
 }
 
-// Stats counts what happened, for metrics and measurements.
+// Stats counts events for metrics and measurements.
 type Stats struct {
 	Started     int // starts that the platform confirmed
 	Refused     int // starts that the platform refused
@@ -86,26 +87,26 @@
 	Unplaceable int
 	Preempted   int
 	SetAside    int
-	StartWaits  []StartWait // drained by the Runner
+	StartWaits  []StartWait // cleared by Metrics.observe
 }
 
-// StartWait is how long a job waited from its submission to its start.
+// StartWait is the time from the submission of a job to its start.
 type StartWait struct {
 	Urgent bool
 	Wait   time.Duration
 }
 
-// worker is what is remembered about a VM.
+// worker is the core's own state about a VM.
 type worker struct {
-	// noStartsBefore keeps new jobs away after a refused start.
+	// noStartsBefore keeps new jobs off the worker after a refused start.
 	noStartsBefore time.Time
 	refusals       int
-	// noRenewalBefore puts renewals off after a failed one.
+	// noRenewalBefore delays renewals after a failed one.
 	noRenewalBefore time.Time
 }
 
-// NewCore returns a Core that knows nothing. It decides nothing before a read
-// of the log that was sent after now.
+// NewCore returns a Core without any state. It decides nothing before a read of
+// the log that was sent after now.
 func NewCore(cfg CoreConfig, now time.Time) *Core {
 	return &Core{
 		cfg:                cfg,
@@ -124,13 +125,13 @@
 	}
 }
 
-// Step returns the actions that are due. fresh is when the latest read that
+// Step returns the actions that are due. fresh is when the last read that
 // reached the end of the log was sent.
 //
-// A process that was paused past its leases may have lost its tasks to a
-// takeover: on its old picture it would renew a task that others have given up,
-// or start a job that was cancelled. So after a gap it does nothing until the
-// log was read again, and renews only tasks whose status it has seen since.
+// A process that was paused for longer than its leases may have lost its tasks
+// to a takeover. On its old state it would renew a task that others have ended,
+// or start a cancelled job. After such a gap it does nothing until the log has
+// been read again, and renews only tasks whose status it has read since.
 func (c *Core) Step(st *ledger.State, fresh, now time.Time) []Action {
 	if now.Sub(c.lastStep) > maxStepGap {
 		c.resumedAt = now
@@ -160,12 +161,13 @@
 	return c.actions
 }
 
-// BeginShutdown makes the core decide nothing new: it only starts what it has placed.
-// Without that, each placement that a stopping steward leaves behind is one whose
-// start is in doubt to the others, and a job that is not repeatable is lost.
+// BeginShutdown makes the core decide nothing new; it only starts what it has
+// placed. Otherwise the other stewards could not know whether the remaining
+// placements were started, and jobs that are not repeatable would be lost.
 func (c *Core) BeginShutdown() { c.shuttingDown = true }
 
-// ShutdownComplete reports whether a leaving core has nothing left to do.
+// ShutdownComplete reports whether a core that is shutting down has nothing
+// left to do.
 func (c *Core) ShutdownComplete() bool {
 	inFlight := 0
 	for _, n := range c.inFlight {
@@ -174,7 +176,8 @@
 	return c.shuttingDown && c.unconfirmedStarts == 0 && inFlight == 0
 }
 
-// finishOwnStarts starts own placements and counts those that are not known to run.
+// finishOwnStarts starts own placements and counts those that are not known to
+// run.
 func (c *Core) finishOwnStarts(st *ledger.State, mayDecide bool, now time.Time) {
 	c.unconfirmedStarts = 0
 	for _, pool := range st.JobPools() {
@@ -191,10 +194,12 @@
 	}
 }
 
-// ReadSinceResume reports whether the log was read since the process began or woke.
+// ReadSinceResume reports whether the log has been read since the process
+// started or resumed.
 func (c *Core) ReadSinceResume(fresh time.Time) bool { return !fresh.Before(c.resumedAt) }
 
-// emit adds an action unless its key is held or its lane is full.
+// emit adds an action and reports true, unless an action with its key is in
+// flight or its lane is full.
 func (c *Core) emit(a Action) bool {
 	if c.busyKeys[a.Key] || c.inFlight[a.Lane] >= laneLimits[a.Lane] {
 		return false
@@ -206,7 +211,8 @@
 	return true
 }
 
-// propose emits a record about a job or VM.
+// propose emits a proposal of a record about a job or VM. It returns the
+// record's ID and whether the action was emitted.
 func (c *Core) propose(st *ledger.State, sub record.Subject, body record.Body, now time.Time) (string, bool) {
 	id := c.cfg.NewID()
 	ok := c.emit(Action{
@@ -232,7 +238,7 @@
 }
 
 // claim reports whether undone work falls to this steward now. item names the
-// work and what it was decided on, so that it is new after every change.
+// work and the state that it was decided on, so each change makes a new item.
 func (c *Core) claim(item string, rank int, now time.Time) bool {
 	if rank == 0 {
 		return true
@@ -245,7 +251,8 @@
 	return now.Sub(first) >= time.Duration(rank)*takeoverDelay
 }
 
-// forgetRemoved drops what is remembered about jobs and workers that are gone.
+// forgetRemoved drops the core's own state about jobs, placements and workers
+// that no longer exist.
 func (c *Core) forgetRemoved(st *ledger.State, now time.Time) {
 	for id, t := range c.tasks {
 		if j, ok := st.Jobs[id]; !ok || j.Status != ledger.JobPlaced || j.PlaceID != t.placeID {
@@ -289,12 +296,12 @@
 	return w
 }
 
-// Tasks lists the jobs placed on a worker, sorted: what a drain waits for,
-// checkpoints or skips.
+// Tasks returns the jobs placed on a worker, sorted by ID. A drain of the
+// worker waits for them, or checkpoints them.
 func Tasks(st *ledger.State, worker string) []*ledger.Job {
 	return slices.SortedFunc(maps.Values(st.WorkerJobs(worker)), byID)
 }
 
-// byID orders jobs, so that the same state gives the same actions in the same
-// order.
+// byID orders jobs by ID, so that equal states give the same actions in the
+// same order.
 func byID(a, b *ledger.Job) int { return strings.Compare(a.ID, b.ID) }
--- a/internal/jobrunner/decide.go
+++ b/internal/jobrunner/decide.go
@@ -14,19 +14,19 @@
 	"github.com/yuccadrift/yuccadrift/internal/usage"
 )
 
-// Pauses between two plans of one pool.
+// Pauses between plans of a pool.
 const (
 	// busyPause applies while jobs are queued, idlePause otherwise.
 	busyPause = 50 * time.Millisecond
 	idlePause = time.Second
-	// takeoverPause applies to pools that a better placed steward drives.
+	// takeoverPause applies to pools for which another steward ranks higher.
 	takeoverPause = 500 * time.Millisecond
-	// maxRank is how many stewards, one after the other, take a pool's undone
-	// work over.
+	// maxRank is the number of stewards that plan a pool; those with a rank
+	// above 0 only take over undone work.
 	maxRank = 4
 )
 
-// planDue reports whether the pool is to be planned now.
+// planDue reports whether the pool must be planned now, and records the plan.
 func (c *Core) planDue(st *ledger.State, pool string, rank int, now time.Time) bool {
 	if rank >= maxRank {
 		return false
@@ -45,8 +45,8 @@
 	return true
 }
 
-// planPool decides on a pool's queue and on its workers' standing. A steward of
-// a lower rank takes only what has lain undone for long.
+// planPool decides on a pool's queue, preemptions and quarantines. A steward of
+// a rank above 0 decides only on work that has been undone for long enough.
 func (c *Core) planPool(st *ledger.State, pool string, rank int, now time.Time) {
 	c.learnUsage(st, pool)
 	assessment := quarantine.Assessment{}
@@ -89,7 +89,7 @@
 	return c.estimates.RunTime(usage.ShapeOf(j.Spec), j.Spec.RunTime)
 }
 
-// standing says how far a worker may be used now.
+// standing returns how far a worker may be used now.
 func (c *Core) standing(vm *ledger.VM, assessment quarantine.Assessment, now time.Time) placement.Standing {
 	switch {
 	case vm.Quarantined || now.Before(c.worker(vm.ID).noStartsBefore):
@@ -102,9 +102,9 @@
 	return placement.Open
 }
 
-// measuredUse sums the latest reports on a worker's tasks. One that has not been
-// reported yet counts as what it reserved, and so does a throttled one, whose
-// report may be older than its throttling.
+// measuredUse returns the sum of the last usage reports of a worker's tasks. A
+// task without a report counts as its reservation, and so does a throttled
+// task, whose report may be older than the throttling.
 func (c *Core) measuredUse(st *ledger.State, worker string) ledger.Resources {
 	var sum ledger.Resources
 	for _, j := range st.WorkerJobs(worker) {
@@ -117,7 +117,8 @@
 	return sum
 }
 
-// proposeDecision proposes a placement, or the end of a job that can never be placed.
+// proposeDecision proposes a placement, or the end of a job that can never be
+// placed.
 func (c *Core) proposeDecision(st *ledger.State, d placement.Decision, now time.Time) {
 	switch d.Kind {
 	case placement.Unplaceable:
@@ -135,9 +136,9 @@
 	}
 }
 
-// proposePreemption proposes that a job makes room or gets its cores back. Room for an
-// urgent job is due as soon as its placement was: to wait a second time would
-// eat up the bound.
+// proposePreemption proposes to preempt a job for an urgent one, or to restore
+// its cores. A preemption for an urgent job does not wait for a takeover: its
+// placement has waited already, and a second wait would exceed the bound.
 func (c *Core) proposePreemption(st *ledger.State, pre placement.Preemption, rank int, now time.Time) {
 	if pre.For == "" && !c.claim("restore/"+pre.Victim+"/"+st.Jobs[pre.Victim].PlaceID, rank, now) {
 		return
@@ -148,7 +149,7 @@
 	}
 }
 
-// proposeQuarantines proposes which workers are set aside and which come back.
+// proposeQuarantines proposes which workers enter and leave quarantine.
 func (c *Core) proposeQuarantines(st *ledger.State, assessment quarantine.Assessment, rank int, now time.Time) {
 	for _, f := range assessment.SetAside {
 		if c.claim("set-aside/"+f.Worker+"/"+f.Jobs[0], rank, now) {
@@ -164,9 +165,9 @@
 
 func vmSubject(id string) record.Subject { return record.Subject{Kind: record.SubjectVM, Name: id} }
 
-// learnUsage takes the peaks of jobs that ended since the last look. They come from
-// the fold, so a steward that has just started learns from all that is
-// remembered.
+// learnUsage adds the peaks of newly ended jobs to the estimates. They are read
+// from the folded state, so a steward that has just started learns from every
+// job in it.
 func (c *Core) learnUsage(st *ledger.State, pool string) {
 	var ended []*ledger.Job
 	for _, j := range st.PoolJobs(pool) {
@@ -190,8 +191,8 @@
 	}
 }
 
-// checkpointForDrains checkpoints the jobs on draining workers where the document
-// says so. Jobs that cannot be checkpointed are waited for.
+// checkpointForDrains checkpoints the jobs on draining workers if the document
+// asks for it. Jobs that cannot be checkpointed are left to finish.
 func (c *Core) checkpointForDrains(st *ledger.State, pool string, rank int, now time.Time) {
 	svc, ok := st.Services[pool]
 	if !ok || svc.Doc.Jobs.OnDrain != document.LongJobsCheckpoint {
@@ -211,7 +212,8 @@
 	}
 }
 
-// requestUsage reads the usage reports now and then, while there are tasks.
+// requestUsage requests the usage reports at each usageInterval while there are
+// tasks.
 func (c *Core) requestUsage(now time.Time) {
 	if len(c.tasks) == 0 || now.Sub(c.usageRequestedAt) < usageInterval {
 		return
--- a/internal/jobrunner/keep.go
+++ b/internal/jobrunner/keep.go
@@ -13,10 +13,10 @@
 	milli        = 1000
 )
 
-// renewLeases renews the leases of a worker's tasks in one call, and asks for their
-// status when one is due. The first keeper renews after a third of the lease,
-// the second after two thirds: when the first dies, its last renewal lasts
-// beyond the second's next one.
+// renewLeases renews the leases of a worker's tasks in one call, or reads their
+// status if it is due. The steward of rank 0 renews after a third of the lease,
+// other stewards after two thirds: if the first dies, its last renewal lasts
+// until the next one of the second.
 func (c *Core) renewLeases(st *ledger.State, id string, tasks []*task, rank int, lease time.Duration, now time.Time) {
 	var jobs, renew []string
 	var fence uint64
@@ -55,15 +55,15 @@
 	}
 }
 
-// statusDue reports whether the task's status is wanted.
+// statusDue reports whether the task's status must be read.
 func (c *Core) statusDue(j *ledger.Job, t *task, lease time.Duration, now time.Time) bool {
 	if now.Sub(t.statusReadAt) < min(t.statusPause, lease/renewFraction) {
 		return false
 	}
 	switch {
 	case t.verifiedAt.Before(c.resumedAt):
-		// Not seen since the process woke. One that is to be started by this
-		// process is shown by the reply to the start.
+		// Not seen since the process resumed. A task that this process is about
+		// to start is confirmed by the reply to the start.
 		return !t.ownPlacement || t.startSent && t.startUncertain || t.known
 	case !t.missingSince.IsZero():
 		return true
@@ -74,7 +74,7 @@
 	return t.statusReadAt.Before(expected.Add(statusMargin)) && !now.Before(expected.Add(statusMargin))
 }
 
-// recordStatus takes the platform's word on a task.
+// recordStatus records the status that the platform reports for a task.
 func (c *Core) recordStatus(t *task, s platform.TaskStatus, now time.Time) {
 	if !t.known && t.ownPlacement {
 		c.Stats.Started++
@@ -90,7 +90,7 @@
 	}
 }
 
-// recordMissing notes that the platform does not know the task.
+// recordMissing records that the platform does not know the task.
 func (t *task) recordMissing(now time.Time) {
 	t.statusReadAt = now
 	if t.missingSince.IsZero() {
--- a/internal/jobrunner/metrics.go
+++ b/internal/jobrunner/metrics.go
@@ -6,14 +6,15 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics are the Prometheus metrics of a Runner. A nil Metrics counts nothing.
+// Metrics holds the Prometheus metrics of a Runner. A nil Metrics records
+// nothing.
 type Metrics struct {
 	startWait *prometheus.HistogramVec
 	events    *prometheus.CounterVec
 	reported  Stats
 }
 
-// startBuckets are in seconds; 6.7 s is the bound for urgent work.
+// startBuckets are in seconds; 6.7 s is the bound for urgent jobs.
 var startBuckets = []float64{0.05, 0.1, 0.25, 0.5, 1, 2, 4, 6.7, 15, 60, 300, 1800}
 
 // NewMetrics registers the metrics.
@@ -21,19 +22,19 @@
 	m := &Metrics{
 		startWait: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "yuccadrift_job_start_seconds",
-			Help:    "Time from a job's submission to the platform's word that its task was started.",
+			Help:    "Time from the submission of a job to the platform's confirmation that its task was started.",
 			Buckets: startBuckets,
 		}, []string{"urgent"}),
 		events: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "yuccadrift_job_events_total",
-			Help: "Events of jobs that this steward drove.",
+			Help: "Events of jobs that this steward ran.",
 		}, []string{"event"}),
 	}
 	reg.MustRegister(m.startWait, m.events)
 	return m
 }
 
-// observe takes over what a step counted.
+// observe exports the changes since the last call and clears the start waits.
 func (m *Metrics) observe(s *Stats) {
 	waits := s.StartWaits
 	s.StartWaits = nil
--- a/internal/jobrunner/result.go
+++ b/internal/jobrunner/result.go
@@ -14,13 +14,13 @@
 // Pauses after refusals and failures.
 const (
 	// refusalPause keeps new jobs off a worker that refused a start; it doubles
-	// with each further refusal.
+	// with each further refusal, up to maxRefusalPause.
 	refusalPause    = time.Second
 	maxRefusalPause = 30 * time.Second
 	renewRetry      = 500 * time.Millisecond
 )
 
-// Done takes the result of an action that Step returned.
+// Done handles the result of an action that Step returned.
 func (c *Core) Done(r Result, now time.Time) {
 	delete(c.busyKeys, r.Action.Key)
 	c.inFlight[r.Action.Lane]--
@@ -40,8 +40,9 @@
 	}
 }
 
-// handleProposal forgets a decision that did not take effect. One whose outcome is
-// unknown may yet do so, and is still this process's own to carry out.
+// handleProposal drops a decision that did not take effect. If the outcome is
+// unknown, the decision may still take effect, so it remains this process's own
+// to carry out.
 func (c *Core) handleProposal(r Result) {
 	if r.Err != nil && !errors.Is(r.Err, platform.ErrRejected) && !errors.Is(r.Err, ErrOutdated) {
 		return
@@ -68,15 +69,15 @@
 	}
 }
 
-// currentTask returns the memory of the task that the action was for, if the job
-// has not been placed anew since.
+// currentTask returns the task of the action's job, and false if the job has
+// ended or has been placed again since.
 func (c *Core) currentTask(a Action) (*task, bool) {
 	t, ok := c.tasks[a.Job]
 	return t, ok && t.placeID == a.PlaceID
 }
 
-// handleStart takes the reply to a start. Only a reply says whether the task was
-// started; without one the same operation is sent again.
+// handleStart handles the reply to a start. Only a reply shows whether the task
+// was started; without one, the same operation is sent again.
 func (c *Core) handleStart(r Result, now time.Time) {
 	t, ok := c.currentTask(r.Action)
 	if !ok {
@@ -113,12 +114,12 @@
 	return min(d, maxRefusalPause)
 }
 
-// notExecuted reports that the platform certainly did not act.
+// notExecuted reports whether the platform certainly did not act.
 func notExecuted(err error) bool {
 	return errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrThrottled)
 }
 
-// handleTaskAction takes the reply to an action on a running task.
+// handleTaskAction handles the reply to an action on a running task.
 func (c *Core) handleTaskAction(r Result, now time.Time) {
 	t, ok := c.currentTask(r.Action)
 	if !ok {
@@ -140,11 +141,11 @@
 		c.appliedPreemptions[r.Action.Op.ID] = t.job
 	}
 	if r.Action.Verb != VerbThrottle && t.ended == nil {
-		t.backOff(now) // the task is still at it; ask again
+		t.backOff(now) // the task has not ended yet; send the action again
 	}
 }
 
-// tasksOf returns the tasks on a worker that a renewal or status was for.
+// tasksOf returns the tasks on a worker that a renewal or status read covers.
 func (c *Core) tasksOf(a Action) []*task {
 	var tasks []*task
 	for _, job := range a.Jobs {
@@ -155,8 +156,8 @@
 	return tasks
 }
 
-// handleRenewal takes the reply to a renewal. A task that the platform names as not
-// running has ended: its status is asked for.
+// handleRenewal handles the reply to a renewal. If the platform reports a task
+// as not running, the status of all of them is read next.
 func (c *Core) handleRenewal(r Result, now time.Time) {
 	w := c.worker(r.Action.Worker)
 	missing := errors.Is(r.Err, platform.ErrNotFound) || errors.Is(r.Err, platform.ErrFenced)
@@ -174,7 +175,7 @@
 	}
 }
 
-// handleStatus takes a worker's status.
+// handleStatus handles the reply to a status read.
 func (c *Core) handleStatus(r Result, now time.Time) {
 	unknownWorker := errors.Is(r.Err, platform.ErrNotFound)
 	statuses := map[string]platform.TaskStatus{}
@@ -196,8 +197,9 @@
 	}
 }
 
-// handleUsage takes the usage reports. They raise the estimates at once; a
-// throttled task shows less than it needs, which raises nothing.
+// handleUsage handles the usage reports. They raise the estimates immediately.
+// The report of a throttled task shows less than the task needs and raises
+// nothing.
 func (c *Core) handleUsage(r Result, now time.Time) {
 	if r.Err != nil {
 		return
--- a/internal/jobrunner/runner.go
+++ b/internal/jobrunner/runner.go
@@ -16,44 +16,44 @@
 
 // Pauses and timeouts of the duties.
 const (
-	// stepInterval is the pause between steps when nothing changes.
+	// stepInterval is the pause between steps while nothing changes.
 	stepInterval = 200 * time.Millisecond
-	// minStepGap is the least pause between two steps: changes that come meanwhile
-	// are met together.
+	// minStepGap is the minimum pause between two steps: one step handles all
+	// changes within it.
 	minStepGap = 10 * time.Millisecond
-	// proposeTimeout bounds the wait for a record's outcome.
+	// proposeTimeout bounds the wait for the outcome of a record.
 	proposeTimeout = 10 * time.Second
 	// catchUpTimeout bounds one read to the end of the log after a pause.
 	catchUpTimeout = 2 * time.Second
-	// shutdownTimeout bounds the settling of own placements when the process stops,
-	// stopWithin that and the calls in flight.
+	// shutdownTimeout bounds the starts of own placements when the process
+	// stops; stopWithin also covers the calls in flight.
 	shutdownTimeout = 3 * time.Second
 	stopWithin      = shutdownTimeout + DefaultCallTimeout
 	// DefaultCallTimeout bounds one call to the platform.
 	DefaultCallTimeout = 2 * time.Second
 )
 
-// Config is what a Runner needs.
+// Config configures a Runner.
 type Config struct {
 	Core     CoreConfig
 	Follower *follower.Follower
 	Tasks    platform.Tasks
 	Logger   hclog.Logger
 	Metrics  *Metrics // nil: none
-	// CallTimeout bounds one call to the platform; 0 takes the default.
+	// CallTimeout bounds one call to the platform; 0 means DefaultCallTimeout.
 	CallTimeout time.Duration
 }
 
-// Runner executes what a Core decides.
+// Runner executes the actions of a Core.
 type Runner struct {
 	cfg           Config
 	core          *Core
 	lanes         [laneCount]chan Action
 	results       chan Result
-	decideStopped chan struct{} // closed once the deciding duty has settled
+	decideStopped chan struct{} // closed when the deciding duty has stopped
 }
 
-// New returns a Runner; its Duties are to be supervised by the caller.
+// New returns a Runner. The caller must supervise its Duties.
 func New(cfg Config) *Runner {
 	if cfg.CallTimeout <= 0 {
 		cfg.CallTimeout = DefaultCallTimeout
@@ -69,9 +69,9 @@
 }
 
 // Duties returns the runner's duties: one that decides, and one for each lane,
-// which carries as many actions out at a time as the lane admits. A lane's
-// channel holds as many as may be in flight, so the deciding duty never waits
-// for an executor.
+// which runs as many actions concurrently as the lane admits. The channel of a
+// lane holds as many actions as may be in flight, so the deciding duty never
+// waits for an executor.
 func (r *Runner) Duties() []supervise.Duty {
 	names := [laneCount]string{LaneLog: "job records", LaneTasks: "job tasks", LaneUrgent: "urgent job tasks"}
 	duties := []supervise.Duty{{Name: "jobs", Serve: r.runSteps, StopWithin: stopWithin}}
@@ -81,7 +81,7 @@
 	return duties
 }
 
-// runSteps steps the core after each change and result.
+// runSteps steps the core after each change and result, and at each interval.
 func (r *Runner) runSteps(ctx context.Context) error {
 	changed := r.cfg.Follower.Changed()
 	ticker := time.NewTicker(stepInterval)
@@ -101,7 +101,7 @@
 	}
 }
 
-// shutDown settles what this process has placed, for at most leaveLimit. The
+// shutDown starts what this process has placed, within shutdownTimeout. The
 // follower's own duty may have ended already, so the log is read here.
 func (r *Runner) shutDown(ctx context.Context) {
 	defer close(r.decideStopped)
@@ -118,7 +118,8 @@
 	}
 }
 
-// collectResults waits a moment for further results, so that one step meets them all.
+// collectResults handles further results for minStepGap, so that one step
+// covers all of them.
 func (r *Runner) collectResults(ctx context.Context) {
 	gap := time.NewTimer(minStepGap)
 	defer gap.Stop()
@@ -156,18 +157,18 @@
 	r.cfg.Metrics.observe(&r.core.Stats)
 }
 
-// catchUp reads the log to its end after a start or a pause. When the log
-// cannot be read, the follower's own reads bring the state up later.
+// catchUp reads the log to its end after a start or a pause. If the log cannot
+// be read, the follower's own reads update the state later.
 func (r *Runner) catchUp(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	if err := r.cfg.Follower.CatchUp(ctx); err != nil && ctx.Err() == nil {
-		r.cfg.Logger.Warn("cannot read the log; no job is started or renewed before it can", "error", err)
+		r.cfg.Logger.Warn("cannot read the log; no job is started or renewed until it is read", "error", err)
 	}
 }
 
-// serveLane returns the duty of a lane. Its executors go on until the deciding duty
-// has settled, beyond the end of ctx.
+// serveLane returns the duty of a lane. Its executors run beyond the end of
+// ctx, until the deciding duty has stopped.
 func (r *Runner) serveLane(lane Lane) func(context.Context) error {
 	return func(ctx context.Context) error {
 		executorCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -183,7 +184,7 @@
 	}
 }
 
-// runExecutor carries actions out one at a time until ctx ends.
+// runExecutor executes actions one at a time until ctx ends.
 func (r *Runner) runExecutor(ctx context.Context, lane <-chan Action) {
 	for {
 		select {
@@ -192,7 +193,7 @@
 		case a := <-lane:
 			res := r.execute(ctx, a)
 			res.Action = a
-			r.results <- res // never full: it holds all that may be in flight
+			r.results <- res // never full: it holds as many results as actions may be in flight
 		}
 	}
 }
--- a/internal/jobrunner/task.go
+++ b/internal/jobrunner/task.go
@@ -14,45 +14,47 @@
 
 // Times of one task.
 const (
-	// firstRetry and maxRetry bound the pause between tries of one action.
+	// firstRetry and maxRetry bound the pause between attempts of one action.
 	firstRetry = 100 * time.Millisecond
 	maxRetry   = 2 * time.Second
-	// firstStatusPause is how long after a start its status is first asked for, so
-	// that a worker which fails everything at once is noticed at once; each
-	// look doubles the pause, and once it is longer than the pause between two
-	// renewals, the renewals tell.
+	// firstStatusPause is the time from a start to the first status read, so
+	// that a worker on which every task fails is noticed quickly. Each read
+	// doubles the pause. Once the pause exceeds the renewal interval, renewals
+	// report ended tasks.
 	firstStatusPause = time.Second
-	// statusMargin is how long after the expected end a task is looked at.
+	// statusMargin is the time from the expected end of a task to a status
+	// read.
 	statusMargin = 200 * time.Millisecond
-	// renewFraction is the part of its lease after which a task is renewed first.
+	// renewFraction divides the lease: a task is renewed first after
+	// lease/renewFraction.
 	renewFraction = 3
-	// maxRefusals bounds the refused starts of one job in a row, as when its
-	// checkpoint is lost.
+	// maxRefusals bounds the refused starts in a row on one worker, as when a
+	// checkpoint is lost. After more, a refused job ends as failed.
 	maxRefusals = 20
 )
 
-// task is what is remembered about a job's present placement.
+// task is the core's own state about the current placement of a job.
 type task struct {
 	id      string // task ID on the platform
 	job     string
 	placeID string
 	worker  string
 	shape   usage.Shape
-	// ownPlacement is set when this process wrote the placement.
+	// ownPlacement is set if this process wrote the placement.
 	ownPlacement bool
 	firstSeenAt  time.Time // when this process first saw the placement
 	submitted    time.Time
 	urgent       bool
-	// known is set once the platform has shown the task; verified once it has
-	// done so since the process woke.
+	// known is set when the platform has first reported the task; verifiedAt is
+	// when it last did.
 	known      bool
 	verifiedAt time.Time
-	// startSent is set once a start may have reached the platform, uncertain once
-	// one of them got no reply.
+	// startSent is set when a start may have reached the platform,
+	// startUncertain when a start got no reply.
 	startSent      bool
 	startUncertain bool
-	refusalReason  string // the platform's reason, when every start so far was refused
-	// missingSince is since when the platform has not known the task.
+	refusalReason  string // the platform's reason for the last refused start
+	// missingSince is when the platform was first found not to know the task.
 	missingSince time.Time
 	ended        *platform.TaskStatus
 
@@ -64,11 +66,11 @@
 	peak         ledger.Resources
 }
 
-// TaskID names the run that an attempt of a job is on the platform. Attempts
-// have tasks of their own; a resent start of one attempt keeps its ID.
+// TaskID returns the platform's ID of an attempt of a job. Each attempt is a
+// task of its own; a start of the same attempt that is sent again keeps the ID.
 func TaskID(job string, attempt int) string { return job + "." + strconv.Itoa(attempt) }
 
-// task returns the memory of a placed job, anew for each placement.
+// task returns the task of a placed job; each placement gets a new one.
 func (c *Core) task(j *ledger.Job, now time.Time) *task {
 	if t, ok := c.tasks[j.ID]; ok && t.placeID == j.PlaceID {
 		return t
@@ -89,14 +91,15 @@
 	return t
 }
 
-// backOff puts the next try of the task's action off.
+// backOff delays the next attempt of the task's action.
 func (t *task) backOff(now time.Time) {
 	t.retryPause = min(max(firstRetry, 2*t.retryPause), maxRetry)
 	t.retryAt = now.Add(t.retryPause)
 }
 
-// drivePool does what the placed jobs of a pool need. The steward that placed
-// a job starts it whatever its rank; the first keepers look after tasks.
+// drivePool runs the placed jobs of a pool. The steward that placed a job
+// starts it whatever its rank; other work on tasks falls to the first
+// leaseRenewers stewards.
 func (c *Core) drivePool(st *ledger.State, pool string, rank int, mayDecide bool, now time.Time) {
 	svc := st.Services[pool]
 	lease := leaseOf(svc)
@@ -118,8 +121,8 @@
 	}
 }
 
-// hasOwnDecision reports whether this process wrote a decision on the job that is still
-// to be carried out.
+// hasOwnDecision reports whether this process wrote a decision about the job
+// that is not carried out yet.
 func (c *Core) hasOwnDecision(j *ledger.Job) bool {
 	if j.Preempt != nil && c.isOwnRecord(j.Preempt.ID) && c.appliedPreemptions[j.Preempt.ID] == "" {
 		return true
@@ -141,7 +144,7 @@
 	return svc.Doc.Jobs.Lease
 }
 
-// driveJob does what one placed job needs.
+// driveJob carries out the next step of a placed job.
 func (c *Core) driveJob(st *ledger.State, j *ledger.Job, t *task, rank int, lease time.Duration, mayDecide bool, now time.Time) {
 	switch {
 	case t.ended != nil:
@@ -156,13 +159,13 @@
 	c.endLostTask(st, j, t, rank, lease, now)
 }
 
-// startTask starts a placed job that the platform has not shown yet.
+// startTask starts a placed job that the platform has not reported yet.
 //
 // A start is sent only by the steward that wrote the placement, unless the job
-// is repeatable. So that steward knows of every copy that was ever sent, and
-// when all of them were refused, the job certainly did not run and may be
-// placed again. Any other steward that finds no task must take the end for
-// unknown: a copy of the first one's start may still be on its way.
+// is repeatable. That steward knows of every start that was ever sent. If all
+// of them were refused, the job certainly did not run and may be placed again.
+// Any other steward that finds no task must treat the outcome as unknown: a
+// start of the first steward may still arrive.
 func (c *Core) startTask(st *ledger.State, j *ledger.Job, t *task, rank int, lease time.Duration, mayDecide bool, now time.Time) {
 	if t.ownPlacement && !t.startSent && j.CancelAsked && !c.busyKeys["task/"+t.id] {
 		c.proposeEnd(st, j, t, record.JobEnd{Result: record.JobNotStarted, Reason: j.Reason}, 0, now)
@@ -220,8 +223,8 @@
 	return rank
 }
 
-// stopTask ends the task of a cancelled job. The platform carries the operation out
-// once, so a lost reply is met by sending it again.
+// stopTask stops the task of a cancelled job. The platform carries an operation
+// out once, so after a lost reply it is sent again.
 func (c *Core) stopTask(j *ledger.Job, t *task, rank int, now time.Time) {
 	if now.Before(t.retryAt) || !c.claim("stop/"+j.CancelID, rank, now) {
 		return
@@ -238,7 +241,8 @@
 	})
 }
 
-// preemptTask carries a decision to make room out on the task.
+// preemptTask carries out a preemption on the task: a checkpoint, a throttle or
+// a restore.
 func (c *Core) preemptTask(j *ledger.Job, t *task, rank int, now time.Time) {
 	if now.Before(t.retryAt) || !c.isOwnRecord(j.Preempt.ID) && !c.claim("preempt/"+j.Preempt.ID, rank, now) {
 		return
@@ -262,7 +266,7 @@
 	c.emit(a)
 }
 
-// jobEndOf translates the platform's last word on a task into a job's result.
+// jobEndOf converts the platform's final status of a task into a job's end.
 func jobEndOf(j *ledger.Job, t *task) record.JobEnd {
 	e := record.JobEnd{Reason: t.ended.Reason}
 	switch t.ended.Phase {
@@ -284,8 +288,8 @@
 	return e
 }
 
-// proposeEnd proposes the end of a placement. The end that a checkpoint of this process
-// brought about is due at once, as urgent work waits for the room.
+// proposeEnd proposes the end of a placement. An end that a preemption of this
+// process caused is due at once, since urgent work waits for the capacity.
 func (c *Core) proposeEnd(st *ledger.State, j *ledger.Job, t *task, body record.JobEnd, rank int, now time.Time) {
 	if j.Preempt != nil && c.isOwnRecord(j.Preempt.ID) {
 		rank = 0
@@ -295,9 +299,9 @@
 	}
 }
 
-// endLostTask ends a placement whose task the platform does not know, once no copy
-// of its start and no lease can be alive any more. The job's end is unknown: a
-// job that is not repeatable is not started again.
+// endLostTask ends a placement whose task the platform does not know, once no
+// start that is still in transit and no lease can be live any more. The outcome
+// of the job is unknown, so a job that is not repeatable is not started again.
 func (c *Core) endLostTask(st *ledger.State, j *ledger.Job, t *task, rank int, lease time.Duration, now time.Time) {
 	if t.ended != nil || t.missingSince.IsZero() || now.Sub(t.missingSince) < lease || now.Sub(t.firstSeenAt) < lease {
 		return
