--- a/internal/jobrunner/core_test.go
+++ b/internal/jobrunner/core_test.go
@@ -34,9 +34,9 @@
 	assert.Less(t, w.job("j").EndedAt.Sub(w.job("j").SubmittedAt), 22*time.Second)
 }
 
-// The caller sees an export run once. The platform starts the task and the
-// reply is lost: the steward sends the start again under the same operation ID
-// and learns that it runs. A start under a new ID would run it a second time.
+// The platform starts a task and the reply is lost. The steward must send the
+// start again under the same operation ID and learn that the task runs; a start
+// under a new ID would run the job twice.
 func TestLostReplyToAStartDoesNotStartTwice(t *testing.T) {
 	w := newWorld(t, 2, 2)
 	w.injectFaults(standin.Fault{Kind: standin.APILoseReply, Target: "j.1", Count: 3})
@@ -46,9 +46,9 @@
 	assert.Equal(t, 1, w.starts("j"))
 }
 
-// The steward that placed an export dies with its start on the way. The next
-// one finds no task and cannot know whether the start still arrives, so the
-// export ends as lapsed and is never started again.
+// The steward that placed a job that is not repeatable dies with its start in
+// transit. The next steward finds no task and cannot know whether the start
+// still arrives, so the job ends as lapsed and is never started again.
 func TestPlacementOfADeadStewardIsNotStartedByAnother(t *testing.T) {
 	w := newWorld(t, 2, 2)
 	w.submit("j", notRepeatable)
@@ -68,10 +68,10 @@
 	require.True(t, w.run(6700*time.Millisecond, func() bool { return w.starts("j") == 1 }))
 }
 
-// A steward starts a job and is stopped past the lease; nobody else lives to
-// renew it. The platform ends the task. On waking, the steward must not renew
-// or start on its old picture: the job ends as lapsed, once, and only a
-// repeatable one runs again.
+// A steward starts a job and is paused for longer than the lease, with no other
+// steward to renew it, so the platform ends the task. When the steward resumes
+// it must not renew or start on its old state: the job ends as lapsed, once,
+// and only a repeatable job runs again.
 func TestResumedStewardReadsLogAndStatusBeforeItActs(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		w := newWorld(t, 1, 2)
@@ -79,7 +79,7 @@
 		require.True(t, w.run(time.Minute, func() bool { return w.starts("j") == 1 }))
 		w.Nodes[0].Wakes = w.Now.Add(3 * lease)
 		w.run(3*lease-time.Second, nil)
-		w.Nodes[0].CutOff = true // awake, but the log cannot be read yet
+		w.Nodes[0].CutOff = true // resumed, but the log cannot be read yet
 		w.run(5*time.Second, nil)
 		assert.Equal(t, ledger.JobPlaced, w.job("j").Status)
 		assert.Equal(t, 1, w.starts("j"))
@@ -90,9 +90,9 @@
 	}
 }
 
-// The log is out for minutes while the platform runs tasks. Leases are renewed
-// all the while, since giving up every long job would be the greater harm, and
-// nothing new is started.
+// The log is unavailable for minutes while the platform runs tasks. Leases must
+// still be renewed, since losing every long job would do more harm, and nothing
+// new may start.
 func TestLeasesAreRenewedWhileTheLogIsUnavailable(t *testing.T) {
 	w := newWorld(t, 2, 2)
 	w.submit("long", func(s *record.JobSubmit) { s.RunTime = 4 * time.Minute; s.Repeatable = false })
@@ -111,8 +111,8 @@
 	require.True(t, w.run(time.Minute, func() bool { return w.starts("later") == 1 }))
 }
 
-// A hundred jobs are submitted and all but the running ones are cancelled at
-// once. No cancelled one starts afterwards, and the running ones are stopped.
+// A hundred jobs are submitted and then all of them are cancelled at once. No
+// cancelled job may start afterwards, and the running ones are stopped.
 func TestBurstOfCancellationsStartsNothing(t *testing.T) {
 	w := newWorld(t, 2, 2)
 	ids := []string{}
@@ -144,8 +144,8 @@
 }
 
 // A hundred jobs are cancelled one after the other in the order of their
-// submission. Each one that is stopped makes room for the next in line, which is
-// about to be cancelled as well: after the first few none is started any more.
+// submission. Each stopped job frees capacity for the next one, which is about
+// to be cancelled too: after the first few cancellations none may be started.
 func TestSequentialCancellationsCauseFewStarts(t *testing.T) {
 	w := newWorld(t, 2, 2)
 	id := func(i int) string { return fmt.Sprintf("j%03d", i) }
@@ -163,16 +163,16 @@
 	assert.True(t, w.run(3*time.Second, func() bool { return w.starts("next") == 1 }))
 }
 
-// Both workers are full of checkpointable work when an urgent job comes: one
-// job is checkpointed, the urgent one starts within 6.7 s, and the displaced
-// one goes on later from its checkpoint.
+// Both workers are full of checkpointable jobs when an urgent job arrives: one
+// job is checkpointed, the urgent job starts within 6.7 s, and the preempted
+// job continues later from its checkpoint.
 func TestUrgentJobPreemptsCheckpointableWork(t *testing.T) {
 	for dead := range 3 {
 		checkUrgentPreemption(t, dead)
 	}
 }
 
-// checkUrgentPreemption runs the case with the first stewards in line dead.
+// checkUrgentPreemption runs the case with the first stewards by rank dead.
 func checkUrgentPreemption(t *testing.T, dead int) {
 	w := newWorld(t, 3, 2)
 	w.editDocument(noUrgentReserve)
@@ -186,15 +186,15 @@
 	w.submit("u", func(s *record.JobSubmit) { s.MilliCores, s.Urgent, s.RunTime = 8000, true, 10*time.Second })
 	require.True(t, w.run(6700*time.Millisecond, func() bool { return w.starts("u") == 1 }), "%d dead", dead)
 	if dead == 2 {
-		return // no one renews leases until the membership lets the dead go
+		return // no steward renews leases until the dead ones leave the membership
 	}
 	require.True(t, w.run(5*time.Minute, func() bool { return hasEnded(w, "x")() && hasEnded(w, "y")() }))
 	assert.Equal(t, 3, w.starts("x")+w.starts("y"))
 	assert.NotEmpty(t, w.job("x").Checkpoint+w.job("y").Checkpoint)
 }
 
-// The only running work cannot be checkpointed: it is throttled for the urgent
-// job and restored after it.
+// The only running job cannot be checkpointed: it is throttled for the urgent
+// job and restored afterwards.
 func TestUrgentJobThrottlesOtherWork(t *testing.T) {
 	w := newWorld(t, 1, 1)
 	w.editDocument(noUrgentReserve)
@@ -217,10 +217,10 @@
 	assert.Contains(t, w.job("j").Reason, "9 cores of 8")
 }
 
-// One worker of five fails everything at once and so is always free. Jobs of
-// several shapes fail there and succeed elsewhere: it is set aside, comes back
-// on probation after FirstTerm with one job at a time, and, mended, is trusted
-// again.
+// Every task fails at once on one worker of five, so this worker always has
+// free capacity. Jobs of several shapes fail there and succeed elsewhere. The
+// worker must be quarantined and return on probation after FirstTerm, with one
+// job at a time; when the fault has ended, it leaves probation.
 func TestFailingWorkerIsQuarantinedAndReturnsOnProbation(t *testing.T) {
 	w := newWorld(t, 2, 5)
 	w.editDocument(func(d *document.Document) { d.Quotas[0].MilliCores = 40_000 })
@@ -237,7 +237,7 @@
 	for _, j := range w.Main.Jobs {
 		failures += len(j.Failures)
 	}
-	assert.LessOrEqual(t, failures, 8, "jobs wasted on the worker")
+	assert.LessOrEqual(t, failures, 8, "too many jobs failed on the worker")
 
 	w.Platform.ClearAll()
 	require.True(t, w.run(10*time.Minute, func() bool { feed(); return w.Main.VMs["vm-01"].ProbationLeft > 0 }))
@@ -249,8 +249,8 @@
 	assert.Zero(t, w.Main.VMs["vm-01"].Quarantines)
 }
 
-// Jobs declare one core and use three. Late reports correct the size: once the
-// shape is known, a worker of 8 cores is given two of them and not eight.
+// Jobs declare one core and use three. Late usage reports correct the size:
+// once the shape is known, a worker of 8 cores is given two jobs and not eight.
 func TestReservationFollowsLateUsageReports(t *testing.T) {
 	w := newWorld(t, 1, 1)
 	w.injectFaults(
@@ -264,18 +264,18 @@
 		w.submit(id, func(s *record.JobSubmit) { s.RunTime = 40 * time.Second })
 	}
 	w.run(5*time.Second, nil)
-	assert.Equal(t, ledger.Resources{MilliCores: 3300, MemoryMB: 512}, w.Main.WorkerUse("vm-01"), "the rest is held back for urgent work")
+	assert.Equal(t, ledger.Resources{MilliCores: 3300, MemoryMB: 512}, w.Main.WorkerUse("vm-01"), "the rest is reserved for urgent work")
 }
 
-// A worker is drained with a checkpointable and another job on it: the first is
-// checkpointed and goes on elsewhere, the second is waited for.
+// A worker is drained with a checkpointable job and another job on it: the
+// first is checkpointed and continues elsewhere, the second is left to finish.
 func TestDrainCheckpointsJobsAsConfigured(t *testing.T) {
 	w := newWorld(t, 2, 2)
 	w.submit("c", func(s *record.JobSubmit) { s.MilliCores, s.Checkpointable, s.RunTime = 3000, true, time.Minute })
 	w.submit("w", func(s *record.JobSubmit) { s.RunTime, s.Repeatable = time.Minute, false })
 	require.True(t, w.run(time.Minute, func() bool { return w.starts("c")+w.starts("w") == 2 }))
 	worker := w.job("c").Worker
-	require.Equal(t, worker, w.job("w").Worker, "best fit puts both on one worker")
+	require.Equal(t, worker, w.job("w").Worker, "best fit must put both on one worker")
 	w.Main.VMs[worker].Phase = record.PhaseDraining
 	for _, n := range w.Nodes {
 		n.State.VMs[worker].Phase = record.PhaseDraining
@@ -286,10 +286,10 @@
 	assert.Equal(t, record.JobSucceeded, w.job("w").Result)
 }
 
-// A job is placed while the platform refuses calls, and is cancelled before the
-// start gets through. When the platform answers again the job is not started:
-// the cancellation is seen, also by a steward that was paused meanwhile and
-// cannot read the log at once when it wakes.
+// A job is placed while the platform refuses calls, and is cancelled before its
+// start is accepted. When the platform accepts calls again the job must not
+// start: the cancellation is read first, also by a steward that was paused
+// meanwhile and cannot read the log when it resumes.
 func TestJobCancelledBeforeItsStartIsNeverStarted(t *testing.T) {
 	for _, paused := range []bool{false, true} {
 		w := newWorld(t, 1, 2)
@@ -310,8 +310,8 @@
 	}
 }
 
-// A start got no reply, and the job is cancelled. The start is not sent again:
-// if the first copy never arrived, the job never runs.
+// A start got no reply, and the job is cancelled. The start must not be sent
+// again: if the first one never arrived, the job never runs.
 func TestUncertainStartIsNotResentAfterACancellation(t *testing.T) {
 	w := newWorld(t, 2, 2)
 	w.Strays = func() (time.Duration, bool) { return time.Hour, true }
@@ -324,8 +324,8 @@
 	assert.Zero(t, w.starts("j"))
 }
 
-// After a pause another steward may have given the task up: its status is read
-// before its lease is renewed.
+// After a pause another steward may have ended the task, so its status must be
+// read before its lease is renewed.
 func TestStatusIsReadBeforeARenewalAfterAPause(t *testing.T) {
 	w := newWorld(t, 1, 1)
 	w.submit("j", func(s *record.JobSubmit) { s.RunTime = time.Hour })
--- a/internal/jobrunner/property_test.go
+++ b/internal/jobrunner/property_test.go
@@ -14,12 +14,12 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// Three stewards drive one pool while jobs come and are cancelled, stewards
+// Three stewards run one pool while jobs are submitted and cancelled, stewards
 // die, are paused or cut off from the log, replies are lost, calls arrive late,
-// and workers crash or fail everything. Whatever the order: no worker, slot or
-// quota is exceeded, a job that is not repeatable starts at most once (and once
-// more for each checkpoint), a job cancelled before it was placed never starts,
-// and once the faults are over every job comes to its end.
+// workers crash, and tasks fail on them. No worker, slot or quota may be
+// exceeded. A job that is not repeatable starts at most once, and once more for
+// each checkpoint. A job that was cancelled before it was placed never starts.
+// Once the faults have ended, every job ends.
 func TestRandomHistoriesKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, 3, 4)
@@ -37,12 +37,12 @@
 			h.checkInvariants()
 		}
 		h.clearFaults()
-		require.True(t, w.run(40*time.Minute, h.allJobsEnded), "jobs are left over: %s", h.unfinishedJob())
+		require.True(t, w.run(40*time.Minute, h.allJobsEnded), "every job must end: %s", h.unfinishedJob())
 		h.checkInvariants()
 	})
 }
 
-// randomHistory makes random events happen in a world.
+// randomHistory applies random events to a world.
 type randomHistory struct {
 	*world
 	t    *rapid.T
@@ -173,7 +173,8 @@
 	}
 }
 
-// checkpoints counts the placements of a job that ended by a checkpoint.
+// checkpoints returns the number of placements of a job that ended with a
+// checkpoint.
 func (h *randomHistory) checkpoints(j *ledger.Job) int {
 	if j.Checkpoint == "" {
 		return 0
@@ -181,10 +182,10 @@
 	return j.Attempt - 1
 }
 
-// A pool runs work that can all be checkpointed, then the first stewards in line
-// may die, and calls take their time. An urgent job that fits a worker starts
-// within its bound. Jobs whose start is in doubt are left out: they hold their
-// room for a lease.
+// A pool runs only checkpointable jobs, then the first stewards by rank may
+// die, and calls are slow. An urgent job that fits a worker must start within
+// its bound. Jobs whose start is uncertain are not part of the test: they keep
+// their reservation for a lease.
 func TestUrgentJobStartsInTimeWherePreemptionFreesCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, 3, 4)
--- a/internal/jobrunner/world_test.go
+++ b/internal/jobrunner/world_test.go
@@ -24,11 +24,11 @@
 	stepTime = 100 * time.Millisecond
 	lease    = 10 * time.Second
 	service  = jobs.Service
-	// urgentBound is how soon urgent work must start.
+	// urgentBound is the time within which urgent jobs must start.
 	urgentBound = 6700 * time.Millisecond
 )
 
-// world is stewards and the stand-in under a virtual clock, as a test sees them.
+// world runs stewards and the stand-in platform on a virtual clock.
 type world struct {
 	*jobs.World
 	t require.TestingT
@@ -49,7 +49,7 @@
 	}
 }
 
-// editDocument changes the document on every node, as a publish would.
+// editDocument changes the document on every node, as a publish does.
 func (w *world) editDocument(change func(*document.Document)) {
 	change(&w.Doc)
 	w.Main.Services[service].Doc = w.Doc
@@ -78,7 +78,8 @@
 
 func (w *world) job(id string) *ledger.Job { return w.Main.Jobs[id] }
 
-// run advances the clock in steps until the time is over or done reports true.
+// run advances the clock in steps until d has passed or done returns true. It
+// reports whether done is nil or returned true.
 func (w *world) run(d time.Duration, done func() bool) bool {
 	for end := w.Now.Add(d); w.Now.Before(end); {
 		if done != nil && done() {
@@ -89,7 +90,7 @@
 	return done == nil || done()
 }
 
-// injectFaults orders faults at the stand-in.
+// injectFaults injects faults into the stand-in platform.
 func (w *world) injectFaults(faults ...standin.Fault) {
 	_, err := w.Platform.Order(faults...)
 	require.NoError(w.t, err)
@@ -97,7 +98,7 @@
 
 func (w *world) starts(job string) int { return w.Platform.Counters().JobStarts[job] }
 
-// running reports whether a task of the job runs on the platform.
+// running reports whether the platform runs a task of the job.
 func (w *world) running(job string) bool {
 	j := w.job(job)
 	if j.Worker == "" {
