--- a/internal/jobrunner/property_test.go
+++ b/internal/jobrunner/property_test.go
@@ -155,7 +155,7 @@
 func (h *randomHistory) checkInvariants() {
 	counters := h.Platform.Counters()
 	for id, vm := range h.Main.VMs {
-		require.True(h.t, h.Main.WorkerUse(id).Within(vm.Resources()), "worker %s is overfilled", id)
+		require.True(h.t, h.Main.WorkerUse(id).Within(vm.Resources()), "worker %s is over its capacity", id)
 		require.LessOrEqual(h.t, len(h.Main.WorkerJobs(id)), 4)
 	}
 	for _, team := range []string{"a", "b"} {
--- a/internal/placement/explain.go
+++ b/internal/placement/explain.go
@@ -8,7 +8,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/ledger"
 )
 
-// UnplaceableReason returns why the job cannot be placed however long it waits, or "".
+// UnplaceableReason returns why the job can never be placed, or "".
 func (p *Pool) UnplaceableReason(j *Job) string {
 	q, ok := p.Teams[j.Team]
 	if !ok {
@@ -22,12 +22,13 @@
 	}
 	over := exceeds(j.Declared, maxOfEach(p.Admitted))
 	if over == "" {
-		over = "cores, memory and accelerators that are together"
+		over = "cores, memory and accelerators together"
 	}
 	return fmt.Sprintf("the job asks for %s, more than any worker has that the needs of pool %s admit; split the job or change the pool's needs", over, p.Name)
 }
 
-// exceeds names the first part of want over the limit, or "".
+// exceeds names the first resource of want that is over the limit, or returns
+// "".
 func exceeds(want, limit ledger.Resources) string {
 	switch {
 	case want.MilliCores > limit.MilliCores:
@@ -47,7 +48,7 @@
 var obstacleNames = [obstacleCount]string{
 	setAside:            "set aside",
 	onProbation:         "kept to one repeatable job after a failure",
-	failedBefore:        "where it failed before",
+	failedBefore:        "on which it failed before",
 	noSlot:              "without a free slot",
 	noCores:             "without the cores",
 	noMemory:            "without the memory",
@@ -56,7 +57,7 @@
 	reservedForStarving: "with room that is kept for a job that has waited longer",
 }
 
-// Explain says what a queued job waits for, for an operator to read.
+// Explain returns what a queued job waits for, as a text for operators.
 func (p *Pool) Explain(j *Job, pol Policy) string {
 	if reason := p.UnplaceableReason(j); reason != "" {
 		return reason
--- a/internal/placement/place.go
+++ b/internal/placement/place.go
@@ -10,42 +10,44 @@
 	"github.com/yuccadrift/yuccadrift/internal/ledger"
 )
 
-// maxCandidates bounds how many feasible workers are ranked for one job. The
-// search starts at a worker that the job's ID picks, so that a bound does not
+// maxCandidates bounds the feasible workers that are ranked for one job. The
+// search starts at a worker derived from the job's ID, so the bound does not
 // favour the first workers.
 const maxCandidates = 64
 
-// Rank orders feasible workers.
+// Rank is the order of preference among feasible workers.
 type Rank int
 
-// Ways to rank.
+// Orders of preference.
 const (
-	// BestFit fills workers up, which keeps large rooms whole for large and
+	// BestFit fills workers up, which keeps large free capacities for large and
 	// urgent jobs.
 	BestFit Rank = iota
-	// Spread keeps the load of workers even.
+	// Spread balances the load of the workers.
 	Spread
-	// FirstFit takes the first that fits: the baseline of the measurements.
+	// FirstFit takes the first worker that fits. It is a baseline for
+	// measurements.
 	FirstFit
 )
 
-// Policy switches parts of the decisions off, for the baselines.
+// Policy selects the ranking and disables parts of the decisions for baselines.
 type Policy struct {
 	Rank Rank
-	// IgnoreHold places other work into the room held back for urgent work.
+	// IgnoreHold places other jobs into the capacity reserved for urgent work.
 	IgnoreHold bool
-	// NoPreempt starts urgent work from free room only.
+	// NoPreempt starts urgent jobs only in free capacity.
 	NoPreempt bool
-	// FirstCome queues by time of submission instead of by the teams' shares.
+	// FirstCome orders the queue by time of submission instead of by the teams'
+	// shares.
 	FirstCome bool
-	// NoAging lets small jobs pass a large one for ever.
+	// NoAging reserves no worker for starving jobs.
 	NoAging bool
-	// MinMin queues the job first that is expected to complete first, after
-	// HMHS (Chen et al.); see docs/adr/0018.
+	// MinMin orders the queue by expected run time, shortest first, after HMHS
+	// (Chen et al.); see docs/adr/0018.
 	MinMin bool
 }
 
-// obstacle is why a worker does not take a job now.
+// obstacle is the reason why a worker cannot take a job now.
 type obstacle int
 
 const (
@@ -87,8 +89,8 @@
 	return fits
 }
 
-// takesUrgentReserve reports whether more use of the worker would take room that is held
-// back for urgent work.
+// takesUrgentReserve reports whether additional use of the worker would take
+// capacity that is reserved for urgent work.
 func (p *Pool) takesUrgentReserve(w *Worker, extra ledger.Resources, slots int) bool {
 	if p.UrgentHold <= 0 {
 		return false
@@ -130,13 +132,13 @@
 	return best
 }
 
-// Weights of a score. Fullness alone lies within 0 and 1.
+// Penalties in a score. The fullness is between 0 and 1.
 const (
 	doubtPenalty       = 4.0
 	acceleratorPenalty = 2.0
 )
 
-// score ranks a feasible worker: higher is better.
+// score returns the rank of a feasible worker; higher is better.
 func score(w *Worker, j *Job, rank Rank) float64 {
 	s := fullness(w, j)
 	if rank == Spread {
@@ -151,9 +153,9 @@
 	return s
 }
 
-// fullness is how full the worker would be: the mean of its cores' and its
-// memory's shares, so that a job that fills both is preferred over one that
-// strands the other.
+// fullness returns how full the worker would be with the job: the mean of the
+// used shares of cores and memory. A worker that both resources fill is
+// preferred over one on which the rest of one resource would be stranded.
 func fullness(w *Worker, j *Job) float64 {
 	left := w.Free.Add(j.Want, -1)
 	return 1 - (share(left.MilliCores, w.Capacity.MilliCores)+share(left.MemoryMB, w.Capacity.MemoryMB))/2
@@ -166,7 +168,7 @@
 	return float64(part) / float64(whole)
 }
 
-// Place finds a worker for one job and reserves its room in the snapshot.
+// Place finds a worker for one job and reserves its capacity in the snapshot.
 func (p *Pool) Place(j *Job, pol Policy, now time.Time) Decision {
 	if reason := p.UnplaceableReason(j); reason != "" {
 		return Decision{Job: j.ID, Kind: Unplaceable, Reason: reason}
@@ -195,7 +197,7 @@
 func (p *Pool) teamSettling(j *Job) bool { return p.Teams[j.Team].Settling && !j.Urgent }
 
 // failedEverywhere reports whether the job has failed on every worker that
-// could take it; then it is tried on them again.
+// could take it; it may then be placed on them again.
 func (p *Pool) failedEverywhere(j *Job) bool {
 	if len(j.FailedOn) == 0 {
 		return false
@@ -209,7 +211,7 @@
 	return true
 }
 
-// Kind is what was decided about a job.
+// Kind is the kind of a decision about a job.
 type Kind int
 
 // Kinds of decision.
@@ -219,13 +221,13 @@
 	Unplaceable
 )
 
-// Decision is what Plan decided about one job.
+// Decision is a decision about one job.
 type Decision struct {
 	Job      string
 	Kind     Kind
 	Worker   string
 	Reserved ledger.Resources
-	// Reason explains Unplaceable. Explain gives it for Waits, as its text is
-	// not needed at every round.
+	// Reason is set for Unplaceable. For Waits, Explain returns the reason,
+	// since it is not needed in every round.
 	Reason string
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -24,7 +24,8 @@
 	return ledger.Resources{MilliCores: cores * 1000, MemoryMB: memoryMB}
 }
 
-// newPool returns a pool of alike workers and one team "a" that may fill it.
+// newPool returns a pool of equal workers, and one team "a" with a quota for
+// all of it.
 func newPool(workers, cores, memoryMB int) *placement.Pool {
 	p := &placement.Pool{Name: "p", Admitted: []ledger.Resources{size(cores, memoryMB)}}
 	for i := range workers {
@@ -45,7 +46,7 @@
 	return placement.Job{ID: id, Team: "a", Want: s, Declared: s, Repeatable: true, Submitted: now, Queued: now, RunTime: time.Hour}
 }
 
-// addRunning puts a running job on worker i.
+// addRunning adds a running job to worker i.
 func addRunning(p *placement.Pool, i int, id string, cores int, change func(*placement.Running)) {
 	r := placement.Running{Job: id, Team: "a", Reserved: size(cores, 1), FullMilliCores: cores * 1000, Started: now.Add(-time.Hour)}
 	if change != nil {
@@ -114,12 +115,12 @@
 	urgent.Urgent = true
 	r := placement.Plan(p, []placement.Job{urgent, newJob("later", 8, 1)}, placement.Policy{}, now)
 	assert.Equal(t, []placement.Preemption{{Victim: "young", Worker: "w01", Action: record.PreemptCheckpoint, For: "u"}}, r.Preemptions)
-	assert.Empty(t, r.Decisions, "the room that is being made is not given to others")
+	assert.Empty(t, r.Decisions, "the capacity that is being freed must not be given to other jobs")
 }
 
-// The team's quota is used up by its own long jobs, while workers have room: the
-// urgent job displaces one of them rather than wait for a quota that its own
-// team holds. Another team's jobs would not help and are left alone.
+// The team's quota is used up by its own long jobs, while workers have free
+// capacity: the urgent job must preempt one of them instead of waiting for
+// quota that its own team holds. Preempting another team's jobs would not help.
 func TestUrgentJobPreemptsItsOwnTeamForQuota(t *testing.T) {
 	p := newPool(2, 32, 65536)
 	p.Teams["a"] = placement.Quota{Limit: size(16, 1<<20), Used: size(16, 2)}
@@ -147,8 +148,9 @@
 	assert.Equal(t, []placement.Preemption{{Victim: "long", Worker: "w00", Action: record.PreemptRestore, MilliCores: 32000}}, r.Preemptions)
 }
 
-// A large job waits while small ones keep taking each room that comes free.
-// After StarvingAfter one worker is kept for it: small jobs go elsewhere.
+// A large job waits while small jobs take all capacity that is freed. After
+// StarvingAfter one worker must be reserved for it, and small jobs are placed
+// elsewhere.
 func TestLargeJobIsNotStarvedBySmallOnes(t *testing.T) {
 	p := newPool(2, 32, 65536)
 	addRunning(p, 0, "x", 4, func(r *placement.Running) { r.ExpectedEnd = now.Add(time.Minute) })
@@ -189,9 +191,8 @@
 	assert.Equal(t, "b", r.Decisions[0].Job)
 }
 
-// Whatever the snapshot and the queue: no worker, slot or quota is exceeded,
-// the held room is not eaten by other work, and a job waits only where no
-// worker is free for it.
+// For any snapshot and queue: no worker, slot or quota is exceeded, other jobs
+// do not take the urgent reserve, and a job waits only if it fits no worker.
 func TestPlanKeepsEveryLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, queue := randomPool(t)
@@ -201,9 +202,9 @@
 			queue[i].Urgent = queue[i].Urgent && p.UrgentHold == 0
 		}
 		round := placement.Plan(p, queue, pol, now)
-		require.GreaterOrEqual(t, usableByUrgent(p), min(before, p.UrgentHold), "room held back for urgent work was given away")
+		require.GreaterOrEqual(t, usableByUrgent(p), min(before, p.UrgentHold), "other jobs took the urgent reserve")
 		for _, w := range p.Workers {
-			require.True(t, ledger.Resources{}.Within(w.Free), "worker %s is overfilled: %+v", w.ID, w.Free)
+			require.True(t, ledger.Resources{}.Within(w.Free), "worker %s is over its capacity: %+v", w.ID, w.Free)
 			require.GreaterOrEqual(t, w.Slots, 0)
 		}
 		for team, q := range p.Teams {
@@ -221,8 +222,8 @@
 	})
 }
 
-// usableByUrgent counts the room for urgent jobs of the pool's piece, in thousandths of
-// a core.
+// usableByUrgent returns the free capacity for urgent jobs of the size
+// UrgentPiece, in millicores.
 func usableByUrgent(p *placement.Pool) int {
 	n := 0
 	for _, w := range p.Workers {
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -8,27 +8,28 @@
 	"github.com/yuccadrift/yuccadrift/internal/ledger"
 )
 
-// Bounds of one planning round.
+// Limits of one planning round.
 const (
-	// maxRound bounds the placements of one round, so that a burst of
+	// maxRound bounds the decisions of one round, so that a burst of
 	// submissions neither floods the log nor delays urgent work behind it.
 	maxRound = 64
-	// StarvingAfter is the wait after which a job that fits no worker gets one
-	// kept free for it.
+	// StarvingAfter is the time in the queue after which a worker is reserved
+	// for a job.
 	StarvingAfter = 5 * time.Minute
-	// maxReservedShare bounds the workers kept for starving jobs, as a share of the pool.
+	// maxReservedShare bounds the workers reserved for starving jobs, as a
+	// share of the pool.
 	maxReservedShare = 0.25
 )
 
-// Round is what one planning round decided.
+// Round is the result of one planning round.
 type Round struct {
-	Decisions []Decision // of jobs that do not wait
-	// Preemptions make room for urgent jobs that found none, and give throttled
-	// jobs their cores back.
+	Decisions []Decision // about jobs that do not wait
+	// Preemptions free capacity for urgent jobs that fit no worker, and restore
+	// the cores of throttled jobs.
 	Preemptions []Preemption
 }
 
-// Plan decides on the queue in one pass. It changes the snapshot as it goes.
+// Plan decides on the queue in one pass. It modifies the snapshot.
 func Plan(p *Pool, queue []Job, pol Policy, now time.Time) Round {
 	var r Round
 	reserveForStarving(p, queue, pol, now)
@@ -51,7 +52,8 @@
 	return r
 }
 
-// decide reports whether something was decided about the job.
+// decide decides about the job and reports whether it was placed, found
+// unplaceable, or given capacity by preemption.
 func (r *Round) decide(p *Pool, j *Job, pol Policy, now time.Time) bool {
 	d := p.Place(j, pol, now)
 	if d.Kind != Waits {
@@ -66,14 +68,14 @@
 	return ok
 }
 
-// shape is what decides whether a job fits: once one job of a shape found no
-// worker in a round, the others are not tried.
+// shape identifies jobs that fit the same workers: once a job of a shape has
+// found no worker in a round, the others of the shape are not tried.
 type shape struct {
 	team       string
 	want       ledger.Resources
 	urgent     bool
 	repeatable bool
-	id         string // of a job with a history or worker of its own
+	id         string // set only for jobs with failed attempts
 }
 
 func shapeOf(j *Job) shape {
@@ -84,9 +86,9 @@
 	return s
 }
 
-// queueOrder returns an iterator over the queue: urgent jobs first, then job by job
-// from the team that holds the smallest share of its quota. First come, first
-// served would let one team's burst keep the others waiting.
+// queueOrder returns an iterator over the queue: urgent jobs first, then the
+// next job of the team that holds the smallest share of its quota. In the order
+// of submission, one team's burst would keep the other teams waiting.
 func queueOrder(p *Pool, queue []Job, pol Policy) func() *Job {
 	sorted := make([]*Job, 0, len(queue))
 	for i := range queue {
@@ -118,7 +120,8 @@
 	return 0
 }
 
-// byTeamShare yields first as it is, then rest by the teams' shares.
+// byTeamShare returns an iterator over first in its order, then over rest by
+// the teams' shares.
 func byTeamShare(p *Pool, first, rest []*Job) func() *Job {
 	teams := map[string][]*Job{}
 	var names []string
@@ -154,7 +157,7 @@
 	}
 }
 
-// dominantShare is the largest share of its quota that a team holds of any
+// dominantShare returns the largest share of its quota that a team holds of any
 // resource.
 func dominantShare(q Quota) float64 {
 	return max(
@@ -164,9 +167,9 @@
 	)
 }
 
-// reserveForStarving keeps one worker's room for each job that has waited long.
-// Without it a job that needs most of a worker waits for ever while small ones
-// take each crumb of room that comes free.
+// reserveForStarving reserves one worker for each job that has waited for
+// StarvingAfter. Without it, a job that needs most of a worker would wait
+// forever while small jobs take all capacity that is freed.
 func reserveForStarving(p *Pool, queue []Job, pol Policy, now time.Time) {
 	if pol.NoAging || len(p.Workers) < 2 {
 		return
@@ -186,7 +189,7 @@
 			return
 		}
 		if !p.quotaAllows(j) {
-			continue // waits for its team, not for a worker
+			continue // waits for its team's quota, not for a worker
 		}
 		if w := p.firstToBeFree(j, now); w != nil {
 			w.reservedFor = j.ID
@@ -195,8 +198,8 @@
 	}
 }
 
-// firstToBeFree returns the worker on which the job's room is expected to be free
-// first, or nil.
+// firstToBeFree returns the worker on which the job is expected to fit first,
+// or nil.
 func (p *Pool) firstToBeFree(j *Job, now time.Time) *Worker {
 	var best *Worker
 	var bestAt time.Time
@@ -213,8 +216,8 @@
 	return best
 }
 
-// freeAt returns when the room is expected to be free, if nothing else is
-// placed on the worker meanwhile.
+// freeAt returns when the capacity is expected to be free if nothing else is
+// placed on the worker until then.
 func (w *Worker) freeAt(want ledger.Resources, now time.Time) time.Time {
 	free, slots := w.Free, w.Slots
 	ends := slices.Clone(w.Running)
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -1,12 +1,12 @@
-// Package placement decides which worker of a pool runs which queued job. It is
-// pure: a Pool is a snapshot of the folded state, and Plan is a function of the
-// snapshot, the queue and the time. The fold checks every placement again at
-// its offset, so a decision on an old snapshot costs a refusal and never an
-// overfilled worker or quota.
+// Package placement decides which worker of a pool runs which queued job. It
+// has no side effects: a Pool is a snapshot of the folded state, and Plan is a
+// function of the snapshot, the queue and the time. The fold checks every
+// placement again at its offset, so a decision on an old snapshot may be
+// rejected but never exceeds a worker or quota.
 //
-// A placement passes three stages, a habit of Nomad's scheduler: feasible
-// workers are found, ranked by how well the job fits, and their number is
-// limited so that large pools cost no more.
+// A placement has three stages, as in Nomad's scheduler: find feasible workers,
+// rank them by how well the job fits, and limit their number, so that the cost
+// does not grow with the pool.
 package placement
 
 import (
@@ -15,19 +15,21 @@
 	"github.com/yuccadrift/yuccadrift/internal/ledger"
 )
 
-// Standing says how far a worker may be used.
+// Standing is how far a worker may be used.
 type Standing int
 
 // Standings of a worker.
 const (
 	// Open workers take as many jobs as fit.
 	Open Standing = iota
-	// Doubtful workers failed their latest job: one job at a time, none that is
-	// not repeatable.
+	// Doubtful workers failed their last job. They take one job at a time,
+	// which must be repeatable and not urgent.
 	Doubtful
-	// Probation is for workers let back from quarantine: as Doubtful.
+	// Probation workers have returned from quarantine. They take the same jobs
+	// as doubtful workers.
 	Probation
-	// SetAside workers take no job: in quarantine, or they just refused a start.
+	// SetAside workers take no job: they are in quarantine or have just refused
+	// a start.
 	SetAside
 )
 
@@ -41,16 +43,16 @@
 	Repeatable     bool
 	Checkpointable bool
 	Started        time.Time
-	// ExpectedEnd is when it is expected to end.
+	// ExpectedEnd is when the job is expected to end.
 	ExpectedEnd time.Time
-	// Pending is set while an action that makes room is under way. Coming is
-	// the room that it will free, which is not in the worker's Free yet.
+	// Pending is set while a preemption of the job is in progress. Freeing is
+	// the capacity that it will free, which is not in the worker's Free yet.
 	Pending      bool
 	Freeing      ledger.Resources
 	FreeingSlots int
 }
 
-// Throttled returns how many thousandths of a core a throttled job gave up.
+// Throttled returns by how many millicores the job is throttled.
 func (r *Running) Throttled() int { return r.FullMilliCores - r.Reserved.MilliCores }
 
 // Worker is a serving VM of the pool.
@@ -60,20 +62,20 @@
 	Rack     string
 	Capacity ledger.Resources
 	Free     ledger.Resources
-	// Slots is how many more jobs it may run at once.
+	// Slots is the number of further jobs that the worker may run at once.
 	Slots    int
 	Standing Standing
 	Running  []Running
-	// reservedFor is a starving job that the worker's room is kept for.
+	// reservedFor is the starving job that the worker is reserved for, if any.
 	reservedFor string
 }
 
-// Quota is what a team may hold and holds in the pool.
+// Quota is a team's limit and use in the pool.
 type Quota struct {
 	Limit ledger.Resources
 	Used  ledger.Resources
-	// Settling is set while the team is cancelling many jobs: its others wait,
-	// since the next cancellation may be theirs.
+	// Settling is set while the team is cancelling a batch of jobs. Its other
+	// jobs wait, since they may be cancelled next.
 	Settling bool
 }
 
@@ -82,16 +84,16 @@
 	Name    string
 	Workers []Worker
 	Teams   map[string]Quota
-	// Admitted lists the sizes of the fleet's VMs that the pool's needs admit,
-	// each once. Empty while no such VM is known.
+	// Admitted lists the distinct sizes of the fleet's VMs that meet the pool's
+	// requirements. It is empty while no such VM is known.
 	Admitted []ledger.Resources
-	// UrgentHold is the room kept free of other work, in thousandths of a core
-	// over the pool. It counts in pieces of UrgentPiece, the size of an urgent
-	// job: free cores scattered in crumbs over the workers start none.
+	// UrgentHold is the capacity of the pool that is reserved for urgent work,
+	// in millicores. It is counted in units of UrgentPiece, the size of an
+	// urgent job, since free cores scattered over the workers cannot start one.
 	UrgentHold  int
 	UrgentPiece ledger.Resources
 
-	usableByUrgent int // room for urgent work, in thousandths of a core
+	usableByUrgent int // free capacity for urgent work, in millicores
 }
 
 // Job is a queued job.
@@ -111,7 +113,8 @@
 	FailedOn []string
 }
 
-// Prepare computes what the decisions need; call it once on a new Pool.
+// Prepare computes what the decisions need. It must be called on a new Pool and
+// after changes by the caller.
 func (p *Pool) Prepare() {
 	p.usableByUrgent = 0
 	for i := range p.Workers {
@@ -119,8 +122,8 @@
 	}
 }
 
-// urgentCapacity returns the part of a worker's free room that urgent jobs of the
-// usual size can use, in thousandths of a core.
+// urgentCapacity returns the part of a worker's free capacity that urgent jobs
+// of the size UrgentPiece can use, in millicores.
 func (p *Pool) urgentCapacity(w *Worker) int {
 	if w.Standing != Open || w.Slots <= 0 {
 		return 0
@@ -142,7 +145,7 @@
 	return max(0, n)
 }
 
-// reserve reserves a worker's room for a job.
+// reserve reserves capacity of a worker for a job.
 func (p *Pool) reserve(w *Worker, j *Job, now time.Time) {
 	p.usableByUrgent -= p.urgentCapacity(w)
 	w.Free = w.Free.Add(j.Want, -1)
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -10,41 +10,43 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Bounds of making room.
+// Limits of preemption.
 const (
-	// throttleDivisor is the part of its cores that a throttled job keeps, so that
-	// it goes on and its lease is worth renewing.
-	throttleDivisor = 4 // one part in four
-	// maxVictims bounds the victims that are tried in every combination.
+	// throttleDivisor divides the cores of a throttled job. The job keeps a
+	// quarter of them, so that it makes progress and renewing its lease is
+	// worthwhile.
+	throttleDivisor = 4
+	// maxVictims bounds the victims of which every combination is tried.
 	maxVictims = 8
 )
 
-// Preemption asks one placed job to make room for an urgent one.
+// Preemption checkpoints or throttles a placed job for an urgent one, or
+// restores a throttled job.
 type Preemption struct {
 	Victim string
 	Worker string
 	Action record.PreemptAction
-	// MilliCores is what a throttled victim keeps.
+	// MilliCores is the reservation of a throttled or restored job.
 	MilliCores int
 	For        string
 }
 
-// cost of a way to make room: fewer is better, in the order of the fields.
+// cost is the cost of a preemption, compared field by field in their order.
 type cost struct {
-	notRepeatable int           // jobs that are not repeatable
-	jobs          int           // jobs disturbed
-	lostProgress  time.Duration // progress that a checkpoint may lose
+	notRepeatable int           // checkpointed jobs that are not repeatable
+	jobs          int           // jobs preempted
+	lostProgress  time.Duration // progress that checkpoints may lose
 }
 
 func (c cost) compare(o cost) int {
 	return cmp.Or(cmp.Compare(c.notRepeatable, o.notRepeatable), cmp.Compare(c.jobs, o.jobs), cmp.Compare(c.lostProgress, o.lostProgress))
 }
 
-// MakeRoom chooses the jobs that make room for an urgent job that found none:
-// the fewest on one worker, by throttling where cores alone lack, else by
-// checkpointing those with the least progress. Where the team's quota is used
-// up, its own lesser jobs give way. The room is reserved in the snapshot, so
-// that other jobs do not take it.
+// MakeRoom chooses the jobs to preempt for an urgent job that fits no worker:
+// the cheapest set on one worker, either throttled, which frees only cores, or
+// checkpointed. If the team's quota is used up, jobs of the team itself must
+// free it. The capacity is reserved in the snapshot, so that other jobs do not
+// take it.
 func (p *Pool) MakeRoom(j *Job, now time.Time) ([]Preemption, bool) {
 	need := deficit{job: j, quota: p.quotaDeficit(j)}
 	var best *Worker
@@ -70,8 +72,8 @@
 	return bestSet, true
 }
 
-// deficit is what an urgent job lacks on a worker: room, a slot, and what its
-// team's own jobs must give back for the quota to allow it.
+// deficit is what an urgent job lacks on a worker: capacity, a slot, and the
+// part of its team's quota that the team's own jobs must free.
 type deficit struct {
 	job      *Job
 	capacity ledger.Resources
@@ -83,8 +85,8 @@
 	return n.capacity == (ledger.Resources{}) && n.quota == (ledger.Resources{}) && !n.slot
 }
 
-// quotaDeficit returns by how much the job exceeds its team's quota, room that is
-// being given back left out.
+// quotaDeficit returns by how much the job exceeds its team's quota after the
+// checkpoints in progress.
 func (p *Pool) quotaDeficit(j *Job) ledger.Resources {
 	q := p.Teams[j.Team]
 	deficit := shortfall(q.Used.Add(j.Want, 1), q.Limit)
@@ -102,13 +104,14 @@
 	return shortfall(deficit, freeing)
 }
 
-// cheapestPreemption returns the cheapest way to make room on the worker.
+// cheapestPreemption returns the cheapest preemption on the worker that covers
+// the deficit.
 func (w *Worker) cheapestPreemption(n deficit, now time.Time) ([]Preemption, cost, bool) {
 	freeing, freeingSlots := w.beingFreed()
 	n.capacity = shortfall(n.job.Want, w.Free.Add(freeing, 1))
 	n.slot = w.Slots+freeingSlots <= 0
 	if n.empty() {
-		return nil, cost{}, true // room that is being made already
+		return nil, cost{}, true // enough capacity is being freed already
 	}
 	throttle, throttleCost, canThrottle := w.cheapestVictims(n, record.PreemptThrottle, now)
 	checkpoint, checkpointCost, canCheckpoint := w.cheapestVictims(n, record.PreemptCheckpoint, now)
@@ -118,7 +121,8 @@
 	return checkpoint, checkpointCost, canCheckpoint
 }
 
-// beingFreed is the room that decided actions will free.
+// beingFreed returns the capacity and slots that preemptions in progress will
+// free.
 func (w *Worker) beingFreed() (ledger.Resources, int) {
 	var sum ledger.Resources
 	slots := 0
@@ -137,7 +141,8 @@
 	}
 }
 
-// freedBy returns the room that the action on a running job frees.
+// freedBy returns the capacity that the action on a running job frees, and
+// whether the action is possible.
 func (r *Running) freedBy(action record.PreemptAction) (ledger.Resources, bool) {
 	if r.Urgent || r.Pending {
 		return ledger.Resources{}, false
@@ -149,8 +154,8 @@
 	return ledger.Resources{MilliCores: gain}, gain > 0 && r.FullMilliCores >= throttleDivisor
 }
 
-// cheapestVictims finds the cheapest set of running jobs that frees enough by one
-// action. Up to maxExact victims every combination is tried.
+// cheapestVictims returns the cheapest set of running jobs that covers the
+// deficit by one action, of all combinations of at most maxVictims candidates.
 func (w *Worker) cheapestVictims(n deficit, action record.PreemptAction, now time.Time) ([]Preemption, cost, bool) {
 	if action == record.PreemptThrottle && (n.slot || n.capacity.MemoryMB > 0 || n.capacity.Accelerators > 0) {
 		return nil, cost{}, false
@@ -189,16 +194,16 @@
 	return cost{notRepeatable: c.notRepeatable + o.notRepeatable, jobs: c.jobs + o.jobs, lostProgress: c.lostProgress + o.lostProgress}
 }
 
-// victim is a running job that can make room.
+// victim is a running job that can be preempted.
 type victim struct {
 	running      *Running
 	freed        ledger.Resources
-	ownTeamFreed ledger.Resources // of freed, what the urgent job's team gives back
+	ownTeamFreed ledger.Resources // part of freed that counts towards the urgent job's team
 	cost         cost
 }
 
-// victims lists the jobs that the action can be taken on, the largest first and
-// at most maxExact.
+// victims returns the jobs that the action is possible on, the largest first
+// and at most maxVictims.
 func (w *Worker) victims(team string, action record.PreemptAction, now time.Time) []victim {
 	var list []victim
 	for i := range w.Running {
@@ -235,8 +240,8 @@
 	return pre
 }
 
-// restoreThrottled gives throttled jobs their cores back where room has come free that
-// neither urgent work nor its reserve needs.
+// restoreThrottled restores the cores of throttled jobs where free capacity is
+// not reserved for urgent work.
 func (p *Pool) restoreThrottled(pol Policy) []Preemption {
 	var list []Preemption
 	for i := range p.Workers {
@@ -274,7 +279,8 @@
 	return pol.IgnoreHold || !p.takesUrgentReserve(w, gain, 0)
 }
 
-// applyPreemptions marks the victims and adds the room and the quota that they free.
+// applyPreemptions marks the victims as pending and adds the capacity and quota
+// that they free.
 func (p *Pool) applyPreemptions(w *Worker, set []Preemption) {
 	for _, pre := range set {
 		for i := range w.Running {
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -11,21 +11,21 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Knowledge is what a driver knows beyond the folded state. Nil functions mean
-// that it knows nothing.
+// Knowledge is what the caller knows beyond the folded state. Nil functions
+// stand for defaults from the folded state.
 type Knowledge struct {
-	// Want returns what to reserve for a job.
+	// Want returns the resources to reserve for a job.
 	Want func(*ledger.Job) ledger.Resources
-	// RunTime returns how long a job is expected to run.
+	// RunTime returns the expected run time of a job.
 	RunTime func(*ledger.Job) time.Duration
 	// Standing returns how far a serving worker may be used.
 	Standing func(*ledger.VM) Standing
-	// Measured returns what the worker's tasks were last seen to use; zero when
-	// not known.
+	// Measured returns the last measured use of the worker's tasks, or zero if
+	// unknown.
 	Measured func(worker string) ledger.Resources
-	// Settling reports whether a team is cancelling many jobs.
+	// Settling reports whether a team is cancelling a batch of jobs.
 	Settling func(team string) bool
-	// Applied reports whether the platform has carried a preemption out.
+	// Applied reports whether the platform has carried out a preemption.
 	Applied func(id string) bool
 }
 
@@ -63,8 +63,8 @@
 	return ledger.Resources{MilliCores: j.Spec.MilliCores, MemoryMB: j.Spec.MemoryMB, Accelerators: j.Spec.Accelerators}
 }
 
-// FromState takes a snapshot of a service's pool and queue. It keeps nothing of
-// the state.
+// FromState returns a snapshot of a service's pool and queue, which shares no
+// memory with the state.
 func FromState(st *ledger.State, service string, k Knowledge) (*Pool, []Job) {
 	k = k.withDefaults()
 	p := &Pool{Name: service, Teams: map[string]Quota{}}
@@ -131,8 +131,8 @@
 	return w
 }
 
-// newRunning describes a placed job. A throttle that the platform has not carried
-// out yet still holds the cores that it will give up.
+// newRunning returns a placed job. While the platform has not carried out a
+// throttle, the job still holds the cores that it will free.
 func newRunning(j *ledger.Job, k Knowledge) Running {
 	r := Running{
 		Job:            j.ID,
@@ -178,7 +178,7 @@
 	return q
 }
 
-// admitted returns the sizes of VMs that the pool's needs admit, sorted.
+// admitted returns the sizes of VMs that meet the pool's requirements, sorted.
 func admitted(st *ledger.State, needs document.Pool) []ledger.Resources {
 	seen := map[ledger.Resources]bool{}
 	for _, vm := range st.VMs {
@@ -195,7 +195,7 @@
 	})
 }
 
-// maxOfEach returns the most of each resource that one of the sizes has.
+// maxOfEach returns the maximum of each resource over the sizes.
 func maxOfEach(sizes []ledger.Resources) ledger.Resources {
 	var m ledger.Resources
 	for _, r := range sizes {
@@ -206,9 +206,10 @@
 	return m
 }
 
-// clampReservations keeps corrected sizes placeable: what a job declares fits, so what is
-// learnt about it must not make it wait for ever. Beyond the declared size it
-// reserves no more than the quota and the smallest worker that takes it.
+// clampReservations keeps jobs with corrected sizes placeable. A job fits with
+// its declared size, so the correction must not make it wait forever: beyond
+// the declared size, it reserves at most the quota and the smallest worker that
+// the declared size fits.
 func (p *Pool) clampReservations(queue []Job) {
 	for i := range queue {
 		j := &queue[i]
@@ -225,7 +226,7 @@
 	}
 }
 
-// growUrgentPiece grows the urgent piece to the size of the pool's urgent jobs.
+// growUrgentPiece raises the urgent piece to the size of an urgent job.
 func (p *Pool) growUrgentPiece(j *ledger.Job) {
 	if !j.Spec.Urgent {
 		return
@@ -236,8 +237,8 @@
 	p.UrgentPiece.Accelerators = max(p.UrgentPiece.Accelerators, d.Accelerators)
 }
 
-// setUrgentReserve sets the room held back. While no urgent job has been seen, one piece is
-// taken to be half of the smallest worker.
+// setUrgentReserve sets the capacity reserved for urgent work. If the pool has
+// no urgent jobs, the urgent piece is half of the smallest worker.
 func (p *Pool) setUrgentReserve(milliCores int) {
 	p.UrgentHold = milliCores
 	if milliCores <= 0 || len(p.Workers) == 0 {
