--- a/internal/jobrunner/decide.go
+++ b/internal/jobrunner/decide.go
@@ -65,7 +65,7 @@
 	p, queue := placement.FromState(st, pool, knowledge)
 	queue = slices.DeleteFunc(queue, func(j placement.Job) bool {
 		key := "job/" + j.ID
-		return c.busyKeys["propose/"+key] || !c.claim("place/"+j.ID+"/"+j.Queued.String(), rank, now)
+		return c.busyKeys["propose/"+key] || !c.responsibleFor("place/"+j.ID+"/"+j.Queued.String(), rank, now)
 	})
 	round := placement.Plan(p, queue, c.cfg.Policy, now)
 	for _, d := range round.Decisions {
@@ -108,11 +108,11 @@
 func (c *Core) measuredUse(st *ledger.State, worker string) ledger.Resources {
 	var sum ledger.Resources
 	for _, j := range st.WorkerJobs(worker) {
-		seen, ok := c.usageReports[TaskID(j.ID, j.Attempt)]
+		reported, ok := c.usageReports[TaskID(j.ID, j.Attempt)]
 		if !ok || j.MilliCores < j.FullMilliCores {
-			seen = j.Reserved()
+			reported = j.Reserved()
 		}
-		sum = sum.Add(seen, 1)
+		sum = sum.Add(reported, 1)
 	}
 	return sum
 }
@@ -140,7 +140,7 @@
 // its cores. A preemption for an urgent job does not wait for a takeover: its
 // placement has waited already, and a second wait would exceed the bound.
 func (c *Core) proposePreemption(st *ledger.State, pre placement.Preemption, rank int, now time.Time) {
-	if pre.For == "" && !c.claim("restore/"+pre.Victim+"/"+st.Jobs[pre.Victim].PlaceID, rank, now) {
+	if pre.For == "" && !c.responsibleFor("restore/"+pre.Victim+"/"+st.Jobs[pre.Victim].PlaceID, rank, now) {
 		return
 	}
 	id, ok := c.propose(st, jobSubject(pre.Victim), record.JobPreempt{Action: pre.Action, MilliCores: pre.MilliCores, For: pre.For}, now)
@@ -152,12 +152,12 @@
 // proposeQuarantines proposes which workers enter and leave quarantine.
 func (c *Core) proposeQuarantines(st *ledger.State, assessment quarantine.Assessment, rank int, now time.Time) {
 	for _, f := range assessment.SetAside {
-		if c.claim("set-aside/"+f.Worker+"/"+f.Jobs[0], rank, now) {
+		if c.responsibleFor("set-aside/"+f.Worker+"/"+f.Jobs[0], rank, now) {
 			c.propose(st, vmSubject(f.Worker), record.VMQuarantine{On: true, Evidence: f.Jobs}, now)
 		}
 	}
 	for _, id := range assessment.LetBack {
-		if c.claim("let-back/"+id+"/"+st.VMs[id].QuarantineChanged.String(), rank, now) {
+		if c.responsibleFor("let-back/"+id+"/"+st.VMs[id].QuarantineChanged.String(), rank, now) {
 			c.propose(st, vmSubject(id), record.VMQuarantine{}, now)
 		}
 	}
@@ -205,7 +205,7 @@
 		}
 		for _, j := range Tasks(st, id) {
 			checkpointing := j.Preempt != nil && j.Preempt.Action == record.PreemptCheckpoint
-			if j.Spec.Checkpointable && !checkpointing && c.claim("clear/"+id+"/"+j.PlaceID, rank, now) {
+			if j.Spec.Checkpointable && !checkpointing && c.responsibleFor("clear/"+id+"/"+j.PlaceID, rank, now) {
 				c.propose(st, jobSubject(j.ID), record.JobPreempt{Action: record.PreemptCheckpoint, For: id}, now)
 			}
 		}
--- a/internal/jobrunner/result.go
+++ b/internal/jobrunner/result.go
@@ -214,10 +214,10 @@
 		if !ok {
 			continue
 		}
-		seen := ledger.Resources{MilliCores: int(u.Cores * milli), MemoryMB: u.MemoryMB}
-		c.usageReports[t.id] = seen
-		t.peak.MilliCores = max(t.peak.MilliCores, seen.MilliCores)
-		t.peak.MemoryMB = max(t.peak.MemoryMB, seen.MemoryMB)
-		c.estimates.Running(t.shape, usage.Sample{MilliCores: seen.MilliCores, MemoryMB: seen.MemoryMB})
+		reported := ledger.Resources{MilliCores: int(u.Cores * milli), MemoryMB: u.MemoryMB}
+		c.usageReports[t.id] = reported
+		t.peak.MilliCores = max(t.peak.MilliCores, reported.MilliCores)
+		t.peak.MemoryMB = max(t.peak.MemoryMB, reported.MemoryMB)
+		c.estimates.Running(t.shape, usage.Sample{MilliCores: reported.MilliCores, MemoryMB: reported.MemoryMB})
 	}
 }
--- a/internal/jobrunner/runner.go
+++ b/internal/jobrunner/runner.go
@@ -205,8 +205,8 @@
 	if a.Verb == VerbPropose {
 		ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 		defer cancel()
-		out, err := r.cfg.Follower.Propose(ctx, a.Record)
-		return Result{Outcome: out, Err: err}
+		outcome, err := r.cfg.Follower.Propose(ctx, a.Record)
+		return Result{Outcome: outcome, Err: err}
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.cfg.CallTimeout)
 	defer cancel()
--- a/internal/jobrunner/task.go
+++ b/internal/jobrunner/task.go
@@ -178,7 +178,7 @@
 	if j.CancelAsked || !mayDecide || now.Before(t.retryAt) {
 		return
 	}
-	if !t.ownPlacement && (!j.Spec.Repeatable || !c.claim("start/"+t.placeID, rank, now)) {
+	if !t.ownPlacement && (!j.Spec.Repeatable || !c.responsibleFor("start/"+t.placeID, rank, now)) {
 		return
 	}
 	lane := LaneTasks
@@ -216,8 +216,8 @@
 	return record.JobEnd{Result: record.JobNotStarted, Reason: t.refusalReason}
 }
 
-func rankUnlessOwn(rank int, mine bool) int {
-	if mine {
+func rankUnlessOwn(rank int, own bool) int {
+	if own {
 		return 0
 	}
 	return rank
@@ -226,7 +226,7 @@
 // stopTask stops the task of a cancelled job. The platform carries an operation
 // out once, so after a lost reply it is sent again.
 func (c *Core) stopTask(j *ledger.Job, t *task, rank int, now time.Time) {
-	if now.Before(t.retryAt) || !c.claim("stop/"+j.CancelID, rank, now) {
+	if now.Before(t.retryAt) || !c.responsibleFor("stop/"+j.CancelID, rank, now) {
 		return
 	}
 	c.emit(Action{
@@ -244,7 +244,7 @@
 // preemptTask carries out a preemption on the task: a checkpoint, a throttle or
 // a restore.
 func (c *Core) preemptTask(j *ledger.Job, t *task, rank int, now time.Time) {
-	if now.Before(t.retryAt) || !c.isOwnRecord(j.Preempt.ID) && !c.claim("preempt/"+j.Preempt.ID, rank, now) {
+	if now.Before(t.retryAt) || !c.isOwnRecord(j.Preempt.ID) && !c.responsibleFor("preempt/"+j.Preempt.ID, rank, now) {
 		return
 	}
 	a := Action{
@@ -294,7 +294,7 @@
 	if j.Preempt != nil && c.isOwnRecord(j.Preempt.ID) {
 		rank = 0
 	}
-	if c.claim("end/"+t.placeID, rank, now) {
+	if c.responsibleFor("end/"+t.placeID, rank, now) {
 		c.propose(st, jobSubject(j.ID), body, now)
 	}
 }
--- a/internal/jobrunner/world_test.go
+++ b/internal/jobrunner/world_test.go
@@ -64,8 +64,8 @@
 func jobSubject(id string) record.Subject { return record.Subject{Kind: record.SubjectJob, Name: id} }
 
 func (w *world) mustWrite(sub record.Subject, body record.Body) {
-	out := w.Write(sub, body)
-	require.Equal(w.t, ledger.Effective, out.Status, out.Reason)
+	outcome := w.Write(sub, body)
+	require.Equal(w.t, ledger.Effective, outcome.Status, outcome.Reason)
 }
 
 func (w *world) submit(id string, change func(*record.JobSubmit)) {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -184,9 +184,9 @@
 func TestDoubtfulWorkerGetsOneRepeatableJobAtATime(t *testing.T) {
 	p := newPool(1, 32, 65536)
 	p.Workers[0].Standing = placement.Doubtful
-	once := newJob("a-once", 1, 1)
-	once.Repeatable = false
-	r := placement.Plan(p, []placement.Job{once, newJob("b", 1, 1), newJob("c", 1, 1)}, placement.Policy{}, now)
+	notRepeatable := newJob("a-once", 1, 1)
+	notRepeatable.Repeatable = false
+	r := placement.Plan(p, []placement.Job{notRepeatable, newJob("b", 1, 1), newJob("c", 1, 1)}, placement.Policy{}, now)
 	require.Len(t, r.Decisions, 1)
 	assert.Equal(t, "b", r.Decisions[0].Job)
 }
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -168,16 +168,16 @@
 		if found && bits.OnesCount(mask) > bestCost.jobs && bestCost.notRepeatable == 0 {
 			continue
 		}
-		var freed, own ledger.Resources
+		var freed, ownTeamFreed ledger.Resources
 		var c cost
 		for i := range victims {
 			if mask&(1<<i) != 0 {
 				freed = freed.Add(victims[i].freed, 1)
-				own = own.Add(victims[i].ownTeamFreed, 1)
+				ownTeamFreed = ownTeamFreed.Add(victims[i].ownTeamFreed, 1)
 				c = c.plus(victims[i].cost)
 			}
 		}
-		if n.capacity.Within(freed) && n.quota.Within(own) && (!found || c.compare(bestCost) < 0) {
+		if n.capacity.Within(freed) && n.quota.Within(ownTeamFreed) && (!found || c.compare(bestCost) < 0) {
 			best, bestCost, found = mask, c, true
 		}
 	}
--- a/internal/steward/evidence.go
+++ b/internal/steward/evidence.go
@@ -52,9 +52,9 @@
 		addresses = append(addresses, s.vm.Address)
 		racks[s.vm.Rack] = true
 	}
-	healthyAtPeer, asked := h.cfg.Peers.Healthy(ctx, addresses)
+	healthyAtPeer, replied := h.cfg.Peers.Healthy(ctx, addresses)
 	localFault := len(racks) > 1 && (h.cfg.Peers.Configured() || atLeastHalfFailed(sample))
-	if asked == 0 && localFault {
+	if replied == 0 && localFault {
 		h.metrics.heldBack.Add(float64(len(failing)))
 		h.cfg.Logger.Warn("failures not recorded: this node's own network may be cut", "vms", len(failing), "racks", len(racks))
 		return nil
--- a/internal/steward/evidence_test.go
+++ b/internal/steward/evidence_test.go
@@ -68,15 +68,15 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 12, Zones: []string{"a", "b", "c"}}}})
-				check := &prefixChecker{}
-				n := startNode(t, fake, "entry-1", func(cfg *steward.Config) { cfg.Health, cfg.Peers = check, c.peer })
+				checker := &prefixChecker{}
+				n := startNode(t, fake, "entry-1", func(cfg *steward.Config) { cfg.Health, cfg.Peers = checker, c.peer })
 				time.Sleep(time.Second)
 				publish(t, n, "ramcharan", "booking")
 				time.Sleep(20 * time.Second)
-				check.prefix.Store(c.prefix)
+				checker.prefix.Store(c.prefix)
 				time.Sleep(20 * time.Second)
 				assert.Equal(t, c.down, n.count(func(vm *ledger.VM) bool { return vm.Down }))
-				check.prefix.Store("")
+				checker.prefix.Store("")
 				time.Sleep(20 * time.Second)
 				assert.Zero(t, n.count(func(vm *ledger.VM) bool { return vm.Down || vm.Phase != record.PhaseServing }))
 			})
--- a/internal/steward/executor.go
+++ b/internal/steward/executor.go
@@ -92,7 +92,7 @@
 			if maintenance.Next(vm) == maintenance.StepNone {
 				continue
 			}
-			if !e.backingOff(vm, now) && e.shares.claim(id, fmt.Sprintf("act/%s/%d", id, vm.Revision), now) {
+			if !e.backingOff(vm, now) && e.shares.responsibleFor(id, fmt.Sprintf("act/%s/%d", id, vm.Revision), now) {
 				due = append(due, id)
 			}
 		}
--- a/internal/steward/faults_test.go
+++ b/internal/steward/faults_test.go
@@ -53,25 +53,25 @@
 	publish(t, nodes[0], "ramcharan", "booking")
 	time.Sleep(time.Minute)
 	nodes[0].propose(t, record.Subject{Kind: record.SubjectWave, Name: "w1"}, record.WaveStart{Pools: []string{"booking"}, Deadline: time.Now().Add(12 * time.Hour)})
-	order := func(faults ...standin.Fault) {
+	injectFaults := func(faults ...standin.Fault) {
 		_, err := fake.Order(faults...)
 		assert.NoError(t, err)
 	}
 	for range 6 {
 		time.Sleep(time.Duration(r.IntN(60)) * time.Second)
-		order(
+		injectFaults(
 			standin.Fault{Kind: standin.APILoseReply, Count: 1 + r.IntN(5)},
 			standin.Fault{Kind: standin.LogLoseReply, Count: 1 + r.IntN(5)},
 			standin.Fault{Kind: standin.LogLate, Count: 1 + r.IntN(3), DelayMS: int64(r.IntN(60_000))},
 			standin.Fault{Kind: standin.ListLag, ForMS: 120_000, DelayMS: int64(r.IntN(60_000))},
 		)
 	}
-	order(standin.Fault{Kind: standin.LogRefuse, ForMS: 15 * 60_000}, standin.Fault{Kind: standin.APIRefuse, ForMS: 15 * 60_000})
+	injectFaults(standin.Fault{Kind: standin.LogRefuse, ForMS: 15 * 60_000}, standin.Fault{Kind: standin.APIRefuse, ForMS: 15 * 60_000})
 	time.Sleep(20 * time.Minute)
-	order(standin.Fault{Kind: standin.VMCrash, Target: "rack/a-r01"})
+	injectFaults(standin.Fault{Kind: standin.VMCrash, Target: "rack/a-r01"})
 	time.Sleep(12 * time.Minute)
 	fake.ClearAll()
-	order(standin.Fault{Kind: standin.VMRecover, Target: "rack/a-r01"})
+	injectFaults(standin.Fault{Kind: standin.VMRecover, Target: "rack/a-r01"})
 	time.Sleep(30 * time.Minute)
 
 	reboots := fake.Counters().Reboots
--- a/internal/steward/lister.go
+++ b/internal/steward/lister.go
@@ -86,7 +86,7 @@
 	}
 	now := time.Now()
 	return seen, slices.DeleteFunc(proposals, func(d pool.Proposal) bool {
-		return !l.shares.claim(d.Share, string(d.Body.Kind())+"/"+d.Share, now)
+		return !l.shares.responsibleFor(d.Share, string(d.Body.Kind())+"/"+d.Share, now)
 	})
 }
 
--- a/internal/steward/outage_test.go
+++ b/internal/steward/outage_test.go
@@ -25,9 +25,9 @@
 
 // attempt is an append or an action that a steward tried.
 type attempt struct {
-	at     time.Time
-	what   string
-	offset uint64 // folded by the steward
+	at          time.Time
+	description string
+	offset      uint64 // folded by the steward
 }
 
 // platformLink connects one steward to the platform. Access to the log and to
@@ -44,7 +44,7 @@
 }
 
 func (w *platformLink) recordAttempt(what string) {
-	a := attempt{at: time.Now(), what: what}
+	a := attempt{at: time.Now(), description: what}
 	if n := w.node.Load(); n != nil {
 		n.follower.View(func(s *ledger.State) { a.offset = s.Offset })
 	}
@@ -147,9 +147,9 @@
 // appendRecords appends records of another system and returns the log's end.
 // Callers use it to write more records than one read returns.
 func (m *waveInProgress) appendRecords(records int) uint64 {
-	const most = 500
-	for ; records > 0; records -= most {
-		_, err := m.fake.Append(m.Context(), stream, slices.Repeat([][]byte{[]byte("of another system")}, min(most, records)))
+	const batchSize = 500
+	for ; records > 0; records -= batchSize {
+		_, err := m.fake.Append(m.Context(), stream, slices.Repeat([][]byte{[]byte("of another system")}, min(batchSize, records)))
 		require.NoError(m, err)
 	}
 	time.Sleep(time.Second)
@@ -188,7 +188,7 @@
 		tail := m.appendRecords(0)
 		_, err := m.fake.Order(standin.Fault{Kind: standin.LogSlow, Target: "read", DelayMS: 900})
 		require.NoError(t, err)
-		rejoin := time.Now()
+		reconnected := time.Now()
 		for _, w := range m.links {
 			w.Cut(false)
 			w.actionsFail.Store(false)
@@ -196,9 +196,9 @@
 		time.Sleep(5 * time.Minute)
 		var attempts []attempt
 		for i, w := range m.links {
-			acts := w.attemptsAfter(rejoin)
+			acts := w.attemptsAfter(reconnected)
 			if len(acts) > 0 {
-				assert.GreaterOrEqual(t, acts[0].offset, tail, "steward %d: %s", i+1, acts[0].what)
+				assert.GreaterOrEqual(t, acts[0].offset, tail, "steward %d: %s", i+1, acts[0].description)
 			}
 			attempts = append(attempts, acts...)
 		}
@@ -253,7 +253,7 @@
 					return
 				}
 				tail := m.appendRecords(10)
-				back := time.Now()
+				restored := time.Now()
 				for _, w := range m.links {
 					w.Redirect(m.fake)
 				}
@@ -265,8 +265,8 @@
 					is, detail := w.node.Load().follower.Condition()
 					assert.Equal(t, follower.Following, is, "steward %d: %s", i+1, detail)
 					w.node.Load().follower.View(func(s *ledger.State) { assert.GreaterOrEqual(t, s.Offset, tail) })
-					for _, a := range w.attemptsAfter(back) {
-						assert.GreaterOrEqual(t, a.offset, tail, "steward %d: %s", i+1, a.what)
+					for _, a := range w.attemptsAfter(restored) {
+						assert.GreaterOrEqual(t, a.offset, tail, "steward %d: %s", i+1, a.description)
 						attempts = append(attempts, a)
 					}
 				}
--- a/internal/steward/pace_test.go
+++ b/internal/steward/pace_test.go
@@ -64,19 +64,19 @@
 func TestHealthChecksRotateOverManyVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 60, Zones: []string{"a", "b", "c"}}}})
-		check := &countingChecker{count: map[string]int{}}
-		n := startNode(t, fake, "entry-1", func(cfg *steward.Config) { cfg.Health = check })
+		checker := &countingChecker{count: map[string]int{}}
+		n := startNode(t, fake, "entry-1", func(cfg *steward.Config) { cfg.Health = checker })
 		time.Sleep(20*time.Second + tickOffset)
-		check.reset("")
+		checker.reset("")
 		time.Sleep(6 * time.Second)
-		assert.Len(t, check.count, 60, "every VM must be checked")
-		assert.Equal(t, 60, check.sum())
+		assert.Len(t, checker.count, 60, "every VM must be checked")
+		assert.Equal(t, 60, checker.sum())
 		list, err := fake.List(t.Context())
 		require.NoError(t, err)
-		check.reset(list.VMs[47].Address)
+		checker.reset(list.VMs[47].Address)
 		time.Sleep(9 * time.Second)
 		assert.Equal(t, 1, n.count(func(vm *ledger.VM) bool { return vm.Down }))
-		check.reset("")
+		checker.reset("")
 		time.Sleep(9 * time.Second)
 		assert.Zero(t, n.count(func(vm *ledger.VM) bool { return vm.Down }))
 	})
@@ -191,8 +191,8 @@
 func TestHealthCheckShareFollowsLiveStewards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 30, Zones: []string{"a", "b", "c"}}}})
-		check, peers := &countingChecker{count: map[string]int{}}, &changingPeers{}
-		startNode(t, fake, "entry-1", func(cfg *steward.Config) { cfg.Health, cfg.Peers = check, peers })
+		checker, peers := &countingChecker{count: map[string]int{}}, &changingPeers{}
+		startNode(t, fake, "entry-1", func(cfg *steward.Config) { cfg.Health, cfg.Peers = checker, peers })
 		time.Sleep(20*time.Second + tickOffset)
 		for _, step := range []struct {
 			there []string
@@ -201,10 +201,10 @@
 		}{{nil, 30, 30}, {[]string{"entry-2", "entry-3"}, 4, 18}, {nil, 30, 30}} {
 			peers.set(step.there...)
 			time.Sleep(10 * time.Second) // until a duty reads the peers
-			check.reset("")
+			checker.reset("")
 			time.Sleep(10 * time.Second)
-			assert.GreaterOrEqual(t, len(check.count), step.least)
-			assert.LessOrEqual(t, len(check.count), step.most)
+			assert.GreaterOrEqual(t, len(checker.count), step.least)
+			assert.LessOrEqual(t, len(checker.count), step.most)
 		}
 	})
 }
--- a/internal/steward/planner.go
+++ b/internal/steward/planner.go
@@ -68,14 +68,14 @@
 	idle = len(plan.Proposals) == 0 && view.Offset == p.plannedOffset
 	p.plannedOffset = view.Offset
 	p.metrics.observeRound(took)
-	var mine []pool.Proposal
+	var ownProposals []pool.Proposal
 	for _, d := range plan.Proposals {
 		item := fmt.Sprintf("plan/%s/%s/%d", d.Body.Kind(), d.Subject, d.Base)
-		if p.shares.claim(d.Share, item, view.Now) {
-			mine = append(mine, d)
+		if p.shares.responsibleFor(d.Share, item, view.Now) {
+			ownProposals = append(ownProposals, d)
 		}
 	}
-	p.proposer.proposeAll(ctx, view.Offset, mine)
+	p.proposer.proposeAll(ctx, view.Offset, ownProposals)
 	p.updateSpareMetrics(view)
 	p.logWaits(plan.Waits)
 	return took, idle
--- a/internal/steward/propose.go
+++ b/internal/steward/propose.go
@@ -37,7 +37,7 @@
 func (p *proposer) propose(ctx context.Context, seen uint64, d pool.Proposal) bool {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	out, err := p.follower.Propose(ctx, record.Record{
+	outcome, err := p.follower.Propose(ctx, record.Record{
 		ID:      ulid.Make().String(),
 		Subject: d.Subject,
 		Base:    d.Base,
@@ -51,10 +51,10 @@
 		p.logger.Warn("outcome unknown", "subject", d.Subject, "kind", d.Body.Kind(), "error", err)
 		return false
 	}
-	p.metrics.observeProposal(d.Body.Kind(), out.Status)
+	p.metrics.observeProposal(d.Body.Kind(), outcome.Status)
 	p.logger.Debug("proposed", "subject", d.Subject, "kind", d.Body.Kind(), "why", d.Why,
-		"status", out.Status, "reason", out.Reason, "offset", out.Offset)
-	return out.Status == ledger.Effective
+		"status", outcome.Status, "reason", outcome.Reason, "offset", outcome.Offset)
+	return outcome.Status == ledger.Effective
 }
 
 // proposeAll appends the proposals of a round concurrently and waits for their
--- a/internal/steward/shares.go
+++ b/internal/steward/shares.go
@@ -65,10 +65,10 @@
 // higherRanked returns the stewards that rank higher than this one for the key.
 // It must be called with mu held.
 func (s *workShares) higherRanked(key string, now time.Time) []string {
-	own := rendezvousWeight(s.self, key)
+	ownWeight := rendezvousWeight(s.self, key)
 	var nodes []string
 	for _, node := range s.nodes {
-		if w := rendezvousWeight(node, key); w > own && !now.Before(s.presumedGoneUntil[node]) {
+		if w := rendezvousWeight(node, key); w > ownWeight && !now.Before(s.presumedGoneUntil[node]) {
 			nodes = append(nodes, node)
 		}
 	}
@@ -81,14 +81,14 @@
 func (s *workShares) untilNextTurn(now time.Time, length time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := 0
+	preceding := 0
 	for _, node := range s.nodes {
 		if node < s.self {
-			before++
+			preceding++
 		}
 	}
 	cycle := time.Duration(len(s.nodes)) * length
-	wait := (time.Duration(before)*length - time.Duration(now.UnixNano())%cycle + cycle) % cycle
+	wait := (time.Duration(preceding)*length - time.Duration(now.UnixNano())%cycle + cycle) % cycle
 	if wait == 0 {
 		return cycle
 	}
@@ -122,25 +122,25 @@
 
 func rendezvousWeight(node, key string) uint64 { return xxhash.Sum64String(node + "\x00" + key) }
 
-// claim reports whether the work identified by item falls to this steward now.
+// responsibleFor reports whether the work identified by item falls to this steward now.
 // item names the work and the revision that it was decided on, so each change
 // makes a new item.
-func (s *workShares) claim(key, item string, now time.Time) bool {
+func (s *workShares) responsibleFor(key, item string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.higherRanked(key, now)
-	if len(before) == 0 {
+	ranked := s.higherRanked(key, now)
+	if len(ranked) == 0 {
 		return true
 	}
-	first, ok := s.firstSeen[item]
+	firstSeen, ok := s.firstSeen[item]
 	if !ok {
 		s.firstSeen[item] = now
 		return false
 	}
-	if now.Sub(first) < time.Duration(len(before))*takeoverAfter {
+	if now.Sub(firstSeen) < time.Duration(len(ranked))*takeoverAfter {
 		return false
 	}
-	for _, node := range before {
+	for _, node := range ranked {
 		s.presumedGoneUntil[node] = now.Add(presumedGoneFor)
 	}
 	return true
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -81,11 +81,11 @@
 	var base record.Revision
 	var seen uint64
 	n.follower.View(func(s *ledger.State) { base, seen = s.Revision(sub), s.Offset })
-	out, err := n.follower.Propose(t.Context(), record.Record{
+	outcome, err := n.follower.Propose(t.Context(), record.Record{
 		ID: ulid.Make().String(), Subject: sub, Base: base, Seen: seen, Author: "test", Time: time.Now(), Body: body,
 	})
 	require.NoError(t, err)
-	require.Equal(t, ledger.Effective, out.Status, out.Reason)
+	require.Equal(t, ledger.Effective, outcome.Status, outcome.Reason)
 }
 
 func publish(t *testing.T, n *node, deployment, service string) {
--- a/internal/stewardpeer/peers.go
+++ b/internal/stewardpeer/peers.go
@@ -141,17 +141,17 @@
 // Healthy asks live peers which of the backend servers they reach. It returns
 // the servers that at least one of them reached, and the number of peers that
 // replied.
-func (p *Peers) Healthy(ctx context.Context, addresses []string) (healthy map[string]bool, asked int) {
+func (p *Peers) Healthy(ctx context.Context, addresses []string) (healthy map[string]bool, replied int) {
 	healthy = map[string]bool{}
 	for _, peer := range p.peers {
-		if _, ok := peer.alive(); !ok || asked == maxPeersAsked {
+		if _, ok := peer.alive(); !ok || replied == maxPeersAsked {
 			continue
 		}
 		if peer.check(ctx, addresses, healthy) == nil {
-			asked++
+			replied++
 		}
 	}
-	return healthy, asked
+	return healthy, replied
 }
 
 func (p *peer) check(ctx context.Context, addresses []string, healthy map[string]bool) error {
