--- a/internal/jobrunner/core.go
+++ b/internal/jobrunner/core.go
@@ -237,8 +237,9 @@
 	return record.Subject{Kind: record.SubjectJob, Name: id}
 }
 
-// responsibleFor reports whether undone work falls to this steward now. item names the
-// work and the state that it was decided on, so each change makes a new item.
+// responsibleFor reports whether undone work falls to this steward now. item
+// names the work and the state that it was decided on, so each change makes a
+// new item.
 func (c *Core) responsibleFor(item string, rank int, now time.Time) bool {
 	if rank == 0 {
 		return true
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -33,7 +33,7 @@
 func Plan(p *Pool, queue []Job, pol Policy, now time.Time) Round {
 	var r Round
 	reserveForStarving(p, queue, pol, now)
-	unplaceableShapes := map[shape]bool{}
+	unplacedShapes := map[shape]bool{}
 	urgentWaits, restored := false, false
 	next := queueOrder(p, queue, pol)
 	for j := next(); j != nil && len(r.Decisions) < maxRound; j = next() {
@@ -41,8 +41,8 @@
 			r.Preemptions = append(r.Preemptions, p.restoreThrottled(pol)...)
 			restored = true
 		}
-		if !unplaceableShapes[shapeOf(j)] && !r.decide(p, j, pol, now) {
-			unplaceableShapes[shapeOf(j)] = true
+		if !unplacedShapes[shapeOf(j)] && !r.decide(p, j, pol, now) {
+			unplacedShapes[shapeOf(j)] = true
 			urgentWaits = urgentWaits || j.Urgent && p.quotaAllows(j)
 		}
 	}
--- a/internal/steward/evidence.go
+++ b/internal/steward/evidence.go
@@ -14,7 +14,7 @@
 	Nodes() []string
 	// Healthy returns the backend servers that at least one asked peer reaches,
 	// and the number of peers that replied.
-	Healthy(ctx context.Context, addresses []string) (healthy map[string]bool, asked int)
+	Healthy(ctx context.Context, addresses []string) (healthy map[string]bool, replied int)
 }
 
 // NoPeers implements Peers for a steward without peers.
--- a/internal/steward/outage_test.go
+++ b/internal/steward/outage_test.go
@@ -196,11 +196,11 @@
 		time.Sleep(5 * time.Minute)
 		var attempts []attempt
 		for i, w := range m.links {
-			acts := w.attemptsAfter(reconnected)
-			if len(acts) > 0 {
-				assert.GreaterOrEqual(t, acts[0].offset, tail, "steward %d: %s", i+1, acts[0].description)
+			linkAttempts := w.attemptsAfter(reconnected)
+			if len(linkAttempts) > 0 {
+				assert.GreaterOrEqual(t, linkAttempts[0].offset, tail, "steward %d: %s", i+1, linkAttempts[0].description)
 			}
-			attempts = append(attempts, acts...)
+			attempts = append(attempts, linkAttempts...)
 		}
 		assert.NotEmpty(t, attempts, "the stewards must act again")
 		m.operator.follower.View(func(s *ledger.State) {
--- a/internal/steward/shares.go
+++ b/internal/steward/shares.go
@@ -122,9 +122,9 @@
 
 func rendezvousWeight(node, key string) uint64 { return xxhash.Sum64String(node + "\x00" + key) }
 
-// responsibleFor reports whether the work identified by item falls to this steward now.
-// item names the work and the revision that it was decided on, so each change
-// makes a new item.
+// responsibleFor reports whether the work identified by item falls to this
+// steward now. item names the work and the revision that it was decided on, so
+// each change makes a new item.
 func (s *workShares) responsibleFor(key, item string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
