--- a/internal/jobrunner/core.go
+++ b/internal/jobrunner/core.go
@@ -86,7 +86,7 @@
 	Lapsed      int
 	Unplaceable int
 	Preempted   int
-	SetAside    int
+	Quarantined int
 	StartWaits  []StartWait // cleared by Metrics.observe
 }
 
--- a/internal/jobrunner/decide.go
+++ b/internal/jobrunner/decide.go
@@ -55,12 +55,12 @@
 	}
 	cancelling := teamsCancellingBatch(st, pool, now)
 	knowledge := placement.Knowledge{
-		Settling: func(team string) bool { return cancelling[team] && !c.cfg.NoSettling },
-		Want:     c.reservation,
-		RunTime:  c.runTime,
-		Standing: func(vm *ledger.VM) placement.Standing { return c.standing(vm, assessment, now) },
-		Measured: func(worker string) ledger.Resources { return c.measuredUse(st, worker) },
-		Applied:  func(id string) bool { return c.appliedPreemptions[id] != "" },
+		CancellingBatch: func(team string) bool { return cancelling[team] && !c.cfg.NoSettling },
+		Want:            c.reservation,
+		RunTime:         c.runTime,
+		Standing:        func(vm *ledger.VM) placement.Standing { return c.standing(vm, assessment, now) },
+		Measured:        func(worker string) ledger.Resources { return c.measuredUse(st, worker) },
+		Applied:         func(id string) bool { return c.appliedPreemptions[id] != "" },
 	}
 	p, queue := placement.FromState(st, pool, knowledge)
 	queue = slices.DeleteFunc(queue, func(j placement.Job) bool {
--- a/internal/jobrunner/metrics.go
+++ b/internal/jobrunner/metrics.go
@@ -49,7 +49,7 @@
 	m.count("lapsed", s.Lapsed-m.reported.Lapsed)
 	m.count("unplaceable", s.Unplaceable-m.reported.Unplaceable)
 	m.count("preempted", s.Preempted-m.reported.Preempted)
-	m.count("worker_set_aside", s.SetAside-m.reported.SetAside)
+	m.count("worker_set_aside", s.Quarantined-m.reported.Quarantined)
 	m.reported = *s
 }
 
--- a/internal/jobrunner/result.go
+++ b/internal/jobrunner/result.go
@@ -64,7 +64,7 @@
 		c.Stats.Preempted++
 	case record.VMQuarantine:
 		if b.On {
-			c.Stats.SetAside++
+			c.Stats.Quarantined++
 		}
 	}
 }
--- a/internal/placement/explain.go
+++ b/internal/placement/explain.go
@@ -66,7 +66,7 @@
 	if over := exceeds(q.Used.Add(j.Want, 1), q.Limit); over != "" {
 		return fmt.Sprintf("waits for the quota of team %s: with it the team would hold %s", j.Team, over)
 	}
-	if p.teamSettling(j) {
+	if p.waitsForCancellations(j) {
 		return fmt.Sprintf("waits a moment, as team %s is cancelling many jobs", j.Team)
 	}
 	if len(p.Workers) == 0 {
--- a/internal/placement/place.go
+++ b/internal/placement/place.go
@@ -173,7 +173,7 @@
 	if reason := p.UnplaceableReason(j); reason != "" {
 		return Decision{Job: j.ID, Kind: Unplaceable, Reason: reason}
 	}
-	if !p.quotaAllows(j) || p.teamSettling(j) {
+	if !p.quotaAllows(j) || p.waitsForCancellations(j) {
 		return Decision{Job: j.ID, Kind: Waits}
 	}
 	w := p.findWorker(j, pol)
@@ -194,7 +194,9 @@
 	return q.Used.Add(j.Want, 1).Within(q.Limit)
 }
 
-func (p *Pool) teamSettling(j *Job) bool { return p.Teams[j.Team].Settling && !j.Urgent }
+func (p *Pool) waitsForCancellations(j *Job) bool {
+	return p.Teams[j.Team].CancellingBatch && !j.Urgent
+}
 
 // failedEverywhere reports whether the job has failed on every worker that
 // could take it; it may then be placed on them again.
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -74,9 +74,9 @@
 type Quota struct {
 	Limit ledger.Resources
 	Used  ledger.Resources
-	// Settling is set while the team is cancelling a batch of jobs. Its other
-	// jobs wait, since they may be cancelled next.
-	Settling bool
+	// CancellingBatch is set while the team is cancelling a batch of jobs. Its
+	// other jobs wait, since they may be cancelled next.
+	CancellingBatch bool
 }
 
 // Pool is a snapshot of one pool.
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -23,8 +23,8 @@
 	// Measured returns the last measured use of the worker's tasks, or zero if
 	// unknown.
 	Measured func(worker string) ledger.Resources
-	// Settling reports whether a team is cancelling a batch of jobs.
-	Settling func(team string) bool
+	// CancellingBatch reports whether a team is cancelling a batch of jobs.
+	CancellingBatch func(team string) bool
 	// Applied reports whether the platform has carried out a preemption.
 	Applied func(id string) bool
 }
@@ -50,8 +50,8 @@
 	if k.Measured == nil {
 		k.Measured = func(string) ledger.Resources { return ledger.Resources{} }
 	}
-	if k.Settling == nil {
-		k.Settling = func(string) bool { return false }
+	if k.CancellingBatch == nil {
+		k.CancellingBatch = func(string) bool { return false }
 	}
 	if k.Applied == nil {
 		k.Applied = func(string) bool { return true }
@@ -74,9 +74,9 @@
 	}
 	for _, q := range svc.Doc.Quotas {
 		p.Teams[q.Team] = Quota{
-			Limit:    ledger.Resources{MilliCores: q.MilliCores, MemoryMB: q.MemoryMB, Accelerators: q.Accelerators},
-			Used:     st.TeamUse(service, q.Team),
-			Settling: k.Settling(q.Team),
+			Limit:           ledger.Resources{MilliCores: q.MilliCores, MemoryMB: q.MemoryMB, Accelerators: q.Accelerators},
+			Used:            st.TeamUse(service, q.Team),
+			CancellingBatch: k.CancellingBatch(q.Team),
 		}
 	}
 	for _, vm := range st.PoolVMs(service) {
--- a/internal/steward/daemon.go
+++ b/internal/steward/daemon.go
@@ -112,9 +112,9 @@
 	})
 	entrypeer.RegisterState(peers.Registrar(), d.follower)
 	stewardpeer.Register(peers.Registrar(), stewardpeer.ServerConfig{
-		Node:  d.settings.Node.ID,
-		Able:  s.MayDecide,
-		Check: d.health.Check,
+		Node:      d.settings.Node.ID,
+		MayDecide: s.MayDecide,
+		Check:     d.health.Check,
 	})
 }
 
--- a/internal/steward/outage_test.go
+++ b/internal/steward/outage_test.go
@@ -67,7 +67,7 @@
 
 type action func(context.Context, string, platform.Operation) (platform.OperationStatus, error)
 
-func (w *platformLink) try(ctx context.Context, do action, verb, vm string, op platform.Operation) (platform.OperationStatus, error) {
+func (w *platformLink) attemptAction(ctx context.Context, do action, verb, vm string, op platform.Operation) (platform.OperationStatus, error) {
 	w.recordAttempt(verb + " " + vm)
 	if w.actionsFail.Load() {
 		return "", platform.ErrUnavailable
@@ -76,15 +76,15 @@
 }
 
 func (w *platformLink) Drain(ctx context.Context, vm string, op platform.Operation) (platform.OperationStatus, error) {
-	return w.try(ctx, w.Fleet.Drain, "drain", vm, op)
+	return w.attemptAction(ctx, w.Fleet.Drain, "drain", vm, op)
 }
 
 func (w *platformLink) Undrain(ctx context.Context, vm string, op platform.Operation) (platform.OperationStatus, error) {
-	return w.try(ctx, w.Fleet.Undrain, "undrain", vm, op)
+	return w.attemptAction(ctx, w.Fleet.Undrain, "undrain", vm, op)
 }
 
 func (w *platformLink) Reboot(ctx context.Context, vm string, op platform.Operation) (platform.OperationStatus, error) {
-	return w.try(ctx, w.Fleet.Reboot, "reboot", vm, op)
+	return w.attemptAction(ctx, w.Fleet.Reboot, "reboot", vm, op)
 }
 
 func (w *platformLink) List(ctx context.Context) (platform.VMList, error) {
--- a/internal/stewardpeer/server.go
+++ b/internal/stewardpeer/server.go
@@ -25,8 +25,8 @@
 // ServerConfig configures the service that a steward offers its peers.
 type ServerConfig struct {
 	Node string
-	// Able reports whether the steward may decide now.
-	Able func() bool
+	// MayDecide reports whether the steward may decide now.
+	MayDecide func() bool
 	// Check checks one backend server; a nil error means healthy.
 	Check func(ctx context.Context, address string) error
 }
@@ -43,7 +43,7 @@
 
 // Hello implements the gRPC service.
 func (s *server) Hello(context.Context, *pb.HelloRequest) (*pb.HelloReply, error) {
-	return &pb.HelloReply{Node: s.cfg.Node, Able: s.cfg.Able()}, nil
+	return &pb.HelloReply{Node: s.cfg.Node, Able: s.cfg.MayDecide()}, nil
 }
 
 // Check implements the gRPC service.
