--- a/internal/jobrunner/decide.go
+++ b/internal/jobrunner/decide.go
@@ -14,19 +14,19 @@
 	"github.com/yuccadrift/yuccadrift/internal/usage"
 )
 
-// Pauses between two plans of one pool.
+// Pauses between plans of a pool.
 const (
 	// busyPause applies while jobs are queued, idlePause otherwise.
 	busyPause = 50 * time.Millisecond
 	idlePause = time.Second
-	// takeoverPause applies to pools that a better placed steward drives.
+	// takeoverPause applies to pools for which another steward ranks higher.
 	takeoverPause = 500 * time.Millisecond
-	// maxRank is how many stewards, one after the other, take a pool's undone
-	// work over.
+	// maxRank is the number of stewards that plan a pool; those with a rank
+	// above 0 only take over undone work.
 	maxRank = 4
 )
 
-// planDue reports whether the pool is to be planned now.
+// planDue reports whether the pool must be planned now, and records the plan.
 func (c *Core) planDue(st *ledger.State, pool string, rank int, now time.Time) bool {
 	if rank >= maxRank {
 		return false
@@ -45,40 +45,40 @@
 	return true
 }
 
-// planPool decides on a pool's queue and on its workers' standing. A steward of
-// a lower rank takes only what has lain undone for long.
+// planPool decides on a pool's queue, preemptions and quarantines. A steward of
+// a rank above 0 decides only on work that has been undone for long enough.
 func (c *Core) planPool(st *ledger.State, pool string, rank int, now time.Time) {
-	c.learn(st, pool)
-	found := quarantine.Assessment{}
+	c.learnUsage(st, pool)
+	assessment := quarantine.Assessment{}
 	if !c.cfg.NoQuarantine {
-		found = quarantine.Assess(st, pool, now)
-	}
-	settles := settling(st, pool, now)
-	know := placement.Knowledge{
-		Settling: func(team string) bool { return settles[team] && !c.cfg.NoSettling },
-		Want:     c.want,
-		RunTime:  c.runTime,
-		Standing: func(vm *ledger.VM) placement.Standing { return c.standing(vm, found, now) },
-		Measured: func(worker string) ledger.Resources { return c.measuredOn(st, worker) },
-		Applied:  func(id string) bool { return c.applied[id] != "" },
-	}
-	p, queue := placement.FromState(st, pool, know)
+		assessment = quarantine.Assess(st, pool, now)
+	}
+	cancelling := teamsCancellingBatch(st, pool, now)
+	knowledge := placement.Knowledge{
+		CancellingBatch: func(team string) bool { return cancelling[team] && !c.cfg.NoSettling },
+		Want:            c.reservation,
+		RunTime:         c.runTime,
+		Standing:        func(vm *ledger.VM) placement.Standing { return c.standing(vm, assessment, now) },
+		Measured:        func(worker string) ledger.Resources { return c.measuredUse(st, worker) },
+		Applied:         func(id string) bool { return c.appliedPreemptions[id] != "" },
+	}
+	p, queue := placement.FromState(st, pool, knowledge)
 	queue = slices.DeleteFunc(queue, func(j placement.Job) bool {
 		key := "job/" + j.ID
-		return c.busy["propose/"+key] || !c.due("place/"+j.ID+"/"+j.Queued.String(), rank, now)
+		return c.busyKeys["propose/"+key] || !c.responsibleFor("place/"+j.ID+"/"+j.Queued.String(), rank, now)
 	})
 	round := placement.Plan(p, queue, c.cfg.Policy, now)
 	for _, d := range round.Decisions {
-		c.decided(st, d, now)
+		c.proposeDecision(st, d, now)
 	}
 	for _, pre := range round.Preemptions {
-		c.preempted(st, pre, rank, now)
+		c.proposePreemption(st, pre, rank, now)
 	}
-	c.judge(st, found, rank, now)
-	c.clearForDrains(st, pool, rank, now)
+	c.proposeQuarantines(st, assessment, rank, now)
+	c.checkpointForDrains(st, pool, rank, now)
 }
 
-func (c *Core) want(j *ledger.Job) ledger.Resources {
+func (c *Core) reservation(j *ledger.Job) ledger.Resources {
 	if c.cfg.NoCorrection {
 		return ledger.Resources{MilliCores: j.Spec.MilliCores, MemoryMB: j.Spec.MemoryMB, Accelerators: j.Spec.Accelerators}
 	}
@@ -89,36 +89,37 @@
 	return c.estimates.RunTime(usage.ShapeOf(j.Spec), j.Spec.RunTime)
 }
 
-// standing says how far a worker may be used now.
-func (c *Core) standing(vm *ledger.VM, found quarantine.Assessment, now time.Time) placement.Standing {
+// standing returns how far a worker may be used now.
+func (c *Core) standing(vm *ledger.VM, assessment quarantine.Assessment, now time.Time) placement.Standing {
 	switch {
-	case vm.Quarantined || now.Before(c.worker(vm.ID).closedUntil):
+	case vm.Quarantined || now.Before(c.worker(vm.ID).noStartsBefore):
 		return placement.SetAside
-	case found.Probation[vm.ID]:
+	case assessment.Probation[vm.ID]:
 		return placement.Probation
-	case found.Doubtful[vm.ID]:
+	case assessment.Doubtful[vm.ID]:
 		return placement.Doubtful
 	}
 	return placement.Open
 }
 
-// measuredOn sums the latest reports on a worker's tasks. One that has not been
-// reported yet counts as what it reserved, and so does a throttled one, whose
-// report may be older than its throttling.
-func (c *Core) measuredOn(st *ledger.State, worker string) ledger.Resources {
+// measuredUse returns the sum of the last usage reports of a worker's tasks. A
+// task without a report counts as its reservation, and so does a throttled
+// task, whose report may be older than the throttling.
+func (c *Core) measuredUse(st *ledger.State, worker string) ledger.Resources {
 	var sum ledger.Resources
 	for _, j := range st.WorkerJobs(worker) {
-		seen, ok := c.reports[TaskID(j.ID, j.Attempt)]
+		reported, ok := c.usageReports[TaskID(j.ID, j.Attempt)]
 		if !ok || j.MilliCores < j.FullMilliCores {
-			seen = j.Reserved()
+			reported = j.Reserved()
 		}
-		sum = sum.Add(seen, 1)
+		sum = sum.Add(reported, 1)
 	}
 	return sum
 }
 
-// decided proposes a placement, or the end of a job that can never be placed.
-func (c *Core) decided(st *ledger.State, d placement.Decision, now time.Time) {
+// proposeDecision proposes a placement, or the end of a job that can never be
+// placed.
+func (c *Core) proposeDecision(st *ledger.State, d placement.Decision, now time.Time) {
 	switch d.Kind {
 	case placement.Unplaceable:
 		c.propose(st, jobSubject(d.Job), record.JobEnd{Result: record.JobUnplaceable, Reason: d.Reason}, now)
@@ -130,33 +131,33 @@
 			Attempt:    st.Jobs[d.Job].Attempt + 1,
 		}, now)
 		if ok {
-			c.own[id] = now
+			c.ownRecords[id] = now
 		}
 	}
 }
 
-// preempted proposes that a job makes room or gets its cores back. Room for an
-// urgent job is due as soon as its placement was: to wait a second time would
-// eat up the bound.
-func (c *Core) preempted(st *ledger.State, pre placement.Preemption, rank int, now time.Time) {
-	if pre.For == "" && !c.due("restore/"+pre.Victim+"/"+st.Jobs[pre.Victim].PlaceID, rank, now) {
+// proposePreemption proposes to preempt a job for an urgent one, or to restore
+// its cores. A preemption for an urgent job does not wait for a takeover: its
+// placement has waited already, and a second wait would exceed the bound.
+func (c *Core) proposePreemption(st *ledger.State, pre placement.Preemption, rank int, now time.Time) {
+	if pre.For == "" && !c.responsibleFor("restore/"+pre.Victim+"/"+st.Jobs[pre.Victim].PlaceID, rank, now) {
 		return
 	}
 	id, ok := c.propose(st, jobSubject(pre.Victim), record.JobPreempt{Action: pre.Action, MilliCores: pre.MilliCores, For: pre.For}, now)
 	if ok {
-		c.own[id] = now
+		c.ownRecords[id] = now
 	}
 }
 
-// judge proposes which workers are set aside and which come back.
-func (c *Core) judge(st *ledger.State, found quarantine.Assessment, rank int, now time.Time) {
-	for _, f := range found.SetAside {
-		if c.due("set-aside/"+f.Worker+"/"+f.Jobs[0], rank, now) {
+// proposeQuarantines proposes which workers enter and leave quarantine.
+func (c *Core) proposeQuarantines(st *ledger.State, assessment quarantine.Assessment, rank int, now time.Time) {
+	for _, f := range assessment.SetAside {
+		if c.responsibleFor("set-aside/"+f.Worker+"/"+f.Jobs[0], rank, now) {
 			c.propose(st, vmSubject(f.Worker), record.VMQuarantine{On: true, Evidence: f.Jobs}, now)
 		}
 	}
-	for _, id := range found.LetBack {
-		if c.due("let-back/"+id+"/"+st.VMs[id].QuarantineChanged.String(), rank, now) {
+	for _, id := range assessment.LetBack {
+		if c.responsibleFor("let-back/"+id+"/"+st.VMs[id].QuarantineChanged.String(), rank, now) {
 			c.propose(st, vmSubject(id), record.VMQuarantine{}, now)
 		}
 	}
@@ -164,21 +165,21 @@
 
 func vmSubject(id string) record.Subject { return record.Subject{Kind: record.SubjectVM, Name: id} }
 
-// learn takes the peaks of jobs that ended since the last look. They come from
-// the fold, so a steward that has just started learns from all that is
-// remembered.
-func (c *Core) learn(st *ledger.State, pool string) {
-	var fresh []*ledger.Job
+// learnUsage adds the peaks of newly ended jobs to the estimates. They are read
+// from the folded state, so a steward that has just started learns from every
+// job in it.
+func (c *Core) learnUsage(st *ledger.State, pool string) {
+	var ended []*ledger.Job
 	for _, j := range st.PoolJobs(pool) {
-		if j.Ended() && !c.counted[j.ID] {
-			fresh = append(fresh, j)
+		if j.Ended() && !c.countedJobs[j.ID] {
+			ended = append(ended, j)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b *ledger.Job) int {
+	slices.SortFunc(ended, func(a, b *ledger.Job) int {
 		return cmp.Or(a.EndedAt.Compare(b.EndedAt), cmp.Compare(a.ID, b.ID))
 	})
-	for _, j := range fresh {
-		c.counted[j.ID] = true
+	for _, j := range ended {
+		c.countedJobs[j.ID] = true
 		if !j.Succeeded() {
 			continue
 		}
@@ -190,9 +191,9 @@
 	}
 }
 
-// clearForDrains checkpoints the jobs on draining workers where the document
-// says so. Jobs that cannot be checkpointed are waited for.
-func (c *Core) clearForDrains(st *ledger.State, pool string, rank int, now time.Time) {
+// checkpointForDrains checkpoints the jobs on draining workers if the document
+// asks for it. Jobs that cannot be checkpointed are left to finish.
+func (c *Core) checkpointForDrains(st *ledger.State, pool string, rank int, now time.Time) {
 	svc, ok := st.Services[pool]
 	if !ok || svc.Doc.Jobs.OnDrain != document.LongJobsCheckpoint {
 		return
@@ -204,19 +205,20 @@
 		}
 		for _, j := range Tasks(st, id) {
 			checkpointing := j.Preempt != nil && j.Preempt.Action == record.PreemptCheckpoint
-			if j.Spec.Checkpointable && !checkpointing && c.due("clear/"+id+"/"+j.PlaceID, rank, now) {
+			if j.Spec.Checkpointable && !checkpointing && c.responsibleFor("clear/"+id+"/"+j.PlaceID, rank, now) {
 				c.propose(st, jobSubject(j.ID), record.JobPreempt{Action: record.PreemptCheckpoint, For: id}, now)
 			}
 		}
 	}
 }
 
-// askUsage reads the usage reports now and then, while there are tasks.
-func (c *Core) askUsage(now time.Time) {
-	if len(c.tasks) == 0 || now.Sub(c.usageAt) < usageInterval {
+// requestUsage requests the usage reports at each usageInterval while there are
+// tasks.
+func (c *Core) requestUsage(now time.Time) {
+	if len(c.tasks) == 0 || now.Sub(c.usageRequestedAt) < usageInterval {
 		return
 	}
 	if c.emit(Action{Verb: VerbUsage, Lane: LaneTasks, Key: "usage"}) {
-		c.usageAt = now
+		c.usageRequestedAt = now
 	}
 }
--- a/internal/jobrunner/property_test.go
+++ b/internal/jobrunner/property_test.go
@@ -14,13 +14,13 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// Three stewards drive one pool while jobs come and are cancelled, stewards
+// Three stewards run one pool while jobs are submitted and cancelled, stewards
 // die, are paused or cut off from the log, replies are lost, calls arrive late,
-// and workers crash or fail everything. Whatever the order: no worker, slot or
-// quota is exceeded, a job that is not repeatable starts at most once (and once
-// more for each checkpoint), a job cancelled before it was placed never starts,
-// and once the faults are over every job comes to its end.
-func TestRandomHistoriesKeepThePromises(t *testing.T) {
+// workers crash, and tasks fail on them. No worker, slot or quota may be
+// exceeded. A job that is not repeatable starts at most once, and once more for
+// each checkpoint. A job that was cancelled before it was placed never starts.
+// Once the faults have ended, every job ends.
+func TestRandomHistoriesKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, 3, 4)
 		w.Latency = func() time.Duration {
@@ -30,27 +30,27 @@
 			seconds := rapid.SampledFrom([]int{0, 0, 0, 0, 1, 5, 30}).Draw(t, "stray")
 			return time.Duration(seconds) * time.Second, seconds > 0
 		}
-		h := &history{world: w, t: t}
+		h := &randomHistory{world: w, t: t}
 		for range rapid.IntRange(10, 40).Draw(t, "events") {
-			h.event()
+			h.randomEvent()
 			w.run(time.Duration(rapid.IntRange(1, 30).Draw(t, "steps"))*stepTime, nil)
-			h.check()
+			h.checkInvariants()
 		}
-		h.heal()
-		require.True(t, w.run(40*time.Minute, h.over), "jobs are left over: %s", h.left())
-		h.check()
+		h.clearFaults()
+		require.True(t, w.run(40*time.Minute, h.allJobsEnded), "every job must end: %s", h.unfinishedJob())
+		h.checkInvariants()
 	})
 }
 
-// history makes random events happen in a world.
-type history struct {
+// randomHistory applies random events to a world.
+type randomHistory struct {
 	*world
 	t    *rapid.T
 	jobs int
 	down []string
 }
 
-func (h *history) event() {
+func (h *randomHistory) randomEvent() {
 	switch rapid.SampledFrom([]string{"submit", "submit", "submit", "cancel", "die", "pause", "cut", "join", "lose", "crash", "recover", "fail"}).Draw(h.t, "event") {
 	case "submit":
 		h.submitRandom()
@@ -67,17 +67,17 @@
 	case "join":
 		h.Nodes[h.anyNode()].CutOff = false
 	case "lose":
-		h.order(standin.Fault{Kind: standin.APILoseReply, Count: rapid.IntRange(1, 5).Draw(h.t, "lost")})
+		h.injectFaults(standin.Fault{Kind: standin.APILoseReply, Count: rapid.IntRange(1, 5).Draw(h.t, "lost")})
 	case "crash":
 		h.crash(h.anyWorker())
 	case "recover":
 		h.recover()
 	case "fail":
-		h.order(standin.Fault{Kind: standin.WorkerFails, Target: h.anyWorker(), DelayMS: 100, ForMS: 20_000})
+		h.injectFaults(standin.Fault{Kind: standin.WorkerFails, Target: h.anyWorker(), DelayMS: 100, ForMS: 20_000})
 	}
 }
 
-func (h *history) submitRandom() {
+func (h *randomHistory) submitRandom() {
 	for range rapid.IntRange(1, 6).Draw(h.t, "jobs") {
 		h.jobs++
 		h.Write(jobSubject(fmt.Sprintf("j%03d", h.jobs)), record.JobSubmit{
@@ -93,42 +93,42 @@
 	}
 }
 
-func (h *history) anyNode() int { return rapid.IntRange(0, len(h.Nodes)-1).Draw(h.t, "node") }
+func (h *randomHistory) anyNode() int { return rapid.IntRange(0, len(h.Nodes)-1).Draw(h.t, "node") }
 
-func (h *history) anyWorker() string {
+func (h *randomHistory) anyWorker() string {
 	return fmt.Sprintf("vm-%02d", rapid.IntRange(1, 4).Draw(h.t, "worker"))
 }
 
-func (h *history) anyJob() string {
+func (h *randomHistory) anyJob() string {
 	if h.jobs == 0 {
 		return ""
 	}
 	return fmt.Sprintf("j%03d", rapid.IntRange(1, h.jobs).Draw(h.t, "job"))
 }
 
-func (h *history) crash(id string) {
+func (h *randomHistory) crash(id string) {
 	if h.Main.VMs[id].Down || len(h.down) > 1 {
 		return
 	}
 	h.down = append(h.down, id)
-	h.order(standin.Fault{Kind: standin.VMCrash, Target: id})
+	h.injectFaults(standin.Fault{Kind: standin.VMCrash, Target: id})
 	if rapid.Bool().Draw(h.t, "noticed") {
-		h.must(vmSubject(id), record.VMDown{Cause: "crash"})
+		h.mustWrite(vmSubject(id), record.VMDown{Cause: "crash"})
 	}
 }
 
-func (h *history) recover() {
+func (h *randomHistory) recover() {
 	for _, id := range h.down {
-		h.order(standin.Fault{Kind: standin.VMRecover, Target: id})
+		h.injectFaults(standin.Fault{Kind: standin.VMRecover, Target: id})
 		if h.Main.VMs[id].Down {
-			h.must(vmSubject(id), record.VMUp{})
+			h.mustWrite(vmSubject(id), record.VMUp{})
 		}
 	}
 	h.down = nil
 }
 
-// heal ends all faults.
-func (h *history) heal() {
+// clearFaults ends all faults.
+func (h *randomHistory) clearFaults() {
 	h.Platform.ClearAll()
 	h.recover()
 	h.Latency = func() time.Duration { return 0 }
@@ -141,9 +141,9 @@
 	}
 }
 
-func (h *history) over() bool { return h.left() == "" }
+func (h *randomHistory) allJobsEnded() bool { return h.unfinishedJob() == "" }
 
-func (h *history) left() string {
+func (h *randomHistory) unfinishedJob() string {
 	for id, j := range h.Main.Jobs {
 		if !j.Ended() {
 			return fmt.Sprintf("%s is %s on %s: %+v", id, j.Status, j.Worker, j.Spec)
@@ -152,10 +152,10 @@
 	return ""
 }
 
-func (h *history) check() {
+func (h *randomHistory) checkInvariants() {
 	counters := h.Platform.Counters()
 	for id, vm := range h.Main.VMs {
-		require.True(h.t, h.Main.WorkerUse(id).Within(vm.Resources()), "worker %s is overfilled", id)
+		require.True(h.t, h.Main.WorkerUse(id).Within(vm.Resources()), "worker %s is over its capacity", id)
 		require.LessOrEqual(h.t, len(h.Main.WorkerJobs(id)), 4)
 	}
 	for _, team := range []string{"a", "b"} {
@@ -173,22 +173,23 @@
 	}
 }
 
-// checkpoints counts the placements of a job that ended by a checkpoint.
-func (h *history) checkpoints(j *ledger.Job) int {
+// checkpoints returns the number of placements of a job that ended with a
+// checkpoint.
+func (h *randomHistory) checkpoints(j *ledger.Job) int {
 	if j.Checkpoint == "" {
 		return 0
 	}
 	return j.Attempt - 1
 }
 
-// A pool runs work that can all be checkpointed, then the first stewards in line
-// may die, and calls take their time. An urgent job that fits a worker starts
-// within its bound. Jobs whose start is in doubt are left out: they hold their
-// room for a lease.
-func TestUrgentJobStartsWithinItsBoundWhereRoomCanBeMade(t *testing.T) {
+// A pool runs only checkpointable jobs, then the first stewards by rank may
+// die, and calls are slow. An urgent job that fits a worker must start within
+// its bound. Jobs whose start is uncertain are not part of the test: they keep
+// their reservation for a lease.
+func TestUrgentJobStartsInTimeWherePreemptionFreesCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, 3, 4)
-		w.edit(func(d *document.Document) {
+		w.editDocument(func(d *document.Document) {
 			d.Quotas[0].MilliCores = 32_000
 			d.Jobs.UrgentMilliCores = 1000 * rapid.SampledFrom([]int{0, 4, 8}).Draw(t, "hold")
 		})
--- a/internal/jobrunner/runner.go
+++ b/internal/jobrunner/runner.go
@@ -16,49 +16,49 @@
 
 // Pauses and timeouts of the duties.
 const (
-	// tick is the pause between steps when nothing changes.
-	tick = 200 * time.Millisecond
-	// minGap is the least pause between two steps: changes that come meanwhile
-	// are met together.
-	minGap = 10 * time.Millisecond
-	// proposeTimeout bounds the wait for a record's outcome.
+	// stepInterval is the pause between steps while nothing changes.
+	stepInterval = 200 * time.Millisecond
+	// minStepGap is the minimum pause between two steps: one step handles all
+	// changes within it.
+	minStepGap = 10 * time.Millisecond
+	// proposeTimeout bounds the wait for the outcome of a record.
 	proposeTimeout = 10 * time.Second
 	// catchUpTimeout bounds one read to the end of the log after a pause.
 	catchUpTimeout = 2 * time.Second
-	// leaveLimit bounds the settling of own placements when the process stops,
-	// stopWithin that and the calls in flight.
-	leaveLimit = 3 * time.Second
-	stopWithin = leaveLimit + DefaultCallTimeout
+	// shutdownTimeout bounds the starts of own placements when the process
+	// stops; stopWithin also covers the calls in flight.
+	shutdownTimeout = 3 * time.Second
+	stopWithin      = shutdownTimeout + DefaultCallTimeout
 	// DefaultCallTimeout bounds one call to the platform.
 	DefaultCallTimeout = 2 * time.Second
 )
 
-// Config is what a Runner needs.
+// Config configures a Runner.
 type Config struct {
 	Core     CoreConfig
 	Follower *follower.Follower
 	Tasks    platform.Tasks
 	Logger   hclog.Logger
 	Metrics  *Metrics // nil: none
-	// CallTimeout bounds one call to the platform; 0 takes the default.
+	// CallTimeout bounds one call to the platform; 0 means DefaultCallTimeout.
 	CallTimeout time.Duration
 }
 
-// Runner executes what a Core decides.
+// Runner executes the actions of a Core.
 type Runner struct {
-	cfg     Config
-	core    *Core
-	lanes   [laneCount]chan Action
-	results chan Result
-	left    chan struct{} // closed once the deciding duty has settled
+	cfg           Config
+	core          *Core
+	lanes         [laneCount]chan Action
+	results       chan Result
+	decideStopped chan struct{} // closed when the deciding duty has stopped
 }
 
-// New returns a Runner; its Duties are to be supervised by the caller.
+// New returns a Runner. The caller must supervise its Duties.
 func New(cfg Config) *Runner {
 	if cfg.CallTimeout <= 0 {
 		cfg.CallTimeout = DefaultCallTimeout
 	}
-	r := &Runner{cfg: cfg, left: make(chan struct{}), core: NewCore(cfg.Core, time.Now())}
+	r := &Runner{cfg: cfg, decideStopped: make(chan struct{}), core: NewCore(cfg.Core, time.Now())}
 	total := 0
 	for lane, limit := range laneLimits {
 		r.lanes[lane] = make(chan Action, limit)
@@ -69,58 +69,59 @@
 }
 
 // Duties returns the runner's duties: one that decides, and one for each lane,
-// which carries as many actions out at a time as the lane admits. A lane's
-// channel holds as many as may be in flight, so the deciding duty never waits
-// for an executor.
+// which runs as many actions concurrently as the lane admits. The channel of a
+// lane holds as many actions as may be in flight, so the deciding duty never
+// waits for an executor.
 func (r *Runner) Duties() []supervise.Duty {
 	names := [laneCount]string{LaneLog: "job records", LaneTasks: "job tasks", LaneUrgent: "urgent job tasks"}
-	duties := []supervise.Duty{{Name: "jobs", Serve: r.decide, StopWithin: stopWithin}}
+	duties := []supervise.Duty{{Name: "jobs", Serve: r.runSteps, StopWithin: stopWithin}}
 	for lane, name := range names {
-		duties = append(duties, supervise.Duty{Name: name, Serve: r.lane(Lane(lane)), StopWithin: stopWithin})
+		duties = append(duties, supervise.Duty{Name: name, Serve: r.serveLane(Lane(lane)), StopWithin: stopWithin})
 	}
 	return duties
 }
 
-// decide steps the core after each change and result.
-func (r *Runner) decide(ctx context.Context) error {
+// runSteps steps the core after each change and result, and at each interval.
+func (r *Runner) runSteps(ctx context.Context) error {
 	changed := r.cfg.Follower.Changed()
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			r.leave(ctx)
+			r.shutDown(ctx)
 			return ctx.Err()
 		case <-ticker.C:
 		case <-changed:
 		case res := <-r.results:
-			r.done(res)
+			r.handleResult(res)
 		}
-		r.gather(ctx)
+		r.collectResults(ctx)
 		r.step(ctx)
 	}
 }
 
-// leave settles what this process has placed, for at most leaveLimit. The
+// shutDown starts what this process has placed, within shutdownTimeout. The
 // follower's own duty may have ended already, so the log is read here.
-func (r *Runner) leave(ctx context.Context) {
-	defer close(r.left)
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveLimit)
+func (r *Runner) shutDown(ctx context.Context) {
+	defer close(r.decideStopped)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
-	r.core.Leave()
+	r.core.BeginShutdown()
 	for ctx.Err() == nil {
 		r.catchUp(ctx)
 		r.step(ctx)
-		if r.core.Settled() {
+		if r.core.ShutdownComplete() {
 			return
 		}
-		r.gather(ctx)
+		r.collectResults(ctx)
 	}
 }
 
-// gather waits a moment for further results, so that one step meets them all.
-func (r *Runner) gather(ctx context.Context) {
-	gap := time.NewTimer(minGap)
+// collectResults handles further results for minStepGap, so that one step
+// covers all of them.
+func (r *Runner) collectResults(ctx context.Context) {
+	gap := time.NewTimer(minStepGap)
 	defer gap.Stop()
 	for {
 		select {
@@ -129,12 +130,12 @@
 		case <-gap.C:
 			return
 		case res := <-r.results:
-			r.done(res)
+			r.handleResult(res)
 		}
 	}
 }
 
-func (r *Runner) done(res Result) {
+func (r *Runner) handleResult(res Result) {
 	if res.Err != nil && !errors.Is(res.Err, context.Canceled) {
 		r.cfg.Logger.Debug("an action failed", "verb", res.Action.Verb, "key", res.Action.Key, "error", res.Err)
 	}
@@ -150,41 +151,41 @@
 	for _, a := range actions {
 		r.lanes[a.Lane] <- a
 	}
-	if !r.core.Awake(fresh) {
+	if !r.core.ReadSinceResume(fresh) {
 		r.catchUp(ctx)
 	}
 	r.cfg.Metrics.observe(&r.core.Stats)
 }
 
-// catchUp reads the log to its end after a start or a pause. When the log
-// cannot be read, the follower's own reads bring the state up later.
+// catchUp reads the log to its end after a start or a pause. If the log cannot
+// be read, the follower's own reads update the state later.
 func (r *Runner) catchUp(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	if err := r.cfg.Follower.CatchUp(ctx); err != nil && ctx.Err() == nil {
-		r.cfg.Logger.Warn("cannot read the log; no job is started or renewed before it can", "error", err)
+		r.cfg.Logger.Warn("cannot read the log; no job is started or renewed until it is read", "error", err)
 	}
 }
 
-// lane returns the duty of a lane. Its executors go on until the deciding duty
-// has settled, beyond the end of ctx.
-func (r *Runner) lane(lane Lane) func(context.Context) error {
+// serveLane returns the duty of a lane. Its executors run beyond the end of
+// ctx, until the deciding duty has stopped.
+func (r *Runner) serveLane(lane Lane) func(context.Context) error {
 	return func(ctx context.Context) error {
-		work, stop := context.WithCancel(context.WithoutCancel(ctx))
+		executorCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 		defer stop()
 		var executors sync.WaitGroup
 		for range laneLimits[lane] {
-			executors.Go(func() { r.executor(work, r.lanes[lane]) })
+			executors.Go(func() { r.runExecutor(executorCtx, r.lanes[lane]) })
 		}
-		<-r.left
+		<-r.decideStopped
 		stop()
 		executors.Wait()
 		return ctx.Err()
 	}
 }
 
-// executor carries actions out one at a time until ctx ends.
-func (r *Runner) executor(ctx context.Context, lane <-chan Action) {
+// runExecutor executes actions one at a time until ctx ends.
+func (r *Runner) runExecutor(ctx context.Context, lane <-chan Action) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -192,7 +193,7 @@
 		case a := <-lane:
 			res := r.execute(ctx, a)
 			res.Action = a
-			r.results <- res // never full: it holds all that may be in flight
+			r.results <- res // never full: it holds as many results as actions may be in flight
 		}
 	}
 }
@@ -204,8 +205,8 @@
 	if a.Verb == VerbPropose {
 		ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 		defer cancel()
-		out, err := r.cfg.Follower.Propose(ctx, a.Record)
-		return Result{Outcome: out, Err: err}
+		outcome, err := r.cfg.Follower.Propose(ctx, a.Record)
+		return Result{Outcome: outcome, Err: err}
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.cfg.CallTimeout)
 	defer cancel()
--- a/internal/placement/explain.go
+++ b/internal/placement/explain.go
@@ -8,8 +8,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/ledger"
 )
 
-// Never returns why the job cannot be placed however long it waits, or "".
-func (p *Pool) Never(j *Job) string {
+// UnplaceableReason returns why the job can never be placed, or "".
+func (p *Pool) UnplaceableReason(j *Job) string {
 	q, ok := p.Teams[j.Team]
 	if !ok {
 		return fmt.Sprintf("team %s has no quota in pool %s; add one to the document of service %s", j.Team, p.Name, p.Name)
@@ -20,14 +20,15 @@
 	if len(p.Admitted) == 0 || slices.ContainsFunc(p.Admitted, j.Declared.Within) {
 		return ""
 	}
-	over := exceeds(j.Declared, most(p.Admitted))
+	over := exceeds(j.Declared, maxOfEach(p.Admitted))
 	if over == "" {
-		over = "cores, memory and accelerators that are together"
+		over = "cores, memory and accelerators together"
 	}
 	return fmt.Sprintf("the job asks for %s, more than any worker has that the needs of pool %s admit; split the job or change the pool's needs", over, p.Name)
 }
 
-// exceeds names the first part of want over the limit, or "".
+// exceeds names the first resource of want that is over the limit, or returns
+// "".
 func exceeds(want, limit ledger.Resources) string {
 	switch {
 	case want.MilliCores > limit.MilliCores:
@@ -45,27 +46,27 @@
 }
 
 var obstacleNames = [obstacleCount]string{
-	setAside:       "set aside",
-	doubtful:       "kept to one repeatable job after a failure",
-	failedThere:    "where it failed before",
-	noSlot:         "without a free slot",
-	noCores:        "without the cores",
-	noMemory:       "without the memory",
-	noAccelerators: "without the accelerators",
-	heldUrgent:     "with room that is held back for urgent work",
-	heldOther:      "with room that is kept for a job that has waited longer",
+	setAside:            "set aside",
+	onProbation:         "kept to one repeatable job after a failure",
+	failedBefore:        "on which it failed before",
+	noSlot:              "without a free slot",
+	noCores:             "without the cores",
+	noMemory:            "without the memory",
+	noAccelerators:      "without the accelerators",
+	reservedForUrgent:   "with room that is held back for urgent work",
+	reservedForStarving: "with room that is kept for a job that has waited longer",
 }
 
-// Explain says what a queued job waits for, for an operator to read.
+// Explain returns what a queued job waits for, as a text for operators.
 func (p *Pool) Explain(j *Job, pol Policy) string {
-	if reason := p.Never(j); reason != "" {
+	if reason := p.UnplaceableReason(j); reason != "" {
 		return reason
 	}
 	q := p.Teams[j.Team]
 	if over := exceeds(q.Used.Add(j.Want, 1), q.Limit); over != "" {
 		return fmt.Sprintf("waits for the quota of team %s: with it the team would hold %s", j.Team, over)
 	}
-	if p.settles(j) {
+	if p.waitsForCancellations(j) {
 		return fmt.Sprintf("waits a moment, as team %s is cancelling many jobs", j.Team)
 	}
 	if len(p.Workers) == 0 {
--- a/internal/placement/place.go
+++ b/internal/placement/place.go
@@ -10,55 +10,57 @@
 	"github.com/yuccadrift/yuccadrift/internal/ledger"
 )
 
-// maxCandidates bounds how many feasible workers are ranked for one job. The
-// search starts at a worker that the job's ID picks, so that a bound does not
+// maxCandidates bounds the feasible workers that are ranked for one job. The
+// search starts at a worker derived from the job's ID, so the bound does not
 // favour the first workers.
 const maxCandidates = 64
 
-// Rank orders feasible workers.
+// Rank is the order of preference among feasible workers.
 type Rank int
 
-// Ways to rank.
+// Orders of preference.
 const (
-	// BestFit fills workers up, which keeps large rooms whole for large and
+	// BestFit fills workers up, which keeps large free capacities for large and
 	// urgent jobs.
 	BestFit Rank = iota
-	// Spread keeps the load of workers even.
+	// Spread balances the load of the workers.
 	Spread
-	// FirstFit takes the first that fits: the baseline of the measurements.
+	// FirstFit takes the first worker that fits. It is a baseline for
+	// measurements.
 	FirstFit
 )
 
-// Policy switches parts of the decisions off, for the baselines.
+// Policy selects the ranking and disables parts of the decisions for baselines.
 type Policy struct {
 	Rank Rank
-	// IgnoreHold places other work into the room held back for urgent work.
+	// IgnoreHold places other jobs into the capacity reserved for urgent work.
 	IgnoreHold bool
-	// NoPreempt starts urgent work from free room only.
+	// NoPreempt starts urgent jobs only in free capacity.
 	NoPreempt bool
-	// FirstCome queues by time of submission instead of by the teams' shares.
+	// FirstCome orders the queue by time of submission instead of by the teams'
+	// shares.
 	FirstCome bool
-	// NoAging lets small jobs pass a large one for ever.
+	// NoAging reserves no worker for starving jobs.
 	NoAging bool
-	// MinMin queues the job first that is expected to complete first, after
-	// HMHS (Chen et al.); see docs/adr/0018.
+	// MinMin orders the queue by expected run time, shortest first, after HMHS
+	// (Chen et al.); see docs/adr/0018.
 	MinMin bool
 }
 
-// obstacle is why a worker does not take a job now.
+// obstacle is the reason why a worker cannot take a job now.
 type obstacle int
 
 const (
 	fits obstacle = iota
 	setAside
-	doubtful
-	failedThere
+	onProbation
+	failedBefore
 	noSlot
 	noCores
 	noMemory
 	noAccelerators
-	heldUrgent
-	heldOther
+	reservedForUrgent
+	reservedForStarving
 	obstacleCount
 )
 
@@ -75,32 +77,32 @@
 		return noMemory
 	case w.Free.Accelerators < j.Want.Accelerators:
 		return noAccelerators
-	case w.heldFor != "" && w.heldFor != j.ID && !j.Urgent:
-		return heldOther
+	case w.reservedFor != "" && w.reservedFor != j.ID && !j.Urgent:
+		return reservedForStarving
 	case w.Standing != Open && (len(w.Running) > 0 || j.Urgent || !j.Repeatable):
-		return doubtful
+		return onProbation
 	case slices.Contains(j.FailedOn, w.ID):
-		return failedThere
-	case !j.Urgent && !pol.IgnoreHold && p.eatsHold(w, j.Want, 1):
-		return heldUrgent
+		return failedBefore
+	case !j.Urgent && !pol.IgnoreHold && p.takesUrgentReserve(w, j.Want, 1):
+		return reservedForUrgent
 	}
 	return fits
 }
 
-// eatsHold reports whether more use of the worker would take room that is held
-// back for urgent work.
-func (p *Pool) eatsHold(w *Worker, more ledger.Resources, slots int) bool {
+// takesUrgentReserve reports whether additional use of the worker would take
+// capacity that is reserved for urgent work.
+func (p *Pool) takesUrgentReserve(w *Worker, extra ledger.Resources, slots int) bool {
 	if p.UrgentHold <= 0 {
 		return false
 	}
-	before := p.urgentRoom(w)
-	after := Worker{Free: w.Free.Add(more, -1), Slots: w.Slots - slots, Standing: w.Standing}
-	lost := before - p.urgentRoom(&after)
-	return lost > 0 && p.usable-lost < p.UrgentHold
+	before := p.urgentCapacity(w)
+	after := Worker{Free: w.Free.Add(extra, -1), Slots: w.Slots - slots, Standing: w.Standing}
+	lost := before - p.urgentCapacity(&after)
+	return lost > 0 && p.usableByUrgent-lost < p.UrgentHold
 }
 
-// find returns the best worker for the job, or nil.
-func (p *Pool) find(j *Job, pol Policy) *Worker {
+// findWorker returns the best worker for the job, or nil.
+func (p *Pool) findWorker(j *Job, pol Policy) *Worker {
 	n := len(p.Workers)
 	if n == 0 {
 		return nil
@@ -130,13 +132,13 @@
 	return best
 }
 
-// Weights of a score. Fullness alone lies within 0 and 1.
+// Penalties in a score. The fullness is between 0 and 1.
 const (
 	doubtPenalty       = 4.0
 	acceleratorPenalty = 2.0
 )
 
-// score ranks a feasible worker: higher is better.
+// score returns the rank of a feasible worker; higher is better.
 func score(w *Worker, j *Job, rank Rank) float64 {
 	s := fullness(w, j)
 	if rank == Spread {
@@ -151,9 +153,9 @@
 	return s
 }
 
-// fullness is how full the worker would be: the mean of its cores' and its
-// memory's shares, so that a job that fills both is preferred over one that
-// strands the other.
+// fullness returns how full the worker would be with the job: the mean of the
+// used shares of cores and memory. A worker that both resources fill is
+// preferred over one on which the rest of one resource would be stranded.
 func fullness(w *Worker, j *Job) float64 {
 	left := w.Free.Add(j.Want, -1)
 	return 1 - (share(left.MilliCores, w.Capacity.MilliCores)+share(left.MemoryMB, w.Capacity.MemoryMB))/2
@@ -166,24 +168,24 @@
 	return float64(part) / float64(whole)
 }
 
-// Place finds a worker for one job and reserves its room in the snapshot.
+// Place finds a worker for one job and reserves its capacity in the snapshot.
 func (p *Pool) Place(j *Job, pol Policy, now time.Time) Decision {
-	if reason := p.Never(j); reason != "" {
+	if reason := p.UnplaceableReason(j); reason != "" {
 		return Decision{Job: j.ID, Kind: Unplaceable, Reason: reason}
 	}
-	if !p.quotaAllows(j) || p.settles(j) {
+	if !p.quotaAllows(j) || p.waitsForCancellations(j) {
 		return Decision{Job: j.ID, Kind: Waits}
 	}
-	w := p.find(j, pol)
+	w := p.findWorker(j, pol)
 	if w == nil && p.failedEverywhere(j) {
-		again := *j
-		again.FailedOn = nil
-		w = p.find(&again, pol)
+		retried := *j
+		retried.FailedOn = nil
+		w = p.findWorker(&retried, pol)
 	}
 	if w == nil {
 		return Decision{Job: j.ID, Kind: Waits}
 	}
-	p.take(w, j, now)
+	p.reserve(w, j, now)
 	return Decision{Job: j.ID, Kind: Placed, Worker: w.ID, Reserved: j.Want}
 }
 
@@ -192,10 +194,12 @@
 	return q.Used.Add(j.Want, 1).Within(q.Limit)
 }
 
-func (p *Pool) settles(j *Job) bool { return p.Teams[j.Team].Settling && !j.Urgent }
+func (p *Pool) waitsForCancellations(j *Job) bool {
+	return p.Teams[j.Team].CancellingBatch && !j.Urgent
+}
 
 // failedEverywhere reports whether the job has failed on every worker that
-// could take it; then it is tried on them again.
+// could take it; it may then be placed on them again.
 func (p *Pool) failedEverywhere(j *Job) bool {
 	if len(j.FailedOn) == 0 {
 		return false
@@ -209,7 +213,7 @@
 	return true
 }
 
-// Kind is what was decided about a job.
+// Kind is the kind of a decision about a job.
 type Kind int
 
 // Kinds of decision.
@@ -219,13 +223,13 @@
 	Unplaceable
 )
 
-// Decision is what Plan decided about one job.
+// Decision is a decision about one job.
 type Decision struct {
 	Job      string
 	Kind     Kind
 	Worker   string
 	Reserved ledger.Resources
-	// Reason explains Unplaceable. Explain gives it for Waits, as its text is
-	// not needed at every round.
+	// Reason is set for Unplaceable. For Waits, Explain returns the reason,
+	// since it is not needed in every round.
 	Reason string
 }
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -11,21 +11,21 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Knowledge is what a driver knows beyond the folded state. Nil functions mean
-// that it knows nothing.
+// Knowledge is what the caller knows beyond the folded state. Nil functions
+// stand for defaults from the folded state.
 type Knowledge struct {
-	// Want returns what to reserve for a job.
+	// Want returns the resources to reserve for a job.
 	Want func(*ledger.Job) ledger.Resources
-	// RunTime returns how long a job is expected to run.
+	// RunTime returns the expected run time of a job.
 	RunTime func(*ledger.Job) time.Duration
 	// Standing returns how far a serving worker may be used.
 	Standing func(*ledger.VM) Standing
-	// Measured returns what the worker's tasks were last seen to use; zero when
-	// not known.
+	// Measured returns the last measured use of the worker's tasks, or zero if
+	// unknown.
 	Measured func(worker string) ledger.Resources
-	// Settling reports whether a team is cancelling many jobs.
-	Settling func(team string) bool
-	// Applied reports whether the platform has carried a preemption out.
+	// CancellingBatch reports whether a team is cancelling a batch of jobs.
+	CancellingBatch func(team string) bool
+	// Applied reports whether the platform has carried out a preemption.
 	Applied func(id string) bool
 }
 
@@ -50,8 +50,8 @@
 	if k.Measured == nil {
 		k.Measured = func(string) ledger.Resources { return ledger.Resources{} }
 	}
-	if k.Settling == nil {
-		k.Settling = func(string) bool { return false }
+	if k.CancellingBatch == nil {
+		k.CancellingBatch = func(string) bool { return false }
 	}
 	if k.Applied == nil {
 		k.Applied = func(string) bool { return true }
@@ -63,8 +63,8 @@
 	return ledger.Resources{MilliCores: j.Spec.MilliCores, MemoryMB: j.Spec.MemoryMB, Accelerators: j.Spec.Accelerators}
 }
 
-// FromState takes a snapshot of a service's pool and queue. It keeps nothing of
-// the state.
+// FromState returns a snapshot of a service's pool and queue, which shares no
+// memory with the state.
 func FromState(st *ledger.State, service string, k Knowledge) (*Pool, []Job) {
 	k = k.withDefaults()
 	p := &Pool{Name: service, Teams: map[string]Quota{}}
@@ -74,35 +74,35 @@
 	}
 	for _, q := range svc.Doc.Quotas {
 		p.Teams[q.Team] = Quota{
-			Limit:    ledger.Resources{MilliCores: q.MilliCores, MemoryMB: q.MemoryMB, Accelerators: q.Accelerators},
-			Used:     st.TeamUse(service, q.Team),
-			Settling: k.Settling(q.Team),
+			Limit:           ledger.Resources{MilliCores: q.MilliCores, MemoryMB: q.MemoryMB, Accelerators: q.Accelerators},
+			Used:            st.TeamUse(service, q.Team),
+			CancellingBatch: k.CancellingBatch(q.Team),
 		}
 	}
 	for _, vm := range st.PoolVMs(service) {
 		if vm.Serving() {
-			p.Workers = append(p.Workers, worker(st, vm, svc.Doc.Limits.Slots, k))
+			p.Workers = append(p.Workers, newWorker(st, vm, svc.Doc.Limits.Slots, k))
 		}
 	}
 	slices.SortFunc(p.Workers, func(a, b Worker) int { return cmp.Compare(a.ID, b.ID) })
 	var queue []Job
 	for _, j := range st.PoolJobs(service) {
-		p.noteUrgent(j)
+		p.growUrgentPiece(j)
 		if j.Status == ledger.JobQueued {
-			queue = append(queue, queued(j, k))
+			queue = append(queue, newJob(j, k))
 		}
 	}
 	slices.SortFunc(queue, func(a, b Job) int { return cmp.Compare(a.ID, b.ID) })
 	if len(queue) > 0 {
 		p.Admitted = admitted(st, svc.Doc.Pool)
 	}
-	p.clamp(queue)
-	p.hold(svc.Doc.Jobs.UrgentMilliCores)
+	p.clampReservations(queue)
+	p.setUrgentReserve(svc.Doc.Jobs.UrgentMilliCores)
 	p.Prepare()
 	return p, queue
 }
 
-func worker(st *ledger.State, vm *ledger.VM, slots int, k Knowledge) Worker {
+func newWorker(st *ledger.State, vm *ledger.VM, slots int, k Knowledge) Worker {
 	w := Worker{
 		ID:       vm.ID,
 		Zone:     vm.Zone,
@@ -112,10 +112,10 @@
 	}
 	var used ledger.Resources
 	for _, j := range st.WorkerJobs(vm.ID) {
-		r := running(j, k)
+		r := newRunning(j, k)
 		used = used.Add(r.Reserved, 1)
-		if r.Coming != (ledger.Resources{}) && r.ComingSlots == 0 {
-			used = used.Add(r.Coming, 1)
+		if r.Freeing != (ledger.Resources{}) && r.FreeingSlots == 0 {
+			used = used.Add(r.Freeing, 1)
 		}
 		w.Running = append(w.Running, r)
 	}
@@ -131,9 +131,9 @@
 	return w
 }
 
-// running describes a placed job. A throttle that the platform has not carried
-// out yet still holds the cores that it will give up.
-func running(j *ledger.Job, k Knowledge) Running {
+// newRunning returns a placed job. While the platform has not carried out a
+// throttle, the job still holds the cores that it will free.
+func newRunning(j *ledger.Job, k Knowledge) Running {
 	r := Running{
 		Job:            j.ID,
 		Team:           j.Spec.Team,
@@ -143,23 +143,23 @@
 		Repeatable:     j.Spec.Repeatable,
 		Checkpointable: j.Spec.Checkpointable,
 		Started:        j.StartedAt,
-		Ends:           j.StartedAt.Add(k.RunTime(j)),
+		ExpectedEnd:    j.StartedAt.Add(k.RunTime(j)),
 	}
 	if j.Preempt == nil {
 		return r
 	}
 	switch j.Preempt.Action {
 	case record.PreemptCheckpoint:
-		r.Pending, r.Coming, r.ComingSlots = true, r.Reserved, 1
+		r.Pending, r.Freeing, r.FreeingSlots = true, r.Reserved, 1
 	case record.PreemptThrottle:
 		if !k.Applied(j.Preempt.ID) {
-			r.Pending, r.Coming = true, ledger.Resources{MilliCores: r.Throttled()}
+			r.Pending, r.Freeing = true, ledger.Resources{MilliCores: r.Throttled()}
 		}
 	}
 	return r
 }
 
-func queued(j *ledger.Job, k Knowledge) Job {
+func newJob(j *ledger.Job, k Knowledge) Job {
 	q := Job{
 		ID:             j.ID,
 		Team:           j.Spec.Team,
@@ -178,7 +178,7 @@
 	return q
 }
 
-// admitted returns the sizes of VMs that the pool's needs admit, sorted.
+// admitted returns the sizes of VMs that meet the pool's requirements, sorted.
 func admitted(st *ledger.State, needs document.Pool) []ledger.Resources {
 	seen := map[ledger.Resources]bool{}
 	for _, vm := range st.VMs {
@@ -195,8 +195,8 @@
 	})
 }
 
-// most returns the most of each resource that one of the sizes has.
-func most(sizes []ledger.Resources) ledger.Resources {
+// maxOfEach returns the maximum of each resource over the sizes.
+func maxOfEach(sizes []ledger.Resources) ledger.Resources {
 	var m ledger.Resources
 	for _, r := range sizes {
 		m.MilliCores = max(m.MilliCores, r.MilliCores)
@@ -206,10 +206,11 @@
 	return m
 }
 
-// clamp keeps corrected sizes placeable: what a job declares fits, so what is
-// learnt about it must not make it wait for ever. Beyond the declared size it
-// reserves no more than the quota and the smallest worker that takes it.
-func (p *Pool) clamp(queue []Job) {
+// clampReservations keeps jobs with corrected sizes placeable. A job fits with
+// its declared size, so the correction must not make it wait forever: beyond
+// the declared size, it reserves at most the quota and the smallest worker that
+// the declared size fits.
+func (p *Pool) clampReservations(queue []Job) {
 	for i := range queue {
 		j := &queue[i]
 		limit := p.Teams[j.Team].Limit
@@ -225,8 +226,8 @@
 	}
 }
 
-// noteUrgent grows the urgent piece to the size of the pool's urgent jobs.
-func (p *Pool) noteUrgent(j *ledger.Job) {
+// growUrgentPiece raises the urgent piece to the size of an urgent job.
+func (p *Pool) growUrgentPiece(j *ledger.Job) {
 	if !j.Spec.Urgent {
 		return
 	}
@@ -236,9 +237,9 @@
 	p.UrgentPiece.Accelerators = max(p.UrgentPiece.Accelerators, d.Accelerators)
 }
 
-// hold sets the room held back. While no urgent job has been seen, one piece is
-// taken to be half of the smallest worker.
-func (p *Pool) hold(milliCores int) {
+// setUrgentReserve sets the capacity reserved for urgent work. If the pool has
+// no urgent jobs, the urgent piece is half of the smallest worker.
+func (p *Pool) setUrgentReserve(milliCores int) {
 	p.UrgentHold = milliCores
 	if milliCores <= 0 || len(p.Workers) == 0 {
 		return
--- a/internal/steward/daemon.go
+++ b/internal/steward/daemon.go
@@ -23,8 +23,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/supervise"
 )
 
-// Run runs the daemon name by its settings until ctx ends or a duty fails for
-// good.
+// Run runs the steward daemon until ctx ends or a duty fails permanently. name
+// identifies the daemon in logs and metrics.
 func Run(ctx context.Context, name string, s settings.Steward, logger hclog.Logger) error {
 	adminListener, err := listen.TCP(ctx, "admin.listen", s.Admin.Listen)
 	if err != nil {
@@ -48,7 +48,7 @@
 	d := newDaemon(s, client, states, logger)
 	registry := admin.NewRegistry(name)
 	registry.MustRegister(d.follower, burnmetrics.New(d.follower, time.Now))
-	steward := d.steward(client, entries, stewards, registry)
+	decider := d.newSteward(client, entries, stewards, registry)
 	server := admin.New(admin.Config{
 		Listener:  adminListener,
 		Registry:  registry,
@@ -57,31 +57,32 @@
 		Logger:    logger.Named("admin"),
 	})
 	peers := peerserver.New(peerListener)
-	d.offer(peers, steward)
+	d.registerServices(peers, decider)
 	logger.Info("steward started", "admin", adminListener.Addr())
-	duties := append(d.follower.Duties(), steward.Duties()...)
-	duties = append(duties, d.jobs(client, steward, registry).Duties()...)
+	duties := append(d.follower.Duties(), decider.Duties()...)
+	duties = append(duties, d.newJobRunner(client, decider, registry).Duties()...)
 	return supervise.Run(ctx, name, logger, append(duties,
 		supervise.Duty{Name: "admin", Serve: server.Serve},
 		supervise.Duty{Name: "peers", Serve: peers.Serve},
 		supervise.Duty{Name: "greet", Serve: stewards.Serve},
-		supervise.Duty{Name: "ready", Serve: func(ctx context.Context) error { return d.watchLog(ctx, steward) }},
+		supervise.Duty{Name: "ready", Serve: func(ctx context.Context) error { return d.reportLogReadiness(ctx, decider) }},
 	)...)
 }
 
-// watchLog shows on the readiness page whether the steward may decide.
-func (d daemon) watchLog(ctx context.Context, s *Steward) error {
+// reportLogReadiness keeps the "log" entry of the readiness page: ready while
+// the steward may decide.
+func (d daemon) reportLogReadiness(ctx context.Context, s *Steward) error {
 	return every(ctx, time.Second, func(context.Context) {
 		if s.MayDecide() {
 			d.readiness.Ready("log")
 			return
 		}
 		_, detail := d.follower.Condition()
-		d.readiness.Unready("log", "the end of the log was not reached lately; nothing is decided; "+detail)
+		d.readiness.Unready("log", "the end of the log has not been read recently, so nothing is decided; "+detail)
 	})
 }
 
-// daemon is what the daemon's services share.
+// daemon holds what the daemon's services share.
 type daemon struct {
 	settings  settings.Steward
 	logger    hclog.Logger
@@ -100,8 +101,8 @@
 	}
 }
 
-// offer registers what the daemon answers on its peer address.
-func (d daemon) offer(peers *peerserver.Server, s *Steward) {
+// registerServices registers the gRPC services of the daemon's peer address.
+func (d daemon) registerServices(peers *peerserver.Server, s *Steward) {
 	operator.Register(peers.Registrar(), operator.ServerConfig{
 		Node:    d.settings.Node.ID,
 		Role:    operator.RoleSteward,
@@ -111,14 +112,14 @@
 	})
 	entrypeer.RegisterState(peers.Registrar(), d.follower)
 	stewardpeer.Register(peers.Registrar(), stewardpeer.ServerConfig{
-		Node:  d.settings.Node.ID,
-		Able:  s.MayDecide,
-		Check: d.health.Check,
+		Node:      d.settings.Node.ID,
+		MayDecide: s.MayDecide,
+		Check:     d.health.Check,
 	})
 }
 
-// steward returns the decider and its duties' common part.
-func (d daemon) steward(fleet platform.Fleet, entries Entries, peers Peers, registry prometheus.Registerer) *Steward {
+// newSteward returns the Steward that decides about the fleet.
+func (d daemon) newSteward(fleet platform.Fleet, entries Entries, peers Peers, registry prometheus.Registerer) *Steward {
 	return New(Config{
 		Node:          d.settings.Node.ID,
 		Follower:      d.follower,
@@ -135,8 +136,8 @@
 	})
 }
 
-// jobs returns the driver of the pools' jobs.
-func (d daemon) jobs(tasks platform.Tasks, s *Steward, registry prometheus.Registerer) *jobrunner.Runner {
+// newJobRunner returns the Runner of the pools' jobs.
+func (d daemon) newJobRunner(tasks platform.Tasks, s *Steward, registry prometheus.Registerer) *jobrunner.Runner {
 	return jobrunner.New(jobrunner.Config{
 		Core: jobrunner.CoreConfig{
 			Node:  d.settings.Node.ID,
--- a/internal/steward/pace_test.go
+++ b/internal/steward/pace_test.go
@@ -19,18 +19,19 @@
 	"github.com/yuccadrift/yuccadrift/internal/steward"
 )
 
-// betweenTicks keeps a count from beginning in the middle of a round: duties
-// and the test would else wake at the same instant, in any order.
-const betweenTicks = 50 * time.Millisecond
+// tickOffset keeps a count from starting in the middle of a round: without it,
+// duties and the test would wake at the same instant, in any order.
+const tickOffset = 50 * time.Millisecond
 
-// tally counts the checks of each address and fails those of one.
-type tally struct {
+// countingChecker counts the checks of each address and fails those of one
+// address.
+type countingChecker struct {
 	mu    sync.Mutex
 	count map[string]int
 	bad   string
 }
 
-func (c *tally) Check(_ context.Context, address string) error {
+func (c *countingChecker) Check(_ context.Context, address string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.count[address]++
@@ -40,14 +41,14 @@
 	return nil
 }
 
-// restart forgets the counts and names the address that fails from now on.
-func (c *tally) restart(bad string) {
+// reset clears the counts and sets the address that fails from now on.
+func (c *countingChecker) reset(bad string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.count, c.bad = map[string]int{}, bad
 }
 
-func (c *tally) sum() (total int) {
+func (c *countingChecker) sum() (total int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, n := range c.count {
@@ -56,71 +57,71 @@
 	return total
 }
 
-// A steward watches many VMs: were each checked every second, the checks alone
-// would cost more than the node may spend. 60 VMs take turns, 10 a second, and
-// none is left out; one that begins to fail is down within its turn and two
-// more seconds, not after three turns.
-func TestHealthChecksOfManyVMsTakeTurns(t *testing.T) {
+// If each of many VMs were checked every second, the checks alone would cost
+// more than the node may spend. 60 VMs are checked in rotation, 10 a second,
+// and none is left out. A VM that starts to fail is recorded as down after one
+// rotation and two more seconds, not after three rotations.
+func TestHealthChecksRotateOverManyVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 60, Zones: []string{"a", "b", "c"}}}})
-		check := &tally{count: map[string]int{}}
-		n := startNode(t, fake, "entry-1", func(cfg *steward.Config) { cfg.Health = check })
-		time.Sleep(20*time.Second + betweenTicks)
-		check.restart("")
+		checker := &countingChecker{count: map[string]int{}}
+		n := startNode(t, fake, "entry-1", func(cfg *steward.Config) { cfg.Health = checker })
+		time.Sleep(20*time.Second + tickOffset)
+		checker.reset("")
 		time.Sleep(6 * time.Second)
-		assert.Len(t, check.count, 60, "every VM had its turn")
-		assert.Equal(t, 60, check.sum())
+		assert.Len(t, checker.count, 60, "every VM must be checked")
+		assert.Equal(t, 60, checker.sum())
 		list, err := fake.List(t.Context())
 		require.NoError(t, err)
-		check.restart(list.VMs[47].Address)
+		checker.reset(list.VMs[47].Address)
 		time.Sleep(9 * time.Second)
 		assert.Equal(t, 1, n.count(func(vm *ledger.VM) bool { return vm.Down }))
-		check.restart("")
+		checker.reset("")
 		time.Sleep(9 * time.Second)
 		assert.Zero(t, n.count(func(vm *ledger.VM) bool { return vm.Down }))
 	})
 }
 
-// asked counts the calls to the platform.
-type asked struct {
+// countingFleet counts the calls to the platform.
+type countingFleet struct {
 	platform.Fleet
 	mu     sync.Mutex
 	lists  int
 	drains int
 }
 
-func (a *asked) List(ctx context.Context) (platform.VMList, error) {
+func (a *countingFleet) List(ctx context.Context) (platform.VMList, error) {
 	a.mu.Lock()
 	a.lists++
 	a.mu.Unlock()
 	return a.Fleet.List(ctx)
 }
 
-func (a *asked) Drain(ctx context.Context, vm string, op platform.Operation) (platform.OperationStatus, error) {
+func (a *countingFleet) Drain(ctx context.Context, vm string, op platform.Operation) (platform.OperationStatus, error) {
 	a.mu.Lock()
 	a.drains++
 	a.mu.Unlock()
 	return a.Fleet.Drain(ctx, vm, op)
 }
 
-// beside is a steward's view of others that are there.
-type beside []string
+// fixedPeers is a fixed set of live peers.
+type fixedPeers []string
 
-func (b beside) Configured() bool { return true }
-func (b beside) Nodes() []string  { return b }
-func (b beside) Healthy(context.Context, []string) (map[string]bool, int) {
+func (b fixedPeers) Configured() bool { return true }
+func (b fixedPeers) Nodes() []string  { return b }
+func (b fixedPeers) Healthy(context.Context, []string) (map[string]bool, int) {
 	return nil, 0
 }
 
-// The list has a line for every VM. Three stewards that each read it at every
+// The list has an entry for every VM. Three stewards that each read it at every
 // interval would cost the platform and themselves three times what is needed.
-// They take turns, and whoever reads a new VM first makes it known.
-func TestStewardsReadTheListByTurns(t *testing.T) {
+// They take turns, and the steward that reads a new VM first registers it.
+func TestStewardsTakeTurnsReadingTheVMList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 6, Zones: []string{"a"}}}})
-		fleet := &asked{Fleet: fake}
+		fleet := &countingFleet{Fleet: fake}
 		var n *node
-		for _, others := range []beside{{"entry-2", "entry-3"}, {"entry-1", "entry-3"}, {"entry-1", "entry-2"}} {
+		for _, others := range []fixedPeers{{"entry-2", "entry-3"}, {"entry-1", "entry-3"}, {"entry-1", "entry-2"}} {
 			name := map[string]string{"entry-2": "entry-1", "entry-1": "entry-2"}[others[0]]
 			if others[1] == "entry-2" {
 				name = "entry-3"
@@ -133,25 +134,25 @@
 		assert.InDelta(t, 30, fleet.lists, 2)
 		_, err := fake.Order(standin.Fault{Kind: standin.VMAdd, Target: "vm"})
 		require.NoError(t, err)
-		time.Sleep(5 * time.Second) // the list's lag and one turn
+		time.Sleep(5 * time.Second) // the lag of the list and one turn
 		assert.Equal(t, 7, n.count(func(*ledger.VM) bool { return true }))
 	})
 }
 
-// A drain waits for long requests, here for its whole bound as the one entry
-// process cannot be asked. Asking the platform five times a second all the while
-// would be most of a steward's traffic during a wave.
-func TestStepNotThroughIsTriedLessOften(t *testing.T) {
+// A drain waits for long requests, here until its limit since the only entry
+// process cannot be queried. Calling the platform five times a second for so
+// long would be most of a steward's traffic during a wave.
+func TestUnfinishedStepIsRetriedWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 12, Zones: []string{"a", "b", "c"}}}})
-		fleet := &asked{Fleet: fake}
+		fleet := &countingFleet{Fleet: fake}
 		n := startNode(t, fake, "entry-1", func(cfg *steward.Config) { cfg.Fleet = fleet })
 		time.Sleep(time.Second)
 		publish(t, n, "ramcharan", "booking")
 		n.propose(t, record.Subject{Kind: record.SubjectMember, Name: "entry-1.x"}, record.MemberJoin{Node: "entry-1", Zone: "a", Address: "10.9.9.9:1"})
 		time.Sleep(20 * time.Second)
 		var vm string
-		n.follow.View(func(s *ledger.State) {
+		n.follower.View(func(s *ledger.State) {
 			for id := range s.PoolVMs("booking") {
 				vm = id
 			}
@@ -159,59 +160,59 @@
 		n.propose(t, record.Subject{Kind: record.SubjectVM, Name: vm}, record.VMDrain{Reason: record.DrainOperator, Estimate: time.Minute})
 		time.Sleep(30 * time.Second)
 		assert.Equal(t, 1, n.count(func(vm *ledger.VM) bool { return vm.Phase == record.PhaseDraining }))
-		assert.InDelta(t, 33, fleet.drains, 5, "once a second after the first")
+		assert.InDelta(t, 33, fleet.drains, 5, "one call a second after the first ones")
 		time.Sleep(3 * time.Minute)
 		assert.Zero(t, n.count(func(vm *ledger.VM) bool { return vm.Drain != nil }))
 	})
 }
 
-// others is a steward's view of others that come and go.
-type others struct {
-	beside
+// changingPeers is a set of live peers that changes.
+type changingPeers struct {
+	fixedPeers
 	mu    sync.Mutex
-	there []string
+	nodes []string
 }
 
-func (o *others) set(nodes ...string) {
+func (o *changingPeers) set(nodes ...string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.there = nodes
+	o.nodes = nodes
 }
 
-func (o *others) Nodes() []string {
+func (o *changingPeers) Nodes() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.there
+	return o.nodes
 }
 
-// A steward remembers which VMs are its share. Other stewards come and then are
-// lost: it must leave their shares to them, and take all back, or the VMs of a
-// lost steward would never be found down.
-func TestShareOfHealthChecksFollowsTheStewards(t *testing.T) {
+// A steward caches which VMs are in its share. When other stewards join it must
+// leave their shares to them, and when they are lost it must take the shares
+// back: otherwise the VMs of a lost steward are never found down.
+func TestHealthCheckShareFollowsLiveStewards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 30, Zones: []string{"a", "b", "c"}}}})
-		check, peers := &tally{count: map[string]int{}}, &others{}
-		startNode(t, fake, "entry-1", func(cfg *steward.Config) { cfg.Health, cfg.Peers = check, peers })
-		time.Sleep(20*time.Second + betweenTicks)
+		checker, peers := &countingChecker{count: map[string]int{}}, &changingPeers{}
+		startNode(t, fake, "entry-1", func(cfg *steward.Config) { cfg.Health, cfg.Peers = checker, peers })
+		time.Sleep(20*time.Second + tickOffset)
 		for _, step := range []struct {
 			there []string
 			least int
 			most  int
 		}{{nil, 30, 30}, {[]string{"entry-2", "entry-3"}, 4, 18}, {nil, 30, 30}} {
 			peers.set(step.there...)
-			time.Sleep(10 * time.Second) // until a duty asks who is there
-			check.restart("")
+			time.Sleep(10 * time.Second) // until a duty reads the peers
+			checker.reset("")
 			time.Sleep(10 * time.Second)
-			assert.GreaterOrEqual(t, len(check.count), step.least)
-			assert.LessOrEqual(t, len(check.count), step.most)
+			assert.GreaterOrEqual(t, len(checker.count), step.least)
+			assert.LessOrEqual(t, len(checker.count), step.most)
 		}
 	})
 }
 
-// A round of planning over thousands of VMs costs as much whether or not there
-// is anything to do. While nothing changes rounds come five times less often; a
+// A planning round over thousands of VMs costs the same whether or not there is
+// anything to do. While nothing changes, rounds run five times less often. A
 // document that is published meanwhile must not wait for the next of them.
-func TestPlanningRestsWhileNothingChanges(t *testing.T) {
+func TestPlanningSlowsDownWhileNothingChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 12, Zones: []string{"a", "b", "c"}}}})
 		registry := prometheus.NewRegistry()
--- a/internal/steward/propose.go
+++ b/internal/steward/propose.go
@@ -14,11 +14,12 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Bounds of proposing.
+// Limits of proposals.
 const (
-	// proposeTimeout bounds the wait for one record's outcome.
+	// proposeTimeout bounds the wait for the outcome of a record.
 	proposeTimeout = 10 * time.Second
-	// proposeParallel is how many records of one round are under way at once.
+	// proposeParallel is the number of records of a round that are appended
+	// concurrently.
 	proposeParallel = 16
 )
 
@@ -30,13 +31,13 @@
 	metrics  *metrics
 }
 
-// one appends a proposal that was decided at offset seen and reports whether it
-// took effect. An unknown outcome counts as "no": if the record takes effect
-// later, the next look at the state finds it.
-func (p *proposer) one(ctx context.Context, seen uint64, d pool.Proposal) bool {
+// propose appends a proposal that was decided at offset seen and reports
+// whether it took effect. It returns false if the outcome is unknown: if the
+// record takes effect later, the next read of the state shows it.
+func (p *proposer) propose(ctx context.Context, seen uint64, d pool.Proposal) bool {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	out, err := p.follower.Propose(ctx, record.Record{
+	outcome, err := p.follower.Propose(ctx, record.Record{
 		ID:      ulid.Make().String(),
 		Subject: d.Subject,
 		Base:    d.Base,
@@ -46,25 +47,26 @@
 		Body:    d.Body,
 	})
 	if err != nil {
-		p.metrics.proposed(d.Body.Kind(), outcomeUnknown)
+		p.metrics.observeProposal(d.Body.Kind(), outcomeUnknown)
 		p.logger.Warn("outcome unknown", "subject", d.Subject, "kind", d.Body.Kind(), "error", err)
 		return false
 	}
-	p.metrics.proposed(d.Body.Kind(), out.Status)
+	p.metrics.observeProposal(d.Body.Kind(), outcome.Status)
 	p.logger.Debug("proposed", "subject", d.Subject, "kind", d.Body.Kind(), "why", d.Why,
-		"status", out.Status, "reason", out.Reason, "offset", out.Offset)
-	return out.Status == ledger.Effective
+		"status", outcome.Status, "reason", outcome.Reason, "offset", outcome.Offset)
+	return outcome.Status == ledger.Effective
 }
 
-// all appends the proposals of one round, several at a time, and waits.
-func (p *proposer) all(ctx context.Context, seen uint64, list []pool.Proposal) {
+// proposeAll appends the proposals of a round concurrently and waits for their
+// outcomes.
+func (p *proposer) proposeAll(ctx context.Context, seen uint64, list []pool.Proposal) {
 	var wg sync.WaitGroup
-	room := make(chan struct{}, proposeParallel)
+	slots := make(chan struct{}, proposeParallel)
 	for _, d := range list {
-		room <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-room }()
-			p.one(ctx, seen, d)
+			defer func() { <-slots }()
+			p.propose(ctx, seen, d)
 		})
 	}
 	wg.Wait()
--- a/internal/steward/shares.go
+++ b/internal/steward/shares.go
@@ -10,37 +10,38 @@
 	"github.com/yuccadrift/yuccadrift/internal/ledger"
 )
 
-// shares divides the work among the stewards by rendezvous hashing. It only
-// saves work: two stewards that do the same do no harm, since the fold lets one
-// decision take effect and the platform carries out an operation ID once.
-type shares struct {
+// workShares divides the work among the stewards by rendezvous hashing. It only
+// avoids duplicate work. Two stewards that do the same work are harmless: the
+// fold lets one decision take effect, and the platform carries out an operation
+// ID once.
+type workShares struct {
 	self string
 
-	mu      sync.Mutex
-	nodes   []string
-	since   map[string]time.Time // when a key's work was first seen undone
-	suspect map[string]time.Time // until when a node counts as gone
-	top     map[string]bool      // by key: whether this steward comes first among nodes
+	mu                sync.Mutex
+	nodes             []string
+	firstSeen         map[string]time.Time // by item: when its work was first seen undone
+	presumedGoneUntil map[string]time.Time // by node
+	firstByKey        map[string]bool      // by key: whether this steward ranks first
 }
 
-// Times of taking over the work of a steward that seems to be gone.
+// Times of taking over the work of a steward that appears to be gone.
 const (
-	// takeoverAfter is how long the work of a better placed steward may lie
-	// undone before the next one does it.
+	// takeoverAfter is how long work may remain undone, for each steward that
+	// ranks higher, before this steward does it.
 	takeoverAfter = 3 * time.Second
-	// suspectFor is for how long a steward whose work was taken over is passed
-	// over, so that the wait comes once and not with every step.
-	suspectFor = 30 * time.Second
+	// presumedGoneFor is how long a steward is skipped after its work was taken
+	// over, so that only the first step waits for it.
+	presumedGoneFor = 30 * time.Second
 )
 
-func newShares(self string) *shares {
-	return &shares{self: self, nodes: []string{self}, since: map[string]time.Time{}, suspect: map[string]time.Time{}, top: map[string]bool{}}
+func newWorkShares(self string) *workShares {
+	return &workShares{self: self, nodes: []string{self}, firstSeen: map[string]time.Time{}, presumedGoneUntil: map[string]time.Time{}, firstByKey: map[string]bool{}}
 }
 
-// follow takes the stewards to share with: the peers that are there, or, when
-// none are set, the nodes of the folded membership, since each entry VM runs an
-// entry process, which is a member, and a steward.
-func (s *shares) follow(st *ledger.State, peers Peers) {
+// updateNodes sets the stewards that share the work: the live peers, or, if no
+// peers are configured, the nodes of the folded membership. Each entry VM runs
+// a steward and an entry process, which is a member.
+func (s *workShares) updateNodes(st *ledger.State, peers Peers) {
 	others := peers.Nodes()
 	if !peers.Configured() {
 		for _, name := range st.MemberNames() {
@@ -57,100 +58,101 @@
 	defer s.mu.Unlock()
 	if !slices.Equal(nodes, s.nodes) {
 		s.nodes = nodes
-		clear(s.top)
+		clear(s.firstByKey)
 	}
 }
 
-// before returns the stewards that come before this one for the key.
-func (s *shares) before(key string, now time.Time) []string {
-	own := weight(s.self, key)
+// higherRanked returns the stewards that rank higher than this one for the key.
+// It must be called with mu held.
+func (s *workShares) higherRanked(key string, now time.Time) []string {
+	ownWeight := rendezvousWeight(s.self, key)
 	var nodes []string
 	for _, node := range s.nodes {
-		if w := weight(node, key); w > own && !now.Before(s.suspect[node]) {
+		if w := rendezvousWeight(node, key); w > ownWeight && !now.Before(s.presumedGoneUntil[node]) {
 			nodes = append(nodes, node)
 		}
 	}
 	return nodes
 }
 
-// turn returns how long it is to this steward's next turn, when the stewards take
-// turns of the given length in the order of their names. It goes by the clock:
-// one that is wrong makes two turns fall together, no more.
-func (s *shares) turn(now time.Time, length time.Duration) time.Duration {
+// untilNextTurn returns the time until this steward's next turn. The stewards
+// take turns of the given length in the order of their names, by the wall
+// clock: a wrong clock only makes two turns overlap.
+func (s *workShares) untilNextTurn(now time.Time, length time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := 0
+	preceding := 0
 	for _, node := range s.nodes {
 		if node < s.self {
-			before++
+			preceding++
 		}
 	}
 	cycle := time.Duration(len(s.nodes)) * length
-	wait := (time.Duration(before)*length - time.Duration(now.UnixNano())%cycle + cycle) % cycle
+	wait := (time.Duration(preceding)*length - time.Duration(now.UnixNano())%cycle + cycle) % cycle
 	if wait == 0 {
 		return cycle
 	}
 	return wait
 }
 
-// rank returns how many living stewards come before this one for the key.
-func (s *shares) rank(key string, now time.Time) int {
+// rank returns the number of live stewards that rank higher for the key.
+func (s *workShares) rank(key string, now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.before(key, now))
+	return len(s.higherRanked(key, now))
 }
 
-// first reports whether no living steward comes before this one for the key. It
-// remembers its answers: the health checks ask for every VM at each interval.
-func (s *shares) first(key string, now time.Time) bool {
+// isFirst reports whether no live steward ranks higher for the key. It caches
+// its results, since the health checks call it for every VM at each interval.
+func (s *workShares) isFirst(key string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, until := range s.suspect {
+	for _, until := range s.presumedGoneUntil {
 		if now.Before(until) {
-			return len(s.before(key, now)) == 0
+			return len(s.higherRanked(key, now)) == 0
 		}
 	}
-	first, ok := s.top[key]
+	first, ok := s.firstByKey[key]
 	if !ok {
-		first = len(s.before(key, now)) == 0
-		s.top[key] = first
+		first = len(s.higherRanked(key, now)) == 0
+		s.firstByKey[key] = first
 	}
 	return first
 }
 
-func weight(node, key string) uint64 { return xxhash.Sum64String(node + "\x00" + key) }
+func rendezvousWeight(node, key string) uint64 { return xxhash.Sum64String(node + "\x00" + key) }
 
-// mine reports whether work that is due under item falls to this steward now.
-// item names the work and the revision that it was decided on, so that it is
-// new after every change.
-func (s *shares) mine(key, item string, now time.Time) bool {
+// responsibleFor reports whether the work identified by item falls to this
+// steward now. item names the work and the revision that it was decided on, so
+// each change makes a new item.
+func (s *workShares) responsibleFor(key, item string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.before(key, now)
-	if len(before) == 0 {
+	ranked := s.higherRanked(key, now)
+	if len(ranked) == 0 {
 		return true
 	}
-	first, ok := s.since[item]
+	firstSeen, ok := s.firstSeen[item]
 	if !ok {
-		s.since[item] = now
+		s.firstSeen[item] = now
 		return false
 	}
-	if now.Sub(first) < time.Duration(len(before))*takeoverAfter {
+	if now.Sub(firstSeen) < time.Duration(len(ranked))*takeoverAfter {
 		return false
 	}
-	for _, node := range before {
-		s.suspect[node] = now.Add(suspectFor)
+	for _, node := range ranked {
+		s.presumedGoneUntil[node] = now.Add(presumedGoneFor)
 	}
 	return true
 }
 
-// forget drops items first seen before the time.
-func (s *shares) forget(before time.Time) {
+// dropBefore drops the items that were first seen before the given time.
+func (s *workShares) dropBefore(before time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for item, first := range s.since {
+	for item, first := range s.firstSeen {
 		if first.Before(before) {
-			delete(s.since, item)
+			delete(s.firstSeen, item)
 		}
 	}
 }
--- a/internal/steward/step.go
+++ b/internal/steward/step.go
@@ -14,9 +14,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// step does what the VM's phase calls for now and reports whether a decision
-// took effect, so that the next step can follow at once. It does not wait: a
-// step that is not through is done again at the next look.
+// step carries out the step of the VM's phase and reports whether a decision
+// took effect, so that the next step can follow at once. It does not wait: an
+// unfinished step is tried again later.
 func (e *executor) step(ctx context.Context, id string) bool {
 	vm, ok := e.vm(id)
 	if !ok {
@@ -24,40 +24,41 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.ActionTimeout)
 	defer cancel()
-	if result := e.act(ctx, &vm); !maintenance.Settled(&vm, result, e.healthy(ctx, &vm)) {
-		e.overdue(ctx, &vm)
+	if result := e.sendAction(ctx, &vm); !maintenance.Settled(&vm, result, e.checkHealth(ctx, &vm)) {
+		e.handleOverdue(ctx, &vm)
 		return false
 	}
 	switch maintenance.Next(&vm) {
 	case maintenance.StepQuiesce:
-		return e.quiet(ctx, &vm) &&
-			e.decide(ctx, &vm, record.VMAdvance{To: maintenance.After(&vm)}, "no task and no request is left on it")
+		return e.requestsFinished(ctx, &vm) &&
+			e.proposeForVM(ctx, &vm, record.VMAdvance{To: maintenance.After(&vm)}, "no job and no request is left on the VM")
 	case maintenance.StepDecide, maintenance.StepReboot:
-		return e.decide(ctx, &vm, record.VMAdvance{To: maintenance.After(&vm)}, "the step before is done")
+		return e.proposeForVM(ctx, &vm, record.VMAdvance{To: maintenance.After(&vm)}, "the previous step is done")
 	case maintenance.StepJoin:
 		return e.join(ctx, &vm)
 	case maintenance.StepReturn:
-		return e.decide(ctx, &vm, record.VMUp{}, "seen healthy")
+		return e.proposeForVM(ctx, &vm, record.VMUp{}, "seen healthy")
 	}
 	return false
 }
 
-// overdue gives a VM up that is out for far longer than expected: it counts as
-// failed from then on, so that its pool can get another, and its wave goes on
-// without it. Should it come back after all, the drain goes on.
-func (e *executor) overdue(ctx context.Context, vm *ledger.VM) {
+// handleOverdue records a VM as down if it is out of service for far longer
+// than expected, so that its pool can get a replacement. If the VM is already
+// down, it is skipped in its wave. If the VM returns later, the drain
+// continues.
+func (e *executor) handleOverdue(ctx context.Context, vm *ledger.VM) {
 	if !maintenance.Overdue(vm, time.Now()) {
 		return
 	}
 	if !vm.Down {
-		e.decide(ctx, vm, record.VMDown{Cause: "did not come back from " + string(vm.Phase)}, "out for too long")
+		e.proposeForVM(ctx, vm, record.VMDown{Cause: "did not come back from " + string(vm.Phase)}, "out for too long")
 		return
 	}
-	e.skipTurn(ctx, vm)
+	e.skipInWave(ctx, vm)
 }
 
-// skipTurn takes a VM that was given up out of its wave.
-func (e *executor) skipTurn(ctx context.Context, vm *ledger.VM) {
+// skipInWave removes an overdue VM from its wave.
+func (e *executor) skipInWave(ctx context.Context, vm *ledger.VM) {
 	if vm.Drain == nil || vm.Drain.Wave == "" || !e.MayDecide() {
 		return
 	}
@@ -73,11 +74,11 @@
 		return
 	}
 	reason := fmt.Sprintf("did not come back: %s since %s", vm.Phase, vm.PhaseSince.Format(time.RFC3339))
-	e.propose.one(ctx, seen, pool.OnWave(w, record.WaveSkip{VM: vm.ID, Reason: reason}, "out for too long"))
+	e.proposer.propose(ctx, seen, pool.OnWave(w, record.WaveSkip{VM: vm.ID, Reason: reason}, "out for too long"))
 }
 
-// act sends the action of the VM's step.
-func (e *executor) act(ctx context.Context, vm *ledger.VM) maintenance.Result {
+// sendAction sends the action of the VM's step to the platform.
+func (e *executor) sendAction(ctx context.Context, vm *ledger.VM) maintenance.Result {
 	a, ok := maintenance.ActionOf(vm)
 	if !ok {
 		return maintenance.ResultDone
@@ -97,13 +98,13 @@
 		e.cfg.Logger.Debug("action not confirmed", "vm", vm.ID, "action", a.Verb, "error", err)
 	}
 	result := ResultOf(status, err)
-	e.metrics.acted(a.Verb, result)
+	e.metrics.observeAction(a.Verb, result)
 	return result
 }
 
-// ResultOf tells what a reply proves. After any error the action is sent again
-// under the same operation ID at the next look: a lost reply is unknown, never
-// failed.
+// ResultOf returns the result that a reply proves. A lost reply means unknown
+// and never failed: after any error the action is sent again under the same
+// operation ID.
 func ResultOf(status platform.OperationStatus, err error) maintenance.Result {
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
@@ -118,8 +119,9 @@
 	return maintenance.ResultRunning
 }
 
-// healthy asks the VM itself; only reboots and returns depend on the answer.
-func (e *executor) healthy(ctx context.Context, vm *ledger.VM) bool {
+// checkHealth reports whether the VM is healthy. It checks the VM only for
+// reboots and returns; other steps do not depend on the result.
+func (e *executor) checkHealth(ctx context.Context, vm *ledger.VM) bool {
 	switch maintenance.Next(vm) {
 	case maintenance.StepReboot, maintenance.StepReturn:
 		return e.cfg.Health.Check(ctx, vm.Address) == nil
@@ -127,8 +129,8 @@
 	return true
 }
 
-// join puts a released VM into its target, or back into its old pool when the
-// target was removed meanwhile.
+// join moves a released VM into its target pool, or back into its old pool if
+// the target was removed in the meantime.
 func (e *executor) join(ctx context.Context, vm *ledger.VM) bool {
 	target := vm.Drain.Target
 	e.cfg.Follower.View(func(st *ledger.State) {
@@ -136,12 +138,12 @@
 			target = vm.Pool
 		}
 	})
-	return e.decide(ctx, vm, record.VMJoin{Pool: target}, "released for its new pool")
+	return e.proposeForVM(ctx, vm, record.VMJoin{Pool: target}, "released for its target pool")
 }
 
-func (e *executor) decide(ctx context.Context, vm *ledger.VM, body record.Body, why string) bool {
+func (e *executor) proposeForVM(ctx context.Context, vm *ledger.VM, body record.Body, why string) bool {
 	if !e.MayDecide() {
 		return false
 	}
-	return e.propose.one(ctx, uint64(vm.Revision), pool.OnVM(&pool.VM{VM: *vm}, body, vm.ID, why))
+	return e.proposer.propose(ctx, uint64(vm.Revision), pool.OnVM(&pool.VM{VM: *vm}, body, vm.ID, why))
 }
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -24,24 +24,24 @@
 
 const stream = "yuccadrift"
 
-// alwaysHealthy is a Checker for VMs that answer.
+// alwaysHealthy is a Checker that finds every VM healthy.
 type alwaysHealthy struct{}
 
 func (alwaysHealthy) Check(context.Context, string) error { return nil }
 
-// node is one steward in the test's process.
+// node is a steward in the test's process.
 type node struct {
-	follow *follower.Follower
-	stop   context.CancelFunc
+	follower *follower.Follower
+	stop     context.CancelFunc
 }
 
-// world is what a steward has of the platform.
-type world interface {
+// platformAPI is the part of the platform that a steward uses.
+type platformAPI interface {
 	platform.Log
 	platform.Fleet
 }
 
-func startNode(t *testing.T, fake world, name string, options ...func(*steward.Config)) *node {
+func startNode(t *testing.T, fake platformAPI, name string, options ...func(*steward.Config)) *node {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	logger := hclog.New(&hclog.LoggerOptions{Name: name, Level: hclog.Warn, Output: t.Output()})
@@ -60,13 +60,13 @@
 	s := steward.New(cfg)
 	duties := append(s.Duties(), supervise.Duty{Name: "follow", Serve: f.Serve})
 	go func() { _ = supervise.Run(ctx, name, logger, duties...) }()
-	return &node{follow: f, stop: cancel}
+	return &node{follower: f, stop: cancel}
 }
 
-// count counts the VMs that f holds for.
+// count returns the number of VMs for which f returns true.
 func (n *node) count(f func(*ledger.VM) bool) int {
 	sum := 0
-	n.follow.View(func(s *ledger.State) {
+	n.follower.View(func(s *ledger.State) {
 		for _, vm := range s.VMs {
 			if f(vm) {
 				sum++
@@ -80,12 +80,12 @@
 	t.Helper()
 	var base record.Revision
 	var seen uint64
-	n.follow.View(func(s *ledger.State) { base, seen = s.Revision(sub), s.Offset })
-	out, err := n.follow.Propose(t.Context(), record.Record{
+	n.follower.View(func(s *ledger.State) { base, seen = s.Revision(sub), s.Offset })
+	outcome, err := n.follower.Propose(t.Context(), record.Record{
 		ID: ulid.Make().String(), Subject: sub, Base: base, Seen: seen, Author: "test", Time: time.Now(), Body: body,
 	})
 	require.NoError(t, err)
-	require.Equal(t, ledger.Effective, out.Status, out.Reason)
+	require.Equal(t, ledger.Effective, outcome.Status, outcome.Reason)
 }
 
 func publish(t *testing.T, n *node, deployment, service string) {
@@ -95,9 +95,9 @@
 	n.propose(t, record.Subject{Kind: record.SubjectService, Name: service}, record.DocumentPublish{Text: string(text)})
 }
 
-// The thin path: VMs of the platform's list become known and join the pool that
-// the document asks for; a wave drains, reboots and takes back each of them,
-// and never more at once than the budget allows.
+// VMs of the platform's list are registered and join the pool that the document
+// asks for. A wave drains, reboots and returns each of them, and never has more
+// out of service at once than the budget allows.
 func TestWaveOverOnePool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 12, Zones: []string{"a", "b", "c"}}}})
@@ -105,16 +105,16 @@
 		time.Sleep(time.Second)
 		publish(t, n, "ramcharan", "booking")
 		time.Sleep(20 * time.Second)
-		n.follow.View(func(s *ledger.State) {
+		n.follower.View(func(s *ledger.State) {
 			assert.Equal(t, 12, s.Unavailability("booking").Serving)
 		})
 		n.propose(t, record.Subject{Kind: record.SubjectWave, Name: "w1"}, record.WaveStart{Pools: []string{"booking"}, Deadline: time.Now().Add(time.Hour)})
 		short := 0
 		for range 600 {
 			time.Sleep(time.Second)
-			n.follow.View(func(s *ledger.State) { short = max(short, s.Unavailability("booking").Short) })
+			n.follower.View(func(s *ledger.State) { short = max(short, s.Unavailability("booking").Short) })
 		}
-		n.follow.View(func(s *ledger.State) {
+		n.follower.View(func(s *ledger.State) {
 			assert.Equal(t, ledger.WaveDone, s.Waves["w1"].Status)
 			assert.LessOrEqual(t, short, s.Services["booking"].Doc.Budget.MaxUnavailable)
 			for _, vm := range s.VMs {
--- a/internal/stewardpeer/peers.go
+++ b/internal/stewardpeer/peers.go
@@ -15,39 +15,39 @@
 	pb "github.com/yuccadrift/yuccadrift/internal/stewardpeer/stewardpeerpb"
 )
 
-// Pace of the greetings.
+// Times and limits of hello calls.
 const (
 	helloInterval = time.Second
 	helloTimeout  = time.Second
-	// hellosPerInterval bounds the greetings sent in one interval. With more
-	// peers each is greeted less often, so that greetings cost a node the same
-	// however many there are.
+	// hellosPerInterval bounds the hello calls per interval. With more peers,
+	// each is called less often, so the cost for a node does not grow with the
+	// number of peers.
 	hellosPerInterval = 8
-	// aliveFor is how many rounds of greetings a peer counts as there after its
-	// last answer.
-	aliveFor = 3
+	// aliveIntervals is the number of intervals for which a peer counts as
+	// alive after its last reply.
+	aliveIntervals = 3
 )
 
-// Peers greets the other stewards and knows which of them are there.
+// Peers calls the other stewards regularly and tracks which of them are alive.
 type Peers struct {
 	logger   hclog.Logger
 	peers    []*peer
-	interval time.Duration // between greetings of one peer
+	interval time.Duration // between hello calls to one peer
 }
 
 type peer struct {
-	address  string
-	conn     *grpc.ClientConn
-	rpc      pb.StewardPeerClient
-	aliveFor time.Duration
-
-	mu   sync.Mutex
-	node string
-	at   time.Time // of the last answer that said "able"
+	address      string
+	conn         *grpc.ClientConn
+	rpc          pb.StewardPeerClient
+	aliveTimeout time.Duration
+
+	mu         sync.Mutex
+	node       string
+	answeredAt time.Time // when the last hello with the reply "able" was sent
 }
 
 // NewPeers returns Peers for the stewards at the addresses (IP:port). Serve
-// makes it greet them.
+// must run for peers to count as alive.
 func NewPeers(addresses []string, logger hclog.Logger) (*Peers, error) {
 	rounds := max(1, (len(addresses)+hellosPerInterval-1)/hellosPerInterval)
 	p := &Peers{logger: logger, interval: time.Duration(rounds) * helloInterval}
@@ -58,28 +58,28 @@
 			return nil, errors.Wrapf(err, "steward %s", address)
 		}
 		p.peers = append(p.peers, &peer{
-			address:  address,
-			conn:     conn,
-			rpc:      pb.NewStewardPeerClient(conn),
-			aliveFor: aliveFor * p.interval,
+			address:      address,
+			conn:         conn,
+			rpc:          pb.NewStewardPeerClient(conn),
+			aliveTimeout: aliveIntervals * p.interval,
 		})
 	}
 	return p, nil
 }
 
-// Close ends the connections.
+// Close closes the connections.
 func (p *Peers) Close() {
 	for _, peer := range p.peers {
 		_ = peer.conn.Close()
 	}
 }
 
-// Serve greets the peers until ctx ends. It is a duty's Serve function.
+// Serve calls the peers until ctx ends. It is a duty's Serve function.
 func (p *Peers) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(p.interval)
 	defer ticker.Stop()
 	for {
-		p.greet(ctx)
+		p.helloAll(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -88,7 +88,7 @@
 	}
 }
 
-func (p *Peers) greet(ctx context.Context) {
+func (p *Peers) helloAll(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, peer := range p.peers {
 		wg.Go(func() {
@@ -110,20 +110,20 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.node, p.at = reply.GetNode(), sent
+	p.node, p.answeredAt = reply.GetNode(), sent
 	return nil
 }
 
 func (p *peer) alive() (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.node, time.Since(p.at) < p.aliveFor
+	return p.node, time.Since(p.answeredAt) < p.aliveTimeout
 }
 
-// Configured reports whether any peer is set.
+// Configured reports whether any peers are configured.
 func (p *Peers) Configured() bool { return len(p.peers) > 0 }
 
-// Nodes returns the nodes whose stewards answered lately and may decide, sorted.
+// Nodes returns the nodes whose stewards are alive and may decide, sorted.
 func (p *Peers) Nodes() []string {
 	var nodes []string
 	for _, peer := range p.peers {
@@ -135,22 +135,23 @@
 	return nodes
 }
 
-// maxAsked is how many peers give a second opinion.
-const maxAsked = 2
+// maxPeersAsked is the number of peers that check failing backend servers.
+const maxPeersAsked = 2
 
-// Healthy asks living peers which of the backend servers answer them, and how
-// many peers did reply. A server is in the result if any of them reached it.
-func (p *Peers) Healthy(ctx context.Context, addresses []string) (healthy map[string]bool, asked int) {
+// Healthy asks live peers which of the backend servers they reach. It returns
+// the servers that at least one of them reached, and the number of peers that
+// replied.
+func (p *Peers) Healthy(ctx context.Context, addresses []string) (healthy map[string]bool, replied int) {
 	healthy = map[string]bool{}
 	for _, peer := range p.peers {
-		if _, ok := peer.alive(); !ok || asked == maxAsked {
+		if _, ok := peer.alive(); !ok || replied == maxPeersAsked {
 			continue
 		}
 		if peer.check(ctx, addresses, healthy) == nil {
-			asked++
+			replied++
 		}
 	}
-	return healthy, asked
+	return healthy, replied
 }
 
 func (p *peer) check(ctx context.Context, addresses []string, healthy map[string]bool) error {
--- a/internal/stewardpeer/server.go
+++ b/internal/stewardpeer/server.go
@@ -1,5 +1,6 @@
-// Package stewardpeer is the peer package for the other nodes' stewards: who is
-// there to share the work, and a second opinion on a backend server's health.
+// Package stewardpeer connects the stewards of different nodes: they find out
+// which stewards are alive to share the work, and check backend servers for
+// each other.
 package stewardpeer
 
 import (
@@ -14,19 +15,19 @@
 	pb "github.com/yuccadrift/yuccadrift/internal/stewardpeer/stewardpeerpb"
 )
 
-// Bounds of one Check.
+// Limits of one Check call.
 const (
 	maxAddresses  = 256
 	checkParallel = 32
 	checkTimeout  = 2 * time.Second
 )
 
-// ServerConfig is what a steward tells its peers.
+// ServerConfig configures the service that a steward offers its peers.
 type ServerConfig struct {
 	Node string
-	// Able reports whether the steward may decide now.
-	Able func() bool
-	// Check asks one backend server; nil means healthy.
+	// MayDecide reports whether the steward may decide now.
+	MayDecide func() bool
+	// Check checks one backend server; a nil error means healthy.
 	Check func(ctx context.Context, address string) error
 }
 
@@ -42,7 +43,7 @@
 
 // Hello implements the gRPC service.
 func (s *server) Hello(context.Context, *pb.HelloRequest) (*pb.HelloReply, error) {
-	return &pb.HelloReply{Node: s.cfg.Node, Able: s.cfg.Able()}, nil
+	return &pb.HelloReply{Node: s.cfg.Node, Able: s.cfg.MayDecide()}, nil
 }
 
 // Check implements the gRPC service.
@@ -54,12 +55,12 @@
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	healthy := make([]bool, len(addresses))
-	room := make(chan struct{}, checkParallel)
+	slots := make(chan struct{}, checkParallel)
 	var wg sync.WaitGroup
 	for i, address := range addresses {
-		room <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			healthy[i] = s.cfg.Check(ctx, address) == nil
 		})
 	}
