--- a/cmd/yuccadrift-bench/main.go
+++ b/cmd/yuccadrift-bench/main.go
@@ -50,7 +50,7 @@
 			measurement("placement", "placement as the fleet grows", bySeeds(jobs.Speed)),
 			measurement("steps", "a steward's care for running tasks as the fleet grows", bySeeds(jobs.Steady)),
 			measurement("scrape", "a scrape of the metrics with a line for each service", bySeeds(requests.Scrape)),
-			measurement("claims", "claims on request keys: owners in memory against the log", claimWays),
+			measurement("claims", "claims on request keys: owners in memory against the log", compareClaims),
 			measurement("overload", "backend servers' slots: two choices against fixed parts, at several loads", overload),
 			measurement("path", "a call through an entry against a direct one", path),
 		},
@@ -81,8 +81,8 @@
 	return func(_ context.Context, cmd *cli.Command) ([]figure.Table, error) { return run(cmd.Int("seeds")) }
 }
 
-func claimWays(ctx context.Context, cmd *cli.Command) ([]figure.Table, error) {
-	return claims.Ways(ctx, cmd.Int("seeds"), cmd.Int("requests"))
+func compareClaims(ctx context.Context, cmd *cli.Command) ([]figure.Table, error) {
+	return claims.Compare(ctx, cmd.Int("seeds"), cmd.Int("requests"))
 }
 
 func overload(ctx context.Context, cmd *cli.Command) ([]figure.Table, error) {
--- a/internal/bench/claims/log.go
+++ b/internal/bench/claims/log.go
@@ -28,9 +28,9 @@
 	reportTimeout = 10 * time.Second
 )
 
-// onLog returns the way that appends claims to the stand-in's log, each entry VM
+// startLogClaims returns the way that appends claims to the stand-in's log, each entry VM
 // with its part of the ceiling, where an append and a read take delay longer.
-func onLog(delay time.Duration) func(context.Context) ([]entrypeer.Claimer, func() int64, error) {
+func startLogClaims(delay time.Duration) func(context.Context) ([]entrypeer.Claimer, func() int64, error) {
 	return func(ctx context.Context) ([]entrypeer.Claimer, func() int64, error) {
 		fake := standin.New(standin.Options{})
 		if delay > 0 {
@@ -38,15 +38,15 @@
 				return nil, nil, errors.Wrap(err, "slow the log")
 			}
 		}
-		counted := &countedLog{Log: fake}
+		counting := &countingLog{Log: fake}
 		var claimers []entrypeer.Claimer
 		for range vms {
-			l := newLogClaims(counted, standin.DefaultAppendsPerSecond/vms)
+			l := newLogClaims(counting, standin.DefaultAppendsPerSecond/vms)
 			go func() { _ = l.appender.Serve(ctx) }()
 			go l.follow(ctx)
 			claimers = append(claimers, l)
 		}
-		return claimers, counted.appends.Load, nil
+		return claimers, counting.appends.Load, nil
 	}
 }
 
@@ -59,7 +59,7 @@
 
 	mu      sync.Mutex
 	holders map[claim.Key]claim.Attempt
-	waiting map[claim.Attempt]chan bool
+	waiters map[claim.Attempt]chan bool
 }
 
 type logEntry struct {
@@ -74,7 +74,7 @@
 		log:      log,
 		appender: platform.NewAppender(log, claimStream, platform.AppenderOptions{Rate: rate}),
 		holders:  map[claim.Key]claim.Attempt{},
-		waiting:  map[claim.Attempt]chan bool{},
+		waiters:  map[claim.Attempt]chan bool{},
 	}
 }
 
@@ -103,9 +103,9 @@
 	if _, held := l.holders[e.Key]; !held {
 		l.holders[e.Key] = e.Attempt
 	}
-	if ch := l.waiting[e.Attempt]; ch != nil {
+	if ch := l.waiters[e.Attempt]; ch != nil {
 		ch <- l.holders[e.Key] == e.Attempt
-		delete(l.waiting, e.Attempt)
+		delete(l.waiters, e.Attempt)
 	}
 }
 
@@ -114,7 +114,7 @@
 	attempt := claim.Attempt{ID: ulid.Make()}
 	granted := make(chan bool, 1)
 	l.mu.Lock()
-	l.waiting[attempt] = granted
+	l.waiters[attempt] = granted
 	l.mu.Unlock()
 	data, _ := json.Marshal(logEntry{Key: req.Key, Attempt: attempt})
 	if _, err := l.appender.Append(ctx, data); err != nil {
@@ -140,14 +140,14 @@
 	}()
 }
 
-// countedLog counts appends.
-type countedLog struct {
+// countingLog counts appends.
+type countingLog struct {
 	platform.Log
 	appends atomic.Int64
 }
 
 // Append implements platform.Log.
-func (c *countedLog) Append(ctx context.Context, stream string, entries [][]byte) (platform.Offset, error) {
+func (c *countingLog) Append(ctx context.Context, stream string, entries [][]byte) (platform.Offset, error) {
 	c.appends.Add(1)
 	return c.Log.Append(ctx, stream, entries)
 }
--- a/internal/bench/claims/owners.go
+++ b/internal/bench/claims/owners.go
@@ -14,8 +14,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/ledger"
 )
 
-// patience is how long a claim and its calls may take.
-const patience = 5 * time.Second
+// claimTimeout is how long a claim and its calls may take.
+const claimTimeout = 5 * time.Second
 
 // ownerConfig is large enough to forget no key of a run.
 var ownerConfig = claim.Config{
@@ -49,7 +49,7 @@
 
 // startOwner runs one node until ctx ends.
 func startOwner(ctx context.Context, listener net.Listener) *entrypeer.Node {
-	n := entrypeer.NewNode(entrypeer.NodeConfig{Logger: hclog.NewNullLogger(), CallTimeout: patience, Patience: patience})
+	n := entrypeer.NewNode(entrypeer.NodeConfig{Logger: hclog.NewNullLogger(), CallTimeout: claimTimeout, Patience: claimTimeout})
 	server := grpc.NewServer()
 	n.Register(server)
 	go func() { _ = server.Serve(listener) }()
--- a/internal/bench/claims/ways.go
+++ b/internal/bench/claims/ways.go
@@ -28,29 +28,29 @@
 // service is the one whose keys are claimed.
 const service = "orders"
 
-// way is one place for claims. start returns the claimers of the entry VMs,
+// claimStore is one place for claims. start returns the claimers of the entry VMs,
 // which work until ctx ends, and a count of the log's appends; nil for none.
-type way struct {
+type claimStore struct {
 	name  string
 	start func(ctx context.Context) ([]entrypeer.Claimer, func() int64, error)
 }
 
-var ways = []way{
+var claimStores = []claimStore{
 	{"owner per key, in memory", startOwners},
-	{"entry on the log, batched (plain)", onLog(0)},
-	{"the same, 5 ms per append and read", onLog(5 * time.Millisecond)},
+	{"entry on the log, batched (plain)", startLogClaims(0)},
+	{"the same, 5 ms per append and read", startLogClaims(5 * time.Millisecond)},
 }
 
-// Ways measures each way with one and eight requests at a time at each of 8
+// Compare measures each way with one and eight requests at a time at each of 8
 // entry VMs. One run is so many requests. It stops at the first claim that is
 // not granted.
-func Ways(ctx context.Context, runs, requests int) ([]figure.Table, error) {
+func Compare(ctx context.Context, runs, requests int) ([]figure.Table, error) {
 	table := figure.Table{
 		Title:      fmt.Sprintf("claims and reports over %d entry VMs, %d requests", vms, requests),
 		Labels:     []string{"way", "at a time"},
 		Quantities: []string{"p50 ms", "p99 ms", "claims a second", "appends a second"},
 	}
-	for _, w := range ways {
+	for _, w := range claimStores {
 		for _, callers := range []int{vms, 8 * vms} {
 			samples, err := figure.Collect(runs, func(uint64) ([]float64, error) {
 				return w.measure(ctx, callers, requests)
@@ -64,7 +64,7 @@
 	return []figure.Table{table}, nil
 }
 
-func (w way) measure(ctx context.Context, callers, requests int) ([]float64, error) {
+func (w claimStore) measure(ctx context.Context, callers, requests int) ([]float64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	claimers, appends, err := w.start(ctx)
--- a/internal/bench/deployment/deployment.go
+++ b/internal/bench/deployment/deployment.go
@@ -45,8 +45,8 @@
 	Size  int // VMs that the documents ask for
 }
 
-// zonesOf are the availability zones of the example deployments.
-var zonesOf = map[string]int{"ramcharan": 3, "feldkamm": 4}
+// zoneCounts are the availability zones of the example deployments.
+var zoneCounts = map[string]int{"ramcharan": 3, "feldkamm": 4}
 
 // Names are the example deployments.
 var Names = []string{"ramcharan", "feldkamm"}
@@ -71,7 +71,7 @@
 	if err != nil {
 		return Deployment{}, errors.Wrap(err, "list the documents")
 	}
-	d := Deployment{Name: name, Zones: zonesOf[name]}
+	d := Deployment{Name: name, Zones: zoneCounts[name]}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
@@ -105,7 +105,7 @@
 			Zone: zone, Rack: fmt.Sprintf("%s-r%d", zone, v/d.Zones/perRack), Address: "10.0.0.1:80",
 			Cores: vmCores, MemoryMB: vmMemoryMB, Accelerators: 1,
 		})
-		if err := effective(out); err != nil {
+		if err := requireEffective(out); err != nil {
 			return nil, err
 		}
 	}
@@ -113,7 +113,7 @@
 	return r, nil
 }
 
-func effective(out ledger.Outcome) error {
+func requireEffective(out ledger.Outcome) error {
 	if out.Status != ledger.Effective {
 		return errors.Errorf("record is %s: %s", out.Status, out.Reason)
 	}
@@ -123,23 +123,23 @@
 // Publish publishes a service's document. It fails where that is not effective.
 func Publish(r *forecast.Run, service, text string) error {
 	sub := record.Subject{Kind: record.SubjectService, Name: service}
-	return errors.Wrapf(effective(r.Append(sub, record.DocumentPublish{Text: text})), "publish %s", service)
+	return errors.Wrapf(requireEffective(r.Append(sub, record.DocumentPublish{Text: text})), "publish %s", service)
 }
 
 // Resize publishes a service's document again with another size.
 func Resize(r *forecast.Run, service string, size int) error {
 	svc := r.State.Services[service]
-	was := fmt.Sprintf("size = %d", svc.Doc.Pool.Size)
-	if !strings.Contains(svc.Text, was) {
-		return errors.Errorf("document of %s has no %q", service, was)
+	oldSize := fmt.Sprintf("size = %d", svc.Doc.Pool.Size)
+	if !strings.Contains(svc.Text, oldSize) {
+		return errors.Errorf("document of %s has no %q", service, oldSize)
 	}
-	return Publish(r, service, strings.Replace(svc.Text, was, fmt.Sprintf("size = %d", size), 1))
+	return Publish(r, service, strings.Replace(svc.Text, oldSize, fmt.Sprintf("size = %d", size), 1))
 }
 
 // StartWave starts the wave WaveID.
 func StartWave(r *forecast.Run, deadline time.Duration, pools ...string) error {
 	sub := record.Subject{Kind: record.SubjectWave, Name: WaveID}
-	return errors.Wrap(effective(r.Append(sub, record.WaveStart{Pools: pools, Deadline: r.Now.Add(deadline)})), "start the wave")
+	return errors.Wrap(requireEffective(r.Append(sub, record.WaveStart{Pools: pools, Deadline: r.Now.Add(deadline)})), "start the wave")
 }
 
 // Disturbed counts the drains of all VMs, and their moves to another pool.
--- a/internal/bench/figure/figure.go
+++ b/internal/bench/figure/figure.go
@@ -14,11 +14,11 @@
 // Median returns the middle value, the upper one of an even number, and NaN of none.
 func (s Sample) Median() float64 { return s.at(func(n int) int { return n / 2 }) }
 
-// Least returns the smallest value.
-func (s Sample) Least() float64 { return s.at(func(int) int { return 0 }) }
+// Min returns the smallest value.
+func (s Sample) Min() float64 { return s.at(func(int) int { return 0 }) }
 
-// Greatest returns the greatest value.
-func (s Sample) Greatest() float64 { return s.at(func(n int) int { return n - 1 }) }
+// Max returns the greatest value.
+func (s Sample) Max() float64 { return s.at(func(n int) int { return n - 1 }) }
 
 func (s Sample) at(index func(n int) int) float64 {
 	if len(s) == 0 {
@@ -29,20 +29,20 @@
 
 // String returns the median and, of several values, the range.
 func (s Sample) String() string {
-	digits := s.digits()
+	digits := s.decimals()
 	if len(s) == 1 {
 		return fmt.Sprintf("%.*f", digits, s[0])
 	}
-	return fmt.Sprintf("%.*f (%.*f-%.*f)", digits, s.Median(), digits, s.Least(), digits, s.Greatest())
+	return fmt.Sprintf("%.*f (%.*f-%.*f)", digits, s.Median(), digits, s.Min(), digits, s.Max())
 }
 
-// digits is how many decimals tell the values apart.
-func (s Sample) digits() int {
+// decimals is how many decimals tell the values apart.
+func (s Sample) decimals() int {
 	whole := !slices.ContainsFunc(s, func(v float64) bool { return v != math.Trunc(v) })
-	switch most := s.Greatest(); {
-	case whole || most >= 100:
+	switch maxValue := s.Max(); {
+	case whole || maxValue >= 100:
 		return 0
-	case most > 0 && most < 1:
+	case maxValue > 0 && maxValue < 1:
 		return 2
 	}
 	return 1
--- a/internal/bench/figure/write.go
+++ b/internal/bench/figure/write.go
@@ -60,8 +60,8 @@
 	Quantity string   `json:"quantity"`
 	Runs     int      `json:"runs"`
 	Median   float64  `json:"median"`
-	Least    float64  `json:"least"`
-	Greatest float64  `json:"greatest"`
+	Min      float64  `json:"least"`
+	Max      float64  `json:"greatest"`
 }
 
 func lines(tables []Table) []line {
@@ -71,7 +71,7 @@
 			for i, s := range row.Samples {
 				list = append(list, line{
 					Table: t.Title, Labels: row.Labels, Quantity: t.Quantities[i],
-					Runs: len(s), Median: s.Median(), Least: s.Least(), Greatest: s.Greatest(),
+					Runs: len(s), Median: s.Median(), Min: s.Min(), Max: s.Max(),
 				})
 			}
 		}
@@ -91,7 +91,7 @@
 	number := func(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 	for _, l := range lines(tables) {
 		records = append(records, []string{
-			l.Table, strings.Join(l.Labels, "/"), l.Quantity, strconv.Itoa(l.Runs), number(l.Median), number(l.Least), number(l.Greatest),
+			l.Table, strings.Join(l.Labels, "/"), l.Quantity, strconv.Itoa(l.Runs), number(l.Median), number(l.Min), number(l.Max),
 		})
 	}
 	return out.WriteAll(records)
--- a/internal/bench/jobs/batch.go
+++ b/internal/bench/jobs/batch.go
@@ -49,15 +49,15 @@
 
 // batch is jobs and workers with their speeds.
 type batch struct {
-	workers []placement.Worker
-	queue   []placement.Job
-	real    map[string]float64 // seconds that a job needs at speed 1
-	speed   []float64
-	ends    []ending
-	now     float64
+	workers       []placement.Worker
+	queue         []placement.Job
+	actualSeconds map[string]float64 // seconds that a job needs at speed 1
+	speed         []float64
+	completions   []completion
+	now           float64
 }
 
-type ending struct {
+type completion struct {
 	at     float64
 	worker int
 	job    placement.Job
@@ -66,20 +66,20 @@
 // newBatch draws jobs and workers. Declared run times are the real ones,
 // or, where not known, wrong by up to four times either way.
 func newBatch(seed uint64, known bool) *batch {
-	r, wrong := rand.New(rand.NewPCG(seed, 7)), rand.New(rand.NewPCG(seed, 8))
-	s := &batch{real: map[string]float64{}}
-	room := ledger.Resources{MilliCores: 1000 * batchCores, MemoryMB: batchMemoryMB}
+	r, errorRand := rand.New(rand.NewPCG(seed, 7)), rand.New(rand.NewPCG(seed, 8))
+	s := &batch{actualSeconds: map[string]float64{}}
+	capacity := ledger.Resources{MilliCores: 1000 * batchCores, MemoryMB: batchMemoryMB}
 	for i := range batchWorkers {
-		s.workers = append(s.workers, placement.Worker{ID: fmt.Sprintf("w%02d", i), Capacity: room, Free: room, Slots: batchSlots})
+		s.workers = append(s.workers, placement.Worker{ID: fmt.Sprintf("w%02d", i), Capacity: capacity, Free: capacity, Slots: batchSlots})
 		s.speed = append(s.speed, 0.5+r.Float64())
 	}
 	for i := range batchJobs {
 		cores := []int{1, 2, 2, 4, 4, 8, 16}[r.IntN(7)]
 		j := placement.Job{ID: fmt.Sprintf("j%03d", i), Want: ledger.Resources{MilliCores: 1000 * cores, MemoryMB: batchJobMB}}
 		seconds := 5 + 120*r.ExpFloat64()
-		s.real[j.ID] = seconds
+		s.actualSeconds[j.ID] = seconds
 		if !known {
-			seconds *= []float64{0.25, 0.5, 1, 2, 4}[wrong.IntN(5)]
+			seconds *= []float64{0.25, 0.5, 1, 2, 4}[errorRand.IntN(5)]
 		}
 		j.RunTime = time.Duration(seconds * float64(time.Second))
 		s.queue = append(s.queue, j)
@@ -95,7 +95,7 @@
 	pick pick
 }{
 	{"first come first fit (plain)", func(s *batch) (int, int, bool) { return s.firstCome(func(int, int) float64 { return 0 }) }},
-	{"first come best fit", func(s *batch) (int, int, bool) { return s.firstCome(s.fullness) }},
+	{"first come best fit", func(s *batch) (int, int, bool) { return s.firstCome(s.bestFit) }},
 	{"first come fastest", func(s *batch) (int, int, bool) { return s.firstCome(func(_, w int) float64 { return s.speed[w] }) }},
 	{"Min-Min (HMHS)", minMin},
 	{"longest first fastest", func(s *batch) (int, int, bool) {
@@ -110,7 +110,7 @@
 	return s.workers[w].Slots > 0 && s.queue[j].Want.Within(s.workers[w].Free)
 }
 
-func (s *batch) fullness(j, w int) float64 {
+func (s *batch) bestFit(j, w int) float64 {
 	return -float64(s.workers[w].Free.MilliCores - s.queue[j].Want.MilliCores)
 }
 
@@ -149,17 +149,17 @@
 // and the mean of their ends, in seconds.
 func (s *batch) run(pick pick) (makespan, mean float64) {
 	n := float64(len(s.queue))
-	for len(s.queue)+len(s.ends) > 0 {
+	for len(s.queue)+len(s.completions) > 0 {
 		for j, w, ok := pick(s); ok; j, w, ok = pick(s) {
 			s.start(j, w)
 		}
 		next := 0
-		for i := range s.ends {
-			if s.ends[i].at < s.ends[next].at {
+		for i := range s.completions {
+			if s.completions[i].at < s.completions[next].at {
 				next = i
 			}
 		}
-		s.end(next)
+		s.complete(next)
 		mean += s.now / n
 	}
 	return s.now, mean
@@ -170,13 +170,13 @@
 	s.queue = slices.Delete(s.queue, j, j+1)
 	s.workers[w].Free = s.workers[w].Free.Add(started.Want, -1)
 	s.workers[w].Slots--
-	s.ends = append(s.ends, ending{at: s.now + s.real[started.ID]/s.speed[w], worker: w, job: started})
+	s.completions = append(s.completions, completion{at: s.now + s.actualSeconds[started.ID]/s.speed[w], worker: w, job: started})
 }
 
-func (s *batch) end(i int) {
-	e := s.ends[i]
+func (s *batch) complete(i int) {
+	e := s.completions[i]
 	s.now = e.at
 	s.workers[e.worker].Free = s.workers[e.worker].Free.Add(e.job.Want, 1)
 	s.workers[e.worker].Slots++
-	s.ends = slices.Delete(s.ends, i, i+1)
+	s.completions = slices.Delete(s.completions, i, i+1)
 }
--- a/internal/bench/jobs/replay.go
+++ b/internal/bench/jobs/replay.go
@@ -19,10 +19,10 @@
 	replayTime = 30 * time.Minute
 	replayTick = 250 * time.Millisecond
 	usageLag   = 10 * time.Second
-	// urgentBound is what the users ask for; a later start is late.
-	urgentBound = 6700 * time.Millisecond
-	// soonStopped counts a start as wasted when its job is cancelled that soon.
-	soonStopped = 5 * time.Second
+	// urgentStartLimit is what the users ask for; a later start is late.
+	urgentStartLimit = 6700 * time.Millisecond
+	// earlyCancelLimit counts a start as wasted when its job is cancelled that soon.
+	earlyCancelLimit = 5 * time.Second
 )
 
 // policy is one way to run the pool.
@@ -58,10 +58,10 @@
 	table := figure.Table{
 		Title: "half an hour of jobs in a pool of each deployment", Labels: []string{"pool", "case", "policy"}, Quantities: quantities,
 	}
-	for _, d := range deployments {
+	for _, d := range poolSetups {
 		for _, sc := range scenarios {
 			for i, pol := range policies {
-				if i > 1 && !slices.Contains(sc.without, pol.name) {
+				if i > 1 && !slices.Contains(sc.ablations, pol.name) {
 					continue
 				}
 				samples, err := figure.Collect(seeds, func(seed uint64) ([]float64, error) { return replay(d, sc, pol, seed+1) })
@@ -75,44 +75,44 @@
 	return []figure.Table{table}, nil
 }
 
-// tally sums what is sampled while a replay runs.
-type tally struct {
-	used, over, capacity float64
-	firstStart           map[string]time.Time
-	starts               map[string]int
+// replayStats sums what is sampled while a replay runs.
+type replayStats struct {
+	used, overload, capacity float64
+	firstStart               map[string]time.Time
+	starts                   map[string]int
 }
 
-func replay(d deployment, sc scenario, pol policy, seed uint64) ([]float64, error) {
+func replay(d poolSetup, sc scenario, pol policy, seed uint64) ([]float64, error) {
 	r := rand.New(rand.NewPCG(seed, 1))
-	plans := d.arrivals(r, sc.misdeclared)
-	if sc.plans != nil {
-		plans = append(plans, sc.plans(d)...)
+	events := d.arrivals(r, sc.misdeclared)
+	if sc.events != nil {
+		events = append(events, sc.events(d)...)
 	}
-	slices.SortStableFunc(plans, func(a, b plan) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(events, func(a, b event) int { return cmp.Compare(a.at, b.at) })
 	w := New(Shape{
 		Stewards: 1, Workers: d.workers, Cores: d.cores, MemoryMB: d.memoryMB,
 		Doc: d.document(), Core: pol.cfg, Tick: replayTick,
 	})
-	plans = slices.Insert(plans, 0, plan{fault: &standin.Fault{Kind: standin.UsageLag, DelayMS: usageLag.Milliseconds()}})
-	sum := &tally{firstStart: map[string]time.Time{}, starts: map[string]int{}}
+	events = slices.Insert(events, 0, event{fault: &standin.Fault{Kind: standin.UsageLag, DelayMS: usageLag.Milliseconds()}})
+	stats := &replayStats{firstStart: map[string]time.Time{}, starts: map[string]int{}}
 	for step := 0; w.Now.Sub(Begin) < replayTime; step++ {
-		for len(plans) > 0 && plans[0].at <= w.Now.Sub(Begin) {
-			if err := w.do(plans[0]); err != nil {
+		for len(events) > 0 && events[0].at <= w.Now.Sub(Begin) {
+			if err := w.apply(events[0]); err != nil {
 				return nil, err
 			}
-			plans = plans[1:]
+			events = events[1:]
 		}
 		w.Step()
-		if err := sum.sample(w, step); err != nil {
+		if err := stats.sample(w, step); err != nil {
 			return nil, err
 		}
 	}
-	return w.measure(sum), nil
+	return w.measure(stats), nil
 }
 
-// do lets one planned event happen. What the fold makes of its record is part of
+// apply lets one planned event happen. What the fold makes of its record is part of
 // what is measured.
-func (w *World) do(p plan) error {
+func (w *World) apply(p event) error {
 	sub := record.Subject{Kind: record.SubjectJob, Name: p.id}
 	switch {
 	case p.fault != nil:
@@ -127,7 +127,7 @@
 }
 
 // sample notes first starts at each step, and the workers' use each second.
-func (s *tally) sample(w *World, step int) error {
+func (s *replayStats) sample(w *World, step int) error {
 	for id, n := range w.Platform.Counters().JobStarts {
 		if s.starts[id] == 0 && n > 0 {
 			s.firstStart[id] = w.Now
@@ -147,13 +147,13 @@
 	}
 	for _, cores := range used {
 		s.used += min(cores, float64(w.Cores))
-		s.over += max(0, cores-float64(w.Cores))
+		s.overload += max(0, cores-float64(w.Cores))
 	}
 	s.capacity += float64(w.Workers * w.Cores)
 	return nil
 }
 
-func (w *World) measure(s *tally) []float64 {
+func (w *World) measure(s *replayStats) []float64 {
 	var waits, urgent []float64
 	late, urgentJobs, wasted, lost, done := 0, 0, 0, 0, 0
 	for id, j := range w.Main.Jobs {
@@ -161,10 +161,10 @@
 		first, started := s.firstStart[id]
 		wait := first.Sub(from).Seconds()
 		switch {
-		case j.Result == record.JobUnplaceable || w.Now.Sub(from) < urgentBound:
+		case j.Result == record.JobUnplaceable || w.Now.Sub(from) < urgentStartLimit:
 		case j.Spec.Urgent:
 			urgentJobs++
-			if !started || first.Sub(from) > urgentBound {
+			if !started || first.Sub(from) > urgentStartLimit {
 				late++
 			}
 			if !started {
@@ -175,7 +175,7 @@
 			waits = append(waits, wait)
 		}
 		wasted += len(j.Failures) + j.Lapses
-		if started && j.Status == ledger.JobCancelled && j.EndedAt.Sub(first) < soonStopped {
+		if started && j.Status == ledger.JobCancelled && j.EndedAt.Sub(first) < earlyCancelLimit {
 			wasted++
 		}
 		if j.Succeeded() {
@@ -188,7 +188,7 @@
 	wasted += stats.Refused
 	return []float64{
 		100 * float64(late) / max(1, float64(urgentJobs)), quantile(urgent, 0.99), float64(wasted), float64(lost),
-		100 * s.used / s.capacity, 100 * s.over / s.capacity, float64(done), mean(waits), float64(stats.Preempted),
+		100 * s.used / s.capacity, 100 * s.overload / s.capacity, float64(done), mean(waits), float64(stats.Preempted),
 	}
 }
 
--- a/internal/bench/jobs/speed.go
+++ b/internal/bench/jobs/speed.go
@@ -15,16 +15,16 @@
 	speedTeams    = 640
 	speedCores    = 32
 	speedMemoryMB = 65536
-	// speedTime is how long an operation is repeated for one figure.
-	speedTime = 300 * time.Millisecond
+	// minMeasureTime is how long an operation is repeated for one figure.
+	minMeasureTime = 300 * time.Millisecond
 )
 
-// poolSet is pools to place jobs in.
-type poolSet struct{ workers, pools int }
+// fleetSize is pools to place jobs in.
+type fleetSize struct{ workers, pools int }
 
-// poolSets are the size to design for, a quarter and four times of it, and the
+// fleetSizes are the size to design for, a quarter and four times of it, and the
 // largest as a single pool.
-var poolSets = []poolSet{{1000, 94}, {4000, 94}, {16000, 94}, {16000, 1}}
+var fleetSizes = []fleetSize{{1000, 94}, {4000, 94}, {16000, 94}, {16000, 1}}
 
 // Speed measures one placement, the search for the jobs that an urgent one
 // displaces, and the snapshot of a pool from the folded state, as the fleet
@@ -35,10 +35,10 @@
 		Labels:     []string{"workers", "pools"},
 		Quantities: []string{"one placement, us", "room for an urgent job, us", "snapshot of a pool, us"},
 	}
-	for _, set := range poolSets {
+	for _, set := range fleetSizes {
 		state, _ := runningFleet(set.workers, set.pools, 1)
 		samples, err := figure.Collect(runs, func(uint64) ([]float64, error) {
-			return []float64{set.place(), set.makeRoom(), set.snapshot(state)}, nil
+			return []float64{set.measurePlacement(), set.measureMakeRoom(), set.measureSnapshot(state)}, nil
 		})
 		if err != nil {
 			return nil, err
@@ -48,23 +48,23 @@
 	return []figure.Table{table}, nil
 }
 
-func (s poolSet) teamsPerPool() int { return max(1, speedTeams/s.pools) }
+func (s fleetSize) teamsPerPool() int { return max(1, speedTeams/s.pools) }
 
-// build returns every pool at about half load.
-func (s poolSet) build() []*placement.Pool {
+// buildPools returns every pool at about half load.
+func (s fleetSize) buildPools() []*placement.Pool {
 	list := make([]*placement.Pool, s.pools)
 	perPool := s.workers / s.pools
-	worker := room(speedCores, speedMemoryMB)
+	worker := resources(speedCores, speedMemoryMB)
 	for i := range list {
 		p := &placement.Pool{Name: "p", Admitted: []ledger.Resources{worker}, Teams: map[string]placement.Quota{}}
-		p.UrgentHold, p.UrgentPiece = perPool*1000*speedCores/20, room(8, 8192)
+		p.UrgentHold, p.UrgentPiece = perPool*1000*speedCores/20, resources(8, 8192)
 		for t := range s.teamsPerPool() {
-			p.Teams[teamName(t)] = placement.Quota{Limit: room(perPool*speedCores, perPool*speedMemoryMB)}
+			p.Teams[teamName(t)] = placement.Quota{Limit: resources(perPool*speedCores, perPool*speedMemoryMB)}
 		}
 		for w := range perPool {
 			p.Workers = append(p.Workers, placement.Worker{ID: fmt.Sprintf("w%02d", w), Capacity: worker, Free: worker, Slots: manySlots})
 			for k := range w % 5 {
-				occupy(&p.Workers[w], fmt.Sprintf("r%d-%d", w, k), 4)
+				addRunningJob(&p.Workers[w], fmt.Sprintf("r%d-%d", w, k), 4)
 			}
 		}
 		p.Prepare()
@@ -73,16 +73,16 @@
 	return list
 }
 
-func room(cores, memoryMB int) ledger.Resources {
+func resources(cores, memoryMB int) ledger.Resources {
 	return ledger.Resources{MilliCores: cores * 1000, MemoryMB: memoryMB}
 }
 
 func teamName(t int) string { return fmt.Sprintf("team-%d", t) }
 
-// occupy puts a running job that can be checkpointed on a worker.
-func occupy(w *placement.Worker, id string, cores int) {
+// addRunningJob puts a running job that can be checkpointed on a worker.
+func addRunningJob(w *placement.Worker, id string, cores int) {
 	r := placement.Running{
-		Job: id, Team: teamName(0), Reserved: room(cores, 1), FullMilliCores: cores * 1000,
+		Job: id, Team: teamName(0), Reserved: resources(cores, 1), FullMilliCores: cores * 1000,
 		Started: Begin.Add(-time.Hour), Checkpointable: true,
 	}
 	w.Running = append(w.Running, r)
@@ -91,27 +91,27 @@
 }
 
 func speedJob(id string, cores, memoryMB int) placement.Job {
-	want := room(cores, memoryMB)
+	want := resources(cores, memoryMB)
 	return placement.Job{
 		ID: id, Team: teamName(0), Want: want, Declared: want, Repeatable: true,
 		Submitted: Begin, Queued: Begin, RunTime: time.Hour,
 	}
 }
 
-// repeat returns the mean microseconds of an operation that times itself.
-func repeat(operation func(n int) time.Duration) float64 {
+// meanMicroseconds returns the mean microseconds of an operation that times itself.
+func meanMicroseconds(operation func(n int) time.Duration) float64 {
 	total, n := time.Duration(0), 0
-	for began := time.Now(); time.Since(began) < speedTime; n++ {
+	for began := time.Now(); time.Since(began) < minMeasureTime; n++ {
 		total += operation(n)
 	}
 	return float64(total.Nanoseconds()) / 1000 / float64(n)
 }
 
-// place measures one placement: a queued job on a pool's snapshot. The room is
+// measurePlacement measures one placement: a queued job on a pool's snapshot. The room is
 // freed again, so that the load stays as built.
-func (s poolSet) place() float64 {
-	pools := s.build()
-	return repeat(func(n int) time.Duration {
+func (s fleetSize) measurePlacement() float64 {
+	pools := s.buildPools()
+	return meanMicroseconds(func(n int) time.Duration {
 		j := speedJob(fmt.Sprintf("job-%d", n), 2, 2048)
 		j.Team = teamName(n % s.teamsPerPool())
 		p := *pools[n%len(pools)]
@@ -119,13 +119,13 @@
 		d := p.Place(&j, placement.Policy{}, Begin)
 		took := time.Since(began)
 		if d.Kind == placement.Placed {
-			undo(&p, &j, d)
+			removePlacedJob(&p, &j, d)
 		}
 		return took
 	})
 }
 
-func undo(p *placement.Pool, j *placement.Job, d placement.Decision) {
+func removePlacedJob(p *placement.Pool, j *placement.Job, d placement.Decision) {
 	i := slices.IndexFunc(p.Workers, func(w placement.Worker) bool { return w.ID == d.Worker })
 	w := &p.Workers[i]
 	w.Free = w.Free.Add(j.Want, 1)
@@ -136,17 +136,17 @@
 	p.Teams[j.Team] = q
 }
 
-// makeRoom measures the search for the jobs that an urgent one displaces in a
+// measureMakeRoom measures the search for the jobs that an urgent one displaces in a
 // full pool.
-func (s poolSet) makeRoom() float64 {
-	pools := s.build()
+func (s fleetSize) measureMakeRoom() float64 {
+	pools := s.buildPools()
 	for _, p := range pools {
 		for i := range p.Workers {
-			occupy(&p.Workers[i], fmt.Sprintf("fill-%d", i), p.Workers[i].Free.MilliCores/1000)
+			addRunningJob(&p.Workers[i], fmt.Sprintf("fill-%d", i), p.Workers[i].Free.MilliCores/1000)
 		}
 		p.Prepare()
 	}
-	return repeat(func(n int) time.Duration {
+	return meanMicroseconds(func(n int) time.Duration {
 		p := clone(pools[n%len(pools)])
 		j := speedJob("urgent", 8, 8192)
 		j.Urgent = true
@@ -166,9 +166,9 @@
 	return &c
 }
 
-// snapshot measures the snapshot of one pool from the folded state.
-func (s poolSet) snapshot(state *ledger.State) float64 {
-	return repeat(func(n int) time.Duration {
+// measureSnapshot measures the snapshot of one pool from the folded state.
+func (s fleetSize) measureSnapshot(state *ledger.State) float64 {
+	return meanMicroseconds(func(n int) time.Duration {
 		began := time.Now()
 		placement.FromState(state, poolName(n%s.pools), placement.Knowledge{})
 		return time.Since(began)
--- a/internal/bench/jobs/steady.go
+++ b/internal/bench/jobs/steady.go
@@ -18,8 +18,8 @@
 	steadyPools    = 94
 	steadyStewards = 8
 	steadyTick     = 200 * time.Millisecond
-	// warmSteps are two minutes, until every task is known.
-	warmSteps = 600
+	// warmUpSteps are two minutes, until every task is known.
+	warmUpSteps = 600
 	// steadyTime is how long steps are timed, by the real clock.
 	steadyTime = 2 * time.Second
 )
@@ -47,14 +47,14 @@
 func steady(workers int) ([]float64, error) {
 	st, now := runningFleet(workers, steadyPools, 0)
 	ids, calls := 0, 0
-	var failed error
+	var rankErr error
 	core := jobrunner.NewCore(jobrunner.CoreConfig{
 		Node:  "node-0",
 		NewID: func() string { ids++; return fmt.Sprint("id-", ids) },
 		Rank: func(pool string) int {
 			n, err := strconv.Atoi(strings.TrimPrefix(pool, "pool-"))
 			if err != nil {
-				failed = errors.Wrap(err, "name of a pool")
+				rankErr = errors.Wrap(err, "name of a pool")
 			}
 			return n % steadyStewards // an eighth of the pools for each
 		},
@@ -63,10 +63,10 @@
 		now = now.Add(steadyTick)
 		for _, a := range core.Step(st, now, now) {
 			calls++
-			core.Done(answer(st, a), now)
+			core.Done(platformReply(st, a), now)
 		}
 	}
-	for range warmSteps {
+	for range warmUpSteps {
 		step()
 	}
 	calls = 0
@@ -76,11 +76,11 @@
 		steps++
 	}
 	seconds := float64(steps) * steadyTick.Seconds()
-	return []float64{100 * time.Since(began).Seconds() / seconds, float64(calls) / seconds}, failed
+	return []float64{100 * time.Since(began).Seconds() / seconds, float64(calls) / seconds}, rankErr
 }
 
-// answer is the reply of a platform on which every task runs.
-func answer(st *ledger.State, a jobrunner.Action) jobrunner.Result {
+// platformReply is the reply of a platform on which every task runs.
+func platformReply(st *ledger.State, a jobrunner.Action) jobrunner.Result {
 	res := jobrunner.Result{Action: a}
 	if a.Verb == jobrunner.VerbStatus {
 		for _, j := range st.WorkerJobs(a.Worker) {
--- a/internal/bench/jobs/world.go
+++ b/internal/bench/jobs/world.go
@@ -31,12 +31,12 @@
 	CutOff bool      // from the log
 	Wakes  time.Time // it is paused until then
 
-	fresh    time.Time
-	inFlight []flight
+	stateReadAt time.Time
+	inFlight    []delayedAction
 }
 
-// flight is an action with the time at which it reaches the platform or log.
-type flight struct {
+// delayedAction is an action with the time at which it reaches the platform or log.
+type delayedAction struct {
 	action jobrunner.Action
 	at     time.Time
 }
@@ -66,9 +66,9 @@
 	Strays func() (time.Duration, bool)
 	Trace  []jobrunner.Verb // actions carried out
 
-	log   [][]byte
-	ids   int
-	stray []flight
+	log         [][]byte
+	ids         int
+	strayStarts []delayedAction
 }
 
 // New returns a world whose workers are all in the pool.
@@ -113,8 +113,8 @@
 	return fmt.Sprintf("id-%06d", w.ids)
 }
 
-// append puts a record on the log.
-func (w *World) append(rec record.Record) ledger.Outcome {
+// appendRecord puts a record on the log.
+func (w *World) appendRecord(rec record.Record) ledger.Outcome {
 	data, err := record.Encode(rec)
 	invariant.Check(err == nil, "a record cannot be encoded: %v", err)
 	w.log = append(w.log, data)
@@ -123,37 +123,37 @@
 
 // Write appends an operator's record.
 func (w *World) Write(sub record.Subject, body record.Body) ledger.Outcome {
-	return w.append(record.Record{ID: w.newID(), Subject: sub, Base: w.Main.Revision(sub), Seen: w.Main.Offset, Time: w.Now, Body: body})
+	return w.appendRecord(record.Record{ID: w.newID(), Subject: sub, Base: w.Main.Revision(sub), Seen: w.Main.Offset, Time: w.Now, Body: body})
 }
 
 // Step moves the clock on by a tick and lets every node that is awake act.
 func (w *World) Step() {
 	w.Now = w.Now.Add(w.Tick)
-	w.arrive()
+	w.deliverStrayStarts()
 	for _, n := range w.Nodes {
 		if n == nil || w.Now.Before(n.Wakes) {
 			continue
 		}
-		w.deliver(n)
+		w.runDueActions(n)
 		if !n.CutOff {
-			w.follow(n)
+			w.readLog(n)
 		}
-		for _, a := range n.Core.Step(n.State, n.fresh, w.Now) {
-			n.inFlight = append(n.inFlight, flight{action: a, at: w.Now.Add(w.Latency())})
+		for _, a := range n.Core.Step(n.State, n.stateReadAt, w.Now) {
+			n.inFlight = append(n.inFlight, delayedAction{action: a, at: w.Now.Add(w.Latency())})
 		}
 	}
 }
 
-// follow folds the log to its end.
-func (w *World) follow(n *Node) {
+// readLog folds the log to its end.
+func (w *World) readLog(n *Node) {
 	for n.State.Offset < uint64(len(w.log)) {
 		n.State.ApplyData(n.State.Offset+1, w.log[n.State.Offset])
 	}
-	n.fresh = w.Now
+	n.stateReadAt = w.Now
 }
 
-// deliver carries out the node's actions whose time has come.
-func (w *World) deliver(n *Node) {
+// runDueActions carries out the node's actions whose time has come.
+func (w *World) runDueActions(n *Node) {
 	due := n.inFlight
 	n.inFlight = nil
 	for _, f := range due {
@@ -178,10 +178,10 @@
 		if n.CutOff {
 			return jobrunner.Result{Err: context.DeadlineExceeded}
 		}
-		res.Outcome = w.append(a.Record)
+		res.Outcome = w.appendRecord(a.Record)
 	case jobrunner.VerbStart:
 		if d, ok := w.Strays(); ok {
-			w.stray = append(w.stray, flight{action: a, at: w.Now.Add(d)})
+			w.strayStarts = append(w.strayStarts, delayedAction{action: a, at: w.Now.Add(d)})
 			return jobrunner.Result{Err: platform.ErrUnknownOutcome}
 		}
 		res.Status, res.Err = w.Platform.Start(ctx, a.Spec, a.Op)
@@ -201,13 +201,13 @@
 	return res
 }
 
-// arrive lets strayed starts reach the platform.
-func (w *World) arrive() {
-	due := w.stray
-	w.stray = nil
+// deliverStrayStarts lets strayed starts reach the platform.
+func (w *World) deliverStrayStarts() {
+	due := w.strayStarts
+	w.strayStarts = nil
 	for _, f := range due {
 		if f.at.After(w.Now) {
-			w.stray = append(w.stray, f)
+			w.strayStarts = append(w.strayStarts, f)
 			continue
 		}
 		_, _ = w.Platform.Start(context.Background(), f.action.Spec, f.action.Op)
--- a/internal/bench/planning/fleet.go
+++ b/internal/bench/planning/fleet.go
@@ -12,8 +12,8 @@
 const (
 	zones   = 6
 	perRack = 4
-	// waveTime is the deadline of the measured wave: every VM once in 7 weeks.
-	waveTime = 49 * 24 * time.Hour
+	// waveDeadline is the deadline of the measured wave: every VM once in 7 weeks.
+	waveDeadline = 49 * 24 * time.Hour
 )
 
 const documentFormat = `
--- a/internal/bench/planning/planning.go
+++ b/internal/bench/planning/planning.go
@@ -79,7 +79,7 @@
 	for p := range f.pools {
 		names = append(names, poolName(p))
 	}
-	f.apply(record.SubjectWave, "w", record.WaveStart{Pools: names, Deadline: f.now.Add(waveTime)})
+	f.apply(record.SubjectWave, "w", record.WaveStart{Pools: names, Deadline: f.now.Add(waveDeadline)})
 }
 
 // loseRack loses the VMs of the first rack, an hour ago.
--- a/internal/bench/requests/overload.go
+++ b/internal/bench/requests/overload.go
@@ -26,22 +26,22 @@
 	longWork         = 2 * time.Second
 	overloadReply    = 500 // bytes
 	overloadTime     = 6 * time.Second
-	overloadWarm     = 2 * time.Second
+	overloadWarmUp   = 2 * time.Second
 	// slowFactor is how much longer the slow backend server takes.
 	slowFactor = 5
 )
 
-// sharings of the backend servers' slots; fixed parts are the plain way.
-var sharings = []struct {
+// sharingModes of the backend servers' slots; fixed parts are the plain way.
+var sharingModes = []struct {
 	name string
 	way  routing.Sharing
 }{{"fixed (plain)", routing.SharingFixed}, {"choices", routing.SharingChoices}}
 
-// overload is one case of the measurement.
-type overload struct {
+// overloadCase is one case of the measurement.
+type overloadCase struct {
 	sharing  routing.Sharing
 	multiple float64 // of the load that asks for all slots
-	faulty   bool
+	faults   bool
 }
 
 // Overload measures goodput and latency of quick requests beside long ones, for
@@ -59,8 +59,8 @@
 			},
 		}
 		for _, multiple := range loads {
-			for _, sharing := range sharings {
-				o := overload{sharing.way, multiple, faulty}
+			for _, sharing := range sharingModes {
+				o := overloadCase{sharing.way, multiple, faulty}
 				samples, err := figure.Collect(seeds, func(seed uint64) ([]float64, error) { return o.run(ctx, seed+1) })
 				if err != nil {
 					return nil, err
@@ -74,7 +74,7 @@
 }
 
 // run is one run. It fails where a caller got a wrong answer.
-func (o overload) run(ctx context.Context, seed uint64) ([]float64, error) {
+func (o overloadCase) run(ctx context.Context, seed uint64) ([]float64, error) {
 	r, err := Open(ctx, Options{
 		Zones: []string{"a", "b"}, Backends: overloadBackends, Entries: overloadEntries,
 		Sharing: o.sharing, Claims: LocalClaims(), Logger: hclog.NewNullLogger(),
@@ -83,8 +83,8 @@
 		return nil, err
 	}
 	defer r.Close()
-	if o.faulty {
-		if err := r.breakTwo(ctx); err != nil {
+	if o.faults {
+		if err := r.injectFaults(ctx); err != nil {
 			return nil, err
 		}
 	}
@@ -95,11 +95,11 @@
 	if wrong := report.Wrong(); wrong > 0 {
 		return nil, errors.Errorf("%d wrong answers", wrong)
 	}
-	return figures(report, r.Server.Counters(false).Backends), nil
+	return reportValues(report, r.Server.Counters(false).Backends), nil
 }
 
-func (o overload) plan(r *Rig, seed uint64) load.Plan {
-	plan := load.Plan{Duration: overloadTime, Warm: overloadWarm, InFlight: overloadInFlight, Seed: seed}
+func (o overloadCase) plan(r *Rig, seed uint64) load.Plan {
+	plan := load.Plan{Duration: overloadTime, Warm: overloadWarmUp, InFlight: overloadInFlight, Seed: seed}
 	for _, e := range r.Entries {
 		plan.Targets = append(plan.Targets, e.Target)
 	}
@@ -113,8 +113,8 @@
 	return plan
 }
 
-// breakTwo slows one backend server and has another fail at once.
-func (r *Rig) breakTwo(ctx context.Context) error {
+// injectFaults slows one backend server and has another fail at once.
+func (r *Rig) injectFaults(ctx context.Context) error {
 	list, err := r.Platform.List(ctx)
 	if err != nil {
 		return err
@@ -126,7 +126,7 @@
 	return err
 }
 
-func figures(report load.Report, backends standin.BackendCounters) []float64 {
+func reportValues(report load.Report, backends standin.BackendCounters) []float64 {
 	quick, long := report.Route("quick"), report.Route("long")
 	percent := func(n int) float64 { return 100 * float64(n) / float64(max(1, quick.Sent)) }
 	ms := func(d time.Duration) float64 { return d.Seconds() * 1000 }
--- a/internal/bench/requests/path.go
+++ b/internal/bench/requests/path.go
@@ -21,10 +21,10 @@
 
 const (
 	pathReply = 1000 // bytes
-	// pathMax is the longest call that the histogram tells apart.
-	pathMax = time.Minute
-	// pathDigits is the histogram's precision.
-	pathDigits = 3
+	// maxPathLatency is the longest call that the histogram tells apart.
+	maxPathLatency = time.Minute
+	// pathPrecision is the histogram's precision.
+	pathPrecision = 3
 )
 
 // Path compares a call of a backend server with the same call through an entry,
@@ -47,7 +47,7 @@
 	for _, vm := range list.VMs {
 		direct = append(direct, "http://"+vm.Address+"/lookup")
 	}
-	through := []string{"http://" + r.Entries[0].Target + "/booking/lookup"}
+	viaEntry := []string{"http://" + r.Entries[0].Target + "/booking/lookup"}
 	table := figure.Table{
 		Title:      "a call through an entry and directly (plain)",
 		Labels:     []string{"at once", "way"},
@@ -57,9 +57,9 @@
 		for _, way := range []struct {
 			name string
 			urls []string
-		}{{"direct", direct}, {"through", through}} {
+		}{{"direct", direct}, {"through", viaEntry}} {
 			samples, err := figure.Collect(runs, func(uint64) ([]float64, error) {
-				return path{way.urls, callers, requests}.run(ctx)
+				return pathCase{way.urls, callers, requests}.run(ctx)
 			})
 			if err != nil {
 				return nil, err
@@ -70,14 +70,14 @@
 	return []figure.Table{table}, nil
 }
 
-// path is so many requests to URLs in turn, by callers at once.
-type path struct {
+// pathCase is so many requests to URLs in turn, by callers at once.
+type pathCase struct {
 	urls     []string
 	callers  int
 	requests int
 }
 
-func (p path) run(ctx context.Context) ([]float64, error) {
+func (p pathCase) run(ctx context.Context) ([]float64, error) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: p.callers, DisableCompression: true}}
 	defer client.CloseIdleConnections()
 	var before, after runtime.MemStats
@@ -98,13 +98,13 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, pathMax.Microseconds(), pathDigits)
+	return hdrhistogram.New(1, maxPathLatency.Microseconds(), pathPrecision)
 }
 
 // callAll returns how long the calls took, in microseconds.
-func (p path) callAll(ctx context.Context, client *http.Client) (*hdrhistogram.Histogram, error) {
-	var left atomic.Int64
-	left.Store(int64(p.requests))
+func (p pathCase) callAll(ctx context.Context, client *http.Client) (*hdrhistogram.Histogram, error) {
+	var remaining atomic.Int64
+	remaining.Store(int64(p.requests))
 	took := newHistogram()
 	var failed error
 	var mu sync.Mutex
@@ -113,7 +113,7 @@
 		wg.Go(func() {
 			own := newHistogram()
 			var err error
-			for err == nil && left.Add(-1) >= 0 {
+			for err == nil && remaining.Add(-1) >= 0 {
 				began := time.Now()
 				err = call(ctx, client, p.urls[i%len(p.urls)])
 				_ = own.RecordValue(max(1, time.Since(began).Microseconds()))
--- a/internal/bench/requests/rig.go
+++ b/internal/bench/requests/rig.go
@@ -131,7 +131,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := r.fill(ctx); err != nil {
+	if err := r.publishAndJoin(ctx); err != nil {
 		r.Close()
 		return nil, err
 	}
@@ -203,9 +203,9 @@
 	return e, nil
 }
 
-// fill publishes the document, puts every VM into its pool, and has every entry
+// publishAndJoin publishes the document, puts every VM into its pool, and has every entry
 // be a member that has folded all this.
-func (r *Rig) fill(ctx context.Context) error {
+func (r *Rig) publishAndJoin(ctx context.Context) error {
 	list, err := r.Platform.List(ctx)
 	if err != nil {
 		return err
@@ -258,9 +258,9 @@
 
 // Offset is the last one folded.
 func (r *Rig) Offset() uint64 {
-	var at uint64
-	r.Follower.View(func(s *ledger.State) { at = s.Offset })
-	return at
+	var offset uint64
+	r.Follower.View(func(s *ledger.State) { offset = s.Offset })
+	return offset
 }
 
 // Propose appends a record decided on the present state. It fails where that is
--- a/internal/bench/requests/scrape.go
+++ b/internal/bench/requests/scrape.go
@@ -35,7 +35,7 @@
 	for _, role := range []struct {
 		name     string
 		registry *prometheus.Registry
-	}{{"steward", budgets()}, {"entry", requests()}} {
+	}{{"steward", budgetRegistry()}, {"entry", requestRegistry()}} {
 		samples, err := figure.Collect(runs, func(uint64) ([]float64, error) { return scrape(role.registry) })
 		if err != nil {
 			return nil, err
@@ -45,17 +45,17 @@
 	return []figure.Table{table}, nil
 }
 
-func budgets() *prometheus.Registry {
-	registry, later := prometheus.NewRegistry(), time.Duration(0)
+func budgetRegistry() *prometheus.Registry {
+	registry, elapsed := prometheus.NewRegistry(), time.Duration(0)
 	history := fleet.AtRest(fleet.VMs(scrapedVMs))
 	registry.MustRegister(burnmetrics.New(history, func() time.Time { // never the report kept from the last scrape
-		later += time.Minute
-		return fleet.Epoch.Add(time.Hour + later)
+		elapsed += time.Minute
+		return fleet.Epoch.Add(time.Hour + elapsed)
 	}))
 	return registry
 }
 
-func requests() *prometheus.Registry {
+func requestRegistry() *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	m := requestmetrics.New(registry)
 	for i := range fleet.Pools {
@@ -69,21 +69,21 @@
 	return registry
 }
 
-// answer counts the bytes of a scrape's answer.
-type answer struct {
+// countingWriter counts the bytes of a scrape's answer.
+type countingWriter struct {
 	header http.Header
 	status int
 	bytes  int
 }
 
 // Header implements http.ResponseWriter.
-func (a *answer) Header() http.Header { return a.header }
+func (a *countingWriter) Header() http.Header { return a.header }
 
 // WriteHeader implements http.ResponseWriter.
-func (a *answer) WriteHeader(status int) { a.status = status }
+func (a *countingWriter) WriteHeader(status int) { a.status = status }
 
 // Write implements http.ResponseWriter.
-func (a *answer) Write(data []byte) (int, error) {
+func (a *countingWriter) Write(data []byte) (int, error) {
 	a.bytes += len(data)
 	return len(data), nil
 }
@@ -99,12 +99,12 @@
 				return nil, err
 			}
 			request.Header.Set("Accept-Encoding", encoding)
-			got := &answer{header: http.Header{}, status: http.StatusOK}
-			handler.ServeHTTP(got, request)
-			if got.status != http.StatusOK {
-				return nil, errors.Errorf("a scrape was answered %d", got.status)
+			writer := &countingWriter{header: http.Header{}, status: http.StatusOK}
+			handler.ServeHTTP(writer, request)
+			if writer.status != http.StatusOK {
+				return nil, errors.Errorf("a scrape was answered %d", writer.status)
 			}
-			kilobytes[encoding] = float64(got.bytes) / 1e3
+			kilobytes[encoding] = float64(writer.bytes) / 1e3
 		}
 	}
 	took := time.Since(began).Seconds() * 1e3 / scrapes
--- a/internal/bench/state/busy.go
+++ b/internal/bench/state/busy.go
@@ -14,25 +14,25 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// busySize is a fleet to fold the history of.
-type busySize struct{ vms, pools, teams, jobs int }
+// historySize is a fleet to fold the history of.
+type historySize struct{ vms, pools, teams, jobs int }
 
-// busySizes are the size to design for, a quarter and four times of it.
-var busySizes = []busySize{
+// historySizes are the size to design for, a quarter and four times of it.
+var historySizes = []historySize{
 	{vms: 1000, pools: 24, teams: 160, jobs: 1000},
 	{vms: 4000, pools: 94, teams: 640, jobs: 4000},
 	{vms: 16000, pools: 376, teams: 2560, jobs: 16000},
 }
 
-func (s busySize) String() string {
+func (s historySize) String() string {
 	return fmt.Sprintf("%d / %d / %d / %d", s.vms, s.pools, s.teams, s.jobs)
 }
 
-func (s busySize) teamsPerPool() int { return max(1, s.teams/s.pools) }
+func (s historySize) teamsPerPool() int { return max(1, s.teams/s.pools) }
 
-// busy is a folded fleet and the means to go on with its history.
-type busy struct {
-	size  busySize
+// busyFleet is a folded fleet and the means to go on with its history.
+type busyFleet struct {
+	size  historySize
 	state *ledger.State
 	now   time.Time
 	ids   int
@@ -40,25 +40,25 @@
 	rand  *rand.Rand
 }
 
-// newBusy returns a fleet whose pools are full and whose jobs are queued.
-func newBusy(size busySize, seed uint64) *busy {
-	f := &busy{size: size, state: ledger.New(), now: fleet.Epoch, rand: rand.New(rand.NewPCG(seed, 2))}
+// newBusyFleet returns a fleet whose pools are full and whose jobs are queued.
+func newBusyFleet(size historySize, seed uint64) *busyFleet {
+	f := &busyFleet{size: size, state: ledger.New(), now: fleet.Epoch, rand: rand.New(rand.NewPCG(seed, 2))}
 	perPool := size.vms / size.pools
 	for p := range size.pools {
-		f.must(record.SubjectService, poolName(p), record.DocumentPublish{Text: f.document(p, perPool)})
+		f.mustApply(record.SubjectService, poolName(p), record.DocumentPublish{Text: f.document(p, perPool)})
 	}
 	for v := range size.vms {
 		id := vmName(v)
-		f.must(record.SubjectVM, id, record.VMRegister{
+		f.mustApply(record.SubjectVM, id, record.VMRegister{
 			Zone: fmt.Sprintf("region-%d-zone-%d", v%3, v%6), Rack: fmt.Sprintf("rack-%04d", v/4),
 			Address: fmt.Sprintf("10.%d.%d.%d:8080", v>>16, v>>8&255, v&255), Cores: 32, MemoryMB: 65536,
 		})
-		f.must(record.SubjectVM, id, record.VMJoin{Pool: poolName(min(v/perPool, size.pools-1))})
-		f.must(record.SubjectVM, id, record.VMUp{})
+		f.mustApply(record.SubjectVM, id, record.VMJoin{Pool: poolName(min(v/perPool, size.pools-1))})
+		f.mustApply(record.SubjectVM, id, record.VMUp{})
 	}
 	for j := range size.jobs {
 		p := j % size.pools
-		f.must(record.SubjectJob, jobName(j), record.JobSubmit{
+		f.mustApply(record.SubjectJob, jobName(j), record.JobSubmit{
 			Service: poolName(p), Team: teamName(p, j%size.teamsPerPool()),
 			MilliCores: 2000, MemoryMB: 2048, RunTime: time.Hour, Repeatable: true,
 		})
@@ -71,7 +71,7 @@
 func vmName(v int) string      { return fmt.Sprintf("vm-%05d", v) }
 func jobName(j int) string     { return fmt.Sprintf("job-%06d", j) }
 
-func (f *busy) document(p, n int) string {
+func (f *busyFleet) document(p, n int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, `service = %q
 team = "owner"
@@ -89,7 +89,7 @@
 	return text.String()
 }
 
-func (f *busy) draft(kind record.SubjectKind, name string, body record.Body) record.Record {
+func (f *busyFleet) draft(kind record.SubjectKind, name string, body record.Body) record.Record {
 	f.ids++
 	sub := record.Subject{Kind: kind, Name: name}
 	return record.Record{
@@ -98,27 +98,27 @@
 	}
 }
 
-func (f *busy) must(kind record.SubjectKind, name string, body record.Body) {
+func (f *busyFleet) mustApply(kind record.SubjectKind, name string, body record.Body) {
 	out := f.state.Apply(f.state.Offset+1, f.draft(kind, name, body))
 	invariant.Check(out.Status == ledger.Effective, "%s of a busy fleet: %s", name, out.Reason)
 }
 
-// goOn writes n entries: VMs that fail and come back, drains with reboots, jobs
+// extendLog writes n entries: VMs that fail and come back, drains with reboots, jobs
 // placed and ended. It folds them as it goes; some do not take effect.
-func (f *busy) goOn(n int) {
+func (f *busyFleet) extendLog(n int) {
 	for len(f.log) < n {
 		id := vmName(f.rand.IntN(f.size.vms))
 		f.now = f.now.Add(3 * time.Second)
 		if f.rand.IntN(2) == 0 {
-			f.job()
+			f.appendJobRecord()
 			continue
 		}
-		f.add(f.draft(record.SubjectVM, id, f.vmBody(f.state.VMs[id])))
+		f.appendRecord(f.draft(record.SubjectVM, id, f.nextVMRecord(f.state.VMs[id])))
 	}
 }
 
-// vmBody is what could come next for a VM.
-func (f *busy) vmBody(vm *ledger.VM) record.Body {
+// nextVMRecord is what could come next for a VM.
+func (f *busyFleet) nextVMRecord(vm *ledger.VM) record.Body {
 	switch {
 	case vm.Down || vm.Phase == record.PhaseReturning:
 		return record.VMUp{}
@@ -134,22 +134,22 @@
 	return record.VMDrain{Reason: record.DrainMaintenance, Estimate: 3 * time.Minute}
 }
 
-func (f *busy) job() {
+func (f *busyFleet) appendJobRecord() {
 	name := jobName(f.rand.IntN(f.size.jobs))
 	j := f.state.Jobs[name]
 	if j == nil || j.Ended() {
 		return
 	}
 	if j.Status == ledger.JobPlaced {
-		f.add(f.draft(record.SubjectJob, name, record.JobEnd{Result: record.JobNotStarted}))
+		f.appendRecord(f.draft(record.SubjectJob, name, record.JobEnd{Result: record.JobNotStarted}))
 		return
 	}
 	if vms := slices.Sorted(maps.Keys(f.state.PoolVMs(j.Spec.Service))); len(vms) > 0 {
-		f.add(f.draft(record.SubjectJob, name, record.JobPlace{Worker: vms[0], MilliCores: 100, MemoryMB: 100}))
+		f.appendRecord(f.draft(record.SubjectJob, name, record.JobPlace{Worker: vms[0], MilliCores: 100, MemoryMB: 100}))
 	}
 }
 
-func (f *busy) add(rec record.Record) {
+func (f *busyFleet) appendRecord(rec record.Record) {
 	data, err := record.Encode(rec)
 	invariant.Check(err == nil, "a record cannot be encoded: %v", err)
 	f.log = append(f.log, data)
--- a/internal/bench/state/history.go
+++ b/internal/bench/state/history.go
@@ -25,7 +25,7 @@
 			"snapshot, kB", "encode, ms", "decode, ms", "state in memory, MB",
 		},
 	}
-	for _, size := range busySizes {
+	for _, size := range historySizes {
 		samples, err := figure.Collect(seeds, func(seed uint64) ([]float64, error) { return history(size, seed+1) })
 		if err != nil {
 			return nil, err
@@ -35,27 +35,27 @@
 	return []figure.Table{table}, nil
 }
 
-func history(size busySize, seed uint64) ([]float64, error) {
-	f := newBusy(size, seed)
+func history(size historySize, seed uint64) ([]float64, error) {
+	f := newBusyFleet(size, seed)
 	start, err := ledger.EncodeSnapshot(f.state)
 	if err != nil {
 		return nil, err
 	}
-	f.goOn(foldEntries)
+	f.extendLog(foldEntries)
 	records, bytes, err := decodeAll(f.log)
 	if err != nil {
 		return nil, err
 	}
-	plain, effective, err := foldAll(start, func(s *ledger.State, i int) ledger.Outcome { return s.Apply(s.Offset+1, records[i]) })
+	foldRate, effective, err := foldAll(start, func(s *ledger.State, i int) ledger.Outcome { return s.Apply(s.Offset+1, records[i]) })
 	if err != nil {
 		return nil, err
 	}
-	decoding, _, err := foldAll(start, func(s *ledger.State, i int) ledger.Outcome { return s.ApplyData(s.Offset+1, f.log[i]) })
+	decodeAndFoldRate, _, err := foldAll(start, func(s *ledger.State, i int) ledger.Outcome { return s.ApplyData(s.Offset+1, f.log[i]) })
 	if err != nil {
 		return nil, err
 	}
 	after, err := snapshot(f)
-	values := []float64{plain, decoding, 100 * float64(effective) / foldEntries, float64(bytes) / foldEntries}
+	values := []float64{foldRate, decodeAndFoldRate, 100 * float64(effective) / foldEntries, float64(bytes) / foldEntries}
 	return append(values, after...), err
 }
 
@@ -89,7 +89,7 @@
 
 // snapshot returns the size of a snapshot, the times to encode and decode it,
 // and the live heap of the state that it restores.
-func snapshot(f *busy) ([]float64, error) {
+func snapshot(f *busyFleet) ([]float64, error) {
 	data, err := ledger.EncodeSnapshot(f.state)
 	if err != nil {
 		return nil, err
@@ -102,9 +102,9 @@
 	if err != nil {
 		return nil, err
 	}
-	before := heap()
+	before := liveHeap()
 	s, err := ledger.DecodeSnapshot(data)
-	grown := heap() - before
+	grown := liveHeap() - before
 	runtime.KeepAlive(s)
 	runtime.KeepAlive(f)
 	return []float64{kilobytes(data), encode, decode, float64(grown) / 1e6}, err
--- a/internal/bench/state/quantities.go
+++ b/internal/bench/state/quantities.go
@@ -20,44 +20,44 @@
 )
 
 const (
-	// minTime is how long an operation is repeated for one figure.
-	minTime = 300 * time.Millisecond
+	// minMeasureTime is how long an operation is repeated for one figure.
+	minMeasureTime = 300 * time.Millisecond
 	// downCause is the text of an ordinary failed check.
 	downCause = "health check: connection refused"
 	// foldedVMs go down and up again by turns; all of them are in pools.
 	foldedVMs = 900
-	// waveTime is the deadline of the measured wave: every VM once in 7 weeks.
-	waveTime = 49 * 24 * time.Hour
+	// waveDeadline is the deadline of the measured wave: every VM once in 7 weeks.
+	waveDeadline = 49 * 24 * time.Hour
 )
 
-// subject is a fleet of one size, at rest and at the beginning of a wave over
+// testFleet is a fleet of one size, at rest and at the beginning of a wave over
 // all pools.
-type subject struct {
-	rest, wave *fleet.History
-	snapshot   []byte // of the fleet at rest
-	list       []byte // of the platform, as JSON
-	folds      int
+type testFleet struct {
+	atRest, inWave *fleet.History
+	snapshot       []byte // of the fleet at rest
+	list           []byte // of the platform, as JSON
+	foldCount      int
 }
 
-func newSubject(vms int) (*subject, error) {
+func newTestFleet(vms int) (*testFleet, error) {
 	list := fleet.VMs(vms)
-	s := &subject{rest: fleet.AtRest(list), wave: fleet.NewHistory()}
+	s := &testFleet{atRest: fleet.AtRest(list), inWave: fleet.NewHistory()}
 	var err error
 	if s.list, err = json.Marshal(list); err != nil {
 		return nil, err
 	}
-	if s.snapshot, err = ledger.EncodeSnapshot(s.rest.State); err != nil {
+	if s.snapshot, err = ledger.EncodeSnapshot(s.atRest.State); err != nil {
 		return nil, err
 	}
-	if s.wave.State, err = ledger.DecodeSnapshot(s.snapshot); err != nil {
+	if s.inWave.State, err = ledger.DecodeSnapshot(s.snapshot); err != nil {
 		return nil, err
 	}
 	var pools []string
 	for i := range fleet.Pools {
 		pools = append(pools, fleet.Service(i))
 	}
-	start := record.WaveStart{Pools: pools, Deadline: fleet.Epoch.Add(waveTime)}
-	s.wave.Fold(s.wave.Record(record.SubjectWave, "wave-1", start))
+	start := record.WaveStart{Pools: pools, Deadline: fleet.Epoch.Add(waveDeadline)}
+	s.inWave.Fold(s.inWave.Record(record.SubjectWave, "wave-1", start))
 	return s, nil
 }
 
@@ -65,37 +65,37 @@
 // state at rest, comes last; each VM is up again after it.
 var quantities = []struct {
 	name    string
-	measure func(*subject) (float64, error)
+	measure func(*testFleet) (float64, error)
 }{
-	{"routing table, ms", func(s *subject) (float64, error) {
-		return ms(func() error { routing.Build(s.rest.State); return nil })
+	{"routing table, ms", func(s *testFleet) (float64, error) {
+		return ms(func() error { routing.Build(s.atRest.State); return nil })
 	}},
-	{"planning round, ms", func(s *subject) (float64, error) { return plan(s.rest) }},
-	{"the same in a wave over all pools, ms", func(s *subject) (float64, error) { return plan(s.wave) }},
-	{"the state's copy in a planning round, ms", func(s *subject) (float64, error) {
-		return ms(func() error { pool.NewView(s.rest.State, planned); return nil })
+	{"planning round, ms", func(s *testFleet) (float64, error) { return planningRound(s.atRest) }},
+	{"the same in a wave over all pools, ms", func(s *testFleet) (float64, error) { return planningRound(s.inWave) }},
+	{"the state's copy in a planning round, ms", func(s *testFleet) (float64, error) {
+		return ms(func() error { pool.NewView(s.atRest.State, planTime); return nil })
 	}},
-	{"look for due steps, ms", (*subject).look},
-	{"folded state, live heap, MB", (*subject).memory},
-	{"snapshot, kB", func(s *subject) (float64, error) { return kilobytes(s.snapshot), nil }},
-	{"snapshot encode, ms", func(s *subject) (float64, error) {
-		return ms(func() error { _, err := ledger.EncodeSnapshot(s.rest.State); return err })
+	{"look for due steps, ms", (*testFleet).findDueSteps},
+	{"folded state, live heap, MB", (*testFleet).memory},
+	{"snapshot, kB", func(s *testFleet) (float64, error) { return kilobytes(s.snapshot), nil }},
+	{"snapshot encode, ms", func(s *testFleet) (float64, error) {
+		return ms(func() error { _, err := ledger.EncodeSnapshot(s.atRest.State); return err })
 	}},
-	{"snapshot decode, ms", func(s *subject) (float64, error) {
+	{"snapshot decode, ms", func(s *testFleet) (float64, error) {
 		return ms(func() error { _, err := ledger.DecodeSnapshot(s.snapshot); return err })
 	}},
-	{"platform's list, kB plain", func(s *subject) (float64, error) { return kilobytes(s.list), nil }},
-	{"platform's list, kB in gzip", (*subject).gzipped},
-	{"platform's list, decode, ms", func(s *subject) (float64, error) {
+	{"platform's list, kB plain", func(s *testFleet) (float64, error) { return kilobytes(s.list), nil }},
+	{"platform's list, kB in gzip", (*testFleet).gzipped},
+	{"platform's list, decode, ms", func(s *testFleet) (float64, error) {
 		return ms(func() error { return json.Unmarshal(s.list, new(platform.VMList)) })
 	}},
-	{"decode and fold a record, us", (*subject).fold},
+	{"decode and fold a record, us", (*testFleet).fold},
 }
 
-// planned is the time at which rounds are planned.
-var planned = fleet.Epoch.Add(time.Hour)
+// planTime is the time at which rounds are planned.
+var planTime = fleet.Epoch.Add(time.Hour)
 
-func (s *subject) measure() ([]float64, error) {
+func (s *testFleet) measure() ([]float64, error) {
 	var values []float64
 	for _, q := range quantities {
 		v, err := q.measure(s)
@@ -110,7 +110,7 @@
 // perOperation returns the mean time of an operation, repeated for minTime.
 func perOperation(operation func() error) (time.Duration, error) {
 	began, n := time.Now(), 0
-	for time.Since(began) < minTime {
+	for time.Since(began) < minMeasureTime {
 		if err := operation(); err != nil {
 			return 0, err
 		}
@@ -126,19 +126,19 @@
 
 func kilobytes(data []byte) float64 { return float64(len(data)) / 1e3 }
 
-// plan is one planning round: the copy of the state, taken under the follower's
+// planningRound is one planning round: the copy of the state, taken under the follower's
 // lock, and the plan.
-func plan(h *fleet.History) (float64, error) {
+func planningRound(h *fleet.History) (float64, error) {
 	return ms(func() error {
-		maintenance.Plan(pool.NewView(h.State, planned), pool.DefaultPolicy())
+		maintenance.Plan(pool.NewView(h.State, planTime), pool.DefaultPolicy())
 		return nil
 	})
 }
 
-// look is one look of the executor for VMs with a step due.
-func (s *subject) look() (float64, error) {
+// findDueSteps is one look of the executor for VMs with a step due.
+func (s *testFleet) findDueSteps() (float64, error) {
 	return ms(func() error {
-		for _, vm := range s.rest.State.VMs {
+		for _, vm := range s.atRest.State.VMs {
 			if maintenance.Next(vm) != maintenance.StepNone {
 				return errors.Errorf("VM %s of a fleet at rest has a step due", vm.ID)
 			}
@@ -148,21 +148,21 @@
 }
 
 // memory is the live heap of one folded state.
-func (s *subject) memory() (float64, error) {
-	before := heap()
+func (s *testFleet) memory() (float64, error) {
+	before := liveHeap()
 	state := ledger.New()
-	for i, data := range s.rest.Entries {
+	for i, data := range s.atRest.Entries {
 		state.ApplyData(uint64(i+1), data)
 	}
-	grown := heap() - before
+	grown := liveHeap() - before
 	runtime.KeepAlive(state)
 	runtime.KeepAlive(s)
 	return float64(grown) / 1e6, nil
 }
 
-// heap is the live heap. The second collection frees what the first one's
+// liveHeap is the live heap. The second collection frees what the first one's
 // finalizers released.
-func heap() uint64 {
+func liveHeap() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -170,7 +170,7 @@
 	return m.HeapAlloc
 }
 
-func (s *subject) gzipped() (float64, error) {
+func (s *testFleet) gzipped() (float64, error) {
 	var out bytes.Buffer
 	w := gzip.NewWriter(&out)
 	if _, err := w.Write(s.list); err != nil {
@@ -184,12 +184,12 @@
 
 // fold is the decoding and folding of one record: a VM found down and healthy
 // again by turns.
-func (s *subject) fold() (float64, error) {
+func (s *testFleet) fold() (float64, error) {
 	took, err := perOperation(func() error {
-		id := fmt.Sprintf("vm-%05d", s.folds%foldedVMs)
-		s.folds++
-		s.rest.Fold(s.rest.Record(record.SubjectVM, id, record.VMDown{Cause: downCause}))
-		s.rest.Fold(s.rest.Record(record.SubjectVM, id, record.VMUp{}))
+		id := fmt.Sprintf("vm-%05d", s.foldCount%foldedVMs)
+		s.foldCount++
+		s.atRest.Fold(s.atRest.Record(record.SubjectVM, id, record.VMDown{Cause: downCause}))
+		s.atRest.Fold(s.atRest.Record(record.SubjectVM, id, record.VMUp{}))
 		return nil
 	})
 	return float64(took.Nanoseconds()) / 1e3 / 2, err
--- a/internal/bench/state/state.go
+++ b/internal/bench/state/state.go
@@ -24,7 +24,7 @@
 	columns := make([][]figure.Sample, 0, len(fleet.Sizes))
 	for _, vms := range fleet.Sizes {
 		table.Quantities = append(table.Quantities, fmt.Sprintf("%d VMs", vms))
-		s, err := newSubject(vms)
+		s, err := newTestFleet(vms)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/bench/waves/episode.go
+++ b/internal/bench/waves/episode.go
@@ -15,8 +15,8 @@
 
 // event is something that happens at a time after the episode's start.
 type event struct {
-	at   time.Duration
-	what func(*episode)
+	at     time.Duration
+	action func(*episode)
 }
 
 // episode is one measured run.
@@ -28,12 +28,12 @@
 	events []event
 	err    error // of the first act that was refused
 
-	start, end  time.Time
-	buffer      float64 // VM-seconds free or beyond the sizes
-	trapped     float64 // VM-seconds beyond the sizes
-	short, over float64 // VM-seconds short, and beyond max_unavailable
-	in          map[string]string
-	changes     int // VMs that changed pool or left one
+	start, end          time.Time
+	buffer              float64 // VM-seconds free or beyond the sizes
+	surplus             float64 // VM-seconds beyond the sizes
+	shortage, overLimit float64 // VM-seconds short, and beyond max_unavailable
+	poolOf              map[string]string
+	poolChanges         int // VMs that changed pool or left one
 }
 
 // newEpisode returns an episode whose VMs take 2 to 22 s to drain, 60 to 150 s
@@ -41,7 +41,7 @@
 func newEpisode(r *forecast.Run, d deployment.Deployment, seed uint64) *episode {
 	e := &episode{
 		run: r, rand: rand.New(rand.NewPCG(seed, 1)), lost: map[string]bool{},
-		pools: d.Pools, start: r.Now, in: map[string]string{},
+		pools: d.Pools, start: r.Now, poolOf: map[string]string{},
 	}
 	r.Lost = func(id string) bool { return e.lost[id] }
 	r.Times = func(*ledger.VM) forecast.Times {
@@ -52,18 +52,18 @@
 		}
 	}
 	for id, vm := range r.State.VMs {
-		e.in[id] = vm.Pool
+		e.poolOf[id] = vm.Pool
 	}
 	return e
 }
 
-// at plans an event.
-func (e *episode) at(d time.Duration, what func(*episode)) {
+// schedule plans an event.
+func (e *episode) schedule(d time.Duration, what func(*episode)) {
 	e.events = append(e.events, event{d, what})
 }
 
-// fail loses a VM for a time.
-func (e *episode) fail(id string, d time.Duration) {
+// failVM loses a VM for a time.
+func (e *episode) failVM(id string, d time.Duration) {
 	vm := e.run.State.VMs[id]
 	if e.lost[id] {
 		return
@@ -72,7 +72,7 @@
 	if !vm.Down {
 		e.run.OnVM(id, record.VMDown{Cause: "lost"})
 	}
-	e.at(e.run.Now.Add(d).Sub(e.start), func(e *episode) {
+	e.schedule(e.run.Now.Add(d).Sub(e.start), func(e *episode) {
 		e.lost[id] = false
 		e.run.OnVM(id, record.VMUp{})
 	})
@@ -88,7 +88,7 @@
 	rack := names[e.rand.IntN(len(names))]
 	for _, id := range slices.Sorted(maps.Keys(e.run.State.VMs)) {
 		if e.run.State.VMs[id].Rack == rack {
-			e.fail(id, d)
+			e.failVM(id, d)
 		}
 	}
 }
@@ -105,35 +105,35 @@
 	}
 }
 
-// play moves on in steps for a time after the start and sums up.
-func (e *episode) play(step, total time.Duration) {
+// simulate moves on in steps for a time after the start and sums up.
+func (e *episode) simulate(step, total time.Duration) {
 	for e.run.Now.Sub(e.start) < total && e.err == nil {
 		slices.SortStableFunc(e.events, func(a, b event) int { return cmp.Compare(a.at, b.at) })
 		for len(e.events) > 0 && e.run.Now.Sub(e.start) >= e.events[0].at {
 			next := e.events[0]
 			e.events = e.events[1:]
-			next.what(e)
+			next.action(e)
 		}
 		e.run.To(e.run.Now.Add(step))
-		e.sum(step.Seconds())
+		e.accumulate(step.Seconds())
 	}
 }
 
-func (e *episode) sum(seconds float64) {
+func (e *episode) accumulate(seconds float64) {
 	e.buffer += float64(deployment.Free(e.run)) * seconds
 	for _, name := range e.pools {
 		u := e.run.State.Unavailability(name)
 		spare := float64(max(0, u.Serving-u.Size)) * seconds
 		e.buffer += spare
-		e.trapped += spare
-		e.short += float64(u.Short) * seconds
-		e.over += float64(max(0, u.Short-e.run.State.Services[name].Doc.Budget.MaxUnavailable)) * seconds
+		e.surplus += spare
+		e.shortage += float64(u.Short) * seconds
+		e.overLimit += float64(max(0, u.Short-e.run.State.Services[name].Doc.Budget.MaxUnavailable)) * seconds
 	}
 	for id, vm := range e.run.State.VMs {
-		if was := e.in[id]; was != vm.Pool {
-			e.in[id] = vm.Pool
+		if was := e.poolOf[id]; was != vm.Pool {
+			e.poolOf[id] = vm.Pool
 			if was != "" {
-				e.changes++
+				e.poolChanges++
 			}
 		}
 	}
--- a/internal/bench/waves/flowshop.go
+++ b/internal/bench/waves/flowshop.go
@@ -17,54 +17,54 @@
 // turn is a VM's way through a wave as a two-stage flow shop: its requests and
 // jobs end, then it takes a reboot place. expected is what a planner believes.
 type turn struct {
-	drain, reboot        time.Duration
-	expectedD, expectedR time.Duration
+	drain, reboot                 time.Duration
+	expectedDrain, expectedReboot time.Duration
 }
 
-// pri is the priority of HMHS, a modified Johnson's rule: Sgn(p1-p2)/min(p1,p2),
+// hmhsPriority is the priority of HMHS, a modified Johnson's rule: Sgn(p1-p2)/min(p1,p2),
 // smallest first (Hybrid Multistage Heuristic Scheduling, section 3.1).
-func pri(t turn) float64 {
-	first, second := t.expectedD.Seconds(), t.expectedR.Seconds()
+func hmhsPriority(t turn) float64 {
+	first, second := t.expectedDrain.Seconds(), t.expectedReboot.Seconds()
 	return float64(cmp.Compare(first, second)) / math.Min(first, second)
 }
 
-// busy is a turn under way.
-type busy struct {
+// activeTurn is a turn under way.
+type activeTurn struct {
 	turn
 	began, until time.Duration
 	rebooting    bool
 }
 
-// shop plays turns in order.
-type shop struct {
+// flowShop plays turns in order.
+type flowShop struct {
 	places  int // VMs that may reboot at once
-	running []*busy
+	running []*activeTurn
 	now     time.Duration
 	// What has been measured: when the last VM was back, and the time out of
 	// service over all VMs.
-	makespan, charged time.Duration
-	rebooting         int
+	makespan, outOfService time.Duration
+	rebooting              int
 }
 
-// flow runs turns in order with at most out VMs out and places reboot places,
+// runFlowShop runs turns in order with at most out VMs out and places reboot places,
 // which go to the VM that has waited longest. It returns when the last one is
 // back and the time out of service over all VMs.
-func flow(turns []turn, out, places int) (makespan, charged time.Duration) {
-	s := &shop{places: places}
+func runFlowShop(turns []turn, maxOut, places int) (makespan, outOfService time.Duration) {
+	s := &flowShop{places: places}
 	for len(turns) > 0 || len(s.running) > 0 {
-		for len(turns) > 0 && len(s.running) < out {
-			s.running = append(s.running, &busy{turn: turns[0], began: s.now, until: s.now + turns[0].drain})
+		for len(turns) > 0 && len(s.running) < maxOut {
+			s.running = append(s.running, &activeTurn{turn: turns[0], began: s.now, until: s.now + turns[0].drain})
 			turns = turns[1:]
 		}
 		s.reboot()
 		s.advance()
 	}
-	return s.makespan, s.charged
+	return s.makespan, s.outOfService
 }
 
 // reboot gives the free places to drained VMs, the longest waiting first.
-func (s *shop) reboot() {
-	slices.SortStableFunc(s.running, func(a, b *busy) int { return cmp.Compare(a.until, b.until) })
+func (s *flowShop) reboot() {
+	slices.SortStableFunc(s.running, func(a, b *activeTurn) int { return cmp.Compare(a.until, b.until) })
 	for _, b := range s.running {
 		if !b.rebooting && b.until <= s.now && s.rebooting < s.places {
 			b.rebooting, b.until = true, s.now+b.turn.reboot
@@ -74,7 +74,7 @@
 }
 
 // advance moves on to the next end of a drain or reboot.
-func (s *shop) advance() {
+func (s *flowShop) advance() {
 	next := time.Duration(math.MaxInt64)
 	for _, b := range s.running {
 		if b.until > s.now {
@@ -82,12 +82,12 @@
 		}
 	}
 	s.now = next
-	s.running = slices.DeleteFunc(s.running, func(b *busy) bool {
+	s.running = slices.DeleteFunc(s.running, func(b *activeTurn) bool {
 		if !b.rebooting || b.until > s.now {
 			return false
 		}
 		s.rebooting--
-		s.charged += s.now - b.began
+		s.outOfService += s.now - b.began
 		s.makespan = s.now
 		return true
 	})
@@ -99,9 +99,9 @@
 	compare func(a, b turn) int
 }{
 	{"first come", func(turn, turn) int { return 0 }},
-	{"HMHS Pri", func(a, b turn) int { return cmp.Compare(pri(a), pri(b)) }},
-	{"reversed Pri", func(a, b turn) int { return cmp.Compare(pri(b), pri(a)) }},
-	{"shortest drain", func(a, b turn) int { return cmp.Compare(a.expectedD, b.expectedD) }},
+	{"HMHS Pri", func(a, b turn) int { return cmp.Compare(hmhsPriority(a), hmhsPriority(b)) }},
+	{"reversed Pri", func(a, b turn) int { return cmp.Compare(hmhsPriority(b), hmhsPriority(a)) }},
+	{"shortest drain", func(a, b turn) int { return cmp.Compare(a.expectedDrain, b.expectedDrain) }},
 }
 
 // FlowShop measures what HMHS's order of turns gains where reboot places are
@@ -121,7 +121,7 @@
 				samples, err := figure.Collect(seeds, func(seed uint64) ([]float64, error) {
 					turns := randomTurns(seed, known.noise)
 					slices.SortStableFunc(turns, order.compare)
-					makespan, charged := flow(turns, shape.out, shape.places)
+					makespan, charged := runFlowShop(turns, shape.out, shape.places)
 					return []float64{makespan.Minutes(), charged.Seconds()}, nil
 				})
 				if err != nil {
@@ -137,7 +137,7 @@
 // randomTurns returns turns of which a planner knows the times up to a factor.
 func randomTurns(seed uint64, noise float64) []turn {
 	r := rand.New(rand.NewPCG(seed, 7))
-	blur := func(d time.Duration) time.Duration {
+	perturb := func(d time.Duration) time.Duration {
 		return time.Duration(float64(d) * math.Pow(noise, 2*r.Float64()-1))
 	}
 	turns := make([]turn, turnCount)
@@ -147,7 +147,7 @@
 			d = time.Duration(120+r.IntN(600)) * time.Second
 		}
 		b := time.Duration(60+r.IntN(90)) * time.Second
-		turns[i] = turn{drain: d, reboot: b, expectedD: blur(d), expectedR: blur(b)}
+		turns[i] = turn{drain: d, reboot: b, expectedDrain: perturb(d), expectedReboot: perturb(b)}
 	}
 	return turns
 }
--- a/internal/bench/waves/patience.go
+++ b/internal/bench/waves/patience.go
@@ -15,17 +15,17 @@
 	days         = 3
 	changesSpare = 2
 	changesStep  = 30 * time.Second
-	// leastSize is the size of a pool that is not shrunk further.
-	leastSize = 6
+	// minSize is the size of a pool that is not shrunk further.
+	minSize = 6
 	// A fleet of designedVMs loses dailyLosses of them on an ordinary day; here
 	// VMs fail lossFactor times as often.
-	designedVMs, dailyLosses, lossFactor = 4000, 26, 50
+	designVMs, dailyLosses, lossFactor = 4000, 26, 50
 )
 
 // setting is how long gaps, moves and surpluses must last before VMs move.
 type setting struct {
-	name string
-	wait pool.Patience
+	name     string
+	patience pool.Patience
 }
 
 func settings() []setting {
@@ -52,11 +52,11 @@
 		}
 		for _, s := range settings() {
 			samples, err := figure.Collect(seeds, func(seed uint64) ([]float64, error) {
-				e, err := s.play(d, seed)
+				e, err := s.run(d, seed)
 				if err != nil {
 					return nil, err
 				}
-				return []float64{e.trapped / (days * 24 * 3600), e.short, float64(e.drains()), float64(e.changes)}, nil
+				return []float64{e.surplus / (days * 24 * 3600), e.shortage, float64(e.drains()), float64(e.poolChanges)}, nil
 			})
 			if err != nil {
 				return nil, err
@@ -68,41 +68,41 @@
 	return tables, nil
 }
 
-func (s setting) play(d deployment.Deployment, seed uint64) (*episode, error) {
+func (s setting) run(d deployment.Deployment, seed uint64) (*episode, error) {
 	policy := pool.DefaultPolicy()
-	policy.Patience = map[document.Weigh]pool.Patience{document.WeighBuffer: s.wait, document.WeighMoves: s.wait}
+	policy.Patience = map[document.Weigh]pool.Patience{document.WeighBuffer: s.patience, document.WeighMoves: s.patience}
 	r, err := d.Start(changesSpare, policy)
 	if err != nil {
 		return nil, err
 	}
 	e := newEpisode(r, d, seed)
 	for hour := 1; hour < days*24; hour++ {
-		e.change(time.Duration(hour)*time.Hour, d.Size)
+		e.scheduleChange(time.Duration(hour)*time.Hour, d.Size)
 	}
-	e.play(changesStep, days*24*time.Hour)
+	e.simulate(changesStep, days*24*time.Hour)
 	return e, e.err
 }
 
-// change plans a change of two documents at a time, in half of the cases that it
+// scheduleChange plans a change of two documents at a time, in half of the cases that it
 // is taken back, and now and then a lost VM.
-func (e *episode) change(at time.Duration, fleet int) {
+func (e *episode) scheduleChange(at time.Duration, fleet int) {
 	grow := e.pools[e.rand.IntN(len(e.pools))]
 	shrink := e.pools[e.rand.IntN(len(e.pools))]
 	if grow == shrink {
 		return
 	}
-	e.at(at, func(e *episode) { e.shift(grow, shrink) })
+	e.schedule(at, func(e *episode) { e.resizePair(grow, shrink) })
 	if e.rand.IntN(2) == 0 {
-		e.at(at+time.Duration(1+e.rand.IntN(10))*time.Minute, func(e *episode) { e.shift(shrink, grow) })
+		e.schedule(at+time.Duration(1+e.rand.IntN(10))*time.Minute, func(e *episode) { e.resizePair(shrink, grow) })
 	}
-	if e.rand.IntN(24*days) < lossFactor*days*dailyLosses*fleet/designedVMs {
-		e.at(at+17*time.Minute, func(e *episode) { e.fail(e.randomVM(), time.Duration(5+e.rand.IntN(240))*time.Minute) })
+	if e.rand.IntN(24*days) < lossFactor*days*dailyLosses*fleet/designVMs {
+		e.schedule(at+17*time.Minute, func(e *episode) { e.failVM(e.randomVM(), time.Duration(5+e.rand.IntN(240))*time.Minute) })
 	}
 }
 
-// shift takes a VM from one document to another while both stay sensible.
-func (e *episode) shift(grow, shrink string) {
-	if e.run.State.Services[shrink].Doc.Pool.Size <= leastSize {
+// resizePair takes a VM from one document to another while both stay sensible.
+func (e *episode) resizePair(grow, shrink string) {
+	if e.run.State.Services[shrink].Doc.Pool.Size <= minSize {
 		return
 	}
 	e.resize(shrink, -1)
--- a/internal/bench/waves/reserve.go
+++ b/internal/bench/waves/reserve.go
@@ -18,7 +18,7 @@
 	}
 	tables := []figure.Table{needed}
 	for _, d := range deployments {
-		table, err := fewerSpare(d, seeds)
+		table, err := measureSpare(d, seeds)
 		if err != nil {
 			return nil, err
 		}
@@ -52,21 +52,21 @@
 	return table, nil
 }
 
-// fewerSpare shows what fewer spare VMs cost under each reserve.
-func fewerSpare(d deployment.Deployment, seeds int) (figure.Table, error) {
+// measureSpare shows what fewer spare VMs cost under each reserve.
+func measureSpare(d deployment.Deployment, seeds int) (figure.Table, error) {
 	table := figure.Table{
 		Title:      d.Name + ", mixed, by spare VMs",
 		Labels:     []string{"spare VMs", "reserve"},
 		Quantities: []string{"roll-out min", "short VM-s", "over max VM-s"},
 	}
-	for spare := range oneEach + 1 {
+	for spare := range onePerPool + 1 {
 		for _, v := range variants[:2] {
 			samples, err := figure.Collect(seeds, func(seed uint64) ([]float64, error) {
-				e, err := mixed.play(v, d, spare, seed)
+				e, err := mixed.run(v, d, spare, seed)
 				if err != nil {
 					return nil, err
 				}
-				return []float64{e.end.Sub(e.start).Minutes(), e.short, e.over}, nil
+				return []float64{e.end.Sub(e.start).Minutes(), e.shortage, e.overLimit}, nil
 			})
 			if err != nil {
 				return table, err
--- a/internal/bench/waves/waves.go
+++ b/internal/bench/waves/waves.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// measured is how long each run of a wave is watched, also after its end, so
+	// observedTime is how long each run of a wave is watched, also after its end, so
 	// that sums over time compare.
-	measured = 5 * time.Hour
-	// step is the resolution of the sums over a wave.
-	step = 10 * time.Second
-	// deadline of the measured waves, far enough to force no turn.
-	deadline = 24 * time.Hour
-	// oneEach is the spare VMs where the plain way has one for each pool.
-	oneEach = 5
+	observedTime = 5 * time.Hour
+	// sampleInterval is the resolution of the sums over a wave.
+	sampleInterval = 10 * time.Second
+	// waveDeadline of the measured waves, far enough to force no turn.
+	waveDeadline = 24 * time.Hour
+	// onePerPool is the spare VMs where the plain way has one for each pool.
+	onePerPool = 5
 )
 
 // scenario is what happens during a wave.
@@ -30,40 +30,40 @@
 var (
 	noFaults = scenario{"no faults", func(*episode) {}}
 	rackLost = scenario{"rack lost in mid-wave", func(e *episode) {
-		e.at(5*time.Minute, func(e *episode) { e.failRack(4 * time.Hour) })
+		e.schedule(5*time.Minute, func(e *episode) { e.failRack(4 * time.Hour) })
 	}}
 	// mixed loses a rack for two hours and four VMs for 20 to 140 minutes, while a
 	// pair of documents is changed, changed back and changed again.
 	mixed = scenario{"mixed", func(e *episode) {
-		e.at(5*time.Minute, func(e *episode) { e.failRack(2 * time.Hour) })
+		e.schedule(5*time.Minute, func(e *episode) { e.failRack(2 * time.Hour) })
 		for range 4 {
-			e.at(time.Duration(e.rand.IntN(30))*time.Minute, func(e *episode) {
-				e.fail(e.randomVM(), time.Duration(20+e.rand.IntN(120))*time.Minute)
+			e.schedule(time.Duration(e.rand.IntN(30))*time.Minute, func(e *episode) {
+				e.failVM(e.randomVM(), time.Duration(20+e.rand.IntN(120))*time.Minute)
 			})
 		}
 		grow, shrink := e.pools[e.rand.IntN(2)], e.pools[2+e.rand.IntN(3)]
 		shift := func(by int) func(*episode) {
 			return func(e *episode) { e.resize(grow, by); e.resize(shrink, -by) }
 		}
-		e.at(8*time.Minute, shift(1))
-		e.at(9*time.Minute, shift(-1))
-		e.at(12*time.Minute, shift(1))
+		e.schedule(8*time.Minute, shift(1))
+		e.schedule(9*time.Minute, shift(-1))
+		e.schedule(12*time.Minute, shift(1))
 	}}
 )
 
-// play runs one wave over all pools. One that does not end counts as ended at
+// run runs one wave over all pools. One that does not end counts as ended at
 // the end of the run.
-func (s scenario) play(v variant, d deployment.Deployment, spare int, seed uint64) (*episode, error) {
+func (s scenario) run(v variant, d deployment.Deployment, spare int, seed uint64) (*episode, error) {
 	r, err := v.start(d, spare)
 	if err != nil {
 		return nil, err
 	}
 	e := newEpisode(r, d, seed)
 	s.setup(e)
-	if err := deployment.StartWave(r, deadline, d.Pools...); err != nil {
+	if err := deployment.StartWave(r, waveDeadline, d.Pools...); err != nil {
 		return nil, err
 	}
-	e.play(step, measured)
+	e.simulate(sampleInterval, observedTime)
 	e.end = r.Now
 	if w := r.State.Waves[deployment.WaveID]; w.Status != ledger.WaveRunning {
 		e.end = w.FinishedAt
@@ -77,7 +77,7 @@
 	var tables []figure.Table
 	for _, d := range deployments {
 		for _, s := range []scenario{noFaults, rackLost, mixed} {
-			table, err := policies(d, s, seeds)
+			table, err := measurePolicies(d, s, seeds)
 			if err != nil {
 				return nil, err
 			}
@@ -87,22 +87,22 @@
 	return tables, nil
 }
 
-func policies(d deployment.Deployment, s scenario, seeds int) (figure.Table, error) {
+func measurePolicies(d deployment.Deployment, s scenario, seeds int) (figure.Table, error) {
 	table := figure.Table{
-		Title:      fmt.Sprintf("%s, %s, %d VMs + %d spare", d.Name, s.name, d.Size, oneEach),
+		Title:      fmt.Sprintf("%s, %s, %d VMs + %d spare", d.Name, s.name, d.Size, onePerPool),
 		Labels:     []string{"policy"},
 		Quantities: []string{"roll-out min", "buffer VM", "short VM-s", "over max VM-s", "drains", "pool changes", "skipped"},
 	}
 	for _, v := range variants {
 		samples, err := figure.Collect(seeds, func(seed uint64) ([]float64, error) {
-			e, err := s.play(v, d, oneEach, seed)
+			e, err := s.run(v, d, onePerPool, seed)
 			if err != nil {
 				return nil, err
 			}
 			skipped := len(e.run.State.Waves[deployment.WaveID].Skips)
 			return []float64{
-				e.end.Sub(e.start).Minutes(), e.buffer / measured.Seconds(), e.short, e.over,
-				float64(e.drains()), float64(e.changes), float64(skipped),
+				e.end.Sub(e.start).Minutes(), e.buffer / observedTime.Seconds(), e.shortage, e.overLimit,
+				float64(e.drains()), float64(e.poolChanges), float64(skipped),
 			}, nil
 		})
 		if err != nil {
--- a/internal/bench/waves/waves_test.go
+++ b/internal/bench/waves/waves_test.go
@@ -21,10 +21,10 @@
 	for _, d := range deployments {
 		for _, v := range variants {
 			t.Run(d.Name+"/"+strings.ReplaceAll(v.name, " ", "-"), func(t *testing.T) {
-				e, err := noFaults.play(v, d, oneEach, 1)
+				e, err := noFaults.run(v, d, onePerPool, 1)
 				require.NoError(t, err)
 				require.Equal(t, ledger.WaveDone, e.run.State.Waves[deployment.WaveID].Status)
-				require.Zero(t, e.over)
+				require.Zero(t, e.overLimit)
 			})
 		}
 	}
