--- a/internal/bench/jobs/arrivals.go
+++ b/internal/bench/jobs/arrivals.go
@@ -10,14 +10,15 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// poolSetup is one pool of the brief.
+// poolSetup is the pool and the job mix of one deployment.
 type poolSetup struct {
 	name        string
 	workers     int
 	cores       int
 	memoryMB    int
-	urgentCores int // cores held back for urgent work
-	// jobCores are cores of jobs; runs their mean run time.
+	urgentCores int // cores reserved for urgent jobs
+	// Each job takes its cores from jobCores, all equally likely. Run times are
+	// exponential with the mean meanRunTime.
 	jobCores    []int
 	meanRunTime time.Duration
 }
@@ -27,7 +28,8 @@
 	{name: "feldkamm", workers: 9, cores: 64, memoryMB: 262144, urgentCores: 32, jobCores: []int{2, 4, 8, 8, 16, 32}, meanRunTime: 4 * time.Minute},
 }
 
-// event is one planned event of a replay.
+// event is a submission, a cancellation or a fault, at a time after the start
+// of a replay.
 type event struct {
 	at     time.Duration
 	id     string
@@ -36,10 +38,12 @@
 	fault  *standin.Fault
 }
 
-// targetLoad is how much of the pool's cores the declared jobs ask for.
+// targetLoad is the share of the pool's cores that arriving jobs occupy on
+// average, by their declared cores.
 const targetLoad = 0.85
 
-// arrivals draws the jobs of one seed.
+// arrivals returns the submissions of a replay as a Poisson process. If
+// misdeclared is set, each job also uses other resources than it declares.
 func (d poolSetup) arrivals(r *rand.Rand, misdeclared bool) []event {
 	mean := 0.0
 	for _, s := range d.jobCores {
@@ -81,20 +85,21 @@
 	return p
 }
 
-// taskReality makes the job use another size than it declares, alike for all of its
-// team and size.
+// taskReality returns the fault that makes the job use other resources than it
+// declares, by a factor that depends only on its team and size.
 func (p event) taskReality() event {
 	factors := []float64{0.3, 0.5, 1, 1.5, 2}
 	f := factors[(len(p.spec.Team)*7+int(p.spec.Team[0])+p.spec.MilliCores/1000)%len(factors)]
 	return event{at: p.at, fault: &standin.Fault{Kind: standin.TaskReality, Target: p.id, CoresFactor: f, MemoryFactor: f}}
 }
 
-// scenario is what goes wrong.
+// scenario is a set of faults and cancellations during a replay.
 type scenario struct {
 	name        string
 	misdeclared bool
 	events      func(d poolSetup) []event
-	// ablations names the policies that leave out what matters here.
+	// ablations names the policies that switch off a feature which matters in
+	// this scenario. They are measured beside the full and the plain policy.
 	ablations []string
 }
 
@@ -107,7 +112,8 @@
 	{name: "cancellations", ablations: []string{"no-settling"}, events: cancellations},
 }
 
-// cancellations lets a team submit 150 jobs and cancel them in turn, twice.
+// cancellations makes a team submit a batch of 150 jobs and cancel them one by
+// one, twice in a replay.
 func cancellations(d poolSetup) []event {
 	var events []event
 	for _, begin := range []time.Duration{8 * time.Minute, 18 * time.Minute} {
--- a/internal/bench/jobs/batch.go
+++ b/internal/bench/jobs/batch.go
@@ -12,7 +12,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/placement"
 )
 
-// Size of a batch.
+// Sizes of the batch measurement.
 const (
 	batchJobs     = 300
 	batchJobMB    = 100
@@ -22,11 +22,11 @@
 	batchSlots    = 8
 )
 
-// Batch measures Min-Min of HMHS (Chen, Shen, Chen and Guo, "HMHS: Hybrid
+// Batch compares Min-Min of HMHS (Chen, Shen, Chen and Guo, "HMHS: Hybrid
 // Multistage Heuristic Scheduling Algorithm for Heterogeneous MapReduce System",
-// section 3.2) against plain orders: a batch of jobs, all there at time zero, on
-// workers of unequal speed whose speeds are known, with run times that are known
-// and ones that are wrong.
+// section 3.2) with simple orders. All jobs of a batch are submitted at time
+// zero. The workers differ in speed, and their speeds are known. Run times are
+// declared exactly in one case and wrongly in the other.
 func Batch(seeds int) ([]figure.Table, error) {
 	table := figure.Table{
 		Title:      fmt.Sprintf("%d jobs at time zero on %d workers with speeds 0.5 to 1.5", batchJobs, batchWorkers),
@@ -47,7 +47,7 @@
 	return []figure.Table{table}, nil
 }
 
-// batch is jobs and workers with their speeds.
+// batch simulates queued and running jobs on workers of different speeds.
 type batch struct {
 	workers       []placement.Worker
 	queue         []placement.Job
@@ -63,8 +63,8 @@
 	job    placement.Job
 }
 
-// newBatch draws jobs and workers. Declared run times are the real ones,
-// or, where not known, wrong by up to four times either way.
+// newBatch returns a batch of random jobs on idle workers of random speeds. If
+// known is false, declared run times are wrong by a factor of 1/4 to 4.
 func newBatch(seed uint64, known bool) *batch {
 	r, errorRand := rand.New(rand.NewPCG(seed, 7)), rand.New(rand.NewPCG(seed, 8))
 	s := &batch{actualSeconds: map[string]float64{}}
@@ -87,7 +87,8 @@
 	return s
 }
 
-// pick returns the next job of the queue and its worker, or false.
+// pick returns the indices of the next job to start and of its worker. ok is
+// false if no queued job fits a worker.
 type pick func(s *batch) (job, worker int, ok bool)
 
 var batchRules = []struct {
@@ -114,8 +115,8 @@
 	return -float64(s.workers[w].Free.MilliCores - s.queue[j].Want.MilliCores)
 }
 
-// firstCome returns the first job of the queue that fits, on the worker with
-// the highest score.
+// firstCome picks the first job of the queue that fits a worker, and of these
+// workers the one with the highest score.
 func (s *batch) firstCome(score func(j, w int) float64) (int, int, bool) {
 	for j := range s.queue {
 		best := -1
@@ -131,7 +132,7 @@
 	return 0, 0, false
 }
 
-// minMin returns the pair that is expected to complete first.
+// minMin picks the job and worker with the shortest expected run time.
 func minMin(s *batch) (int, int, bool) {
 	bestJ, bestW, bestAt := -1, -1, 0.0
 	for j := range s.queue {
@@ -145,8 +146,8 @@
 	return bestJ, bestW, bestJ >= 0
 }
 
-// run places and ends jobs until none is left. It returns when the last one ended
-// and the mean of their ends, in seconds.
+// run simulates the batch until all jobs have completed. It returns the time of
+// the last completion and the mean completion time, in seconds.
 func (s *batch) run(pick pick) (makespan, mean float64) {
 	n := float64(len(s.queue))
 	for len(s.queue)+len(s.completions) > 0 {
--- a/internal/bench/jobs/fleet.go
+++ b/internal/bench/jobs/fleet.go
@@ -12,15 +12,16 @@
 
 const (
 	steadyLease = 30 * time.Second
-	// runningJobs are on each worker.
+	// runningJobs is the number of running jobs on each worker.
 	runningJobs = 2
-	// manySlots and manyCores are more than the jobs need.
+	// manySlots and manyCores exceed what the jobs need.
 	manySlots = 8
 	manyCores = 1 << 30
 )
 
-// runningFleet folds a fleet with running jobs, and queued ones besides, for each
-// worker.
+// runningFleet returns the state of a fleet in which each worker has runningJobs
+// running jobs, and queued more jobs wait for each worker. It also returns the
+// time of the state.
 func runningFleet(workers, pools, queued int) (*ledger.State, time.Time) {
 	st, now := ledger.New(), Begin
 	for i := range pools {
@@ -38,7 +39,7 @@
 		out := st.Apply(offset, record.Record{
 			ID: fmt.Sprint(offset), Subject: sub, Base: st.Revision(sub), Seen: st.Offset, Time: now, Body: body,
 		})
-		invariant.Check(out.Status == ledger.Effective, "%s of a measured fleet: %s", name, out.Reason)
+		invariant.Check(out.Status == ledger.Effective, "record about %s in the benchmark fleet has no effect: %s", name, out.Reason)
 	}
 	for i := range workers {
 		vm, pool := fmt.Sprintf("vm-%d", i), poolName(i%pools)
--- a/internal/bench/jobs/replay.go
+++ b/internal/bench/jobs/replay.go
@@ -19,13 +19,15 @@
 	replayTime = 30 * time.Minute
 	replayTick = 250 * time.Millisecond
 	usageLag   = 10 * time.Second
-	// urgentStartLimit is what the users ask for; a later start is late.
+	// urgentStartLimit is the users' requirement for the start of urgent jobs. A
+	// later start counts as late.
 	urgentStartLimit = 6700 * time.Millisecond
-	// earlyCancelLimit counts a start as wasted when its job is cancelled that soon.
+	// earlyCancelLimit is the time after a job's first start within which a
+	// cancellation makes the start count as wasted.
 	earlyCancelLimit = 5 * time.Second
 )
 
-// policy is one way to run the pool.
+// policy is a configuration of the job runner.
 type policy struct {
 	name string
 	cfg  jobrunner.CoreConfig
@@ -46,13 +48,13 @@
 	{name: "min-min", cfg: jobrunner.CoreConfig{Policy: placement.Policy{MinMin: true}}},
 }
 
-// quantities of one replay.
+// quantities are the results of one replay.
 var quantities = []string{
 	"late urgent, %", "urgent p99, s", "wasted starts", "lost jobs", "cores used, %", "overload, %", "jobs done", "mean wait, s", "preempted",
 }
 
-// Replay measures the policies against their plain baselines on one pool of each
-// deployment. Arrivals depend on the seed alone, so that all policies see the
+// Replay compares the policies with the plain baseline on one pool of each
+// deployment. Arrivals depend only on the seed, so that all policies get the
 // same jobs.
 func Replay(seeds int) ([]figure.Table, error) {
 	table := figure.Table{
@@ -75,7 +77,8 @@
 	return []figure.Table{table}, nil
 }
 
-// replayStats sums what is sampled while a replay runs.
+// replayStats accumulates samples during a replay: core-seconds used, in excess
+// of the workers' cores and available, and the starts of each job.
 type replayStats struct {
 	used, overload, capacity float64
 	firstStart               map[string]time.Time
@@ -110,8 +113,8 @@
 	return w.measure(stats), nil
 }
 
-// apply lets one planned event happen. What the fold makes of its record is part of
-// what is measured.
+// apply carries out an event. A record without effect is no error, since the
+// effect of records is part of the measurement.
 func (w *World) apply(p event) error {
 	sub := record.Subject{Kind: record.SubjectJob, Name: p.id}
 	switch {
@@ -126,7 +129,8 @@
 	return nil
 }
 
-// sample notes first starts at each step, and the workers' use each second.
+// sample records the jobs' starts after each step, and the workers' usage once a
+// second.
 func (s *replayStats) sample(w *World, step int) error {
 	for id, n := range w.Platform.Counters().JobStarts {
 		if s.starts[id] == 0 && n > 0 {
--- a/internal/bench/jobs/speed.go
+++ b/internal/bench/jobs/speed.go
@@ -15,20 +15,20 @@
 	speedTeams    = 640
 	speedCores    = 32
 	speedMemoryMB = 65536
-	// minMeasureTime is how long an operation is repeated for one figure.
+	// minMeasureTime is how long an operation is repeated for one result.
 	minMeasureTime = 300 * time.Millisecond
 )
 
-// fleetSize is pools to place jobs in.
+// fleetSize is a number of workers and the pools that they are divided into.
 type fleetSize struct{ workers, pools int }
 
-// fleetSizes are the size to design for, a quarter and four times of it, and the
-// largest as a single pool.
+// fleetSizes are a quarter of the design size, the design size, four times of it,
+// and the largest fleet as a single pool.
 var fleetSizes = []fleetSize{{1000, 94}, {4000, 94}, {16000, 94}, {16000, 1}}
 
-// Speed measures one placement, the search for the jobs that an urgent one
-// displaces, and the snapshot of a pool from the folded state, as the fleet
-// grows.
+// Speed measures, for fleets of different sizes, the placement of a job, the
+// choice of jobs to preempt for an urgent one, and the snapshot of a pool from
+// the folded state.
 func Speed(runs int) ([]figure.Table, error) {
 	table := figure.Table{
 		Title:      fmt.Sprintf("placement, %d teams", speedTeams),
@@ -50,7 +50,8 @@
 
 func (s fleetSize) teamsPerPool() int { return max(1, speedTeams/s.pools) }
 
-// buildPools returns every pool at about half load.
+// buildPools returns pools whose workers have zero to four running jobs of 4
+// cores, a quarter of all cores.
 func (s fleetSize) buildPools() []*placement.Pool {
 	list := make([]*placement.Pool, s.pools)
 	perPool := s.workers / s.pools
@@ -79,7 +80,7 @@
 
 func teamName(t int) string { return fmt.Sprintf("team-%d", t) }
 
-// addRunningJob puts a running job that can be checkpointed on a worker.
+// addRunningJob adds a checkpointable running job to a worker.
 func addRunningJob(w *placement.Worker, id string, cores int) {
 	r := placement.Running{
 		Job: id, Team: teamName(0), Reserved: resources(cores, 1), FullMilliCores: cores * 1000,
@@ -98,7 +99,8 @@
 	}
 }
 
-// meanMicroseconds returns the mean microseconds of an operation that times itself.
+// meanMicroseconds repeats an operation, which returns its own duration, for
+// minMeasureTime. It returns the mean duration in microseconds.
 func meanMicroseconds(operation func(n int) time.Duration) float64 {
 	total, n := time.Duration(0), 0
 	for began := time.Now(); time.Since(began) < minMeasureTime; n++ {
@@ -107,8 +109,8 @@
 	return float64(total.Nanoseconds()) / 1000 / float64(n)
 }
 
-// measurePlacement measures one placement: a queued job on a pool's snapshot. The room is
-// freed again, so that the load stays as built.
+// measurePlacement measures the placement of a queued job in a pool's snapshot.
+// Each placed job is removed again, so that the load stays the same.
 func (s fleetSize) measurePlacement() float64 {
 	pools := s.buildPools()
 	return meanMicroseconds(func(n int) time.Duration {
@@ -136,7 +138,7 @@
 	p.Teams[j.Team] = q
 }
 
-// measureMakeRoom measures the search for the jobs that an urgent one displaces in a
+// measureMakeRoom measures the choice of jobs to preempt for an urgent job in a
 // full pool.
 func (s fleetSize) measureMakeRoom() float64 {
 	pools := s.buildPools()
@@ -166,7 +168,7 @@
 	return &c
 }
 
-// measureSnapshot measures the snapshot of one pool from the folded state.
+// measureSnapshot measures the snapshot of a pool from the folded state.
 func (s fleetSize) measureSnapshot(state *ledger.State) float64 {
 	return meanMicroseconds(func(n int) time.Duration {
 		began := time.Now()
--- a/internal/bench/jobs/steady.go
+++ b/internal/bench/jobs/steady.go
@@ -18,16 +18,18 @@
 	steadyPools    = 94
 	steadyStewards = 8
 	steadyTick     = 200 * time.Millisecond
-	// warmUpSteps are two minutes, until every task is known.
+	// warmUpSteps are two minutes of steps, after which the status of every task
+	// is known.
 	warmUpSteps = 600
-	// steadyTime is how long steps are timed, by the real clock.
+	// steadyTime is how long steps are measured, in real time.
 	steadyTime = 2 * time.Second
 )
 
-// Steady measures one steward of eight in steady state: 94 pools, two running
-// jobs on each worker with a lease of 30 s and a run time of an hour, a step
-// every 200 ms of a virtual clock. It gives the share of a core and the calls to
-// the platform for each second of that clock.
+// Steady measures the job runner of one of eight stewards in steady state: 94
+// pools, two running jobs on each worker with a lease of 30 s and a run time of
+// an hour, and a step every 200 ms of a virtual clock. The results are the
+// processor time as a share of one core and the calls to the platform, both per
+// second of the virtual clock.
 func Steady(runs int) ([]figure.Table, error) {
 	table := figure.Table{
 		Title:      "one of eight stewards in steady state, two tasks a worker",
@@ -54,9 +56,9 @@
 		Rank: func(pool string) int {
 			n, err := strconv.Atoi(strings.TrimPrefix(pool, "pool-"))
 			if err != nil {
-				rankErr = errors.Wrap(err, "name of a pool")
+				rankErr = errors.Wrap(err, "parse the name of a pool")
 			}
-			return n % steadyStewards // an eighth of the pools for each
+			return n % steadyStewards // each steward owns an eighth of the pools
 		},
 	}, now)
 	step := func() {
@@ -79,7 +81,7 @@
 	return []float64{100 * time.Since(began).Seconds() / seconds, float64(calls) / seconds}, rankErr
 }
 
-// platformReply is the reply of a platform on which every task runs.
+// platformReply returns the platform's reply to an action while every task runs.
 func platformReply(st *ledger.State, a jobrunner.Action) jobrunner.Result {
 	res := jobrunner.Result{Action: a}
 	if a.Verb == jobrunner.VerbStatus {
--- a/internal/bench/jobs/world.go
+++ b/internal/bench/jobs/world.go
@@ -1,6 +1,6 @@
-// Package jobs plays stewards' job runners against the stand-in under a virtual
-// clock, and measures the policies of placement beside a plain baseline. Figures
-// are in docs/MEASUREMENTS.md, section "Jobs".
+// Package jobs simulates the stewards' job runners against the stand-in platform
+// under a virtual clock, and compares the placement policies with a plain
+// baseline. Results are in docs/MEASUREMENTS.md, section "Jobs".
 package jobs
 
 import (
@@ -17,31 +17,32 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// Service owns the one pool of a world.
+// Service is the service whose pool a world has.
 const Service = "export"
 
-// Begin is when a world's clock starts.
+// Begin is the start time of a world's clock.
 var Begin = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// Node is one steward: its own fold of the log, its Core, and the actions that
-// it has in flight.
+// Node is one steward: its Core, its state as folded from the log, and its
+// actions in flight.
 type Node struct {
 	Core   *jobrunner.Core
 	State  *ledger.State
-	CutOff bool      // from the log
-	Wakes  time.Time // it is paused until then
+	CutOff bool      // the node can't reach the log
+	Wakes  time.Time // the node is paused until this time
 
 	stateReadAt time.Time
 	inFlight    []delayedAction
 }
 
-// delayedAction is an action with the time at which it reaches the platform or log.
+// delayedAction is an action and the time at which it reaches the platform or
+// the log.
 type delayedAction struct {
 	action jobrunner.Action
 	at     time.Time
 }
 
-// Shape is what a world is made of.
+// Shape is the size and configuration of a world.
 type Shape struct {
 	Stewards int
 	Workers  int
@@ -52,26 +53,27 @@
 	Tick     time.Duration
 }
 
-// World runs stewards against the stand-in under a virtual clock. A nil node is
-// one that has ended.
+// World runs stewards against the stand-in platform under a virtual clock. A nil
+// entry of Nodes is a steward whose process has ended.
 type World struct {
 	Shape
 	Now      time.Time
-	Main     *ledger.State // the fold of the whole log
+	Main     *ledger.State // the state after the whole log
 	Platform *standin.Platform
 	Nodes    []*Node
-	// Latency returns how long an action takes to arrive.
+	// Latency returns how long an action takes to reach the platform or the log.
 	Latency func() time.Duration
-	// Strays returns whether a start gets no reply and arrives later.
+	// Strays reports whether the reply to a start is lost, and returns the delay
+	// after which that start reaches the platform.
 	Strays func() (time.Duration, bool)
-	Trace  []jobrunner.Verb // actions carried out
+	Trace  []jobrunner.Verb // actions that have been executed
 
 	log         [][]byte
 	ids         int
 	strayStarts []delayedAction
 }
 
-// New returns a world whose workers are all in the pool.
+// New returns a world whose workers have all joined the pool and are up.
 func New(s Shape) *World {
 	w := &World{Shape: s, Now: Begin, Main: ledger.New(), Latency: func() time.Duration { return 0 }}
 	w.Strays = func() (time.Duration, bool) { return 0, false }
@@ -86,7 +88,7 @@
 		register := record.VMRegister{Zone: "a", Rack: "a-1", Address: "10.0.0.1:80", Cores: s.Cores, MemoryMB: s.MemoryMB}
 		for _, body := range []record.Body{register, record.VMJoin{Pool: Service}, record.VMUp{}} {
 			out := w.Write(sub, body)
-			invariant.Check(out.Status == ledger.Effective, "worker of a new world: %s", out.Reason)
+			invariant.Check(out.Status == ledger.Effective, "record about a worker of a new world has no effect: %s", out.Reason)
 		}
 	}
 	w.Nodes = make([]*Node, s.Stewards)
@@ -96,7 +98,7 @@
 	return w
 }
 
-// Boot starts steward i anew with an empty memory.
+// Boot starts a new process of steward i, with an empty state.
 func (w *World) Boot(i int) {
 	n := &Node{State: ledger.New(), Wakes: w.Now}
 	n.State.Services[Service] = &ledger.Service{Doc: w.Doc}
@@ -113,20 +115,22 @@
 	return fmt.Sprintf("id-%06d", w.ids)
 }
 
-// appendRecord puts a record on the log.
+// appendRecord appends a record to the log.
 func (w *World) appendRecord(rec record.Record) ledger.Outcome {
 	data, err := record.Encode(rec)
-	invariant.Check(err == nil, "a record cannot be encoded: %v", err)
+	invariant.Check(err == nil, "encode a record: %v", err)
 	w.log = append(w.log, data)
 	return w.Main.ApplyData(uint64(len(w.log)), data)
 }
 
-// Write appends an operator's record.
+// Write appends a record that is based on the latest state, as an operator's
+// command does.
 func (w *World) Write(sub record.Subject, body record.Body) ledger.Outcome {
 	return w.appendRecord(record.Record{ID: w.newID(), Subject: sub, Base: w.Main.Revision(sub), Seen: w.Main.Offset, Time: w.Now, Body: body})
 }
 
-// Step moves the clock on by a tick and lets every node that is awake act.
+// Step advances the clock by a tick and then runs a step of each node that is
+// not paused.
 func (w *World) Step() {
 	w.Now = w.Now.Add(w.Tick)
 	w.deliverStrayStarts()
@@ -144,7 +148,7 @@
 	}
 }
 
-// readLog folds the log to its end.
+// readLog applies the log up to its end to the node's state.
 func (w *World) readLog(n *Node) {
 	for n.State.Offset < uint64(len(w.log)) {
 		n.State.ApplyData(n.State.Offset+1, w.log[n.State.Offset])
@@ -152,7 +156,8 @@
 	n.stateReadAt = w.Now
 }
 
-// runDueActions carries out the node's actions whose time has come.
+// runDueActions executes the node's actions that are due and hands their results
+// to its Core.
 func (w *World) runDueActions(n *Node) {
 	due := n.inFlight
 	n.inFlight = nil
@@ -201,7 +206,7 @@
 	return res
 }
 
-// deliverStrayStarts lets strayed starts reach the platform.
+// deliverStrayStarts sends the delayed starts that are due to the platform.
 func (w *World) deliverStrayStarts() {
 	due := w.strayStarts
 	w.strayStarts = nil
