--- a/internal/bench/claims/log.go
+++ b/internal/bench/claims/log.go
@@ -19,23 +19,24 @@
 
 const (
 	claimStream = "claims"
-	// readLimit and readWait are those of a follower.
+	// readLimit and readWait are the same as in a follower of the log.
 	readLimit = 1000
 	readWait  = time.Second
-	// readPause follows a read that failed.
+	// readPause is the delay after a failed read.
 	readPause = 50 * time.Millisecond
-	// reportTimeout is how long a report may wait for its append.
+	// reportTimeout limits how long a report waits for its append.
 	reportTimeout = 10 * time.Second
 )
 
-// startLogClaims returns the way that appends claims to the stand-in's log, each entry VM
-// with its part of the ceiling, where an append and a read take delay longer.
+// startLogClaims returns the start function of a store on the stand-in's log.
+// Each entry VM gets an equal share of the log's append rate. Each append and
+// each read is slowed by delay.
 func startLogClaims(delay time.Duration) func(context.Context) ([]entrypeer.Claimer, func() int64, error) {
 	return func(ctx context.Context) ([]entrypeer.Claimer, func() int64, error) {
 		fake := standin.New(standin.Options{})
 		if delay > 0 {
 			if _, err := fake.Order(standin.Fault{Kind: standin.LogSlow, DelayMS: delay.Milliseconds()}); err != nil {
-				return nil, nil, errors.Wrap(err, "slow the log")
+				return nil, nil, errors.Wrap(err, "slow down the log")
 			}
 		}
 		counting := &countingLog{Log: fake}
@@ -50,9 +51,9 @@
 	}
 }
 
-// logClaims is the way weighed against owners in memory: each claim is an entry
-// of a stream of the log, and the first entry of a key holds it. Results are
-// entries too, and nobody waits for them.
+// logClaims is the plain alternative to owners in memory. Each claim is an entry
+// of a stream of the log, and the first entry of a key holds the key. Results are
+// appended as entries, too, but no caller waits for them.
 type logClaims struct {
 	log      platform.Log
 	appender *platform.Appender
@@ -78,7 +79,7 @@
 	}
 }
 
-// follow folds the stream.
+// follow reads the stream and folds its entries until ctx ends.
 func (l *logClaims) follow(ctx context.Context) {
 	for from := platform.Offset(1); ctx.Err() == nil; {
 		batch, err := l.log.Read(ctx, claimStream, from, readLimit, readWait)
@@ -140,7 +141,7 @@
 	}()
 }
 
-// countingLog counts appends.
+// countingLog counts the appends to a log.
 type countingLog struct {
 	platform.Log
 	appends atomic.Int64
--- a/internal/bench/claims/owners.go
+++ b/internal/bench/claims/owners.go
@@ -14,23 +14,24 @@
 	"github.com/yuccadrift/yuccadrift/internal/ledger"
 )
 
-// claimTimeout is how long a claim and its calls may take.
+// claimTimeout is the timeout of a claim and of each call to a peer.
 const claimTimeout = 5 * time.Second
 
-// ownerConfig is large enough to forget no key of a run.
+// ownerConfig has limits that are large enough for all keys of a run.
 var ownerConfig = claim.Config{
 	Window: 10 * time.Minute, Ahead: 500 * time.Millisecond, Skew: 500 * time.Millisecond, Handover: time.Second,
 	MaxRecords: 10_000_000, MaxAnswer: 1 << 10, MaxAnswers: 1 << 20,
 }
 
-// startOwners starts nodes on loopback that have joined each other.
+// startOwners starts one node for each entry VM, connected over loopback, and
+// makes all of them members.
 func startOwners(ctx context.Context) ([]entrypeer.Claimer, func() int64, error) {
 	var nodes []*entrypeer.Node
 	var refs []ledger.MemberRef
 	for range vms {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return nil, nil, errors.Wrap(err, "listen for peers")
+			return nil, nil, errors.Wrap(err, "listen for peers on loopback")
 		}
 		nodes = append(nodes, startOwner(ctx, listener))
 		address := listener.Addr().String()
--- a/internal/bench/claims/ways.go
+++ b/internal/bench/claims/ways.go
@@ -1,8 +1,8 @@
-// Package claims measures what a claim on a request key and its report add to a
-// request, over the entry VMs of a deployment in one process: owners in memory
-// that are asked over gRPC on loopback, against the plain way, an entry on the
-// platform's log for each claim. Figures are in docs/MEASUREMENTS.md, section
-// "At most once".
+// Package claims measures the latency and throughput of claims on request keys
+// and their reports, with all entry VMs of a deployment in one process. It
+// compares owners in memory, which are called over gRPC on loopback, with the
+// plain alternative, an entry on the platform's log for each claim. Results are
+// in docs/MEASUREMENTS.md, section "At most once".
 package claims
 
 import (
@@ -22,14 +22,15 @@
 	"github.com/yuccadrift/yuccadrift/internal/entrypeer"
 )
 
-// vms is the number of entry VMs measured.
+// vms is the number of entry VMs.
 const vms = 8
 
-// service is the one whose keys are claimed.
+// service is the service whose request keys are claimed.
 const service = "orders"
 
-// claimStore is one place for claims. start returns the claimers of the entry VMs,
-// which work until ctx ends, and a count of the log's appends; nil for none.
+// claimStore is a place where claims are kept. start returns a claimer for each
+// entry VM, which works until ctx ends, and a function that returns the number of
+// appends to the log.
 type claimStore struct {
 	name  string
 	start func(ctx context.Context) ([]entrypeer.Claimer, func() int64, error)
@@ -41,9 +42,9 @@
 	{"the same, 5 ms per append and read", startLogClaims(5 * time.Millisecond)},
 }
 
-// Compare measures each way with one and eight requests at a time at each of 8
-// entry VMs. One run is so many requests. It stops at the first claim that is
-// not granted.
+// Compare measures each store with 8 entry VMs, at one and at eight concurrent
+// requests for each of them. One run has the given number of requests in total.
+// Compare returns an error if a claim is not granted.
 func Compare(ctx context.Context, runs, requests int) ([]figure.Table, error) {
 	table := figure.Table{
 		Title:      fmt.Sprintf("claims and reports over %d entry VMs, %d requests", vms, requests),
@@ -85,8 +86,8 @@
 	}, nil
 }
 
-// claimAll has callers claim and report so many keys, one after the other each,
-// and returns how long each claim took.
+// claimAll claims and reports a new key for each request, by concurrent callers
+// that each have one claim at a time. It returns the duration of each claim.
 func claimAll(ctx context.Context, claimers []entrypeer.Claimer, callers, requests int) ([]time.Duration, error) {
 	var next atomic.Int64
 	took := make([]time.Duration, requests)
@@ -119,7 +120,7 @@
 	d := claimer.Claim(ctx, req)
 	took := time.Since(began)
 	if d.Verdict != claim.Granted {
-		return 0, errors.Errorf("claim is %v: %s", d.Verdict, d.Reason)
+		return 0, errors.Errorf("claim was not granted, verdict %v: %s", d.Verdict, d.Reason)
 	}
 	claimer.Report(claim.Result{Key: req.Key, Attempt: d.Attempt, End: claim.EndRan})
 	return took, nil
--- a/internal/bench/figure/figure.go
+++ b/internal/bench/figure/figure.go
@@ -1,5 +1,5 @@
-// Package figure holds what measurements give, a table of samples over several
-// seeds or runs, and writes it for people, pages and programs.
+// Package figure holds the results of measurements, as tables of samples over
+// several seeds or runs, and writes them as Markdown, JSON or CSV.
 package figure
 
 import (
@@ -8,16 +8,17 @@
 	"slices"
 )
 
-// Sample is one quantity, one value for each seed or run.
+// Sample holds the values of one quantity, one for each seed or run.
 type Sample []float64
 
-// Median returns the middle value, the upper one of an even number, and NaN of none.
+// Median returns the middle value, or the upper one of the two middle values. It
+// returns NaN for an empty sample.
 func (s Sample) Median() float64 { return s.at(func(n int) int { return n / 2 }) }
 
-// Min returns the smallest value.
+// Min returns the smallest value, or NaN for an empty sample.
 func (s Sample) Min() float64 { return s.at(func(int) int { return 0 }) }
 
-// Max returns the greatest value.
+// Max returns the greatest value, or NaN for an empty sample.
 func (s Sample) Max() float64 { return s.at(func(n int) int { return n - 1 }) }
 
 func (s Sample) at(index func(n int) int) float64 {
@@ -27,7 +28,7 @@
 	return slices.Sorted(slices.Values(s))[index(len(s))]
 }
 
-// String returns the median and, of several values, the range.
+// String returns the median and, if there are several values, the range.
 func (s Sample) String() string {
 	digits := s.decimals()
 	if len(s) == 1 {
@@ -36,7 +37,7 @@
 	return fmt.Sprintf("%.*f (%.*f-%.*f)", digits, s.Median(), digits, s.Min(), digits, s.Max())
 }
 
-// decimals is how many decimals tell the values apart.
+// decimals returns the number of decimals to print.
 func (s Sample) decimals() int {
 	whole := !slices.ContainsFunc(s, func(v float64) bool { return v != math.Trunc(v) })
 	switch maxValue := s.Max(); {
@@ -48,11 +49,12 @@
 	return 1
 }
 
-// Table is a measurement: rows named by labels, with a sample for each quantity.
+// Table holds the results of a measurement. Each row is identified by its labels
+// and has a sample for each quantity.
 type Table struct {
 	Title      string
-	Labels     []string // what the rows' labels are, such as "policy"
-	Quantities []string // what the samples are, with their units
+	Labels     []string // headings of the labels, such as "policy"
+	Quantities []string // headings of the samples, with units
 	Rows       []Row
 }
 
@@ -62,13 +64,13 @@
 	Samples []Sample
 }
 
-// Add appends a row. Samples come in the order of the table's quantities.
+// Add appends a row. The samples must be in the order of the table's quantities.
 func (t *Table) Add(samples []Sample, labels ...string) {
 	t.Rows = append(t.Rows, Row{Labels: labels, Samples: samples})
 }
 
-// Collect runs a measurement for each seed from 0 and returns the samples of its
-// quantities. It stops at the first error.
+// Collect calls measure with each seed from 0 to seeds-1 and returns a sample for
+// each quantity that measure returns. It stops at the first error.
 func Collect(seeds int, measure func(seed uint64) ([]float64, error)) ([]Sample, error) {
 	var samples []Sample
 	for seed := range uint64(seeds) {
--- a/internal/bench/figure/write.go
+++ b/internal/bench/figure/write.go
@@ -12,17 +12,18 @@
 	"github.com/pkg/errors"
 )
 
-// Format is how tables are written.
+// Format is an output format of tables.
 type Format string
 
 // The formats.
 const (
-	FormatTable Format = "table" // Markdown, as in docs/MEASUREMENTS.md
+	FormatTable Format = "table" // Markdown, as used in docs/MEASUREMENTS.md
 	FormatJSON  Format = "json"
 	FormatCSV   Format = "csv" // one line for each sample
 )
 
-// Write writes tables in a format. It fails on an unknown format and where w does.
+// Write writes tables to w in the given format. It returns an error if the format
+// is unknown or if w returns one.
 func Write(w io.Writer, format Format, tables []Table) error {
 	switch format {
 	case FormatTable:
@@ -53,7 +54,7 @@
 	return err
 }
 
-// line is one sample with what it belongs to.
+// line is one sample with its table, row and quantity.
 type line struct {
 	Table    string   `json:"table"`
 	Labels   []string `json:"labels"`
--- a/internal/bench/jobs/arrivals.go
+++ b/internal/bench/jobs/arrivals.go
@@ -18,7 +18,7 @@
 	memoryMB    int
 	urgentCores int // cores reserved for urgent jobs
 	// Each job takes its cores from jobCores, all equally likely. Run times are
-	// exponential with the mean meanRunTime.
+	// exponential with the mean meanRunTime, and at least 5 s.
 	jobCores    []int
 	meanRunTime time.Duration
 }
--- a/internal/bench/planning/fleet.go
+++ b/internal/bench/planning/fleet.go
@@ -12,7 +12,8 @@
 const (
 	zones   = 6
 	perRack = 4
-	// waveDeadline is the deadline of the measured wave: every VM once in 7 weeks.
+	// waveDeadline is the deadline of the wave. Each VM is maintained once in 7
+	// weeks.
 	waveDeadline = 49 * 24 * time.Hour
 )
 
@@ -43,7 +44,7 @@
 func poolName(p int) string { return fmt.Sprintf("pool-%03d", p) }
 func vmName(v int) string   { return fmt.Sprintf("vm-%05d", v) }
 
-// fleet builds a folded state record by record.
+// fleet builds a folded state by applying records.
 type fleet struct {
 	state   *ledger.State
 	now     time.Time
@@ -51,8 +52,8 @@
 	perPool int
 }
 
-// newFleet returns a fleet with VMs in racks of four over six zones, none of
-// them in a pool yet, for pools that leave a few of them free.
+// newFleet returns a fleet of registered VMs in six zones, four to a rack. No VM
+// is in a pool yet. The pools together ask for at most 99 % of the VMs.
 func newFleet(vms, pools int) *fleet {
 	f := &fleet{
 		state: ledger.New(), now: time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC),
@@ -71,7 +72,7 @@
 	return f
 }
 
-// apply folds a record decided on the present state, which must be effective.
+// apply folds a record that is based on the current state and must be effective.
 func (f *fleet) apply(kind record.SubjectKind, name string, body record.Body) {
 	offset := f.state.Offset + 1
 	sub := record.Subject{Kind: kind, Name: name}
@@ -84,5 +85,5 @@
 		Time:    f.now,
 		Body:    body,
 	})
-	invariant.Check(out.Status == ledger.Effective, "%s of a measured fleet: %s", name, out.Reason)
+	invariant.Check(out.Status == ledger.Effective, "record about %s in the benchmark fleet has no effect: %s", name, out.Reason)
 }
--- a/internal/bench/planning/planning.go
+++ b/internal/bench/planning/planning.go
@@ -1,6 +1,6 @@
-// Package planning measures one planning round as the fleet grows, the copy of
-// the state included. Figures are in docs/MEASUREMENTS.md, section "Fleet
-// decisions".
+// Package planning measures a planning round, including its copy of the state,
+// for fleets of different sizes. Results are in docs/MEASUREMENTS.md, section
+// "Fleet decisions".
 package planning
 
 import (
@@ -14,13 +14,13 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// rounds are timed together for one figure.
+// rounds is how many planning rounds one result averages.
 const rounds = 20
 
-// sizes are the size to design for, a quarter and four times of it.
+// sizes are a quarter of the design size, the design size and four times of it.
 var sizes = []struct{ vms, pools int }{{1000, 24}, {4000, 94}, {16000, 376}}
 
-// cases are what a round finds.
+// cases are the states of the fleet that a round plans for.
 var cases = []struct {
 	name  string
 	setup func(*fleet)
@@ -31,7 +31,7 @@
 	{"no VM in a pool yet", func(*fleet) {}},
 }
 
-// Rounds measures a round at each size in each case.
+// Rounds measures planning rounds at each size and in each case.
 func Rounds(runs int) ([]figure.Table, error) {
 	table := figure.Table{
 		Title:      fmt.Sprintf("one planning round, means of %d", rounds),
@@ -65,7 +65,7 @@
 	return []float64{took.Seconds() * 1000 / rounds, allocated / rounds / 1e6, float64(proposals)}
 }
 
-// join puts all but the last VMs into the pools.
+// join adds VMs to the pools until all are full, and marks them as up.
 func (f *fleet) join() {
 	for v := range f.perPool * f.pools {
 		f.apply(record.SubjectVM, vmName(v), record.VMJoin{Pool: poolName(v % f.pools)})
@@ -82,7 +82,8 @@
 	f.apply(record.SubjectWave, "w", record.WaveStart{Pools: names, Deadline: f.now.Add(waveDeadline)})
 }
 
-// loseRack loses the VMs of the first rack, an hour ago.
+// loseRack records that the VMs of one rack are down, and moves the clock on by
+// an hour.
 func (f *fleet) loseRack() {
 	for v := 0; v < perRack*zones; v += zones {
 		f.apply(record.SubjectVM, vmName(v), record.VMDown{Cause: "lost"})
