--- a/internal/bench/deployment/deployment.go
+++ b/internal/bench/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment turns the documents of a deployment into a run of the
-// planning in simulated time, with the acts of its operators.
+// Package deployment simulates the planning of a deployment, as described by its
+// documents, in simulated time, including its operators' commands.
 package deployment
 
 import (
@@ -18,40 +18,42 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// The VMs of a run: as large as any of the deployments has, four to a rack.
+// The VMs of a run are as large as the largest VMs of the deployments, and four of
+// them share a rack.
 const (
 	vmCores    = 64
 	vmMemoryMB = 256 << 10
 	perRack    = 4
-	// fillTime is more than the pools take to get their VMs.
+	// fillTime exceeds the time that the pools need to get their VMs.
 	fillTime = time.Hour
 )
 
-// WaveID names the wave that StartWave starts.
+// WaveID is the ID of the wave that StartWave starts.
 const WaveID = "w"
 
-// Epoch is when each run begins.
+// Epoch is the start time of each run.
 var Epoch = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-// Usual is how long a drain takes where a run does not say otherwise.
+// Usual is the default duration of the steps of a drain.
 var Usual = forecast.Times{Drain: 10 * time.Second, Reboot: 100 * time.Second, Return: 10 * time.Second}
 
-// Deployment is the documents of one deployment and its zones.
+// Deployment holds the documents of one deployment and its number of availability
+// zones.
 type Deployment struct {
 	Name  string
 	Texts []string
-	Pools []string // the services' names, as Texts
+	Pools []string // names of the services, in the order of Texts
 	Zones int
 	Size  int // VMs that the documents ask for
 }
 
-// zoneCounts are the availability zones of the example deployments.
+// zoneCounts holds the number of availability zones of each example deployment.
 var zoneCounts = map[string]int{"ramcharan": 3, "feldkamm": 4}
 
-// Names are the example deployments.
+// Names are the names of the example deployments.
 var Names = []string{"ramcharan", "feldkamm"}
 
-// Examples reads the example deployments under a directory.
+// Examples reads all example deployments in a directory.
 func Examples(dir string) ([]Deployment, error) {
 	var list []Deployment
 	for _, name := range Names {
@@ -64,8 +66,8 @@
 	return list, nil
 }
 
-// Read reads one of the example deployments under a directory. It fails where
-// there is no valid document of it.
+// Read reads one of the example deployments in a directory. It returns an error if
+// the deployment has no valid document.
 func Read(dir, name string) (Deployment, error) {
 	files, err := filepath.Glob(filepath.Join(dir, name, "*.toml"))
 	if err != nil {
@@ -79,7 +81,7 @@
 		}
 		doc, problems := document.Parse(file, text)
 		if len(problems) > 0 || doc.Service == "" {
-			continue // settings and other files lie beside the documents
+			continue // the directory also has settings and other files
 		}
 		d.Texts = append(d.Texts, string(text))
 		d.Pools = append(d.Pools, doc.Service)
@@ -91,7 +93,8 @@
 	return d, nil
 }
 
-// Start returns a run in which all pools have their VMs and spare ones are free.
+// Start returns a run with enough VMs to fill all pools and spare VMs besides, after
+// the time that the pools need to fill.
 func (d Deployment) Start(spare int, policy pool.Policy) (*forecast.Run, error) {
 	r := forecast.New(ledger.New(), Epoch, policy, Usual)
 	for i, text := range d.Texts {
@@ -120,29 +123,32 @@
 	return nil
 }
 
-// Publish publishes a service's document. It fails where that is not effective.
+// Publish publishes a service's document. It returns an error if the record is not
+// effective.
 func Publish(r *forecast.Run, service, text string) error {
 	sub := record.Subject{Kind: record.SubjectService, Name: service}
 	return errors.Wrapf(requireEffective(r.Append(sub, record.DocumentPublish{Text: text})), "publish %s", service)
 }
 
-// Resize publishes a service's document again with another size.
+// Resize publishes a service's current document with another pool size.
 func Resize(r *forecast.Run, service string, size int) error {
 	svc := r.State.Services[service]
 	oldSize := fmt.Sprintf("size = %d", svc.Doc.Pool.Size)
 	if !strings.Contains(svc.Text, oldSize) {
-		return errors.Errorf("document of %s has no %q", service, oldSize)
+		return errors.Errorf("document of %s does not contain %q", service, oldSize)
 	}
 	return Publish(r, service, strings.Replace(svc.Text, oldSize, fmt.Sprintf("size = %d", size), 1))
 }
 
-// StartWave starts the wave WaveID.
+// StartWave starts the wave WaveID over the pools. Its deadline is relative to the
+// run's current time.
 func StartWave(r *forecast.Run, deadline time.Duration, pools ...string) error {
 	sub := record.Subject{Kind: record.SubjectWave, Name: WaveID}
 	return errors.Wrap(requireEffective(r.Append(sub, record.WaveStart{Pools: pools, Deadline: r.Now.Add(deadline)})), "start the wave")
 }
 
-// Disturbed counts the drains of all VMs, and their moves to another pool.
+// Disturbed returns the number of drains of all VMs, and of their moves to another
+// pool.
 func Disturbed(r *forecast.Run) (drains, moves int) {
 	for _, vm := range r.State.VMs {
 		drains += vm.Drains
@@ -151,7 +157,7 @@
 	return drains, moves
 }
 
-// Free counts the VMs of the reserve.
+// Free returns the number of free VMs.
 func Free(r *forecast.Run) int {
 	n := 0
 	for _, vm := range r.State.VMs {
--- a/internal/bench/requests/overload.go
+++ b/internal/bench/requests/overload.go
@@ -14,8 +14,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// Sizes of the overload measurement: 8 entry VMs before 8 backend servers of 8
-// slots. At load 1 the requests ask for all slots, quick ones for 70 % of them.
+// Parameters of the overload measurement: 8 entry VMs in front of 8 backend
+// servers with 8 slots each. At load 1, requests use all slots, 70 % of them for
+// quick requests.
 const (
 	overloadEntries  = 8
 	overloadBackends = 8
@@ -27,26 +28,28 @@
 	overloadReply    = 500 // bytes
 	overloadTime     = 6 * time.Second
 	overloadWarmUp   = 2 * time.Second
-	// slowFactor is how much longer the slow backend server takes.
+	// slowFactor is how many times longer the slow backend server takes.
 	slowFactor = 5
 )
 
-// sharingModes of the backend servers' slots; fixed parts are the plain way.
+// sharingModes are the ways to share the backend servers' slots among the entry
+// VMs. Fixed parts are the plain baseline.
 var sharingModes = []struct {
 	name string
 	way  routing.Sharing
 }{{"fixed (plain)", routing.SharingFixed}, {"choices", routing.SharingChoices}}
 
-// overloadCase is one case of the measurement.
+// overloadCase is one case of the overload measurement.
 type overloadCase struct {
 	sharing  routing.Sharing
-	multiple float64 // of the load that asks for all slots
+	multiple float64 // of the load that uses all slots
 	faults   bool
 }
 
-// Overload measures goodput and latency of quick requests beside long ones, for
-// each way to share slots, with healthy backend servers and with one slow by 5
-// and one that fails at once.
+// Overload measures the goodput and latency of quick requests while long requests
+// use the same backend servers, for each way to share slots. It does so with
+// healthy backend servers, and with one that is 5 times slower and another that
+// fails every request immediately.
 func Overload(ctx context.Context, loads []float64, seeds int) ([]figure.Table, error) {
 	var tables []figure.Table
 	for _, faulty := range []bool{false, true} {
@@ -73,7 +76,7 @@
 	return tables, nil
 }
 
-// run is one run. It fails where a caller got a wrong answer.
+// run measures the case once. It returns an error if a caller got a wrong answer.
 func (o overloadCase) run(ctx context.Context, seed uint64) ([]float64, error) {
 	r, err := Open(ctx, Options{
 		Zones: []string{"a", "b"}, Backends: overloadBackends, Entries: overloadEntries,
@@ -93,7 +96,7 @@
 		return nil, err
 	}
 	if wrong := report.Wrong(); wrong > 0 {
-		return nil, errors.Errorf("%d wrong answers", wrong)
+		return nil, errors.Errorf("callers got %d wrong answers", wrong)
 	}
 	return reportValues(report, r.Server.Counters(false).Backends), nil
 }
@@ -113,7 +116,8 @@
 	return plan
 }
 
-// injectFaults slows one backend server and has another fail at once.
+// injectFaults slows down one backend server and makes another one fail every
+// request immediately.
 func (r *Rig) injectFaults(ctx context.Context) error {
 	list, err := r.Platform.List(ctx)
 	if err != nil {
--- a/internal/bench/requests/path.go
+++ b/internal/bench/requests/path.go
@@ -21,16 +21,16 @@
 
 const (
 	pathReply = 1000 // bytes
-	// maxPathLatency is the longest call that the histogram tells apart.
+	// maxPathLatency is the largest latency that the histogram can record.
 	maxPathLatency = time.Minute
-	// pathPrecision is the histogram's precision.
+	// pathPrecision is the number of significant digits in the histogram.
 	pathPrecision = 3
 )
 
-// Path compares a call of a backend server with the same call through an entry,
-// in one process: latency one call at a time, and throughput with 12 at once.
-// Processor time and allocations are per call over the whole process, client and
-// backend server included; the entry's own are the difference to direct.
+// Path compares calls to backend servers with the same calls through an entry, in
+// one process, with one caller and with 12 concurrent callers. Processor time and
+// allocations are per call and of the whole process, including the client and the
+// backend servers. The difference to direct calls is the entry's own share.
 func Path(ctx context.Context, runs, requests int) ([]figure.Table, error) {
 	r, err := Open(ctx, Options{
 		Zones: []string{"a", "b", "c"}, Backends: 3, Entries: 1, Claims: LocalClaims(), Logger: hclog.NewNullLogger(),
@@ -70,7 +70,8 @@
 	return []figure.Table{table}, nil
 }
 
-// pathCase is so many requests to URLs in turn, by callers at once.
+// pathCase is a number of requests by concurrent callers. Each caller uses one of
+// the URLs.
 type pathCase struct {
 	urls     []string
 	callers  int
@@ -101,7 +102,7 @@
 	return hdrhistogram.New(1, maxPathLatency.Microseconds(), pathPrecision)
 }
 
-// callAll returns how long the calls took, in microseconds.
+// callAll makes all calls and returns their latencies in microseconds.
 func (p pathCase) callAll(ctx context.Context, client *http.Client) (*hdrhistogram.Histogram, error) {
 	var remaining atomic.Int64
 	remaining.Store(int64(p.requests))
@@ -130,7 +131,7 @@
 	return took, failed
 }
 
-// call makes one call and fails unless its answer is whole.
+// call makes one call. It returns an error if the answer is incomplete.
 func call(ctx context.Context, client *http.Client, url string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, nil)
 	if err != nil {
@@ -149,7 +150,7 @@
 	return err
 }
 
-// processorTime is the processor time that this process has used.
+// processorTime returns the processor time that this process has used.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
--- a/internal/bench/requests/rig.go
+++ b/internal/bench/requests/rig.go
@@ -1,6 +1,7 @@
-// Package requests measures the request path: entry processes' request paths in
-// one process, in front of the stand-in's backend servers, over real sockets on
-// loopback. Figures are in docs/MEASUREMENTS.md, section "Request path".
+// Package requests measures the request path. The request paths of several entry
+// processes run in one process, in front of the stand-in's backend servers, over
+// sockets on loopback. Results are in docs/MEASUREMENTS.md, section "Request
+// path".
 package requests
 
 import (
@@ -29,7 +30,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/supervise"
 )
 
-// What a rig serves: the stream that it follows, and the document of Service.
+// The stream of the log that a rig follows, and the service that it serves with
+// its document.
 const (
 	Stream   = "yuccadrift"
 	Service  = "booking"
@@ -66,7 +68,7 @@
 `
 )
 
-// settingsFormat is an entry's settings; the zone is to fill in.
+// settingsFormat is the format of an entry's settings, with the zone as argument.
 const settingsFormat = `[node]
 id = "entry-1"
 zone = %q
@@ -88,13 +90,13 @@
 check_timeout = "300ms"
 `
 
-// How a rig waits for what another goroutine brings about.
+// How a rig waits for the entries to fold the log.
 const (
 	pollInterval = time.Millisecond
 	pollTimeout  = 10 * time.Second
 )
 
-// Options says how large a rig is.
+// Options configure a rig.
 type Options struct {
 	Zones    []string
 	Backends int
@@ -104,27 +106,28 @@
 	Logger   hclog.Logger
 }
 
-// Rig is entry processes' request paths in front of a stand-in.
+// Rig runs the request paths of entry processes in front of a stand-in platform.
 type Rig struct {
 	Platform *standin.Platform
 	Server   *standin.Server
-	Follower *follower.Follower // of the log, for all entries
+	Follower *follower.Follower // of the log, shared by all entries
 	Entries  []*Entry
 
 	cancel context.CancelFunc
 }
 
-// Entry is one entry's request path.
+// Entry is the request path of one entry process.
 type Entry struct {
 	*entry.Entry
-	Target string // callers' address
+	Target string // address for callers
 	Ready  *admin.Readiness
-	Stop   context.CancelFunc // as SIGTERM
+	Stop   context.CancelFunc // has the effect of SIGTERM
 	Ended  chan struct{}
-	Err    error // once Ended is closed
+	Err    error // result of the entry, valid once Ended is closed
 }
 
-// Open starts a rig whose document is in force and whose VMs are in the pool.
+// Open starts a rig, publishes Document, adds all VMs to the pool, and waits until
+// every entry has folded the log.
 func Open(ctx context.Context, opts Options) (*Rig, error) {
 	fake := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: opts.Backends, Zones: opts.Zones}}})
 	r, err := Start(opts, fake, fake)
@@ -138,7 +141,7 @@
 	return r, nil
 }
 
-// Start starts entries on a log, with nothing published.
+// Start starts a rig on a log without publishing a document.
 func Start(opts Options, fake *standin.Platform, log platform.Log) (*Rig, error) {
 	server, err := standin.NewServer(fake, standin.ServerOptions{})
 	if err != nil {
@@ -159,7 +162,7 @@
 	return r, nil
 }
 
-// Close ends the rig and waits for its entries.
+// Close stops the rig and waits until its entries have ended.
 func (r *Rig) Close() {
 	r.cancel()
 	for _, e := range r.Entries {
@@ -167,7 +170,8 @@
 	}
 }
 
-// start runs the ith entry; the first one also follows the log for all.
+// start runs the ith entry. The first entry also runs the follower of the log that
+// all entries share.
 func (r *Rig) start(ctx context.Context, opts Options, i int) (*Entry, error) {
 	text := fmt.Sprintf(settingsFormat, opts.Zones[i%len(opts.Zones)])
 	s, problems := settings.ParseEntry("entry.toml", []byte(text))
@@ -203,8 +207,8 @@
 	return e, nil
 }
 
-// publishAndJoin publishes the document, puts every VM into its pool, and has every entry
-// be a member that has folded all this.
+// publishAndJoin publishes the document, adds every VM to the pool and every entry
+// to the members, and waits until the entries have folded these records.
 func (r *Rig) publishAndJoin(ctx context.Context) error {
 	list, err := r.Platform.List(ctx)
 	if err != nil {
@@ -238,7 +242,7 @@
 	return r.awaitEntries(ctx)
 }
 
-// awaitEntries waits until all entries act on the last record.
+// awaitEntries waits until all entries have applied the last folded record.
 func (r *Rig) awaitEntries(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
@@ -256,15 +260,15 @@
 	return nil
 }
 
-// Offset is the last one folded.
+// Offset returns the offset of the last folded record.
 func (r *Rig) Offset() uint64 {
 	var offset uint64
 	r.Follower.View(func(s *ledger.State) { offset = s.Offset })
 	return offset
 }
 
-// Propose appends a record decided on the present state. It fails where that is
-// not effective.
+// Propose appends a record that is based on the current state. It returns an error
+// if the record is not effective.
 func (r *Rig) Propose(ctx context.Context, kind record.SubjectKind, name string, body record.Body) error {
 	sub := record.Subject{Kind: kind, Name: name}
 	rec := record.Record{ID: ulid.Make().String(), Subject: sub, Author: "bench", Time: time.Now(), Body: body}
@@ -276,7 +280,7 @@
 	return err
 }
 
-// LocalClaims guards keys as an entry VM without peers does.
+// LocalClaims returns the claims of an entry VM without peers, which owns all keys.
 func LocalClaims() dispatch.Claims {
 	return entry.NewClaims(entrypeer.NewLocal("entry-1", claim.Config{
 		Window: time.Minute, Ahead: time.Second, Skew: time.Second, Handover: time.Second,
--- a/internal/bench/requests/scrape.go
+++ b/internal/bench/requests/scrape.go
@@ -19,13 +19,13 @@
 
 const (
 	scrapedVMs = 4000
-	// scrapes are timed together for one figure.
+	// scrapes is how many scrapes one result averages.
 	scrapes = 20
 )
 
-// Scrape measures one scrape of the metrics that have a line for each service:
-// the budgets of a steward, and the requests of an entry process that has seen
-// every class and the common outcomes of every service.
+// Scrape measures a scrape of the metrics with series for each service: the budgets
+// of a steward, and the requests of an entry process after requests of every
+// class and common outcome to every service.
 func Scrape(runs int) ([]figure.Table, error) {
 	table := figure.Table{
 		Title:      "one scrape of the metrics with a line for each service",
@@ -48,7 +48,7 @@
 func budgetRegistry() *prometheus.Registry {
 	registry, elapsed := prometheus.NewRegistry(), time.Duration(0)
 	history := fleet.AtRest(fleet.VMs(scrapedVMs))
-	registry.MustRegister(burnmetrics.New(history, func() time.Time { // never the report kept from the last scrape
+	registry.MustRegister(burnmetrics.New(history, func() time.Time { // the clock moves on, so that no report is reused
 		elapsed += time.Minute
 		return fleet.Epoch.Add(time.Hour + elapsed)
 	}))
@@ -69,7 +69,7 @@
 	return registry
 }
 
-// countingWriter counts the bytes of a scrape's answer.
+// countingWriter is an http.ResponseWriter that counts the bytes of the body.
 type countingWriter struct {
 	header http.Header
 	status int
@@ -102,7 +102,7 @@
 			writer := &countingWriter{header: http.Header{}, status: http.StatusOK}
 			handler.ServeHTTP(writer, request)
 			if writer.status != http.StatusOK {
-				return nil, errors.Errorf("a scrape was answered %d", writer.status)
+				return nil, errors.Errorf("scrape returned status %d", writer.status)
 			}
 			kilobytes[encoding] = float64(writer.bytes) / 1e3
 		}
