--- a/internal/bench/fleet/fleet.go
+++ b/internal/bench/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet builds the log of a fleet at rest at a size to measure: documents,
-// VMs and pools as at the size to design for. A record of it that the fold does
-// not take is a fault of this package and stops the process.
+// Package fleet builds the log of a fleet at rest, for measurements at different
+// fleet sizes. The number of pools and teams is that of the design size. A record
+// that is not effective is a bug in this package and stops the process.
 package fleet
 
 import (
@@ -16,45 +16,46 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// The size to design for; measurements vary the VMs.
+// The design size. Measurements vary only the number of VMs.
 const (
 	Pools = 94
 	Teams = 640
 	Zones = 6
-	// PerRack VMs share a rack, as in the deployments of today.
+	// PerRack is the number of VMs in a rack, as in existing deployments.
 	PerRack = 4
-	// inPools is the share of the VMs that documents ask for.
+	// inPools is the share of the VMs that the documents ask for.
 	inPools = 0.95
 )
 
-// Sizes are a quarter of, the size to design for, and four times of it, in VMs.
+// Sizes are a quarter of the design size, the design size and four times of it, in
+// VMs.
 var Sizes = []int{1000, 4000, 16000}
 
-// Epoch is when a history begins.
+// Epoch is the start time of a history.
 var Epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// History is a log and its fold. Records are added as one author would.
+// History is a log and its folded state. All records have the same author.
 type History struct {
 	State   *ledger.State
 	Entries [][]byte
-	// Revisions are those of the services on the platform's log.
+	// Revisions holds the revision of each service's document.
 	Revisions map[string]record.Revision
 	ids       int
 }
 
-// NewHistory returns an empty one.
+// NewHistory returns an empty history.
 func NewHistory() *History { return &History{State: ledger.New()} }
 
 // View calls f with the state.
 func (h *History) View(f func(*ledger.State)) { f(h.State) }
 
-// Record returns the next record about a subject.
+// Record returns a record about a subject that is based on the current state.
 func (h *History) Record(kind record.SubjectKind, name string, body record.Body) record.Record {
 	h.ids++
 	sub := record.Subject{Kind: kind, Name: name}
 	id := ulid.ULID{}
 	err := id.SetTime(ulid.Timestamp(Epoch) + uint64(h.ids))
-	invariant.Check(err == nil, "time of a ULID: %v", err)
+	invariant.Check(err == nil, "set the time of a ULID: %v", err)
 	return record.Record{
 		ID:      id.String(),
 		Subject: sub,
@@ -66,23 +67,25 @@
 	}
 }
 
-// Add folds a record that must be effective and returns its encoded size.
+// Add appends a record to Entries and folds it, and returns its encoded size. The
+// record must be effective.
 func (h *History) Add(kind record.SubjectKind, name string, body record.Body) int {
 	data := h.Fold(h.Record(kind, name, body))
 	h.Entries = append(h.Entries, data)
 	return len(data)
 }
 
-// Fold folds a record that must be effective, and returns its encoding.
+// Fold encodes and folds a record, without appending it to Entries, and returns
+// the encoded record. The record must be effective.
 func (h *History) Fold(rec record.Record) []byte {
 	data, err := record.Encode(rec)
-	invariant.Check(err == nil, "a record cannot be encoded: %v", err)
+	invariant.Check(err == nil, "encode a record: %v", err)
 	out := h.State.ApplyData(h.State.Offset+1, data)
 	invariant.Check(out.Status == ledger.Effective, "%s %s: %s", rec.Subject.Name, rec.Body.Kind(), out.Reason)
 	return data
 }
 
-// VMs returns the platform's list of n VMs.
+// VMs returns the platform's list of a fleet of n VMs.
 func VMs(n int) platform.VMList {
 	list := platform.VMList{AsOf: Epoch}
 	for i := range n {
@@ -104,8 +107,8 @@
 // Service returns the name of the ith service.
 func Service(i int) string { return fmt.Sprintf("service-%02d", i) }
 
-// Document returns the text of a service's document: the fields of the example
-// documents, and its part of the teams.
+// Document returns the text of the ith service's document. It has the fields of
+// the example documents and quotas for the service's share of the teams.
 func Document(i, size int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, `service = %q
@@ -153,11 +156,11 @@
 	return text.String()
 }
 
-// PoolSize is how many VMs each service asks for.
+// PoolSize returns the size of each pool in a fleet of the given number of VMs.
 func PoolSize(vms int) int { return int(float64(vms) * inPools / Pools) }
 
-// AtRest returns the log of a fleet at rest: all documents in force, all VMs
-// known, the pools full and every VM healthy.
+// AtRest returns the history of a fleet at rest: all documents are published, all
+// VMs are registered, the pools are full and all their VMs are up.
 func AtRest(list platform.VMList) *History {
 	h := NewHistory()
 	size := PoolSize(len(list.VMs))
--- a/internal/bench/state/busy.go
+++ b/internal/bench/state/busy.go
@@ -14,10 +14,11 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// historySize is a fleet to fold the history of.
+// historySize is the size of a fleet whose history is folded.
 type historySize struct{ vms, pools, teams, jobs int }
 
-// historySizes are the size to design for, a quarter and four times of it.
+// historySizes are a quarter of the design size, the design size and four times
+// of it.
 var historySizes = []historySize{
 	{vms: 1000, pools: 24, teams: 160, jobs: 1000},
 	{vms: 4000, pools: 94, teams: 640, jobs: 4000},
@@ -30,17 +31,18 @@
 
 func (s historySize) teamsPerPool() int { return max(1, s.teams/s.pools) }
 
-// busyFleet is a folded fleet and the means to go on with its history.
+// busyFleet is the folded state of a fleet and a generator of its further history.
 type busyFleet struct {
 	size  historySize
 	state *ledger.State
 	now   time.Time
 	ids   int
-	log   [][]byte // entries since the start
+	log   [][]byte // entries that extendLog has added
 	rand  *rand.Rand
 }
 
-// newBusyFleet returns a fleet whose pools are full and whose jobs are queued.
+// newBusyFleet returns a fleet whose VMs are all in pools and up, and whose jobs
+// are all queued.
 func newBusyFleet(size historySize, seed uint64) *busyFleet {
 	f := &busyFleet{size: size, state: ledger.New(), now: fleet.Epoch, rand: rand.New(rand.NewPCG(seed, 2))}
 	perPool := size.vms / size.pools
@@ -100,11 +102,12 @@
 
 func (f *busyFleet) mustApply(kind record.SubjectKind, name string, body record.Body) {
 	out := f.state.Apply(f.state.Offset+1, f.draft(kind, name, body))
-	invariant.Check(out.Status == ledger.Effective, "%s of a busy fleet: %s", name, out.Reason)
+	invariant.Check(out.Status == ledger.Effective, "record about %s in the benchmark fleet has no effect: %s", name, out.Reason)
 }
 
-// extendLog writes n entries: VMs that fail and come back, drains with reboots, jobs
-// placed and ended. It folds them as it goes; some do not take effect.
+// extendLog adds and folds entries until there are n: failures and recoveries of
+// VMs, drains with reboots, and placements and ends of jobs. Some of the entries
+// are not effective.
 func (f *busyFleet) extendLog(n int) {
 	for len(f.log) < n {
 		id := vmName(f.rand.IntN(f.size.vms))
@@ -117,7 +120,7 @@
 	}
 }
 
-// nextVMRecord is what could come next for a VM.
+// nextVMRecord returns a record that the phase of the VM allows.
 func (f *busyFleet) nextVMRecord(vm *ledger.VM) record.Body {
 	switch {
 	case vm.Down || vm.Phase == record.PhaseReturning:
@@ -151,7 +154,7 @@
 
 func (f *busyFleet) appendRecord(rec record.Record) {
 	data, err := record.Encode(rec)
-	invariant.Check(err == nil, "a record cannot be encoded: %v", err)
+	invariant.Check(err == nil, "encode a record: %v", err)
 	f.log = append(f.log, data)
 	f.state.ApplyData(f.state.Offset+1, data)
 }
--- a/internal/bench/state/history.go
+++ b/internal/bench/state/history.go
@@ -9,13 +9,13 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// foldEntries is how many entries are folded from one start.
+// foldEntries is the number of entries of a history.
 const foldEntries = 20_000
 
-// History measures the fold of a history of failures, drains with reboots,
-// placements and ends of jobs, as a follower does it and of decoded records, and
-// a snapshot after it with the state that it restores. Each seed is another
-// history.
+// History measures the fold of a history of VM failures, drains with reboots, and
+// placements and ends of jobs. It folds decoded records, and encoded entries as a
+// follower does. It also measures the snapshot after the history and the state
+// restored from it. Each seed gives another history.
 func History(seeds int) ([]figure.Table, error) {
 	table := figure.Table{
 		Title:  "fold of a busy fleet's history",
@@ -71,8 +71,8 @@
 	return records, bytes, nil
 }
 
-// foldAll folds the entries from a snapshot and returns the rate a second and
-// how many took effect.
+// foldAll restores the snapshot start and folds the entries with fold. It returns
+// the number of entries per second and the number of effective ones.
 func foldAll(start []byte, fold func(*ledger.State, int) ledger.Outcome) (rate float64, effective int, err error) {
 	s, err := ledger.DecodeSnapshot(start)
 	if err != nil {
@@ -87,8 +87,8 @@
 	return foldEntries / time.Since(began).Seconds(), effective, nil
 }
 
-// snapshot returns the size of a snapshot, the times to encode and decode it,
-// and the live heap of the state that it restores.
+// snapshot returns the size of a snapshot in kB, the times to encode and decode it
+// in ms, and the live heap of the state restored from it in MB.
 func snapshot(f *busyFleet) ([]float64, error) {
 	data, err := ledger.EncodeSnapshot(f.state)
 	if err != nil {
--- a/internal/bench/state/quantities.go
+++ b/internal/bench/state/quantities.go
@@ -20,22 +20,24 @@
 )
 
 const (
-	// minMeasureTime is how long an operation is repeated for one figure.
+	// minMeasureTime is how long an operation is repeated for one result.
 	minMeasureTime = 300 * time.Millisecond
-	// downCause is the text of an ordinary failed check.
+	// downCause is a typical cause of a VM that is down.
 	downCause = "health check: connection refused"
-	// foldedVMs go down and up again by turns; all of them are in pools.
+	// foldedVMs is the number of VMs that the measured records report as down and
+	// up. All of them are in pools.
 	foldedVMs = 900
-	// waveDeadline is the deadline of the measured wave: every VM once in 7 weeks.
+	// waveDeadline is the deadline of the wave. Each VM is maintained once in 7
+	// weeks.
 	waveDeadline = 49 * 24 * time.Hour
 )
 
-// testFleet is a fleet of one size, at rest and at the beginning of a wave over
-// all pools.
+// testFleet is a fleet of one size in two states: at rest, and at the start of a
+// wave over all pools.
 type testFleet struct {
 	atRest, inWave *fleet.History
 	snapshot       []byte // of the fleet at rest
-	list           []byte // of the platform, as JSON
+	list           []byte // the platform's VM list as JSON
 	foldCount      int
 }
 
@@ -61,8 +63,8 @@
 	return s, nil
 }
 
-// quantities are measured in this order, so that the fold, which changes the
-// state at rest, comes last; each VM is up again after it.
+// quantities are measured in this order. The fold comes last, since it changes the
+// state at rest; it leaves each VM up.
 var quantities = []struct {
 	name    string
 	measure func(*testFleet) (float64, error)
@@ -92,7 +94,7 @@
 	{"decode and fold a record, us", (*testFleet).fold},
 }
 
-// planTime is the time at which rounds are planned.
+// planTime is the time of the planning rounds.
 var planTime = fleet.Epoch.Add(time.Hour)
 
 func (s *testFleet) measure() ([]float64, error) {
@@ -107,7 +109,8 @@
 	return values, nil
 }
 
-// perOperation returns the mean time of an operation, repeated for minTime.
+// perOperation repeats an operation for minMeasureTime and returns its mean
+// duration.
 func perOperation(operation func() error) (time.Duration, error) {
 	began, n := time.Now(), 0
 	for time.Since(began) < minMeasureTime {
@@ -126,8 +129,8 @@
 
 func kilobytes(data []byte) float64 { return float64(len(data)) / 1e3 }
 
-// planningRound is one planning round: the copy of the state, taken under the follower's
-// lock, and the plan.
+// planningRound measures a planning round in ms: the copy of the state, which a
+// steward takes with the follower's lock held, and the plan.
 func planningRound(h *fleet.History) (float64, error) {
 	return ms(func() error {
 		maintenance.Plan(pool.NewView(h.State, planTime), pool.DefaultPolicy())
@@ -135,19 +138,19 @@
 	})
 }
 
-// findDueSteps is one look of the executor for VMs with a step due.
+// findDueSteps measures the executor's check of all VMs for due steps, in ms.
 func (s *testFleet) findDueSteps() (float64, error) {
 	return ms(func() error {
 		for _, vm := range s.atRest.State.VMs {
 			if maintenance.Next(vm) != maintenance.StepNone {
-				return errors.Errorf("VM %s of a fleet at rest has a step due", vm.ID)
+				return errors.Errorf("VM %s has a step due, although its fleet is at rest", vm.ID)
 			}
 		}
 		return nil
 	})
 }
 
-// memory is the live heap of one folded state.
+// memory returns the live heap of a folded state in MB.
 func (s *testFleet) memory() (float64, error) {
 	before := liveHeap()
 	state := ledger.New()
@@ -160,8 +163,8 @@
 	return float64(grown) / 1e6, nil
 }
 
-// liveHeap is the live heap. The second collection frees what the first one's
-// finalizers released.
+// liveHeap returns the bytes of the live heap. The second collection frees what
+// the finalizers of the first one released.
 func liveHeap() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -182,8 +185,8 @@
 	return kilobytes(out.Bytes()), nil
 }
 
-// fold is the decoding and folding of one record: a VM found down and healthy
-// again by turns.
+// fold measures the encoding, decoding and folding of a record in us. The records
+// report VMs as down and up again.
 func (s *testFleet) fold() (float64, error) {
 	took, err := perOperation(func() error {
 		id := fmt.Sprintf("vm-%05d", s.foldCount%foldedVMs)
--- a/internal/bench/state/state.go
+++ b/internal/bench/state/state.go
@@ -1,7 +1,7 @@
-// Package state measures what the folded state, planning and the platform's list
-// cost as the fleet grows: processor time, memory and bytes at a quarter of, at
-// and at four times the size to design for. Figures are in docs/MEASUREMENTS.md,
-// section "Capacity slopes".
+// Package state measures the processor time, memory and bytes that the folded
+// state, planning and the platform's VM list take, at a quarter of the design
+// size, at the design size and at four times of it. Results are in
+// docs/MEASUREMENTS.md, section "Capacity slopes".
 package state
 
 import (
@@ -15,7 +15,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Slopes measures each quantity at each size, several runs.
+// Slopes measures each quantity at each size, in several runs, and the sizes of
+// records.
 func Slopes(runs int) ([]figure.Table, error) {
 	table := figure.Table{
 		Title:  fmt.Sprintf("%d pools, %d teams, the fleet at rest", fleet.Pools, fleet.Teams),
@@ -44,7 +45,7 @@
 	return []figure.Table{table, recordSizes()}, nil
 }
 
-// recordSizes holds the bytes on the log of the records of each kind.
+// recordSizes returns the encoded size of a typical record of each kind.
 func recordSizes() figure.Table {
 	table := figure.Table{Title: "a record on the log", Labels: []string{"kind"}, Quantities: []string{"bytes"}}
 	vms := fleet.Sizes[0]
