--- a/cmd/yuccadrift-bench/main.go
+++ b/cmd/yuccadrift-bench/main.go
@@ -1,5 +1,5 @@
-// Command yuccadrift-bench measures the system's decisions, each beside a plain
-// baseline in the same run, and prints the median and range over several seeds.
+// Command yuccadrift-bench compares the system's decisions with plain baselines in
+// the same run, and prints the median and range over several seeds.
 package main
 
 import (
@@ -29,30 +29,30 @@
 func command() *cli.Command {
 	return &cli.Command{
 		Name:  "yuccadrift-bench",
-		Usage: "measure each decision beside a plain baseline",
+		Usage: "compare the system's decisions with plain baselines",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "seeds", Usage: "runs of each policy, by seeds from 0", Value: 7},
-			&cli.StringFlag{Name: "output", Usage: "table, json or csv", Value: string(figure.FormatTable)},
-			&cli.IntFlag{Name: "requests", Usage: "requests of a run of claims or path", Value: 4000},
-			&cli.FloatSliceFlag{Name: "load", Usage: "multiples of the load that fills all slots, for overload (repeatable)", Value: []float64{0.5, 1, 2, 5}},
+			&cli.IntFlag{Name: "seeds", Usage: "number of runs of each measurement, with the seeds from 0", Value: 7},
+			&cli.StringFlag{Name: "output", Usage: "output format: table, json or csv", Value: string(figure.FormatTable)},
+			&cli.IntFlag{Name: "requests", Usage: "number of requests in a run of claims or path", Value: 4000},
+			&cli.FloatSliceFlag{Name: "load", Usage: "load of overload, as a multiple of the load that uses all slots (repeatable)", Value: []float64{0.5, 1, 2, 5}},
 			&cli.StringFlag{Name: "examples", Usage: "`DIRECTORY` of the example deployments", Value: "examples"},
 		},
 		Commands: []*cli.Command{
-			measurement("waves", "maintenance waves: planned against batches, in simulated time", overDeployments(waves.Policies)),
-			measurement("buffer", "free VMs: a shared reserve against buffers of the pools", overDeployments(waves.Reserve)),
-			measurement("moves", "patience with changing documents against none", overDeployments(waves.Patience)),
-			measurement("turns", "the order of a wave's turns where reboot places are few", bySeeds(waves.FlowShop)),
-			measurement("jobs", "placement, correction, quarantine and settling against first fit, in simulated time", bySeeds(jobs.Replay)),
-			measurement("batch", "Min-Min against plain orders for a batch on unequal workers", bySeeds(jobs.Batch)),
-			measurement("state", "state, planning and the platform's list as the fleet grows", bySeeds(state.Slopes)),
-			measurement("history", "the fold of a busy fleet's history, and its snapshots", bySeeds(state.History)),
-			measurement("rounds", "planning rounds as the fleet grows", bySeeds(planning.Rounds)),
-			measurement("placement", "placement as the fleet grows", bySeeds(jobs.Speed)),
-			measurement("steps", "a steward's care for running tasks as the fleet grows", bySeeds(jobs.Steady)),
-			measurement("scrape", "a scrape of the metrics with a line for each service", bySeeds(requests.Scrape)),
-			measurement("claims", "claims on request keys: owners in memory against the log", compareClaims),
-			measurement("overload", "backend servers' slots: two choices against fixed parts, at several loads", overload),
-			measurement("path", "a call through an entry against a direct one", path),
+			measurement("waves", "maintenance waves: planned compared with batches, in simulated time", overDeployments(waves.Policies)),
+			measurement("buffer", "free VMs: a shared reserve compared with a buffer for each pool", overDeployments(waves.Reserve)),
+			measurement("moves", "changing documents: planning with and without patience", overDeployments(waves.Patience)),
+			measurement("turns", "the order of a wave's turns when reboot places are few", bySeeds(waves.FlowShop)),
+			measurement("jobs", "placement, correction, quarantine and waiting for cancelled batches compared with first fit, in simulated time", bySeeds(jobs.Replay)),
+			measurement("batch", "Min-Min compared with plain orders, for a batch on workers of different speeds", bySeeds(jobs.Batch)),
+			measurement("state", "folded state, planning and the platform's VM list at several fleet sizes", bySeeds(state.Slopes)),
+			measurement("history", "the fold of a busy fleet's history, and its snapshots, at several fleet sizes", bySeeds(state.History)),
+			measurement("rounds", "planning rounds at several fleet sizes", bySeeds(planning.Rounds)),
+			measurement("placement", "placement of jobs at several fleet sizes", bySeeds(jobs.Speed)),
+			measurement("steps", "a steward's job runner in steady state at several fleet sizes", bySeeds(jobs.Steady)),
+			measurement("scrape", "a scrape of the metrics with series for each service", bySeeds(requests.Scrape)),
+			measurement("claims", "claims on request keys: owners in memory compared with the log", compareClaims),
+			measurement("overload", "sharing of backend servers' slots: two choices compared with fixed parts, at several loads", overload),
+			measurement("path", "calls through an entry compared with direct calls", path),
 		},
 	}
 }
--- a/internal/bench/waves/episode.go
+++ b/internal/bench/waves/episode.go
@@ -13,31 +13,31 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// event is something that happens at a time after the episode's start.
+// event is an action at a time after the start of an episode.
 type event struct {
 	at     time.Duration
 	action func(*episode)
 }
 
-// episode is one measured run.
+// episode is a measured run with its scheduled events and results.
 type episode struct {
 	run    *forecast.Run
 	rand   *rand.Rand
 	lost   map[string]bool
 	pools  []string
 	events []event
-	err    error // of the first act that was refused
+	err    error // of the first command that was refused
 
 	start, end          time.Time
-	buffer              float64 // VM-seconds free or beyond the sizes
-	surplus             float64 // VM-seconds beyond the sizes
-	shortage, overLimit float64 // VM-seconds short, and beyond max_unavailable
+	buffer              float64 // VM-seconds of free VMs and of VMs beyond their pool's size
+	surplus             float64 // VM-seconds of VMs beyond their pool's size
+	shortage, overLimit float64 // VM-seconds that pools are short, and short by more than max_unavailable
 	poolOf              map[string]string
-	poolChanges         int // VMs that changed pool or left one
+	poolChanges         int // number of times that a VM left a pool for another or for none
 }
 
-// newEpisode returns an episode whose VMs take 2 to 22 s to drain, 60 to 150 s
-// to reboot and 3 to 9 s to be seen healthy.
+// newEpisode returns an episode whose VMs take 2 to 21 s to drain, 60 to 149 s to
+// reboot and 3 to 8 s until they are recorded as up.
 func newEpisode(r *forecast.Run, d deployment.Deployment, seed uint64) *episode {
 	e := &episode{
 		run: r, rand: rand.New(rand.NewPCG(seed, 1)), lost: map[string]bool{},
@@ -57,12 +57,12 @@
 	return e
 }
 
-// schedule plans an event.
+// schedule adds an event at a time after the episode's start.
 func (e *episode) schedule(d time.Duration, what func(*episode)) {
 	e.events = append(e.events, event{d, what})
 }
 
-// failVM loses a VM for a time.
+// failVM makes a VM fail for a duration.
 func (e *episode) failVM(id string, d time.Duration) {
 	vm := e.run.State.VMs[id]
 	if e.lost[id] {
@@ -78,7 +78,7 @@
 	})
 }
 
-// failRack loses the VMs of a random rack for a time.
+// failRack makes the VMs of a random rack fail for a duration.
 func (e *episode) failRack(d time.Duration) {
 	racks := map[string]bool{}
 	for _, vm := range e.run.State.VMs {
@@ -105,7 +105,8 @@
 	}
 }
 
-// simulate moves on in steps for a time after the start and sums up.
+// simulate runs the episode in steps until the duration total after its start, and
+// accumulates the results after each step.
 func (e *episode) simulate(step, total time.Duration) {
 	for e.run.Now.Sub(e.start) < total && e.err == nil {
 		slices.SortStableFunc(e.events, func(a, b event) int { return cmp.Compare(a.at, b.at) })
--- a/internal/bench/waves/flowshop.go
+++ b/internal/bench/waves/flowshop.go
@@ -11,44 +11,48 @@
 	"github.com/yuccadrift/yuccadrift/internal/bench/figure"
 )
 
-// turnCount is the VMs of one flow shop.
+// turnCount is the number of VMs in a flow shop.
 const turnCount = 50
 
-// turn is a VM's way through a wave as a two-stage flow shop: its requests and
-// jobs end, then it takes a reboot place. expected is what a planner believes.
+// turn is the maintenance of a VM as a job in a two-stage flow shop: first the VM
+// is drained, then it occupies a reboot place. The expected durations are the
+// planner's estimates.
 type turn struct {
 	drain, reboot                 time.Duration
 	expectedDrain, expectedReboot time.Duration
 }
 
-// hmhsPriority is the priority of HMHS, a modified Johnson's rule: Sgn(p1-p2)/min(p1,p2),
-// smallest first (Hybrid Multistage Heuristic Scheduling, section 3.1).
+// hmhsPriority returns the priority Pri of HMHS, a modification of Johnson's rule:
+// Sgn(p1-p2)/min(p1,p2). Turns with the smallest value go first (Hybrid Multistage
+// Heuristic Scheduling, section 3.1).
 func hmhsPriority(t turn) float64 {
 	first, second := t.expectedDrain.Seconds(), t.expectedReboot.Seconds()
 	return float64(cmp.Compare(first, second)) / math.Min(first, second)
 }
 
-// activeTurn is a turn under way.
+// activeTurn is a turn in progress. until is the end of its drain or, while it is
+// rebooting, of its reboot.
 type activeTurn struct {
 	turn
 	began, until time.Duration
 	rebooting    bool
 }
 
-// flowShop plays turns in order.
+// flowShop simulates turns in a given order.
 type flowShop struct {
 	places  int // VMs that may reboot at once
 	running []*activeTurn
 	now     time.Duration
-	// What has been measured: when the last VM was back, and the time out of
-	// service over all VMs.
+	// makespan is the time at which the last VM was back; outOfService is the sum
+	// of the VMs' times out of service.
 	makespan, outOfService time.Duration
 	rebooting              int
 }
 
-// runFlowShop runs turns in order with at most out VMs out and places reboot places,
-// which go to the VM that has waited longest. It returns when the last one is
-// back and the time out of service over all VMs.
+// runFlowShop simulates the turns in order, with at most maxOut VMs out of service
+// and at most places of them rebooting. A free reboot place goes to the VM that has
+// waited longest. It returns the time at which the last VM is back and the sum of
+// the VMs' times out of service.
 func runFlowShop(turns []turn, maxOut, places int) (makespan, outOfService time.Duration) {
 	s := &flowShop{places: places}
 	for len(turns) > 0 || len(s.running) > 0 {
@@ -62,7 +66,8 @@
 	return s.makespan, s.outOfService
 }
 
-// reboot gives the free places to drained VMs, the longest waiting first.
+// reboot starts reboots of drained VMs while places are free, beginning with the
+// VM that has waited longest.
 func (s *flowShop) reboot() {
 	slices.SortStableFunc(s.running, func(a, b *activeTurn) int { return cmp.Compare(a.until, b.until) })
 	for _, b := range s.running {
@@ -73,7 +78,7 @@
 	}
 }
 
-// advance moves on to the next end of a drain or reboot.
+// advance moves the clock to the next end of a drain or reboot.
 func (s *flowShop) advance() {
 	next := time.Duration(math.MaxInt64)
 	for _, b := range s.running {
@@ -93,7 +98,7 @@
 	})
 }
 
-// orders of turns, the baseline first.
+// orders are the orders of turns. The first one is the baseline.
 var orders = []struct {
 	name    string
 	compare func(a, b turn) int
@@ -104,8 +109,8 @@
 	{"shortest drain", func(a, b turn) int { return cmp.Compare(a.expectedDrain, b.expectedDrain) }},
 }
 
-// FlowShop measures what HMHS's order of turns gains where reboot places are
-// few, with and without knowledge of the drain times.
+// FlowShop compares orders of turns, among them that of HMHS, when reboot places
+// are few, with exact and with wrong estimates of the durations.
 func FlowShop(seeds int) ([]figure.Table, error) {
 	table := figure.Table{
 		Title:      "two-stage flow shop, 50 turns, one drain in five takes minutes",
@@ -134,7 +139,8 @@
 	return []figure.Table{table}, nil
 }
 
-// randomTurns returns turns of which a planner knows the times up to a factor.
+// randomTurns returns random turns. Their expected durations are wrong by a factor
+// of up to noise in either direction.
 func randomTurns(seed uint64, noise float64) []turn {
 	r := rand.New(rand.NewPCG(seed, 7))
 	perturb := func(d time.Duration) time.Duration {
--- a/internal/bench/waves/patience.go
+++ b/internal/bench/waves/patience.go
@@ -10,19 +10,19 @@
 	"github.com/yuccadrift/yuccadrift/internal/pool"
 )
 
-// Three days of changing documents.
+// Parameters of the simulation of changing documents.
 const (
 	days         = 3
 	changesSpare = 2
 	changesStep  = 30 * time.Second
-	// minSize is the size of a pool that is not shrunk further.
+	// minSize is the pool size at which a pool is not shrunk any further.
 	minSize = 6
-	// A fleet of designedVMs loses dailyLosses of them on an ordinary day; here
-	// VMs fail lossFactor times as often.
+	// A fleet of designVMs loses dailyLosses of them on an ordinary day. In the
+	// simulation, VMs fail lossFactor times as often.
 	designVMs, dailyLosses, lossFactor = 4000, 26, 50
 )
 
-// setting is how long gaps, moves and surpluses must last before VMs move.
+// setting is a patience of the planning, the same for all documents.
 type setting struct {
 	name     string
 	patience pool.Patience
@@ -39,9 +39,9 @@
 	}
 }
 
-// Patience measures the frontier between buffer and moves: three days in which
-// documents change every hour, half of the changes taken back within ten
-// minutes, and VMs fail fifty times as often as on an ordinary day.
+// Patience measures the tradeoff between surplus VMs and moves of VMs. It simulates
+// three days in which documents change every hour, half of the changes are reverted
+// within ten minutes, and VMs fail fifty times as often as on an ordinary day.
 func Patience(deployments []deployment.Deployment, seeds int) ([]figure.Table, error) {
 	var tables []figure.Table
 	for _, d := range deployments {
@@ -83,8 +83,9 @@
 	return e, e.err
 }
 
-// scheduleChange plans a change of two documents at a time, in half of the cases that it
-// is taken back, and now and then a lost VM.
+// scheduleChange schedules a change of the sizes of two random pools, with
+// probability 1/2 the reverse change within ten minutes, and with the probability
+// that lossFactor implies the failure of a VM.
 func (e *episode) scheduleChange(at time.Duration, fleet int) {
 	grow := e.pools[e.rand.IntN(len(e.pools))]
 	shrink := e.pools[e.rand.IntN(len(e.pools))]
@@ -100,7 +101,8 @@
 	}
 }
 
-// resizePair takes a VM from one document to another while both stay sensible.
+// resizePair moves one VM of size from one document to another, unless the pool to
+// shrink has only minSize VMs.
 func (e *episode) resizePair(grow, shrink string) {
 	if e.run.State.Services[shrink].Doc.Pool.Size <= minSize {
 		return
--- a/internal/bench/waves/reserve.go
+++ b/internal/bench/waves/reserve.go
@@ -9,8 +9,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/pool"
 )
 
-// Reserve measures the reserve of free VMs, shared against each pool's own: how
-// many are needed, and what fewer of them cost in a mixed wave.
+// Reserve compares a shared reserve of free VMs with a reserve of each pool: how
+// many spare VMs are needed, and the effect of fewer of them on a wave in the
+// mixed scenario.
 func Reserve(deployments []deployment.Deployment, seeds int) ([]figure.Table, error) {
 	needed, err := spareNeeded(deployments)
 	if err != nil {
@@ -27,7 +28,7 @@
 	return tables, nil
 }
 
-// spareNeeded holds the counts of pool.SpareFor.
+// spareNeeded returns the counts of pool.SpareFor.
 func spareNeeded(deployments []deployment.Deployment) (figure.Table, error) {
 	table := figure.Table{
 		Title:      "spare VMs needed",
@@ -52,7 +53,8 @@
 	return table, nil
 }
 
-// measureSpare shows what fewer spare VMs cost under each reserve.
+// measureSpare measures the mixed scenario with zero to onePerPool spare VMs, under
+// each reserve mode.
 func measureSpare(d deployment.Deployment, seeds int) (figure.Table, error) {
 	table := figure.Table{
 		Title:      d.Name + ", mixed, by spare VMs",
--- a/internal/bench/waves/variant.go
+++ b/internal/bench/waves/variant.go
@@ -1,7 +1,7 @@
-// Package waves measures the decisions about a fleet, each beside a plain
-// baseline, over the example deployments in simulated time: maintenance waves,
-// the reserve of free VMs, patience with changing documents, and the order of
-// turns. Figures are in docs/MEASUREMENTS.md, section "Fleet decisions".
+// Package waves compares the decisions about a fleet with plain baselines, over the
+// example deployments in simulated time: maintenance waves, the reserve of free
+// VMs, patience with changing documents, and the order of turns. Results are in
+// docs/MEASUREMENTS.md, section "Fleet decisions".
 package waves
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/yuccadrift/yuccadrift/internal/pool"
 )
 
-// variant is a policy with its planner.
+// variant is a reserve mode and a planner.
 type variant struct {
 	name    string
 	reserve pool.ReserveMode
-	batches bool // first-come waves in fixed batches
+	batches bool // waves go in fixed batches, in the order of VM IDs
 }
 
-// variants of the policy. The baseline is the last: each pool keeps its own
-// buffer, waves go in batches.
+// variants are the measured policies. The last one is the plain baseline, with a
+// buffer for each pool and waves in batches.
 var variants = []variant{
 	{"shared reserve, planned waves", pool.ReserveShared, false},
 	{"own buffers, planned waves", pool.ReserveOwn, false},
@@ -37,9 +37,9 @@
 	return r, err
 }
 
-// planBatches fills gaps as the planner does and runs waves plainly: the first
-// VMs by ID that are due, max_unavailable at once, and the next batch when the
-// last VM of this one is back.
+// planBatches fills gaps and releases surpluses as the planner does, but runs waves
+// in plain batches: it drains the first max_unavailable VMs that are due, and the
+// next batch only when all VMs of this batch are back.
 func planBatches(v *pool.View, policy pool.Policy) []pool.Proposal {
 	r := pool.NewRound(v, policy)
 	pool.Fill(r)
--- a/internal/bench/waves/waves.go
+++ b/internal/bench/waves/waves.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// observedTime is how long each run of a wave is watched, also after its end, so
-	// that sums over time compare.
+	// observedTime is the length of each run. It continues after the end of the
+	// wave, so that sums over time are comparable.
 	observedTime = 5 * time.Hour
-	// sampleInterval is the resolution of the sums over a wave.
+	// sampleInterval is the resolution of the sums over time.
 	sampleInterval = 10 * time.Second
-	// waveDeadline of the measured waves, far enough to force no turn.
+	// waveDeadline is the deadline of the waves, too late to force any turn.
 	waveDeadline = 24 * time.Hour
-	// onePerPool is the spare VMs where the plain way has one for each pool.
+	// onePerPool is the number of spare VMs, one for each pool in the plain
+	// baseline.
 	onePerPool = 5
 )
 
-// scenario is what happens during a wave.
+// scenario is a set of events during a wave.
 type scenario struct {
 	name  string
 	setup func(*episode)
@@ -32,8 +33,8 @@
 	rackLost = scenario{"rack lost in mid-wave", func(e *episode) {
 		e.schedule(5*time.Minute, func(e *episode) { e.failRack(4 * time.Hour) })
 	}}
-	// mixed loses a rack for two hours and four VMs for 20 to 140 minutes, while a
-	// pair of documents is changed, changed back and changed again.
+	// In mixed, a rack fails for two hours and four VMs fail for 20 to 139 minutes,
+	// while the sizes of two pools are changed, changed back and changed again.
 	mixed = scenario{"mixed", func(e *episode) {
 		e.schedule(5*time.Minute, func(e *episode) { e.failRack(2 * time.Hour) })
 		for range 4 {
@@ -51,8 +52,8 @@
 	}}
 )
 
-// run runs one wave over all pools. One that does not end counts as ended at
-// the end of the run.
+// run simulates a wave over all pools. A wave that does not finish counts as ended
+// at the end of the run.
 func (s scenario) run(v variant, d deployment.Deployment, spare int, seed uint64) (*episode, error) {
 	r, err := v.start(d, spare)
 	if err != nil {
@@ -71,8 +72,8 @@
 	return e, e.err
 }
 
-// Policies measures a wave over all pools under each policy, without faults and
-// with them.
+// Policies measures a wave over all pools with each variant, without and with
+// faults.
 func Policies(deployments []deployment.Deployment, seeds int) ([]figure.Table, error) {
 	var tables []figure.Table
 	for _, d := range deployments {
--- a/internal/bench/waves/waves_test.go
+++ b/internal/bench/waves/waves_test.go
@@ -11,9 +11,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/ledger"
 )
 
-// TestMeasuredPlansKeepBudgets holds what the measurement rests on: under each
-// policy, without faults, no pool is ever short by more than its document allows
-// and every wave ends.
+// TestMeasuredPlansKeepBudgets checks the premise of the wave measurement: without
+// faults, each variant finishes the wave, and no pool is ever short by more than
+// max_unavailable VMs.
 func TestMeasuredPlansKeepBudgets(t *testing.T) {
 	deployments, err := deployment.Examples(filepath.Join("..", "..", "..", "examples"))
 	require.NoError(t, err)
