--- a/internal/bench/figure/figure.go
+++ b/internal/bench/figure/figure.go
@@ -13,15 +13,15 @@
 
 // Median returns the middle value, or the upper one of the two middle values. It
 // returns NaN for an empty sample.
-func (s Sample) Median() float64 { return s.at(func(n int) int { return n / 2 }) }
+func (s Sample) Median() float64 { return s.orderStatistic(func(n int) int { return n / 2 }) }
 
 // Min returns the smallest value, or NaN for an empty sample.
-func (s Sample) Min() float64 { return s.at(func(int) int { return 0 }) }
+func (s Sample) Min() float64 { return s.orderStatistic(func(int) int { return 0 }) }
 
 // Max returns the greatest value, or NaN for an empty sample.
-func (s Sample) Max() float64 { return s.at(func(n int) int { return n - 1 }) }
+func (s Sample) Max() float64 { return s.orderStatistic(func(n int) int { return n - 1 }) }
 
-func (s Sample) at(index func(n int) int) float64 {
+func (s Sample) orderStatistic(index func(n int) int) float64 {
 	if len(s) == 0 {
 		return math.NaN()
 	}
@@ -30,11 +30,11 @@
 
 // String returns the median and, if there are several values, the range.
 func (s Sample) String() string {
-	digits := s.decimals()
+	decimals := s.decimals()
 	if len(s) == 1 {
-		return fmt.Sprintf("%.*f", digits, s[0])
+		return fmt.Sprintf("%.*f", decimals, s[0])
 	}
-	return fmt.Sprintf("%.*f (%.*f-%.*f)", digits, s.Median(), digits, s.Min(), digits, s.Max())
+	return fmt.Sprintf("%.*f (%.*f-%.*f)", decimals, s.Median(), decimals, s.Min(), decimals, s.Max())
 }
 
 // decimals returns the number of decimals to print.
--- a/internal/bench/jobs/batch.go
+++ b/internal/bench/jobs/batch.go
@@ -76,12 +76,12 @@
 	for i := range batchJobs {
 		cores := []int{1, 2, 2, 4, 4, 8, 16}[r.IntN(7)]
 		j := placement.Job{ID: fmt.Sprintf("j%03d", i), Want: ledger.Resources{MilliCores: 1000 * cores, MemoryMB: batchJobMB}}
-		seconds := 5 + 120*r.ExpFloat64()
-		s.actualSeconds[j.ID] = seconds
+		runSeconds := 5 + 120*r.ExpFloat64()
+		s.actualSeconds[j.ID] = runSeconds
 		if !known {
-			seconds *= []float64{0.25, 0.5, 1, 2, 4}[errorRand.IntN(5)]
+			runSeconds *= []float64{0.25, 0.5, 1, 2, 4}[errorRand.IntN(5)]
 		}
-		j.RunTime = time.Duration(seconds * float64(time.Second))
+		j.RunTime = time.Duration(runSeconds * float64(time.Second))
 		s.queue = append(s.queue, j)
 	}
 	return s
--- a/internal/bench/jobs/fleet.go
+++ b/internal/bench/jobs/fleet.go
@@ -36,10 +36,10 @@
 	apply := func(kind record.SubjectKind, name string, body record.Body) {
 		offset := st.Offset + 1
 		sub := record.Subject{Kind: kind, Name: name}
-		out := st.Apply(offset, record.Record{
+		outcome := st.Apply(offset, record.Record{
 			ID: fmt.Sprint(offset), Subject: sub, Base: st.Revision(sub), Seen: st.Offset, Time: now, Body: body,
 		})
-		invariant.Check(out.Status == ledger.Effective, "record about %s in the benchmark fleet has no effect: %s", name, out.Reason)
+		invariant.Check(outcome.Status == ledger.Effective, "record about %s in the benchmark fleet has no effect: %s", name, outcome.Reason)
 	}
 	for i := range workers {
 		vm, pool := fmt.Sprintf("vm-%d", i), poolName(i%pools)
--- a/internal/bench/jobs/replay.go
+++ b/internal/bench/jobs/replay.go
@@ -161,25 +161,25 @@
 	var waits, urgent []float64
 	late, urgentJobs, wasted, lost, done := 0, 0, 0, 0, 0
 	for id, j := range w.Main.Jobs {
-		from := j.SubmittedAt
-		first, started := s.firstStart[id]
-		wait := first.Sub(from).Seconds()
+		submitted := j.SubmittedAt
+		firstStart, started := s.firstStart[id]
+		wait := firstStart.Sub(submitted).Seconds()
 		switch {
-		case j.Result == record.JobUnplaceable || w.Now.Sub(from) < urgentStartLimit:
+		case j.Result == record.JobUnplaceable || w.Now.Sub(submitted) < urgentStartLimit:
 		case j.Spec.Urgent:
 			urgentJobs++
-			if !started || first.Sub(from) > urgentStartLimit {
+			if !started || firstStart.Sub(submitted) > urgentStartLimit {
 				late++
 			}
 			if !started {
-				wait = w.Now.Sub(from).Seconds()
+				wait = w.Now.Sub(submitted).Seconds()
 			}
 			urgent = append(urgent, wait)
 		case started:
 			waits = append(waits, wait)
 		}
 		wasted += len(j.Failures) + j.Lapses
-		if started && j.Status == ledger.JobCancelled && j.EndedAt.Sub(first) < earlyCancelLimit {
+		if started && j.Status == ledger.JobCancelled && j.EndedAt.Sub(firstStart) < earlyCancelLimit {
 			wasted++
 		}
 		if j.Succeeded() {
--- a/internal/bench/requests/path.go
+++ b/internal/bench/requests/path.go
@@ -112,16 +112,16 @@
 	var wg sync.WaitGroup
 	for i := range p.callers {
 		wg.Go(func() {
-			own := newHistogram()
+			ownLatencies := newHistogram()
 			var err error
 			for err == nil && remaining.Add(-1) >= 0 {
 				began := time.Now()
 				err = call(ctx, client, p.urls[i%len(p.urls)])
-				_ = own.RecordValue(max(1, time.Since(began).Microseconds()))
+				_ = ownLatencies.RecordValue(max(1, time.Since(began).Microseconds()))
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			took.Merge(own)
+			took.Merge(ownLatencies)
 			if err != nil {
 				failed = err
 			}
--- a/internal/bench/requests/rig.go
+++ b/internal/bench/requests/rig.go
@@ -273,9 +273,9 @@
 	sub := record.Subject{Kind: kind, Name: name}
 	rec := record.Record{ID: ulid.Make().String(), Subject: sub, Author: "bench", Time: time.Now(), Body: body}
 	r.Follower.View(func(s *ledger.State) { rec.Base, rec.Seen = s.Revision(sub), s.Offset })
-	out, err := r.Follower.Propose(ctx, rec)
-	if err == nil && out.Status != ledger.Effective {
-		err = errors.Errorf("record about %s is %s: %s", name, out.Status, out.Reason)
+	outcome, err := r.Follower.Propose(ctx, rec)
+	if err == nil && outcome.Status != ledger.Effective {
+		err = errors.Errorf("record about %s is %s: %s", name, outcome.Status, outcome.Reason)
 	}
 	return err
 }
--- a/internal/bench/state/quantities.go
+++ b/internal/bench/state/quantities.go
@@ -37,7 +37,7 @@
 type testFleet struct {
 	atRest, inWave *fleet.History
 	snapshot       []byte // of the fleet at rest
-	list           []byte // the platform's VM list as JSON
+	vmList         []byte // the platform's VM list as JSON
 	foldCount      int
 }
 
@@ -45,7 +45,7 @@
 	list := fleet.VMs(vms)
 	s := &testFleet{atRest: fleet.AtRest(list), inWave: fleet.NewHistory()}
 	var err error
-	if s.list, err = json.Marshal(list); err != nil {
+	if s.vmList, err = json.Marshal(list); err != nil {
 		return nil, err
 	}
 	if s.snapshot, err = ledger.EncodeSnapshot(s.atRest.State); err != nil {
@@ -86,10 +86,10 @@
 	{"snapshot decode, ms", func(s *testFleet) (float64, error) {
 		return ms(func() error { _, err := ledger.DecodeSnapshot(s.snapshot); return err })
 	}},
-	{"platform's list, kB plain", func(s *testFleet) (float64, error) { return kilobytes(s.list), nil }},
+	{"platform's list, kB plain", func(s *testFleet) (float64, error) { return kilobytes(s.vmList), nil }},
 	{"platform's list, kB in gzip", (*testFleet).gzipped},
 	{"platform's list, decode, ms", func(s *testFleet) (float64, error) {
-		return ms(func() error { return json.Unmarshal(s.list, new(platform.VMList)) })
+		return ms(func() error { return json.Unmarshal(s.vmList, new(platform.VMList)) })
 	}},
 	{"decode and fold a record, us", (*testFleet).fold},
 }
@@ -176,7 +176,7 @@
 func (s *testFleet) gzipped() (float64, error) {
 	var out bytes.Buffer
 	w := gzip.NewWriter(&out)
-	if _, err := w.Write(s.list); err != nil {
+	if _, err := w.Write(s.vmList); err != nil {
 		return 0, err
 	}
 	if err := w.Close(); err != nil {
--- a/internal/bench/waves/flowshop.go
+++ b/internal/bench/waves/flowshop.go
@@ -118,21 +118,21 @@
 		Quantities: []string{"roll-out min", "VM-s out"},
 	}
 	for _, shape := range []struct{ out, places int }{{5, 1}, {5, 3}, {10, 2}, {10, 10}} {
-		for _, known := range []struct {
+		for _, knowledge := range []struct {
 			name  string
 			noise float64
 		}{{"exact", 1}, {"within 5x", 5}} {
 			for _, order := range orders {
 				samples, err := figure.Collect(seeds, func(seed uint64) ([]float64, error) {
-					turns := randomTurns(seed, known.noise)
+					turns := randomTurns(seed, knowledge.noise)
 					slices.SortStableFunc(turns, order.compare)
-					makespan, charged := runFlowShop(turns, shape.out, shape.places)
-					return []float64{makespan.Minutes(), charged.Seconds()}, nil
+					makespan, outOfService := runFlowShop(turns, shape.out, shape.places)
+					return []float64{makespan.Minutes(), outOfService.Seconds()}, nil
 				})
 				if err != nil {
 					return nil, err
 				}
-				table.Add(samples, strconv.Itoa(shape.out), strconv.Itoa(shape.places), known.name, order.name)
+				table.Add(samples, strconv.Itoa(shape.out), strconv.Itoa(shape.places), knowledge.name, order.name)
 			}
 		}
 	}
--- a/internal/bench/waves/patience.go
+++ b/internal/bench/waves/patience.go
@@ -29,12 +29,12 @@
 }
 
 func settings() []setting {
-	usual := pool.DefaultPolicy().Patience
+	defaults := pool.DefaultPolicy().Patience
 	return []setting{
 		{"no patience", pool.Patience{Release: time.Second}},
-		{"weigh = buffer", usual[document.WeighBuffer]},
+		{"weigh = buffer", defaults[document.WeighBuffer]},
 		{"buffer, release after 2 h", pool.Patience{Replace: 2 * time.Minute, Move: time.Minute, Release: 2 * time.Hour}},
-		{"weigh = moves", usual[document.WeighMoves]},
+		{"weigh = moves", defaults[document.WeighMoves]},
 		{"moves, wait 1 h", pool.Patience{Replace: time.Hour, Move: time.Hour}},
 	}
 }
--- a/internal/bench/waves/variant.go
+++ b/internal/bench/waves/variant.go
@@ -48,11 +48,11 @@
 			if r.Out(w, p) {
 				continue
 			}
-			n := 0
+			drained := 0
 			for _, vm := range p.VMs {
-				if n < p.Doc.Budget.MaxUnavailable && w.VMs[vm.ID] == ledger.WavePending && vm.Serving() {
+				if drained < p.Doc.Budget.MaxUnavailable && w.VMs[vm.ID] == ledger.WavePending && vm.Serving() {
 					if r.Drain(vm, r.WaveDrain(vm, ""), "next batch") == "" {
-						n++
+						drained++
 					}
 				}
 			}
