--- a/internal/bench/deployment/deployment.go
+++ b/internal/bench/deployment/deployment.go
@@ -93,7 +93,7 @@
 	return d, nil
 }
 
-// Start returns a run with enough VMs to fill all pools and spare VMs besides, after
+// Start returns a run with enough VMs to fill all pools, and spare free VMs, after
 // the time that the pools need to fill.
 func (d Deployment) Start(spare int, policy pool.Policy) (*forecast.Run, error) {
 	r := forecast.New(ledger.New(), Epoch, policy, Usual)
--- a/internal/bench/jobs/arrivals.go
+++ b/internal/bench/jobs/arrivals.go
@@ -99,7 +99,7 @@
 	misdeclared bool
 	events      func(d poolSetup) []event
 	// ablations names the policies that switch off a feature which matters in
-	// this scenario. They are measured beside the full and the plain policy.
+	// this scenario. They are measured in addition to the full and the plain policy.
 	ablations []string
 }
 
