--- a/internal/bench/claims/log.go
+++ b/internal/bench/claims/log.go
@@ -19,47 +19,48 @@
 
 const (
 	claimStream = "claims"
-	// readLimit and readWait are those of a follower.
+	// readLimit and readWait are the same as in a follower of the log.
 	readLimit = 1000
 	readWait  = time.Second
-	// readPause follows a read that failed.
+	// readPause is the delay after a failed read.
 	readPause = 50 * time.Millisecond
-	// reportTimeout is how long a report may wait for its append.
+	// reportTimeout limits how long a report waits for its append.
 	reportTimeout = 10 * time.Second
 )
 
-// onLog returns the way that appends claims to the stand-in's log, each entry VM
-// with its part of the ceiling, where an append and a read take delay longer.
-func onLog(delay time.Duration) func(context.Context) ([]entrypeer.Claimer, func() int64, error) {
+// startLogClaims returns the start function of a store on the stand-in's log.
+// Each entry VM gets an equal share of the log's append rate. Each append and
+// each read is slowed by delay.
+func startLogClaims(delay time.Duration) func(context.Context) ([]entrypeer.Claimer, func() int64, error) {
 	return func(ctx context.Context) ([]entrypeer.Claimer, func() int64, error) {
 		fake := standin.New(standin.Options{})
 		if delay > 0 {
 			if _, err := fake.Order(standin.Fault{Kind: standin.LogSlow, DelayMS: delay.Milliseconds()}); err != nil {
-				return nil, nil, errors.Wrap(err, "slow the log")
+				return nil, nil, errors.Wrap(err, "slow down the log")
 			}
 		}
-		counted := &countedLog{Log: fake}
+		counting := &countingLog{Log: fake}
 		var claimers []entrypeer.Claimer
 		for range vms {
-			l := newLogClaims(counted, standin.DefaultAppendsPerSecond/vms)
+			l := newLogClaims(counting, standin.DefaultAppendsPerSecond/vms)
 			go func() { _ = l.appender.Serve(ctx) }()
 			go l.follow(ctx)
 			claimers = append(claimers, l)
 		}
-		return claimers, counted.appends.Load, nil
+		return claimers, counting.appends.Load, nil
 	}
 }
 
-// logClaims is the way weighed against owners in memory: each claim is an entry
-// of a stream of the log, and the first entry of a key holds it. Results are
-// entries too, and nobody waits for them.
+// logClaims is the plain alternative to owners in memory. Each claim is an entry
+// of a stream of the log, and the first entry of a key holds the key. Results are
+// appended as entries, too, but no caller waits for them.
 type logClaims struct {
 	log      platform.Log
 	appender *platform.Appender
 
 	mu      sync.Mutex
 	holders map[claim.Key]claim.Attempt
-	waiting map[claim.Attempt]chan bool
+	waiters map[claim.Attempt]chan bool
 }
 
 type logEntry struct {
@@ -74,11 +75,11 @@
 		log:      log,
 		appender: platform.NewAppender(log, claimStream, platform.AppenderOptions{Rate: rate}),
 		holders:  map[claim.Key]claim.Attempt{},
-		waiting:  map[claim.Attempt]chan bool{},
+		waiters:  map[claim.Attempt]chan bool{},
 	}
 }
 
-// follow folds the stream.
+// follow reads the stream and folds its entries until ctx ends.
 func (l *logClaims) follow(ctx context.Context) {
 	for from := platform.Offset(1); ctx.Err() == nil; {
 		batch, err := l.log.Read(ctx, claimStream, from, readLimit, readWait)
@@ -103,9 +104,9 @@
 	if _, held := l.holders[e.Key]; !held {
 		l.holders[e.Key] = e.Attempt
 	}
-	if ch := l.waiting[e.Attempt]; ch != nil {
+	if ch := l.waiters[e.Attempt]; ch != nil {
 		ch <- l.holders[e.Key] == e.Attempt
-		delete(l.waiting, e.Attempt)
+		delete(l.waiters, e.Attempt)
 	}
 }
 
@@ -114,7 +115,7 @@
 	attempt := claim.Attempt{ID: ulid.Make()}
 	granted := make(chan bool, 1)
 	l.mu.Lock()
-	l.waiting[attempt] = granted
+	l.waiters[attempt] = granted
 	l.mu.Unlock()
 	data, _ := json.Marshal(logEntry{Key: req.Key, Attempt: attempt})
 	if _, err := l.appender.Append(ctx, data); err != nil {
@@ -140,14 +141,14 @@
 	}()
 }
 
-// countedLog counts appends.
-type countedLog struct {
+// countingLog counts the appends to a log.
+type countingLog struct {
 	platform.Log
 	appends atomic.Int64
 }
 
 // Append implements platform.Log.
-func (c *countedLog) Append(ctx context.Context, stream string, entries [][]byte) (platform.Offset, error) {
+func (c *countingLog) Append(ctx context.Context, stream string, entries [][]byte) (platform.Offset, error) {
 	c.appends.Add(1)
 	return c.Log.Append(ctx, stream, entries)
 }
--- a/internal/bench/figure/write.go
+++ b/internal/bench/figure/write.go
@@ -12,17 +12,18 @@
 	"github.com/pkg/errors"
 )
 
-// Format is how tables are written.
+// Format is an output format of tables.
 type Format string
 
 // The formats.
 const (
-	FormatTable Format = "table" // Markdown, as in docs/MEASUREMENTS.md
+	FormatTable Format = "table" // Markdown, as used in docs/MEASUREMENTS.md
 	FormatJSON  Format = "json"
 	FormatCSV   Format = "csv" // one line for each sample
 )
 
-// Write writes tables in a format. It fails on an unknown format and where w does.
+// Write writes tables to w in the given format. It returns an error if the format
+// is unknown or if w returns one.
 func Write(w io.Writer, format Format, tables []Table) error {
 	switch format {
 	case FormatTable:
@@ -53,15 +54,15 @@
 	return err
 }
 
-// line is one sample with what it belongs to.
+// line is one sample with its table, row and quantity.
 type line struct {
 	Table    string   `json:"table"`
 	Labels   []string `json:"labels"`
 	Quantity string   `json:"quantity"`
 	Runs     int      `json:"runs"`
 	Median   float64  `json:"median"`
-	Least    float64  `json:"least"`
-	Greatest float64  `json:"greatest"`
+	Min      float64  `json:"least"`
+	Max      float64  `json:"greatest"`
 }
 
 func lines(tables []Table) []line {
@@ -71,7 +72,7 @@
 			for i, s := range row.Samples {
 				list = append(list, line{
 					Table: t.Title, Labels: row.Labels, Quantity: t.Quantities[i],
-					Runs: len(s), Median: s.Median(), Least: s.Least(), Greatest: s.Greatest(),
+					Runs: len(s), Median: s.Median(), Min: s.Min(), Max: s.Max(),
 				})
 			}
 		}
@@ -91,7 +92,7 @@
 	number := func(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 	for _, l := range lines(tables) {
 		records = append(records, []string{
-			l.Table, strings.Join(l.Labels, "/"), l.Quantity, strconv.Itoa(l.Runs), number(l.Median), number(l.Least), number(l.Greatest),
+			l.Table, strings.Join(l.Labels, "/"), l.Quantity, strconv.Itoa(l.Runs), number(l.Median), number(l.Min), number(l.Max),
 		})
 	}
 	return out.WriteAll(records)
--- a/internal/bench/jobs/batch.go
+++ b/internal/bench/jobs/batch.go
@@ -12,7 +12,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/placement"
 )
 
-// Size of a batch.
+// Sizes of the batch measurement.
 const (
 	batchJobs     = 300
 	batchJobMB    = 100
@@ -22,11 +22,11 @@
 	batchSlots    = 8
 )
 
-// Batch measures Min-Min of HMHS (Chen, Shen, Chen and Guo, "HMHS: Hybrid
+// Batch compares Min-Min of HMHS (Chen, Shen, Chen and Guo, "HMHS: Hybrid
 // Multistage Heuristic Scheduling Algorithm for Heterogeneous MapReduce System",
-// section 3.2) against plain orders: a batch of jobs, all there at time zero, on
-// workers of unequal speed whose speeds are known, with run times that are known
-// and ones that are wrong.
+// section 3.2) with simple orders. All jobs of a batch are submitted at time
+// zero. The workers differ in speed, and their speeds are known. Run times are
+// declared exactly in one case and wrongly in the other.
 func Batch(seeds int) ([]figure.Table, error) {
 	table := figure.Table{
 		Title:      fmt.Sprintf("%d jobs at time zero on %d workers with speeds 0.5 to 1.5", batchJobs, batchWorkers),
@@ -47,47 +47,48 @@
 	return []figure.Table{table}, nil
 }
 
-// batch is jobs and workers with their speeds.
+// batch simulates queued and running jobs on workers of different speeds.
 type batch struct {
-	workers []placement.Worker
-	queue   []placement.Job
-	real    map[string]float64 // seconds that a job needs at speed 1
-	speed   []float64
-	ends    []ending
-	now     float64
+	workers       []placement.Worker
+	queue         []placement.Job
+	actualSeconds map[string]float64 // seconds that a job needs at speed 1
+	speed         []float64
+	completions   []completion
+	now           float64
 }
 
-type ending struct {
+type completion struct {
 	at     float64
 	worker int
 	job    placement.Job
 }
 
-// newBatch draws jobs and workers. Declared run times are the real ones,
-// or, where not known, wrong by up to four times either way.
+// newBatch returns a batch of random jobs on idle workers of random speeds. If
+// known is false, declared run times are wrong by a factor of 1/4 to 4.
 func newBatch(seed uint64, known bool) *batch {
-	r, wrong := rand.New(rand.NewPCG(seed, 7)), rand.New(rand.NewPCG(seed, 8))
-	s := &batch{real: map[string]float64{}}
-	room := ledger.Resources{MilliCores: 1000 * batchCores, MemoryMB: batchMemoryMB}
+	r, errorRand := rand.New(rand.NewPCG(seed, 7)), rand.New(rand.NewPCG(seed, 8))
+	s := &batch{actualSeconds: map[string]float64{}}
+	capacity := ledger.Resources{MilliCores: 1000 * batchCores, MemoryMB: batchMemoryMB}
 	for i := range batchWorkers {
-		s.workers = append(s.workers, placement.Worker{ID: fmt.Sprintf("w%02d", i), Capacity: room, Free: room, Slots: batchSlots})
+		s.workers = append(s.workers, placement.Worker{ID: fmt.Sprintf("w%02d", i), Capacity: capacity, Free: capacity, Slots: batchSlots})
 		s.speed = append(s.speed, 0.5+r.Float64())
 	}
 	for i := range batchJobs {
 		cores := []int{1, 2, 2, 4, 4, 8, 16}[r.IntN(7)]
 		j := placement.Job{ID: fmt.Sprintf("j%03d", i), Want: ledger.Resources{MilliCores: 1000 * cores, MemoryMB: batchJobMB}}
-		seconds := 5 + 120*r.ExpFloat64()
-		s.real[j.ID] = seconds
+		runSeconds := 5 + 120*r.ExpFloat64()
+		s.actualSeconds[j.ID] = runSeconds
 		if !known {
-			seconds *= []float64{0.25, 0.5, 1, 2, 4}[wrong.IntN(5)]
+			runSeconds *= []float64{0.25, 0.5, 1, 2, 4}[errorRand.IntN(5)]
 		}
-		j.RunTime = time.Duration(seconds * float64(time.Second))
+		j.RunTime = time.Duration(runSeconds * float64(time.Second))
 		s.queue = append(s.queue, j)
 	}
 	return s
 }
 
-// pick returns the next job of the queue and its worker, or false.
+// pick returns the indices of the next job to start and of its worker. ok is
+// false if no queued job fits a worker.
 type pick func(s *batch) (job, worker int, ok bool)
 
 var batchRules = []struct {
@@ -95,7 +96,7 @@
 	pick pick
 }{
 	{"first come first fit (plain)", func(s *batch) (int, int, bool) { return s.firstCome(func(int, int) float64 { return 0 }) }},
-	{"first come best fit", func(s *batch) (int, int, bool) { return s.firstCome(s.fullness) }},
+	{"first come best fit", func(s *batch) (int, int, bool) { return s.firstCome(s.bestFit) }},
 	{"first come fastest", func(s *batch) (int, int, bool) { return s.firstCome(func(_, w int) float64 { return s.speed[w] }) }},
 	{"Min-Min (HMHS)", minMin},
 	{"longest first fastest", func(s *batch) (int, int, bool) {
@@ -110,12 +111,12 @@
 	return s.workers[w].Slots > 0 && s.queue[j].Want.Within(s.workers[w].Free)
 }
 
-func (s *batch) fullness(j, w int) float64 {
+func (s *batch) bestFit(j, w int) float64 {
 	return -float64(s.workers[w].Free.MilliCores - s.queue[j].Want.MilliCores)
 }
 
-// firstCome returns the first job of the queue that fits, on the worker with
-// the highest score.
+// firstCome picks the first job of the queue that fits a worker, and of these
+// workers the one with the highest score.
 func (s *batch) firstCome(score func(j, w int) float64) (int, int, bool) {
 	for j := range s.queue {
 		best := -1
@@ -131,7 +132,7 @@
 	return 0, 0, false
 }
 
-// minMin returns the pair that is expected to complete first.
+// minMin picks the job and worker with the shortest expected run time.
 func minMin(s *batch) (int, int, bool) {
 	bestJ, bestW, bestAt := -1, -1, 0.0
 	for j := range s.queue {
@@ -145,21 +146,21 @@
 	return bestJ, bestW, bestJ >= 0
 }
 
-// run places and ends jobs until none is left. It returns when the last one ended
-// and the mean of their ends, in seconds.
+// run simulates the batch until all jobs have completed. It returns the time of
+// the last completion and the mean completion time, in seconds.
 func (s *batch) run(pick pick) (makespan, mean float64) {
 	n := float64(len(s.queue))
-	for len(s.queue)+len(s.ends) > 0 {
+	for len(s.queue)+len(s.completions) > 0 {
 		for j, w, ok := pick(s); ok; j, w, ok = pick(s) {
 			s.start(j, w)
 		}
 		next := 0
-		for i := range s.ends {
-			if s.ends[i].at < s.ends[next].at {
+		for i := range s.completions {
+			if s.completions[i].at < s.completions[next].at {
 				next = i
 			}
 		}
-		s.end(next)
+		s.complete(next)
 		mean += s.now / n
 	}
 	return s.now, mean
@@ -170,13 +171,13 @@
 	s.queue = slices.Delete(s.queue, j, j+1)
 	s.workers[w].Free = s.workers[w].Free.Add(started.Want, -1)
 	s.workers[w].Slots--
-	s.ends = append(s.ends, ending{at: s.now + s.real[started.ID]/s.speed[w], worker: w, job: started})
+	s.completions = append(s.completions, completion{at: s.now + s.actualSeconds[started.ID]/s.speed[w], worker: w, job: started})
 }
 
-func (s *batch) end(i int) {
-	e := s.ends[i]
+func (s *batch) complete(i int) {
+	e := s.completions[i]
 	s.now = e.at
 	s.workers[e.worker].Free = s.workers[e.worker].Free.Add(e.job.Want, 1)
 	s.workers[e.worker].Slots++
-	s.ends = slices.Delete(s.ends, i, i+1)
+	s.completions = slices.Delete(s.completions, i, i+1)
 }
--- a/internal/bench/jobs/replay.go
+++ b/internal/bench/jobs/replay.go
@@ -19,13 +19,15 @@
 	replayTime = 30 * time.Minute
 	replayTick = 250 * time.Millisecond
 	usageLag   = 10 * time.Second
-	// urgentBound is what the users ask for; a later start is late.
-	urgentBound = 6700 * time.Millisecond
-	// soonStopped counts a start as wasted when its job is cancelled that soon.
-	soonStopped = 5 * time.Second
+	// urgentStartLimit is the users' requirement for the start of urgent jobs. A
+	// later start counts as late.
+	urgentStartLimit = 6700 * time.Millisecond
+	// earlyCancelLimit is the time after a job's first start within which a
+	// cancellation makes the start count as wasted.
+	earlyCancelLimit = 5 * time.Second
 )
 
-// policy is one way to run the pool.
+// policy is a configuration of the job runner.
 type policy struct {
 	name string
 	cfg  jobrunner.CoreConfig
@@ -46,22 +48,22 @@
 	{name: "min-min", cfg: jobrunner.CoreConfig{Policy: placement.Policy{MinMin: true}}},
 }
 
-// quantities of one replay.
+// quantities are the results of one replay.
 var quantities = []string{
 	"late urgent, %", "urgent p99, s", "wasted starts", "lost jobs", "cores used, %", "overload, %", "jobs done", "mean wait, s", "preempted",
 }
 
-// Replay measures the policies against their plain baselines on one pool of each
-// deployment. Arrivals depend on the seed alone, so that all policies see the
+// Replay compares the policies with the plain baseline on one pool of each
+// deployment. Arrivals depend only on the seed, so that all policies get the
 // same jobs.
 func Replay(seeds int) ([]figure.Table, error) {
 	table := figure.Table{
 		Title: "half an hour of jobs in a pool of each deployment", Labels: []string{"pool", "case", "policy"}, Quantities: quantities,
 	}
-	for _, d := range deployments {
+	for _, d := range poolSetups {
 		for _, sc := range scenarios {
 			for i, pol := range policies {
-				if i > 1 && !slices.Contains(sc.without, pol.name) {
+				if i > 1 && !slices.Contains(sc.ablations, pol.name) {
 					continue
 				}
 				samples, err := figure.Collect(seeds, func(seed uint64) ([]float64, error) { return replay(d, sc, pol, seed+1) })
@@ -75,44 +77,45 @@
 	return []figure.Table{table}, nil
 }
 
-// tally sums what is sampled while a replay runs.
-type tally struct {
-	used, over, capacity float64
-	firstStart           map[string]time.Time
-	starts               map[string]int
+// replayStats accumulates samples during a replay: core-seconds used, in excess
+// of the workers' cores and available, and the starts of each job.
+type replayStats struct {
+	used, overload, capacity float64
+	firstStart               map[string]time.Time
+	starts                   map[string]int
 }
 
-func replay(d deployment, sc scenario, pol policy, seed uint64) ([]float64, error) {
+func replay(d poolSetup, sc scenario, pol policy, seed uint64) ([]float64, error) {
 	r := rand.New(rand.NewPCG(seed, 1))
-	plans := d.arrivals(r, sc.misdeclared)
-	if sc.plans != nil {
-		plans = append(plans, sc.plans(d)...)
+	events := d.arrivals(r, sc.misdeclared)
+	if sc.events != nil {
+		events = append(events, sc.events(d)...)
 	}
-	slices.SortStableFunc(plans, func(a, b plan) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(events, func(a, b event) int { return cmp.Compare(a.at, b.at) })
 	w := New(Shape{
 		Stewards: 1, Workers: d.workers, Cores: d.cores, MemoryMB: d.memoryMB,
 		Doc: d.document(), Core: pol.cfg, Tick: replayTick,
 	})
-	plans = slices.Insert(plans, 0, plan{fault: &standin.Fault{Kind: standin.UsageLag, DelayMS: usageLag.Milliseconds()}})
-	sum := &tally{firstStart: map[string]time.Time{}, starts: map[string]int{}}
+	events = slices.Insert(events, 0, event{fault: &standin.Fault{Kind: standin.UsageLag, DelayMS: usageLag.Milliseconds()}})
+	stats := &replayStats{firstStart: map[string]time.Time{}, starts: map[string]int{}}
 	for step := 0; w.Now.Sub(Begin) < replayTime; step++ {
-		for len(plans) > 0 && plans[0].at <= w.Now.Sub(Begin) {
-			if err := w.do(plans[0]); err != nil {
+		for len(events) > 0 && events[0].at <= w.Now.Sub(Begin) {
+			if err := w.apply(events[0]); err != nil {
 				return nil, err
 			}
-			plans = plans[1:]
+			events = events[1:]
 		}
 		w.Step()
-		if err := sum.sample(w, step); err != nil {
+		if err := stats.sample(w, step); err != nil {
 			return nil, err
 		}
 	}
-	return w.measure(sum), nil
+	return w.measure(stats), nil
 }
 
-// do lets one planned event happen. What the fold makes of its record is part of
-// what is measured.
-func (w *World) do(p plan) error {
+// apply carries out an event. A record without effect is no error, since the
+// effect of records is part of the measurement.
+func (w *World) apply(p event) error {
 	sub := record.Subject{Kind: record.SubjectJob, Name: p.id}
 	switch {
 	case p.fault != nil:
@@ -126,8 +129,9 @@
 	return nil
 }
 
-// sample notes first starts at each step, and the workers' use each second.
-func (s *tally) sample(w *World, step int) error {
+// sample records the jobs' starts after each step, and the workers' usage once a
+// second.
+func (s *replayStats) sample(w *World, step int) error {
 	for id, n := range w.Platform.Counters().JobStarts {
 		if s.starts[id] == 0 && n > 0 {
 			s.firstStart[id] = w.Now
@@ -147,35 +151,35 @@
 	}
 	for _, cores := range used {
 		s.used += min(cores, float64(w.Cores))
-		s.over += max(0, cores-float64(w.Cores))
+		s.overload += max(0, cores-float64(w.Cores))
 	}
 	s.capacity += float64(w.Workers * w.Cores)
 	return nil
 }
 
-func (w *World) measure(s *tally) []float64 {
+func (w *World) measure(s *replayStats) []float64 {
 	var waits, urgent []float64
 	late, urgentJobs, wasted, lost, done := 0, 0, 0, 0, 0
 	for id, j := range w.Main.Jobs {
-		from := j.SubmittedAt
-		first, started := s.firstStart[id]
-		wait := first.Sub(from).Seconds()
+		submitted := j.SubmittedAt
+		firstStart, started := s.firstStart[id]
+		wait := firstStart.Sub(submitted).Seconds()
 		switch {
-		case j.Result == record.JobUnplaceable || w.Now.Sub(from) < urgentBound:
+		case j.Result == record.JobUnplaceable || w.Now.Sub(submitted) < urgentStartLimit:
 		case j.Spec.Urgent:
 			urgentJobs++
-			if !started || first.Sub(from) > urgentBound {
+			if !started || firstStart.Sub(submitted) > urgentStartLimit {
 				late++
 			}
 			if !started {
-				wait = w.Now.Sub(from).Seconds()
+				wait = w.Now.Sub(submitted).Seconds()
 			}
 			urgent = append(urgent, wait)
 		case started:
 			waits = append(waits, wait)
 		}
 		wasted += len(j.Failures) + j.Lapses
-		if started && j.Status == ledger.JobCancelled && j.EndedAt.Sub(first) < soonStopped {
+		if started && j.Status == ledger.JobCancelled && j.EndedAt.Sub(firstStart) < earlyCancelLimit {
 			wasted++
 		}
 		if j.Succeeded() {
@@ -188,7 +192,7 @@
 	wasted += stats.Refused
 	return []float64{
 		100 * float64(late) / max(1, float64(urgentJobs)), quantile(urgent, 0.99), float64(wasted), float64(lost),
-		100 * s.used / s.capacity, 100 * s.over / s.capacity, float64(done), mean(waits), float64(stats.Preempted),
+		100 * s.used / s.capacity, 100 * s.overload / s.capacity, float64(done), mean(waits), float64(stats.Preempted),
 	}
 }
 
--- a/internal/bench/jobs/world.go
+++ b/internal/bench/jobs/world.go
@@ -1,6 +1,6 @@
-// Package jobs plays stewards' job runners against the stand-in under a virtual
-// clock, and measures the policies of placement beside a plain baseline. Figures
-// are in docs/MEASUREMENTS.md, section "Jobs".
+// Package jobs simulates the stewards' job runners against the stand-in platform
+// under a virtual clock, and compares the placement policies with a plain
+// baseline. Results are in docs/MEASUREMENTS.md, section "Jobs".
 package jobs
 
 import (
@@ -17,31 +17,32 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// Service owns the one pool of a world.
+// Service is the service whose pool a world has.
 const Service = "export"
 
-// Begin is when a world's clock starts.
+// Begin is the start time of a world's clock.
 var Begin = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// Node is one steward: its own fold of the log, its Core, and the actions that
-// it has in flight.
+// Node is one steward: its Core, its state as folded from the log, and its
+// actions in flight.
 type Node struct {
 	Core   *jobrunner.Core
 	State  *ledger.State
-	CutOff bool      // from the log
-	Wakes  time.Time // it is paused until then
+	CutOff bool      // the node can't reach the log
+	Wakes  time.Time // the node is paused until this time
 
-	fresh    time.Time
-	inFlight []flight
+	stateReadAt time.Time
+	inFlight    []delayedAction
 }
 
-// flight is an action with the time at which it reaches the platform or log.
-type flight struct {
+// delayedAction is an action and the time at which it reaches the platform or
+// the log.
+type delayedAction struct {
 	action jobrunner.Action
 	at     time.Time
 }
 
-// Shape is what a world is made of.
+// Shape is the size and configuration of a world.
 type Shape struct {
 	Stewards int
 	Workers  int
@@ -52,26 +53,27 @@
 	Tick     time.Duration
 }
 
-// World runs stewards against the stand-in under a virtual clock. A nil node is
-// one that has ended.
+// World runs stewards against the stand-in platform under a virtual clock. A nil
+// entry of Nodes is a steward whose process has ended.
 type World struct {
 	Shape
 	Now      time.Time
-	Main     *ledger.State // the fold of the whole log
+	Main     *ledger.State // the state after the whole log
 	Platform *standin.Platform
 	Nodes    []*Node
-	// Latency returns how long an action takes to arrive.
+	// Latency returns how long an action takes to reach the platform or the log.
 	Latency func() time.Duration
-	// Strays returns whether a start gets no reply and arrives later.
+	// Strays reports whether the reply to a start is lost, and returns the delay
+	// after which that start reaches the platform.
 	Strays func() (time.Duration, bool)
-	Trace  []jobrunner.Verb // actions carried out
+	Trace  []jobrunner.Verb // actions that have been executed
 
-	log   [][]byte
-	ids   int
-	stray []flight
+	log         [][]byte
+	ids         int
+	strayStarts []delayedAction
 }
 
-// New returns a world whose workers are all in the pool.
+// New returns a world whose workers have all joined the pool and are up.
 func New(s Shape) *World {
 	w := &World{Shape: s, Now: Begin, Main: ledger.New(), Latency: func() time.Duration { return 0 }}
 	w.Strays = func() (time.Duration, bool) { return 0, false }
@@ -86,7 +88,7 @@
 		register := record.VMRegister{Zone: "a", Rack: "a-1", Address: "10.0.0.1:80", Cores: s.Cores, MemoryMB: s.MemoryMB}
 		for _, body := range []record.Body{register, record.VMJoin{Pool: Service}, record.VMUp{}} {
 			out := w.Write(sub, body)
-			invariant.Check(out.Status == ledger.Effective, "worker of a new world: %s", out.Reason)
+			invariant.Check(out.Status == ledger.Effective, "record about a worker of a new world has no effect: %s", out.Reason)
 		}
 	}
 	w.Nodes = make([]*Node, s.Stewards)
@@ -96,7 +98,7 @@
 	return w
 }
 
-// Boot starts steward i anew with an empty memory.
+// Boot starts a new process of steward i, with an empty state.
 func (w *World) Boot(i int) {
 	n := &Node{State: ledger.New(), Wakes: w.Now}
 	n.State.Services[Service] = &ledger.Service{Doc: w.Doc}
@@ -113,47 +115,50 @@
 	return fmt.Sprintf("id-%06d", w.ids)
 }
 
-// append puts a record on the log.
-func (w *World) append(rec record.Record) ledger.Outcome {
+// appendRecord appends a record to the log.
+func (w *World) appendRecord(rec record.Record) ledger.Outcome {
 	data, err := record.Encode(rec)
-	invariant.Check(err == nil, "a record cannot be encoded: %v", err)
+	invariant.Check(err == nil, "encode a record: %v", err)
 	w.log = append(w.log, data)
 	return w.Main.ApplyData(uint64(len(w.log)), data)
 }
 
-// Write appends an operator's record.
+// Write appends a record that is based on the latest state, as an operator's
+// command does.
 func (w *World) Write(sub record.Subject, body record.Body) ledger.Outcome {
-	return w.append(record.Record{ID: w.newID(), Subject: sub, Base: w.Main.Revision(sub), Seen: w.Main.Offset, Time: w.Now, Body: body})
+	return w.appendRecord(record.Record{ID: w.newID(), Subject: sub, Base: w.Main.Revision(sub), Seen: w.Main.Offset, Time: w.Now, Body: body})
 }
 
-// Step moves the clock on by a tick and lets every node that is awake act.
+// Step advances the clock by a tick and then runs a step of each node that is
+// not paused.
 func (w *World) Step() {
 	w.Now = w.Now.Add(w.Tick)
-	w.arrive()
+	w.deliverStrayStarts()
 	for _, n := range w.Nodes {
 		if n == nil || w.Now.Before(n.Wakes) {
 			continue
 		}
-		w.deliver(n)
+		w.runDueActions(n)
 		if !n.CutOff {
-			w.follow(n)
+			w.readLog(n)
 		}
-		for _, a := range n.Core.Step(n.State, n.fresh, w.Now) {
-			n.inFlight = append(n.inFlight, flight{action: a, at: w.Now.Add(w.Latency())})
+		for _, a := range n.Core.Step(n.State, n.stateReadAt, w.Now) {
+			n.inFlight = append(n.inFlight, delayedAction{action: a, at: w.Now.Add(w.Latency())})
 		}
 	}
 }
 
-// follow folds the log to its end.
-func (w *World) follow(n *Node) {
+// readLog applies the log up to its end to the node's state.
+func (w *World) readLog(n *Node) {
 	for n.State.Offset < uint64(len(w.log)) {
 		n.State.ApplyData(n.State.Offset+1, w.log[n.State.Offset])
 	}
-	n.fresh = w.Now
+	n.stateReadAt = w.Now
 }
 
-// deliver carries out the node's actions whose time has come.
-func (w *World) deliver(n *Node) {
+// runDueActions executes the node's actions that are due and hands their results
+// to its Core.
+func (w *World) runDueActions(n *Node) {
 	due := n.inFlight
 	n.inFlight = nil
 	for _, f := range due {
@@ -178,10 +183,10 @@
 		if n.CutOff {
 			return jobrunner.Result{Err: context.DeadlineExceeded}
 		}
-		res.Outcome = w.append(a.Record)
+		res.Outcome = w.appendRecord(a.Record)
 	case jobrunner.VerbStart:
 		if d, ok := w.Strays(); ok {
-			w.stray = append(w.stray, flight{action: a, at: w.Now.Add(d)})
+			w.strayStarts = append(w.strayStarts, delayedAction{action: a, at: w.Now.Add(d)})
 			return jobrunner.Result{Err: platform.ErrUnknownOutcome}
 		}
 		res.Status, res.Err = w.Platform.Start(ctx, a.Spec, a.Op)
@@ -201,13 +206,13 @@
 	return res
 }
 
-// arrive lets strayed starts reach the platform.
-func (w *World) arrive() {
-	due := w.stray
-	w.stray = nil
+// deliverStrayStarts sends the delayed starts that are due to the platform.
+func (w *World) deliverStrayStarts() {
+	due := w.strayStarts
+	w.strayStarts = nil
 	for _, f := range due {
 		if f.at.After(w.Now) {
-			w.stray = append(w.stray, f)
+			w.strayStarts = append(w.strayStarts, f)
 			continue
 		}
 		_, _ = w.Platform.Start(context.Background(), f.action.Spec, f.action.Op)
--- a/internal/bench/requests/overload.go
+++ b/internal/bench/requests/overload.go
@@ -14,8 +14,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// Sizes of the overload measurement: 8 entry VMs before 8 backend servers of 8
-// slots. At load 1 the requests ask for all slots, quick ones for 70 % of them.
+// Parameters of the overload measurement: 8 entry VMs in front of 8 backend
+// servers with 8 slots each. At load 1, requests use all slots, 70 % of them for
+// quick requests.
 const (
 	overloadEntries  = 8
 	overloadBackends = 8
@@ -26,27 +27,29 @@
 	longWork         = 2 * time.Second
 	overloadReply    = 500 // bytes
 	overloadTime     = 6 * time.Second
-	overloadWarm     = 2 * time.Second
-	// slowFactor is how much longer the slow backend server takes.
+	overloadWarmUp   = 2 * time.Second
+	// slowFactor is how many times longer the slow backend server takes.
 	slowFactor = 5
 )
 
-// sharings of the backend servers' slots; fixed parts are the plain way.
-var sharings = []struct {
+// sharingModes are the ways to share the backend servers' slots among the entry
+// VMs. Fixed parts are the plain baseline.
+var sharingModes = []struct {
 	name string
 	way  routing.Sharing
 }{{"fixed (plain)", routing.SharingFixed}, {"choices", routing.SharingChoices}}
 
-// overload is one case of the measurement.
-type overload struct {
+// overloadCase is one case of the overload measurement.
+type overloadCase struct {
 	sharing  routing.Sharing
-	multiple float64 // of the load that asks for all slots
-	faulty   bool
+	multiple float64 // of the load that uses all slots
+	faults   bool
 }
 
-// Overload measures goodput and latency of quick requests beside long ones, for
-// each way to share slots, with healthy backend servers and with one slow by 5
-// and one that fails at once.
+// Overload measures the goodput and latency of quick requests while long requests
+// use the same backend servers, for each way to share slots. It does so with
+// healthy backend servers, and with one that is 5 times slower and another that
+// fails every request immediately.
 func Overload(ctx context.Context, loads []float64, seeds int) ([]figure.Table, error) {
 	var tables []figure.Table
 	for _, faulty := range []bool{false, true} {
@@ -59,8 +62,8 @@
 			},
 		}
 		for _, multiple := range loads {
-			for _, sharing := range sharings {
-				o := overload{sharing.way, multiple, faulty}
+			for _, sharing := range sharingModes {
+				o := overloadCase{sharing.way, multiple, faulty}
 				samples, err := figure.Collect(seeds, func(seed uint64) ([]float64, error) { return o.run(ctx, seed+1) })
 				if err != nil {
 					return nil, err
@@ -73,8 +76,8 @@
 	return tables, nil
 }
 
-// run is one run. It fails where a caller got a wrong answer.
-func (o overload) run(ctx context.Context, seed uint64) ([]float64, error) {
+// run measures the case once. It returns an error if a caller got a wrong answer.
+func (o overloadCase) run(ctx context.Context, seed uint64) ([]float64, error) {
 	r, err := Open(ctx, Options{
 		Zones: []string{"a", "b"}, Backends: overloadBackends, Entries: overloadEntries,
 		Sharing: o.sharing, Claims: LocalClaims(), Logger: hclog.NewNullLogger(),
@@ -83,8 +86,8 @@
 		return nil, err
 	}
 	defer r.Close()
-	if o.faulty {
-		if err := r.breakTwo(ctx); err != nil {
+	if o.faults {
+		if err := r.injectFaults(ctx); err != nil {
 			return nil, err
 		}
 	}
@@ -93,13 +96,13 @@
 		return nil, err
 	}
 	if wrong := report.Wrong(); wrong > 0 {
-		return nil, errors.Errorf("%d wrong answers", wrong)
+		return nil, errors.Errorf("callers got %d wrong answers", wrong)
 	}
-	return figures(report, r.Server.Counters(false).Backends), nil
+	return reportValues(report, r.Server.Counters(false).Backends), nil
 }
 
-func (o overload) plan(r *Rig, seed uint64) load.Plan {
-	plan := load.Plan{Duration: overloadTime, Warm: overloadWarm, InFlight: overloadInFlight, Seed: seed}
+func (o overloadCase) plan(r *Rig, seed uint64) load.Plan {
+	plan := load.Plan{Duration: overloadTime, Warm: overloadWarmUp, InFlight: overloadInFlight, Seed: seed}
 	for _, e := range r.Entries {
 		plan.Targets = append(plan.Targets, e.Target)
 	}
@@ -113,8 +116,9 @@
 	return plan
 }
 
-// breakTwo slows one backend server and has another fail at once.
-func (r *Rig) breakTwo(ctx context.Context) error {
+// injectFaults slows down one backend server and makes another one fail every
+// request immediately.
+func (r *Rig) injectFaults(ctx context.Context) error {
 	list, err := r.Platform.List(ctx)
 	if err != nil {
 		return err
@@ -126,7 +130,7 @@
 	return err
 }
 
-func figures(report load.Report, backends standin.BackendCounters) []float64 {
+func reportValues(report load.Report, backends standin.BackendCounters) []float64 {
 	quick, long := report.Route("quick"), report.Route("long")
 	percent := func(n int) float64 { return 100 * float64(n) / float64(max(1, quick.Sent)) }
 	ms := func(d time.Duration) float64 { return d.Seconds() * 1000 }
--- a/internal/bench/requests/path.go
+++ b/internal/bench/requests/path.go
@@ -21,16 +21,16 @@
 
 const (
 	pathReply = 1000 // bytes
-	// pathMax is the longest call that the histogram tells apart.
-	pathMax = time.Minute
-	// pathDigits is the histogram's precision.
-	pathDigits = 3
+	// maxPathLatency is the largest latency that the histogram can record.
+	maxPathLatency = time.Minute
+	// pathPrecision is the number of significant digits in the histogram.
+	pathPrecision = 3
 )
 
-// Path compares a call of a backend server with the same call through an entry,
-// in one process: latency one call at a time, and throughput with 12 at once.
-// Processor time and allocations are per call over the whole process, client and
-// backend server included; the entry's own are the difference to direct.
+// Path compares calls to backend servers with the same calls through an entry, in
+// one process, with one caller and with 12 concurrent callers. Processor time and
+// allocations are per call and of the whole process, including the client and the
+// backend servers. The difference to direct calls is the entry's own share.
 func Path(ctx context.Context, runs, requests int) ([]figure.Table, error) {
 	r, err := Open(ctx, Options{
 		Zones: []string{"a", "b", "c"}, Backends: 3, Entries: 1, Claims: LocalClaims(), Logger: hclog.NewNullLogger(),
@@ -47,7 +47,7 @@
 	for _, vm := range list.VMs {
 		direct = append(direct, "http://"+vm.Address+"/lookup")
 	}
-	through := []string{"http://" + r.Entries[0].Target + "/booking/lookup"}
+	viaEntry := []string{"http://" + r.Entries[0].Target + "/booking/lookup"}
 	table := figure.Table{
 		Title:      "a call through an entry and directly (plain)",
 		Labels:     []string{"at once", "way"},
@@ -57,9 +57,9 @@
 		for _, way := range []struct {
 			name string
 			urls []string
-		}{{"direct", direct}, {"through", through}} {
+		}{{"direct", direct}, {"through", viaEntry}} {
 			samples, err := figure.Collect(runs, func(uint64) ([]float64, error) {
-				return path{way.urls, callers, requests}.run(ctx)
+				return pathCase{way.urls, callers, requests}.run(ctx)
 			})
 			if err != nil {
 				return nil, err
@@ -70,14 +70,15 @@
 	return []figure.Table{table}, nil
 }
 
-// path is so many requests to URLs in turn, by callers at once.
-type path struct {
+// pathCase is a number of requests by concurrent callers. Each caller uses one of
+// the URLs.
+type pathCase struct {
 	urls     []string
 	callers  int
 	requests int
 }
 
-func (p path) run(ctx context.Context) ([]float64, error) {
+func (p pathCase) run(ctx context.Context) ([]float64, error) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: p.callers, DisableCompression: true}}
 	defer client.CloseIdleConnections()
 	var before, after runtime.MemStats
@@ -98,29 +99,29 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, pathMax.Microseconds(), pathDigits)
+	return hdrhistogram.New(1, maxPathLatency.Microseconds(), pathPrecision)
 }
 
-// callAll returns how long the calls took, in microseconds.
-func (p path) callAll(ctx context.Context, client *http.Client) (*hdrhistogram.Histogram, error) {
-	var left atomic.Int64
-	left.Store(int64(p.requests))
+// callAll makes all calls and returns their latencies in microseconds.
+func (p pathCase) callAll(ctx context.Context, client *http.Client) (*hdrhistogram.Histogram, error) {
+	var remaining atomic.Int64
+	remaining.Store(int64(p.requests))
 	took := newHistogram()
 	var failed error
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i := range p.callers {
 		wg.Go(func() {
-			own := newHistogram()
+			ownLatencies := newHistogram()
 			var err error
-			for err == nil && left.Add(-1) >= 0 {
+			for err == nil && remaining.Add(-1) >= 0 {
 				began := time.Now()
 				err = call(ctx, client, p.urls[i%len(p.urls)])
-				_ = own.RecordValue(max(1, time.Since(began).Microseconds()))
+				_ = ownLatencies.RecordValue(max(1, time.Since(began).Microseconds()))
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			took.Merge(own)
+			took.Merge(ownLatencies)
 			if err != nil {
 				failed = err
 			}
@@ -130,7 +131,7 @@
 	return took, failed
 }
 
-// call makes one call and fails unless its answer is whole.
+// call makes one call. It returns an error if the answer is incomplete.
 func call(ctx context.Context, client *http.Client, url string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, nil)
 	if err != nil {
@@ -149,7 +150,7 @@
 	return err
 }
 
-// processorTime is the processor time that this process has used.
+// processorTime returns the processor time that this process has used.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
--- a/internal/bench/waves/reserve.go
+++ b/internal/bench/waves/reserve.go
@@ -9,8 +9,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/pool"
 )
 
-// Reserve measures the reserve of free VMs, shared against each pool's own: how
-// many are needed, and what fewer of them cost in a mixed wave.
+// Reserve compares a shared reserve of free VMs with a reserve of each pool: how
+// many spare VMs are needed, and the effect of fewer of them on a wave in the
+// mixed scenario.
 func Reserve(deployments []deployment.Deployment, seeds int) ([]figure.Table, error) {
 	needed, err := spareNeeded(deployments)
 	if err != nil {
@@ -18,7 +19,7 @@
 	}
 	tables := []figure.Table{needed}
 	for _, d := range deployments {
-		table, err := fewerSpare(d, seeds)
+		table, err := measureSpare(d, seeds)
 		if err != nil {
 			return nil, err
 		}
@@ -27,7 +28,7 @@
 	return tables, nil
 }
 
-// spareNeeded holds the counts of pool.SpareFor.
+// spareNeeded returns the counts of pool.SpareFor.
 func spareNeeded(deployments []deployment.Deployment) (figure.Table, error) {
 	table := figure.Table{
 		Title:      "spare VMs needed",
@@ -52,21 +53,22 @@
 	return table, nil
 }
 
-// fewerSpare shows what fewer spare VMs cost under each reserve.
-func fewerSpare(d deployment.Deployment, seeds int) (figure.Table, error) {
+// measureSpare measures the mixed scenario with zero to onePerPool spare VMs, under
+// each reserve mode.
+func measureSpare(d deployment.Deployment, seeds int) (figure.Table, error) {
 	table := figure.Table{
 		Title:      d.Name + ", mixed, by spare VMs",
 		Labels:     []string{"spare VMs", "reserve"},
 		Quantities: []string{"roll-out min", "short VM-s", "over max VM-s"},
 	}
-	for spare := range oneEach + 1 {
+	for spare := range onePerPool + 1 {
 		for _, v := range variants[:2] {
 			samples, err := figure.Collect(seeds, func(seed uint64) ([]float64, error) {
-				e, err := mixed.play(v, d, spare, seed)
+				e, err := mixed.run(v, d, spare, seed)
 				if err != nil {
 					return nil, err
 				}
-				return []float64{e.end.Sub(e.start).Minutes(), e.short, e.over}, nil
+				return []float64{e.end.Sub(e.start).Minutes(), e.shortage, e.overLimit}, nil
 			})
 			if err != nil {
 				return table, err
--- a/internal/bench/waves/waves_test.go
+++ b/internal/bench/waves/waves_test.go
@@ -11,9 +11,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/ledger"
 )
 
-// TestMeasuredPlansKeepBudgets holds what the measurement rests on: under each
-// policy, without faults, no pool is ever short by more than its document allows
-// and every wave ends.
+// TestMeasuredPlansKeepBudgets checks the premise of the wave measurement: without
+// faults, each variant finishes the wave, and no pool is ever short by more than
+// max_unavailable VMs.
 func TestMeasuredPlansKeepBudgets(t *testing.T) {
 	deployments, err := deployment.Examples(filepath.Join("..", "..", "..", "examples"))
 	require.NoError(t, err)
@@ -21,10 +21,10 @@
 	for _, d := range deployments {
 		for _, v := range variants {
 			t.Run(d.Name+"/"+strings.ReplaceAll(v.name, " ", "-"), func(t *testing.T) {
-				e, err := noFaults.play(v, d, oneEach, 1)
+				e, err := noFaults.run(v, d, onePerPool, 1)
 				require.NoError(t, err)
 				require.Equal(t, ledger.WaveDone, e.run.State.Waves[deployment.WaveID].Status)
-				require.Zero(t, e.over)
+				require.Zero(t, e.overLimit)
 			})
 		}
 	}
