--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -172,12 +172,12 @@
 	if err != nil {
 		return Answer{Outcome: outcome.NotRun, Failure: FailureDial, Err: err}, reused
 	}
-	start := cn.meter.begin(req.BeforeWrite)
+	start := cn.meter.beginAttempt(req.BeforeWrite)
 	res, err := cn.client.RoundTrip(newRequest(ctx, req))
 	if err != nil {
 		wrote := cn.meter.seal(start)
 		pool.drop(cn)
-		return failed(ctx, wrote, err), reused
+		return failedAnswer(ctx, wrote, err), reused
 	}
 	return c.receive(ctx, pool, cn, req, res), reused
 }
@@ -209,15 +209,15 @@
 	}
 }
 
-func failed(ctx context.Context, wrote bool, err error) Answer {
+func failedAnswer(ctx context.Context, wrote bool, err error) Answer {
 	if !wrote {
 		return Answer{Outcome: outcome.NotRun, Failure: FailureUnsent, Err: err}
 	}
-	return Answer{Outcome: outcome.Unknown, Failure: lateFailure(ctx), Err: err}
+	return Answer{Outcome: outcome.Unknown, Failure: failureAfterWrite(ctx), Err: err}
 }
 
-// lateFailure tells why an attempt failed after bytes were written.
-func lateFailure(ctx context.Context) Failure {
+// failureAfterWrite tells why an attempt failed after bytes were written.
+func failureAfterWrite(ctx context.Context) Failure {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return FailureTimeout
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -23,9 +23,9 @@
 // script answers the nth request of a connection (from 0); nil breaks it off.
 type script func(n int, r *http.Request) []byte
 
-// scripted is a backend server that reads whole requests, counts them as run
+// scriptedServer is a backend server that reads whole requests, counts them as run
 // and answers by a script.
-type scripted struct {
+type scriptedServer struct {
 	net.Listener
 	script script
 
@@ -35,10 +35,10 @@
 	most  int // connections open at once
 }
 
-func serve(t *testing.T, s script) *scripted {
+func serve(t *testing.T, s script) *scriptedServer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	b := &scripted{Listener: listener, script: s}
+	b := &scriptedServer{Listener: listener, script: s}
 	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
@@ -52,7 +52,7 @@
 	return b
 }
 
-func (b *scripted) handle(c net.Conn) {
+func (b *scriptedServer) handle(c net.Conn) {
 	b.mu.Lock()
 	b.conns++
 	b.most = max(b.most, b.conns)
@@ -80,7 +80,7 @@
 	}
 }
 
-func (b *scripted) count(path string) int {
+func (b *scriptedServer) count(path string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
@@ -97,13 +97,13 @@
 
 func ok(string) []byte { return []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") }
 
-func client(b *scripted) *Client {
+func client(b *scriptedServer) *Client {
 	c := NewClient(Config{ConnectTimeout: time.Second, IdleTimeout: time.Minute, HoldMax: 64, HeaderMax: 4096})
 	c.Update(map[string]int{b.Addr().String(): 2})
 	return c
 }
 
-func request(b *scripted, method, path string, header http.Header, body string) *Request {
+func request(b *scriptedServer, method, path string, header http.Header, body string) *Request {
 	if header == nil {
 		header = http.Header{}
 	}
@@ -155,7 +155,7 @@
 	}
 }
 
-func roundTrip(t *testing.T, transport *http.Transport, b *scripted, method, path string, header http.Header, body string) {
+func roundTrip(t *testing.T, transport *http.Transport, b *scriptedServer, method, path string, header http.Header, body string) {
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+b.Addr().String()+path, strings.NewReader(body))
 	require.NoError(t, err)
 	if header != nil {
@@ -241,7 +241,7 @@
 	near, far := net.Pipe()
 	defer far.Close()
 	m := &meteredConn{Conn: near}
-	start := m.begin(nil)
+	start := m.beginAttempt(nil)
 	assert.False(t, m.seal(start))
 	n, err := m.Write([]byte("POST /book"))
 	assert.Zero(t, n)
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -23,9 +23,9 @@
 	mu      sync.Mutex
 	written int64
 	sealed  bool
-	// before is asked ahead of an attempt's first write; its error keeps the
+	// beforeWrite is asked ahead of an attempt's first write; its error keeps the
 	// attempt from being sent. nil once asked.
-	before func() error
+	beforeWrite func() error
 }
 
 // Write implements net.Conn.
@@ -35,23 +35,23 @@
 	if c.sealed {
 		return 0, errSealed
 	}
-	if c.before != nil {
-		if err := c.before(); err != nil {
+	if c.beforeWrite != nil {
+		if err := c.beforeWrite(); err != nil {
 			c.sealed = true
 			return 0, err
 		}
-		c.before = nil
+		c.beforeWrite = nil
 	}
 	n, err := c.Conn.Write(b)
 	c.written += int64(n)
 	return n, err
 }
 
-// begin starts an attempt and returns the count so far.
-func (c *meteredConn) begin(before func() error) int64 {
+// beginAttempt starts an attempt and returns the count so far.
+func (c *meteredConn) beginAttempt(before func() error) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.before = before
+	c.beforeWrite = before
 	return c.written
 }
 
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -144,10 +144,10 @@
 }
 
 // resize sets the most connections; what is over is closed as it becomes idle.
-func (p *connPool) resize(most int) {
+func (p *connPool) resize(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.max = most
+	p.max = limit
 }
 
 // trim closes the connections that were idle for too long.
--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -13,53 +13,53 @@
 // receive reads an answer's start. Up to HoldMax bytes are held until they are
 // complete; of a longer answer the remainder is left to be streamed.
 func (c *Client) receive(ctx context.Context, pool *connPool, cn *conn, req *Request, res *http.Response) Answer {
-	if unframed(req.Method, res) {
+	if isUnframed(req.Method, res) {
 		pool.drop(cn)
 		return Answer{Outcome: outcome.Unknown, Failure: FailureUnframed, Err: errors.New("answer without a length")}
 	}
 	length := res.ContentLength
-	if bodiless(req.Method, res.StatusCode) {
+	if hasNoBody(req.Method, res.StatusCode) {
 		length = 0
 	}
-	held, whole, err := hold(res.Body, length, c.cfg.HoldMax)
+	held, whole, err := readUpTo(res.Body, length, c.cfg.HoldMax)
 	if err != nil {
 		pool.drop(cn)
-		return Answer{Outcome: outcome.Unknown, Failure: lateFailure(ctx), Err: err}
+		return Answer{Outcome: outcome.Unknown, Failure: failureAfterWrite(ctx), Err: err}
 	}
 	ans := Answer{Outcome: outcome.Ran, Status: res.StatusCode, Header: res.Header, Body: held, response: res}
 	if !whole {
-		ans.Rest = &rest{body: res.Body, pool: pool, conn: cn}
+		ans.Rest = &answerRest{body: res.Body, pool: pool, conn: cn}
 		return ans
 	}
 	_ = res.Body.Close()
 	pool.put(cn)
-	if refused(res) {
+	if isRefusal(res) {
 		ans.Outcome = outcome.NotRun
 		ans.Failure = FailureRefused
 	}
 	return ans
 }
 
-// unframed reports whether the answer's body ends only with its connection.
-func unframed(method string, res *http.Response) bool {
+// isUnframed reports whether the answer's body ends only with its connection.
+func isUnframed(method string, res *http.Response) bool {
 	if res.StatusCode == http.StatusSwitchingProtocols {
 		return true
 	}
-	return !bodiless(method, res.StatusCode) && res.ContentLength < 0 && len(res.TransferEncoding) == 0
+	return !hasNoBody(method, res.StatusCode) && res.ContentLength < 0 && len(res.TransferEncoding) == 0
 }
 
-// bodiless reports whether an answer has no body whatever its header says.
-func bodiless(method string, status int) bool {
+// hasNoBody reports whether an answer has no body whatever its header says.
+func hasNoBody(method string, status int) bool {
 	return method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 }
 
-func refused(res *http.Response) bool {
+func isRefusal(res *http.Response) bool {
 	return res.StatusCode == http.StatusServiceUnavailable &&
 		res.Header.Get(outcome.HeaderBackend) == outcome.BackendNotRun
 }
 
-// hold reads at most most bytes. whole is true when the body ended within them.
-func hold(body io.Reader, length int64, most int) (held []byte, whole bool, err error) {
+// readUpTo reads at most most bytes. whole is true when the body ended within them.
+func readUpTo(body io.Reader, length int64, most int) (held []byte, whole bool, err error) {
 	if length == 0 {
 		return nil, true, nil
 	}
@@ -92,8 +92,8 @@
 	return errors.New("answer longer than its length")
 }
 
-// rest is the remainder of an answer that is streamed.
-type rest struct {
+// answerRest is the remainder of an answer that is streamed.
+type answerRest struct {
 	body io.ReadCloser
 	pool *connPool
 	conn *conn
@@ -102,7 +102,7 @@
 
 // Read implements io.Reader. An error other than io.EOF means that the answer
 // broke off.
-func (r *rest) Read(b []byte) (int, error) {
+func (r *answerRest) Read(b []byte) (int, error) {
 	n, err := r.body.Read(b)
 	if errors.Is(err, io.EOF) {
 		r.done = true
@@ -111,7 +111,7 @@
 }
 
 // Close implements io.Closer and frees the connection.
-func (r *rest) Close() error {
+func (r *answerRest) Close() error {
 	err := r.body.Close()
 	if r.done {
 		r.pool.put(r.conn)
--- a/internal/caller/answer.go
+++ b/internal/caller/answer.go
@@ -15,32 +15,32 @@
 // chunkSize is how much of a long answer is passed on at a time.
 const chunkSize = 32 << 10
 
-var chunks = sync.Pool{New: func() any { return new([chunkSize]byte) }}
+var chunkPool = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
-// answer passes the result to the caller and reports whether all of it came
+// writeAnswer passes the result to the caller and reports whether all of it came
 // from the backend server and was written.
-func (h *Handler) answer(w http.ResponseWriter, r *http.Request, res *dispatch.Result) bool {
+func (h *Handler) writeAnswer(w http.ResponseWriter, r *http.Request, res *dispatch.Result) bool {
 	ans := &res.Answer
 	if ans.Status == 0 {
-		h.line(w, ownStatus(res), res.Outcome, res.Reason, res.RetryAfter, ownLine(res))
+		h.writeOwnAnswer(w, ownStatus(res), res.Outcome, res.Reason, res.RetryAfter, ownText(res))
 		return true
 	}
 	copyAnswerHeader(w.Header(), ans.Header)
 	if ans.Rest != nil {
-		return h.stream(w, res)
+		return h.writeStream(w, res)
 	}
-	return h.held(w, r, res)
+	return h.writeComplete(w, r, res)
 }
 
-// held writes an answer that is complete already.
-func (h *Handler) held(w http.ResponseWriter, r *http.Request, res *dispatch.Result) bool {
+// writeComplete writes an answer that is complete already.
+func (h *Handler) writeComplete(w http.ResponseWriter, r *http.Request, res *dispatch.Result) bool {
 	ans := &res.Answer
 	trailer := ans.Trailer()
 	length := len(ans.Body)
-	if len(trailer) > 0 || bodiless(r.Method, ans.Status) {
+	if len(trailer) > 0 || hasNoBody(r.Method, ans.Status) {
 		length = -1
 	}
-	h.head(w, ans.Status, res.Outcome, length)
+	h.writeHead(w, ans.Status, res.Outcome, length)
 	if len(ans.Body) > 0 {
 		if _, err := w.Write(ans.Body); err != nil {
 			return false
@@ -50,18 +50,18 @@
 	return true
 }
 
-// stream passes a long answer on as it comes.
-func (h *Handler) stream(w http.ResponseWriter, res *dispatch.Result) bool {
+// writeStream passes a long answer on as it comes.
+func (h *Handler) writeStream(w http.ResponseWriter, res *dispatch.Result) bool {
 	ans := &res.Answer
-	h.head(w, ans.Status, res.Outcome, -1)
+	h.writeHead(w, ans.Status, res.Outcome, -1)
 	if _, err := w.Write(ans.Body); err != nil {
 		return false
 	}
-	buf := chunks.Get().(*[chunkSize]byte)
-	defer chunks.Put(buf)
+	buf := chunkPool.Get().(*[chunkSize]byte)
+	defer chunkPool.Put(buf)
 	for {
 		n, err := ans.Rest.Read(buf[:])
-		if n > 0 && !h.pass(w, buf[:n]) {
+		if n > 0 && !h.writeChunk(w, buf[:n]) {
 			return false
 		}
 		if errors.Is(err, io.EOF) {
@@ -74,9 +74,9 @@
 	}
 }
 
-// pass writes one chunk at once, within StallTimeout.
-func (h *Handler) pass(w http.ResponseWriter, chunk []byte) bool {
-	h.extend(w)
+// writeChunk writes one chunk at once, within StallTimeout.
+func (h *Handler) writeChunk(w http.ResponseWriter, chunk []byte) bool {
+	h.extendWriteDeadline(w)
 	if _, err := w.Write(chunk); err != nil {
 		return false
 	}
@@ -89,9 +89,9 @@
 	}
 }
 
-// bodiless reports whether the answer has no body, so that its Content-Length
+// hasNoBody reports whether the answer has no body, so that its Content-Length
 // must stay as the backend server said.
-func bodiless(method string, status int) bool {
+func hasNoBody(method string, status int) bool {
 	return method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 }
 
@@ -108,7 +108,7 @@
 	return http.StatusBadGateway
 }
 
-func ownLine(res *dispatch.Result) string {
+func ownText(res *dispatch.Result) string {
 	switch res.Outcome {
 	case outcome.NotRun:
 		return "the request did not run (" + string(res.Reason) + "); it is safe to send it again"
--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -12,8 +12,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/dispatch"
 )
 
-// memory bounds the request bodies that are held at once.
-type memory struct {
+// bodyMemory bounds the request bodies that are held at once.
+type bodyMemory struct {
 	bytes *semaphore.Weighted
 }
 
@@ -25,33 +25,33 @@
 	if r.ContentLength == 0 || r.Body == nil || r.Body == http.NoBody {
 		return free, nil
 	}
-	most := min(call.Route.MaxBody, h.cfg.MaxBody)
-	if r.ContentLength > most {
-		return free, tooLarge(most)
+	limit := min(call.Route.MaxBody, h.cfg.MaxBody)
+	if r.ContentLength > limit {
+		return free, bodyTooLarge(limit)
 	}
 	need := r.ContentLength
 	if need < 0 {
-		need = most
+		need = limit
 	}
 	if !h.memory.bytes.TryAcquire(need) {
 		return free, &problem{
 			status: http.StatusServiceUnavailable,
 			reason: ReasonMemory,
 			line:   "too many request bodies are held at once; try again",
-			after:  time.Second,
+			retryAfter:  time.Second,
 
 			transient: true,
 		}
 	}
 	free = func() { h.memory.bytes.Release(need) }
-	body, err := h.receive(w, r, call, most)
+	body, err := h.receive(w, r, call, limit)
 	if err == nil {
 		call.Body = body
 		return free, nil
 	}
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		return free, tooLarge(most)
+		return free, bodyTooLarge(limit)
 	}
 	p = badRequest(ReasonBodyCut, "the body broke off or took too long: %v", err)
 	p.transient = true
@@ -59,13 +59,13 @@
 }
 
 // receive reads the body within the call's deadline and StallTimeout per read.
-func (h *Handler) receive(w http.ResponseWriter, r *http.Request, call *dispatch.Call, most int64) ([]byte, error) {
+func (h *Handler) receive(w http.ResponseWriter, r *http.Request, call *dispatch.Call, limit int64) ([]byte, error) {
 	// net/http may write "100 Continue" now; the write deadline of an earlier
 	// answer on this connection may have passed.
-	h.extend(w)
+	h.extendWriteDeadline(w)
 	control := http.NewResponseController(w)
 	stall := &stallReader{
-		body:     http.MaxBytesReader(w, r.Body, most),
+		body:     http.MaxBytesReader(w, r.Body, limit),
 		control:  control,
 		deadline: call.Deadline,
 		stall:    h.cfg.StallTimeout,
@@ -109,10 +109,10 @@
 	return s.body.Read(b)
 }
 
-func tooLarge(most int64) *problem {
+func bodyTooLarge(limit int64) *problem {
 	return &problem{
 		status: http.StatusRequestEntityTooLarge,
 		reason: ReasonBodySize,
-		line:   fmt.Sprintf("the body is too large; at most %d bytes are taken here", most),
+		line:   fmt.Sprintf("the body is too large; at most %d bytes are taken here", limit),
 	}
 }
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -54,14 +54,14 @@
 // Handler answers callers.
 type Handler struct {
 	cfg      HandlerConfig
-	memory   memory
+	memory   bodyMemory
 	leaving  atomic.Bool
 	inFlight atomic.Int64
 }
 
 // NewHandler returns a Handler.
 func NewHandler(cfg HandlerConfig) *Handler {
-	return &Handler{cfg: cfg, memory: memory{bytes: semaphore.NewWeighted(cfg.BodyMemory)}}
+	return &Handler{cfg: cfg, memory: bodyMemory{bytes: semaphore.NewWeighted(cfg.BodyMemory)}}
 }
 
 // Leave makes every further answer close its connection, so that callers go
@@ -93,27 +93,27 @@
 	whole := false
 	defer func() {
 		res.Close(whole)
-		h.ended(call, res.Outcome, res.Reason, began)
+		h.recordEnd(call, res.Outcome, res.Reason, began)
 	}()
-	whole = h.answer(w, r, &res)
+	whole = h.writeAnswer(w, r, &res)
 	if !whole {
 		// An answer that broke off must not look whole to the caller.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (h *Handler) ended(call *dispatch.Call, o outcome.Outcome, why outcome.Reason, began time.Time) {
+func (h *Handler) recordEnd(call *dispatch.Call, o outcome.Outcome, reason outcome.Reason, began time.Time) {
 	if call == nil {
 		call = &dispatch.Call{}
 	}
-	h.cfg.Observer.Ended(call.Service, call.Route.Class, o, why, time.Since(began))
+	h.cfg.Observer.Ended(call.Service, call.Route.Class, o, reason, time.Since(began))
 }
 
 // refuse answers a request that was not sent on.
 func (h *Handler) refuse(w http.ResponseWriter, r *http.Request, p *problem, call *dispatch.Call, began time.Time) {
 	o := refusalOutcome(p, call, r.Header)
-	h.line(w, p.status, o, p.reason, p.after, p.line)
-	h.ended(call, o, p.reason, began)
+	h.writeOwnAnswer(w, p.status, o, p.reason, p.retryAfter, p.line)
+	h.recordEnd(call, o, p.reason, began)
 }
 
 // refusalOutcome is what can be said of a request that is refused before its
@@ -132,19 +132,19 @@
 	return outcome.NotRun
 }
 
-// line writes an answer of the system's own.
-func (h *Handler) line(w http.ResponseWriter, status int, o outcome.Outcome, why outcome.Reason, after time.Duration, text string) {
+// writeOwnAnswer writes an answer of the system's own.
+func (h *Handler) writeOwnAnswer(w http.ResponseWriter, status int, o outcome.Outcome, reason outcome.Reason, retryAfter time.Duration, text string) {
 	header := w.Header()
 	header.Set("Content-Type", "text/plain; charset=utf-8")
-	header.Set(outcome.HeaderReason, string(why))
-	if after > 0 {
-		header.Set("Retry-After", strconv.Itoa(int((after+time.Second-1)/time.Second)))
+	header.Set(outcome.HeaderReason, string(reason))
+	if retryAfter > 0 {
+		header.Set("Retry-After", strconv.Itoa(int((retryAfter+time.Second-1)/time.Second)))
 	}
-	h.head(w, status, o, len(text)+1)
+	h.writeHead(w, status, o, len(text)+1)
 	_, _ = io.WriteString(w, text+"\n") // a caller that left needs no answer
 }
 
-func (h *Handler) head(w http.ResponseWriter, status int, o outcome.Outcome, length int) {
+func (h *Handler) writeHead(w http.ResponseWriter, status int, o outcome.Outcome, length int) {
 	header := w.Header()
 	header[outcome.HeaderOutcome] = []string{string(o)}
 	if h.leaving.Load() {
@@ -153,13 +153,13 @@
 	if length >= 0 {
 		header["Content-Length"] = []string{strconv.Itoa(length)}
 	}
-	h.extend(w)
+	h.extendWriteDeadline(w)
 	w.WriteHeader(status)
 }
 
-// extend gives a slow caller StallTimeout for what is written next. Where that
+// extendWriteDeadline gives a slow caller StallTimeout for what is written next. Where that
 // fails the connection has ended, and so does the write.
-func (h *Handler) extend(w http.ResponseWriter) {
+func (h *Handler) extendWriteDeadline(w http.ResponseWriter) {
 	if err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(h.cfg.StallTimeout)); err != nil {
 		h.cfg.Logger.Debug("caller has gone before its answer was written", "error", err)
 	}
--- a/internal/caller/header.go
+++ b/internal/caller/header.go
@@ -32,7 +32,7 @@
 	fieldExpect    = "Expect"
 )
 
-func removeHop(header http.Header) {
+func removeHopByHop(header http.Header) {
 	for _, line := range header["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
 			delete(header, textproto.CanonicalMIMEHeaderKey(textproto.TrimString(name)))
@@ -49,7 +49,7 @@
 // forwardHeader makes the caller's header fit for a backend server.
 func forwardHeader(r *http.Request) http.Header {
 	header := r.Header
-	removeHop(header)
+	removeHopByHop(header)
 	delete(header, fieldExpect)
 	if _, ok := header[fieldUserAgent]; !ok {
 		header[fieldUserAgent] = []string{""} // else net/http names itself
@@ -62,7 +62,7 @@
 
 // copyAnswerHeader puts the backend server's fields into to.
 func copyAnswerHeader(to, from http.Header) {
-	removeHop(from)
+	removeHopByHop(from)
 	for name, values := range from {
 		to[name] = values
 	}
--- a/internal/caller/parse.go
+++ b/internal/caller/parse.go
@@ -33,8 +33,8 @@
 const (
 	maxDeadline = 24 * time.Hour
 	maxAttempt  = 1000
-	// quoteMax is how much of a bad value an error line repeats, in bytes.
-	quoteMax = 40
+	// maxQuotedBytes is how much of a bad value an error line repeats, in bytes.
+	maxQuotedBytes = 40
 )
 
 // problem is a request that is answered without being sent on.
@@ -42,7 +42,7 @@
 	status int
 	reason outcome.Reason
 	line   string
-	after  time.Duration
+	retryAfter  time.Duration
 	// transient: an earlier attempt may have met no such problem.
 	transient bool
 }
@@ -60,7 +60,7 @@
 			line:   fmt.Sprintf("the header has %d bytes; at most %d are taken", n, h.cfg.MaxHeader),
 		}
 	}
-	if !plainPath(r.URL) {
+	if !isUnambiguousPath(r.URL) {
 		return nil, badRequest(ReasonPath, "the path must have no . or .. element, no empty element and no encoded slash")
 	}
 	name, rest := routing.Split(r.URL.Path)
@@ -70,7 +70,7 @@
 			status: http.StatusServiceUnavailable,
 			reason: ReasonStarting,
 			line:   "this entry VM has just started and knows no service yet; try another one",
-			after:  time.Second,
+			retryAfter:  time.Second,
 
 			transient: true,
 		}
@@ -166,10 +166,10 @@
 	return n
 }
 
-// plainPath reports whether the path means the same to every reader. A backend
+// isUnambiguousPath reports whether the path means the same to every reader. A backend
 // server that resolves /lookup/../book would run a booking under the rules of
 // a repeatable lookup, and so possibly twice.
-func plainPath(u *url.URL) bool {
+func isUnambiguousPath(u *url.URL) bool {
 	if !strings.HasPrefix(u.Path, "/") || strings.Contains(u.Path, "//") || strings.Contains(u.Path, `\`) {
 		return false
 	}
@@ -203,8 +203,8 @@
 }
 
 func clip(s string) string {
-	if len(s) > quoteMax {
-		return s[:quoteMax] + "..."
+	if len(s) > maxQuotedBytes {
+		return s[:maxQuotedBytes] + "..."
 	}
 	return s
 }
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -14,34 +14,34 @@
 	"github.com/yuccadrift/yuccadrift/internal/routing"
 )
 
-// reasonGone is given when the caller's time was up before anything was sent.
-const reasonGone outcome.Reason = "deadline"
+// reasonDeadline is given when the caller's time was up before anything was sent.
+const reasonDeadline outcome.Reason = "deadline"
 
-// refusedStale: the process was paused, and its time was up before the log was
+// refusalStaleTable: the process was paused, and its time was up before the log was
 // read again.
-const refusedStale routing.Refusal = "table-not-current"
+const refusalStaleTable routing.Refusal = "table-not-current"
 
 // Bounds of the tries for one request.
 const (
 	maxTries = 4
-	// refusedTries refusals are followed by a try elsewhere at once, and
+	// immediateRefusalTries refusals are followed by a try elsewhere at once, and
 	// maxRefusals in all.
-	refusedTries = 2
+	immediateRefusalTries = 2
 	maxRefusals  = 20
 	// refusalShare is the share of fresh requests that may be tried again after
 	// a refusal of a backend server.
 	refusalShare = 1.0
-	// slowShare: an attempt that took this share of the route's deadline without
+	// slowAttemptShare: an attempt that took this share of the route's deadline without
 	// an answer speaks against the backend server.
-	slowShare = 0.25
-	// retryShed is the least that a caller is told to wait after being shed, and
+	slowAttemptShare = 0.25
+	// shedRetryAfter is the least that a caller is told to wait after being shed, and
 	// retryShedLong for a long request. retrySpread seconds are drawn on top: told
 	// the same time, all that were shed in a burst would return as one.
-	retryShed     = time.Second
-	retryShedLong = 5 * time.Second
-	retrySpread   = 3
-	// staleCheck is how often a held request looks for a current table.
-	staleCheck = 5 * time.Millisecond
+	shedRetryAfter     = time.Second
+	shedRetryAfterLong = 5 * time.Second
+	retryAfterJitterSeconds   = 3
+	// staleTablePollInterval is how often a held request looks for a current table.
+	staleTablePollInterval = 5 * time.Millisecond
 )
 
 // Call is one caller's request, read completely.
@@ -74,8 +74,8 @@
 	Close  func(whole bool)
 }
 
-func noAnswer(o outcome.Outcome, why outcome.Reason, after time.Duration) Result {
-	return Result{Outcome: o, Reason: why, RetryAfter: after, Close: func(bool) {}}
+func noAnswer(o outcome.Outcome, reason outcome.Reason, retryAfter time.Duration) Result {
+	return Result{Outcome: o, Reason: reason, RetryAfter: retryAfter, Close: func(bool) {}}
 }
 
 // Do sends a call on. ctx ends when the caller went away; a not-repeatable call
@@ -83,74 +83,74 @@
 func (d *Dispatcher) Do(ctx context.Context, call *Call) Result {
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	if call.Route.Repeatable {
-		return d.tries(ctx, cancel, call)
+		return d.doTries(ctx, cancel, call)
 	}
-	return d.once(ctx, cancel, call)
+	return d.doWithClaim(ctx, cancel, call)
 }
 
-// current waits until the table may be used, see routing.Pause.
-func (d *Dispatcher) current(ctx context.Context) bool {
-	for d.held() {
+// awaitCurrentTable waits until the table may be used, see routing.Pause.
+func (d *Dispatcher) awaitCurrentTable(ctx context.Context) bool {
+	for d.holdsNewAttempts() {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(staleCheck):
+		case <-time.After(staleTablePollInterval):
 		}
 	}
 	return true
 }
 
-// errStale keeps an attempt from being sent.
-var errStale = errors.New("the process was paused since the backend server was picked")
+// errPausedSincePick keeps an attempt from being sent.
+var errPausedSincePick = errors.New("the process was paused since the backend server was picked")
 
 // beforeWrite is asked right before an attempt's first byte: the process may
 // have been paused between the pick and the write.
 func (d *Dispatcher) beforeWrite() error {
-	if d.held() {
-		return errStale
+	if d.holdsNewAttempts() {
+		return errPausedSincePick
 	}
 	return nil
 }
 
-func (d *Dispatcher) held() bool {
+func (d *Dispatcher) holdsNewAttempts() bool {
 	return d.pause.Held(time.Now(), d.view.Load().fresh)
 }
 
-// once runs a not-repeatable call under a claim.
-func (d *Dispatcher) once(ctx context.Context, cancel context.CancelFunc, call *Call) Result {
+// doWithClaim runs a not-repeatable call under a claim.
+func (d *Dispatcher) doWithClaim(ctx context.Context, cancel context.CancelFunc, call *Call) Result {
 	permit, denial := d.cfg.Claims.Begin(ctx, call)
 	if permit == nil {
 		cancel()
-		res := noAnswer(denial.Outcome, denial.Reason, denial.RetryAfter)
-		res.Denied = denial.Outcome != outcome.NotRun
-		res.Answer = denial.Answer
-		return res
+		result := noAnswer(denial.Outcome, denial.Reason, denial.RetryAfter)
+		result.Denied = denial.Outcome != outcome.NotRun
+		result.Answer = denial.Answer
+		return result
 	}
-	gone := ctx.Err() != nil
+	expired := ctx.Err() != nil
 	cancel()
-	if gone {
+	if expired {
 		permit.End(outcome.NotRun, nil)
-		return noAnswer(outcome.NotRun, reasonGone, 0)
+		return noAnswer(outcome.NotRun, reasonDeadline, 0)
 	}
 	ctx, cancel = context.WithDeadline(context.WithoutCancel(ctx), call.Deadline)
-	return d.report(d.tries(ctx, cancel, call), permit)
+	return d.endPermit(d.doTries(ctx, cancel, call), permit)
 }
 
-// report ends the permit once the call's end is known. When the caller leaves
+// endPermit ends the permit once the call's end is known. When the caller leaves
 // in the middle of a long answer, the remainder is still read: only then is it
 // known that the call ran to its end.
-func (d *Dispatcher) report(res Result, permit Permit) Result {
+func (d *Dispatcher) endPermit(res Result, permit Permit) Result {
 	if res.Answer.Rest == nil {
 		permit.End(res.Outcome, &res.Answer)
 		return res
 	}
-	end := res.Close
+	closeResult := res.Close
 	res.Close = func(whole bool) {
 		if !whole {
 			_, err := io.Copy(io.Discard, res.Answer.Rest)
 			whole = err == nil
 		}
-		end(whole)
+		closeResult(whole)
 		if whole {
 			permit.End(outcome.Ran, nil)
 			return
@@ -160,18 +160,18 @@
 	return res
 }
 
-// tries sends the call until an answer is final.
-func (d *Dispatcher) tries(ctx context.Context, cancel context.CancelFunc, call *Call) Result {
+// doTries sends the call until an answer is final.
+func (d *Dispatcher) doTries(ctx context.Context, cancel context.CancelFunc, call *Call) Result {
 	v := d.view.Load()
 	svc := v.services[call.Service]
 	if svc == nil {
 		cancel()
-		return noAnswer(outcome.NotRun, outcome.Reason(routing.NoBackends), retryShed)
+		return noAnswer(outcome.NotRun, outcome.Reason(routing.NoBackends), shedRetryAfter)
 	}
 	svc.retries.Earn(call.Limits.RetryShare)
 	svc.refusals.Earn(refusalShare)
-	run := &run{d: d, call: call, svc: svc, cancel: cancel}
-	for run.again(ctx) {
+	run := &callState{d: d, call: call, svc: svc, cancel: cancel}
+	for run.tryNext(ctx) {
 	}
 	return run.result()
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -179,5 +179,5 @@
 // a newer table is put in use. It is to be called every routing.PauseBeat.
 func (d *Dispatcher) Beat(now time.Time) bool {
 	d.pause.Beat(now)
-	return d.held()
+	return d.holdsNewAttempts()
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -35,19 +35,19 @@
 	return f.answer(try, req)
 }
 
-func (f *fakeBackends) seen() []string {
+func (f *fakeBackends) triedAddresses() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]string(nil), f.tried...)
 }
 
-// seeded is a fixed source that goroutines may share.
-type seeded struct {
+// lockedRand is a fixed source that goroutines may share.
+type lockedRand struct {
 	mu sync.Mutex
 	r  *rand.Rand
 }
 
-func (s *seeded) IntN(n int) int {
+func (s *lockedRand) IntN(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.r.IntN(n)
@@ -58,11 +58,11 @@
 func (noObserver) Retried(string, backend.Failure)              {}
 func (noObserver) Shed(string, document.Class, routing.Refusal) {}
 
-// openClaims grants every claim and keeps what was reported.
-type openClaims struct{ ends []outcome.Outcome }
+// grantingClaims grants every claim and keeps what was reported.
+type grantingClaims struct{ ends []outcome.Outcome }
 
-func (c *openClaims) Begin(context.Context, *Call) (Permit, Denial) { return c, Denial{} }
-func (c *openClaims) End(o outcome.Outcome, _ *backend.Answer)      { c.ends = append(c.ends, o) }
+func (c *grantingClaims) Begin(context.Context, *Call) (Permit, Denial) { return c, Denial{} }
+func (c *grantingClaims) End(o outcome.Outcome, _ *backend.Answer)      { c.ends = append(c.ends, o) }
 
 func table(offset uint64, vms ...string) *routing.Table {
 	svc := &routing.Service{Name: "s", Limits: document.Limits{Slots: 8, Connections: 64, RetryShare: 0.1}}
@@ -73,7 +73,7 @@
 }
 
 func newDispatcher(f *fakeBackends, c Claims) *Dispatcher {
-	return New(Config{Zone: "a", MaxConnections: 64, Backends: f, Claims: c, Observer: noObserver{}, Rand: &seeded{r: rand.New(rand.NewPCG(1, 2))}})
+	return New(Config{Zone: "a", MaxConnections: 64, Backends: f, Claims: c, Observer: noObserver{}, Rand: &lockedRand{r: rand.New(rand.NewPCG(1, 2))}})
 }
 
 func newCall(repeatable bool) *Call {
@@ -83,7 +83,7 @@
 	}
 }
 
-func ran(int, *backend.Request) backend.Answer {
+func answerRan(int, *backend.Request) backend.Answer {
 	return backend.Answer{Outcome: outcome.Ran, Status: http.StatusOK}
 }
 
@@ -92,8 +92,8 @@
 // that was sent after the pause, and then go to "new".
 func TestRequestAfterPauseWaitsForCurrentTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeBackends{answer: ran}
-		d := newDispatcher(f, &openClaims{})
+		f := &fakeBackends{answer: answerRan}
+		d := newDispatcher(f, &grantingClaims{})
 		d.Update(table(1, "old"), time.Now())
 		time.Sleep(5 * time.Second) // no beat: the process does not run
 		results := make(chan Result, 1)
@@ -101,10 +101,10 @@
 		time.Sleep(50 * time.Millisecond)
 		d.Update(table(1, "old"), time.Now().Add(-time.Second)) // a read from before the resume
 		time.Sleep(50 * time.Millisecond)
-		assert.Empty(t, f.seen())
+		assert.Empty(t, f.triedAddresses())
 		d.Update(table(2, "new"), time.Now())
 		assert.Equal(t, outcome.Ran, (<-results).Outcome)
-		assert.Equal(t, []string{"new"}, f.seen())
+		assert.Equal(t, []string{"new"}, f.triedAddresses())
 	})
 }
 
@@ -113,10 +113,10 @@
 func TestPauseBetweenChoiceAndWriteChoosesAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeBackends{}
-		d := newDispatcher(f, &openClaims{})
+		d := newDispatcher(f, &grantingClaims{})
 		f.answer = func(try int, req *backend.Request) backend.Answer {
 			if try > 1 {
-				return ran(try, req)
+				return answerRan(try, req)
 			}
 			time.Sleep(3 * time.Second)
 			if req.BeforeWrite() == nil {
@@ -128,7 +128,7 @@
 		d.Update(table(1, "old"), time.Now())
 		res := d.Do(t.Context(), newCall(false))
 		assert.Equal(t, outcome.Ran, res.Outcome)
-		assert.Equal(t, []string{"old", "new"}, f.seen())
+		assert.Equal(t, []string{"old", "new"}, f.triedAddresses())
 	})
 }
 
@@ -160,14 +160,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := &fakeBackends{answer: func(try int, _ *backend.Request) backend.Answer { return c.answers[try-1] }}
-			claims := &openClaims{}
+			claims := &grantingClaims{}
 			d := newDispatcher(f, claims)
 			d.Update(table(1, "x", "y", "z"), time.Now())
 			res := d.Do(t.Context(), newCall(c.repeatable))
 			res.Close(true)
 			assert.Equal(t, c.want, res.Outcome)
 			assert.Equal(t, c.status, res.Answer.Status)
-			assert.Len(t, f.seen(), c.tries)
+			assert.Len(t, f.triedAddresses(), c.tries)
 			if !c.repeatable {
 				assert.Equal(t, []outcome.Outcome{c.want}, claims.ends)
 			}
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -12,17 +12,17 @@
 	// waitShare of the time left, and at most waitMost, is spent waiting: a shed
 	// caller must have time to try elsewhere.
 	waitShare = 0.25
-	waitMost  = 100 * time.Millisecond
-	// waitShort is spent instead while more than overloaded of the quick calls
+	maxWait  = 100 * time.Millisecond
+	// maxWaitOverloaded is spent instead while more than overloaded of the quick calls
 	// are shed. Then the load is above what the slots bear: the queue absorbs no
 	// burst any more, and waiting only delays every answer.
-	waitShort  = 10 * time.Millisecond
-	overloaded = 0.2
+	maxWaitOverloaded  = 10 * time.Millisecond
+	overloadedShedRate = 0.2
 	// shedDecay is the weight that one more call leaves to the past ones.
 	shedDecay = 0.98
-	// waitPoll is how often the first in the queue looks for a slot that another
+	// waitPollInterval is how often the first in the queue looks for a slot that another
 	// entry VM gave back, of which nothing is heard here.
-	waitPoll = 5 * time.Millisecond
+	waitPollInterval = 5 * time.Millisecond
 )
 
 // queue holds the quick requests of one service that wait for a slot, first
@@ -32,7 +32,7 @@
 type queue struct {
 	mu      sync.Mutex
 	waiters []*waiter
-	shed    float64 // decaying share of quick calls that got no slot
+	shedRate    float64 // decaying share of quick calls that got no slot
 }
 
 type waiter struct{ wake chan struct{} }
@@ -44,32 +44,32 @@
 	return len(q.waiters)
 }
 
-// patience is how long a request that begins to wait now may do so.
-func (q *queue) patience(left time.Duration) time.Duration {
+// waitLimit is how long a request that begins to wait now may do so.
+func (q *queue) waitLimit(left time.Duration) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	most := waitMost
-	if q.shed > overloaded {
-		most = waitShort
+	limit := maxWait
+	if q.shedRate > overloadedShedRate {
+		limit = maxWaitOverloaded
 	}
-	return min(most, time.Duration(float64(left)*waitShare))
+	return min(limit, time.Duration(float64(left)*waitShare))
 }
 
-// ended notes whether a quick call got a slot.
-func (q *queue) ended(shed bool) {
+// recordResult notes whether a quick call got a slot.
+func (q *queue) recordResult(shed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.shed *= shedDecay
+	q.shedRate *= shedDecay
 	if shed {
-		q.shed += 1 - shedDecay
+		q.shedRate += 1 - shedDecay
 	}
 }
 
-// join adds a waiter, in front when it waited before; nil when most are waiting.
-func (q *queue) join(front bool, most int) *waiter {
+// add adds a waiter, in front when it waited before; nil when most are waiting.
+func (q *queue) add(front bool, maxWaiters int) *waiter {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.waiters) >= most {
+	if len(q.waiters) >= maxWaiters {
 		return nil
 	}
 	w := &waiter{wake: make(chan struct{}, 1)}
@@ -81,8 +81,8 @@
 	return w
 }
 
-// wake lets the first waiter try.
-func (q *queue) wake() {
+// wakeFirst lets the first waiter try.
+func (q *queue) wakeFirst() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.waiters) > 0 {
@@ -93,11 +93,11 @@
 	}
 }
 
-// turn waits until it is w's turn to try, and takes it out of the queue. False
+// awaitTurn waits until it is w's turn to try, and takes it out of the queue. False
 // means that the time is up.
-func (q *queue) turn(ctx context.Context, w *waiter, until time.Time) bool {
-	defer q.leave(w)
-	poll := time.NewTicker(waitPoll)
+func (q *queue) awaitTurn(ctx context.Context, w *waiter, until time.Time) bool {
+	defer q.remove(w)
+	poll := time.NewTicker(waitPollInterval)
 	defer poll.Stop()
 	for time.Now().Before(until) {
 		select {
@@ -106,7 +106,7 @@
 		case <-w.wake:
 			return true
 		case <-poll.C:
-			if q.first(w) {
+			if q.isFirst(w) {
 				return true
 			}
 		}
@@ -114,13 +114,13 @@
 	return false
 }
 
-func (q *queue) first(w *waiter) bool {
+func (q *queue) isFirst(w *waiter) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.waiters[0] == w
 }
 
-func (q *queue) leave(w *waiter) {
+func (q *queue) remove(w *waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.waiters = slices.DeleteFunc(q.waiters, func(other *waiter) bool { return other == w })
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -16,35 +16,35 @@
 
 const runTime = 50 * time.Millisecond
 
-// crowded is a dispatcher before one backend server with two slots, each run
+// newTwoSlotDispatcher is a dispatcher before one backend server with two slots, each run
 // taking runTime.
-func crowded() (*Dispatcher, *fakeBackends) {
+func newTwoSlotDispatcher() (*Dispatcher, *fakeBackends) {
 	f := &fakeBackends{answer: func(int, *backend.Request) backend.Answer {
 		time.Sleep(runTime)
 		return backend.Answer{Outcome: outcome.Ran, Status: http.StatusOK}
 	}}
-	d := newDispatcher(f, &openClaims{})
+	d := newDispatcher(f, &grantingClaims{})
 	t := table(1, "vm")
 	t.Services["s"].Limits.Slots = 2
 	d.Update(t, time.Now())
 	return d, f
 }
 
-// timed is a result with how long the caller waited for it.
-type timed struct {
+// timedResult is a result with how long the caller waited for it.
+type timedResult struct {
 	Result
 	took time.Duration
 }
 
-func (d *Dispatcher) timed(t *testing.T, class document.Class) <-chan timed {
-	out := make(chan timed, 1)
+func (d *Dispatcher) doTimed(t *testing.T, class document.Class) <-chan timedResult {
+	out := make(chan timedResult, 1)
 	call := newCall(true)
 	call.Route.Class = class
 	began := time.Now()
 	go func() {
 		res := d.Do(t.Context(), call)
 		res.Close(true)
-		out <- timed{res, time.Since(began)}
+		out <- timedResult{res, time.Since(began)}
 	}()
 	synctest.Wait()
 	return out
@@ -55,14 +55,14 @@
 // once, so that their callers can go elsewhere.
 func TestQuickRequestWaitsForASlotAndTheRestIsShedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d, f := crowded()
-		first, second := d.timed(t, document.ClassQuick), d.timed(t, document.ClassQuick)
-		waiting := d.timed(t, document.ClassQuick)
-		surplus, long := <-d.timed(t, document.ClassQuick), <-d.timed(t, document.ClassLong)
-		for _, shed := range []timed{surplus, long} {
+		d, f := newTwoSlotDispatcher()
+		first, second := d.doTimed(t, document.ClassQuick), d.doTimed(t, document.ClassQuick)
+		waiting := d.doTimed(t, document.ClassQuick)
+		surplus, long := <-d.doTimed(t, document.ClassQuick), <-d.doTimed(t, document.ClassLong)
+		for _, shed := range []timedResult{surplus, long} {
 			assert.Equal(t, outcome.NotRun, shed.Outcome)
 			assert.Equal(t, outcome.Reason(routing.Busy), shed.Reason)
-			assert.GreaterOrEqual(t, shed.RetryAfter, retryShed)
+			assert.GreaterOrEqual(t, shed.RetryAfter, shedRetryAfter)
 			assert.Zero(t, shed.took)
 		}
 		assert.Equal(t, outcome.Ran, (<-first).Outcome)
@@ -70,7 +70,7 @@
 		got := <-waiting
 		assert.Equal(t, outcome.Ran, got.Outcome)
 		assert.Equal(t, 2*runTime, got.took)
-		assert.Len(t, f.seen(), 3)
+		assert.Len(t, f.triedAddresses(), 3)
 	})
 }
 
@@ -78,14 +78,14 @@
 // answered late and none more; the wait becomes short until the load falls.
 func TestWaitIsShortWhileMuchIsShed(t *testing.T) {
 	q := &queue{}
-	assert.Equal(t, waitMost, q.patience(time.Minute))
-	assert.Equal(t, 10*time.Millisecond, q.patience(40*time.Millisecond), "a quarter of what is left")
+	assert.Equal(t, maxWait, q.waitLimit(time.Minute))
+	assert.Equal(t, 10*time.Millisecond, q.waitLimit(40*time.Millisecond), "a quarter of what is left")
 	for range 20 {
-		q.ended(true)
+		q.recordResult(true)
 	}
-	assert.Equal(t, waitShort, q.patience(time.Minute))
+	assert.Equal(t, maxWaitOverloaded, q.waitLimit(time.Minute))
 	for range 40 {
-		q.ended(false)
+		q.recordResult(false)
 	}
-	assert.Equal(t, waitMost, q.patience(time.Minute))
+	assert.Equal(t, maxWait, q.waitLimit(time.Minute))
 }
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -12,8 +12,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/routing"
 )
 
-// run is the state of one call's tries.
-type run struct {
+// callState is the state of one call's tries.
+type callState struct {
 	d      *Dispatcher
 	call   *Call
 	svc    *service
@@ -27,19 +27,19 @@
 	lease     routing.Lease // of last
 	last      backend.Answer
 	answer    backend.Answer  // the latest complete answer, Status 0 if none
-	shed      routing.Refusal // why no further try was made
+	refusal      routing.Refusal // why no further try was made
 	maybeRan  bool            // a try ended with outcome unknown
 }
 
-// again makes one try and reports whether another one should follow.
-func (r *run) again(ctx context.Context) bool {
-	if !r.d.current(ctx) {
-		r.shed = refusedStale
+// tryNext makes one try and reports whether another one should follow.
+func (r *callState) tryNext(ctx context.Context) bool {
+	if !r.d.awaitCurrentTable(ctx) {
+		r.refusal = refusalStaleTable
 		return false
 	}
 	lease, refusal := r.acquire(ctx)
 	if refusal != routing.Admitted {
-		r.shed = refusal
+		r.refusal = refusal
 		return false
 	}
 	r.lease = lease
@@ -48,7 +48,7 @@
 	began := time.Now()
 	r.last = r.send(ctx, began)
 	if r.last.Rest == nil {
-		r.done(evidence(&r.last, r.call, time.Since(began)))
+		r.releaseLease(attemptEvidence(&r.last, r.call, time.Since(began)))
 	}
 	switch r.last.Outcome {
 	case outcome.Ran:
@@ -61,8 +61,8 @@
 
 // acquire picks a backend server. A quick call waits a short while for a slot
 // when all are in use; those that come while others wait queue up behind them.
-func (r *run) acquire(ctx context.Context) (routing.Lease, routing.Refusal) {
-	if !r.quick() {
+func (r *callState) acquire(ctx context.Context) (routing.Lease, routing.Refusal) {
+	if !r.isQuick() {
 		return r.pick()
 	}
 	if !r.queued && r.svc.queue.length() == 0 {
@@ -74,51 +74,51 @@
 	return r.acquireQueued(ctx)
 }
 
-func (r *run) acquireQueued(ctx context.Context) (routing.Lease, routing.Refusal) {
+func (r *callState) acquireQueued(ctx context.Context) (routing.Lease, routing.Refusal) {
 	if r.waitUntil.IsZero() {
 		now := time.Now()
-		r.waitUntil = now.Add(r.svc.queue.patience(r.call.Deadline.Sub(now)))
+		r.waitUntil = now.Add(r.svc.queue.waitLimit(r.call.Deadline.Sub(now)))
 	}
 	for {
-		w := r.svc.queue.join(r.queued, (r.svc.pool.Share()+1)/2)
+		w := r.svc.queue.add(r.queued, (r.svc.pool.Share()+1)/2)
 		if w == nil {
 			return routing.Lease{}, routing.Busy
 		}
 		r.queued = true
-		if !r.svc.queue.turn(ctx, w, r.waitUntil) {
+		if !r.svc.queue.awaitTurn(ctx, w, r.waitUntil) {
 			return routing.Lease{}, routing.Busy
 		}
-		r.forgetRefused()
+		r.clearTriedAfterRefusal()
 		if lease, refusal := r.pick(); refusal != routing.Busy {
 			return lease, refusal
 		}
 	}
 }
 
-func (r *run) quick() bool { return r.call.Route.Class == document.ClassQuick }
+func (r *callState) isQuick() bool { return r.call.Route.Class == document.ClassQuick }
 
-func (r *run) pick() (routing.Lease, routing.Refusal) {
+func (r *callState) pick() (routing.Lease, routing.Refusal) {
 	return r.svc.pool.Pick(time.Now(), r.d.cfg.Rand, routing.Query{Class: r.call.Route.Class, Tried: r.tried})
 }
 
-// forgetRefused lets a backend server be tried again that had no slot before.
-func (r *run) forgetRefused() {
+// clearTriedAfterRefusal lets a backend server be tried again that had no slot before.
+func (r *callState) clearTriedAfterRefusal() {
 	if r.last.Failure == backend.FailureRefused && !r.maybeRan {
 		r.tried = r.tried[:0]
 	}
 }
 
-// done ends the lease of the last try and lets a waiting call have its slot.
-func (r *run) done(ev routing.Evidence) {
+// releaseLease ends the lease of the last try and lets a waiting call have its slot.
+func (r *callState) releaseLease(ev routing.Evidence) {
 	r.svc.pool.Done(time.Now(), r.lease, ev)
 	if ev != routing.EvidenceFull {
-		r.svc.queue.wake()
+		r.svc.queue.wakeFirst()
 	}
 }
 
 // send makes the try. A hung backend server takes half of a repeatable call's
 // time at most, so that the rest is left for another one.
-func (r *run) send(ctx context.Context, now time.Time) backend.Answer {
+func (r *callState) send(ctx context.Context, now time.Time) backend.Answer {
 	left := r.call.Deadline.Sub(now)
 	if r.call.Route.Repeatable && r.tries-r.refusals == 1 {
 		tryCtx, cancelTry := context.WithCancel(ctx)
@@ -139,7 +139,7 @@
 
 // header returns the call's header with the time that is left. A later try gets
 // a copy, as the goroutine that wrote an earlier one may still read it.
-func (r *run) header(left time.Duration) backend.Header {
+func (r *callState) header(left time.Duration) backend.Header {
 	h := r.call.Header
 	if r.tries > 1 {
 		h = maps.Clone(h)
@@ -148,8 +148,8 @@
 	return h
 }
 
-func (r *run) mayRetry(ctx context.Context) bool {
-	if ctx.Err() != nil || !r.safe() {
+func (r *callState) mayRetry(ctx context.Context) bool {
+	if ctx.Err() != nil || !r.retryIsSafe() {
 		return false
 	}
 	if r.last.Failure == backend.FailureRefused {
@@ -165,20 +165,20 @@
 // mayRetryRefused decides on a try after a backend server had no slot. The first
 // ones go elsewhere at once, within a budget; then a quick call queues up, where
 // the pace of the queue bounds its tries.
-func (r *run) mayRetryRefused() bool {
+func (r *callState) mayRetryRefused() bool {
 	r.refusals++
-	if r.refusals <= refusedTries && !r.queued && r.svc.refusals.Spend() {
+	if r.refusals <= immediateRefusalTries && !r.queued && r.svc.refusals.Spend() {
 		return true
 	}
-	if !r.quick() || r.refusals >= maxRefusals {
+	if !r.isQuick() || r.refusals >= maxRefusals {
 		return false
 	}
 	r.queued = true
 	return r.waitUntil.IsZero() || time.Now().Before(r.waitUntil)
 }
 
-// safe reports whether a further try can do no harm and may do good.
-func (r *run) safe() bool {
+// retryIsSafe reports whether a further try can do no harm and may do good.
+func (r *callState) retryIsSafe() bool {
 	if r.last.Outcome == outcome.NotRun {
 		return true
 	}
@@ -193,8 +193,8 @@
 
 // result makes one answer of all tries. Once a try may have run, a later one
 // that did not run cannot turn the call into not-run.
-func (r *run) result() Result {
-	r.noteDemand()
+func (r *callState) result() Result {
+	r.recordDemand()
 	res := Result{Tries: r.tries, Close: func(bool) { r.cancel() }}
 	if r.answer.Status != 0 {
 		res.Answer = r.answer
@@ -210,55 +210,55 @@
 		res.Outcome = outcome.Unknown
 		return res
 	}
-	if r.shed != routing.Admitted {
-		res.Reason = outcome.Reason(r.shed)
-		r.d.cfg.Observer.Shed(r.call.Service, r.call.Route.Class, r.shed)
+	if r.refusal != routing.Admitted {
+		res.Reason = outcome.Reason(r.refusal)
+		r.d.cfg.Observer.Shed(r.call.Service, r.call.Route.Class, r.refusal)
 	}
 	res.RetryAfter = r.retryAfter()
 	return res
 }
 
-func (r *run) retryAfter() time.Duration {
-	least := retryShedLong
-	if r.quick() {
-		least = retryShed
+func (r *callState) retryAfter() time.Duration {
+	least := shedRetryAfterLong
+	if r.isQuick() {
+		least = shedRetryAfter
 	}
-	return least + time.Duration(r.d.cfg.Rand.IntN(retrySpread))*time.Second
+	return least + time.Duration(r.d.cfg.Rand.IntN(retryAfterJitterSeconds))*time.Second
 }
 
-// noteDemand tells the queue and the pool whether a quick call got a slot.
-func (r *run) noteDemand() {
-	if !r.quick() {
+// recordDemand tells the queue and the pool whether a quick call got a slot.
+func (r *callState) recordDemand() {
+	if !r.isQuick() {
 		return
 	}
-	shed := r.answer.Status == 0 && (r.shed == routing.Busy || r.last.Failure == backend.FailureRefused)
-	r.svc.queue.ended(shed)
+	shed := r.answer.Status == 0 && (r.refusal == routing.Busy || r.last.Failure == backend.FailureRefused)
+	r.svc.queue.recordResult(shed)
 	if shed {
 		r.svc.pool.Unmet(time.Now())
 	}
 }
 
-func (r *run) closeStream(whole bool) {
+func (r *callState) closeStream(whole bool) {
 	_ = r.answer.Rest.Close()
 	r.cancel()
 	ev := routing.EvidenceNone
 	if whole {
 		ev = answerEvidence(&r.answer)
 	}
-	r.done(ev)
+	r.releaseLease(ev)
 }
 
-// evidence says what a try showed of its backend server. A caller's short
+// attemptEvidence says what a try showed of its backend server. A caller's short
 // deadline must not speak against a backend server that is only as slow as its
 // route allows.
-func evidence(ans *backend.Answer, call *Call, took time.Duration) routing.Evidence {
+func attemptEvidence(ans *backend.Answer, call *Call, took time.Duration) routing.Evidence {
 	switch ans.Failure {
 	case backend.FailureRefused:
 		return routing.EvidenceFull
 	case backend.FailureUnsent:
 		return routing.EvidenceNone
 	case backend.FailureTimeout, backend.FailureCanceled:
-		if float64(took) < slowShare*float64(call.Route.Deadline) {
+		if float64(took) < slowAttemptShare*float64(call.Route.Deadline) {
 			return routing.EvidenceNone
 		}
 		return routing.EvidenceBad
--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -15,18 +15,18 @@
 	reserveShare = 0.125
 	// demandHalfLife is how fast the memory of the quick requests' need fades.
 	demandHalfLife = time.Second
-	// unmetSlots is how much of a slot one shed quick request takes from long
+	// slotsPerShedRequest is how much of a slot one shed quick request takes from long
 	// ones: a few sheds at the edge of the load must not stop long requests,
 	// many must.
-	unmetSlots = 0.25
+	slotsPerShedRequest = 0.25
 )
 
 // demand follows how many slots each class uses through this process.
 type demand struct {
 	quick  int
 	long   int
-	need   float64 // decaying mean of quick, at needAt
-	needAt time.Time
+	meanQuick   float64 // decaying mean of quick, at needAt
+	meanQuickAt time.Time
 }
 
 func (d *demand) start(now time.Time, c document.Class) {
@@ -35,12 +35,12 @@
 		return
 	}
 	d.quick++
-	if d.needAt.IsZero() {
-		d.needAt = now
+	if d.meanQuickAt.IsZero() {
+		d.meanQuickAt = now
 	}
-	old := d.weight(now)
-	d.need = old*d.need + (1-old)*float64(d.quick)
-	d.needAt = now
+	old := d.decay(now)
+	d.meanQuick = old*d.meanQuick + (1-old)*float64(d.quick)
+	d.meanQuickAt = now
 }
 
 func (d *demand) end(c document.Class) {
@@ -51,9 +51,9 @@
 	d.quick--
 }
 
-// weight is what the past mean counts for at now.
-func (d *demand) weight(now time.Time) float64 {
-	return math.Exp2(-float64(now.Sub(d.needAt)) / float64(demandHalfLife))
+// decay is what the past mean counts for at now.
+func (d *demand) decay(now time.Time) float64 {
+	return math.Exp2(-float64(now.Sub(d.meanQuickAt)) / float64(demandHalfLife))
 }
 
 // Unmet notes a quick request that found no slot. Each takes some room from long
@@ -63,8 +63,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	d := &p.demand
-	d.need = math.Min(d.weight(now)*d.need+unmetSlots, p.share())
-	d.needAt = now
+	d.meanQuick = math.Min(d.decay(now)*d.meanQuick+slotsPerShedRequest, p.share())
+	d.meanQuickAt = now
 }
 
 // share is the slots that fall to this process when all use the pool alike.
@@ -72,11 +72,11 @@
 	return float64(p.slots*len(p.listed)) / float64(p.members)
 }
 
-// longFits reports whether one more long request leaves this process's share of
+// admitsLong reports whether one more long request leaves this process's share of
 // the pool's slots enough room for quick ones.
-func (p *Pool) longFits(now time.Time) bool {
+func (p *Pool) admitsLong(now time.Time) bool {
 	share := p.share()
-	keep := math.Max(share*reserveShare, p.demand.weight(now)*p.demand.need)
+	keep := math.Max(share*reserveShare, p.demand.decay(now)*p.demand.meanQuick)
 	// A process whose share is below one slot may still run one long request.
 	return p.demand.long == 0 || float64(p.demand.long+1) <= share-keep
 }
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -12,12 +12,12 @@
 	// errorHalfLife is how fast failures are forgotten when a backend, avoided
 	// for them, shows nothing new. Else it would be avoided for good.
 	errorHalfLife = 4 * time.Second
-	// ejectErrors is the error rate from which a backend is ejected.
-	ejectErrors = 0.5
-	// ejectBase is the first ejection's length; it doubles up to ejectDoublings
+	// ejectErrorRate is the error rate from which a backend is ejected.
+	ejectErrorRate = 0.5
+	// ejectBaseDuration is the first ejection's length; it doubles up to ejectDoublings
 	// times while the backend goes on failing.
-	ejectBase      = 2 * time.Second
-	ejectDoublings = 4
+	ejectBaseDuration      = 2 * time.Second
+	maxEjectDoublings = 4
 	// ejectDivisor: at most 1/ejectDivisor of the pool, rounded up, is ejected.
 	ejectDivisor = 3
 )
@@ -49,54 +49,54 @@
 	probing bool
 }
 
-func (h *health) open(now time.Time, inFlight int) bool {
+func (h *health) admits(now time.Time, inFlight int) bool {
 	if !h.probing {
 		return true
 	}
 	return !now.Before(h.ejectedUntil) && inFlight == 0
 }
 
-// rate is the decaying share of bad results, 0 to 1.
-func (h *health) rate(now time.Time) float64 {
+// errorRate is the decaying share of bad results, 0 to 1.
+func (h *health) errorRate(now time.Time) float64 {
 	if h.errors == 0 {
 		return 0
 	}
 	return h.errors * math.Exp2(-float64(now.Sub(h.errorsAt))/float64(errorHalfLife))
 }
 
-func (h *health) good(now time.Time) {
-	h.errors = h.rate(now) * errorDecay
+func (h *health) recordSuccess(now time.Time) {
+	h.errors = h.errorRate(now) * errorDecay
 	h.errorsAt = now
 	if h.probing {
-		h.errors = ejectErrors / 2
+		h.errors = ejectErrorRate / 2
 	}
 	h.probing = false
 	h.ejections = 0
 }
 
-// bad notes a failure and ejects the backend once failures prevail, unless too
+// recordFailure notes a failure and ejects the backend once failures prevail, unless too
 // much of the pool is out already. A failure that hits the whole pool, as a bad
 // release or a cut network, would else empty it, and the last backends that
 // still answer now and then would be lost as well.
-func (p *Pool) bad(now time.Time, ep *endpoint) {
+func (p *Pool) recordFailure(now time.Time, ep *endpoint) {
 	h := &ep.health
-	h.errors = h.rate(now)*errorDecay + (1 - errorDecay)
+	h.errors = h.errorRate(now)*errorDecay + (1 - errorDecay)
 	h.errorsAt = now
-	if h.errors < ejectErrors && !h.probing {
+	if h.errors < ejectErrorRate && !h.probing {
 		return
 	}
-	if !h.probing && p.ejected() >= p.maxEjected() {
+	if !h.probing && p.countEjected() >= p.maxEjected() {
 		return
 	}
 	if h.probing && now.Before(h.ejectedUntil) {
 		return
 	}
-	h.ejectedUntil = now.Add(ejectBase << min(h.ejections, ejectDoublings))
+	h.ejectedUntil = now.Add(ejectBaseDuration << min(h.ejections, maxEjectDoublings))
 	h.ejections++
 	h.probing = true
 }
 
-func (p *Pool) ejected() int {
+func (p *Pool) countEjected() int {
 	n := 0
 	for _, ep := range p.listed {
 		if ep.health.probing {
@@ -123,9 +123,9 @@
 func (p *Pool) Status() Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := Status{Backends: len(p.listed), Ejected: p.ejected(), InFlight: p.demand.quick + p.demand.long}
+	s := Status{Backends: len(p.listed), Ejected: p.countEjected(), InFlight: p.demand.quick + p.demand.long}
 	for _, ep := range p.listed {
-		if ep.out() {
+		if ep.isLastResort() {
 			s.Unhealthy++
 		}
 	}
--- a/internal/routing/pause.go
+++ b/internal/routing/pause.go
@@ -9,11 +9,11 @@
 const (
 	// PauseBeat is how often Pause.Beat is to be called.
 	PauseBeat = 100 * time.Millisecond
-	// pauseGap between beats means that the process did not run meanwhile.
-	pauseGap = time.Second
-	// pauseHold is the longest time without new work after a pause when the log
+	// minPauseGap between beats means that the process did not run meanwhile.
+	minPauseGap = time.Second
+	// maxPauseHold is the longest time without new work after a pause when the log
 	// cannot be read: in an outage the last accepted state must go on serving.
-	pauseHold = 1500 * time.Millisecond
+	maxPauseHold = 1500 * time.Millisecond
 )
 
 // Pause notices that the process was stopped for a while, as by SIGSTOP or a
@@ -24,19 +24,19 @@
 // resume a request may run before that duty does. It is safe for concurrent use.
 type Pause struct {
 	mu    sync.Mutex
-	beat  time.Time
-	since time.Time // when the resume was noticed; zero when not held
+	lastBeat  time.Time
+	resumedAt time.Time // when the resume was noticed; zero when not held
 }
 
 // NewPause returns a Pause that is not held.
-func NewPause(now time.Time) *Pause { return &Pause{beat: now} }
+func NewPause(now time.Time) *Pause { return &Pause{lastBeat: now} }
 
 // Beat notes that the process runs.
 func (p *Pause) Beat(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.notice(now)
-	p.beat = now
+	p.detectResume(now)
+	p.lastBeat = now
 }
 
 // Held reports whether new work must wait at now. fresh is when the latest read
@@ -44,20 +44,20 @@
 func (p *Pause) Held(now, fresh time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.notice(now)
-	if p.since.IsZero() {
+	p.detectResume(now)
+	if p.resumedAt.IsZero() {
 		return false
 	}
-	if fresh.After(p.since) || now.Sub(p.since) > pauseHold {
-		p.since = time.Time{}
+	if fresh.After(p.resumedAt) || now.Sub(p.resumedAt) > maxPauseHold {
+		p.resumedAt = time.Time{}
 		return false
 	}
 	return true
 }
 
-func (p *Pause) notice(now time.Time) {
-	if now.Sub(p.beat) > pauseGap {
-		p.since = now
-		p.beat = now
+func (p *Pause) detectResume(now time.Time) {
+	if now.Sub(p.lastBeat) > minPauseGap {
+		p.resumedAt = now
+		p.lastBeat = now
 	}
 }
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -11,9 +11,9 @@
 
 // Tuning of the choice of a backend server.
 const (
-	// zoneSpill is the share of a backend's slots in use from which a choice
+	// localZoneMaxUse is the share of a backend's slots in use from which a choice
 	// within the own availability zone is compared with one from all zones.
-	zoneSpill = 0.75
+	localZoneMaxUse = 0.75
 	// othersHalfLife is how fast the memory of slots that other entry VMs were
 	// using fades.
 	othersHalfLife = 50 * time.Millisecond
@@ -72,7 +72,7 @@
 	endpoints map[string]*endpoint
 	listed    []*endpoint // backends of the table
 	slots     int         // per backend
-	perEntry  int         // most in flight to one backend from this process
+	maxInFlightPerBackend  int         // most in flight to one backend from this process
 	members   int
 	demand    demand
 }
@@ -81,17 +81,17 @@
 type endpoint struct {
 	Backend
 	inFlight int
-	long     int
-	others   float64 // slots seen in use by other entry VMs at othersAt
-	othersAt time.Time
+	longInFlight     int
+	othersInUse   float64 // slots seen in use by other entry VMs at othersAt
+	othersInUseAt time.Time
 	health   health
 	listed   bool
 	// unhealthy is this process's own finding by health checks.
 	unhealthy bool
 }
 
-// out reports whether the backend is only a last resort.
-func (ep *endpoint) out() bool { return ep.Down || ep.unhealthy }
+// isLastResort reports whether the backend is only a last resort.
+func (ep *endpoint) isLastResort() bool { return ep.Down || ep.unhealthy }
 
 // Lease is the right to send one attempt to Backend. It ends with Pool.Done.
 type Lease struct {
@@ -112,9 +112,9 @@
 	defer p.mu.Unlock()
 	p.members = max(1, members)
 	p.slots = max(1, svc.Limits.Slots)
-	p.perEntry = min(p.slots, ConnectionShare(svc.Limits, members))
+	p.maxInFlightPerBackend = min(p.slots, ConnectionShare(svc.Limits, members))
 	if p.sharing == SharingFixed {
-		p.perEntry = max(1, p.slots/p.members)
+		p.maxInFlightPerBackend = max(1, p.slots/p.members)
 	}
 	for _, ep := range p.endpoints {
 		ep.listed = false
@@ -158,7 +158,7 @@
 	if len(p.listed) == 0 {
 		return Lease{}, NoBackends
 	}
-	if q.Class == document.ClassLong && !p.longFits(now) {
+	if q.Class == document.ClassLong && !p.admitsLong(now) {
 		return Lease{}, LongShed
 	}
 	ep := p.choose(now, rnd, q)
@@ -167,31 +167,31 @@
 	}
 	ep.inFlight++
 	if q.Class == document.ClassLong {
-		ep.long++
+		ep.longInFlight++
 	}
 	p.demand.start(now, q.Class)
 	return Lease{Backend: ep.Backend, ep: ep, class: q.Class}, Admitted
 }
 
 func (p *Pool) choose(now time.Time, rnd Rand, q Query) *endpoint {
-	near := p.twoOf(now, rnd, q, func(ep *endpoint) bool { return ep.Zone == p.zone && !ep.out() })
-	if near != nil && near.use(now)/float64(p.slots) < zoneSpill && near.health.rate(now) < ejectErrors {
+	near := p.pickOfTwo(now, rnd, q, func(ep *endpoint) bool { return ep.Zone == p.zone && !ep.isLastResort() })
+	if near != nil && near.slotsInUse(now)/float64(p.slots) < localZoneMaxUse && near.health.errorRate(now) < ejectErrorRate {
 		return near
 	}
-	far := p.twoOf(now, rnd, q, func(ep *endpoint) bool { return !ep.out() })
-	if best := lighter(now, near, far); best != nil {
+	far := p.pickOfTwo(now, rnd, q, func(ep *endpoint) bool { return !ep.isLastResort() })
+	if best := lessLoaded(now, near, far); best != nil {
 		return best
 	}
-	return p.twoOf(now, rnd, q, func(ep *endpoint) bool { return ep.out() })
+	return p.pickOfTwo(now, rnd, q, func(ep *endpoint) bool { return ep.isLastResort() })
 }
 
-// twoOf draws two backends at random among those that pass and returns the one
+// pickOfTwo draws two backends at random among those that pass and returns the one
 // with less load, or nil when none passes.
-func (p *Pool) twoOf(now time.Time, rnd Rand, q Query, pass func(*endpoint) bool) *endpoint {
+func (p *Pool) pickOfTwo(now time.Time, rnd Rand, q Query, pass func(*endpoint) bool) *endpoint {
 	var a, b *endpoint
 	n := 0
 	for _, ep := range p.listed {
-		if !pass(ep) || !p.open(now, ep, q) {
+		if !pass(ep) || !p.admits(now, ep, q) {
 			continue
 		}
 		// Reservoir sampling of two, so that no list has to be built.
@@ -209,24 +209,24 @@
 			b = ep
 		}
 	}
-	return lighter(now, a, b)
+	return lessLoaded(now, a, b)
 }
 
-// open reports whether the backend may take this attempt now.
-func (p *Pool) open(now time.Time, ep *endpoint, q Query) bool {
-	if ep.inFlight >= p.perEntry || ep.use(now) > float64(p.slots)-0.5 || slices.Contains(q.Tried, ep.VM) {
+// admits reports whether the backend may take this attempt now.
+func (p *Pool) admits(now time.Time, ep *endpoint, q Query) bool {
+	if ep.inFlight >= p.maxInFlightPerBackend || ep.slotsInUse(now) > float64(p.slots)-0.5 || slices.Contains(q.Tried, ep.VM) {
 		return false
 	}
-	if !ep.health.open(now, ep.inFlight) {
+	if !ep.health.admits(now, ep.inFlight) {
 		return false
 	}
 	if q.Class == document.ClassLong {
-		return ep.use(now) < float64(p.slots-p.reservePerBackend())
+		return ep.slotsInUse(now) < float64(p.slots-p.reservePerBackend())
 	}
 	return true
 }
 
-func lighter(now time.Time, a, b *endpoint) *endpoint {
+func lessLoaded(now time.Time, a, b *endpoint) *endpoint {
 	if a == nil {
 		return b
 	}
@@ -236,19 +236,19 @@
 	return b
 }
 
-// use is the estimated number of slots in use by all entry VMs.
-func (ep *endpoint) use(now time.Time) float64 {
+// slotsInUse is the estimated number of slots in use by all entry VMs.
+func (ep *endpoint) slotsInUse(now time.Time) float64 {
 	others := 0.0
-	if ep.others > 0 {
-		age := now.Sub(ep.othersAt)
-		others = ep.others * math.Exp2(-float64(age)/float64(othersHalfLife))
+	if ep.othersInUse > 0 {
+		age := now.Sub(ep.othersInUseAt)
+		others = ep.othersInUse * math.Exp2(-float64(age)/float64(othersHalfLife))
 	}
 	return float64(ep.inFlight) + others
 }
 
 // load orders backends: slots in use, made heavier by errors.
 func (ep *endpoint) load(now time.Time) float64 {
-	return (ep.use(now) + 1) * (1 + errorWeight*ep.health.rate(now))
+	return (ep.slotsInUse(now) + 1) * (1 + errorWeight*ep.health.errorRate(now))
 }
 
 // Done ends a lease with what the attempt showed of the backend.
@@ -258,17 +258,17 @@
 	ep := l.ep
 	ep.inFlight--
 	if l.class == document.ClassLong {
-		ep.long--
+		ep.longInFlight--
 	}
 	p.demand.end(l.class)
 	switch e {
 	case EvidenceFull:
-		ep.others = math.Max(0, float64(p.slots-ep.inFlight))
-		ep.othersAt = now
+		ep.othersInUse = math.Max(0, float64(p.slots-ep.inFlight))
+		ep.othersInUseAt = now
 	case EvidenceGood:
-		ep.health.good(now)
+		ep.health.recordSuccess(now)
 	case EvidenceBad:
-		p.bad(now, ep)
+		p.recordFailure(now, ep)
 	}
 	if !ep.listed && ep.inFlight == 0 {
 		delete(p.endpoints, ep.VM)
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -15,9 +15,9 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func seeded() Rand { return rand.New(rand.NewPCG(1, 2)) }
+func newSeededRand() Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func service(n int, zones ...string) *Service {
+func newTestService(n int, zones ...string) *Service {
 	svc := &Service{Limits: document.Limits{Slots: 8, Connections: 64}}
 	for i := range n {
 		svc.Backends = append(svc.Backends, Backend{VM: fmt.Sprintf("vm-%d", i), Zone: zones[i%len(zones)]})
@@ -25,9 +25,9 @@
 	return svc
 }
 
-func pool(n, members int, zones ...string) *Pool {
+func newTestPool(n, members int, zones ...string) *Pool {
 	p := NewPool("a", SharingChoices)
-	p.Update(service(n, zones...), members)
+	p.Update(newTestService(n, zones...), members)
 	return p
 }
 
@@ -60,8 +60,8 @@
 // Callers see added latency when requests leave their availability zone without
 // need, and refusals when the own zone is full while others are free.
 func TestOwnZoneFirstThenOthers(t *testing.T) {
-	p := pool(6, 1, "a", "b")
-	r := seeded()
+	p := newTestPool(6, 1, "a", "b")
+	r := newSeededRand()
 	seen := map[string]int{}
 	for range 3 * 8 * 2 {
 		seen[pick(t, p, start, r, Query{}).Zone]++
@@ -69,7 +69,7 @@
 	assert.Equal(t, map[string]int{"a": 24, "b": 24}, seen)
 	_, no := p.Pick(start, r, Query{})
 	assert.Equal(t, Busy, no)
-	p = pool(6, 1, "a", "b")
+	p = newTestPool(6, 1, "a", "b")
 	for range 10 {
 		assert.Equal(t, "a", pick(t, p, start, r, Query{}).Zone)
 	}
@@ -78,8 +78,8 @@
 // A backend that fails at once has nothing in flight and would by load alone
 // take most requests: callers would see a pool of ten fail nearly always.
 func TestFastErrorsDoNotAttractWork(t *testing.T) {
-	p := pool(10, 1, "a")
-	r := seeded()
+	p := newTestPool(10, 1, "a")
+	r := newSeededRand()
 	bad := 0
 	var busy []Lease
 	for i := range 400 {
@@ -109,8 +109,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "backends")
 		p := NewPool("a", SharingChoices)
-		p.Update(service(n, "a", "b"), 1)
-		r := seeded()
+		p.Update(newTestService(n, "a", "b"), 1)
+		r := newSeededRand()
 		for i := range 200 {
 			now := start.Add(time.Duration(i) * 10 * time.Millisecond)
 			l, no := p.Pick(now, r, Query{})
@@ -130,25 +130,25 @@
 }
 
 func TestEjectedBackendIsProbedByOneRequestAtATime(t *testing.T) {
-	p := pool(3, 1, "a")
+	p := newTestPool(3, 1, "a")
 	only := Query{Tried: []string{"vm-1", "vm-2"}}
 	for range 5 {
-		p.Done(start, pick(t, p, start, seeded(), only), EvidenceBad)
+		p.Done(start, pick(t, p, start, newSeededRand(), only), EvidenceBad)
 	}
-	_, no := p.Pick(start.Add(ejectBase-1), seeded(), only)
+	_, no := p.Pick(start.Add(ejectBaseDuration-1), newSeededRand(), only)
 	require.Equal(t, Busy, no)
-	probe := pick(t, p, start.Add(ejectBase), seeded(), only)
-	_, no = p.Pick(start.Add(ejectBase), seeded(), only)
+	probe := pick(t, p, start.Add(ejectBaseDuration), newSeededRand(), only)
+	_, no = p.Pick(start.Add(ejectBaseDuration), newSeededRand(), only)
 	assert.Equal(t, Busy, no, "a second request beside the probe")
-	p.Done(start.Add(ejectBase), probe, EvidenceGood)
-	pick(t, p, start.Add(ejectBase), seeded(), only)
+	p.Done(start.Add(ejectBaseDuration), probe, EvidenceGood)
+	pick(t, p, start.Add(ejectBaseDuration), newSeededRand(), only)
 }
 
 // Long requests hold slots for seconds. Were they let into all of them, quick
 // lookups would be refused until the first one ends.
 func TestLongRequestsLeaveRoomForQuickOnes(t *testing.T) {
-	p := pool(4, 1, "a")
-	r := seeded()
+	p := newTestPool(4, 1, "a")
+	r := newSeededRand()
 	long := Query{Class: document.ClassLong}
 	for range 12 { // quick demand seen before
 		p.Done(start, pick(t, p, start, r, Query{Class: document.ClassQuick}), EvidenceGood)
@@ -170,8 +170,8 @@
 // A refusal tells that other entry VMs use the slots; for a while the backend is
 // taken for full, so that tries go where slots may be free.
 func TestRefusalTurnsChoicesAwayForAWhile(t *testing.T) {
-	p := pool(2, 1, "a")
-	r := seeded()
+	p := newTestPool(2, 1, "a")
+	r := newSeededRand()
 	p.Done(start, pick(t, p, start, r, Query{Tried: []string{"vm-1"}}), EvidenceFull)
 	for range 6 {
 		assert.Equal(t, "vm-1", pick(t, p, start, r, Query{}).VM)
@@ -181,17 +181,17 @@
 }
 
 func TestDownBackendsServeOnlyWhenNoOtherIsLeft(t *testing.T) {
-	svc := service(2, "a")
+	svc := newTestService(2, "a")
 	svc.Backends[0].Down = true
 	p := NewPool("a", SharingChoices)
 	p.Update(svc, 1)
-	r := seeded()
+	r := newSeededRand()
 	for range 8 {
 		assert.Equal(t, "vm-1", pick(t, p, start, r, Query{}).VM)
 	}
 	assert.Equal(t, "vm-0", pick(t, p, start, r, Query{}).VM)
 
-	p = pool(2, 1, "a")
+	p = newTestPool(2, 1, "a")
 	p.SetHealthy("vm-1", false)
 	for range 8 {
 		assert.Equal(t, "vm-0", pick(t, p, start, r, Query{}).VM)
@@ -203,10 +203,10 @@
 // A backend that left the table gets no further request, while those in flight
 // stay counted: the steward must not reboot its VM before they end.
 func TestLeavingBackendGetsNothingAndStaysCounted(t *testing.T) {
-	p := pool(2, 1, "a")
-	r := seeded()
+	p := newTestPool(2, 1, "a")
+	r := newSeededRand()
 	l := pick(t, p, start, r, Query{Tried: []string{"vm-1"}})
-	rest := service(2, "a")
+	rest := newTestService(2, "a")
 	rest.Backends = rest.Backends[1:]
 	p.Update(rest, 1)
 	for range 8 {
@@ -250,9 +250,9 @@
 	t.Run("log is out", func(t *testing.T) {
 		p := NewPause(start)
 		assert.True(t, p.Held(resumed, start))
-		p.Beat(resumed.Add(pauseHold / 2))
-		assert.True(t, p.Held(resumed.Add(pauseHold/2), start))
-		assert.False(t, p.Held(resumed.Add(pauseHold+1), start))
+		p.Beat(resumed.Add(maxPauseHold / 2))
+		assert.True(t, p.Held(resumed.Add(maxPauseHold/2), start))
+		assert.False(t, p.Held(resumed.Add(maxPauseHold+1), start))
 	})
 	t.Run("never paused", func(t *testing.T) {
 		p := NewPause(start)
