--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -114,7 +114,7 @@
 // ran the request that came on a reused connection and the connection broke
 // before its answer, whereupon net/http's Transport sent it again on another
 // one. The baseline shows that it does; Client must send once and say unknown.
-func TestReusedConnectionBreaksWithoutReplay(t *testing.T) {
+func TestBrokenReusedConnectionIsNotReplayed(t *testing.T) {
 	idempotent := http.Header{"Idempotency-Key": {"k"}}
 	cases := []struct {
 		name, method, body string
@@ -171,7 +171,7 @@
 // The caller may only hear "not run" when no byte left, or when the backend
 // server says so; "ran" only with the whole answer. Each case breaks at a later
 // point than the one before.
-func TestOutcomeFollowsWhereTheAttemptBroke(t *testing.T) {
+func TestOutcomeByPointOfFailure(t *testing.T) {
 	refusal := "HTTP/1.1 503 Service Unavailable\r\n" + outcome.HeaderBackend + ": not-run\r\nContent-Length: 0\r\n\r\n"
 	cases := []struct {
 		name    string
@@ -212,7 +212,7 @@
 
 // "Not run" is right while nothing left this process: no connection, no time,
 // or a pause between choice and write. The backend server must have seen nothing.
-func TestNothingSentIsNotRun(t *testing.T) {
+func TestUnsentRequestIsNotRun(t *testing.T) {
 	b := serve(t, func(int, *http.Request) []byte { return ok("") })
 	c := client(b)
 
@@ -237,7 +237,7 @@
 // The deadline passes while net/http's writer has not started: the round trip
 // ends with an error, the caller is told "not run", and then the writer runs.
 // seal must keep the bytes back, or the word would be false.
-func TestSealedConnectionLetsNoByteOut(t *testing.T) {
+func TestSealedConnectionRejectsWrites(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	m := &meteredConn{Conn: near}
@@ -264,7 +264,7 @@
 
 // A long answer is streamed; when it breaks off, reading says so instead of
 // ending, so that the caller's connection can be aborted.
-func TestLongAnswerIsStreamedAndItsBreakSeen(t *testing.T) {
+func TestTruncatedStreamReturnsError(t *testing.T) {
 	const size = 1000 // over HoldMax
 	head := "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n"
 	for name, cut := range map[string]bool{"whole": false, "cut": true} {
--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -35,10 +35,10 @@
 	}
 	if !h.memory.bytes.TryAcquire(need) {
 		return free, &problem{
-			status: http.StatusServiceUnavailable,
-			reason: ReasonMemory,
-			line:   "too many request bodies are held at once; try again",
-			retryAfter:  time.Second,
+			status:     http.StatusServiceUnavailable,
+			reason:     ReasonMemory,
+			line:       "too many request bodies are held at once; try again",
+			retryAfter: time.Second,
 
 			transient: true,
 		}
--- a/internal/caller/parse.go
+++ b/internal/caller/parse.go
@@ -39,10 +39,10 @@
 
 // problem is a request that is answered without being sent on.
 type problem struct {
-	status int
-	reason outcome.Reason
-	line   string
-	retryAfter  time.Duration
+	status     int
+	reason     outcome.Reason
+	line       string
+	retryAfter time.Duration
 	// transient: an earlier attempt may have met no such problem.
 	transient bool
 }
@@ -67,10 +67,10 @@
 	table := h.cfg.Dispatcher.Table()
 	if table.Offset == 0 {
 		return nil, &problem{
-			status: http.StatusServiceUnavailable,
-			reason: ReasonStarting,
-			line:   "this entry VM has just started and knows no service yet; try another one",
-			retryAfter:  time.Second,
+			status:     http.StatusServiceUnavailable,
+			reason:     ReasonStarting,
+			line:       "this entry VM has just started and knows no service yet; try another one",
+			retryAfter: time.Second,
 
 			transient: true,
 		}
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -77,17 +77,17 @@
 		<-ended
 		return ctx.Err()
 	case <-s.cfg.Stop:
-		s.leave(ctx)
+		s.gracefulStop(ctx)
 		<-ended
 		return supervise.ErrStop
 	}
 }
 
-// leave ends the service for callers: unready first, so that the balancer looks
+// gracefulStop ends the service for callers: unready first, so that the balancer looks
 // elsewhere, while requests are still taken. Each answer meanwhile closes its
 // connection, so that hardly any connection is idle when the rest are closed: a
 // request that arrives on an idle connection just as it is closed would be cut.
-func (s *Server) leave(ctx context.Context) {
+func (s *Server) gracefulStop(ctx context.Context) {
 	s.cfg.Readiness.Unready("callers", "the process is stopping")
 	s.cfg.Handler.Leave()
 	s.cfg.Logger.Info("stopping: unready, still taking requests", "notice", s.cfg.Notice)
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -27,7 +27,7 @@
 	// immediateRefusalTries refusals are followed by a try elsewhere at once, and
 	// maxRefusals in all.
 	immediateRefusalTries = 2
-	maxRefusals  = 20
+	maxRefusals           = 20
 	// refusalShare is the share of fresh requests that may be tried again after
 	// a refusal of a backend server.
 	refusalShare = 1.0
@@ -37,9 +37,9 @@
 	// shedRetryAfter is the least that a caller is told to wait after being shed, and
 	// retryShedLong for a long request. retrySpread seconds are drawn on top: told
 	// the same time, all that were shed in a burst would return as one.
-	shedRetryAfter     = time.Second
-	shedRetryAfterLong = 5 * time.Second
-	retryAfterJitterSeconds   = 3
+	shedRetryAfter          = time.Second
+	shedRetryAfterLong      = 5 * time.Second
+	retryAfterJitterSeconds = 3
 	// staleTablePollInterval is how often a held request looks for a current table.
 	staleTablePollInterval = 5 * time.Millisecond
 )
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -110,7 +110,7 @@
 
 // The process is paused between the choice of a backend server and the write.
 // The write is refused, and after the resume another one is chosen.
-func TestPauseBetweenChoiceAndWriteChoosesAgain(t *testing.T) {
+func TestPauseBetweenPickAndWritePicksAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeBackends{}
 		d := newDispatcher(f, &grantingClaims{})
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -12,7 +12,7 @@
 	// waitShare of the time left, and at most waitMost, is spent waiting: a shed
 	// caller must have time to try elsewhere.
 	waitShare = 0.25
-	maxWait  = 100 * time.Millisecond
+	maxWait   = 100 * time.Millisecond
 	// maxWaitOverloaded is spent instead while more than overloaded of the quick calls
 	// are shed. Then the load is above what the slots bear: the queue absorbs no
 	// burst any more, and waiting only delays every answer.
@@ -30,9 +30,9 @@
 // are in use, each waits about one run, and a longer queue would add delay to
 // every answer and goodput to none.
 type queue struct {
-	mu      sync.Mutex
-	waiters []*waiter
-	shedRate    float64 // decaying share of quick calls that got no slot
+	mu       sync.Mutex
+	waiters  []*waiter
+	shedRate float64 // decaying share of quick calls that got no slot
 }
 
 type waiter struct{ wake chan struct{} }
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -53,7 +53,7 @@
 // All slots are in use. A quick request waits for the next slot; one more finds
 // the queue full and a long one is not queued at all: both hear "not-run" at
 // once, so that their callers can go elsewhere.
-func TestQuickRequestWaitsForASlotAndTheRestIsShedAtOnce(t *testing.T) {
+func TestQuickRequestWaitsForSlotOthersAreShed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, f := newTwoSlotDispatcher()
 		first, second := d.doTimed(t, document.ClassQuick), d.doTimed(t, document.ClassQuick)
@@ -76,7 +76,7 @@
 
 // Load stays above what the slots bear. Requests that wait long would all be
 // answered late and none more; the wait becomes short until the load falls.
-func TestWaitIsShortWhileMuchIsShed(t *testing.T) {
+func TestWaitLimitIsShortUnderOverload(t *testing.T) {
 	q := &queue{}
 	assert.Equal(t, maxWait, q.waitLimit(time.Minute))
 	assert.Equal(t, 10*time.Millisecond, q.waitLimit(40*time.Millisecond), "a quarter of what is left")
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -27,7 +27,7 @@
 	lease     routing.Lease // of last
 	last      backend.Answer
 	answer    backend.Answer  // the latest complete answer, Status 0 if none
-	refusal      routing.Refusal // why no further try was made
+	refusal   routing.Refusal // why no further try was made
 	maybeRan  bool            // a try ended with outcome unknown
 }
 
@@ -234,7 +234,7 @@
 	shed := r.answer.Status == 0 && (r.refusal == routing.Busy || r.last.Failure == backend.FailureRefused)
 	r.svc.queue.recordResult(shed)
 	if shed {
-		r.svc.pool.Unmet(time.Now())
+		r.svc.pool.RecordShed(time.Now())
 	}
 }
 
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -13,8 +13,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/outcome"
 )
 
-// reasons are the short codes that callers see for a claim's reasons.
-var reasons = map[claim.Reason]outcome.Reason{
+// claimReasons are the short codes that callers see for a claim's reasons.
+var claimReasons = map[claim.Reason]outcome.Reason{
 	claim.ReasonTooOld:      "key-too-old",
 	claim.ReasonTooNew:      "key-in-future",
 	claim.ReasonMismatch:    "key-reused",
@@ -27,8 +27,8 @@
 	claim.ReasonFull:        "claims-full",
 }
 
-// reasonRan is given with the kept or lost answer of an attempt that ran.
-const reasonRan outcome.Reason = "ran-before"
+// reasonRanBefore is given with the kept or lost answer of an attempt that ran.
+const reasonRanBefore outcome.Reason = "ran-before"
 
 // claims lets the request path ask entrypeer for claims.
 type claims struct{ claimer entrypeer.Claimer }
@@ -54,12 +54,12 @@
 }
 
 func denial(d claim.Decision) dispatch.Denial {
-	out := dispatch.Denial{Reason: reasons[d.Reason], RetryAfter: d.RetryAfter}
+	out := dispatch.Denial{Reason: claimReasons[d.Reason], RetryAfter: d.RetryAfter}
 	switch d.Verdict {
 	case claim.Ran:
 		out.Outcome = outcome.Ran
-		out.Reason = reasonRan
-		out.Answer = kept(d.Answer)
+		out.Reason = reasonRanBefore
+		out.Answer = newBackendAnswer(d.Answer)
 	case claim.NotRun:
 		out.Outcome = outcome.NotRun
 	default:
@@ -92,7 +92,7 @@
 	switch o {
 	case outcome.Ran:
 		res.End = claim.EndRan
-		res.Answer = keep(answer)
+		res.Answer = newClaimAnswer(answer)
 	case outcome.NotRun:
 		res.End = claim.EndNotRun
 	default:
@@ -101,8 +101,8 @@
 	p.claimer.Report(res)
 }
 
-// keep copies what a retry is answered with.
-func keep(answer *backend.Answer) *claim.Answer {
+// newClaimAnswer copies what a retry is answered with.
+func newClaimAnswer(answer *backend.Answer) *claim.Answer {
 	if answer == nil {
 		return nil
 	}
@@ -115,8 +115,8 @@
 	return out
 }
 
-// kept is the answer to a retry; its Status is 0 when none was kept.
-func kept(answer *claim.Answer) backend.Answer {
+// newBackendAnswer is the answer to a retry; its Status is 0 when none was kept.
+func newBackendAnswer(answer *claim.Answer) backend.Answer {
 	if answer == nil {
 		return backend.Answer{}
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -21,14 +21,14 @@
 
 // Bounds that are no settings.
 const (
-	// backendHeader is the largest header of an answer in bytes.
-	backendHeader = 256 << 10
+	// maxBackendHeader is the largest header of an answer in bytes.
+	maxBackendHeader = 256 << 10
 	// bodyMemory bounds the request bodies held at once, in bytes: half of what
 	// a node may use.
 	bodyMemory = 64 << 20
-	// stopWithin is a bound on the callers' server that is never reached: it
+	// callersStopTimeout is a bound on the callers' server that is never reached: it
 	// keeps its own limits.
-	stopWithin = 48 * time.Hour
+	callersStopTimeout = 48 * time.Hour
 )
 
 // Config is what an Entry needs.
@@ -78,7 +78,7 @@
 		ConnectTimeout: s.Backends.ConnectTimeout.Duration,
 		IdleTimeout:    s.Backends.IdleTimeout.Duration,
 		HoldMax:        int(s.Callers.MaxHeldReplyBytes),
-		HeaderMax:      backendHeader,
+		HeaderMax:      maxBackendHeader,
 	})
 	dispatcher := dispatch.New(dispatch.Config{
 		Zone:           s.Node.Zone,
@@ -91,11 +91,11 @@
 	})
 	cfg.Registry.MustRegister(requestmetrics.Services(dispatcher.Status))
 	e := &Entry{cfg: cfg, backends: backends, dispatcher: dispatcher}
-	e.server = e.callers(metrics)
+	e.server = e.newCallerServer(metrics)
 	return e
 }
 
-func (e *Entry) callers(metrics *requestmetrics.Metrics) *caller.Server {
+func (e *Entry) newCallerServer(metrics *requestmetrics.Metrics) *caller.Server {
 	s := e.cfg.Settings.Callers
 	handler := caller.NewHandler(caller.HandlerConfig{
 		Dispatcher:   e.dispatcher,
@@ -143,10 +143,10 @@
 func (e *Entry) Duties() []supervise.Duty {
 	return []supervise.Duty{
 		{Name: "table", Serve: e.followTable},
-		{Name: "beat", Serve: e.beat},
-		{Name: "watch", Serve: e.watch},
+		{Name: "beat", Serve: e.runPauseBeat},
+		{Name: "watch", Serve: e.checkHealth},
 		{Name: "connections", Serve: e.trimConnections},
-		{Name: "callers", Serve: e.serveCallers, StopWithin: stopWithin},
+		{Name: "callers", Serve: e.serveCallers, StopWithin: callersStopTimeout},
 	}
 }
 
--- a/internal/entry/table.go
+++ b/internal/entry/table.go
@@ -26,7 +26,7 @@
 func (e *Entry) followTable(ctx context.Context) error {
 	changed := e.cfg.Follower.Changed()
 	for {
-		e.refresh()
+		e.refreshTable()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -35,14 +35,14 @@
 	}
 }
 
-// refresh builds a table of the present state. Fresh is read first: the state
+// refreshTable builds a table of the present state. Fresh is read first: the state
 // seen after holds at least what that read brought.
 //
 // Until the log was read to its end once, or a peer's state stands in for it, none
 // is built. A process that starts folds old records first: it would serve on
 // documents that were replaced long ago, and send requests to VMs that have left
 // their pool since.
-func (e *Entry) refresh() {
+func (e *Entry) refreshTable() {
 	fresh := e.cfg.Follower.Fresh()
 	if !e.cfg.Follower.Started() {
 		e.cfg.Readiness.Unready("table", "the log has not been read to its end yet")
@@ -58,9 +58,9 @@
 	e.cfg.Readiness.Ready("table")
 }
 
-// beat notices that the process was paused and has the log read again, which
+// runPauseBeat notices that the process was paused and has the log read again, which
 // lets held requests go on.
-func (e *Entry) beat(ctx context.Context) error {
+func (e *Entry) runPauseBeat(ctx context.Context) error {
 	ticker := time.NewTicker(routing.PauseBeat)
 	defer ticker.Stop()
 	for {
@@ -83,5 +83,5 @@
 		e.cfg.Logger.Warn("cannot read the log after a pause", "error", err)
 		return
 	}
-	e.refresh()
+	e.refreshTable()
 }
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -15,22 +15,22 @@
 
 // Bounds of the health checks.
 const (
-	// watchMost is how many backend servers one process checks at most, so that
+	// maxWatched is how many backend servers one process checks at most, so that
 	// its cost does not grow with the fleet. Of more it takes those that a
 	// rendezvous hash gives it; the others show by requests, and by the steward's
 	// word on the log.
-	watchMost = 64
-	// watchPerRound is how many of them are checked in one interval, by turns,
+	maxWatched = 64
+	// maxChecksPerRound is how many of them are checked in one interval, by turns,
 	// beside those that failed: a node's control traffic has to bear the checks
 	// beside those of the steward, the leases and the log.
-	watchPerRound = 10
-	// watchAtOnce is how many checks run at once.
-	watchAtOnce = 8
-	// watchFailures in a row make a backend server unhealthy, one success heals.
-	watchFailures = 2
-	// watchJitter spreads the checks of several processes, as a share of the
+	maxChecksPerRound = 10
+	// maxConcurrentChecks is how many checks run at once.
+	maxConcurrentChecks = 8
+	// unhealthyAfterFailures in a row make a backend server unhealthy, one success heals.
+	unhealthyAfterFailures = 2
+	// checkJitter spreads the checks of several processes, as a share of the
 	// interval.
-	watchJitter = 0.2
+	checkJitter = 0.2
 )
 
 // watched is a backend server to check.
@@ -43,14 +43,14 @@
 // target names a backend server of a service.
 type target struct{ service, vm string }
 
-// watch checks backend servers, so that a hung one is found without a caller's
+// checkHealth checks backend servers, so that a hung one is found without a caller's
 // request being lost on it.
-func (e *Entry) watch(ctx context.Context) error {
+func (e *Entry) checkHealth(ctx context.Context) error {
 	interval := e.cfg.Settings.Backends.CheckInterval.Duration
 	checker := backend.NewHealthChecker()
 	failures := map[target]int{}
 	for round := 0; ; round++ {
-		spread := 1 + watchJitter*(2*rand.Float64()-1)
+		spread := 1 + checkJitter*(2*rand.Float64()-1)
 		timer := time.NewTimer(time.Duration(float64(interval) * spread))
 		select {
 		case <-ctx.Done():
@@ -65,16 +65,16 @@
 // checkAll checks the backend servers whose turn it is and returns the failures in
 // a row of this process's share. One that left the share counts as healthy again.
 func (e *Entry) checkAll(ctx context.Context, checker *backend.HealthChecker, before map[target]int, round int) map[target]int {
-	share := e.share()
-	list := inTurn(share, before, round)
-	found := make([]int, len(list))
-	slots := make(chan struct{}, watchAtOnce)
+	share := e.watchedBackends()
+	list := dueForCheck(share, before, round)
+	results := make([]int, len(list))
+	slots := make(chan struct{}, maxConcurrentChecks)
 	var wg sync.WaitGroup
 	for i, w := range list {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			found[i] = e.check(ctx, checker, w, before[w.target])
+			results[i] = e.check(ctx, checker, w, before[w.target])
 		})
 	}
 	wg.Wait()
@@ -83,8 +83,8 @@
 		after[w.target] = before[w.target]
 	}
 	for i, w := range list {
-		after[w.target] = found[i]
-		e.dispatcher.SetHealthy(w.service, w.vm, found[i] < watchFailures)
+		after[w.target] = results[i]
+		e.dispatcher.SetHealthy(w.service, w.vm, results[i] < unhealthyAfterFailures)
 	}
 	for t := range before {
 		if _, ok := after[t]; !ok {
@@ -94,10 +94,10 @@
 	return after
 }
 
-// inTurn returns the backend servers of a share to check in a round: a part of
+// dueForCheck returns the backend servers of a share to check in a round: a part of
 // them by turns, and those whose latest check failed.
-func inTurn(share []watched, failures map[target]int, round int) []watched {
-	turns := max(1, (len(share)+watchPerRound-1)/watchPerRound)
+func dueForCheck(share []watched, failures map[target]int, round int) []watched {
+	turns := max(1, (len(share)+maxChecksPerRound-1)/maxChecksPerRound)
 	var list []watched
 	for i, w := range share {
 		if i%turns == round%turns || failures[w.target] > 0 {
@@ -111,7 +111,7 @@
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.Settings.Backends.CheckTimeout.Duration)
 	defer cancel()
 	if err := checker.Check(ctx, w.address); err != nil {
-		if before+1 == watchFailures {
+		if before+1 == unhealthyAfterFailures {
 			e.cfg.Logger.Warn("a backend server is unhealthy", "vm", w.vm, "error", err)
 		}
 		return before + 1
@@ -119,8 +119,8 @@
 	return 0
 }
 
-// share returns the backend servers that this process checks.
-func (e *Entry) share() []watched {
+// watchedBackends returns the backend servers that this process checks.
+func (e *Entry) watchedBackends() []watched {
 	var list []watched
 	for name, svc := range e.dispatcher.Table().Services {
 		for _, b := range svc.Backends {
@@ -129,5 +129,5 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b watched) int { return cmp.Compare(a.weight, b.weight) })
-	return list[:min(len(list), watchMost)]
+	return list[:min(len(list), maxWatched)]
 }
--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -12,7 +12,7 @@
 // take turns, each has one in every cycle, and one that failed is checked at
 // each interval, or a hung server would take as many cycles to be found as it
 // takes failures.
-func TestBackendServersAreCheckedByTurns(t *testing.T) {
+func TestHealthChecksRotateOverBackendServers(t *testing.T) {
 	for size, cycle := range map[int]int{0: 1, 1: 1, 10: 1, 11: 2, 64: 7} {
 		share := make([]watched, size)
 		for i := range share {
@@ -20,8 +20,8 @@
 		}
 		count := map[target]int{}
 		for round := range cycle {
-			list := inTurn(share, nil, round)
-			require.LessOrEqual(t, len(list), watchPerRound)
+			list := dueForCheck(share, nil, round)
+			require.LessOrEqual(t, len(list), maxChecksPerRound)
 			for _, w := range list {
 				count[w.target]++
 			}
@@ -36,7 +36,7 @@
 		share[i].target = target{"service", fmt.Sprint(i)}
 	}
 	for round := range 7 {
-		list := inTurn(share, map[target]int{share[3].target: 1}, round)
+		list := dueForCheck(share, map[target]int{share[3].target: 1}, round)
 		require.Contains(t, list, share[3])
 	}
 }
--- a/internal/peerserver/peerserver.go
+++ b/internal/peerserver/peerserver.go
@@ -20,15 +20,15 @@
 	maxStreams = 1024
 	// A peer that vanished without closing its connection is noticed after
 	// pingAfter and pingTimeout, so that calls to it do not hang.
-	pingAfter   = 2 * time.Second
-	pingTimeout = 2 * time.Second
-	// minPing is the shortest interval at which peers may ping.
-	minPing = time.Second
-	// window is the flow control window in bytes, of streams and connections.
+	keepaliveInterval = 2 * time.Second
+	keepaliveTimeout  = 2 * time.Second
+	// minPingInterval is the shortest interval at which peers may ping.
+	minPingInterval = time.Second
+	// flowControlWindow is the flow control window in bytes, of streams and connections.
 	// It is fixed: with grpc-go's estimate of a connection's bandwidth each
 	// message of a few bytes is answered by a ping and a window update, which
 	// doubles the bytes of leases and greetings.
-	window = 1 << 20
+	flowControlWindow = 1 << 20
 	// stopTimeout is what calls in progress get when the daemon stops.
 	stopTimeout = 2 * time.Second
 )
@@ -36,8 +36,8 @@
 // DialOptions are what clients of a Server add to their options.
 func DialOptions() []grpc.DialOption {
 	return []grpc.DialOption{
-		grpc.WithStaticStreamWindowSize(window),
-		grpc.WithStaticConnWindowSize(window),
+		grpc.WithStaticStreamWindowSize(flowControlWindow),
+		grpc.WithStaticConnWindowSize(flowControlWindow),
 	}
 }
 
@@ -53,10 +53,10 @@
 		listener: listener,
 		grpc: grpc.NewServer(
 			grpc.MaxConcurrentStreams(maxStreams),
-			grpc.StaticStreamWindowSize(window),
-			grpc.StaticConnWindowSize(window),
-			grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingAfter, Timeout: pingTimeout}),
-			grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPing, PermitWithoutStream: true}),
+			grpc.StaticStreamWindowSize(flowControlWindow),
+			grpc.StaticConnWindowSize(flowControlWindow),
+			grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
+			grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPingInterval, PermitWithoutStream: true}),
 		),
 	}
 }
--- a/internal/requestmetrics/requestmetrics.go
+++ b/internal/requestmetrics/requestmetrics.go
@@ -54,18 +54,18 @@
 func (m *Metrics) Began() { m.inFlight.Inc() }
 
 // Ended implements caller.Observer.
-func (m *Metrics) Ended(service string, class document.Class, o outcome.Outcome, why outcome.Reason, took time.Duration) {
+func (m *Metrics) Ended(service string, class document.Class, o outcome.Outcome, reason outcome.Reason, took time.Duration) {
 	m.inFlight.Dec()
-	m.requests.WithLabelValues(service, string(class), string(o), string(why)).Inc()
+	m.requests.WithLabelValues(service, string(class), string(o), string(reason)).Inc()
 	m.latency.WithLabelValues(service, string(class)).Observe(took.Seconds())
 }
 
 // Retried implements dispatch.Observer.
-func (m *Metrics) Retried(service string, why backend.Failure) {
-	m.retries.WithLabelValues(service, string(why)).Inc()
+func (m *Metrics) Retried(service string, failure backend.Failure) {
+	m.retries.WithLabelValues(service, string(failure)).Inc()
 }
 
 // Shed implements dispatch.Observer.
-func (m *Metrics) Shed(service string, class document.Class, why routing.Refusal) {
-	m.sheds.WithLabelValues(service, string(class), string(why)).Inc()
+func (m *Metrics) Shed(service string, class document.Class, refusal routing.Refusal) {
+	m.sheds.WithLabelValues(service, string(class), string(refusal)).Inc()
 }
--- a/internal/requestmetrics/services.go
+++ b/internal/requestmetrics/services.go
@@ -14,7 +14,7 @@
 		"Backend servers that are out by the evidence of requests.", []string{"service"}, nil)
 	unhealthyDesc = prometheus.NewDesc("yuccadrift_backends_unhealthy",
 		"Backend servers that are a last resort, by health checks or the log.", []string{"service"}, nil)
-	tryingDesc = prometheus.NewDesc("yuccadrift_attempts_in_flight",
+	inFlightDesc = prometheus.NewDesc("yuccadrift_attempts_in_flight",
 		"Attempts under way at backend servers.", []string{"service"}, nil)
 	waitingDesc = prometheus.NewDesc("yuccadrift_requests_waiting",
 		"Quick requests that wait for a slot.", []string{"service"}, nil)
@@ -27,7 +27,7 @@
 
 // Describe implements prometheus.Collector.
 func (services) Describe(out chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{backendsDesc, ejectedDesc, unhealthyDesc, tryingDesc, waitingDesc} {
+	for _, d := range []*prometheus.Desc{backendsDesc, ejectedDesc, unhealthyDesc, inFlightDesc, waitingDesc} {
 		out <- d
 	}
 }
@@ -41,7 +41,7 @@
 		gauge(backendsDesc, st.Pool.Backends)
 		gauge(ejectedDesc, st.Pool.Ejected)
 		gauge(unhealthyDesc, st.Pool.Unhealthy)
-		gauge(tryingDesc, st.Pool.InFlight)
+		gauge(inFlightDesc, st.Pool.InFlight)
 		gauge(waitingDesc, st.Waiting)
 	}
 }
--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -23,8 +23,8 @@
 
 // demand follows how many slots each class uses through this process.
 type demand struct {
-	quick  int
-	long   int
+	quick       int
+	long        int
 	meanQuick   float64 // decaying mean of quick, at needAt
 	meanQuickAt time.Time
 }
@@ -56,10 +56,10 @@
 	return math.Exp2(-float64(now.Sub(d.meanQuickAt)) / float64(demandHalfLife))
 }
 
-// Unmet notes a quick request that found no slot. Each takes some room from long
+// RecordShed notes a quick request that found no slot. Each takes some room from long
 // requests: by slots in use alone, quick requests that long ones crowd out
 // would seem to need fewer and fewer.
-func (p *Pool) Unmet(now time.Time) {
+func (p *Pool) RecordShed(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	d := &p.demand
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -16,7 +16,7 @@
 	ejectErrorRate = 0.5
 	// ejectBaseDuration is the first ejection's length; it doubles up to ejectDoublings
 	// times while the backend goes on failing.
-	ejectBaseDuration      = 2 * time.Second
+	ejectBaseDuration = 2 * time.Second
 	maxEjectDoublings = 4
 	// ejectDivisor: at most 1/ejectDivisor of the pool, rounded up, is ejected.
 	ejectDivisor = 3
--- a/internal/routing/pause.go
+++ b/internal/routing/pause.go
@@ -23,7 +23,7 @@
 // The gap is looked for at each use, not only by the duty that beats: after a
 // resume a request may run before that duty does. It is safe for concurrent use.
 type Pause struct {
-	mu    sync.Mutex
+	mu        sync.Mutex
 	lastBeat  time.Time
 	resumedAt time.Time // when the resume was noticed; zero when not held
 }
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -68,24 +68,24 @@
 	zone    string
 	sharing Sharing
 
-	mu        sync.Mutex
-	endpoints map[string]*endpoint
-	listed    []*endpoint // backends of the table
-	slots     int         // per backend
-	maxInFlightPerBackend  int         // most in flight to one backend from this process
-	members   int
-	demand    demand
+	mu                    sync.Mutex
+	endpoints             map[string]*endpoint
+	listed                []*endpoint // backends of the table
+	slots                 int         // per backend
+	maxInFlightPerBackend int         // most in flight to one backend from this process
+	members               int
+	demand                demand
 }
 
 // endpoint is what this process knows about one backend server.
 type endpoint struct {
 	Backend
-	inFlight int
-	longInFlight     int
+	inFlight      int
+	longInFlight  int
 	othersInUse   float64 // slots seen in use by other entry VMs at othersAt
 	othersInUseAt time.Time
-	health   health
-	listed   bool
+	health        health
+	listed        bool
 	// unhealthy is this process's own finding by health checks.
 	unhealthy bool
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -43,7 +43,7 @@
 	return vms
 }
 
-func TestRouteWithTheLongestPrefixOfWholeElementsApplies(t *testing.T) {
+func TestRouteMatchesLongestPrefixOfWholeElements(t *testing.T) {
 	svc := &Service{Routes: sortRoutes([]document.Route{{Prefix: "/book"}, {Prefix: "/"}, {Prefix: "/book/export"}})}
 	for path, want := range map[string]string{
 		"/": "/", "/x": "/", "/book": "/book", "/book/7": "/book", "/booking": "/", "/book/export": "/book/export",
@@ -59,7 +59,7 @@
 
 // Callers see added latency when requests leave their availability zone without
 // need, and refusals when the own zone is full while others are free.
-func TestOwnZoneFirstThenOthers(t *testing.T) {
+func TestLocalZoneIsPreferred(t *testing.T) {
 	p := newTestPool(6, 1, "a", "b")
 	r := newSeededRand()
 	seen := map[string]int{}
@@ -77,7 +77,7 @@
 
 // A backend that fails at once has nothing in flight and would by load alone
 // take most requests: callers would see a pool of ten fail nearly always.
-func TestFastErrorsDoNotAttractWork(t *testing.T) {
+func TestFastFailingBackendDoesNotAttractRequests(t *testing.T) {
 	p := newTestPool(10, 1, "a")
 	r := newSeededRand()
 	bad := 0
@@ -105,7 +105,7 @@
 
 // A bad release fails on every backend. If evidence could eject them all,
 // callers would be refused though some requests still succeed.
-func TestSharedFailureNeverEmptiesThePool(t *testing.T) {
+func TestPoolWideFailureDoesNotEjectAllBackends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "backends")
 		p := NewPool("a", SharingChoices)
@@ -146,7 +146,7 @@
 
 // Long requests hold slots for seconds. Were they let into all of them, quick
 // lookups would be refused until the first one ends.
-func TestLongRequestsLeaveRoomForQuickOnes(t *testing.T) {
+func TestLongRequestsLeaveSlotsForQuickOnes(t *testing.T) {
 	p := newTestPool(4, 1, "a")
 	r := newSeededRand()
 	long := Query{Class: document.ClassLong}
@@ -169,7 +169,7 @@
 
 // A refusal tells that other entry VMs use the slots; for a while the backend is
 // taken for full, so that tries go where slots may be free.
-func TestRefusalTurnsChoicesAwayForAWhile(t *testing.T) {
+func TestRefusalMarksBackendFullTemporarily(t *testing.T) {
 	p := newTestPool(2, 1, "a")
 	r := newSeededRand()
 	p.Done(start, pick(t, p, start, r, Query{Tried: []string{"vm-1"}}), EvidenceFull)
@@ -180,7 +180,7 @@
 	assert.Equal(t, "vm-0", pick(t, p, later, r, Query{}).VM)
 }
 
-func TestDownBackendsServeOnlyWhenNoOtherIsLeft(t *testing.T) {
+func TestUnhealthyBackendsAreLastResort(t *testing.T) {
 	svc := newTestService(2, "a")
 	svc.Backends[0].Down = true
 	p := NewPool("a", SharingChoices)
@@ -202,7 +202,7 @@
 
 // A backend that left the table gets no further request, while those in flight
 // stay counted: the steward must not reboot its VM before they end.
-func TestLeavingBackendGetsNothingAndStaysCounted(t *testing.T) {
+func TestRemovedBackendGetsNoRequestsAndStaysCounted(t *testing.T) {
 	p := newTestPool(2, 1, "a")
 	r := newSeededRand()
 	l := pick(t, p, start, r, Query{Tried: []string{"vm-1"}})
@@ -219,7 +219,7 @@
 
 // Without a budget a pool that fails every request would get each of them
 // several times.
-func TestRetriesStayAShareOfFreshRequests(t *testing.T) {
+func TestRetryBudgetBoundsRetries(t *testing.T) {
 	b := NewBudget()
 	spent := 0
 	for range 1000 {
@@ -234,7 +234,7 @@
 // A process stopped across a drain wakes up with an old table. The first request
 // after the resume, whichever goroutine runs first, must be held until the log
 // was read after the resume; with the log out it goes on after a bound.
-func TestPauseHoldsNewWorkUntilTheLogWasRead(t *testing.T) {
+func TestPauseHoldsNewAttemptsUntilLogIsRead(t *testing.T) {
 	resumed := start.Add(10 * time.Second)
 	t.Run("request runs first", func(t *testing.T) {
 		p := NewPause(start)
