--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -33,7 +33,7 @@
 
 // A request that is wrong in itself gets a 4xx, "not-run", a reason and one line
 // that helps, and no backend server hears of it.
-func TestWrongRequestsAreRefusedWithALineThatHelps(t *testing.T) {
+func TestInvalidRequestsAreRejectedWithReasonAndText(t *testing.T) {
 	r := newRig(t)
 	key := http.Header{outcome.HeaderKey: {ulid.Make().String()}}
 	with := func(name, value string) http.Header {
@@ -75,12 +75,12 @@
 			assert.Equal(t, 1, strings.Count(got.body, "\n"))
 		})
 	}
-	assert.Zero(t, r.seen())
+	assert.Zero(t, r.requestsSeen())
 }
 
 // A retry is refused for what its first attempt did not have. "Not run" would
 // make the caller book anew under another key, though the first attempt ran.
-func TestRefusedRetryIsNotToldThatTheBookingDidNotRun(t *testing.T) {
+func TestRejectedRetryOfRunRequestIsNotReportedNotRun(t *testing.T) {
 	r := newRig(t)
 	header := http.Header{outcome.HeaderKey: {ulid.Make().String()}}
 	first := r.send(http.MethodPost, "/booking/reservations", header, nil)
@@ -97,7 +97,7 @@
 // A booking whose connection breaks at some point of its way is run at most
 // once, retries included, and each answer tells the truth about it. The backend
 // server counts what it saw and ran per key.
-func TestBookingRunsAtMostOnceWhereverItBreaks(t *testing.T) {
+func TestNotRepeatableRequestRunsAtMostOnce(t *testing.T) {
 	cases := []struct {
 		fault   standin.FaultKind
 		first   outcome.Outcome
@@ -116,7 +116,7 @@
 			defer r.Platform.ClearAll()
 			key := ulid.Make().String()
 			header := http.Header{outcome.HeaderKey: {key}}
-			r.order(standin.Fault{Kind: c.fault, Count: 1})
+			r.injectFault(standin.Fault{Kind: c.fault, Count: 1})
 			first := r.send(http.MethodPost, "/booking/reservations", header, strings.NewReader("chair 7"))
 			assert.Equal(t, string(c.first), first.header.Get(outcome.HeaderOutcome), first.body)
 			again := r.send(http.MethodPost, "/booking/reservations", header, strings.NewReader("chair 7"))
@@ -130,7 +130,7 @@
 // A retry of a booking that ran, as after the caller lost the answer, gets the
 // first answer again and runs nothing; another request under the same key is
 // refused.
-func TestRetryOfBookingGetsTheFirstAnswer(t *testing.T) {
+func TestRetryReturnsFirstAnswer(t *testing.T) {
 	r := newRig(t)
 	header := http.Header{outcome.HeaderKey: {ulid.Make().String()}}
 	first := r.send(http.MethodPost, "/booking/reservations", header, strings.NewReader("chair 7"))
@@ -145,11 +145,11 @@
 
 // A lookup whose backend server breaks off is tried at another one, and the
 // caller sees one whole answer.
-func TestLookupIsTriedAtAnotherBackend(t *testing.T) {
+func TestRepeatableRequestIsRetriedOnAnotherBackend(t *testing.T) {
 	for _, fault := range []standin.FaultKind{standin.CutBeforeRead, standin.CutAfterRun, standin.CutMidAnswer, standin.BackendError} {
 		t.Run(string(fault), func(t *testing.T) {
 			r := newRig(t)
-			r.order(standin.Fault{Kind: fault, Count: 1})
+			r.injectFault(standin.Fault{Kind: fault, Count: 1})
 			got := r.send(http.MethodGet, "/booking/lookup", http.Header{standin.HeaderReplyBytes: {"1000"}}, nil)
 			require.NoError(t, got.err)
 			assert.Equal(t, http.StatusOK, got.status, got.body)
@@ -161,14 +161,14 @@
 
 // A long answer that breaks off at the backend server must not look whole: the
 // caller's client sees its connection break.
-func TestCutLongAnswerBreaksTheCallersConnection(t *testing.T) {
+func TestTruncatedStreamAbortsCallerConnection(t *testing.T) {
 	r := newRig(t)
 	const size = 300_000
 	header := http.Header{standin.HeaderReplyBytes: {strconv.Itoa(size)}}
 	whole := r.send(http.MethodGet, "/booking/lookup", header.Clone(), nil)
 	require.NoError(t, whole.err)
 	require.Len(t, whole.body, size)
-	r.order(standin.Fault{Kind: standin.CutMidAnswer, Count: 1})
+	r.injectFault(standin.Fault{Kind: standin.CutMidAnswer, Count: 1})
 	cut := r.send(http.MethodGet, "/booking/lookup", header.Clone(), nil)
 	assert.Error(t, cut.err)
 }
@@ -176,7 +176,7 @@
 // A backend server hangs: it takes connections and answers nothing, nor its
 // health checks. Before a booking is lost on it, this process's own checks take
 // it out; a check that succeeds takes it back.
-func TestHungBackendIsTakenOutByHealthChecks(t *testing.T) {
+func TestHungBackendIsRemovedByHealthChecks(t *testing.T) {
 	r := newRig(t)
 	list, err := r.Platform.List(t.Context())
 	require.NoError(t, err)
@@ -184,9 +184,9 @@
 	used := func() bool {
 		return r.send(http.MethodGet, "/booking/lookup", nil, nil).header.Get(standin.HeaderVM) == hung
 	}
-	r.until(used)
-	r.order(standin.Fault{Kind: standin.BackendUnhealthy, Target: hung})
-	r.until(func() bool {
+	r.eventually(used)
+	r.injectFault(standin.Fault{Kind: standin.BackendUnhealthy, Target: hung})
+	r.eventually(func() bool {
 		for range 30 {
 			if used() {
 				return false
@@ -195,19 +195,19 @@
 		return true
 	})
 	r.Platform.ClearAll()
-	r.until(used)
+	r.eventually(used)
 }
 
 // The caller hangs up while its booking runs. The run goes on to its end and is
 // recorded, so that the caller's retry gets the answer in place of "unknown".
-func TestCallerLeavesWhileItsBookingRuns(t *testing.T) {
+func TestRunIsRecordedAfterCallerDisconnects(t *testing.T) {
 	r := newRig(t)
 	key := ulid.Make().String()
 	header := http.Header{outcome.HeaderKey: {key}, standin.HeaderWorkMS: {"200"}}
 	ctx, hangUp := context.WithCancel(t.Context())
 	left := make(chan reply, 1)
 	go func() { left <- r.sendIn(ctx, http.MethodPost, "/booking/reservations", header.Clone(), nil) }()
-	r.until(func() bool { return r.key(key).Runs == 1 })
+	r.eventually(func() bool { return r.key(key).Runs == 1 })
 	hangUp()
 	assert.Error(t, (<-left).err)
 	again := r.send(http.MethodPost, "/booking/reservations", header.Clone(), nil)
@@ -219,7 +219,7 @@
 // Callers that stop reading a long answer, or stop sending their body, hold a
 // slot, a connection and memory. Both are cut off after the stall timeout; the
 // one whose body is missing is told that nothing ran.
-func TestStalledCallersAreCutOff(t *testing.T) {
+func TestStalledCallersAreDisconnected(t *testing.T) {
 	r := newRig(t)
 	dial := func(text string) net.Conn {
 		conn, err := net.Dial("tcp", r.entry.Target)
@@ -234,8 +234,8 @@
 		return len(vms)
 	}
 	dial("GET /booking/lookup HTTP/1.1\r\nHost: h\r\n" + standin.HeaderReplyBytes + ": 60000000\r\n\r\n")
-	r.until(func() bool { return busy() == 1 })
-	r.until(func() bool { return busy() == 0 })
+	r.eventually(func() bool { return busy() == 1 })
+	r.eventually(func() bool { return busy() == 0 })
 
 	conn := dial("POST /booking/lookup HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nhalf")
 	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/internal/entry/leave_test.go
+++ b/internal/entry/leave_test.go
@@ -18,19 +18,19 @@
 // an entry VM that turned unready; it is below the rig's notice.
 const balancerLag = 200 * time.Millisecond
 
-// callers sends POSTs, which no client repeats by itself, one after the other
+// callerLoad sends POSTs, which no client repeats by itself, one after the other
 // on kept connections, as long as the balancer sends them to the entry.
-type callers struct {
+type callerLoad struct {
 	wg  sync.WaitGroup
 	mu  sync.Mutex
 	got []reply
 }
 
-func (r *rig) callers(n int, path string, header http.Header) *callers {
-	c := &callers{}
+func (r *rig) callers(n int, path string, header http.Header) *callerLoad {
+	c := &callerLoad{}
 	for range n {
 		c.wg.Go(func() {
-			for !r.leftByBalancer() {
+			for !r.removedByBalancer() {
 				got := r.send(http.MethodPost, path, header.Clone(), nil)
 				c.mu.Lock()
 				c.got = append(c.got, got)
@@ -41,7 +41,7 @@
 	return c
 }
 
-func (r *rig) leftByBalancer() bool {
+func (r *rig) removedByBalancer() bool {
 	if len(r.entry.Ready.Reasons()) == 0 {
 		return false
 	}
@@ -54,14 +54,14 @@
 	return time.Since(*at) > balancerLag
 }
 
-func (c *callers) count() int {
+func (c *callerLoad) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.got)
 }
 
-// whole checks that every request got its whole answer.
-func (c *callers) whole(t *testing.T) {
+// requireCompleteAnswers checks that every request got its whole answer.
+func (c *callerLoad) requireCompleteAnswers(t *testing.T) {
 	t.Helper()
 	c.wg.Wait()
 	for _, got := range c.got {
@@ -73,16 +73,16 @@
 // SIGTERM under load: the process turns unready, still takes the requests that
 // the balancer sends meanwhile, finishes those in flight, long ones included,
 // and ends. No caller sees a refused or broken connection.
-func TestStopUnderLoadCutsNoRequest(t *testing.T) {
+func TestStopUnderLoadCompletesAllRequests(t *testing.T) {
 	r := newRig(t)
 	quick := r.callers(8, "/booking/lookup", http.Header{standin.HeaderWorkMS: {"2"}})
 	long := r.callers(2, "/booking/audit", http.Header{standin.HeaderWorkMS: {"900"}})
-	r.until(func() bool { return quick.count() > 50 })
+	r.eventually(func() bool { return quick.count() > 50 })
 	r.entry.Stop()
-	r.until(func() bool { return len(r.entry.Ready.Reasons()) > 0 })
+	r.eventually(func() bool { return len(r.entry.Ready.Reasons()) > 0 })
 	before := quick.count()
-	quick.whole(t)
-	long.whole(t)
+	quick.requireCompleteAnswers(t)
+	long.requireCompleteAnswers(t)
 	assert.Greater(t, quick.count(), before, "the balancer needs time to look elsewhere")
 	assert.NotZero(t, long.count())
 	<-r.entry.Ended
@@ -92,7 +92,7 @@
 // A drain takes effect while a request is in flight at the VM and others follow.
 // Once the drain is folded the VM gets no new request, the one in flight gets
 // its whole answer, and it is counted until then.
-func TestDrainedBackendGetsNoNewWorkAndFinishesItsOwn(t *testing.T) {
+func TestDrainedBackendCompletesRunningRequestsAndGetsNoNewOnes(t *testing.T) {
 	r := newRig(t)
 	busy := func() string {
 		for vm, c := range r.Server.Counters(false).Backends.VMs {
@@ -106,10 +106,10 @@
 	go func() {
 		held <- r.send(http.MethodGet, "/booking/audit", http.Header{standin.HeaderWorkMS: {"700"}}, nil)
 	}()
-	r.until(func() bool { return busy() != "" })
+	r.eventually(func() bool { return busy() != "" })
 	vm := busy()
 	r.propose(record.SubjectVM, vm, record.VMDrain{Reason: record.DrainOperator, Estimate: time.Minute})
-	r.until(func() bool { return r.entry.Offset() == r.Offset() })
+	r.eventually(func() bool { return r.entry.Offset() == r.Offset() })
 	_, inFlight := r.entry.InFlights()
 	assert.Equal(t, 1, inFlight[vm])
 	for range 50 {
@@ -126,11 +126,11 @@
 
 // A burst fills every slot: what does not fit is told "not-run" with Retry-After
 // at once instead of being parked, and truly did not run.
-func TestSurplusIsShedAtOnceAndDidNotRun(t *testing.T) {
+func TestExcessRequestsAreShedImmediately(t *testing.T) {
 	r := newRig(t)
 	const slots, surplus = 3 * 8, 10
 	gate := standin.Fault{Kind: standin.BackendFreeze}
-	r.order(gate)
+	r.injectFault(gate)
 	answers := make(chan reply, slots+surplus)
 	for range slots + surplus {
 		go func() { answers <- r.send(http.MethodPost, "/booking/lookup", nil, nil) }()
--- a/internal/entry/rig_test.go
+++ b/internal/entry/rig_test.go
@@ -32,21 +32,21 @@
 	r, err := requests.Open(t.Context(), requests.Options{
 		Zones: []string{"a", "b", "c"}, Backends: 3, Entries: 1, Claims: requests.LocalClaims(), Logger: logger(t),
 	})
-	return wrap(t, r, err)
+	return newRigFrom(t, r, err)
 }
 
 // startRig starts the process on a log, with nothing published and no claims.
 func startRig(t testing.TB, fake *standin.Platform, log platform.Log) *rig {
 	t.Helper()
 	r, err := requests.Start(requests.Options{Zones: []string{"a"}, Entries: 1, Logger: logger(t)}, fake, log)
-	return wrap(t, r, err)
+	return newRigFrom(t, r, err)
 }
 
 func logger(t testing.TB) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{Level: hclog.Warn, Output: t.Output()})
 }
 
-func wrap(t testing.TB, r *requests.Rig, err error) *rig {
+func newRigFrom(t testing.TB, r *requests.Rig, err error) *rig {
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
 	return &rig{Rig: r, t: t, entry: r.Entries[0], url: "http://" + r.Entries[0].Target}
@@ -57,21 +57,21 @@
 	require.NoError(r.t, r.Propose(r.t.Context(), kind, name, body))
 }
 
-// order makes a fault happen and clears it at the test's end.
-func (r *rig) order(f standin.Fault) {
+// injectFault makes a fault happen and clears it at the test's end.
+func (r *rig) injectFault(f standin.Fault) {
 	r.t.Helper()
 	_, err := r.Platform.Order(f)
 	require.NoError(r.t, err)
 }
 
-func (r *rig) seen() int { return r.Server.Counters(false).Backends.Seen }
+func (r *rig) requestsSeen() int { return r.Server.Counters(false).Backends.Seen }
 
 func (r *rig) key(key string) standin.KeyCounters {
 	return r.Server.Counters(false, key).Backends.Keys[key]
 }
 
-// until waits for a condition that an event of another goroutine brings about.
-func (r *rig) until(done func() bool) {
+// eventually waits for a condition that an event of another goroutine brings about.
+func (r *rig) eventually(done func() bool) {
 	r.t.Helper()
 	require.Eventually(r.t, done, 10*time.Second, time.Millisecond)
 }
--- a/internal/entry/start_test.go
+++ b/internal/entry/start_test.go
@@ -23,16 +23,16 @@
 // gatedLog lets reads beyond an offset through only when its gate is open.
 type gatedLog struct {
 	platform.Log
-	beyond platform.Offset
-	gate   chan struct{}
-	once   sync.Once
-	waits  chan struct{} // closed when a read waits at the gate
+	gateOffset platform.Offset
+	gate       chan struct{}
+	once       sync.Once
+	blocked    chan struct{} // closed when a read waits at the gate
 }
 
 // Read implements platform.Log.
 func (l *gatedLog) Read(ctx context.Context, stream string, from platform.Offset, most int, wait time.Duration) (platform.Batch, error) {
-	if from > l.beyond {
-		l.once.Do(func() { close(l.waits) })
+	if from > l.gateOffset {
+		l.once.Do(func() { close(l.blocked) })
 		<-l.gate
 	}
 	return l.Log.Read(ctx, stream, from, most, wait)
@@ -42,7 +42,7 @@
 // in the first part was replaced since, and knew another route. Until the process
 // has read the log to its end, callers are told that nothing ran; the old
 // document never serves.
-func TestStartingEntryServesNothingFromOldDocuments(t *testing.T) {
+func TestStartingEntryDoesNotServeOldDocuments(t *testing.T) {
 	const entries = 1500 // more than a read of 1000
 	fake := standin.New(standin.Options{AppendsPerSecond: -1})
 	var data [][]byte
@@ -60,10 +60,10 @@
 		_, err := fake.Append(t.Context(), requests.Stream, part)
 		require.NoError(t, err)
 	}
-	log := &gatedLog{Log: fake, beyond: 1, gate: make(chan struct{}), waits: make(chan struct{})}
+	log := &gatedLog{Log: fake, gateOffset: 1, gate: make(chan struct{}), blocked: make(chan struct{})}
 	r := startRig(t, fake, log)
-	<-log.waits
-	r.until(func() bool { return r.Offset() > 0 })
+	<-log.blocked
+	r.eventually(func() bool { return r.Offset() > 0 })
 
 	got := r.send(http.MethodGet, "/booking/old", nil, nil)
 	assert.Equal(t, http.StatusServiceUnavailable, got.status)
@@ -77,7 +77,7 @@
 	assert.Contains(t, strings.Join(r.entry.Ready.Reasons(), "\n"), "read to its end")
 
 	close(log.gate)
-	r.until(func() bool { return r.entry.Offset() == entries })
+	r.eventually(func() bool { return r.entry.Offset() == entries })
 	got = r.send(http.MethodGet, "/booking/old", nil, nil)
 	assert.Equal(t, http.StatusNotFound, got.status)
 	assert.Empty(t, r.entry.Ready.Reasons())
--- a/internal/peerserver/peerserver_test.go
+++ b/internal/peerserver/peerserver_test.go
@@ -21,7 +21,7 @@
 // A command line waits for an offset that never comes while the daemon is told
 // to stop. The daemon must stop all the same, within the time for calls in
 // progress, and the caller must be told that the node is gone.
-func TestStopCutsWaitingCalls(t *testing.T) {
+func TestStopCancelsWaitingCalls(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	server := peerserver.New(listener)
--- a/internal/ports/ports_test.go
+++ b/internal/ports/ports_test.go
@@ -15,7 +15,7 @@
 
 // A server can't come back at its address, "address already in use": while it was down
 // another listener, or a connection, got its port.
-func TestReservedPortIsThereWheneverItsServerComesBack(t *testing.T) {
+func TestReservedPortStaysAvailableToItsServer(t *testing.T) {
 	r, err := ports.Reserve(ip, 0)
 	require.NoError(t, err)
 	t.Cleanup(r.Release)
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestPortThatCannotBeReserved(t *testing.T) {
+func TestReserveErrors(t *testing.T) {
 	l, err := net.Listen("tcp", ip+":0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -11,7 +11,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/wait"
 )
 
-func TestSleepEndsAtTheFirstOfThree(t *testing.T) {
+func TestSleepEndsAtTimerSignalOrContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
