--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -14,43 +14,43 @@
 	"github.com/yuccadrift/yuccadrift/internal/routing"
 )
 
-// reasonDeadline is given when the caller's time was up before anything was sent.
+// reasonDeadline means that the caller's deadline passed before anything was sent.
 const reasonDeadline outcome.Reason = "deadline"
 
-// refusalStaleTable: the process was paused, and its time was up before the log was
-// read again.
+// refusalStaleTable means that the process was paused and the caller's deadline
+// passed before the log was read again.
 const refusalStaleTable routing.Refusal = "table-not-current"
 
-// Bounds of the tries for one request.
+// Limits on the tries for one request.
 const (
 	maxTries = 4
-	// immediateRefusalTries refusals are followed by a try elsewhere at once, and
-	// maxRefusals in all.
+	// The first immediateRefusalTries refusals are followed by a try at another
+	// backend server at once; maxRefusals bounds all tries that were refused.
 	immediateRefusalTries = 2
 	maxRefusals           = 20
-	// refusalShare is the share of fresh requests that may be tried again after
-	// a refusal of a backend server.
+	// refusalShare is the number of tries after a refusal that each new request
+	// adds to the budget.
 	refusalShare = 1.0
-	// slowAttemptShare: an attempt that took this share of the route's deadline without
-	// an answer speaks against the backend server.
+	// An attempt that took slowAttemptShare of the route's deadline without an
+	// answer counts as a failure of the backend server.
 	slowAttemptShare = 0.25
-	// shedRetryAfter is the least that a caller is told to wait after being shed, and
-	// retryShedLong for a long request. retrySpread seconds are drawn on top: told
-	// the same time, all that were shed in a burst would return as one.
+	// shedRetryAfter is the minimum Retry-After of a shed quick request,
+	// shedRetryAfterLong that of a long one. Up to retryAfterJitterSeconds-1 random
+	// seconds are added, so that callers shed in one burst don't return together.
 	shedRetryAfter          = time.Second
 	shedRetryAfterLong      = 5 * time.Second
 	retryAfterJitterSeconds = 3
-	// staleTablePollInterval is how often a held request looks for a current table.
+	// staleTablePollInterval is how often a held request checks for a current table.
 	staleTablePollInterval = 5 * time.Millisecond
 )
 
-// Call is one caller's request, read completely.
+// Call is one caller's request, with its complete body.
 type Call struct {
 	Service string
 	Limits  document.Limits
 	Route   document.Route
-	Key     string // of a not-repeatable request
-	First   bool   // the caller says that this is its first attempt
+	Key     string // key of a not-repeatable request
+	First   bool   // whether the caller marked this as its first attempt
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
 	Method   string
@@ -60,15 +60,16 @@
 	Body     []byte
 }
 
-// Result is what became of a call. Answer.Status is 0 when there is no answer
-// of a backend server to pass on. Close must be called once the answer was
-// passed on, with whether all of it arrived from the backend server.
+// Result is the result of a call. Answer.Status is 0 when there is no answer of
+// a backend server to pass on. Close must be called once the answer was passed
+// on; whole states whether all of it arrived from the backend server.
 type Result struct {
 	Answer     backend.Answer
 	Outcome    outcome.Outcome
 	Reason     outcome.Reason
 	RetryAfter time.Duration
-	// Denied: the call was not run because of an earlier one with its key.
+	// Denied is true when the call was not run because of an earlier call with
+	// its key.
 	Denied bool
 	Tries  int
 	Close  func(whole bool)
@@ -78,8 +79,9 @@
 	return Result{Outcome: o, Reason: reason, RetryAfter: retryAfter, Close: func(bool) {}}
 }
 
-// Do sends a call on. ctx ends when the caller went away; a not-repeatable call
-// that was sent goes on until its deadline, so that its end is known.
+// Do sends a call to a backend server. ctx ends when the caller disconnects; a
+// not-repeatable call that was sent continues until its deadline, so that its
+// outcome can be recorded.
 func (d *Dispatcher) Do(ctx context.Context, call *Call) Result {
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	if call.Route.Repeatable {
@@ -88,7 +90,8 @@
 	return d.doWithClaim(ctx, cancel, call)
 }
 
-// awaitCurrentTable waits until the table may be used, see routing.Pause.
+// awaitCurrentTable waits until the table may be used (see routing.Pause) and
+// reports whether that happened before ctx ended.
 func (d *Dispatcher) awaitCurrentTable(ctx context.Context) bool {
 	for d.holdsNewAttempts() {
 		select {
@@ -100,11 +103,11 @@
 	return true
 }
 
-// errPausedSincePick keeps an attempt from being sent.
+// errPausedSincePick prevents an attempt from being sent.
 var errPausedSincePick = errors.New("the process was paused since the backend server was picked")
 
-// beforeWrite is asked right before an attempt's first byte: the process may
-// have been paused between the pick and the write.
+// beforeWrite is called right before an attempt's first byte is written. It
+// returns an error if the process was paused between the pick and the write.
 func (d *Dispatcher) beforeWrite() error {
 	if d.holdsNewAttempts() {
 		return errPausedSincePick
@@ -116,7 +119,7 @@
 	return d.pause.Held(time.Now(), d.view.Load().fresh)
 }
 
-// doWithClaim runs a not-repeatable call under a claim.
+// doWithClaim runs a not-repeatable call if its claim is granted.
 func (d *Dispatcher) doWithClaim(ctx context.Context, cancel context.CancelFunc, call *Call) Result {
 	permit, denial := d.cfg.Claims.Begin(ctx, call)
 	if permit == nil {
@@ -136,9 +139,9 @@
 	return d.endPermit(d.doTries(ctx, cancel, call), permit)
 }
 
-// endPermit ends the permit once the call's end is known. When the caller leaves
-// in the middle of a long answer, the remainder is still read: only then is it
-// known that the call ran to its end.
+// endPermit ends the permit once the call's outcome is known. If the caller
+// disconnects in the middle of a streamed answer, the remainder is still read,
+// since only the end of the answer shows that the call ran.
 func (d *Dispatcher) endPermit(res Result, permit Permit) Result {
 	if res.Answer.Rest == nil {
 		permit.End(res.Outcome, &res.Answer)
@@ -160,7 +163,7 @@
 	return res
 }
 
-// doTries sends the call until an answer is final.
+// doTries makes tries until the result is final.
 func (d *Dispatcher) doTries(ctx context.Context, cancel context.CancelFunc, call *Call) Result {
 	v := d.view.Load()
 	svc := v.services[call.Service]
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch carries one caller's request to a backend server: it waits
-// for a current table, claims a not-repeatable request, picks a backend server,
-// and tries again where that is safe and the retry budget bears it.
+// Package dispatch sends a caller's request to a backend server. It waits for a
+// current routing table, claims a not-repeatable request, picks a backend server
+// and retries where that is safe and within the retry budget.
 package dispatch
 
 import (
@@ -15,7 +15,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/routing"
 )
 
-// Backends sends one attempt. It is implemented by backend.Client.
+// Backends sends attempts to backend servers. It is implemented by
+// backend.Client.
 type Backends interface {
 	Do(ctx context.Context, req *backend.Request) backend.Answer
 	Update(shares map[string]int)
@@ -23,15 +24,15 @@
 
 // Claims decides whether a not-repeatable request may run now.
 type Claims interface {
-	// Begin asks for the only right to run a call, up to ctx's deadline. A nil
-	// Permit comes with the Denial to answer.
+	// Begin requests the exclusive right to run a call until ctx's deadline. If
+	// the Permit is nil, the Denial holds the answer.
 	Begin(ctx context.Context, call *Call) (Permit, Denial)
 }
 
 // Permit is the right to run one not-repeatable request.
 type Permit interface {
-	// End tells what became of the request; it is called exactly once. answer is
-	// what a retry may be answered with, nil when it is not held.
+	// End reports the request's outcome; it must be called exactly once. answer
+	// is returned to a later retry; it is nil if the answer was not buffered.
 	End(o outcome.Outcome, answer *backend.Answer)
 }
 
@@ -39,42 +40,44 @@
 type Denial struct {
 	Outcome    outcome.Outcome
 	Reason     outcome.Reason
-	RetryAfter time.Duration // 0: not worth trying again
-	// Answer is the earlier attempt's, when it is kept; else its Status is 0.
+	RetryAfter time.Duration // 0 if a retry can't succeed
+	// Answer is the earlier attempt's answer; its Status is 0 if none is stored.
 	Answer backend.Answer
 }
 
-// Observer takes what the metrics show.
+// Observer records metrics of retries and shed requests.
 type Observer interface {
 	Retried(service string, why backend.Failure)
 	Shed(service string, class document.Class, why routing.Refusal)
 }
 
-// Config is what a Dispatcher needs.
+// Config configures a Dispatcher.
 type Config struct {
 	Zone string
-	// MaxConnections caps this process's connections to one backend server,
-	// whatever the documents say.
+	// MaxConnections is the maximum number of connections from this process to
+	// one backend server, even if a service document allows more.
 	MaxConnections int
 	Backends       Backends
 	Claims         Claims
 	Observer       Observer
-	// Rand chooses among backend servers. It must be safe for concurrent use.
+	// Rand is used to pick backend servers. It must be safe for concurrent use.
 	Rand    routing.Rand
 	Sharing routing.Sharing
 }
 
-// Dispatcher sends callers' requests on. It is safe for concurrent use.
+// Dispatcher sends callers' requests to backend servers. It is safe for
+// concurrent use.
 type Dispatcher struct {
 	cfg   Config
 	pause *routing.Pause
 	view  atomic.Pointer[view]
 
-	mu       sync.Mutex // guards the building of a view
+	mu       sync.Mutex // guards services and updates of view
 	services map[string]*service
 }
 
-// view is the table in use with what belongs to its services.
+// view is the table in use and the state of its services. fresh is when the log
+// read that the table is built from was sent, or a later such time.
 type view struct {
 	table    *routing.Table
 	services map[string]*service
@@ -85,8 +88,8 @@
 	pool    *routing.Pool
 	queue   queue
 	retries *routing.Budget
-	// refusals bounds tries after a backend server refused for want of a slot.
-	// They are cheap, but under overload they would multiply.
+	// refusals bounds tries after a backend server refused because it had no free
+	// slot. Each is cheap, but under overload they would multiply.
 	refusals *routing.Budget
 }
 
@@ -97,16 +100,16 @@
 	return d
 }
 
-// Update puts a table in use. fresh is when the read of the log that the table
-// rests on was sent.
+// Update replaces the table in use. fresh is when the log read that the table is
+// built from was sent.
 func (d *Dispatcher) Update(table *routing.Table, fresh time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if table.Offset < d.Table().Offset {
-		return // two duties build tables; the older one may come last
+		return // two duties build tables, and the older table may arrive last
 	}
 	if cur := d.view.Load().fresh; fresh.Before(cur) {
-		fresh = cur // what the table in use holds, this one holds as well
+		fresh = cur // the new table contains everything in the current one
 	}
 	shares := map[string]int{}
 	services := make(map[string]*service, len(table.Services))
@@ -138,9 +141,9 @@
 // Table returns the table in use.
 func (d *Dispatcher) Table() *routing.Table { return d.view.Load().table }
 
-// InFlights returns how many attempts of this process are under way, by VM, and
-// the offset of the log that the table in use rested on before they were
-// counted: no attempt starts at a VM that this table has not.
+// InFlights returns the number of attempts of this process in flight by VM, and
+// the log offset of the table in use when they were counted. No attempt starts
+// at a VM that is not in this table.
 func (d *Dispatcher) InFlights() (offset uint64, counts map[string]int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -151,18 +154,18 @@
 	return d.Table().Offset, counts
 }
 
-// SetHealthy takes the finding of a health check.
+// SetHealthy records the result of health checks of the VM's backend server.
 func (d *Dispatcher) SetHealthy(name, vm string, healthy bool) {
 	if s := d.view.Load().services[name]; s != nil {
 		s.pool.SetHealthy(vm, healthy)
 	}
 }
 
-// Status is a service as one entry process sees it.
+// Status is the state of a service in this entry process.
 type Status struct {
 	Service string
 	Pool    routing.Status
-	Waiting int // quick requests that wait for a slot
+	Waiting int // quick requests waiting for a slot
 }
 
 // Status returns the services of the table in use.
@@ -175,8 +178,9 @@
 	return out
 }
 
-// Beat notes that the process runs and reports whether new work is held until
-// a newer table is put in use. It is to be called every routing.PauseBeat.
+// Beat records that the process is running and reports whether new attempts are
+// held until the log has been read again. It must be called every
+// routing.PauseBeat.
 func (d *Dispatcher) Beat(now time.Time) bool {
 	d.pause.Beat(now)
 	return d.holdsNewAttempts()
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -18,7 +18,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/routing"
 )
 
-// fakeBackends answers each try by its number.
+// fakeBackends answers each try with answer, which gets the try's number from 1.
 type fakeBackends struct {
 	mu     sync.Mutex
 	tried  []string
@@ -41,7 +41,7 @@
 	return append([]string(nil), f.tried...)
 }
 
-// lockedRand is a fixed source that goroutines may share.
+// lockedRand is a seeded random source that is safe for concurrent use.
 type lockedRand struct {
 	mu sync.Mutex
 	r  *rand.Rand
@@ -58,7 +58,7 @@
 func (noObserver) Retried(string, backend.Failure)              {}
 func (noObserver) Shed(string, document.Class, routing.Refusal) {}
 
-// grantingClaims grants every claim and keeps what was reported.
+// grantingClaims grants every claim and records the reported outcomes.
 type grantingClaims struct{ ends []outcome.Outcome }
 
 func (c *grantingClaims) Begin(context.Context, *Call) (Permit, Denial) { return c, Denial{} }
@@ -87,19 +87,19 @@
 	return backend.Answer{Outcome: outcome.Ran, Status: http.StatusOK}
 }
 
-// The entry VM was stopped while "old" was drained. When it wakes, a request
-// runs before anything else: it must wait for a table from a read of the log
-// that was sent after the pause, and then go to "new".
+// The entry VM is paused while "old" is drained. After the resume a request runs
+// before anything else. It must wait for a table from a log read that was sent
+// after the resume, and then go to "new".
 func TestRequestAfterPauseWaitsForCurrentTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeBackends{answer: answerRan}
 		d := newDispatcher(f, &grantingClaims{})
 		d.Update(table(1, "old"), time.Now())
-		time.Sleep(5 * time.Second) // no beat: the process does not run
+		time.Sleep(5 * time.Second) // no beat: the process is paused
 		results := make(chan Result, 1)
 		go func() { results <- d.Do(t.Context(), newCall(true)) }()
 		time.Sleep(50 * time.Millisecond)
-		d.Update(table(1, "old"), time.Now().Add(-time.Second)) // a read from before the resume
+		d.Update(table(1, "old"), time.Now().Add(-time.Second)) // read sent before the resume
 		time.Sleep(50 * time.Millisecond)
 		assert.Empty(t, f.triedAddresses())
 		d.Update(table(2, "new"), time.Now())
@@ -108,8 +108,8 @@
 	})
 }
 
-// The process is paused between the choice of a backend server and the write.
-// The write is refused, and after the resume another one is chosen.
+// The process is paused between the pick of a backend server and the write. The
+// write must be refused, and another backend server picked after the resume.
 func TestPauseBetweenPickAndWritePicksAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeBackends{}
@@ -120,7 +120,7 @@
 			}
 			time.Sleep(3 * time.Second)
 			if req.BeforeWrite() == nil {
-				t.Error("written though the table may be old")
+				t.Error("expected no write with a table that may be stale")
 			}
 			go d.Update(table(2, "new"), time.Now().Add(time.Millisecond))
 			return backend.Answer{Outcome: outcome.NotRun, Failure: backend.FailureUnsent}
@@ -132,8 +132,8 @@
 	})
 }
 
-// The caller hears one word about all tries: once one may have run, "not-run"
-// would be a lie, and a not-repeatable call must not be tried again.
+// The caller gets one outcome for all tries. Once a try may have run, the outcome
+// must not be "not-run", and a not-repeatable call must not be tried again.
 func TestOutcomeOfSeveralTries(t *testing.T) {
 	unknown := backend.Answer{Outcome: outcome.Unknown, Failure: backend.FailureBroken}
 	unsent := backend.Answer{Outcome: outcome.NotRun, Failure: backend.FailureDial}
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -7,32 +7,31 @@
 	"time"
 )
 
-// Bounds of the wait for a slot.
+// Limits on the wait for a slot.
 const (
-	// waitShare of the time left, and at most waitMost, is spent waiting: a shed
-	// caller must have time to try elsewhere.
+	// A request waits for at most waitShare of the time to its deadline and at most
+	// maxWait, so that a shed caller still has time to try another entry VM.
 	waitShare = 0.25
 	maxWait   = 100 * time.Millisecond
-	// maxWaitOverloaded is spent instead while more than overloaded of the quick calls
-	// are shed. Then the load is above what the slots bear: the queue absorbs no
-	// burst any more, and waiting only delays every answer.
+	// maxWaitOverloaded replaces maxWait while more than overloadedShedRate of the
+	// quick calls are shed. The load then exceeds the slots for longer than a burst,
+	// and waiting only delays every answer.
 	maxWaitOverloaded  = 10 * time.Millisecond
 	overloadedShedRate = 0.2
-	// shedDecay is the weight that one more call leaves to the past ones.
+	// shedDecay is the weight of past calls in shedRate after one more call.
 	shedDecay = 0.98
-	// waitPollInterval is how often the first in the queue looks for a slot that another
-	// entry VM gave back, of which nothing is heard here.
+	// waitPollInterval is how often the first waiter tries to get a slot. Slots
+	// freed by other entry VMs don't wake it.
 	waitPollInterval = 5 * time.Millisecond
 )
 
-// queue holds the quick requests of one service that wait for a slot, first
-// come first served. It is short: with about as many requests waiting as slots
-// are in use, each waits about one run, and a longer queue would add delay to
-// every answer and goodput to none.
+// queue is the FIFO queue of one service's quick requests that wait for a slot.
+// It is short: with about as many waiters as slots in use, each waits for about
+// one run. A longer queue would add latency and no throughput.
 type queue struct {
 	mu       sync.Mutex
 	waiters  []*waiter
-	shedRate float64 // decaying share of quick calls that got no slot
+	shedRate float64 // decaying share of quick calls that got no slot, 0 to 1
 }
 
 type waiter struct{ wake chan struct{} }
@@ -44,7 +43,7 @@
 	return len(q.waiters)
 }
 
-// waitLimit is how long a request that begins to wait now may do so.
+// waitLimit returns how long a request may wait that has left until its deadline.
 func (q *queue) waitLimit(left time.Duration) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -55,7 +54,7 @@
 	return min(limit, time.Duration(float64(left)*waitShare))
 }
 
-// recordResult notes whether a quick call got a slot.
+// recordResult records whether a quick call was shed.
 func (q *queue) recordResult(shed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -65,7 +64,8 @@
 	}
 }
 
-// add adds a waiter, in front when it waited before; nil when most are waiting.
+// add adds a waiter, at the front if it waited before. It returns nil if
+// maxWaiters are waiting already.
 func (q *queue) add(front bool, maxWaiters int) *waiter {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -81,7 +81,7 @@
 	return w
 }
 
-// wakeFirst lets the first waiter try.
+// wakeFirst wakes the first waiter.
 func (q *queue) wakeFirst() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -93,8 +93,8 @@
 	}
 }
 
-// awaitTurn waits until it is w's turn to try, and takes it out of the queue. False
-// means that the time is up.
+// awaitTurn waits until w may try to get a slot and removes w from the queue. It
+// returns false if until passed or ctx ended first.
 func (q *queue) awaitTurn(ctx context.Context, w *waiter, until time.Time) bool {
 	defer q.remove(w)
 	poll := time.NewTicker(waitPollInterval)
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -16,8 +16,8 @@
 
 const runTime = 50 * time.Millisecond
 
-// newTwoSlotDispatcher is a dispatcher before one backend server with two slots, each run
-// taking runTime.
+// newTwoSlotDispatcher returns a dispatcher with one backend server that has two
+// slots and takes runTime for each request.
 func newTwoSlotDispatcher() (*Dispatcher, *fakeBackends) {
 	f := &fakeBackends{answer: func(int, *backend.Request) backend.Answer {
 		time.Sleep(runTime)
@@ -30,7 +30,7 @@
 	return d, f
 }
 
-// timedResult is a result with how long the caller waited for it.
+// timedResult is a Result and the time that the caller waited for it.
 type timedResult struct {
 	Result
 	took time.Duration
@@ -50,9 +50,9 @@
 	return out
 }
 
-// All slots are in use. A quick request waits for the next slot; one more finds
-// the queue full and a long one is not queued at all: both hear "not-run" at
-// once, so that their callers can go elsewhere.
+// With all slots in use, a quick request waits for the next slot. A further one
+// finds the queue full, and a long request is never queued. Both must get
+// "not-run" at once, so that their callers can try another entry VM.
 func TestQuickRequestWaitsForSlotOthersAreShed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, f := newTwoSlotDispatcher()
@@ -74,12 +74,12 @@
 	})
 }
 
-// Load stays above what the slots bear. Requests that wait long would all be
-// answered late and none more; the wait becomes short until the load falls.
+// While the load exceeds the slots, a long wait would delay all answers without
+// more throughput. The wait limit must be short until the load falls.
 func TestWaitLimitIsShortUnderOverload(t *testing.T) {
 	q := &queue{}
 	assert.Equal(t, maxWait, q.waitLimit(time.Minute))
-	assert.Equal(t, 10*time.Millisecond, q.waitLimit(40*time.Millisecond), "a quarter of what is left")
+	assert.Equal(t, 10*time.Millisecond, q.waitLimit(40*time.Millisecond), "expected a quarter of the time left")
 	for range 20 {
 		q.recordResult(true)
 	}
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -12,7 +12,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/routing"
 )
 
-// callState is the state of one call's tries.
+// callState is the state of the tries of one call.
 type callState struct {
 	d      *Dispatcher
 	call   *Call
@@ -22,16 +22,16 @@
 	tried     []string // VMs not to be tried again
 	tries     int
 	refusals  int  // tries that a backend server refused
-	queued    bool // waits for a slot in turn, until waitUntil at most
+	queued    bool // whether the call must queue for a slot, until waitUntil at most
 	waitUntil time.Time
-	lease     routing.Lease // of last
+	lease     routing.Lease // lease of the last try
 	last      backend.Answer
-	answer    backend.Answer  // the latest complete answer, Status 0 if none
+	answer    backend.Answer  // answer of the latest try that ran; Status is 0 if none
 	refusal   routing.Refusal // why no further try was made
-	maybeRan  bool            // a try ended with outcome unknown
+	maybeRan  bool            // whether a try ended with outcome Unknown
 }
 
-// tryNext makes one try and reports whether another one should follow.
+// tryNext makes one try and reports whether another try should follow.
 func (r *callState) tryNext(ctx context.Context) bool {
 	if !r.d.awaitCurrentTable(ctx) {
 		r.refusal = refusalStaleTable
@@ -59,8 +59,8 @@
 	return r.mayRetry(ctx)
 }
 
-// acquire picks a backend server. A quick call waits a short while for a slot
-// when all are in use; those that come while others wait queue up behind them.
+// acquire picks a backend server. A quick call queues for a short time if all
+// slots are in use or other calls are waiting.
 func (r *callState) acquire(ctx context.Context) (routing.Lease, routing.Refusal) {
 	if !r.isQuick() {
 		return r.pick()
@@ -101,14 +101,16 @@
 	return r.svc.pool.Pick(time.Now(), r.d.cfg.Rand, routing.Query{Class: r.call.Route.Class, Tried: r.tried})
 }
 
-// clearTriedAfterRefusal lets a backend server be tried again that had no slot before.
+// clearTriedAfterRefusal allows backend servers to be picked again if the last try
+// was refused because no slot was free.
 func (r *callState) clearTriedAfterRefusal() {
 	if r.last.Failure == backend.FailureRefused && !r.maybeRan {
 		r.tried = r.tried[:0]
 	}
 }
 
-// releaseLease ends the lease of the last try and lets a waiting call have its slot.
+// releaseLease ends the lease of the last try and wakes the first waiter for the
+// slot, unless the backend server refused because it is full.
 func (r *callState) releaseLease(ev routing.Evidence) {
 	r.svc.pool.Done(time.Now(), r.lease, ev)
 	if ev != routing.EvidenceFull {
@@ -116,8 +118,9 @@
 	}
 }
 
-// send makes the try. A hung backend server takes half of a repeatable call's
-// time at most, so that the rest is left for another one.
+// send makes the try. The first try of a repeatable call, refused ones aside, gets
+// at most half of the time left, so that a hung backend server leaves time for a
+// try at another one.
 func (r *callState) send(ctx context.Context, now time.Time) backend.Answer {
 	left := r.call.Deadline.Sub(now)
 	if r.call.Route.Repeatable && r.tries-r.refusals == 1 {
@@ -137,8 +140,8 @@
 	})
 }
 
-// header returns the call's header with the time that is left. A later try gets
-// a copy, as the goroutine that wrote an earlier one may still read it.
+// header returns the call's header with the remaining time. Later tries get a
+// copy, since the goroutine that writes an earlier try may still read the header.
 func (r *callState) header(left time.Duration) backend.Header {
 	h := r.call.Header
 	if r.tries > 1 {
@@ -162,9 +165,9 @@
 	return true
 }
 
-// mayRetryRefused decides on a try after a backend server had no slot. The first
-// ones go elsewhere at once, within a budget; then a quick call queues up, where
-// the pace of the queue bounds its tries.
+// mayRetryRefused reports whether to try again after a backend server had no
+// slot. The first tries go to other backend servers at once, within a budget.
+// After that a quick call queues, and the queue limits the rate of its tries.
 func (r *callState) mayRetryRefused() bool {
 	r.refusals++
 	if r.refusals <= immediateRefusalTries && !r.queued && r.svc.refusals.Spend() {
@@ -177,7 +180,8 @@
 	return r.waitUntil.IsZero() || time.Now().Before(r.waitUntil)
 }
 
-// retryIsSafe reports whether a further try can do no harm and may do good.
+// retryIsSafe reports whether a further try can't run a not-repeatable call twice
+// and may get a better result.
 func (r *callState) retryIsSafe() bool {
 	if r.last.Outcome == outcome.NotRun {
 		return true
@@ -191,8 +195,8 @@
 	return r.last.ServerError() && r.last.Rest == nil
 }
 
-// result makes one answer of all tries. Once a try may have run, a later one
-// that did not run cannot turn the call into not-run.
+// result returns the result of all tries. Once a try may have run, the call is
+// never reported as not run, even if later tries did not run.
 func (r *callState) result() Result {
 	r.recordDemand()
 	res := Result{Tries: r.tries, Close: func(bool) { r.cancel() }}
@@ -226,7 +230,8 @@
 	return least + time.Duration(r.d.cfg.Rand.IntN(retryAfterJitterSeconds))*time.Second
 }
 
-// recordDemand tells the queue and the pool whether a quick call got a slot.
+// recordDemand records in the queue, and in the pool if the call was shed, whether
+// a quick call got a slot.
 func (r *callState) recordDemand() {
 	if !r.isQuick() {
 		return
@@ -248,9 +253,9 @@
 	r.releaseLease(ev)
 }
 
-// attemptEvidence says what a try showed of its backend server. A caller's short
-// deadline must not speak against a backend server that is only as slow as its
-// route allows.
+// attemptEvidence returns the evidence of a try about its backend server. A
+// timeout because of a caller's short deadline is no evidence against a backend
+// server that is within its route's deadline.
 func attemptEvidence(ans *backend.Answer, call *Call, took time.Duration) routing.Evidence {
 	switch ans.Failure {
 	case backend.FailureRefused:
