--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -7,25 +7,25 @@
 	"github.com/yuccadrift/yuccadrift/internal/document"
 )
 
-// Tuning of what is kept free for quick requests.
+// Slots that long requests leave free for quick ones.
 const (
-	// reserveShare is the least share of a backend's slots that long requests
-	// leave free. Long requests hold slots for seconds, so slots that they took
-	// could not be got back when quick ones come.
+	// reserveShare is the minimum share of a backend's slots that long requests leave
+	// free. Long requests use slots for seconds, so quick requests could not get these
+	// slots back in time.
 	reserveShare = 0.125
-	// demandHalfLife is how fast the memory of the quick requests' need fades.
+	// demandHalfLife is the half-life of the measured demand of quick requests.
 	demandHalfLife = time.Second
-	// slotsPerShedRequest is how much of a slot one shed quick request takes from long
-	// ones: a few sheds at the edge of the load must not stop long requests,
-	// many must.
+	// slotsPerShedRequest is the demand in slots that one shed quick request adds. A few
+	// shed requests at the limit of the load must not stop long requests, but many
+	// must.
 	slotsPerShedRequest = 0.25
 )
 
-// demand follows how many slots each class uses through this process.
+// demand tracks how many slots each class uses through this process.
 type demand struct {
 	quick       int
 	long        int
-	meanQuick   float64 // decaying mean of quick, at needAt
+	meanQuick   float64 // decaying mean of quick at meanQuickAt
 	meanQuickAt time.Time
 }
 
@@ -51,14 +51,14 @@
 	d.quick--
 }
 
-// decay is what the past mean counts for at now.
+// decay returns the weight of meanQuick at now.
 func (d *demand) decay(now time.Time) float64 {
 	return math.Exp2(-float64(now.Sub(d.meanQuickAt)) / float64(demandHalfLife))
 }
 
-// RecordShed notes a quick request that found no slot. Each takes some room from long
-// requests: by slots in use alone, quick requests that long ones crowd out
-// would seem to need fewer and fewer.
+// RecordShed records a quick request that found no slot, and raises the demand of
+// quick requests at the cost of long ones. Measured by slots in use alone, quick
+// requests that long ones displace would appear to need ever fewer slots.
 func (p *Pool) RecordShed(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,13 +67,13 @@
 	d.meanQuickAt = now
 }
 
-// share is the slots that fall to this process when all use the pool alike.
+// share returns this process's equal share of the pool's slots.
 func (p *Pool) share() float64 {
 	return float64(p.slots*len(p.listed)) / float64(p.members)
 }
 
-// admitsLong reports whether one more long request leaves this process's share of
-// the pool's slots enough room for quick ones.
+// admitsLong reports whether one more long request leaves enough of this process's
+// share of the pool's slots for quick requests.
 func (p *Pool) admitsLong(now time.Time) bool {
 	share := p.share()
 	keep := math.Max(share*reserveShare, p.demand.decay(now)*p.demand.meanQuick)
@@ -81,7 +81,7 @@
 	return p.demand.long == 0 || float64(p.demand.long+1) <= share-keep
 }
 
-// reservePerBackend is the slots of one backend that long requests leave free.
+// reservePerBackend returns how many slots of one backend long requests leave free.
 func (p *Pool) reservePerBackend() int {
 	if p.slots < 2 {
 		return 0
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -5,47 +5,48 @@
 	"time"
 )
 
-// Tuning of outlier ejection.
+// Parameters of outlier ejection.
 const (
-	// errorDecay is the weight that one more result leaves to the past ones.
+	// errorDecay is the weight of past results in the error rate after one more result.
 	errorDecay = 0.85
-	// errorHalfLife is how fast failures are forgotten when a backend, avoided
-	// for them, shows nothing new. Else it would be avoided for good.
+	// errorHalfLife is the half-life of the error rate without new results. A backend
+	// that is avoided for its errors gets no new results and would otherwise be avoided
+	// forever.
 	errorHalfLife = 4 * time.Second
-	// ejectErrorRate is the error rate from which a backend is ejected.
+	// ejectErrorRate is the error rate at which a backend is ejected.
 	ejectErrorRate = 0.5
-	// ejectBaseDuration is the first ejection's length; it doubles up to ejectDoublings
-	// times while the backend goes on failing.
+	// ejectBaseDuration is the duration of the first ejection. It doubles up to
+	// maxEjectDoublings times while the backend keeps failing.
 	ejectBaseDuration = 2 * time.Second
 	maxEjectDoublings = 4
-	// ejectDivisor: at most 1/ejectDivisor of the pool, rounded up, is ejected.
+	// At most 1/ejectDivisor of the pool, rounded up, is ejected.
 	ejectDivisor = 3
 )
 
-// Evidence is what one attempt showed of a backend server.
+// Evidence is the result of one attempt as far as it concerns the backend's health.
 type Evidence int
 
 // Evidence of an attempt.
 const (
-	// EvidenceNone says nothing, as when the caller went away.
+	// EvidenceNone shows nothing, for example because the caller disconnected.
 	EvidenceNone Evidence = iota
-	// EvidenceGood: a complete answer below 500.
+	// EvidenceGood is a complete answer with a status below 500.
 	EvidenceGood
-	// EvidenceBad: no connection, a broken answer, a timeout, or an answer of
-	// 500 and up.
+	// EvidenceBad is a failed connection, a broken answer, a timeout, or a status of
+	// 500 or higher.
 	EvidenceBad
-	// EvidenceFull: the backend refused because its slots are in use.
+	// EvidenceFull means that the backend refused because its slots are in use.
 	EvidenceFull
 )
 
-// health is the evidence about one backend.
+// health is the error rate and ejection state of one backend.
 type health struct {
-	errors       float64 // decaying share of bad results at errorsAt, 0 to 1
+	errors       float64 // error rate at errorsAt, 0 to 1
 	errorsAt     time.Time
-	ejections    int // since the latest good result
+	ejections    int // since the last good result
 	ejectedUntil time.Time
-	// probing is true from an ejection to the next result: one request at a
-	// time finds out whether the backend has recovered.
+	// probing is true from an ejection until the next good result.
+	// Meanwhile one request at a time tests whether the backend has recovered.
 	probing bool
 }
 
@@ -56,7 +57,7 @@
 	return !now.Before(h.ejectedUntil) && inFlight == 0
 }
 
-// errorRate is the decaying share of bad results, 0 to 1.
+// errorRate returns the decaying share of bad results at now, 0 to 1.
 func (h *health) errorRate(now time.Time) float64 {
 	if h.errors == 0 {
 		return 0
@@ -74,10 +75,10 @@
 	h.ejections = 0
 }
 
-// recordFailure notes a failure and ejects the backend once failures prevail, unless too
-// much of the pool is out already. A failure that hits the whole pool, as a bad
-// release or a cut network, would else empty it, and the last backends that
-// still answer now and then would be lost as well.
+// recordFailure records a failure and ejects the backend at ejectErrorRate, unless
+// maxEjected backends are ejected already. A failure of the whole pool, such as a
+// bad release or a network partition, would otherwise eject all backends, also those
+// that still answer some requests.
 func (p *Pool) recordFailure(now time.Time, ep *endpoint) {
 	h := &ep.health
 	h.errors = h.errorRate(now)*errorDecay + (1 - errorDecay)
@@ -111,11 +112,11 @@
 	return min((n+ejectDivisor-1)/ejectDivisor, n-1)
 }
 
-// Status is a pool as one entry process sees it.
+// Status is the state of a pool in this entry process.
 type Status struct {
 	Backends  int // in the table
-	Ejected   int // out by the evidence of requests
-	Unhealthy int // last resort, by health checks or the log
+	Ejected   int // ejected because of failed requests
+	Unhealthy int // used as a last resort, by health checks or the log
 	InFlight  int
 }
 
--- a/internal/routing/pause.go
+++ b/internal/routing/pause.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Bounds of the check for a paused process.
+// Limits of the pause detection.
 const (
-	// PauseBeat is how often Pause.Beat is to be called.
+	// PauseBeat is the interval at which Pause.Beat must be called.
 	PauseBeat = 100 * time.Millisecond
-	// minPauseGap between beats means that the process did not run meanwhile.
+	// minPauseGap without a beat means that the process was paused.
 	minPauseGap = time.Second
-	// maxPauseHold is the longest time without new work after a pause when the log
-	// cannot be read: in an outage the last accepted state must go on serving.
+	// maxPauseHold is the longest time that new attempts are held after a pause if the
+	// log can't be read: during an outage of the log the last known state must serve.
 	maxPauseHold = 1500 * time.Millisecond
 )
 
-// Pause notices that the process was stopped for a while, as by SIGSTOP or a
-// migration of its VM. Its table may then send work to a backend server that
-// left meanwhile, so no new work is sent until the log was read again.
+// Pause detects that the process was paused for a while, for example by SIGSTOP or a
+// live migration of its VM. Its table may then list a backend server that has left
+// since, so new attempts are held until the log was read again.
 //
-// The gap is looked for at each use, not only by the duty that beats: after a
-// resume a request may run before that duty does. It is safe for concurrent use.
+// Each method checks for the gap, not only Beat: after a resume, a request may run
+// before the goroutine that calls Beat. Pause is safe for concurrent use.
 type Pause struct {
 	mu        sync.Mutex
 	lastBeat  time.Time
-	resumedAt time.Time // when the resume was noticed; zero when not held
+	resumedAt time.Time // when the resume was detected; zero if not held
 }
 
-// NewPause returns a Pause that is not held.
+// NewPause returns a Pause that holds nothing.
 func NewPause(now time.Time) *Pause { return &Pause{lastBeat: now} }
 
-// Beat notes that the process runs.
+// Beat records that the process is running.
 func (p *Pause) Beat(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -39,8 +39,8 @@
 	p.lastBeat = now
 }
 
-// Held reports whether new work must wait at now. fresh is when the latest read
-// that reached the end of the log was sent.
+// Held reports whether new attempts must wait at now. fresh is when the latest log
+// read that reached the end of the log was sent.
 func (p *Pause) Held(now, fresh time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -9,35 +9,37 @@
 	"github.com/yuccadrift/yuccadrift/internal/document"
 )
 
-// Tuning of the choice of a backend server.
+// Parameters of the choice of a backend server.
 const (
-	// localZoneMaxUse is the share of a backend's slots in use from which a choice
-	// within the own availability zone is compared with one from all zones.
+	// localZoneMaxUse is the share of a backend's slots in use from which a candidate in
+	// the local availability zone is compared with one from all zones.
 	localZoneMaxUse = 0.75
-	// othersHalfLife is how fast the memory of slots that other entry VMs were
-	// using fades.
+	// othersHalfLife is the half-life of the estimate of slots in use by other entry
+	// VMs.
 	othersHalfLife = 50 * time.Millisecond
-	// errorWeight is how much an error rate of 1 adds to a backend's load: an
-	// instantly failing backend has none in flight and would else attract work.
+	// errorWeight is the factor by which an error rate of 1 raises a backend's load. A
+	// backend that fails immediately has no requests in flight and would otherwise
+	// attract requests.
 	errorWeight = 16.0
 )
 
-// Refusal says why no backend server may take a request now. All of them mean
-// that the request did not run.
+// Refusal is the reason why no backend server can take a request now. With any
+// Refusal the request did not run.
 type Refusal string
 
 // Refusals.
 const (
 	Admitted Refusal = ""
-	// NoBackends: the service has no backend server at all.
+	// NoBackends means that the service has no backend servers.
 	NoBackends Refusal = "no-backends"
-	// Busy: every backend server that may be tried has its slots in use.
+	// Busy means that all backend servers that may be tried have their slots in use.
 	Busy Refusal = "busy"
-	// LongShed: the room that is left is kept for quick requests.
+	// LongShed means that the remaining slots are reserved for quick requests.
 	LongShed Refusal = "long-shed"
 )
 
-// Rand draws a number from 0 to n-1. It is implemented by math/rand/v2.Rand.
+// Rand returns a random number from 0 to n-1. It is implemented by
+// math/rand/v2.Rand.
 type Rand interface {
 	IntN(n int) int
 }
@@ -47,53 +49,53 @@
 
 // Ways to share slots.
 const (
-	// SharingChoices lets each process use any slot: of two random backends the
-	// one with fewer slots in use is chosen, and a full backend refuses.
+	// SharingChoices lets each process use any slot: of two random backends the less
+	// loaded one is picked, and a full backend refuses.
 	SharingChoices Sharing = iota
-	// SharingFixed gives each process its part of the slots. It is the baseline
-	// of measurements.
+	// SharingFixed assigns each process a fixed part of the slots. It is the baseline
+	// in benchmarks.
 	SharingFixed
 )
 
-// Query is one attempt that needs a backend server.
+// Query describes one attempt that needs a backend server.
 type Query struct {
 	Class document.Class
-	// Tried are the VMs that were tried for this request.
+	// Tried lists the VMs that were tried for this request.
 	Tried []string
 }
 
-// Pool is the set of one service's backend servers as one entry process sees
-// them. It is safe for concurrent use.
+// Pool is the set of one service's backend servers as seen by this entry process.
+// It is safe for concurrent use.
 type Pool struct {
 	zone    string
 	sharing Sharing
 
 	mu                    sync.Mutex
 	endpoints             map[string]*endpoint
-	listed                []*endpoint // backends of the table
+	listed                []*endpoint // backends in the table
 	slots                 int         // per backend
-	maxInFlightPerBackend int         // most in flight to one backend from this process
+	maxInFlightPerBackend int         // attempts from this process
 	members               int
 	demand                demand
 }
 
-// endpoint is what this process knows about one backend server.
+// endpoint is the state of one backend server in this process.
 type endpoint struct {
 	Backend
 	inFlight      int
 	longInFlight  int
-	othersInUse   float64 // slots seen in use by other entry VMs at othersAt
+	othersInUse   float64 // estimated slots in use by other entry VMs at othersInUseAt
 	othersInUseAt time.Time
 	health        health
 	listed        bool
-	// unhealthy is this process's own finding by health checks.
+	// unhealthy is the result of this process's health checks.
 	unhealthy bool
 }
 
-// isLastResort reports whether the backend is only a last resort.
+// isLastResort reports whether the backend is used only if no other is available.
 func (ep *endpoint) isLastResort() bool { return ep.Down || ep.unhealthy }
 
-// Lease is the right to send one attempt to Backend. It ends with Pool.Done.
+// Lease is the right to send one attempt to Backend. It must be ended by Pool.Done.
 type Lease struct {
 	Backend
 	ep    *endpoint
@@ -105,8 +107,8 @@
 	return &Pool{zone: zone, sharing: sharing, endpoints: map[string]*endpoint{}, members: 1}
 }
 
-// Update takes over a service's backends and limits. What is known of a backend
-// that stays is kept.
+// Update sets the service's backends and limits. The state of backends that stay is
+// kept.
 func (p *Pool) Update(svc *Service, members int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,15 +139,15 @@
 	}
 }
 
-// Connections of a backend server that are kept for health checks: one for each
-// entry process, and some for stewards. A connection over the limit is closed
-// with the request unread, which its caller can only be told as unknown.
+// Connections to a backend server that are reserved for health checks: one for each
+// entry process and some for stewards. A connection over the limit is closed with
+// its request unread, which can only be reported as Unknown to the caller.
 const (
 	entryChecks   = 1
 	stewardChecks = 4
 )
 
-// ConnectionShare is how many of a backend server's connections one of members
+// ConnectionShare returns how many connections to a backend server one of members
 // entry processes may use for requests.
 func ConnectionShare(limits document.Limits, members int) int {
 	return max(1, (limits.Connections-stewardChecks)/max(1, members)-entryChecks)
@@ -185,8 +187,8 @@
 	return p.pickOfTwo(now, rnd, q, func(ep *endpoint) bool { return ep.isLastResort() })
 }
 
-// pickOfTwo draws two backends at random among those that pass and returns the one
-// with less load, or nil when none passes.
+// pickOfTwo picks two random backends among those that pass and returns the less
+// loaded one, or nil if none passes.
 func (p *Pool) pickOfTwo(now time.Time, rnd Rand, q Query, pass func(*endpoint) bool) *endpoint {
 	var a, b *endpoint
 	n := 0
@@ -194,7 +196,7 @@
 		if !pass(ep) || !p.admits(now, ep, q) {
 			continue
 		}
-		// Reservoir sampling of two, so that no list has to be built.
+		// Reservoir sampling of two avoids building a list.
 		n++
 		switch k := rnd.IntN(n); {
 		case n == 1:
@@ -236,7 +238,7 @@
 	return b
 }
 
-// slotsInUse is the estimated number of slots in use by all entry VMs.
+// slotsInUse returns the estimated number of slots in use by all entry VMs.
 func (ep *endpoint) slotsInUse(now time.Time) float64 {
 	others := 0.0
 	if ep.othersInUse > 0 {
@@ -246,12 +248,12 @@
 	return float64(ep.inFlight) + others
 }
 
-// load orders backends: slots in use, made heavier by errors.
+// load returns the slots in use plus one, weighted by the error rate.
 func (ep *endpoint) load(now time.Time) float64 {
 	return (ep.slotsInUse(now) + 1) * (1 + errorWeight*ep.health.errorRate(now))
 }
 
-// Done ends a lease with what the attempt showed of the backend.
+// Done ends a lease and records the evidence of its attempt.
 func (p *Pool) Done(now time.Time, l Lease, e Evidence) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -275,16 +277,15 @@
 	}
 }
 
-// Share is how many slots fall to this process when all use the pool alike, at
-// least 1.
+// Share returns this process's equal share of the pool's slots, at least 1.
 func (p *Pool) Share() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return max(1, int(p.share()))
 }
 
-// SetHealthy takes the finding of this process's health checks. A backend found
-// unhealthy gets requests only when no other is left: when all checks fail, the
+// SetHealthy records the result of this process's health checks. An unhealthy
+// backend gets requests only if no other is available: if all checks fail, the
 // checks are as likely to be wrong as the backends.
 func (p *Pool) SetHealthy(vm string, healthy bool) {
 	p.mu.Lock()
@@ -294,8 +295,8 @@
 	}
 }
 
-// AddInFlight adds the attempts under way to each VM's count, also for VMs that
-// have left the table.
+// AddInFlight adds the number of attempts in flight to each VM's count, including
+// VMs that have left the table.
 func (p *Pool) AddInFlight(vms map[string]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -57,8 +57,8 @@
 	assert.False(t, ok)
 }
 
-// Callers see added latency when requests leave their availability zone without
-// need, and refusals when the own zone is full while others are free.
+// Latency rises if requests leave their availability zone unnecessarily; requests
+// are refused if the local zone is full and others are not used.
 func TestLocalZoneIsPreferred(t *testing.T) {
 	p := newTestPool(6, 1, "a", "b")
 	r := newSeededRand()
@@ -75,8 +75,8 @@
 	}
 }
 
-// A backend that fails at once has nothing in flight and would by load alone
-// take most requests: callers would see a pool of ten fail nearly always.
+// A backend that fails immediately has no requests in flight. By load alone it would
+// get most requests, and most requests to a pool of ten would fail.
 func TestFastFailingBackendDoesNotAttractRequests(t *testing.T) {
 	p := newTestPool(10, 1, "a")
 	r := newSeededRand()
@@ -90,21 +90,21 @@
 			p.Done(now, l, EvidenceBad)
 			continue
 		}
-		if busy = append(busy, l); len(busy) > 20 { // others hold theirs for a while
+		if busy = append(busy, l); len(busy) > 20 { // requests to other backends take a while
 			p.Done(now, busy[0], EvidenceGood)
 			busy = busy[1:]
 		}
 	}
 	assert.LessOrEqual(t, bad, 8)
 	later := start.Add(time.Minute)
-	for range 80 - len(busy) { // forgotten in time, it is tried again
+	for range 80 - len(busy) { // the error rate has decayed, so vm-0 is used again
 		pick(t, p, later, r, Query{})
 	}
 	assert.Equal(t, 8, inFlight(p)["vm-0"])
 }
 
-// A bad release fails on every backend. If evidence could eject them all,
-// callers would be refused though some requests still succeed.
+// A bad release fails on every backend. If all were ejected, callers would be
+// refused although some requests would succeed.
 func TestPoolWideFailureDoesNotEjectAllBackends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "backends")
@@ -139,18 +139,18 @@
 	require.Equal(t, Busy, no)
 	probe := pick(t, p, start.Add(ejectBaseDuration), newSeededRand(), only)
 	_, no = p.Pick(start.Add(ejectBaseDuration), newSeededRand(), only)
-	assert.Equal(t, Busy, no, "a second request beside the probe")
+	assert.Equal(t, Busy, no, "expected one probe at a time")
 	p.Done(start.Add(ejectBaseDuration), probe, EvidenceGood)
 	pick(t, p, start.Add(ejectBaseDuration), newSeededRand(), only)
 }
 
-// Long requests hold slots for seconds. Were they let into all of them, quick
-// lookups would be refused until the first one ends.
+// Long requests use slots for seconds. If they could use all slots, quick requests
+// would be refused until the first long one ends.
 func TestLongRequestsLeaveSlotsForQuickOnes(t *testing.T) {
 	p := newTestPool(4, 1, "a")
 	r := newSeededRand()
 	long := Query{Class: document.ClassLong}
-	for range 12 { // quick demand seen before
+	for range 12 { // earlier demand of quick requests
 		p.Done(start, pick(t, p, start, r, Query{Class: document.ClassQuick}), EvidenceGood)
 	}
 	n := 0
@@ -161,14 +161,14 @@
 		}
 		n++
 	}
-	assert.Equal(t, 28, n, "of 32 slots an eighth stays free")
+	assert.Equal(t, 28, n, "expected an eighth of 32 slots to stay free")
 	for range 4 {
 		pick(t, p, start, r, Query{Class: document.ClassQuick})
 	}
 }
 
-// A refusal tells that other entry VMs use the slots; for a while the backend is
-// taken for full, so that tries go where slots may be free.
+// A refusal shows that other entry VMs use the slots. The backend counts as full for
+// a while, so that attempts go to backends that may have free slots.
 func TestRefusalMarksBackendFullTemporarily(t *testing.T) {
 	p := newTestPool(2, 1, "a")
 	r := newSeededRand()
@@ -200,8 +200,8 @@
 	assert.Equal(t, "vm-1", pick(t, p, start, r, Query{}).VM)
 }
 
-// A backend that left the table gets no further request, while those in flight
-// stay counted: the steward must not reboot its VM before they end.
+// A backend that left the table gets no further requests, but those in flight must
+// be counted until they end: the steward must not reboot the VM before.
 func TestRemovedBackendGetsNoRequestsAndStaysCounted(t *testing.T) {
 	p := newTestPool(2, 1, "a")
 	r := newSeededRand()
@@ -217,8 +217,8 @@
 	assert.Zero(t, inFlight(p)["vm-0"])
 }
 
-// Without a budget a pool that fails every request would get each of them
-// several times.
+// Without a budget, a pool that fails every request would get each request several
+// times.
 func TestRetryBudgetBoundsRetries(t *testing.T) {
 	b := NewBudget()
 	spent := 0
@@ -231,15 +231,15 @@
 	assert.InDelta(t, 100+budgetBurst, spent, 1)
 }
 
-// A process stopped across a drain wakes up with an old table. The first request
-// after the resume, whichever goroutine runs first, must be held until the log
-// was read after the resume; with the log out it goes on after a bound.
+// A process paused during a drain resumes with an old table. The first request after
+// the resume must be held until the log was read after the resume, whichever
+// goroutine runs first. If the log can't be read, it is held for maxPauseHold.
 func TestPauseHoldsNewAttemptsUntilLogIsRead(t *testing.T) {
 	resumed := start.Add(10 * time.Second)
 	t.Run("request runs first", func(t *testing.T) {
 		p := NewPause(start)
 		assert.True(t, p.Held(resumed, start))
-		assert.True(t, p.Held(resumed.Add(time.Millisecond), start), "a read from before the pause does not count")
+		assert.True(t, p.Held(resumed.Add(time.Millisecond), start), "expected a read from before the pause to be ignored")
 		assert.False(t, p.Held(resumed.Add(time.Second), resumed.Add(time.Millisecond)))
 	})
 	t.Run("beat runs first", func(t *testing.T) {
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -1,6 +1,6 @@
-// Package routing decides where a request goes: which service and route its
-// path names, which backend server takes it, whether it is admitted at all and
-// whether it may be tried again. It does no I/O and reads no clock.
+// Package routing decides which service and route a request path names, which
+// backend server takes the request, and whether it is admitted and may be retried.
+// It does no I/O and reads no clock.
 package routing
 
 import (
@@ -18,13 +18,14 @@
 	VM      string
 	Zone    string
 	Address string // IP:port
-	// Down is true when the VM was found unhealthy. It gets requests only when
-	// no other backend server is left, so that a wrong verdict about a whole
-	// pool does not stop the service.
+	// Down is true if the VM was found unhealthy. It gets requests only if no other
+	// backend server is available, so that a wrong finding about a whole pool does not
+	// stop the service.
 	Down bool
 }
 
-// Service is how requests to one service are treated. It must not be changed.
+// Service holds the routes, limits and backends of one service. It must not be
+// modified.
 type Service struct {
 	Name   string
 	Limits document.Limits
@@ -34,18 +35,18 @@
 	Backends []Backend
 }
 
-// Table is what the request path needs of the folded state at one offset. It
-// must not be changed once built.
+// Table is the routing state derived from the log at one offset. It must not be
+// modified once built.
 type Table struct {
 	Offset   uint64
 	Services map[string]*Service
-	// Members is the number of entry processes that share the backend servers,
-	// at least 1.
+	// Members is the number of entry processes that share the backend servers, at least
+	// 1.
 	Members int
 }
 
-// Build derives the table from the state. It keeps nothing of the state that a
-// later record changes.
+// Build derives the table from the state. The table shares no data with the state
+// that a later record modifies.
 func Build(state *ledger.State) *Table {
 	t := &Table{
 		Offset:   state.Offset,
@@ -83,7 +84,7 @@
 	return out
 }
 
-// Split divides a request path into the service's name, its first element, and
+// Split splits a request path into the service name, which is the first element, and
 // the rest, which starts with a slash.
 func Split(path string) (service, rest string) {
 	path = strings.TrimPrefix(path, "/")
@@ -91,8 +92,8 @@
 	return service, "/" + rest
 }
 
-// Route returns the route with the longest prefix that covers path. A prefix
-// covers whole path elements only: /book covers /book and /book/7, not /booking.
+// Route returns the route with the longest prefix that covers path. A prefix covers
+// whole path elements only: /book covers /book and /book/7, but not /booking.
 func (s *Service) Route(path string) (document.Route, bool) {
 	for _, r := range s.Routes {
 		if covers(r.Prefix, path) {
