--- a/internal/caller/answer.go
+++ b/internal/caller/answer.go
@@ -12,12 +12,12 @@
 	"github.com/yuccadrift/yuccadrift/internal/outcome"
 )
 
-// chunkSize is how much of a long answer is passed on at a time.
+// chunkSize is the size in bytes of the chunks of a streamed answer.
 const chunkSize = 32 << 10
 
 var chunkPool = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
-// writeAnswer passes the result to the caller and reports whether all of it came
+// writeAnswer writes the result to the caller and reports whether all of it arrived
 // from the backend server and was written.
 func (h *Handler) writeAnswer(w http.ResponseWriter, r *http.Request, res *dispatch.Result) bool {
 	ans := &res.Answer
@@ -32,7 +32,7 @@
 	return h.writeComplete(w, r, res)
 }
 
-// writeComplete writes an answer that is complete already.
+// writeComplete writes an answer whose body was buffered completely.
 func (h *Handler) writeComplete(w http.ResponseWriter, r *http.Request, res *dispatch.Result) bool {
 	ans := &res.Answer
 	trailer := ans.Trailer()
@@ -50,7 +50,7 @@
 	return true
 }
 
-// writeStream passes a long answer on as it comes.
+// writeStream forwards a long answer as it arrives.
 func (h *Handler) writeStream(w http.ResponseWriter, res *dispatch.Result) bool {
 	ans := &res.Answer
 	h.writeHead(w, ans.Status, res.Outcome, -1)
@@ -74,7 +74,7 @@
 	}
 }
 
-// writeChunk writes one chunk at once, within StallTimeout.
+// writeChunk writes and flushes one chunk within StallTimeout.
 func (h *Handler) writeChunk(w http.ResponseWriter, chunk []byte) bool {
 	h.extendWriteDeadline(w)
 	if _, err := w.Write(chunk); err != nil {
@@ -89,13 +89,13 @@
 	}
 }
 
-// hasNoBody reports whether the answer has no body, so that its Content-Length
-// must stay as the backend server said.
+// hasNoBody reports whether the answer never has a body. Its Content-Length must stay
+// as the backend server sent it.
 func hasNoBody(method string, status int) bool {
 	return method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 }
 
-// ownStatus is the status of an answer that no backend server gave.
+// ownStatus returns the status of an answer that no backend server sent.
 func ownStatus(res *dispatch.Result) int {
 	switch {
 	case res.Denied:
--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -12,14 +12,14 @@
 	"github.com/yuccadrift/yuccadrift/internal/dispatch"
 )
 
-// bodyMemory bounds the request bodies that are held at once.
+// bodyMemory limits the total size of the request bodies that are buffered.
 type bodyMemory struct {
 	bytes *semaphore.Weighted
 }
 
-// readBody reads the whole request body before anything is sent on: a body that
-// breaks off halfway has then reached no backend server, and a try can be
-// repeated at another one. The returned function gives the memory back.
+// readBody reads the whole request body before anything is sent to a backend server.
+// An incomplete body then reaches no backend server, and a try can be repeated at
+// another one. free releases the body's memory.
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request, call *dispatch.Call) (free func(), p *problem) {
 	free = func() {}
 	if r.ContentLength == 0 || r.Body == nil || r.Body == http.NoBody {
@@ -60,8 +60,8 @@
 
 // receive reads the body within the call's deadline and StallTimeout per read.
 func (h *Handler) receive(w http.ResponseWriter, r *http.Request, call *dispatch.Call, limit int64) ([]byte, error) {
-	// net/http may write "100 Continue" now; the write deadline of an earlier
-	// answer on this connection may have passed.
+	// net/http may write "100 Continue" now, and the write deadline of an earlier answer
+	// on this connection may have passed.
 	h.extendWriteDeadline(w)
 	control := http.NewResponseController(w)
 	stall := &stallReader{
@@ -88,8 +88,8 @@
 	return body, nil
 }
 
-// stallReader bounds each read, so that a caller that sends no byte does not
-// hold a connection and memory for the whole deadline.
+// stallReader sets a deadline for each read, so that a caller that sends nothing
+// does not occupy a connection and memory until the request's deadline.
 type stallReader struct {
 	body     io.Reader
 	control  *http.ResponseController
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -1,6 +1,6 @@
-// Package caller is the peer package for callers: it takes their requests over
-// HTTP, checks them, and passes back either the whole answer of a backend
-// server or a line of its own, each with the request's outcome.
+// Package caller serves callers over HTTP. It validates their requests and returns
+// either the complete answer of a backend server or an error line of its own, each
+// with the request's outcome.
 package caller
 
 import (
@@ -27,31 +27,32 @@
 	Do(ctx context.Context, call *dispatch.Call) dispatch.Result
 }
 
-// Observer takes what the metrics show.
+// Observer records metrics of requests.
 type Observer interface {
-	// Began and Ended frame every request. service is empty for a request that
-	// names none.
+	// Began is called at the start and Ended at the end of every request. service is
+	// empty if the request names no service.
 	Began()
 	Ended(service string, class document.Class, o outcome.Outcome, why outcome.Reason, took time.Duration)
 }
 
-// HandlerConfig is what a Handler needs. Sizes are in bytes.
+// HandlerConfig configures a Handler. Sizes are in bytes.
 type HandlerConfig struct {
 	Dispatcher Dispatcher
 	Observer   Observer
-	// CheckKey tells what is wrong with a key.
+	// CheckKey returns an error if a key is invalid.
 	CheckKey func(service, key string) error
-	// MaxHeader bounds request line and header, MaxBody every route's own limit
-	// and BodyMemory all bodies held at once.
+	// MaxHeader limits the request line and header, MaxBody the body on every route, and
+	// BodyMemory the total of all bodies that are buffered.
 	MaxHeader  int
 	MaxBody    int64
 	BodyMemory int64
-	// StallTimeout ends a connection whose caller takes or sends no byte.
+	// StallTimeout closes a connection on which the caller receives or sends no byte for
+	// this long.
 	StallTimeout time.Duration
 	Logger       hclog.Logger
 }
 
-// Handler answers callers.
+// Handler serves callers' requests.
 type Handler struct {
 	cfg      HandlerConfig
 	memory   bodyMemory
@@ -64,8 +65,8 @@
 	return &Handler{cfg: cfg, memory: bodyMemory{bytes: semaphore.NewWeighted(cfg.BodyMemory)}}
 }
 
-// Leave makes every further answer close its connection, so that callers go
-// elsewhere without losing a request.
+// Leave makes every further answer close its connection, so that callers connect to
+// other entry VMs without losing a request.
 func (h *Handler) Leave() { h.leaving.Store(true) }
 
 // InFlight returns the number of requests in progress.
@@ -97,7 +98,8 @@
 	}()
 	whole = h.writeAnswer(w, r, &res)
 	if !whole {
-		// An answer that broke off must not look whole to the caller.
+		// Abort the connection, so that the caller does not take an incomplete answer for a
+		// complete one.
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -109,30 +111,30 @@
 	h.cfg.Observer.Ended(call.Service, call.Route.Class, o, reason, time.Since(began))
 }
 
-// refuse answers a request that was not sent on.
+// refuse answers a request that was not sent to a backend server.
 func (h *Handler) refuse(w http.ResponseWriter, r *http.Request, p *problem, call *dispatch.Call, began time.Time) {
 	o := refusalOutcome(p, call, r.Header)
 	h.writeOwnAnswer(w, p.status, o, p.reason, p.retryAfter, p.line)
 	h.recordEnd(call, o, p.reason, began)
 }
 
-// refusalOutcome is what can be said of a request that is refused before its
-// key is claimed. This attempt did not run, but of a not-repeatable request an
-// earlier one may have: told "not-run", its caller would start afresh under a
-// new key and run it twice.
+// refusalOutcome returns the outcome of a request that is refused before its key is
+// claimed. This attempt did not run, but an earlier attempt of a not-repeatable
+// request may have run. If its caller were told "not-run", it would start again with
+// a new key and run the request twice.
 func refusalOutcome(p *problem, call *dispatch.Call, header http.Header) outcome.Outcome {
 	repeatable := call != nil && call.Route.Repeatable
 	if repeatable || header.Get(outcome.HeaderKey) == "" || p.reason == ReasonKey {
 		return outcome.NotRun
 	}
-	n, _ := strconv.Atoi(header.Get(outcome.HeaderAttempt)) // 0: the caller does not say
+	n, _ := strconv.Atoi(header.Get(outcome.HeaderAttempt)) // 0 if the caller did not send it
 	if n > 1 || n == 0 && p.transient {
 		return outcome.Unknown
 	}
 	return outcome.NotRun
 }
 
-// writeOwnAnswer writes an answer of the system's own.
+// writeOwnAnswer writes an answer that is not from a backend server.
 func (h *Handler) writeOwnAnswer(w http.ResponseWriter, status int, o outcome.Outcome, reason outcome.Reason, retryAfter time.Duration, text string) {
 	header := w.Header()
 	header.Set("Content-Type", "text/plain; charset=utf-8")
@@ -141,7 +143,7 @@
 		header.Set("Retry-After", strconv.Itoa(int((retryAfter+time.Second-1)/time.Second)))
 	}
 	h.writeHead(w, status, o, len(text)+1)
-	_, _ = io.WriteString(w, text+"\n") // a caller that left needs no answer
+	_, _ = io.WriteString(w, text+"\n") // an error means that the caller disconnected
 }
 
 func (h *Handler) writeHead(w http.ResponseWriter, status int, o outcome.Outcome, length int) {
@@ -157,8 +159,8 @@
 	w.WriteHeader(status)
 }
 
-// extendWriteDeadline gives a slow caller StallTimeout for what is written next. Where that
-// fails the connection has ended, and so does the write.
+// extendWriteDeadline allows StallTimeout for the next write. If it fails, the
+// connection has ended and the write fails too.
 func (h *Handler) extendWriteDeadline(w http.ResponseWriter) {
 	if err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(h.cfg.StallTimeout)); err != nil {
 		h.cfg.Logger.Debug("caller has gone before its answer was written", "error", err)
--- a/internal/caller/header.go
+++ b/internal/caller/header.go
@@ -9,7 +9,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/outcome"
 )
 
-// Fields of one connection only, which are not passed on (RFC 9110, 7.6.1).
+// Hop-by-hop fields, which are not forwarded (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection",
 	"Keep-Alive",
@@ -22,10 +22,10 @@
 	"Upgrade",
 }
 
-// ownFields are written by the system only.
+// ownFields are written by entry VMs only.
 var ownFields = []string{outcome.HeaderOutcome, outcome.HeaderReason, outcome.HeaderBackend}
 
-// Names of further fields that are set here.
+// Names of other fields that are set or removed here.
 const (
 	fieldForwarded = "X-Forwarded-For"
 	fieldUserAgent = "User-Agent"
@@ -46,13 +46,13 @@
 	}
 }
 
-// forwardHeader makes the caller's header fit for a backend server.
+// forwardHeader turns the caller's header into the header for a backend server.
 func forwardHeader(r *http.Request) http.Header {
 	header := r.Header
 	removeHopByHop(header)
 	delete(header, fieldExpect)
 	if _, ok := header[fieldUserAgent]; !ok {
-		header[fieldUserAgent] = []string{""} // else net/http names itself
+		header[fieldUserAgent] = []string{""} // otherwise net/http sets its own
 	}
 	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
 		header[fieldForwarded] = append(header[fieldForwarded], host)
@@ -60,7 +60,7 @@
 	return header
 }
 
-// copyAnswerHeader puts the backend server's fields into to.
+// copyAnswerHeader copies the end-to-end fields of the backend server's header to to.
 func copyAnswerHeader(to, from http.Header) {
 	removeHopByHop(from)
 	for name, values := range from {
--- a/internal/caller/parse.go
+++ b/internal/caller/parse.go
@@ -13,7 +13,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/routing"
 )
 
-// Reasons for refusing a request that is wrong in itself.
+// Reasons for rejecting a request before it is sent to a backend server.
 const (
 	ReasonStarting outcome.Reason = "starting"
 	ReasonService  outcome.Reason = "unknown-service"
@@ -29,21 +29,21 @@
 	ReasonMemory   outcome.Reason = "no-memory-for-body"
 )
 
-// Bounds of what callers' headers may say.
+// Limits on values in callers' headers.
 const (
 	maxDeadline = 24 * time.Hour
 	maxAttempt  = 1000
-	// maxQuotedBytes is how much of a bad value an error line repeats, in bytes.
+	// maxQuotedBytes is the maximum length in bytes of an invalid value in an error line.
 	maxQuotedBytes = 40
 )
 
-// problem is a request that is answered without being sent on.
+// problem describes why a request is answered without being sent to a backend server.
 type problem struct {
 	status     int
 	reason     outcome.Reason
 	line       string
 	retryAfter time.Duration
-	// transient: an earlier attempt may have met no such problem.
+	// transient is true if an earlier attempt may not have had this problem.
 	transient bool
 }
 
@@ -51,7 +51,7 @@
 	return &problem{status: http.StatusBadRequest, reason: reason, line: fmt.Sprintf(format, args...)}
 }
 
-// parse reads what the request line and header say. The body is left.
+// parse parses the request line and header. It does not read the body.
 func (h *Handler) parse(r *http.Request, now time.Time) (*dispatch.Call, *problem) {
 	if n := headerSize(r); n > h.cfg.MaxHeader {
 		return nil, &problem{
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// headerSize is the size of the request line and header as sent, about.
+// headerSize returns the approximate size of the request line and header as sent.
 func headerSize(r *http.Request) int {
 	const separators = 4 // colon, space, CR, LF
 	n := len(r.RequestURI) + len(r.Host)
@@ -166,9 +166,9 @@
 	return n
 }
 
-// isUnambiguousPath reports whether the path means the same to every reader. A backend
-// server that resolves /lookup/../book would run a booking under the rules of
-// a repeatable lookup, and so possibly twice.
+// isUnambiguousPath reports whether all servers interpret the path alike. A backend
+// server that resolves /lookup/../book would run a booking under the rules of a
+// repeatable lookup, and so possibly twice.
 func isUnambiguousPath(u *url.URL) bool {
 	if !strings.HasPrefix(u.Path, "/") || strings.Contains(u.Path, "//") || strings.Contains(u.Path, `\`) {
 		return false
@@ -185,7 +185,7 @@
 	return !strings.Contains(strings.ToLower(u.RawPath), "%2f")
 }
 
-// restURL is the URL without its first path element.
+// restURL returns the URL without its first path element.
 func restURL(u *url.URL, service string) *url.URL {
 	out := &url.URL{Path: rootIfEmpty(u.Path[1+len(service):]), RawQuery: u.RawQuery}
 	if u.RawPath != "" {
--- a/internal/caller/parse_test.go
+++ b/internal/caller/parse_test.go
@@ -13,9 +13,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/outcome"
 )
 
-// FuzzParseHeader holds that a caller's header is refused with a client error
-// and a line that helps, or gives a call with a key that owners accept and a
-// deadline inside its route's.
+// FuzzParseHeader checks that a header is either rejected with status 400, a reason
+// and a line, or gives a call with a valid key and a deadline within its route's.
 func FuzzParseHeader(f *testing.F) {
 	f.Add("01JDZDJWG0ABCDEFGHJKMNPQRS", "1", "250", false)
 	f.Add("", "", "", true)
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -14,20 +14,20 @@
 	"github.com/yuccadrift/yuccadrift/internal/wait"
 )
 
-// headerSlack is what net/http itself takes beyond MaxHeader. Within it the
-// handler refuses with an outcome and a line that helps; beyond it net/http
-// answers 431 by itself, also before anything was sent on.
+// headerSlack is the header size in bytes that net/http accepts beyond MaxHeader. Up
+// to it the handler rejects the request with an outcome and an error line; beyond it
+// net/http answers 431 itself, also before anything was sent to a backend server.
 const headerSlack = 32 << 10
 
-// Listener is a listener on its way through packages that open none.
+// Listener is a net.Listener. Packages that don't import net use this name.
 type Listener = net.Listener
 
-// Readiness tells the balancer whether to send callers here.
+// Readiness controls whether the balancer sends callers to this process.
 type Readiness interface {
 	Unready(source, reason string)
 }
 
-// ServerConfig is what a Server needs.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	Listener       Listener
 	Handler        *Handler
@@ -37,21 +37,21 @@
 	MaxHeader      int
 	HeaderTimeout  time.Duration
 	IdleTimeout    time.Duration
-	// Stop is closed when the process is told to end.
+	// Stop is closed when the process must stop.
 	Stop <-chan struct{}
-	// Notice is the time for which the balancer may still send callers here.
+	// Notice is how long the balancer may still send callers here after Unready.
 	Notice time.Duration
 	// Drain returns how long requests in flight may take after Notice.
 	Drain func() time.Duration
 }
 
-// Server takes callers' connections.
+// Server is the HTTP server for callers.
 type Server struct {
 	cfg  ServerConfig
 	http *http.Server
 }
 
-// NewServer returns a Server on cfg.Listener, which it owns from then on.
+// NewServer returns a Server that owns cfg.Listener.
 func NewServer(cfg ServerConfig) *Server {
 	return &Server{cfg: cfg, http: &http.Server{
 		Handler:           cfg.Handler,
@@ -59,13 +59,13 @@
 		IdleTimeout:       cfg.IdleTimeout,
 		MaxHeaderBytes:    cfg.MaxHeader + headerSlack,
 		ErrorLog:          cfg.Logger.StandardLogger(nil),
-		// OPTIONS * names no service; the handler says so.
+		// OPTIONS * names no service; the handler rejects it.
 		DisableGeneralOptionsHandler: true,
 	}}
 }
 
-// Serve answers callers until Stop, then leaves without cutting a request, and
-// returns supervise.ErrStop. It is a duty's Serve function.
+// Serve serves callers until Stop is closed, then stops gracefully and returns
+// supervise.ErrStop. It is a duty's Serve function.
 func (s *Server) Serve(ctx context.Context) error {
 	ended := make(chan error, 1)
 	go func() { ended <- s.http.Serve(netutil.LimitListener(s.cfg.Listener, s.cfg.MaxConnections)) }()
@@ -83,10 +83,10 @@
 	}
 }
 
-// gracefulStop ends the service for callers: unready first, so that the balancer looks
-// elsewhere, while requests are still taken. Each answer meanwhile closes its
-// connection, so that hardly any connection is idle when the rest are closed: a
-// request that arrives on an idle connection just as it is closed would be cut.
+// gracefulStop marks the process unready and still serves requests for Notice, while
+// the balancer stops sending callers here. Each answer meanwhile closes its
+// connection, so that few connections are idle at the shutdown: a request that
+// arrives on an idle connection while it is closed would be lost.
 func (s *Server) gracefulStop(ctx context.Context) {
 	s.cfg.Readiness.Unready("callers", "the process is stopping")
 	s.cfg.Handler.Leave()
