--- a/internal/backend/check.go
+++ b/internal/backend/check.go
@@ -9,19 +9,21 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of one health check.
+// Limits of one health check.
 const (
 	checkTimeout = time.Second
 	checkIdle    = 30 * time.Second
-	// checkBody is read of an answer so that its connection can be used again.
+	// checkBody is the number of bytes read of an answer's body, so that its connection
+	// can be reused.
 	checkBody = 4 << 10
 )
 
-// HealthChecker asks backend servers over HTTP whether they are healthy. It
-// shares no connection with requests, so that a full pool fails no check.
+// HealthChecker checks the health of backend servers over HTTP. It shares no
+// connections with requests, so that no check fails because all connections for
+// requests are in use.
 type HealthChecker struct{ client *http.Client }
 
-// NewHealthChecker returns a checker with its own connections.
+// NewHealthChecker returns a HealthChecker with its own connections.
 func NewHealthChecker() *HealthChecker {
 	return &HealthChecker{client: &http.Client{
 		Timeout:   checkTimeout,
@@ -29,8 +31,8 @@
 	}}
 }
 
-// Check returns nil when the backend server at address (IP:port) answers that
-// it is healthy, and else why not.
+// Check returns nil if the backend server at address (IP:port) answers /healthz with
+// status 200, and an error otherwise.
 func (c *HealthChecker) Check(ctx context.Context, address string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/healthz", nil)
 	if err != nil {
@@ -41,7 +43,7 @@
 		return errors.Wrap(err, "health check")
 	}
 	defer resp.Body.Close()
-	_, _ = io.CopyN(io.Discard, resp.Body, checkBody) // the status is the answer
+	_, _ = io.CopyN(io.Discard, resp.Body, checkBody) // only the status matters
 	if resp.StatusCode != http.StatusOK {
 		return errors.Errorf("health check: status %d", resp.StatusCode)
 	}
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -1,5 +1,5 @@
-// Package backend is the peer package for backend servers: it sends one attempt
-// of a request to one of them and says truthfully what became of it.
+// Package backend is the HTTP client for backend servers. It sends one attempt of a
+// request and reports whether the attempt ran, did not run, or may have run.
 package backend
 
 import (
@@ -17,45 +17,47 @@
 	"github.com/yuccadrift/yuccadrift/internal/outcome"
 )
 
-// Failure says at which point an attempt failed.
+// Failure is the point at which an attempt failed.
 type Failure string
 
 // Failures of an attempt.
 const (
 	FailureNone Failure = ""
-	// FailureDial: no connection; nothing was sent.
+	// FailureDial means that no connection was made; nothing was sent.
 	FailureDial Failure = "backend-unreachable"
-	// FailureUnsent: the connection broke, or the time was up, before the first
-	// byte was written.
+	// FailureUnsent means that the connection broke, the deadline passed or BeforeWrite
+	// failed before the first byte was written.
 	FailureUnsent Failure = "backend-unsent"
-	// FailureRefused: the backend server says that it did not run the request.
+	// FailureRefused means that the backend server reported that it did not run the
+	// request.
 	FailureRefused Failure = "backend-refused"
-	// FailureBroken: the connection broke after bytes were written.
+	// FailureBroken means that the connection broke after bytes were written.
 	FailureBroken Failure = "backend-broken"
-	// FailureTimeout: the time was up after bytes were written.
+	// FailureTimeout means that the deadline passed after bytes were written.
 	FailureTimeout Failure = "deadline"
-	// FailureCanceled: the attempt was canceled after bytes were written.
+	// FailureCanceled means that the attempt was canceled after bytes were written.
 	FailureCanceled Failure = "canceled"
-	// FailureUnframed: the answer ends with its connection, so a whole one
-	// can't be told from one that was cut.
+	// FailureUnframed means that the answer ends with its connection, so that a complete
+	// answer can't be told from a truncated one.
 	FailureUnframed Failure = "answer-unframed"
 )
 
-// Config bounds the use of backend servers.
+// Config holds the limits of connections and answers.
 type Config struct {
-	// ConnectTimeout bounds one dial.
+	// ConnectTimeout is the timeout of one dial.
 	ConnectTimeout time.Duration
-	// IdleTimeout is how long a connection is kept unused. It must be below the
-	// backend servers' own, or they close connections just as they are reused.
+	// IdleTimeout is how long an idle connection is kept. It must be below the backend
+	// servers' idle timeout, or they close connections while these are being reused.
 	IdleTimeout time.Duration
-	// HoldMax is the largest answer body, in bytes, that is held until it is
-	// complete.
+	// HoldMax is the largest answer body, in bytes, that is buffered completely. Longer
+	// answers are streamed.
 	HoldMax int
 	// HeaderMax is the largest answer header in bytes.
 	HeaderMax int64
 }
 
-// Client knows the backend servers by address. It is safe for concurrent use.
+// Client sends attempts to backend servers, by address. It is safe for concurrent
+// use.
 type Client struct {
 	cfg       Config
 	transport *http.Transport
@@ -69,8 +71,8 @@
 	return &Client{cfg: cfg, transport: newTransport(cfg.HeaderMax), servers: map[string]*connPool{}}
 }
 
-// Update sets the addresses in use and the most connections to each. Idle
-// connections to other addresses are closed.
+// Update sets the addresses in use and the maximum number of connections to each.
+// Idle connections to other addresses are closed.
 func (c *Client) Update(shares map[string]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,7 +98,7 @@
 	}
 }
 
-// Trim closes connections that were idle for too long.
+// Trim closes connections that have been idle for IdleTimeout.
 func (c *Client) Trim(now time.Time) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -105,28 +107,28 @@
 	}
 }
 
-// Header is a header on its way through packages that open no connection.
+// Header is an http.Header. Packages that don't import net/http use this name.
 type Header = http.Header
 
-// Request is one attempt. Body is nil when empty. Header must hold end-to-end
-// fields only.
+// Request is one attempt. Body is nil if empty. Header must contain end-to-end fields
+// only.
 type Request struct {
 	Method string
-	// URL holds path and query; its scheme and host are not used.
+	// URL holds the path and query; its scheme and host are ignored.
 	URL     *url.URL
 	Host    string
 	Header  http.Header
 	Body    []byte
 	Address string
-	// BeforeWrite is asked right before the first byte is written; its error
-	// keeps the attempt from being sent.
+	// BeforeWrite is called right before the first byte is written. If it returns an
+	// error, the attempt is not sent.
 	BeforeWrite func() error
 }
 
-// Answer is what became of an attempt. With Outcome Ran it holds the backend
-// server's answer: Body is complete, or, when Rest is set, Body is its start
-// and Rest the remainder. Rest must be closed; an error from it means that the
-// answer broke off.
+// Answer is the result of an attempt. If Outcome is Ran, it holds the backend
+// server's answer: Body is complete, or, if Rest is set, Body is the start and Rest
+// the remainder. Rest must be closed; an error from Rest means that the answer is
+// truncated.
 type Answer struct {
 	Outcome outcome.Outcome
 	Failure Failure
@@ -139,11 +141,11 @@
 	response *http.Response
 }
 
-// ServerError reports whether the answer blames the backend server.
+// ServerError reports whether the status is 500 or higher.
 func (a *Answer) ServerError() bool { return a.Status >= http.StatusInternalServerError }
 
-// Trailer returns the answer's trailer; with Rest it is there once Rest was
-// read to its end.
+// Trailer returns the answer's trailer. If Rest is set, the trailer is complete only
+// after Rest was read to its end.
 func (a *Answer) Trailer() http.Header {
 	if a.response == nil {
 		return nil
@@ -151,8 +153,8 @@
 	return a.response.Trailer
 }
 
-// Do sends one attempt and waits for the answer. It does not retry, but for a
-// reused connection that broke before anything was written on it.
+// Do sends one attempt and waits for the answer. It retries only once, if a reused
+// connection broke before anything was written on it.
 func (c *Client) Do(ctx context.Context, req *Request) Answer {
 	c.mu.RLock()
 	pool := c.servers[req.Address]
@@ -216,7 +218,8 @@
 	return Answer{Outcome: outcome.Unknown, Failure: failureAfterWrite(ctx), Err: err}
 }
 
-// failureAfterWrite tells why an attempt failed after bytes were written.
+// failureAfterWrite returns the Failure of an attempt that failed after bytes were
+// written.
 func failureAfterWrite(ctx context.Context) Failure {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -20,19 +20,20 @@
 	"github.com/yuccadrift/yuccadrift/internal/outcome"
 )
 
-// script answers the nth request of a connection (from 0); nil breaks it off.
+// script returns the answer to the nth request of a connection, from 0; nil closes the
+// connection.
 type script func(n int, r *http.Request) []byte
 
-// scriptedServer is a backend server that reads whole requests, counts them as run
+// scriptedServer is a backend server that reads complete requests, counts them as run
 // and answers by a script.
 type scriptedServer struct {
 	net.Listener
 	script script
 
 	mu    sync.Mutex
-	runs  []string // path of each request read
+	runs  []string // paths of the requests read
 	conns int
-	most  int // connections open at once
+	most  int // maximum number of open connections
 }
 
 func serve(t *testing.T, s script) *scriptedServer {
@@ -92,7 +93,7 @@
 	return n
 }
 
-// cutMark ends an answer after which the connection is closed.
+// cutMark at the end of an answer makes the server close the connection.
 var cutMark = []byte("~")
 
 func ok(string) []byte { return []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") }
@@ -110,10 +111,10 @@
 	return &Request{Method: method, URL: &url.URL{Path: path}, Host: "h", Header: header, Body: []byte(body), Address: b.Addr().String()}
 }
 
-// The caller sees one answer, but the booking was made twice: the backend server
-// ran the request that came on a reused connection and the connection broke
-// before its answer, whereupon net/http's Transport sent it again on another
-// one. The baseline shows that it does; Client must send once and say unknown.
+// A backend server runs the request on a reused connection, and the connection breaks
+// before the answer. net/http's Transport sends the request again on another
+// connection, so that a booking is made twice. The baseline shows this; Client must
+// send once and return Unknown.
 func TestBrokenReusedConnectionIsNotReplayed(t *testing.T) {
 	idempotent := http.Header{"Idempotency-Key": {"k"}}
 	cases := []struct {
@@ -142,7 +143,7 @@
 			defer transport.CloseIdleConnections()
 			roundTrip(t, transport, raw, http.MethodGet, "/warm", nil, "")
 			roundTrip(t, transport, raw, c.method, "/book", c.header, c.body)
-			require.Equal(t, 2, raw.count("/book"), "the baseline no longer replays")
+			require.Equal(t, 2, raw.count("/book"), "expected the baseline to replay the request")
 
 			b := serve(t, breaks)
 			ours := client(b)
@@ -168,14 +169,13 @@
 	}
 }
 
-// The caller may only hear "not run" when no byte left, or when the backend
-// server says so; "ran" only with the whole answer. Each case breaks at a later
-// point than the one before.
+// "Not run" requires that no byte left or that the backend server reported it; "ran"
+// requires the complete answer. Each case fails at a later point than the one before.
 func TestOutcomeByPointOfFailure(t *testing.T) {
 	refusal := "HTTP/1.1 503 Service Unavailable\r\n" + outcome.HeaderBackend + ": not-run\r\nContent-Length: 0\r\n\r\n"
 	cases := []struct {
 		name    string
-		answer  string // empty breaks off
+		answer  string // empty closes the connection
 		outcome outcome.Outcome
 		failure Failure
 	}{
@@ -210,8 +210,8 @@
 	return []byte(s)
 }
 
-// "Not run" is right while nothing left this process: no connection, no time,
-// or a pause between choice and write. The backend server must have seen nothing.
+// An attempt is "not run" if nothing left this process: no connection, no time left,
+// or a pause between pick and write. The backend server must have seen nothing.
 func TestUnsentRequestIsNotRun(t *testing.T) {
 	b := serve(t, func(int, *http.Request) []byte { return ok("") })
 	c := client(b)
@@ -234,9 +234,9 @@
 	assert.Equal(t, FailureDial, ans.Failure)
 }
 
-// The deadline passes while net/http's writer has not started: the round trip
-// ends with an error, the caller is told "not run", and then the writer runs.
-// seal must keep the bytes back, or the word would be false.
+// The deadline passes before net/http's writer has started. The round trip fails, the
+// caller is told "not run", and then the writer runs. seal must prevent this write,
+// or the request would run nevertheless.
 func TestSealedConnectionRejectsWrites(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -248,8 +248,8 @@
 	assert.ErrorIs(t, err, errSealed)
 }
 
-// A deadline that passes after the bytes left ends unknown, since the backend
-// server may still be at it.
+// If the deadline passes after bytes were written, the outcome is unknown, since the
+// backend server may still run the request.
 func TestDeadlineAfterSendIsUnknown(t *testing.T) {
 	held := make(chan struct{})
 	arrived := make(chan struct{})
@@ -262,8 +262,8 @@
 	assert.Equal(t, FailureCanceled, ans.Failure)
 }
 
-// A long answer is streamed; when it breaks off, reading says so instead of
-// ending, so that the caller's connection can be aborted.
+// A long answer is streamed. If it is truncated, reading must return an error instead
+// of io.EOF, so that the caller's connection can be aborted.
 func TestTruncatedStreamReturnsError(t *testing.T) {
 	const size = 1000 // over HoldMax
 	head := "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n"
@@ -288,8 +288,8 @@
 	}
 }
 
-// All entry VMs share a backend server's connections, so each keeps to its
-// share even when many requests are under way; the surplus is not run.
+// All entry VMs share a backend server's connections. Each must stay within its share
+// even with many requests in flight; the excess requests are not run.
 func TestConnectionsStayWithinShare(t *testing.T) {
 	const most, calls = 2, 6
 	held := make(chan struct{})
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -7,24 +7,24 @@
 	"github.com/pkg/errors"
 )
 
-// errSealed is returned by writes to a connection that was given up.
+// errSealed is returned by writes to a sealed connection.
 var errSealed = errors.New("connection was given up")
 
-// meteredConn counts the bytes that were handed to the kernel, so that an
-// attempt knows whether any of its bytes can have reached the backend server.
+// meteredConn counts the bytes passed to the kernel, which shows whether any byte of
+// an attempt can have reached the backend server.
 //
-// net/http may write from another goroutine after a round trip has failed, as
-// when the deadline passes just before the first write. Without seal such a
-// request would be reported as not run and then run. seal makes the count final:
-// no byte leaves after it.
+// net/http may write from another goroutine after a round trip has failed, for
+// example if the deadline passes just before the first write. Without seal, such a
+// request would be reported as not run and then run. seal makes the count final: no
+// byte is written after it.
 type meteredConn struct {
 	net.Conn
 
 	mu      sync.Mutex
 	written int64
 	sealed  bool
-	// beforeWrite is asked ahead of an attempt's first write; its error keeps the
-	// attempt from being sent. nil once asked.
+	// beforeWrite is called before an attempt's first write. Its error seals the
+	// connection. It is nil after it succeeded.
 	beforeWrite func() error
 }
 
@@ -47,7 +47,7 @@
 	return n, err
 }
 
-// beginAttempt starts an attempt and returns the count so far.
+// beginAttempt starts an attempt and returns the number of bytes written so far.
 func (c *meteredConn) beginAttempt(before func() error) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,8 +55,9 @@
 	return c.written
 }
 
-// seal closes the connection and reports whether any byte was written since
-// the count was at start. It closes first, which ends a write that blocks.
+// seal closes the connection, rejects all further writes and reports whether any byte
+// was written since beginAttempt returned start. It closes the connection first,
+// which ends a blocked write.
 func (c *meteredConn) seal(start int64) (wrote bool) {
 	_ = c.Conn.Close()
 	c.mu.Lock()
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -10,14 +10,13 @@
 	"github.com/pkg/errors"
 )
 
-// errNoConnection means that this process's share of the backend server's
-// connections is in use.
+// errNoConnection means that all connections of this process's share to the backend
+// server are in use.
 var errNoConnection = errors.New("all connections to the backend server are in use")
 
-// conn is one connection to a backend server. http.ClientConn sends a request
-// on this connection only and never by itself on a second one, as
-// http.Transport does after a broken reused connection for GET, HEAD, OPTIONS,
-// TRACE and for requests with an idempotency header.
+// conn is one connection to a backend server. http.ClientConn sends a request on this
+// connection only. http.Transport would resend GET, HEAD, OPTIONS, TRACE and requests
+// with an idempotency header on a second connection after a reused one broke.
 type conn struct {
 	client *http.ClientConn
 	meter  *meteredConn
@@ -34,14 +33,15 @@
 	mu   sync.Mutex
 	max  int
 	open int
-	idle []*conn // latest used last
+	idle []*conn // most recently used last
 }
 
-// dialedKey carries a connection that was dialed already to the Transport.
+// dialedKey is the context key of the dialed connection that newTransport's dialer
+// returns.
 type dialedKey struct{}
 
-// newTransport returns the Transport that makes ClientConns of dialed
-// connections. Its own pool is not used.
+// newTransport returns the Transport that creates ClientConns from dialed
+// connections. Its own connection pool is not used.
 func newTransport(maxHeader int64) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -52,7 +52,8 @@
 	}
 }
 
-// get returns an idle connection, or dials one. fresh refuses idle ones.
+// get returns an idle connection or dials a new one. If fresh is true, it always
+// dials.
 func (p *connPool) get(ctx context.Context, fresh bool) (c *conn, reused bool, err error) {
 	if !fresh {
 		if c := p.takeIdle(time.Now()); c != nil {
@@ -87,8 +88,8 @@
 	return nil
 }
 
-// reserve makes room for one more connection, at the cost of the idle one that
-// was unused for longest.
+// reserve reserves one more connection. At the limit it closes the idle connection
+// that has been unused for longest.
 func (p *connPool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,7 +125,7 @@
 	return &conn{client: client, meter: meter}, nil
 }
 
-// put returns a connection whose answer was read to its end.
+// put returns a connection to the pool. Its answer must have been read completely.
 func (p *connPool) put(c *conn) {
 	c.idleAt = time.Now()
 	p.mu.Lock()
@@ -137,20 +138,21 @@
 	p.idle = append(p.idle, c)
 }
 
-// drop closes a connection that can't be used again.
+// drop closes a connection that can't be reused.
 func (p *connPool) drop(c *conn) {
 	_ = c.client.Close()
 	p.release()
 }
 
-// resize sets the most connections; what is over is closed as it becomes idle.
+// resize sets the maximum number of connections. Connections over it are closed as
+// they become idle.
 func (p *connPool) resize(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.max = limit
 }
 
-// trim closes the connections that were idle for too long.
+// trim closes connections that have been idle for idleFor or longer.
 func (p *connPool) trim(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -10,8 +10,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/outcome"
 )
 
-// receive reads an answer's start. Up to HoldMax bytes are held until they are
-// complete; of a longer answer the remainder is left to be streamed.
+// receive reads the start of an answer. A body of up to HoldMax bytes is buffered
+// completely; a longer one is left to be streamed.
 func (c *Client) receive(ctx context.Context, pool *connPool, cn *conn, req *Request, res *http.Response) Answer {
 	if isUnframed(req.Method, res) {
 		pool.drop(cn)
@@ -40,7 +40,7 @@
 	return ans
 }
 
-// isUnframed reports whether the answer's body ends only with its connection.
+// isUnframed reports whether only the end of the connection ends the answer's body.
 func isUnframed(method string, res *http.Response) bool {
 	if res.StatusCode == http.StatusSwitchingProtocols {
 		return true
@@ -48,7 +48,7 @@
 	return !hasNoBody(method, res.StatusCode) && res.ContentLength < 0 && len(res.TransferEncoding) == 0
 }
 
-// hasNoBody reports whether an answer has no body whatever its header says.
+// hasNoBody reports whether an answer never has a body, whatever its header states.
 func hasNoBody(method string, status int) bool {
 	return method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 }
@@ -58,7 +58,8 @@
 		res.Header.Get(outcome.HeaderBackend) == outcome.BackendNotRun
 }
 
-// readUpTo reads at most most bytes. whole is true when the body ended within them.
+// readUpTo reads a body of at most most bytes. If the body is longer, whole is false
+// and held is its start, which may be empty.
 func readUpTo(body io.Reader, length int64, most int) (held []byte, whole bool, err error) {
 	if length == 0 {
 		return nil, true, nil
@@ -81,8 +82,8 @@
 	return held, len(held) <= most, nil
 }
 
-// expectEnd reads the end of a body whose length was reached, so that net/http
-// sees the end and keeps the connection.
+// expectEnd reads the end of a body whose length was reached, so that net/http sees
+// the end and keeps the connection.
 func expectEnd(body io.Reader) error {
 	var one [1]byte
 	n, err := body.Read(one[:])
@@ -92,16 +93,16 @@
 	return errors.New("answer longer than its length")
 }
 
-// answerRest is the remainder of an answer that is streamed.
+// answerRest is the remainder of a streamed answer.
 type answerRest struct {
 	body io.ReadCloser
 	pool *connPool
 	conn *conn
-	done bool // read to its end
+	done bool // whether the body was read completely
 }
 
-// Read implements io.Reader. An error other than io.EOF means that the answer
-// broke off.
+// Read implements io.Reader. An error other than io.EOF means that the answer is
+// truncated.
 func (r *answerRest) Read(b []byte) (int, error) {
 	n, err := r.body.Read(b)
 	if errors.Is(err, io.EOF) {
@@ -110,7 +111,8 @@
 	return n, err
 }
 
-// Close implements io.Closer and frees the connection.
+// Close implements io.Closer and returns the connection to the pool, or closes it if
+// the body was not read completely.
 func (r *answerRest) Close() error {
 	err := r.body.Close()
 	if r.done {
