--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -13,7 +13,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/outcome"
 )
 
-// claimReasons are the short codes that callers see for a claim's reasons.
+// claimReasons maps a claim's reasons to the codes that callers get.
 var claimReasons = map[claim.Reason]outcome.Reason{
 	claim.ReasonTooOld:      "key-too-old",
 	claim.ReasonTooNew:      "key-in-future",
@@ -27,16 +27,16 @@
 	claim.ReasonFull:        "claims-full",
 }
 
-// reasonRanBefore is given with the kept or lost answer of an attempt that ran.
+// reasonRanBefore means that an earlier attempt ran, with or without a stored answer.
 const reasonRanBefore outcome.Reason = "ran-before"
 
-// claims lets the request path ask entrypeer for claims.
+// claims adapts an entrypeer.Claimer to dispatch.Claims.
 type claims struct{ claimer entrypeer.Claimer }
 
-// NewClaims returns the request path's view of claimer.
+// NewClaims returns a dispatch.Claims that uses claimer.
 func NewClaims(claimer entrypeer.Claimer) dispatch.Claims { return claims{claimer: claimer} }
 
-// CheckKey tells what is wrong with a key.
+// CheckKey returns an error if a key is invalid.
 func CheckKey(service, key string) error {
 	_, err := claim.ParseKey(service, key)
 	return err
@@ -68,7 +68,8 @@
 	return out
 }
 
-// fingerprint tells requests apart that were sent under one key by mistake.
+// fingerprint returns a hash that distinguishes different requests sent under one key
+// by mistake.
 func fingerprint(call *dispatch.Call) uint64 {
 	const separator = "\x00"
 	h := xxhash.New()
@@ -101,7 +102,7 @@
 	p.claimer.Report(res)
 }
 
-// newClaimAnswer copies what a retry is answered with.
+// newClaimAnswer converts an answer to the form that is stored for retries.
 func newClaimAnswer(answer *backend.Answer) *claim.Answer {
 	if answer == nil {
 		return nil
@@ -115,7 +116,8 @@
 	return out
 }
 
-// newBackendAnswer is the answer to a retry; its Status is 0 when none was kept.
+// newBackendAnswer returns a stored answer for a retry; its Status is 0 if answer is
+// nil.
 func newBackendAnswer(answer *claim.Answer) backend.Answer {
 	if answer == nil {
 		return backend.Answer{}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,4 +1,4 @@
-// Package entry puts the request path of one entry VM together.
+// Package entry assembles the request path of one entry VM.
 package entry
 
 import (
@@ -19,19 +19,18 @@
 	"github.com/yuccadrift/yuccadrift/internal/supervise"
 )
 
-// Bounds that are no settings.
+// Limits that are not configurable.
 const (
-	// maxBackendHeader is the largest header of an answer in bytes.
+	// maxBackendHeader is the maximum size in bytes of a backend server's answer header.
 	maxBackendHeader = 256 << 10
-	// bodyMemory bounds the request bodies held at once, in bytes: half of what
-	// a node may use.
+	// bodyMemory limits the request bodies that are buffered, in bytes: half of the memory
+	// that a node may use.
 	bodyMemory = 64 << 20
-	// callersStopTimeout is a bound on the callers' server that is never reached: it
-	// keeps its own limits.
+	// callersStopTimeout is never reached: the callers' server applies its own limits.
 	callersStopTimeout = 48 * time.Hour
 )
 
-// Config is what an Entry needs.
+// Config configures an Entry.
 type Config struct {
 	Settings  settings.Entry
 	Callers   caller.Listener
@@ -41,16 +40,16 @@
 	Registry  prometheus.Registerer
 	Readiness Readiness
 	Logger    hclog.Logger
-	// Stop is closed when the process is told to end.
+	// Stop is closed when the process must stop.
 	Stop <-chan struct{}
-	// Drained is called once no caller is served any more, before the process
-	// ends: to leave the entry VMs in order.
+	// Drained is called when the last caller was served, before the process ends. It
+	// leaves the membership of entry VMs.
 	Drained func(context.Context)
-	// Sharing is how slots of backend servers are shared.
+	// Sharing is how entry processes share the slots of backend servers.
 	Sharing routing.Sharing
 }
 
-// Readiness tells the balancer whether to send callers here.
+// Readiness controls whether the balancer sends callers to this process.
 type Readiness interface {
 	Unready(source, reason string)
 	Ready(source string)
@@ -64,13 +63,13 @@
 	server     *caller.Server
 }
 
-// sharedRand draws from the runtime's own generator, which any goroutine may
-// use; a seeded source may not be shared.
+// sharedRand uses the global random generator, which is safe for concurrent use; a
+// seeded source is not.
 type sharedRand struct{}
 
 func (sharedRand) Uint64() uint64 { return rand.Uint64() }
 
-// New returns an Entry that is not serving yet.
+// New returns an Entry that does not serve yet.
 func New(cfg Config) *Entry {
 	s := cfg.Settings
 	metrics := requestmetrics.New(cfg.Registry)
@@ -122,15 +121,15 @@
 	})
 }
 
-// InFlights returns how many requests of this process are under way, by VM, and
-// the offset of the log that the process acted on when it counted.
+// InFlights returns the number of attempts of this process in flight by VM, and the
+// log offset of the table in use when they were counted.
 func (e *Entry) InFlights() (offset uint64, counts map[string]int) { return e.dispatcher.InFlights() }
 
-// Offset returns the offset of the log that the table in use rests on.
+// Offset returns the log offset of the table in use.
 func (e *Entry) Offset() uint64 { return e.dispatcher.Table().Offset }
 
-// drainLimit is how long requests in flight may take when the process stops:
-// the longest that a document asks for, and at least the setting.
+// drainLimit returns how long requests in flight may take when the process stops: the
+// maximum of the setting and the limits in all service documents.
 func (e *Entry) drainLimit() time.Duration {
 	limit := e.cfg.Settings.Drain.Limit.Duration
 	for _, svc := range e.dispatcher.Table().Services {
@@ -139,7 +138,7 @@
 	return limit
 }
 
-// Duties returns what has to run.
+// Duties returns the duties of the request path.
 func (e *Entry) Duties() []supervise.Duty {
 	return []supervise.Duty{
 		{Name: "table", Serve: e.followTable},
@@ -158,7 +157,7 @@
 	return err
 }
 
-// trimConnections closes connections to backend servers that were idle too long.
+// trimConnections periodically closes idle connections to backend servers.
 func (e *Entry) trimConnections(ctx context.Context) error {
 	ticker := time.NewTicker(e.cfg.Settings.Backends.IdleTimeout.Duration / 2)
 	defer ticker.Stop()
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -18,9 +18,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// The thin path: a caller's lookup goes to a backend server chosen from the
-// published document and the VMs that joined its pool, and the whole answer
-// comes back with its outcome.
+// A lookup goes to a backend server selected from the published document and the VMs
+// in its pool, and the complete answer is returned with its outcome.
 func TestLookupReachesBackendOfPool(t *testing.T) {
 	r := newRig(t)
 	got := r.send(http.MethodGet, "/booking/lookup/7?x=1", http.Header{standin.HeaderEcho: {"tok"}}, nil)
@@ -31,8 +30,8 @@
 	assert.Equal(t, "tok", got.header.Get(standin.HeaderEcho))
 }
 
-// A request that is wrong in itself gets a 4xx, "not-run", a reason and one line
-// that helps, and no backend server hears of it.
+// An invalid request must get a 4xx status, "not-run", a reason and one helpful line,
+// and must reach no backend server.
 func TestInvalidRequestsAreRejectedWithReasonAndText(t *testing.T) {
 	r := newRig(t)
 	key := http.Header{outcome.HeaderKey: {ulid.Make().String()}}
@@ -78,8 +77,8 @@
 	assert.Zero(t, r.requestsSeen())
 }
 
-// A retry is refused for what its first attempt did not have. "Not run" would
-// make the caller book anew under another key, though the first attempt ran.
+// A retry is rejected for a header that its first attempt did not have. "Not run"
+// would make the caller book again under another key, although the first attempt ran.
 func TestRejectedRetryOfRunRequestIsNotReportedNotRun(t *testing.T) {
 	r := newRig(t)
 	header := http.Header{outcome.HeaderKey: {ulid.Make().String()}}
@@ -94,9 +93,9 @@
 	}
 }
 
-// A booking whose connection breaks at some point of its way is run at most
-// once, retries included, and each answer tells the truth about it. The backend
-// server counts what it saw and ran per key.
+// A booking whose connection breaks at any point must run at most once, retries
+// included, and each answer must have the right outcome. The backend server counts
+// the requests seen and run per key.
 func TestNotRepeatableRequestRunsAtMostOnce(t *testing.T) {
 	cases := []struct {
 		fault   standin.FaultKind
@@ -127,9 +126,9 @@
 	}
 }
 
-// A retry of a booking that ran, as after the caller lost the answer, gets the
-// first answer again and runs nothing; another request under the same key is
-// refused.
+// A retry of a booking that ran, for example because the caller lost the answer, must
+// get the first answer again and run nothing. Another request under the same key is
+// rejected.
 func TestRetryReturnsFirstAnswer(t *testing.T) {
 	r := newRig(t)
 	header := http.Header{outcome.HeaderKey: {ulid.Make().String()}}
@@ -143,8 +142,8 @@
 	assert.Equal(t, 1, r.key(header.Get(outcome.HeaderKey)).Runs)
 }
 
-// A lookup whose backend server breaks off is tried at another one, and the
-// caller sees one whole answer.
+// A lookup whose backend server breaks the connection is tried at another one, and
+// the caller gets one complete answer.
 func TestRepeatableRequestIsRetriedOnAnotherBackend(t *testing.T) {
 	for _, fault := range []standin.FaultKind{standin.CutBeforeRead, standin.CutAfterRun, standin.CutMidAnswer, standin.BackendError} {
 		t.Run(string(fault), func(t *testing.T) {
@@ -159,8 +158,8 @@
 	}
 }
 
-// A long answer that breaks off at the backend server must not look whole: the
-// caller's client sees its connection break.
+// If a backend server truncates a long answer, the caller's connection must be
+// aborted, so that the answer does not appear complete.
 func TestTruncatedStreamAbortsCallerConnection(t *testing.T) {
 	r := newRig(t)
 	const size = 300_000
@@ -173,9 +172,9 @@
 	assert.Error(t, cut.err)
 }
 
-// A backend server hangs: it takes connections and answers nothing, nor its
-// health checks. Before a booking is lost on it, this process's own checks take
-// it out; a check that succeeds takes it back.
+// A backend server hangs: it accepts connections and answers neither requests nor
+// health checks. This process's health checks must remove it before a booking is lost
+// on it, and restore it after a successful check.
 func TestHungBackendIsRemovedByHealthChecks(t *testing.T) {
 	r := newRig(t)
 	list, err := r.Platform.List(t.Context())
@@ -198,8 +197,8 @@
 	r.eventually(used)
 }
 
-// The caller hangs up while its booking runs. The run goes on to its end and is
-// recorded, so that the caller's retry gets the answer in place of "unknown".
+// The caller disconnects while its booking runs. The run must continue and be
+// recorded, so that the caller's retry gets the answer instead of "unknown".
 func TestRunIsRecordedAfterCallerDisconnects(t *testing.T) {
 	r := newRig(t)
 	key := ulid.Make().String()
@@ -216,9 +215,9 @@
 	assert.Equal(t, 1, r.key(key).Runs)
 }
 
-// Callers that stop reading a long answer, or stop sending their body, hold a
-// slot, a connection and memory. Both are cut off after the stall timeout; the
-// one whose body is missing is told that nothing ran.
+// Callers that stop reading a long answer or sending their body occupy a slot, a
+// connection and memory. Both must be disconnected after the stall timeout, and the
+// caller with the incomplete body must get "not-run".
 func TestStalledCallersAreDisconnected(t *testing.T) {
 	r := newRig(t)
 	dial := func(text string) net.Conn {
--- a/internal/entry/leave_test.go
+++ b/internal/entry/leave_test.go
@@ -14,12 +14,12 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// balancerLag is how long the platform's balancer goes on sending requests to
-// an entry VM that turned unready; it is below the rig's notice.
+// balancerLag is how long the platform's balancer keeps sending requests to an entry
+// VM that became unready. It is below the rig's notice.
 const balancerLag = 200 * time.Millisecond
 
-// callerLoad sends POSTs, which no client repeats by itself, one after the other
-// on kept connections, as long as the balancer sends them to the entry.
+// callerLoad sends POST requests, which HTTP clients don't retry by themselves, in
+// sequence on persistent connections, until the balancer removes the entry.
 type callerLoad struct {
 	wg  sync.WaitGroup
 	mu  sync.Mutex
@@ -60,7 +60,7 @@
 	return len(c.got)
 }
 
-// requireCompleteAnswers checks that every request got its whole answer.
+// requireCompleteAnswers checks that every request got its complete answer.
 func (c *callerLoad) requireCompleteAnswers(t *testing.T) {
 	t.Helper()
 	c.wg.Wait()
@@ -70,9 +70,9 @@
 	}
 }
 
-// SIGTERM under load: the process turns unready, still takes the requests that
-// the balancer sends meanwhile, finishes those in flight, long ones included,
-// and ends. No caller sees a refused or broken connection.
+// On SIGTERM under load the process becomes unready, still serves the requests that
+// the balancer sends meanwhile, completes those in flight, long ones included, and
+// ends. No caller may see a refused or broken connection.
 func TestStopUnderLoadCompletesAllRequests(t *testing.T) {
 	r := newRig(t)
 	quick := r.callers(8, "/booking/lookup", http.Header{standin.HeaderWorkMS: {"2"}})
@@ -83,15 +83,15 @@
 	before := quick.count()
 	quick.requireCompleteAnswers(t)
 	long.requireCompleteAnswers(t)
-	assert.Greater(t, quick.count(), before, "the balancer needs time to look elsewhere")
+	assert.Greater(t, quick.count(), before, "expected requests after the process became unready")
 	assert.NotZero(t, long.count())
 	<-r.entry.Ended
 	assert.NoError(t, r.entry.Err)
 }
 
-// A drain takes effect while a request is in flight at the VM and others follow.
-// Once the drain is folded the VM gets no new request, the one in flight gets
-// its whole answer, and it is counted until then.
+// A VM is drained while a request is in flight at it. Once the drain is folded, the VM
+// must get no new request, and the request in flight must be completed and counted
+// until then.
 func TestDrainedBackendCompletesRunningRequestsAndGetsNoNewOnes(t *testing.T) {
 	r := newRig(t)
 	busy := func() string {
@@ -124,8 +124,8 @@
 	assert.Zero(t, inFlight[vm])
 }
 
-// A burst fills every slot: what does not fit is told "not-run" with Retry-After
-// at once instead of being parked, and truly did not run.
+// A burst uses all slots. The excess requests must get "not-run" with Retry-After at
+// once instead of waiting, and must not run.
 func TestExcessRequestsAreShedImmediately(t *testing.T) {
 	r := newRig(t)
 	const slots, surplus = 3 * 8, 10
--- a/internal/entry/rig_test.go
+++ b/internal/entry/rig_test.go
@@ -17,14 +17,13 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// rig is an entry process's request path, in this process, in front of a
-// stand-in, as a test sees it.
+// rig is the request path of an entry process with a stand-in platform.
 type rig struct {
 	*requests.Rig
 	t       testing.TB
 	entry   *requests.Entry
 	url     string
-	unready atomic.Pointer[time.Time] // when the balancer noticed
+	unready atomic.Pointer[time.Time] // when the balancer first saw the entry as unready
 }
 
 func newRig(t testing.TB) *rig {
@@ -35,7 +34,7 @@
 	return newRigFrom(t, r, err)
 }
 
-// startRig starts the process on a log, with nothing published and no claims.
+// startRig starts the process on a log with no documents published and no claims.
 func startRig(t testing.TB, fake *standin.Platform, log platform.Log) *rig {
 	t.Helper()
 	r, err := requests.Start(requests.Options{Zones: []string{"a"}, Entries: 1, Logger: logger(t)}, fake, log)
@@ -57,7 +56,7 @@
 	require.NoError(r.t, r.Propose(r.t.Context(), kind, name, body))
 }
 
-// injectFault makes a fault happen and clears it at the test's end.
+// injectFault injects a fault, which stays until it is cleared.
 func (r *rig) injectFault(f standin.Fault) {
 	r.t.Helper()
 	_, err := r.Platform.Order(f)
@@ -70,18 +69,18 @@
 	return r.Server.Counters(false, key).Backends.Keys[key]
 }
 
-// eventually waits for a condition that an event of another goroutine brings about.
+// eventually waits until done returns true.
 func (r *rig) eventually(done func() bool) {
 	r.t.Helper()
 	require.Eventually(r.t, done, 10*time.Second, time.Millisecond)
 }
 
-// reply is an answer as a caller sees it.
+// reply is an answer as received by a caller.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	err    error // from the transport or of a body that broke off
+	err    error // transport error or truncated body
 }
 
 func (r *rig) send(method, path string, header http.Header, body io.Reader) reply {
--- a/internal/entry/start_test.go
+++ b/internal/entry/start_test.go
@@ -20,13 +20,13 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// gatedLog lets reads beyond an offset through only when its gate is open.
+// gatedLog blocks reads beyond gateOffset until its gate is open.
 type gatedLog struct {
 	platform.Log
 	gateOffset platform.Offset
 	gate       chan struct{}
 	once       sync.Once
-	blocked    chan struct{} // closed when a read waits at the gate
+	blocked    chan struct{} // closed when a read is blocked
 }
 
 // Read implements platform.Log.
@@ -38,12 +38,12 @@
 	return l.Log.Read(ctx, stream, from, most, wait)
 }
 
-// An entry VM starts while the log holds more than one read brings. The document
-// in the first part was replaced since, and knew another route. Until the process
-// has read the log to its end, callers are told that nothing ran; the old
-// document never serves.
+// An entry VM starts while the log holds more entries than one read returns. The
+// document in the first part has another route and was replaced since. Until the
+// process has read the log to its end, callers must get "not-run", and the old
+// document must never be served.
 func TestStartingEntryDoesNotServeOldDocuments(t *testing.T) {
-	const entries = 1500 // more than a read of 1000
+	const entries = 1500 // more than one read of 1000 returns
 	fake := standin.New(standin.Options{AppendsPerSecond: -1})
 	var data [][]byte
 	for i := range entries {
@@ -72,7 +72,7 @@
 	assert.NotEmpty(t, got.header.Get("Retry-After"))
 	keyed := http.Header{outcome.HeaderKey: {ulid.Make().String()}}
 	got = r.send(http.MethodPost, "/booking/reservations", keyed, nil)
-	assert.Equal(t, string(outcome.Unknown), got.header.Get(outcome.HeaderOutcome), "it may be a retry of a booking that ran")
+	assert.Equal(t, string(outcome.Unknown), got.header.Get(outcome.HeaderOutcome), "expected unknown: it may be a retry of a booking that ran")
 	assert.Zero(t, r.entry.Offset())
 	assert.Contains(t, strings.Join(r.entry.Ready.Reasons(), "\n"), "read to its end")
 
--- a/internal/entry/table.go
+++ b/internal/entry/table.go
@@ -8,21 +8,22 @@
 	"github.com/yuccadrift/yuccadrift/internal/routing"
 )
 
-// catchUpTimeout bounds one reading of the log after a pause.
+// catchUpTimeout limits one catch-up with the log after a pause.
 const catchUpTimeout = time.Second
 
-// Follower is the folded state. It is implemented by follower.Follower.
+// Follower provides the state folded from the log. It is implemented by
+// follower.Follower.
 type Follower interface {
 	View(func(*ledger.State))
 	Fresh() time.Time
-	// Started reports whether the state is fit to serve on.
+	// Started reports whether the state is complete enough to serve requests.
 	Started() bool
 	Changed() <-chan struct{}
 	// CatchUp reads and folds the log to its end.
 	CatchUp(ctx context.Context) error
 }
 
-// followTable puts a new table in use after each change of the state.
+// followTable replaces the table after each change of the state.
 func (e *Entry) followTable(ctx context.Context) error {
 	changed := e.cfg.Follower.Changed()
 	for {
@@ -35,11 +36,11 @@
 	}
 }
 
-// refreshTable builds a table of the present state. Fresh is read first: the state
-// seen after holds at least what that read brought.
+// refreshTable builds a table from the current state. Fresh is read first: the state
+// viewed later contains at least what that log read returned.
 //
-// Until the log was read to its end once, or a peer's state stands in for it, none
-// is built. A process that starts folds old records first: it would serve on
+// No table is built until the log was read to its end once or the state of a peer was
+// taken over. A starting process folds old records first: it would serve with
 // documents that were replaced long ago, and send requests to VMs that have left
 // their pool since.
 func (e *Entry) refreshTable() {
@@ -58,8 +59,8 @@
 	e.cfg.Readiness.Ready("table")
 }
 
-// runPauseBeat notices that the process was paused and has the log read again, which
-// lets held requests go on.
+// runPauseBeat detects that the process was paused and then reads the log, which
+// releases held requests.
 func (e *Entry) runPauseBeat(ctx context.Context) error {
 	ticker := time.NewTicker(routing.PauseBeat)
 	defer ticker.Stop()
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -13,38 +13,38 @@
 	"github.com/yuccadrift/yuccadrift/internal/backend"
 )
 
-// Bounds of the health checks.
+// Limits of the health checks.
 const (
-	// maxWatched is how many backend servers one process checks at most, so that
-	// its cost does not grow with the fleet. Of more it takes those that a
-	// rendezvous hash gives it; the others show by requests, and by the steward's
-	// word on the log.
+	// maxWatched is the maximum number of backend servers that one process checks, so
+	// that the cost does not grow with the fleet. Of a larger number it checks those
+	// selected by rendezvous hashing; failures of the others show in requests and in
+	// the steward's records in the log.
 	maxWatched = 64
-	// maxChecksPerRound is how many of them are checked in one interval, by turns,
-	// beside those that failed: a node's control traffic has to bear the checks
-	// beside those of the steward, the leases and the log.
+	// maxChecksPerRound is how many of them are checked per interval in rotation, in
+	// addition to those whose last check failed. A node's control traffic budget covers
+	// the checks, the steward's checks, the leases and the log.
 	maxChecksPerRound = 10
-	// maxConcurrentChecks is how many checks run at once.
+	// maxConcurrentChecks is the maximum number of concurrent checks.
 	maxConcurrentChecks = 8
-	// unhealthyAfterFailures in a row make a backend server unhealthy, one success heals.
+	// unhealthyAfterFailures consecutive failures make a backend server unhealthy; one
+	// success makes it healthy.
 	unhealthyAfterFailures = 2
-	// checkJitter spreads the checks of several processes, as a share of the
-	// interval.
+	// checkJitter spreads the checks of several processes, as a fraction of the interval.
 	checkJitter = 0.2
 )
 
-// watched is a backend server to check.
+// watched is a backend server to check and its rendezvous weight.
 type watched struct {
 	target
 	address string
 	weight  uint64
 }
 
-// target names a backend server of a service.
+// target identifies a backend server of a service.
 type target struct{ service, vm string }
 
-// checkHealth checks backend servers, so that a hung one is found without a caller's
-// request being lost on it.
+// checkHealth checks the health of backend servers periodically, so that a hung one
+// is found before a caller's request is lost on it.
 func (e *Entry) checkHealth(ctx context.Context) error {
 	interval := e.cfg.Settings.Backends.CheckInterval.Duration
 	checker := backend.NewHealthChecker()
@@ -62,8 +62,9 @@
 	}
 }
 
-// checkAll checks the backend servers whose turn it is and returns the failures in
-// a row of this process's share. One that left the share counts as healthy again.
+// checkAll checks the backend servers that are due and returns the consecutive
+// failures of all that this process watches. A backend server that is no longer
+// watched counts as healthy.
 func (e *Entry) checkAll(ctx context.Context, checker *backend.HealthChecker, before map[target]int, round int) map[target]int {
 	share := e.watchedBackends()
 	list := dueForCheck(share, before, round)
@@ -94,8 +95,8 @@
 	return after
 }
 
-// dueForCheck returns the backend servers of a share to check in a round: a part of
-// them by turns, and those whose latest check failed.
+// dueForCheck returns the backend servers to check in a round: a part of the list in
+// rotation, and all whose last check failed.
 func dueForCheck(share []watched, failures map[target]int, round int) []watched {
 	turns := max(1, (len(share)+maxChecksPerRound-1)/maxChecksPerRound)
 	var list []watched
--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -7,11 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An entry process has a share of up to 64 backend servers. Checked all at every
-// interval they alone would cost more than a node may spend on control. They
-// take turns, each has one in every cycle, and one that failed is checked at
-// each interval, or a hung server would take as many cycles to be found as it
-// takes failures.
+// An entry process watches up to 64 backend servers. Checking all at every interval
+// would exceed a node's budget for control traffic. Each is checked once per cycle,
+// and one that failed at every interval, so that a hung server is found within
+// unhealthyAfterFailures intervals and not cycles.
 func TestHealthChecksRotateOverBackendServers(t *testing.T) {
 	for size, cycle := range map[int]int{0: 1, 1: 1, 10: 1, 11: 2, 64: 7} {
 		share := make([]watched, size)
