--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -160,7 +160,7 @@
 	pool := c.servers[req.Address]
 	c.mu.RUnlock()
 	if pool == nil {
-		return Answer{Outcome: outcome.NotRun, Failure: FailureDial, Err: errors.New("the backend server left")}
+		return Answer{Outcome: outcome.NotRun, Failure: FailureDial, Err: errors.New("the backend server is no longer in use")}
 	}
 	ans, reused := c.try(ctx, pool, req, false)
 	if ans.Failure == FailureUnsent && reused && ctx.Err() == nil {
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -8,7 +8,7 @@
 )
 
 // errSealed is returned by writes to a sealed connection.
-var errSealed = errors.New("connection was given up")
+var errSealed = errors.New("connection is sealed")
 
 // meteredConn counts the bytes passed to the kernel, which shows whether any byte of
 // an attempt can have reached the backend server.
--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -15,7 +15,7 @@
 func (c *Client) receive(ctx context.Context, pool *connPool, cn *conn, req *Request, res *http.Response) Answer {
 	if isUnframed(req.Method, res) {
 		pool.drop(cn)
-		return Answer{Outcome: outcome.Unknown, Failure: FailureUnframed, Err: errors.New("answer without a length")}
+		return Answer{Outcome: outcome.Unknown, Failure: FailureUnframed, Err: errors.New("answer ends only with its connection")}
 	}
 	length := res.ContentLength
 	if hasNoBody(req.Method, res.StatusCode) {
@@ -90,7 +90,7 @@
 	if n == 0 && (err == nil || errors.Is(err, io.EOF)) {
 		return nil
 	}
-	return errors.New("answer longer than its length")
+	return errors.New("answer body is longer than its Content-Length")
 }
 
 // answerRest is the remainder of a streamed answer.
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -163,6 +163,6 @@
 // connection has ended and the write fails too.
 func (h *Handler) extendWriteDeadline(w http.ResponseWriter) {
 	if err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(h.cfg.StallTimeout)); err != nil {
-		h.cfg.Logger.Debug("caller has gone before its answer was written", "error", err)
+		h.cfg.Logger.Debug("caller disconnected before its answer was written", "error", err)
 	}
 }
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -90,14 +90,14 @@
 func (s *Server) gracefulStop(ctx context.Context) {
 	s.cfg.Readiness.Unready("callers", "the process is stopping")
 	s.cfg.Handler.Leave()
-	s.cfg.Logger.Info("stopping: unready, still taking requests", "notice", s.cfg.Notice)
+	s.cfg.Logger.Info("stopping: unready, still serving requests", "notice", s.cfg.Notice)
 	wait.Sleep(ctx, s.cfg.Notice)
 	limit := s.cfg.Drain()
 	s.cfg.Logger.Info("stopping: finishing requests in flight", "in_flight", s.cfg.Handler.InFlight(), "limit", limit)
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	if err := s.http.Shutdown(ctx); err != nil {
-		s.cfg.Logger.Warn("stopping: requests were cut at the limit", "in_flight", s.cfg.Handler.InFlight())
+		s.cfg.Logger.Warn("stopping: requests were aborted at the limit", "in_flight", s.cfg.Handler.InFlight())
 		_ = s.http.Close()
 	}
 }
--- a/internal/entry/table.go
+++ b/internal/entry/table.go
@@ -77,7 +77,7 @@
 }
 
 func (e *Entry) catchUp(ctx context.Context) {
-	e.cfg.Logger.Warn("the process was paused; reading the log before sending new work")
+	e.cfg.Logger.Warn("the process was paused; reading the log before sending new attempts")
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	if err := e.cfg.Follower.CatchUp(ctx); err != nil {
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,19 +1,19 @@
-// Package outcome holds what the system may say about a caller's request, and
-// the headers that carry it. The request path, the claims on not-repeatable
-// requests and the load generator share it.
+// Package outcome defines the outcomes of a caller's request and the headers that
+// carry them. The request path, the claims on not-repeatable requests and the load
+// generator share it.
 package outcome
 
-// Outcome says whether a request ran on a backend server.
+// Outcome states whether a request ran on a backend server.
 type Outcome string
 
 // Outcomes of a request.
 const (
-	// Ran: a backend server answered it completely.
+	// Ran means that a backend server answered the request completely.
 	Ran Outcome = "ran"
-	// NotRun: no byte of it reached a backend server, or the backend server
-	// itself said that it did not run. Sending it again is safe.
+	// NotRun means that no byte of the request reached a backend server, or that the
+	// backend server reported that it did not run it. A retry is safe.
 	NotRun Outcome = "not-run"
-	// Unknown: it may have run, or may still be running.
+	// Unknown means that the request may have run or may still be running.
 	Unknown Outcome = "unknown"
 )
 
@@ -22,18 +22,18 @@
 
 // Headers between callers, entry VMs and backend servers.
 const (
-	// HeaderKey is the key of a not-repeatable request: a ULID or UUIDv7.
+	// HeaderKey holds the key of a not-repeatable request: a ULID or UUIDv7.
 	HeaderKey = "Yuccadrift-Key"
-	// HeaderDeadline is how many milliseconds are left, as an integer.
+	// HeaderDeadline holds the milliseconds left, as an integer.
 	HeaderDeadline = "Yuccadrift-Deadline"
-	// HeaderAttempt counts a caller's attempts from 1.
+	// HeaderAttempt holds the number of the caller's attempt, from 1.
 	HeaderAttempt = "Yuccadrift-Attempt"
-	// HeaderOutcome is the Outcome of the request, on every answer.
+	// HeaderOutcome holds the Outcome of the request; it is set on every answer.
 	HeaderOutcome = "Yuccadrift-Outcome"
-	// HeaderReason is the Reason of an answer that the system itself wrote.
+	// HeaderReason holds the Reason of an answer that is not from a backend server.
 	HeaderReason = "Yuccadrift-Reason"
-	// HeaderBackend is a backend server's own word about a request: with the
-	// value BackendNotRun it refused the request before it did anything.
+	// HeaderBackend is set by backend servers. With the value BackendNotRun it states
+	// that the backend server refused the request without running it.
 	HeaderBackend = "Yuccadrift-Backend"
 	// BackendNotRun is the value of HeaderBackend for a refused request.
 	BackendNotRun = "not-run"
--- a/internal/peerserver/peerserver.go
+++ b/internal/peerserver/peerserver.go
@@ -14,26 +14,26 @@
 	"github.com/yuccadrift/yuccadrift/internal/supervise"
 )
 
-// Bounds of peer connections.
+// Limits of peer connections.
 const (
-	// maxStreams is how many calls one peer may have open at once.
+	// maxStreams is the maximum number of concurrent calls of one peer.
 	maxStreams = 1024
-	// A peer that vanished without closing its connection is noticed after
-	// pingAfter and pingTimeout, so that calls to it do not hang.
+	// A peer that vanished without closing its connection is detected after
+	// keepaliveInterval and keepaliveTimeout, so that calls to it don't hang.
 	keepaliveInterval = 2 * time.Second
 	keepaliveTimeout  = 2 * time.Second
-	// minPingInterval is the shortest interval at which peers may ping.
+	// minPingInterval is the minimum interval at which peers may ping.
 	minPingInterval = time.Second
-	// flowControlWindow is the flow control window in bytes, of streams and connections.
-	// It is fixed: with grpc-go's estimate of a connection's bandwidth each
-	// message of a few bytes is answered by a ping and a window update, which
-	// doubles the bytes of leases and greetings.
+	// flowControlWindow is the flow control window of streams and connections in bytes.
+	// It is fixed because grpc-go's bandwidth estimation answers each message of a few
+	// bytes with a ping and a window update, which doubles the bytes of lease and
+	// membership messages.
 	flowControlWindow = 1 << 20
-	// stopTimeout is what calls in progress get when the daemon stops.
+	// stopTimeout is the time that calls in progress get to finish when the daemon stops.
 	stopTimeout = 2 * time.Second
 )
 
-// DialOptions are what clients of a Server add to their options.
+// DialOptions returns the dial options that clients of a Server must use.
 func DialOptions() []grpc.DialOption {
 	return []grpc.DialOption{
 		grpc.WithStaticStreamWindowSize(flowControlWindow),
@@ -47,7 +47,7 @@
 	grpc     *grpc.Server
 }
 
-// New returns a Server on listener, which it owns from then on.
+// New returns a Server that owns listener.
 func New(listener net.Listener) *Server {
 	return &Server{
 		listener: listener,
@@ -61,11 +61,12 @@
 	}
 }
 
-// Registrar takes services; it must be used before Serve.
+// Registrar returns the registrar for the peer services. Services must be registered
+// before Serve.
 func (s *Server) Registrar() grpc.ServiceRegistrar { return s.grpc }
 
-// Serve answers until ctx ends. It is a duty's Serve function. The listener
-// cannot be taken up again after a failure, so errors are fatal.
+// Serve serves calls until ctx ends. It is a duty's Serve function. The listener can't
+// be reused after a failure, so errors are fatal.
 func (s *Server) Serve(ctx context.Context) error {
 	ended := make(chan error, 1)
 	go func() { ended <- s.grpc.Serve(s.listener) }()
@@ -79,7 +80,7 @@
 	}
 }
 
-// stop lets calls in progress finish and then cuts them.
+// stop waits up to stopTimeout for calls in progress and then cancels them.
 func (s *Server) stop() {
 	cut := time.AfterFunc(stopTimeout, s.grpc.Stop)
 	defer cut.Stop()
--- a/internal/peerserver/peerserver_test.go
+++ b/internal/peerserver/peerserver_test.go
@@ -18,9 +18,9 @@
 func (emptyState) View(f func(*ledger.State)) { f(ledger.New()) }
 func (emptyState) Fresh() time.Time           { return time.Time{} }
 
-// A command line waits for an offset that never comes while the daemon is told
-// to stop. The daemon must stop all the same, within the time for calls in
-// progress, and the caller must be told that the node is gone.
+// A command-line client waits for an offset that is never reached while the daemon
+// stops. The daemon must stop within the time for calls in progress, and the client
+// must get ErrUnreachable.
 func TestStopCancelsWaitingCalls(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/ports/ports.go
+++ b/internal/ports/ports.go
@@ -1,5 +1,5 @@
-// Package ports reserves TCP ports for servers that come and go at one address, as the
-// processes of tests and the stand-in's workers do.
+// Package ports reserves TCP ports for servers that restart at one address, such as
+// the processes of tests and the workers of the platform stand-in.
 package ports
 
 import (
@@ -10,20 +10,21 @@
 	"github.com/pkg/errors"
 )
 
-// Reservation keeps a port of an IP number. The port is bound by a socket that doesn't listen:
-// the kernel gives it to nobody who asks for a free one, while a server that names it can
-// listen there, as Go sets SO_REUSEADDR.
+// Reservation keeps a port of an IP address reserved. The port is bound by a socket
+// that doesn't listen: the kernel never assigns it as a free port, but a server can
+// listen on it explicitly, since Go sets SO_REUSEADDR.
 type Reservation struct {
 	file *os.File
 	port int
 }
 
-// Reserve reserves a port of an IPv4 number, any free one for port 0. A port that others
-// listen on is an error. One that is reserved already isn't: the caller names none of those.
+// Reserve reserves a port of an IPv4 address, any free one for port 0. It returns an
+// error if another socket listens on the port. It doesn't detect a port that is
+// reserved already: the caller must not reserve a port twice.
 func Reserve(ip string, port int) (r Reservation, err error) {
 	address, err := netip.ParseAddr(ip)
 	if err != nil || !address.Is4() {
-		return r, errors.Errorf("reserve a port: %q is no IPv4 number", ip)
+		return r, errors.Errorf("reserve a port: %q is not an IPv4 address", ip)
 	}
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -37,7 +38,7 @@
 	return r, nil
 }
 
-// bind binds a socket so that others may listen on its port, and returns that.
+// bind binds a socket with SO_REUSEADDR and returns its port.
 func bind(fd int, address netip.Addr, port int) (int, error) {
 	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return 0, err
@@ -56,8 +57,8 @@
 	return bound.Port, nil
 }
 
-// Port returns the port's number.
+// Port returns the port number.
 func (r Reservation) Port() int { return r.port }
 
-// Release gives the port back.
-func (r Reservation) Release() { _ = r.file.Close() } // nothing was written
+// Release releases the port.
+func (r Reservation) Release() { _ = r.file.Close() } // nothing was written to the file
--- a/internal/ports/ports_test.go
+++ b/internal/ports/ports_test.go
@@ -13,8 +13,8 @@
 
 const ip = "127.0.0.1"
 
-// A server can't come back at its address, "address already in use": while it was down
-// another listener, or a connection, got its port.
+// A restarted server fails with "address already in use" if another listener or a
+// connection got its port while it was down.
 func TestReservedPortStaysAvailableToItsServer(t *testing.T) {
 	r, err := ports.Reserve(ip, 0)
 	require.NoError(t, err)
@@ -41,5 +41,5 @@
 	_, err = ports.Reserve(ip, l.Addr().(*net.TCPAddr).Port)
 	assert.ErrorContains(t, err, "address already in use")
 	_, err = ports.Reserve("localhost", 0)
-	assert.ErrorContains(t, err, `"localhost" is no IPv4 number`)
+	assert.ErrorContains(t, err, `"localhost" is not an IPv4 address`)
 }
--- a/internal/requestmetrics/requestmetrics.go
+++ b/internal/requestmetrics/requestmetrics.go
@@ -1,4 +1,4 @@
-// Package requestmetrics counts what happens on the request path.
+// Package requestmetrics provides the Prometheus metrics of the request path.
 package requestmetrics
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/routing"
 )
 
-// Metrics is the request path's metrics.
+// Metrics holds the metrics of requests, retries and shed requests.
 type Metrics struct {
 	requests *prometheus.CounterVec
 	latency  *prometheus.HistogramVec
@@ -39,11 +39,11 @@
 		}),
 		retries: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "yuccadrift_retries_total",
-			Help: "Further tries at a backend server by the failure that led to them.",
+			Help: "Retries at backend servers by the failure that caused them.",
 		}, []string{"service", "failure"}),
 		sheds: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "yuccadrift_sheds_total",
-			Help: "Requests that no backend server could take, by the refusal.",
+			Help: "Requests that no backend server could take, by refusal.",
 		}, []string{"service", "class", "refusal"}),
 	}
 	reg.MustRegister(m.requests, m.latency, m.inFlight, m.retries, m.sheds)
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds pauses that end early with their context.
+// Package wait provides sleeps that end early when their context is done.
 package wait
 
 import (
@@ -11,8 +11,8 @@
 	return SleepUntil(ctx, d, nil)
 }
 
-// SleepUntil is Sleep that also ends, without an error, once early is closed or
-// sends. A nil early never does.
+// SleepUntil is like Sleep, but also ends, without an error, when early is closed or
+// receives a value. A nil early is ignored.
 func SleepUntil(ctx context.Context, d time.Duration, early <-chan struct{}) error {
 	if d <= 0 {
 		return ctx.Err()
@@ -27,9 +27,9 @@
 	return ctx.Err()
 }
 
-// Pause is Sleep for loops that look at their context themselves.
+// Pause is like Sleep, for loops that check their context themselves.
 func Pause(ctx context.Context, d time.Duration) {
 	if err := Sleep(ctx, d); err != nil {
-		return // the loop's condition sees it
+		return // the caller's loop checks ctx
 	}
 }
