--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -76,9 +76,9 @@
 func (c *Client) Update(shares map[string]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for address, most := range shares {
+	for address, limit := range shares {
 		if p := c.servers[address]; p != nil {
-			p.resize(most)
+			p.resize(limit)
 			continue
 		}
 		c.servers[address] = &connPool{
@@ -86,7 +86,7 @@
 			transport: c.transport,
 			dialer:    net.Dialer{Timeout: c.cfg.ConnectTimeout},
 			idleFor:   c.cfg.IdleTimeout,
-			max:       most,
+			max:       limit,
 		}
 	}
 	for address, p := range c.servers {
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -30,10 +30,10 @@
 	net.Listener
 	script script
 
-	mu    sync.Mutex
-	runs  []string // paths of the requests read
-	conns int
-	most  int // maximum number of open connections
+	mu       sync.Mutex
+	runs     []string // paths of the requests read
+	conns    int
+	maxConns int // maximum number of open connections
 }
 
 func serve(t *testing.T, s script) *scriptedServer {
@@ -56,7 +56,7 @@
 func (b *scriptedServer) handle(c net.Conn) {
 	b.mu.Lock()
 	b.conns++
-	b.most = max(b.most, b.conns)
+	b.maxConns = max(b.maxConns, b.conns)
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
@@ -291,7 +291,7 @@
 // All entry VMs share a backend server's connections. Each must stay within its share
 // even with many requests in flight; the excess requests are not run.
 func TestConnectionsStayWithinShare(t *testing.T) {
-	const most, calls = 2, 6
+	const limit, calls = 2, 6
 	held := make(chan struct{})
 	b := serve(t, func(int, *http.Request) []byte { <-held; return ok("") })
 	c := client(b)
@@ -299,15 +299,15 @@
 	for range calls {
 		go func() { answers <- c.Do(t.Context(), request(b, http.MethodGet, "/lookup", nil, "")) }()
 	}
-	for range calls - most {
+	for range calls - limit {
 		ans := <-answers
 		assert.Equal(t, outcome.NotRun, ans.Outcome)
 		assert.ErrorIs(t, ans.Err, errNoConnection)
 	}
 	close(held)
-	for range most {
+	for range limit {
 		assert.Equal(t, outcome.Ran, (<-answers).Outcome)
 	}
-	assert.LessOrEqual(t, b.most, most)
-	assert.Equal(t, most, b.count("/lookup"))
+	assert.LessOrEqual(t, b.maxConns, limit)
+	assert.Equal(t, limit, b.count("/lookup"))
 }
--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -58,13 +58,13 @@
 		res.Header.Get(outcome.HeaderBackend) == outcome.BackendNotRun
 }
 
-// readUpTo reads a body of at most most bytes. If the body is longer, whole is false
+// readUpTo reads a body of at most limit bytes. If the body is longer, whole is false
 // and held is its start, which may be empty.
-func readUpTo(body io.Reader, length int64, most int) (held []byte, whole bool, err error) {
+func readUpTo(body io.Reader, length int64, limit int) (held []byte, whole bool, err error) {
 	if length == 0 {
 		return nil, true, nil
 	}
-	if length > 0 && length <= int64(most) {
+	if length > 0 && length <= int64(limit) {
 		held = make([]byte, length)
 		_, err = io.ReadFull(body, held)
 		if err != nil {
@@ -72,14 +72,14 @@
 		}
 		return held, true, expectEnd(body)
 	}
-	if length > int64(most) {
+	if length > int64(limit) {
 		return nil, false, nil
 	}
-	held, err = io.ReadAll(io.LimitReader(body, int64(most)+1))
+	held, err = io.ReadAll(io.LimitReader(body, int64(limit)+1))
 	if err != nil {
 		return nil, false, err
 	}
-	return held, len(held) <= most, nil
+	return held, len(held) <= limit, nil
 }
 
 // expectEnd reads the end of a body whose length was reached, so that net/http sees
--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -68,7 +68,7 @@
 		body:     http.MaxBytesReader(w, r.Body, limit),
 		control:  control,
 		deadline: call.Deadline,
-		stall:    h.cfg.StallTimeout,
+		timeout:  h.cfg.StallTimeout,
 	}
 	body, err := readAll(stall, r.ContentLength)
 	if err != nil {
@@ -94,12 +94,12 @@
 	body     io.Reader
 	control  *http.ResponseController
 	deadline time.Time
-	stall    time.Duration
+	timeout  time.Duration
 }
 
 // Read implements io.Reader.
 func (s *stallReader) Read(b []byte) (int, error) {
-	until := time.Now().Add(s.stall)
+	until := time.Now().Add(s.timeout)
 	if s.deadline.Before(until) {
 		until = s.deadline
 	}
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -32,7 +32,7 @@
 	// Began is called at the start and Ended at the end of every request. service is
 	// empty if the request names no service.
 	Began()
-	Ended(service string, class document.Class, o outcome.Outcome, why outcome.Reason, took time.Duration)
+	Ended(service string, class document.Class, o outcome.Outcome, reason outcome.Reason, took time.Duration)
 }
 
 // HandlerConfig configures a Handler. Sizes are in bytes.
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -47,8 +47,8 @@
 
 // Observer records metrics of retries and shed requests.
 type Observer interface {
-	Retried(service string, why backend.Failure)
-	Shed(service string, class document.Class, why routing.Refusal)
+	Retried(service string, failure backend.Failure)
+	Shed(service string, class document.Class, refusal routing.Refusal)
 }
 
 // Config configures a Dispatcher.
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -58,8 +58,8 @@
 		d, f := newTwoSlotDispatcher()
 		first, second := d.doTimed(t, document.ClassQuick), d.doTimed(t, document.ClassQuick)
 		waiting := d.doTimed(t, document.ClassQuick)
-		surplus, long := <-d.doTimed(t, document.ClassQuick), <-d.doTimed(t, document.ClassLong)
-		for _, shed := range []timedResult{surplus, long} {
+		excess, long := <-d.doTimed(t, document.ClassQuick), <-d.doTimed(t, document.ClassLong)
+		for _, shed := range []timedResult{excess, long} {
 			assert.Equal(t, outcome.NotRun, shed.Outcome)
 			assert.Equal(t, outcome.Reason(routing.Busy), shed.Reason)
 			assert.GreaterOrEqual(t, shed.RetryAfter, shedRetryAfter)
--- a/internal/entry/leave_test.go
+++ b/internal/entry/leave_test.go
@@ -21,9 +21,9 @@
 // callerLoad sends POST requests, which HTTP clients don't retry by themselves, in
 // sequence on persistent connections, until the balancer removes the entry.
 type callerLoad struct {
-	wg  sync.WaitGroup
-	mu  sync.Mutex
-	got []reply
+	wg      sync.WaitGroup
+	mu      sync.Mutex
+	replies []reply
 }
 
 func (r *rig) callers(n int, path string, header http.Header) *callerLoad {
@@ -33,7 +33,7 @@
 			for !r.removedByBalancer() {
 				got := r.send(http.MethodPost, path, header.Clone(), nil)
 				c.mu.Lock()
-				c.got = append(c.got, got)
+				c.replies = append(c.replies, got)
 				c.mu.Unlock()
 			}
 		})
@@ -45,10 +45,10 @@
 	if len(r.entry.Ready.Reasons()) == 0 {
 		return false
 	}
-	at := r.unready.Load()
+	at := r.unreadySince.Load()
 	if at == nil {
 		now := time.Now()
-		r.unready.CompareAndSwap(nil, &now)
+		r.unreadySince.CompareAndSwap(nil, &now)
 		return false
 	}
 	return time.Since(*at) > balancerLag
@@ -57,14 +57,14 @@
 func (c *callerLoad) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.got)
+	return len(c.replies)
 }
 
 // requireCompleteAnswers checks that every request got its complete answer.
 func (c *callerLoad) requireCompleteAnswers(t *testing.T) {
 	t.Helper()
 	c.wg.Wait()
-	for _, got := range c.got {
+	for _, got := range c.replies {
 		require.NoError(t, got.err)
 		require.Equal(t, string(outcome.Ran), got.header.Get(outcome.HeaderOutcome), got.body)
 	}
@@ -128,14 +128,14 @@
 // once instead of waiting, and must not run.
 func TestExcessRequestsAreShedImmediately(t *testing.T) {
 	r := newRig(t)
-	const slots, surplus = 3 * 8, 10
+	const slots, excess = 3 * 8, 10
 	gate := standin.Fault{Kind: standin.BackendFreeze}
 	r.injectFault(gate)
-	answers := make(chan reply, slots+surplus)
-	for range slots + surplus {
+	answers := make(chan reply, slots+excess)
+	for range slots + excess {
 		go func() { answers <- r.send(http.MethodPost, "/booking/lookup", nil, nil) }()
 	}
-	for range surplus {
+	for range excess {
 		got := <-answers
 		assert.Equal(t, http.StatusServiceUnavailable, got.status)
 		assert.Equal(t, string(outcome.NotRun), got.header.Get(outcome.HeaderOutcome))
--- a/internal/entry/rig_test.go
+++ b/internal/entry/rig_test.go
@@ -20,10 +20,10 @@
 // rig is the request path of an entry process with a stand-in platform.
 type rig struct {
 	*requests.Rig
-	t       testing.TB
-	entry   *requests.Entry
-	url     string
-	unready atomic.Pointer[time.Time] // when the balancer first saw the entry as unready
+	t            testing.TB
+	entry        *requests.Entry
+	url          string
+	unreadySince atomic.Pointer[time.Time] // when the balancer first saw the entry as unready
 }
 
 func newRig(t testing.TB) *rig {
--- a/internal/peerserver/peerserver.go
+++ b/internal/peerserver/peerserver.go
@@ -26,8 +26,8 @@
 	minPingInterval = time.Second
 	// flowControlWindow is the flow control window of streams and connections in bytes.
 	// It is fixed because grpc-go's bandwidth estimation answers each message of a few
-	// bytes with a ping and a window update, which doubles the bytes of lease and
-	// membership messages.
+	// bytes with a ping and a window update, which doubles the bytes of leases and
+	// greetings.
 	flowControlWindow = 1 << 20
 	// stopTimeout is the time that calls in progress get to finish when the daemon stops.
 	stopTimeout = 2 * time.Second
--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -69,7 +69,7 @@
 
 // share returns this process's equal share of the pool's slots.
 func (p *Pool) share() float64 {
-	return float64(p.slots*len(p.listed)) / float64(p.members)
+	return float64(p.slots*len(p.inTable)) / float64(p.members)
 }
 
 // admitsLong reports whether one more long request leaves enough of this process's
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -99,7 +99,7 @@
 
 func (p *Pool) countEjected() int {
 	n := 0
-	for _, ep := range p.listed {
+	for _, ep := range p.inTable {
 		if ep.health.probing {
 			n++
 		}
@@ -108,7 +108,7 @@
 }
 
 func (p *Pool) maxEjected() int {
-	n := len(p.listed)
+	n := len(p.inTable)
 	return min((n+ejectDivisor-1)/ejectDivisor, n-1)
 }
 
@@ -124,8 +124,8 @@
 func (p *Pool) Status() Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := Status{Backends: len(p.listed), Ejected: p.countEjected(), InFlight: p.demand.quick + p.demand.long}
-	for _, ep := range p.listed {
+	s := Status{Backends: len(p.inTable), Ejected: p.countEjected(), InFlight: p.demand.quick + p.demand.long}
+	for _, ep := range p.inTable {
 		if ep.isLastResort() {
 			s.Unhealthy++
 		}
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -72,7 +72,7 @@
 
 	mu                    sync.Mutex
 	endpoints             map[string]*endpoint
-	listed                []*endpoint // backends in the table
+	inTable               []*endpoint // backends in the table
 	slots                 int         // per backend
 	maxInFlightPerBackend int         // attempts from this process
 	members               int
@@ -87,7 +87,7 @@
 	othersInUse   float64 // estimated slots in use by other entry VMs at othersInUseAt
 	othersInUseAt time.Time
 	health        health
-	listed        bool
+	inTable       bool
 	// unhealthy is the result of this process's health checks.
 	unhealthy bool
 }
@@ -119,9 +119,9 @@
 		p.maxInFlightPerBackend = max(1, p.slots/p.members)
 	}
 	for _, ep := range p.endpoints {
-		ep.listed = false
+		ep.inTable = false
 	}
-	p.listed = p.listed[:0]
+	p.inTable = p.inTable[:0]
 	for _, b := range svc.Backends {
 		ep := p.endpoints[b.VM]
 		if ep == nil {
@@ -129,11 +129,11 @@
 			p.endpoints[b.VM] = ep
 		}
 		ep.Backend = b
-		ep.listed = true
-		p.listed = append(p.listed, ep)
+		ep.inTable = true
+		p.inTable = append(p.inTable, ep)
 	}
 	for vm, ep := range p.endpoints {
-		if !ep.listed && ep.inFlight == 0 {
+		if !ep.inTable && ep.inFlight == 0 {
 			delete(p.endpoints, vm)
 		}
 	}
@@ -157,7 +157,7 @@
 func (p *Pool) Pick(now time.Time, rnd Rand, q Query) (Lease, Refusal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.listed) == 0 {
+	if len(p.inTable) == 0 {
 		return Lease{}, NoBackends
 	}
 	if q.Class == document.ClassLong && !p.admitsLong(now) {
@@ -176,12 +176,12 @@
 }
 
 func (p *Pool) choose(now time.Time, rnd Rand, q Query) *endpoint {
-	near := p.pickOfTwo(now, rnd, q, func(ep *endpoint) bool { return ep.Zone == p.zone && !ep.isLastResort() })
-	if near != nil && near.slotsInUse(now)/float64(p.slots) < localZoneMaxUse && near.health.errorRate(now) < ejectErrorRate {
-		return near
+	local := p.pickOfTwo(now, rnd, q, func(ep *endpoint) bool { return ep.Zone == p.zone && !ep.isLastResort() })
+	if local != nil && local.slotsInUse(now)/float64(p.slots) < localZoneMaxUse && local.health.errorRate(now) < ejectErrorRate {
+		return local
 	}
-	far := p.pickOfTwo(now, rnd, q, func(ep *endpoint) bool { return !ep.isLastResort() })
-	if best := lessLoaded(now, near, far); best != nil {
+	anyZone := p.pickOfTwo(now, rnd, q, func(ep *endpoint) bool { return !ep.isLastResort() })
+	if best := lessLoaded(now, local, anyZone); best != nil {
 		return best
 	}
 	return p.pickOfTwo(now, rnd, q, func(ep *endpoint) bool { return ep.isLastResort() })
@@ -192,7 +192,7 @@
 func (p *Pool) pickOfTwo(now time.Time, rnd Rand, q Query, pass func(*endpoint) bool) *endpoint {
 	var a, b *endpoint
 	n := 0
-	for _, ep := range p.listed {
+	for _, ep := range p.inTable {
 		if !pass(ep) || !p.admits(now, ep, q) {
 			continue
 		}
@@ -272,7 +272,7 @@
 	case EvidenceBad:
 		p.recordFailure(now, ep)
 	}
-	if !ep.listed && ep.inFlight == 0 {
+	if !ep.inTable && ep.inFlight == 0 {
 		delete(p.endpoints, ep.VM)
 	}
 }
