--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -17,9 +17,9 @@
 	// othersHalfLife is the half-life of the estimate of slots in use by other entry
 	// VMs.
 	othersHalfLife = 50 * time.Millisecond
-	// errorWeight is the factor by which an error rate of 1 raises a backend's load. A
-	// backend that fails immediately has no requests in flight and would otherwise
-	// attract requests.
+	// errorWeight is how much an error rate of 1 adds to a backend's load, as a multiple
+	// of the load. A backend that fails immediately has no requests in flight and would
+	// otherwise attract requests.
 	errorWeight = 16.0
 )
 
