--- a/internal/caller/parse.go
+++ b/internal/caller/parse.go
@@ -13,7 +13,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/routing"
 )
 
-// Reasons for refusing a request that is wrong in itself.
+// Reasons for rejecting a request before it is sent to a backend server.
 const (
 	ReasonStarting outcome.Reason = "starting"
 	ReasonService  outcome.Reason = "unknown-service"
@@ -29,21 +29,21 @@
 	ReasonMemory   outcome.Reason = "no-memory-for-body"
 )
 
-// Bounds of what callers' headers may say.
+// Limits on values in callers' headers.
 const (
 	maxDeadline = 24 * time.Hour
 	maxAttempt  = 1000
-	// quoteMax is how much of a bad value an error line repeats, in bytes.
-	quoteMax = 40
+	// maxQuotedBytes is the maximum length in bytes of an invalid value in an error line.
+	maxQuotedBytes = 40
 )
 
-// problem is a request that is answered without being sent on.
+// problem describes why a request is answered without being sent to a backend server.
 type problem struct {
-	status int
-	reason outcome.Reason
-	line   string
-	after  time.Duration
-	// transient: an earlier attempt may have met no such problem.
+	status     int
+	reason     outcome.Reason
+	line       string
+	retryAfter time.Duration
+	// transient is true if an earlier attempt may not have had this problem.
 	transient bool
 }
 
@@ -51,26 +51,26 @@
 	return &problem{status: http.StatusBadRequest, reason: reason, line: fmt.Sprintf(format, args...)}
 }
 
-// parse reads what the request line and header say. The body is left.
+// parse parses the request line and header. It does not read the body.
 func (h *Handler) parse(r *http.Request, now time.Time) (*dispatch.Call, *problem) {
 	if n := headerSize(r); n > h.cfg.MaxHeader {
 		return nil, &problem{
 			status: http.StatusRequestHeaderFieldsTooLarge,
 			reason: ReasonHeader,
-			line:   fmt.Sprintf("the header has %d bytes; at most %d are taken", n, h.cfg.MaxHeader),
+			line:   fmt.Sprintf("the header has %d bytes; at most %d are accepted", n, h.cfg.MaxHeader),
 		}
 	}
-	if !plainPath(r.URL) {
+	if !isUnambiguousPath(r.URL) {
 		return nil, badRequest(ReasonPath, "the path must have no . or .. element, no empty element and no encoded slash")
 	}
 	name, rest := routing.Split(r.URL.Path)
 	table := h.cfg.Dispatcher.Table()
 	if table.Offset == 0 {
 		return nil, &problem{
-			status: http.StatusServiceUnavailable,
-			reason: ReasonStarting,
-			line:   "this entry VM has just started and knows no service yet; try another one",
-			after:  time.Second,
+			status:     http.StatusServiceUnavailable,
+			reason:     ReasonStarting,
+			line:       "this entry VM has just started and knows no service yet; try another one",
+			retryAfter: time.Second,
 
 			transient: true,
 		}
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// headerSize is the size of the request line and header as sent, about.
+// headerSize returns the approximate size of the request line and header as sent.
 func headerSize(r *http.Request) int {
 	const separators = 4 // colon, space, CR, LF
 	n := len(r.RequestURI) + len(r.Host)
@@ -166,10 +166,10 @@
 	return n
 }
 
-// plainPath reports whether the path means the same to every reader. A backend
-// server that resolves /lookup/../book would run a booking under the rules of
-// a repeatable lookup, and so possibly twice.
-func plainPath(u *url.URL) bool {
+// isUnambiguousPath reports whether all servers interpret the path alike. A backend
+// server that resolves /lookup/../book would run a booking under the rules of a
+// repeatable lookup, and so possibly twice.
+func isUnambiguousPath(u *url.URL) bool {
 	if !strings.HasPrefix(u.Path, "/") || strings.Contains(u.Path, "//") || strings.Contains(u.Path, `\`) {
 		return false
 	}
@@ -185,7 +185,7 @@
 	return !strings.Contains(strings.ToLower(u.RawPath), "%2f")
 }
 
-// restURL is the URL without its first path element.
+// restURL returns the URL without its first path element.
 func restURL(u *url.URL, service string) *url.URL {
 	out := &url.URL{Path: rootIfEmpty(u.Path[1+len(service):]), RawQuery: u.RawQuery}
 	if u.RawPath != "" {
@@ -203,8 +203,8 @@
 }
 
 func clip(s string) string {
-	if len(s) > quoteMax {
-		return s[:quoteMax] + "..."
+	if len(s) > maxQuotedBytes {
+		return s[:maxQuotedBytes] + "..."
 	}
 	return s
 }
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -14,43 +14,43 @@
 	"github.com/yuccadrift/yuccadrift/internal/routing"
 )
 
-// reasonGone is given when the caller's time was up before anything was sent.
-const reasonGone outcome.Reason = "deadline"
+// reasonDeadline means that the caller's deadline passed before anything was sent.
+const reasonDeadline outcome.Reason = "deadline"
 
-// refusedStale: the process was paused, and its time was up before the log was
-// read again.
-const refusedStale routing.Refusal = "table-not-current"
+// refusalStaleTable means that the process was paused and the caller's deadline
+// passed before the log was read again.
+const refusalStaleTable routing.Refusal = "table-not-current"
 
-// Bounds of the tries for one request.
+// Limits on the tries for one request.
 const (
 	maxTries = 4
-	// refusedTries refusals are followed by a try elsewhere at once, and
-	// maxRefusals in all.
-	refusedTries = 2
-	maxRefusals  = 20
-	// refusalShare is the share of fresh requests that may be tried again after
-	// a refusal of a backend server.
+	// The first immediateRefusalTries refusals are followed by a try at another
+	// backend server at once; maxRefusals bounds all tries that were refused.
+	immediateRefusalTries = 2
+	maxRefusals           = 20
+	// refusalShare is the number of tries after a refusal that each new request
+	// adds to the budget.
 	refusalShare = 1.0
-	// slowShare: an attempt that took this share of the route's deadline without
-	// an answer speaks against the backend server.
-	slowShare = 0.25
-	// retryShed is the least that a caller is told to wait after being shed, and
-	// retryShedLong for a long request. retrySpread seconds are drawn on top: told
-	// the same time, all that were shed in a burst would return as one.
-	retryShed     = time.Second
-	retryShedLong = 5 * time.Second
-	retrySpread   = 3
-	// staleCheck is how often a held request looks for a current table.
-	staleCheck = 5 * time.Millisecond
+	// An attempt that took slowAttemptShare of the route's deadline without an
+	// answer counts as a failure of the backend server.
+	slowAttemptShare = 0.25
+	// shedRetryAfter is the minimum Retry-After of a shed quick request,
+	// shedRetryAfterLong that of a long one. Up to retryAfterJitterSeconds-1 random
+	// seconds are added, so that callers shed in one burst don't return together.
+	shedRetryAfter          = time.Second
+	shedRetryAfterLong      = 5 * time.Second
+	retryAfterJitterSeconds = 3
+	// staleTablePollInterval is how often a held request checks for a current table.
+	staleTablePollInterval = 5 * time.Millisecond
 )
 
-// Call is one caller's request, read completely.
+// Call is one caller's request, with its complete body.
 type Call struct {
 	Service string
 	Limits  document.Limits
 	Route   document.Route
-	Key     string // of a not-repeatable request
-	First   bool   // the caller says that this is its first attempt
+	Key     string // key of a not-repeatable request
+	First   bool   // whether the caller marked this as its first attempt
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
 	Method   string
@@ -60,97 +60,100 @@
 	Body     []byte
 }
 
-// Result is what became of a call. Answer.Status is 0 when there is no answer
-// of a backend server to pass on. Close must be called once the answer was
-// passed on, with whether all of it arrived from the backend server.
+// Result is the result of a call. Answer.Status is 0 when there is no answer of
+// a backend server to pass on. Close must be called once the answer was passed
+// on; whole states whether all of it arrived from the backend server.
 type Result struct {
 	Answer     backend.Answer
 	Outcome    outcome.Outcome
 	Reason     outcome.Reason
 	RetryAfter time.Duration
-	// Denied: the call was not run because of an earlier one with its key.
+	// Denied is true when the call was not run because of an earlier call with
+	// its key.
 	Denied bool
 	Tries  int
 	Close  func(whole bool)
 }
 
-func noAnswer(o outcome.Outcome, why outcome.Reason, after time.Duration) Result {
-	return Result{Outcome: o, Reason: why, RetryAfter: after, Close: func(bool) {}}
+func noAnswer(o outcome.Outcome, reason outcome.Reason, retryAfter time.Duration) Result {
+	return Result{Outcome: o, Reason: reason, RetryAfter: retryAfter, Close: func(bool) {}}
 }
 
-// Do sends a call on. ctx ends when the caller went away; a not-repeatable call
-// that was sent goes on until its deadline, so that its end is known.
+// Do sends a call to a backend server. ctx ends when the caller disconnects; a
+// not-repeatable call that was sent continues until its deadline, so that its
+// outcome can be recorded.
 func (d *Dispatcher) Do(ctx context.Context, call *Call) Result {
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	if call.Route.Repeatable {
-		return d.tries(ctx, cancel, call)
+		return d.doTries(ctx, cancel, call)
 	}
-	return d.once(ctx, cancel, call)
+	return d.doWithClaim(ctx, cancel, call)
 }
 
-// current waits until the table may be used, see routing.Pause.
-func (d *Dispatcher) current(ctx context.Context) bool {
-	for d.held() {
+// awaitCurrentTable waits until the table may be used (see routing.Pause) and
+// reports whether that happened before ctx ended.
+func (d *Dispatcher) awaitCurrentTable(ctx context.Context) bool {
+	for d.holdsNewAttempts() {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(staleCheck):
+		case <-time.After(staleTablePollInterval):
 		}
 	}
 	return true
 }
 
-// errStale keeps an attempt from being sent.
-var errStale = errors.New("the process was paused since the backend server was picked")
+// errPausedSincePick prevents an attempt from being sent.
+var errPausedSincePick = errors.New("the process was paused since the backend server was picked")
 
-// beforeWrite is asked right before an attempt's first byte: the process may
-// have been paused between the pick and the write.
+// beforeWrite is called right before an attempt's first byte is written. It
+// returns an error if the process was paused between the pick and the write.
 func (d *Dispatcher) beforeWrite() error {
-	if d.held() {
-		return errStale
+	if d.holdsNewAttempts() {
+		return errPausedSincePick
 	}
 	return nil
 }
 
-func (d *Dispatcher) held() bool {
+func (d *Dispatcher) holdsNewAttempts() bool {
 	return d.pause.Held(time.Now(), d.view.Load().fresh)
 }
 
-// once runs a not-repeatable call under a claim.
-func (d *Dispatcher) once(ctx context.Context, cancel context.CancelFunc, call *Call) Result {
+// doWithClaim runs a not-repeatable call if its claim is granted.
+func (d *Dispatcher) doWithClaim(ctx context.Context, cancel context.CancelFunc, call *Call) Result {
 	permit, denial := d.cfg.Claims.Begin(ctx, call)
 	if permit == nil {
 		cancel()
-		res := noAnswer(denial.Outcome, denial.Reason, denial.RetryAfter)
-		res.Denied = denial.Outcome != outcome.NotRun
-		res.Answer = denial.Answer
-		return res
+		result := noAnswer(denial.Outcome, denial.Reason, denial.RetryAfter)
+		result.Denied = denial.Outcome != outcome.NotRun
+		result.Answer = denial.Answer
+		return result
 	}
-	gone := ctx.Err() != nil
+	expired := ctx.Err() != nil
 	cancel()
-	if gone {
+	if expired {
 		permit.End(outcome.NotRun, nil)
-		return noAnswer(outcome.NotRun, reasonGone, 0)
+		return noAnswer(outcome.NotRun, reasonDeadline, 0)
 	}
 	ctx, cancel = context.WithDeadline(context.WithoutCancel(ctx), call.Deadline)
-	return d.report(d.tries(ctx, cancel, call), permit)
+	return d.endPermit(d.doTries(ctx, cancel, call), permit)
 }
 
-// report ends the permit once the call's end is known. When the caller leaves
-// in the middle of a long answer, the remainder is still read: only then is it
-// known that the call ran to its end.
-func (d *Dispatcher) report(res Result, permit Permit) Result {
+// endPermit ends the permit once the call's outcome is known. If the caller
+// disconnects in the middle of a streamed answer, the remainder is still read,
+// since only the end of the answer shows that the call ran.
+func (d *Dispatcher) endPermit(res Result, permit Permit) Result {
 	if res.Answer.Rest == nil {
 		permit.End(res.Outcome, &res.Answer)
 		return res
 	}
-	end := res.Close
+	closeResult := res.Close
 	res.Close = func(whole bool) {
 		if !whole {
 			_, err := io.Copy(io.Discard, res.Answer.Rest)
 			whole = err == nil
 		}
-		end(whole)
+		closeResult(whole)
 		if whole {
 			permit.End(outcome.Ran, nil)
 			return
@@ -160,18 +163,18 @@
 	return res
 }
 
-// tries sends the call until an answer is final.
-func (d *Dispatcher) tries(ctx context.Context, cancel context.CancelFunc, call *Call) Result {
+// doTries makes tries until the result is final.
+func (d *Dispatcher) doTries(ctx context.Context, cancel context.CancelFunc, call *Call) Result {
 	v := d.view.Load()
 	svc := v.services[call.Service]
 	if svc == nil {
 		cancel()
-		return noAnswer(outcome.NotRun, outcome.Reason(routing.NoBackends), retryShed)
+		return noAnswer(outcome.NotRun, outcome.Reason(routing.NoBackends), shedRetryAfter)
 	}
 	svc.retries.Earn(call.Limits.RetryShare)
 	svc.refusals.Earn(refusalShare)
-	run := &run{d: d, call: call, svc: svc, cancel: cancel}
-	for run.again(ctx) {
+	run := &callState{d: d, call: call, svc: svc, cancel: cancel}
+	for run.tryNext(ctx) {
 	}
 	return run.result()
 }
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -13,8 +13,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/outcome"
 )
 
-// reasons are the short codes that callers see for a claim's reasons.
-var reasons = map[claim.Reason]outcome.Reason{
+// claimReasons maps a claim's reasons to the codes that callers get.
+var claimReasons = map[claim.Reason]outcome.Reason{
 	claim.ReasonTooOld:      "key-too-old",
 	claim.ReasonTooNew:      "key-in-future",
 	claim.ReasonMismatch:    "key-reused",
@@ -27,16 +27,16 @@
 	claim.ReasonFull:        "claims-full",
 }
 
-// reasonRan is given with the kept or lost answer of an attempt that ran.
-const reasonRan outcome.Reason = "ran-before"
+// reasonRanBefore means that an earlier attempt ran, with or without a stored answer.
+const reasonRanBefore outcome.Reason = "ran-before"
 
-// claims lets the request path ask entrypeer for claims.
+// claims adapts an entrypeer.Claimer to dispatch.Claims.
 type claims struct{ claimer entrypeer.Claimer }
 
-// NewClaims returns the request path's view of claimer.
+// NewClaims returns a dispatch.Claims that uses claimer.
 func NewClaims(claimer entrypeer.Claimer) dispatch.Claims { return claims{claimer: claimer} }
 
-// CheckKey tells what is wrong with a key.
+// CheckKey returns an error if a key is invalid.
 func CheckKey(service, key string) error {
 	_, err := claim.ParseKey(service, key)
 	return err
@@ -54,12 +54,12 @@
 }
 
 func denial(d claim.Decision) dispatch.Denial {
-	out := dispatch.Denial{Reason: reasons[d.Reason], RetryAfter: d.RetryAfter}
+	out := dispatch.Denial{Reason: claimReasons[d.Reason], RetryAfter: d.RetryAfter}
 	switch d.Verdict {
 	case claim.Ran:
 		out.Outcome = outcome.Ran
-		out.Reason = reasonRan
-		out.Answer = kept(d.Answer)
+		out.Reason = reasonRanBefore
+		out.Answer = newBackendAnswer(d.Answer)
 	case claim.NotRun:
 		out.Outcome = outcome.NotRun
 	default:
@@ -68,7 +68,8 @@
 	return out
 }
 
-// fingerprint tells requests apart that were sent under one key by mistake.
+// fingerprint returns a hash that distinguishes different requests sent under one key
+// by mistake.
 func fingerprint(call *dispatch.Call) uint64 {
 	const separator = "\x00"
 	h := xxhash.New()
@@ -92,7 +93,7 @@
 	switch o {
 	case outcome.Ran:
 		res.End = claim.EndRan
-		res.Answer = keep(answer)
+		res.Answer = newClaimAnswer(answer)
 	case outcome.NotRun:
 		res.End = claim.EndNotRun
 	default:
@@ -101,8 +102,8 @@
 	p.claimer.Report(res)
 }
 
-// keep copies what a retry is answered with.
-func keep(answer *backend.Answer) *claim.Answer {
+// newClaimAnswer converts an answer to the form that is stored for retries.
+func newClaimAnswer(answer *backend.Answer) *claim.Answer {
 	if answer == nil {
 		return nil
 	}
@@ -115,8 +116,9 @@
 	return out
 }
 
-// kept is the answer to a retry; its Status is 0 when none was kept.
-func kept(answer *claim.Answer) backend.Answer {
+// newBackendAnswer returns a stored answer for a retry; its Status is 0 if answer is
+// nil.
+func newBackendAnswer(answer *claim.Answer) backend.Answer {
 	if answer == nil {
 		return backend.Answer{}
 	}
--- a/internal/entry/leave_test.go
+++ b/internal/entry/leave_test.go
@@ -14,26 +14,26 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// balancerLag is how long the platform's balancer goes on sending requests to
-// an entry VM that turned unready; it is below the rig's notice.
+// balancerLag is how long the platform's balancer keeps sending requests to an entry
+// VM that became unready. It is below the rig's notice.
 const balancerLag = 200 * time.Millisecond
 
-// callers sends POSTs, which no client repeats by itself, one after the other
-// on kept connections, as long as the balancer sends them to the entry.
-type callers struct {
-	wg  sync.WaitGroup
-	mu  sync.Mutex
-	got []reply
+// callerLoad sends POST requests, which HTTP clients don't retry by themselves, in
+// sequence on persistent connections, until the balancer removes the entry.
+type callerLoad struct {
+	wg      sync.WaitGroup
+	mu      sync.Mutex
+	replies []reply
 }
 
-func (r *rig) callers(n int, path string, header http.Header) *callers {
-	c := &callers{}
+func (r *rig) callers(n int, path string, header http.Header) *callerLoad {
+	c := &callerLoad{}
 	for range n {
 		c.wg.Go(func() {
-			for !r.leftByBalancer() {
+			for !r.removedByBalancer() {
 				got := r.send(http.MethodPost, path, header.Clone(), nil)
 				c.mu.Lock()
-				c.got = append(c.got, got)
+				c.replies = append(c.replies, got)
 				c.mu.Unlock()
 			}
 		})
@@ -41,58 +41,58 @@
 	return c
 }
 
-func (r *rig) leftByBalancer() bool {
+func (r *rig) removedByBalancer() bool {
 	if len(r.entry.Ready.Reasons()) == 0 {
 		return false
 	}
-	at := r.unready.Load()
+	at := r.unreadySince.Load()
 	if at == nil {
 		now := time.Now()
-		r.unready.CompareAndSwap(nil, &now)
+		r.unreadySince.CompareAndSwap(nil, &now)
 		return false
 	}
 	return time.Since(*at) > balancerLag
 }
 
-func (c *callers) count() int {
+func (c *callerLoad) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.got)
+	return len(c.replies)
 }
 
-// whole checks that every request got its whole answer.
-func (c *callers) whole(t *testing.T) {
+// requireCompleteAnswers checks that every request got its complete answer.
+func (c *callerLoad) requireCompleteAnswers(t *testing.T) {
 	t.Helper()
 	c.wg.Wait()
-	for _, got := range c.got {
+	for _, got := range c.replies {
 		require.NoError(t, got.err)
 		require.Equal(t, string(outcome.Ran), got.header.Get(outcome.HeaderOutcome), got.body)
 	}
 }
 
-// SIGTERM under load: the process turns unready, still takes the requests that
-// the balancer sends meanwhile, finishes those in flight, long ones included,
-// and ends. No caller sees a refused or broken connection.
-func TestStopUnderLoadCutsNoRequest(t *testing.T) {
+// On SIGTERM under load the process becomes unready, still serves the requests that
+// the balancer sends meanwhile, completes those in flight, long ones included, and
+// ends. No caller may see a refused or broken connection.
+func TestStopUnderLoadCompletesAllRequests(t *testing.T) {
 	r := newRig(t)
 	quick := r.callers(8, "/booking/lookup", http.Header{standin.HeaderWorkMS: {"2"}})
 	long := r.callers(2, "/booking/audit", http.Header{standin.HeaderWorkMS: {"900"}})
-	r.until(func() bool { return quick.count() > 50 })
+	r.eventually(func() bool { return quick.count() > 50 })
 	r.entry.Stop()
-	r.until(func() bool { return len(r.entry.Ready.Reasons()) > 0 })
+	r.eventually(func() bool { return len(r.entry.Ready.Reasons()) > 0 })
 	before := quick.count()
-	quick.whole(t)
-	long.whole(t)
-	assert.Greater(t, quick.count(), before, "the balancer needs time to look elsewhere")
+	quick.requireCompleteAnswers(t)
+	long.requireCompleteAnswers(t)
+	assert.Greater(t, quick.count(), before, "expected requests after the process became unready")
 	assert.NotZero(t, long.count())
 	<-r.entry.Ended
 	assert.NoError(t, r.entry.Err)
 }
 
-// A drain takes effect while a request is in flight at the VM and others follow.
-// Once the drain is folded the VM gets no new request, the one in flight gets
-// its whole answer, and it is counted until then.
-func TestDrainedBackendGetsNoNewWorkAndFinishesItsOwn(t *testing.T) {
+// A VM is drained while a request is in flight at it. Once the drain is folded, the VM
+// must get no new request, and the request in flight must be completed and counted
+// until then.
+func TestDrainedBackendCompletesRunningRequestsAndGetsNoNewOnes(t *testing.T) {
 	r := newRig(t)
 	busy := func() string {
 		for vm, c := range r.Server.Counters(false).Backends.VMs {
@@ -106,10 +106,10 @@
 	go func() {
 		held <- r.send(http.MethodGet, "/booking/audit", http.Header{standin.HeaderWorkMS: {"700"}}, nil)
 	}()
-	r.until(func() bool { return busy() != "" })
+	r.eventually(func() bool { return busy() != "" })
 	vm := busy()
 	r.propose(record.SubjectVM, vm, record.VMDrain{Reason: record.DrainOperator, Estimate: time.Minute})
-	r.until(func() bool { return r.entry.Offset() == r.Offset() })
+	r.eventually(func() bool { return r.entry.Offset() == r.Offset() })
 	_, inFlight := r.entry.InFlights()
 	assert.Equal(t, 1, inFlight[vm])
 	for range 50 {
@@ -124,18 +124,18 @@
 	assert.Zero(t, inFlight[vm])
 }
 
-// A burst fills every slot: what does not fit is told "not-run" with Retry-After
-// at once instead of being parked, and truly did not run.
-func TestSurplusIsShedAtOnceAndDidNotRun(t *testing.T) {
+// A burst uses all slots. The excess requests must get "not-run" with Retry-After at
+// once instead of waiting, and must not run.
+func TestExcessRequestsAreShedImmediately(t *testing.T) {
 	r := newRig(t)
-	const slots, surplus = 3 * 8, 10
+	const slots, excess = 3 * 8, 10
 	gate := standin.Fault{Kind: standin.BackendFreeze}
-	r.order(gate)
-	answers := make(chan reply, slots+surplus)
-	for range slots + surplus {
+	r.injectFault(gate)
+	answers := make(chan reply, slots+excess)
+	for range slots + excess {
 		go func() { answers <- r.send(http.MethodPost, "/booking/lookup", nil, nil) }()
 	}
-	for range surplus {
+	for range excess {
 		got := <-answers
 		assert.Equal(t, http.StatusServiceUnavailable, got.status)
 		assert.Equal(t, string(outcome.NotRun), got.header.Get(outcome.HeaderOutcome))
--- a/internal/entry/start_test.go
+++ b/internal/entry/start_test.go
@@ -20,30 +20,30 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// gatedLog lets reads beyond an offset through only when its gate is open.
+// gatedLog blocks reads beyond gateOffset until its gate is open.
 type gatedLog struct {
 	platform.Log
-	beyond platform.Offset
-	gate   chan struct{}
-	once   sync.Once
-	waits  chan struct{} // closed when a read waits at the gate
+	gateOffset platform.Offset
+	gate       chan struct{}
+	once       sync.Once
+	blocked    chan struct{} // closed when a read is blocked
 }
 
 // Read implements platform.Log.
 func (l *gatedLog) Read(ctx context.Context, stream string, from platform.Offset, most int, wait time.Duration) (platform.Batch, error) {
-	if from > l.beyond {
-		l.once.Do(func() { close(l.waits) })
+	if from > l.gateOffset {
+		l.once.Do(func() { close(l.blocked) })
 		<-l.gate
 	}
 	return l.Log.Read(ctx, stream, from, most, wait)
 }
 
-// An entry VM starts while the log holds more than one read brings. The document
-// in the first part was replaced since, and knew another route. Until the process
-// has read the log to its end, callers are told that nothing ran; the old
-// document never serves.
-func TestStartingEntryServesNothingFromOldDocuments(t *testing.T) {
-	const entries = 1500 // more than a read of 1000
+// An entry VM starts while the log holds more entries than one read returns. The
+// document in the first part has another route and was replaced since. Until the
+// process has read the log to its end, callers must get "not-run", and the old
+// document must never be served.
+func TestStartingEntryDoesNotServeOldDocuments(t *testing.T) {
+	const entries = 1500 // more than one read of 1000 returns
 	fake := standin.New(standin.Options{AppendsPerSecond: -1})
 	var data [][]byte
 	for i := range entries {
@@ -60,10 +60,10 @@
 		_, err := fake.Append(t.Context(), requests.Stream, part)
 		require.NoError(t, err)
 	}
-	log := &gatedLog{Log: fake, beyond: 1, gate: make(chan struct{}), waits: make(chan struct{})}
+	log := &gatedLog{Log: fake, gateOffset: 1, gate: make(chan struct{}), blocked: make(chan struct{})}
 	r := startRig(t, fake, log)
-	<-log.waits
-	r.until(func() bool { return r.Offset() > 0 })
+	<-log.blocked
+	r.eventually(func() bool { return r.Offset() > 0 })
 
 	got := r.send(http.MethodGet, "/booking/old", nil, nil)
 	assert.Equal(t, http.StatusServiceUnavailable, got.status)
@@ -72,12 +72,12 @@
 	assert.NotEmpty(t, got.header.Get("Retry-After"))
 	keyed := http.Header{outcome.HeaderKey: {ulid.Make().String()}}
 	got = r.send(http.MethodPost, "/booking/reservations", keyed, nil)
-	assert.Equal(t, string(outcome.Unknown), got.header.Get(outcome.HeaderOutcome), "it may be a retry of a booking that ran")
+	assert.Equal(t, string(outcome.Unknown), got.header.Get(outcome.HeaderOutcome), "expected unknown: it may be a retry of a booking that ran")
 	assert.Zero(t, r.entry.Offset())
 	assert.Contains(t, strings.Join(r.entry.Ready.Reasons(), "\n"), "read to its end")
 
 	close(log.gate)
-	r.until(func() bool { return r.entry.Offset() == entries })
+	r.eventually(func() bool { return r.entry.Offset() == entries })
 	got = r.send(http.MethodGet, "/booking/old", nil, nil)
 	assert.Equal(t, http.StatusNotFound, got.status)
 	assert.Empty(t, r.entry.Ready.Reasons())
--- a/internal/entry/table.go
+++ b/internal/entry/table.go
@@ -8,25 +8,26 @@
 	"github.com/yuccadrift/yuccadrift/internal/routing"
 )
 
-// catchUpTimeout bounds one reading of the log after a pause.
+// catchUpTimeout limits one catch-up with the log after a pause.
 const catchUpTimeout = time.Second
 
-// Follower is the folded state. It is implemented by follower.Follower.
+// Follower provides the state folded from the log. It is implemented by
+// follower.Follower.
 type Follower interface {
 	View(func(*ledger.State))
 	Fresh() time.Time
-	// Started reports whether the state is fit to serve on.
+	// Started reports whether the state is complete enough to serve requests.
 	Started() bool
 	Changed() <-chan struct{}
 	// CatchUp reads and folds the log to its end.
 	CatchUp(ctx context.Context) error
 }
 
-// followTable puts a new table in use after each change of the state.
+// followTable replaces the table after each change of the state.
 func (e *Entry) followTable(ctx context.Context) error {
 	changed := e.cfg.Follower.Changed()
 	for {
-		e.refresh()
+		e.refreshTable()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -35,14 +36,14 @@
 	}
 }
 
-// refresh builds a table of the present state. Fresh is read first: the state
-// seen after holds at least what that read brought.
+// refreshTable builds a table from the current state. Fresh is read first: the state
+// viewed later contains at least what that log read returned.
 //
-// Until the log was read to its end once, or a peer's state stands in for it, none
-// is built. A process that starts folds old records first: it would serve on
+// No table is built until the log was read to its end once or the state of a peer was
+// taken over. A starting process folds old records first: it would serve with
 // documents that were replaced long ago, and send requests to VMs that have left
 // their pool since.
-func (e *Entry) refresh() {
+func (e *Entry) refreshTable() {
 	fresh := e.cfg.Follower.Fresh()
 	if !e.cfg.Follower.Started() {
 		e.cfg.Readiness.Unready("table", "the log has not been read to its end yet")
@@ -58,9 +59,9 @@
 	e.cfg.Readiness.Ready("table")
 }
 
-// beat notices that the process was paused and has the log read again, which
-// lets held requests go on.
-func (e *Entry) beat(ctx context.Context) error {
+// runPauseBeat detects that the process was paused and then reads the log, which
+// releases held requests.
+func (e *Entry) runPauseBeat(ctx context.Context) error {
 	ticker := time.NewTicker(routing.PauseBeat)
 	defer ticker.Stop()
 	for {
@@ -76,12 +77,12 @@
 }
 
 func (e *Entry) catchUp(ctx context.Context) {
-	e.cfg.Logger.Warn("the process was paused; reading the log before sending new work")
+	e.cfg.Logger.Warn("the process was paused; reading the log before sending new attempts")
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	if err := e.cfg.Follower.CatchUp(ctx); err != nil {
 		e.cfg.Logger.Warn("cannot read the log after a pause", "error", err)
 		return
 	}
-	e.refresh()
+	e.refreshTable()
 }
--- a/internal/requestmetrics/requestmetrics.go
+++ b/internal/requestmetrics/requestmetrics.go
@@ -1,4 +1,4 @@
-// Package requestmetrics counts what happens on the request path.
+// Package requestmetrics provides the Prometheus metrics of the request path.
 package requestmetrics
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/routing"
 )
 
-// Metrics is the request path's metrics.
+// Metrics holds the metrics of requests, retries and shed requests.
 type Metrics struct {
 	requests *prometheus.CounterVec
 	latency  *prometheus.HistogramVec
@@ -39,11 +39,11 @@
 		}),
 		retries: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "yuccadrift_retries_total",
-			Help: "Further tries at a backend server by the failure that led to them.",
+			Help: "Retries at backend servers by the failure that caused them.",
 		}, []string{"service", "failure"}),
 		sheds: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "yuccadrift_sheds_total",
-			Help: "Requests that no backend server could take, by the refusal.",
+			Help: "Requests that no backend server could take, by refusal.",
 		}, []string{"service", "class", "refusal"}),
 	}
 	reg.MustRegister(m.requests, m.latency, m.inFlight, m.retries, m.sheds)
@@ -54,18 +54,18 @@
 func (m *Metrics) Began() { m.inFlight.Inc() }
 
 // Ended implements caller.Observer.
-func (m *Metrics) Ended(service string, class document.Class, o outcome.Outcome, why outcome.Reason, took time.Duration) {
+func (m *Metrics) Ended(service string, class document.Class, o outcome.Outcome, reason outcome.Reason, took time.Duration) {
 	m.inFlight.Dec()
-	m.requests.WithLabelValues(service, string(class), string(o), string(why)).Inc()
+	m.requests.WithLabelValues(service, string(class), string(o), string(reason)).Inc()
 	m.latency.WithLabelValues(service, string(class)).Observe(took.Seconds())
 }
 
 // Retried implements dispatch.Observer.
-func (m *Metrics) Retried(service string, why backend.Failure) {
-	m.retries.WithLabelValues(service, string(why)).Inc()
+func (m *Metrics) Retried(service string, failure backend.Failure) {
+	m.retries.WithLabelValues(service, string(failure)).Inc()
 }
 
 // Shed implements dispatch.Observer.
-func (m *Metrics) Shed(service string, class document.Class, why routing.Refusal) {
-	m.sheds.WithLabelValues(service, string(class), string(why)).Inc()
+func (m *Metrics) Shed(service string, class document.Class, refusal routing.Refusal) {
+	m.sheds.WithLabelValues(service, string(class), string(refusal)).Inc()
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -15,9 +15,9 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func seeded() Rand { return rand.New(rand.NewPCG(1, 2)) }
+func newSeededRand() Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func service(n int, zones ...string) *Service {
+func newTestService(n int, zones ...string) *Service {
 	svc := &Service{Limits: document.Limits{Slots: 8, Connections: 64}}
 	for i := range n {
 		svc.Backends = append(svc.Backends, Backend{VM: fmt.Sprintf("vm-%d", i), Zone: zones[i%len(zones)]})
@@ -25,9 +25,9 @@
 	return svc
 }
 
-func pool(n, members int, zones ...string) *Pool {
+func newTestPool(n, members int, zones ...string) *Pool {
 	p := NewPool("a", SharingChoices)
-	p.Update(service(n, zones...), members)
+	p.Update(newTestService(n, zones...), members)
 	return p
 }
 
@@ -43,7 +43,7 @@
 	return vms
 }
 
-func TestRouteWithTheLongestPrefixOfWholeElementsApplies(t *testing.T) {
+func TestRouteMatchesLongestPrefixOfWholeElements(t *testing.T) {
 	svc := &Service{Routes: sortRoutes([]document.Route{{Prefix: "/book"}, {Prefix: "/"}, {Prefix: "/book/export"}})}
 	for path, want := range map[string]string{
 		"/": "/", "/x": "/", "/book": "/book", "/book/7": "/book", "/booking": "/", "/book/export": "/book/export",
@@ -57,11 +57,11 @@
 	assert.False(t, ok)
 }
 
-// Callers see added latency when requests leave their availability zone without
-// need, and refusals when the own zone is full while others are free.
-func TestOwnZoneFirstThenOthers(t *testing.T) {
-	p := pool(6, 1, "a", "b")
-	r := seeded()
+// Latency rises if requests leave their availability zone unnecessarily; requests
+// are refused if the local zone is full and others are not used.
+func TestLocalZoneIsPreferred(t *testing.T) {
+	p := newTestPool(6, 1, "a", "b")
+	r := newSeededRand()
 	seen := map[string]int{}
 	for range 3 * 8 * 2 {
 		seen[pick(t, p, start, r, Query{}).Zone]++
@@ -69,17 +69,17 @@
 	assert.Equal(t, map[string]int{"a": 24, "b": 24}, seen)
 	_, no := p.Pick(start, r, Query{})
 	assert.Equal(t, Busy, no)
-	p = pool(6, 1, "a", "b")
+	p = newTestPool(6, 1, "a", "b")
 	for range 10 {
 		assert.Equal(t, "a", pick(t, p, start, r, Query{}).Zone)
 	}
 }
 
-// A backend that fails at once has nothing in flight and would by load alone
-// take most requests: callers would see a pool of ten fail nearly always.
-func TestFastErrorsDoNotAttractWork(t *testing.T) {
-	p := pool(10, 1, "a")
-	r := seeded()
+// A backend that fails immediately has no requests in flight. By load alone it would
+// get most requests, and most requests to a pool of ten would fail.
+func TestFastFailingBackendDoesNotAttractRequests(t *testing.T) {
+	p := newTestPool(10, 1, "a")
+	r := newSeededRand()
 	bad := 0
 	var busy []Lease
 	for i := range 400 {
@@ -90,27 +90,27 @@
 			p.Done(now, l, EvidenceBad)
 			continue
 		}
-		if busy = append(busy, l); len(busy) > 20 { // others hold theirs for a while
+		if busy = append(busy, l); len(busy) > 20 { // requests to other backends take a while
 			p.Done(now, busy[0], EvidenceGood)
 			busy = busy[1:]
 		}
 	}
 	assert.LessOrEqual(t, bad, 8)
 	later := start.Add(time.Minute)
-	for range 80 - len(busy) { // forgotten in time, it is tried again
+	for range 80 - len(busy) { // the error rate has decayed, so vm-0 is used again
 		pick(t, p, later, r, Query{})
 	}
 	assert.Equal(t, 8, inFlight(p)["vm-0"])
 }
 
-// A bad release fails on every backend. If evidence could eject them all,
-// callers would be refused though some requests still succeed.
-func TestSharedFailureNeverEmptiesThePool(t *testing.T) {
+// A bad release fails on every backend. If all were ejected, callers would be
+// refused although some requests would succeed.
+func TestPoolWideFailureDoesNotEjectAllBackends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "backends")
 		p := NewPool("a", SharingChoices)
-		p.Update(service(n, "a", "b"), 1)
-		r := seeded()
+		p.Update(newTestService(n, "a", "b"), 1)
+		r := newSeededRand()
 		for i := range 200 {
 			now := start.Add(time.Duration(i) * 10 * time.Millisecond)
 			l, no := p.Pick(now, r, Query{})
@@ -130,27 +130,27 @@
 }
 
 func TestEjectedBackendIsProbedByOneRequestAtATime(t *testing.T) {
-	p := pool(3, 1, "a")
+	p := newTestPool(3, 1, "a")
 	only := Query{Tried: []string{"vm-1", "vm-2"}}
 	for range 5 {
-		p.Done(start, pick(t, p, start, seeded(), only), EvidenceBad)
+		p.Done(start, pick(t, p, start, newSeededRand(), only), EvidenceBad)
 	}
-	_, no := p.Pick(start.Add(ejectBase-1), seeded(), only)
+	_, no := p.Pick(start.Add(ejectBaseDuration-1), newSeededRand(), only)
 	require.Equal(t, Busy, no)
-	probe := pick(t, p, start.Add(ejectBase), seeded(), only)
-	_, no = p.Pick(start.Add(ejectBase), seeded(), only)
-	assert.Equal(t, Busy, no, "a second request beside the probe")
-	p.Done(start.Add(ejectBase), probe, EvidenceGood)
-	pick(t, p, start.Add(ejectBase), seeded(), only)
+	probe := pick(t, p, start.Add(ejectBaseDuration), newSeededRand(), only)
+	_, no = p.Pick(start.Add(ejectBaseDuration), newSeededRand(), only)
+	assert.Equal(t, Busy, no, "expected one probe at a time")
+	p.Done(start.Add(ejectBaseDuration), probe, EvidenceGood)
+	pick(t, p, start.Add(ejectBaseDuration), newSeededRand(), only)
 }
 
-// Long requests hold slots for seconds. Were they let into all of them, quick
-// lookups would be refused until the first one ends.
-func TestLongRequestsLeaveRoomForQuickOnes(t *testing.T) {
-	p := pool(4, 1, "a")
-	r := seeded()
+// Long requests use slots for seconds. If they could use all slots, quick requests
+// would be refused until the first long one ends.
+func TestLongRequestsLeaveSlotsForQuickOnes(t *testing.T) {
+	p := newTestPool(4, 1, "a")
+	r := newSeededRand()
 	long := Query{Class: document.ClassLong}
-	for range 12 { // quick demand seen before
+	for range 12 { // earlier demand of quick requests
 		p.Done(start, pick(t, p, start, r, Query{Class: document.ClassQuick}), EvidenceGood)
 	}
 	n := 0
@@ -161,17 +161,17 @@
 		}
 		n++
 	}
-	assert.Equal(t, 28, n, "of 32 slots an eighth stays free")
+	assert.Equal(t, 28, n, "expected an eighth of 32 slots to stay free")
 	for range 4 {
 		pick(t, p, start, r, Query{Class: document.ClassQuick})
 	}
 }
 
-// A refusal tells that other entry VMs use the slots; for a while the backend is
-// taken for full, so that tries go where slots may be free.
-func TestRefusalTurnsChoicesAwayForAWhile(t *testing.T) {
-	p := pool(2, 1, "a")
-	r := seeded()
+// A refusal shows that other entry VMs use the slots. The backend counts as full for
+// a while, so that attempts go to backends that may have free slots.
+func TestRefusalMarksBackendFullTemporarily(t *testing.T) {
+	p := newTestPool(2, 1, "a")
+	r := newSeededRand()
 	p.Done(start, pick(t, p, start, r, Query{Tried: []string{"vm-1"}}), EvidenceFull)
 	for range 6 {
 		assert.Equal(t, "vm-1", pick(t, p, start, r, Query{}).VM)
@@ -180,18 +180,18 @@
 	assert.Equal(t, "vm-0", pick(t, p, later, r, Query{}).VM)
 }
 
-func TestDownBackendsServeOnlyWhenNoOtherIsLeft(t *testing.T) {
-	svc := service(2, "a")
+func TestUnhealthyBackendsAreLastResort(t *testing.T) {
+	svc := newTestService(2, "a")
 	svc.Backends[0].Down = true
 	p := NewPool("a", SharingChoices)
 	p.Update(svc, 1)
-	r := seeded()
+	r := newSeededRand()
 	for range 8 {
 		assert.Equal(t, "vm-1", pick(t, p, start, r, Query{}).VM)
 	}
 	assert.Equal(t, "vm-0", pick(t, p, start, r, Query{}).VM)
 
-	p = pool(2, 1, "a")
+	p = newTestPool(2, 1, "a")
 	p.SetHealthy("vm-1", false)
 	for range 8 {
 		assert.Equal(t, "vm-0", pick(t, p, start, r, Query{}).VM)
@@ -200,13 +200,13 @@
 	assert.Equal(t, "vm-1", pick(t, p, start, r, Query{}).VM)
 }
 
-// A backend that left the table gets no further request, while those in flight
-// stay counted: the steward must not reboot its VM before they end.
-func TestLeavingBackendGetsNothingAndStaysCounted(t *testing.T) {
-	p := pool(2, 1, "a")
-	r := seeded()
+// A backend that left the table gets no further requests, but those in flight must
+// be counted until they end: the steward must not reboot the VM before.
+func TestRemovedBackendGetsNoRequestsAndStaysCounted(t *testing.T) {
+	p := newTestPool(2, 1, "a")
+	r := newSeededRand()
 	l := pick(t, p, start, r, Query{Tried: []string{"vm-1"}})
-	rest := service(2, "a")
+	rest := newTestService(2, "a")
 	rest.Backends = rest.Backends[1:]
 	p.Update(rest, 1)
 	for range 8 {
@@ -217,9 +217,9 @@
 	assert.Zero(t, inFlight(p)["vm-0"])
 }
 
-// Without a budget a pool that fails every request would get each of them
-// several times.
-func TestRetriesStayAShareOfFreshRequests(t *testing.T) {
+// Without a budget, a pool that fails every request would get each request several
+// times.
+func TestRetryBudgetBoundsRetries(t *testing.T) {
 	b := NewBudget()
 	spent := 0
 	for range 1000 {
@@ -231,15 +231,15 @@
 	assert.InDelta(t, 100+budgetBurst, spent, 1)
 }
 
-// A process stopped across a drain wakes up with an old table. The first request
-// after the resume, whichever goroutine runs first, must be held until the log
-// was read after the resume; with the log out it goes on after a bound.
-func TestPauseHoldsNewWorkUntilTheLogWasRead(t *testing.T) {
+// A process paused during a drain resumes with an old table. The first request after
+// the resume must be held until the log was read after the resume, whichever
+// goroutine runs first. If the log can't be read, it is held for maxPauseHold.
+func TestPauseHoldsNewAttemptsUntilLogIsRead(t *testing.T) {
 	resumed := start.Add(10 * time.Second)
 	t.Run("request runs first", func(t *testing.T) {
 		p := NewPause(start)
 		assert.True(t, p.Held(resumed, start))
-		assert.True(t, p.Held(resumed.Add(time.Millisecond), start), "a read from before the pause does not count")
+		assert.True(t, p.Held(resumed.Add(time.Millisecond), start), "expected a read from before the pause to be ignored")
 		assert.False(t, p.Held(resumed.Add(time.Second), resumed.Add(time.Millisecond)))
 	})
 	t.Run("beat runs first", func(t *testing.T) {
@@ -250,9 +250,9 @@
 	t.Run("log is out", func(t *testing.T) {
 		p := NewPause(start)
 		assert.True(t, p.Held(resumed, start))
-		p.Beat(resumed.Add(pauseHold / 2))
-		assert.True(t, p.Held(resumed.Add(pauseHold/2), start))
-		assert.False(t, p.Held(resumed.Add(pauseHold+1), start))
+		p.Beat(resumed.Add(maxPauseHold / 2))
+		assert.True(t, p.Held(resumed.Add(maxPauseHold/2), start))
+		assert.False(t, p.Held(resumed.Add(maxPauseHold+1), start))
 	})
 	t.Run("never paused", func(t *testing.T) {
 		p := NewPause(start)
