--- a/internal/burnmetrics/burnmetrics.go
+++ b/internal/burnmetrics/burnmetrics.go
@@ -13,9 +13,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/measure"
 )
 
-// keep is for how long a report is reused, so that several scrapers cost one
+// reportTTL is for how long a report is reused, so that several scrapers cost one
 // pass over the state.
-const keep = time.Second
+const reportTTL = time.Second
 
 // State is the folded state; a follower.Follower is one.
 type State interface {
@@ -27,9 +27,9 @@
 	state State
 	now   func() time.Time
 
-	mu     sync.Mutex
-	report measure.Report
-	taken  time.Time
+	mu         sync.Mutex
+	report     measure.Report
+	reportTime time.Time
 }
 
 // New returns a Collector over the state.
@@ -43,23 +43,23 @@
 
 // Metrics, named as in examples/alerts.yml.
 var (
-	burnRate   = desc("budget_burn_rate", "Budget use over the window relative to even use; 1 spends the budget in its own window.", "service", "window")
-	left       = desc("budget_left_vm_seconds", "VM-seconds left in the budget's window; negative once it is broken.", "service")
-	allowed    = desc("budget_allowed_vm_seconds", "VM-seconds of the budget per window.", "service")
-	spent      = desc("budget_spent_vm_seconds", "VM-seconds spent in the budget's window by cause.", "service", "cause")
-	serving    = desc("pool_serving_vms", "VMs of the pool that serve.", "service")
-	size       = desc("pool_size_vms", "VMs that the pool's document asks for.", "service")
-	spare      = desc("pool_spare_vms", "VMs that serve beyond the declared size.", "service")
-	moves      = desc("pool_moves_total", "VMs that came from other pools.", "service")
-	reboots    = desc("pool_reboots_total", "VMs of the pool that were rebooted.", "service")
-	free       = desc("free_vms", "VMs in no pool, the common reserve.")
-	buffer     = desc("buffer_ratio", "Share of all VMs that are spare or free.")
-	waveTook   = desc("wave_seconds", "Time since the wave's start, until its end once it is over.", "wave", "status")
-	wavePart   = desc("wave_finished_ratio", "Share of the wave's VMs that are back or skipped.", "wave", "status")
-	foldOffset = desc("ledger_offset", "Highest folded offset of the log.")
+	burnRate          = desc("budget_burn_rate", "Budget use over the window relative to even use; 1 spends the budget in its own window.", "service", "window")
+	left              = desc("budget_left_vm_seconds", "VM-seconds left in the budget's window; negative once it is broken.", "service")
+	allowed           = desc("budget_allowed_vm_seconds", "VM-seconds of the budget per window.", "service")
+	spent             = desc("budget_spent_vm_seconds", "VM-seconds spent in the budget's window by cause.", "service", "cause")
+	serving           = desc("pool_serving_vms", "VMs of the pool that serve.", "service")
+	size              = desc("pool_size_vms", "VMs that the pool's document asks for.", "service")
+	spare             = desc("pool_spare_vms", "VMs that serve beyond the declared size.", "service")
+	moves             = desc("pool_moves_total", "VMs that came from other pools.", "service")
+	reboots           = desc("pool_reboots_total", "VMs of the pool that were rebooted.", "service")
+	free              = desc("free_vms", "VMs in no pool, the common reserve.")
+	buffer            = desc("buffer_ratio", "Share of all VMs that are spare or free.")
+	waveSeconds       = desc("wave_seconds", "Time since the wave's start, until its end once it is over.", "wave", "status")
+	waveFinishedRatio = desc("wave_finished_ratio", "Share of the wave's VMs that are back or skipped.", "wave", "status")
+	foldOffset        = desc("ledger_offset", "Highest folded offset of the log.")
 )
 
-var descs = []*prometheus.Desc{burnRate, left, allowed, spent, serving, size, spare, moves, reboots, free, buffer, waveTook, wavePart, foldOffset}
+var descs = []*prometheus.Desc{burnRate, left, allowed, spent, serving, size, spare, moves, reboots, free, buffer, waveSeconds, waveFinishedRatio, foldOffset}
 
 // Describe implements prometheus.Collector.
 func (c *Collector) Describe(ch chan<- *prometheus.Desc) {
@@ -93,8 +93,8 @@
 		counter(reboots, m.Reboots, m.Name)
 	}
 	for _, w := range r.Waves {
-		gauge(waveTook, w.Took.Seconds(), w.Name, string(w.Status))
-		gauge(wavePart, float64(w.Finished+w.Skipped)/float64(max(1, w.VMs)), w.Name, string(w.Status))
+		gauge(waveSeconds, w.Took.Seconds(), w.Name, string(w.Status))
+		gauge(waveFinishedRatio, float64(w.Finished+w.Skipped)/float64(max(1, w.VMs)), w.Name, string(w.Status))
 	}
 	gauge(free, float64(r.Fleet.Free))
 	gauge(buffer, r.Fleet.Buffer)
@@ -105,9 +105,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	if c.taken.IsZero() || now.Sub(c.taken) >= keep {
+	if c.reportTime.IsZero() || now.Sub(c.reportTime) >= reportTTL {
 		c.state.View(func(s *ledger.State) { c.report = measure.Of(s, now) })
-		c.taken = now
+		c.reportTime = now
 	}
 	return c.report
 }
--- a/internal/burnmetrics/burnmetrics_test.go
+++ b/internal/burnmetrics/burnmetrics_test.go
@@ -15,9 +15,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-type fixed struct{ state *ledger.State }
+type fixedState struct{ state *ledger.State }
 
-func (f fixed) View(fn func(*ledger.State)) { fn(f.state) }
+func (f fixedState) View(fn func(*ledger.State)) { fn(f.state) }
 
 // exported returns the names of the metrics of a state with one service and one
 // wave, by way of a registry that refuses inconsistent metrics.
@@ -37,7 +37,7 @@
 		require.Equal(t, ledger.Effective, out.Status, out.Reason)
 	}
 	registry := prometheus.NewPedanticRegistry()
-	require.NoError(t, registry.Register(New(fixed{state}, time.Now)))
+	require.NoError(t, registry.Register(New(fixedState{state}, time.Now)))
 	families, err := registry.Gather()
 	require.NoError(t, err)
 	names := map[string]int{}
--- a/internal/capacity/inforce_test.go
+++ b/internal/capacity/inforce_test.go
@@ -23,13 +23,13 @@
 // other over the fleet's services.
 func BenchmarkInForce(b *testing.B) {
 	for _, slow := range []time.Duration{0, 100 * time.Millisecond} {
-		b.Run("log-delay="+slow.String(), func(b *testing.B) { inForce(b, slow) })
+		b.Run("log-delay="+slow.String(), func(b *testing.B) { measureInForce(b, slow) })
 	}
 }
 
-func inForce(b *testing.B, slow time.Duration) {
+func measureInForce(b *testing.B, logDelay time.Duration) {
 	var h *fleet.History
-	c := startCluster(b, 1000, inForceNodes, func(s *testkit.Standin) { h = seed(b, s) })
+	c := startCluster(b, 1000, inForceNodes, func(s *testkit.Standin) { h = seedLog(b, s) })
 	var clients []*operator.Client
 	for _, n := range c.Nodes {
 		client, err := operator.NewClient(n.EntryPeerAddress())
@@ -37,9 +37,9 @@
 		defer client.Close()
 		clients = append(clients, client)
 	}
-	time.Sleep(settle)
-	if slow > 0 {
-		c.Standin.InjectFaults(standin.Fault{Kind: standin.LogSlow, DelayMS: slow.Milliseconds()})
+	time.Sleep(settleTime)
+	if logDelay > 0 {
+		c.Standin.InjectFaults(standin.Fault{Kind: standin.LogSlow, DelayMS: logDelay.Milliseconds()})
 	}
 	var took []time.Duration
 	for b.Loop() {
--- a/internal/capacity/node_test.go
+++ b/internal/capacity/node_test.go
@@ -23,8 +23,8 @@
 
 // Length of a measurement of real processes.
 const (
-	settle  = 45 * time.Second // the first snapshot is published and read by then
-	measure = 20 * time.Second
+	settleTime  = 45 * time.Second // the first snapshot is published and read by then
+	measureTime = 20 * time.Second
 	// clockTick is the unit of processor time in /proc.
 	clockTick = 10 * time.Millisecond
 	// submitBatch is how many jobs one append submits.
@@ -48,8 +48,8 @@
 	require.NoError(tb, err)
 	system, err := strconv.ParseInt(fields[12], 10, 64)
 	require.NoError(tb, err)
-	io := numbers(tb, dir+"io")
-	status := numbers(tb, dir+"status")
+	io := readNumbers(tb, dir+"io")
+	status := readNumbers(tb, dir+"status")
 	return usage{
 		cpu:   time.Duration(user+system) * clockTick,
 		bytes: io["rchar"] + io["wchar"],
@@ -58,8 +58,8 @@
 	}
 }
 
-// numbers reads the lines "name: number" of a file.
-func numbers(tb testing.TB, path string) map[string]int64 {
+// readNumbers reads the lines "name: number" of a file.
+func readNumbers(tb testing.TB, path string) map[string]int64 {
 	file, err := os.Open(path)
 	require.NoError(tb, err)
 	defer file.Close()
@@ -74,8 +74,8 @@
 	return values
 }
 
-// seed puts the log of a fleet at rest on the platform, as its first entries.
-func seed(tb testing.TB, s *testkit.Standin) *fleet.History {
+// seedLog puts the log of a fleet at rest on the platform, as its first entries.
+func seedLog(tb testing.TB, s *testkit.Standin) *fleet.History {
 	h := fleet.AtRest(s.List())
 	const batch = 500
 	for i := 0; i < len(h.Entries); i += batch {
@@ -103,19 +103,19 @@
 // and written by system calls, nearly all of them payload of sockets.
 func BenchmarkNode(b *testing.B) {
 	for _, l := range []load{{1000, 3, 0}, {1000, 8, 0}, {1000, 24, 0}, {4000, 3, 0}, {4000, 8, 0}, {4000, 24, 0}} {
-		b.Run(fmt.Sprintf("vms=%d/nodes=%d", l.vms, l.nodes), func(b *testing.B) { node(b, l) })
+		b.Run(fmt.Sprintf("vms=%d/nodes=%d", l.vms, l.nodes), func(b *testing.B) { measureNode(b, l) })
 	}
 }
 
 // BenchmarkTasks is the same while tasks run that neither begin nor end.
 func BenchmarkTasks(b *testing.B) {
 	for _, l := range []load{{1000, 8, 0}, {1000, 8, 500}, {1000, 8, 2000}} {
-		b.Run(fmt.Sprintf("tasks=%d", l.tasks), func(b *testing.B) { node(b, l) })
+		b.Run(fmt.Sprintf("tasks=%d", l.tasks), func(b *testing.B) { measureNode(b, l) })
 	}
 }
 
-// submit has jobs of an hour run, spread over the pools, and waits until all do.
-func submit(b *testing.B, c *testkit.Cluster, jobs int) {
+// submitJobs has jobs of an hour run, spread over the pools, and waits until all do.
+func submitJobs(b *testing.B, c *testkit.Cluster, jobs int) {
 	var entries [][]byte
 	for i := range jobs {
 		h := fleet.NewHistory()
@@ -154,12 +154,12 @@
 	return c
 }
 
-func node(b *testing.B, l load) {
-	c := startCluster(b, l.vms, l.nodes, func(s *testkit.Standin) { seed(b, s) })
+func measureNode(b *testing.B, l load) {
+	c := startCluster(b, l.vms, l.nodes, func(s *testkit.Standin) { seedLog(b, s) })
 	if l.tasks > 0 {
-		submit(b, c, l.tasks)
+		submitJobs(b, c, l.tasks)
 	}
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	for b.Loop() {
 		var entries, stewards []usage
 		for _, n := range c.Nodes {
@@ -167,7 +167,7 @@
 			stewards = append(stewards, usageOf(b, n.Steward))
 		}
 		began := time.Now()
-		time.Sleep(measure)
+		time.Sleep(measureTime)
 		took := time.Since(began)
 		var entry, steward usage
 		for i, n := range c.Nodes {
--- a/internal/forecast/fleet_test.go
+++ b/internal/forecast/fleet_test.go
@@ -11,16 +11,16 @@
 	"github.com/yuccadrift/yuccadrift/internal/forecast"
 )
 
-// start returns a run of an example deployment with spare VMs, for a fleet that
+// startRun returns a run of an example deployment with spare VMs, for a fleet that
 // never fails.
-func start(t testing.TB, name string, spare int) *forecast.Run {
+func startRun(t testing.TB, name string, spare int) *forecast.Run {
 	t.Helper()
-	r, err := read(t, name).Start(spare, policyNoFailures())
+	r, err := readDeployment(t, name).Start(spare, policyNoFailures())
 	require.NoError(t, err)
 	return r
 }
 
-func read(t testing.TB, name string) deployment.Deployment {
+func readDeployment(t testing.TB, name string) deployment.Deployment {
 	t.Helper()
 	d, err := deployment.Read(filepath.Join("..", "..", "examples"), name)
 	require.NoError(t, err)
--- a/internal/forecast/policy_test.go
+++ b/internal/forecast/policy_test.go
@@ -38,7 +38,7 @@
 		upN, downN int
 	}{{"ramcharan", "booking", "dispatch", 12, 11}, {"feldkamm", "preview", "conversion", 12, 11}} {
 		t.Run(c.name, func(t *testing.T) {
-			r := start(t, c.name, 0)
+			r := startRun(t, c.name, 0)
 			change := func(by int) {
 				resize(t, r, c.up, c.upN+by)
 				resize(t, r, c.down, c.downN-by)
@@ -66,7 +66,7 @@
 // see each VM out once: the VM that moves is one whose turn is to come, and its
 // drain serves both.
 func TestMoveAndMaintenanceShareOneDrain(t *testing.T) {
-	r := start(t, "feldkamm", 0)
+	r := startRun(t, "feldkamm", 0)
 	startWave(t, r, 24*time.Hour, "conversion")
 	r.To(r.Now.Add(3 * time.Minute))
 	resize(t, r, "conversion", 10)
@@ -97,7 +97,7 @@
 	}
 	for _, c := range cases {
 		t.Run(string(c.weigh), func(t *testing.T) {
-			r := start(t, c.deployment, 0)
+			r := startRun(t, c.deployment, 0)
 			require.Equal(t, c.weigh, r.State.Services[c.pool].Doc.Weigh)
 			resize(t, r, c.pool, c.size)
 			r.To(r.Now.Add(20 * time.Minute))
@@ -117,8 +117,8 @@
 
 // A free VM beyond the reserve is lent to a pool in the middle of a wave: the
 // pool is then never short, and the wave gives the VM back without a drain more.
-func TestWaveBorrowsFromTheReserve(t *testing.T) {
-	r := start(t, "ramcharan", 1)
+func TestWaveUsesFreeVMBeyondReserve(t *testing.T) {
+	r := startRun(t, "ramcharan", 1)
 	startWave(t, r, 24*time.Hour, "booking")
 	r.To(r.Now.Add(5 * time.Hour))
 	require.Equal(t, ledger.WaveDone, r.State.Waves["w"].Status)
@@ -135,8 +135,8 @@
 
 // A VM that is lost for good is replaced from the reserve after a while, does
 // not hold up a wave of the other racks, and its return fills no gap twice.
-func TestLostVMIsReplacedAndBlocksNoWave(t *testing.T) {
-	r := start(t, "ramcharan", 1)
+func TestLostVMIsReplacedAndDoesNotBlockWave(t *testing.T) {
+	r := startRun(t, "ramcharan", 1)
 	var lost string
 	for id := range r.State.PoolVMs("booking") {
 		lost = max(lost, id)
@@ -159,7 +159,7 @@
 // The shared reserve needs no more VMs than the pools' own, and grows with the
 // rates of failure.
 func TestSpareFor(t *testing.T) {
-	r := start(t, "ramcharan", 0)
+	r := startRun(t, "ramcharan", 0)
 	view := pool.NewView(r.State, r.Now)
 	before := pool.Spare{Own: map[string]int{}}
 	for _, scale := range []float64{0, 1, 10, 100} {
@@ -179,7 +179,7 @@
 // small ones, holds them all, and small VMs are free. Its owner must not wait
 // for ever: a small VM joins that pool and a large one moves over.
 func TestLargeVMsAreExchangedForSmallOnes(t *testing.T) {
-	d := read(t, "feldkamm")
+	d := readDeployment(t, "feldkamm")
 	r := forecast.New(ledger.New(), deployment.Epoch, policyNoFailures(), deployment.Usual)
 	register := func(prefix string, n, cores int) {
 		for v := range n {
@@ -189,19 +189,19 @@
 			})
 		}
 	}
-	modest := strings.Replace(strings.Replace(d.Texts[0], "min_cores = 64", "min_cores = 32", 1), "min_memory_mb = 262144", "", 1)
-	publish(t, r, d.Pools[0], modest)
+	smallDoc := strings.Replace(strings.Replace(d.Texts[0], "min_cores = 64", "min_cores = 32", 1), "min_memory_mb = 262144", "", 1)
+	publish(t, r, d.Pools[0], smallDoc)
 	register("large", 8, 64)
 	r.To(r.Now.Add(time.Hour))
 	register("small", 8, 32)
-	hungry := d.Pools[1]
-	publish(t, r, hungry, d.Texts[1])
+	largePool := d.Pools[1]
+	publish(t, r, largePool, d.Texts[1])
 	for range 120 {
 		r.To(r.Now.Add(time.Minute))
 	}
 	for range 60 {
 		r.To(r.Now.Add(10 * time.Minute))
 	}
-	assert.Len(t, r.State.PoolVMs(hungry), 8, "all the large VMs there are")
+	assert.Len(t, r.State.PoolVMs(largePool), 8, "all the large VMs there are")
 	assert.Zero(t, r.State.Unavailability(d.Pools[0]).Short)
 }
--- a/internal/forecast/run.go
+++ b/internal/forecast/run.go
@@ -30,16 +30,16 @@
 
 // Learned returns the times of a VM's pool as its latest drains took them, and
 // otherwise where the pool has had too few.
-func Learned(s *ledger.State, otherwise Times) func(*ledger.VM) Times {
+func Learned(s *ledger.State, fallback Times) func(*ledger.VM) Times {
 	return func(vm *ledger.VM) Times {
 		svc, ok := s.Services[vm.Pool]
 		if !ok || svc.Account.Typical() == 0 {
-			return otherwise
+			return fallback
 		}
-		total := otherwise.Drain + otherwise.Reboot + otherwise.Return
+		total := fallback.Drain + fallback.Reboot + fallback.Return
 		share := float64(svc.Account.Typical()) / float64(max(total, 1))
 		scale := func(d time.Duration) time.Duration { return time.Duration(share * float64(d)) }
-		return Times{Drain: scale(otherwise.Drain), Reboot: scale(otherwise.Reboot), Return: scale(otherwise.Return)}
+		return Times{Drain: scale(fallback.Drain), Reboot: scale(fallback.Reboot), Return: scale(fallback.Return)}
 	}
 }
 
@@ -58,26 +58,26 @@
 	// given up in the end.
 	Lost func(vm string) bool
 
-	due map[string]step
-	ids int
+	pending map[string]pendingStep
+	ids     int
 }
 
-// step is what a VM is busy with.
-type step struct {
+// pendingStep is what a VM is busy with.
+type pendingStep struct {
 	revision record.Revision
-	done     time.Time
+	endsAt   time.Time
 }
 
 // New returns a run over state, which it changes, with the production planner.
 func New(state *ledger.State, now time.Time, policy pool.Policy, times Times) *Run {
 	return &Run{
-		State:  state,
-		Now:    now,
-		Policy: policy,
-		Plan:   maintenance.Plan,
-		Times:  func(*ledger.VM) Times { return times },
-		Lost:   func(string) bool { return false },
-		due:    map[string]step{},
+		State:   state,
+		Now:     now,
+		Policy:  policy,
+		Plan:    maintenance.Plan,
+		Times:   func(*ledger.VM) Times { return times },
+		Lost:    func(string) bool { return false },
+		pending: map[string]pendingStep{},
 	}
 }
 
@@ -117,7 +117,7 @@
 	for {
 		for r.Round() > 0 {
 		}
-		id, at := r.next()
+		id, at := r.nextStep()
 		if id == "" || at.After(end) {
 			r.Now = end
 			return
@@ -129,15 +129,15 @@
 	}
 }
 
-// next returns the VM whose step ends first.
-func (r *Run) next() (string, time.Time) {
+// nextStep returns the VM whose step ends first.
+func (r *Run) nextStep() (string, time.Time) {
 	first, at := "", time.Time{}
 	for _, id := range slices.Sorted(maps.Keys(r.State.VMs)) {
 		vm := r.State.VMs[id]
 		if maintenance.Next(vm) == maintenance.StepNone {
 			continue
 		}
-		done, ends := r.ends(vm)
+		done, ends := r.stepEnd(vm)
 		if ends && (first == "" || done.Before(at)) {
 			first, at = id, done
 		}
@@ -145,17 +145,17 @@
 	return first, at
 }
 
-// ends returns when a VM's step ends. A lost VM's step ends with giving it up.
-func (r *Run) ends(vm *ledger.VM) (time.Time, bool) {
+// stepEnd returns when a VM's step ends. A lost VM's step ends with giving it up.
+func (r *Run) stepEnd(vm *ledger.VM) (time.Time, bool) {
 	if r.Lost(vm.ID) {
 		return vm.PhaseSince.Add(maintenance.OverdueAfter(vm)), !r.givenUp(vm)
 	}
-	s, ok := r.due[vm.ID]
+	s, ok := r.pending[vm.ID]
 	if !ok || s.revision != vm.Revision {
-		s = step{revision: vm.Revision, done: r.Now.Add(r.duration(vm))}
-		r.due[vm.ID] = s
+		s = pendingStep{revision: vm.Revision, endsAt: r.Now.Add(r.duration(vm))}
+		r.pending[vm.ID] = s
 	}
-	return s.done, true
+	return s.endsAt, true
 }
 
 // givenUp reports whether a VM that does not come back is down for the fold and
@@ -224,7 +224,7 @@
 // finish ends a VM's step with the record that a steward would write.
 func (r *Run) finish(id string) {
 	vm := r.State.VMs[id]
-	delete(r.due, id)
+	delete(r.pending, id)
 	if r.Lost(id) {
 		r.giveUp(vm)
 		return
--- a/internal/forecast/turns_test.go
+++ b/internal/forecast/turns_test.go
@@ -14,8 +14,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// place runs a job of the pool on one of its VMs and returns the VM.
-func place(t *testing.T, r *forecast.Run, service string, runTime time.Duration) string {
+// placeJob runs a job of the pool on one of its VMs and returns the VM.
+func placeJob(t *testing.T, r *forecast.Run, service string, runTime time.Duration) string {
 	t.Helper()
 	svc := r.State.Services[service]
 	vm := ""
@@ -32,8 +32,8 @@
 	return vm
 }
 
-// back counts the VMs that have had their turn.
-func back(r *forecast.Run) int {
+// returnedVMs counts the VMs that have had their turn.
+func returnedVMs(r *forecast.Run) int {
 	n := 0
 	for _, progress := range r.State.Waves["w"].VMs {
 		if progress == ledger.WaveBack {
@@ -47,30 +47,30 @@
 // skip, callers' other VMs are maintained, that VM is never drained, and at the
 // deadline the wave reports it and ends. Where it says wait, the VM's turn is the
 // last and the drain's estimate covers the job.
-func TestLongJobsDecideTheTurn(t *testing.T) {
+func TestLongJobsSkipOrDelayTheTurn(t *testing.T) {
 	t.Run("skip", func(t *testing.T) {
-		r := start(t, "feldkamm", 0)
-		busy := place(t, r, "export", 24*time.Hour)
+		r := startRun(t, "feldkamm", 0)
+		jobVM := placeJob(t, r, "export", 24*time.Hour)
 		startWave(t, r, 3*time.Hour, "export")
 		r.To(r.Now.Add(2 * time.Hour))
-		assert.Equal(t, 8, back(r))
+		assert.Equal(t, 8, returnedVMs(r))
 		assert.Equal(t, ledger.WaveRunning, r.State.Waves["w"].Status)
 		for range 60 {
 			r.To(r.Now.Add(time.Minute))
 		}
 		assert.Equal(t, ledger.WaveDone, r.State.Waves["w"].Status)
-		assert.Contains(t, r.State.Waves["w"].Skips[busy], "may not be disturbed")
-		assert.Zero(t, r.State.VMs[busy].Drains)
+		assert.Contains(t, r.State.Waves["w"].Skips[jobVM], "may not be disturbed")
+		assert.Zero(t, r.State.VMs[jobVM].Drains)
 	})
 	t.Run("wait", func(t *testing.T) {
-		r := start(t, "feldkamm", 0)
-		busy := place(t, r, "conversion", 2*time.Hour)
+		r := startRun(t, "feldkamm", 0)
+		jobVM := placeJob(t, r, "conversion", 2*time.Hour)
 		startWave(t, r, 24*time.Hour, "conversion")
-		for r.State.VMs[busy].Drain == nil {
+		for r.State.VMs[jobVM].Drain == nil {
 			r.To(r.Now.Add(time.Minute))
 		}
-		assert.Equal(t, 10, back(r))
-		assert.GreaterOrEqual(t, r.State.VMs[busy].Drain.Estimate, 90*time.Minute)
+		assert.Equal(t, 10, returnedVMs(r))
+		assert.GreaterOrEqual(t, r.State.VMs[jobVM].Drain.Estimate, 90*time.Minute)
 		r.To(r.Now.Add(2 * time.Hour))
 		assert.Equal(t, ledger.WaveDone, r.State.Waves["w"].Status, "it ends with the job")
 	})
@@ -79,19 +79,19 @@
 // Twelve VMs take two minutes each, in racks that may be out together. With a day
 // to go a wave leaves one unit of max_unavailable for failures; with ten minutes
 // it takes all that the budget bears, and not more.
-func TestDeadlineSetsTheWidth(t *testing.T) {
-	for deadline, width := range map[time.Duration]int{24 * time.Hour: 1, 10 * time.Minute: 2} {
+func TestDeadlineSetsParallelDrains(t *testing.T) {
+	for deadline, want := range map[time.Duration]int{24 * time.Hour: 1, 10 * time.Minute: 2} {
 		t.Run(fmt.Sprint(deadline), func(t *testing.T) {
-			r := start(t, "ramcharan", 0)
+			r := startRun(t, "ramcharan", 0)
 			svc := r.State.Services["booking"]
 			publish(t, r, "booking", strings.Replace(svc.Text, "one_domain = true", "one_domain = false", 1))
 			startWave(t, r, deadline, "booking")
-			widest := 0
+			maxShort := 0
 			for r.State.Waves["w"].Status == ledger.WaveRunning {
 				r.To(r.Now.Add(10 * time.Second))
-				widest = max(widest, r.State.Unavailability("booking").Short)
+				maxShort = max(maxShort, r.State.Unavailability("booking").Short)
 			}
-			assert.Equal(t, width, widest)
+			assert.Equal(t, want, maxShort)
 		})
 	}
 }
--- a/internal/forecast/wave.go
+++ b/internal/forecast/wave.go
@@ -17,10 +17,10 @@
 	// horizon is how far a forecast looks ahead. A wave that is not done by
 	// then is stuck for all that planning is concerned.
 	horizon = 60 * 24 * time.Hour
-	// quietStep is how far a forecast moves while nothing happens, as when a
+	// idleStep is how far a forecast moves while nothing happens, as when a
 	// wave waits for its pools' budgets to recover.
-	quietStep = time.Minute
-	maxQuiet  = time.Hour
+	idleStep    = time.Minute
+	maxIdleStep = time.Hour
 	// waveID is the subject of the wave that is tried.
 	waveID = "forecast"
 )
@@ -72,51 +72,51 @@
 		return Wave{}, errors.Wrap(ErrRefused, out.Reason)
 	}
 	w := Wave{Start: now}
-	w.play(r)
+	w.simulate(r)
 	return w, nil
 }
 
-// play moves the run on until the wave is over or the horizon is reached.
-func (w *Wave) play(r *Run) {
-	open := map[string]*Turn{}
-	pause := quietStep
+// simulate moves the run on until the wave is over or the horizon is reached.
+func (w *Wave) simulate(r *Run) {
+	turns := map[string]*Turn{}
+	pause := idleStep
 	for r.State.Waves[waveID].Active() && r.Now.Before(w.Start.Add(horizon)) {
 		before := r.State.Offset
 		r.Round()
-		id, at := r.next()
+		id, at := r.nextStep()
 		if id == "" {
 			r.Now = r.Now.Add(pause)
-			pause = min(2*pause, maxQuiet)
+			pause = min(2*pause, maxIdleStep)
 		} else {
 			r.Now = later(r.Now, at)
 			r.finish(id)
 		}
 		if r.State.Offset != before {
-			pause = quietStep
+			pause = idleStep
 		}
-		w.note(r, open)
+		w.recordTurns(r, turns)
 	}
-	w.close(r)
+	w.summarize(r)
 }
 
-// note keeps what became of the VMs with the last records.
-func (w *Wave) note(r *Run, open map[string]*Turn) {
+// recordTurns keeps what became of the VMs with the last records.
+func (w *Wave) recordTurns(r *Run, turns map[string]*Turn) {
 	for id, progress := range r.State.Waves[waveID].VMs {
 		vm, known := r.State.VMs[id]
-		turn := open[id]
+		turn := turns[id]
 		switch {
 		case !known:
 		case progress == ledger.WaveOut && turn == nil:
-			open[id] = &Turn{VM: id, Pool: vm.Pool, Zone: vm.Zone, Rack: vm.Rack, Out: vm.Drain.Since}
+			turns[id] = &Turn{VM: id, Pool: vm.Pool, Zone: vm.Zone, Rack: vm.Rack, Out: vm.Drain.Since}
 		case progress == ledger.WaveBack && turn != nil && turn.Back.IsZero():
 			turn.Back = r.Now
-			turn.Target = moved(turn.Pool, vm)
+			turn.Target = destination(turn.Pool, vm)
 			w.Turns = append(w.Turns, *turn)
 		}
 	}
 }
 
-func moved(from string, vm *ledger.VM) string {
+func destination(from string, vm *ledger.VM) string {
 	switch vm.Pool {
 	case from:
 		return ""
@@ -126,7 +126,7 @@
 	return vm.Pool
 }
 
-func (w *Wave) close(r *Run) {
+func (w *Wave) summarize(r *Run) {
 	wave := r.State.Waves[waveID]
 	if !wave.Active() {
 		w.End = wave.FinishedAt
--- a/internal/forecast/wave_test.go
+++ b/internal/forecast/wave_test.go
@@ -20,8 +20,8 @@
 // An operator tries a wave before it starts one: the forecast names each VM's
 // turn and the end, changes nothing, and the wave that is then started ends when
 // the forecast said.
-func TestForecastIsWhatTheWaveDoes(t *testing.T) {
-	r := start(t, "feldkamm", 1)
+func TestForecastMatchesWave(t *testing.T) {
+	r := startRun(t, "feldkamm", 1)
 	before, err := r.State.Digest()
 	require.NoError(t, err)
 	start := record.WaveStart{Pools: []string{"compare", "preview"}, Deadline: r.Now.Add(24 * time.Hour)}
@@ -46,8 +46,8 @@
 // A pool's budget is all but spent. The forecast tells the operator that the
 // wave would wait until old charges leave the window, and the running wave
 // does wait, with a reason, and goes on by itself.
-func TestWaveWaitsForTheBudgetByItself(t *testing.T) {
-	r := start(t, "ramcharan", 0)
+func TestWaveWaitsForBudgetAndResumes(t *testing.T) {
+	r := startRun(t, "ramcharan", 0)
 	vm := slices.Min(slices.Collect(maps.Keys(r.State.PoolVMs("dispatch"))))
 	r.Lost = func(id string) bool { return id == vm }
 	r.OnVM(vm, record.VMDown{Cause: "no answer"})
--- a/internal/maintenance/events_test.go
+++ b/internal/maintenance/events_test.go
@@ -56,59 +56,59 @@
 
 func (w *world) drawPool() string { return rapid.SampledFrom(pools).Draw(w.t, "pool") }
 
-func (w *world) pass(d time.Duration) {
-	w.measure()
+func (w *world) advanceClock(d time.Duration) {
+	w.measureShortages()
 	w.now = w.now.Add(d)
 }
 
-// outage cuts a node off from the log, or lets hours pass with all cut off.
-func (w *world) outage() {
+// toggleOutage cuts a node off from the log, or lets hours pass with all cut off.
+func (w *world) toggleOutage() {
 	n := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(w.t, "cut")]
-	n.away = !n.away
+	n.disconnected = !n.disconnected
 	if rapid.IntRange(0, 5).Draw(w.t, "long") == 0 {
-		w.pass(3 * time.Hour)
+		w.advanceClock(3 * time.Hour)
 	}
 }
 
-// breakOrMend loses a rack or a VM, or brings one back.
-func (w *world) breakOrMend() {
+// toggleFault loses a rack or a VM, or brings one back.
+func (w *world) toggleFault() {
 	vm := w.head.VMs[w.drawVM()]
 	target := vm.ID
 	if rapid.Bool().Draw(w.t, "rack") {
 		target = "rack/" + vm.Rack
 	}
 	kind := rapid.SampledFrom([]standin.FaultKind{standin.VMCrash, standin.VMRecover}).Draw(w.t, "kind")
-	w.order(kind, target)
+	w.injectFault(kind, target)
 	for id, other := range w.head.VMs {
 		if id == target || "rack/"+other.Rack == target {
-			w.lost[id] = kind == standin.VMCrash
+			w.unreachable[id] = kind == standin.VMCrash
 		}
 	}
 }
 
-func (w *world) order(kind standin.FaultKind, target string) {
+func (w *world) injectFault(kind standin.FaultKind, target string) {
 	_, err := w.fake.Order(standin.Fault{Kind: kind, Target: target})
 	require.NoError(w.t, err)
 }
 
-// mendAll ends all faults; delayed appends arrive.
-func (w *world) mendAll() {
+// clearFaults ends all faults; delayed appends arrive.
+func (w *world) clearFaults() {
 	for id := range w.head.VMs {
-		if w.lost[id] {
-			w.order(standin.VMRecover, id)
+		if w.unreachable[id] {
+			w.injectFault(standin.VMRecover, id)
 		}
 	}
 	w.fake.ClearAll()
-	clear(w.lost)
+	clear(w.unreachable)
 	for _, n := range w.nodes {
-		n.away = false
+		n.disconnected = false
 	}
-	for len(w.late) > 0 {
-		w.deliverLate()
+	for len(w.delayed) > 0 {
+		w.deliverDelayed()
 	}
 }
 
-func (w *world) hasFree() bool {
+func (w *world) hasFreeVM() bool {
 	for _, vm := range w.head.VMs {
 		if vm.Phase == record.PhaseFree && !vm.Down {
 			return true
@@ -119,27 +119,27 @@
 
 func sortedVMs(s *ledger.State) []string { return slices.Sorted(maps.Keys(s.VMs)) }
 
-// meter sums up the short VMs of one pool over time.
-type meter struct {
-	spans []span
+// shortageMeter sums up the short VMs of one pool over time.
+type shortageMeter struct {
+	spans []shortageSpan
 	short int
 	at    time.Time
 }
 
-type span struct {
+type shortageSpan struct {
 	from, to time.Time
 	short    int
 }
 
-func (m *meter) set(short int, now time.Time) {
+func (m *shortageMeter) set(short int, now time.Time) {
 	if m.short > 0 && now.After(m.at) {
-		m.spans = append(m.spans, span{m.at, now, m.short})
+		m.spans = append(m.spans, shortageSpan{m.at, now, m.short})
 	}
 	m.short, m.at = short, now
 }
 
 // since returns the VM-seconds after a time.
-func (m *meter) since(from time.Time) float64 {
+func (m *shortageMeter) since(from time.Time) float64 {
 	sum := 0.0
 	for _, s := range m.spans {
 		if s.to.After(from) {
@@ -153,9 +153,9 @@
 	return sum
 }
 
-// measure reads the pools' short VMs at the fold's time.
-func (w *world) measure() {
-	for name, m := range w.spent {
+// measureShortages reads the pools' short VMs at the fold's time.
+func (w *world) measureShortages() {
+	for name, m := range w.shortages {
 		svc, ok := w.head.Services[name]
 		if !ok {
 			continue
--- a/internal/maintenance/history_test.go
+++ b/internal/maintenance/history_test.go
@@ -29,15 +29,15 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld(rt)
 		for range rapid.IntRange(20, 120).Draw(rt, "steps") {
-			w.step()
-			w.check()
+			w.randomStep()
+			w.checkInvariants()
 		}
-		w.heal()
+		w.recoverAndConverge()
 	})
 }
 
-// step lets one thing happen.
-func (w *world) step() {
+// randomStep lets one thing happen.
+func (w *world) randomStep() {
 	node := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(w.t, "node")]
 	switch rapid.IntRange(0, 15).Draw(w.t, "event") {
 	case 0, 1, 2:
@@ -47,22 +47,22 @@
 	case 6, 7, 8:
 		w.act(node)
 	case 9, 10:
-		w.pass(time.Duration(rapid.IntRange(1, 120).Draw(w.t, "seconds")) * time.Second)
+		w.advanceClock(time.Duration(rapid.IntRange(1, 120).Draw(w.t, "seconds")) * time.Second)
 	case 11:
-		w.watch(node)
+		w.reportHealth(node)
 	case 12:
-		w.operate(node)
+		w.operatorAction(node)
 	case 13:
-		w.breakOrMend()
+		w.toggleFault()
 	case 14:
-		w.deliverLate()
+		w.deliverDelayed()
 	case 15:
-		w.outage()
+		w.toggleOutage()
 	}
 }
 
-// operate is an operator's act, decided on a node's view.
-func (w *world) operate(n *node) {
+// operatorAction is an operator's act, decided on a node's view.
+func (w *world) operatorAction(n *node) {
 	vm := w.drawVM()
 	switch rapid.IntRange(0, 5).Draw(w.t, "operator") {
 	case 0:
@@ -81,8 +81,8 @@
 	}
 }
 
-// check holds the state against what must always be true of it.
-func (w *world) check() {
+// checkInvariants holds the state against what must always be true of it.
+func (w *world) checkInvariants() {
 	members := map[string]string{}
 	for _, pool := range pools {
 		for id := range w.head.PoolVMs(pool) {
@@ -121,36 +121,36 @@
 	if doc.Budget.OneDomain {
 		require.Empty(w.t, otherRack, "drain of %s in rack %s", before.ID, before.Rack)
 	}
-	spent := w.spent[before.Pool].since(w.head.Now.Add(-doc.Budget.Window))
+	spent := w.shortages[before.Pool].since(w.head.Now.Add(-doc.Budget.Window))
 	allowed := doc.Budget.Allowed * float64(doc.Pool.Size) * doc.Budget.Window.Seconds()
 	need := float64(short) * body.Estimate.Seconds()
 	require.LessOrEqual(w.t, spent+need, allowed+1, "drain of %s", before.ID)
 }
 
-// heal ends all faults and lets the stewards go on: every drain must come to its
+// recoverAndConverge ends all faults and lets the stewards go on: every drain must come to its
 // end, every wave too, the pools get their sizes, and the platform has rebooted
 // each VM as often as was decided.
-func (w *world) heal() {
-	w.mendAll()
+func (w *world) recoverAndConverge() {
+	w.clearFaults()
 	for range 400 {
 		for _, n := range w.nodes {
 			w.catchUp(n, len(w.log))
-			w.watch(n)
+			w.reportHealth(n)
 			w.catchUp(n, len(w.log))
 			w.plan(n)
 			w.catchUp(n, len(w.log))
 			w.act(n)
 		}
-		w.check()
-		if w.settled() {
+		w.checkInvariants()
+		if w.converged() {
 			break
 		}
-		w.pass(10 * time.Second)
+		w.advanceClock(10 * time.Second)
 	}
-	w.checkSettled()
+	w.checkConverged()
 }
 
-func (w *world) checkSettled() {
+func (w *world) checkConverged() {
 	for id, vm := range w.head.VMs {
 		require.Nil(w.t, vm.Drain, "VM %s is still %s", id, vm.Phase)
 		require.Equal(w.t, vm.Reboots, w.fake.Counters().Reboots[id], "reboots of %s", id)
@@ -167,8 +167,8 @@
 	}
 }
 
-// settled reports whether nothing is left to do.
-func (w *world) settled() bool {
+// converged reports whether nothing is left to do.
+func (w *world) converged() bool {
 	for _, vm := range w.head.VMs {
 		if vm.Drain != nil || vm.Phase == record.PhaseReturning {
 			return false
@@ -180,7 +180,7 @@
 		}
 	}
 	for _, pool := range pools {
-		if w.head.Unavailability(pool).Short > 0 && w.hasFree() {
+		if w.head.Unavailability(pool).Short > 0 && w.hasFreeVM() {
 			return false
 		}
 	}
--- a/internal/maintenance/step.go
+++ b/internal/maintenance/step.go
@@ -141,17 +141,17 @@
 
 // Bounds after which a VM that is out counts as failed.
 const (
-	overdueFactor  = 3
-	minimalOverdue = 10 * time.Minute
+	overdueFactor = 3
+	minOverdue    = 10 * time.Minute
 )
 
 // OverdueAfter returns for how long a VM may be in its phase: far longer than its
 // drain's estimate.
 func OverdueAfter(vm *ledger.VM) time.Duration {
 	if vm.Drain == nil {
-		return minimalOverdue
+		return minOverdue
 	}
-	return max(minimalOverdue, overdueFactor*vm.Drain.Estimate)
+	return max(minOverdue, overdueFactor*vm.Drain.Estimate)
 }
 
 // Overdue reports whether the VM has been in its phase for so long that it is
--- a/internal/maintenance/wave.go
+++ b/internal/maintenance/wave.go
@@ -34,55 +34,55 @@
 		if !w.Running {
 			continue
 		}
-		skips(r, w)
+		proposeSkip(r, w)
 		for _, p := range r.View.Pools {
-			if due := turns(r, w, p); len(due) > 0 {
-				drains(r, w, p, due)
+			if due := dueTurns(r, w, p); len(due) > 0 {
+				proposeTurns(r, w, p, due)
 			}
 		}
 	}
 }
 
-// drains begins the turns of one pool. When it begins none, the round tells why:
+// proposeTurns begins the turns of one pool. When it begins none, the round tells why:
 // a wave pauses by itself while failures use up what the pool bears, and goes on
 // by itself.
-func drains(r *pool.Round, w *pool.Wave, p *pool.Pool, due []*pool.VM) {
-	pressed := pressed(r, w, p, due)
-	if !pressed && r.Arriving(p) {
+func proposeTurns(r *pool.Round, w *pool.Wave, p *pool.Pool, due []*pool.VM) {
+	atRisk := deadlineAtRisk(r, w, p, due)
+	if !atRisk && r.Arriving(p) {
 		return // soon a drain costs the pool less
 	}
-	begun, reason := 0, ""
+	proposed, reason := 0, ""
 	for _, vm := range due {
 		if r.Full() {
 			return
 		}
-		no := begin(r, vm, r.WaveDrain(vm, ""), pressed)
-		if no == "" {
-			begun++
+		refusal := proposeTurn(r, vm, r.WaveDrain(vm, ""), atRisk)
+		if refusal == "" {
+			proposed++
 		}
-		reason = cmp.Or(reason, no)
+		reason = cmp.Or(reason, refusal)
 	}
-	if begun == 0 && reason != "" && !r.Out(w, p) {
+	if proposed == 0 && reason != "" && !r.Out(w, p) {
 		r.Waits = append(r.Waits, pool.Wait{Wave: w.ID, Pool: p.Name, Reason: reason})
 	}
 }
 
-// begin proposes a turn, or returns why it has to wait.
-func begin(r *pool.Round, vm *pool.VM, body record.VMDrain, pressed bool) string {
-	if !pressed {
-		if reason := hold(r, r.View.Pool(vm.Pool), vm, body); reason != "" {
+// proposeTurn proposes a turn, or returns why it has to wait.
+func proposeTurn(r *pool.Round, vm *pool.VM, body record.VMDrain, atRisk bool) string {
+	if !atRisk {
+		if reason := waitReason(r, r.View.Pool(vm.Pool), vm, body); reason != "" {
 			return reason
 		}
 	}
 	return r.Drain(vm, body, "its turn in the wave")
 }
 
-// turns returns the pool's VMs that could be drained now in the order of their
+// dueTurns returns the pool's VMs that could be drained now in the order of their
 // turns: zones and racks that have VMs out already come first, so that one
 // failure domain is finished before the next is begun, then VMs without jobs.
 // VMs that are down get their turn once no other is left: until then they may
 // come back, and the rest does not wait for them.
-func turns(r *pool.Round, w *pool.Wave, p *pool.Pool) []*pool.VM {
+func dueTurns(r *pool.Round, w *pool.Wave, p *pool.Pool) []*pool.VM {
 	var due []*pool.VM
 	for _, vm := range p.VMs {
 		if w.VMs[vm.ID] != ledger.WavePending || vm.Phase != record.PhaseServing || r.Taken(vm) {
@@ -96,12 +96,12 @@
 	if slices.ContainsFunc(due, func(vm *pool.VM) bool { return !vm.Down }) {
 		due = slices.DeleteFunc(due, func(vm *pool.VM) bool { return vm.Down })
 	}
-	zones, racks := outDomains(p)
+	zones, racks := drainedByDomain(p)
 	slices.SortFunc(due, func(a, b *pool.VM) int {
 		return cmp.Or(
 			cmp.Compare(zones[b.Zone], zones[a.Zone]),
 			cmp.Compare(racks[b.Rack], racks[a.Rack]),
-			cmp.Compare(waiting(p, a), waiting(p, b)),
+			cmp.Compare(jobsToWaitFor(p, a), jobsToWaitFor(p, b)),
 			cmp.Compare(a.Zone, b.Zone),
 			cmp.Compare(a.Rack, b.Rack),
 			cmp.Compare(a.ID, b.ID),
@@ -110,8 +110,8 @@
 	return due
 }
 
-// outDomains counts the pool's VMs in a wave's drain by zone and rack.
-func outDomains(p *pool.Pool) (zones, racks map[string]int) {
+// drainedByDomain counts the pool's VMs in a wave's drain by zone and rack.
+func drainedByDomain(p *pool.Pool) (zones, racks map[string]int) {
 	zones, racks = map[string]int{}, map[string]int{}
 	for _, vm := range p.VMs {
 		if vm.Drain != nil && vm.Drain.Wave != "" {
@@ -122,57 +122,57 @@
 	return zones, racks
 }
 
-// waiting counts the jobs that a drain of the VM would wait for.
-func waiting(p *pool.Pool, vm *pool.VM) int {
+// jobsToWaitFor counts the jobs that a drain of the VM would wait for.
+func jobsToWaitFor(p *pool.Pool, vm *pool.VM) int {
 	if p.Doc.Jobs.OnDrain == document.LongJobsWait {
 		return vm.Jobs
 	}
 	return 0
 }
 
-// hold returns why a wave keeps back from the pool for now though its budget
+// waitReason returns why a wave keeps back from the pool for now though its budget
 // might bear the drain, or an empty string. One unit of max_unavailable and a
 // part of the window's VM-seconds are left for failures, until the deadline is
 // at risk.
-func hold(r *pool.Round, p *pool.Pool, vm *pool.VM, body record.VMDrain) string {
-	careful := *r.Headroom(p.Name)
-	careful.Budget.MaxUnavailable = parallel(p)
-	careful.Allowed *= r.Policy.WaveShare
-	return careful.RefusalOf(&vm.VM, body)
+func waitReason(r *pool.Round, p *pool.Pool, vm *pool.VM, body record.VMDrain) string {
+	reduced := *r.Headroom(p.Name)
+	reduced.Budget.MaxUnavailable = maxParallelTurns(p)
+	reduced.Allowed *= r.Policy.WaveShare
+	return reduced.RefusalOf(&vm.VM, body)
 }
 
-// parallel is how many VMs of the pool a wave takes at once while it is not
+// maxParallelTurns is how many VMs of the pool a wave takes at once while it is not
 // pressed.
-func parallel(p *pool.Pool) int {
+func maxParallelTurns(p *pool.Pool) int {
 	return max(min(1, p.Doc.Budget.MaxUnavailable), p.Doc.Budget.MaxUnavailable-1)
 }
 
-// pressed reports whether the wave's deadline is at risk at the careful pace.
-func pressed(r *pool.Round, w *pool.Wave, p *pool.Pool, due []*pool.VM) bool {
+// deadlineAtRisk reports whether the wave's deadline is at risk at the careful pace.
+func deadlineAtRisk(r *pool.Round, w *pool.Wave, p *pool.Pool, due []*pool.VM) bool {
 	if w.Deadline.IsZero() {
 		return false
 	}
-	width := max(1, parallel(p))
+	width := max(1, maxParallelTurns(p))
 	if p.Doc.Budget.OneDomain {
 		width = 1
 	}
 	rounds := (len(due) + width - 1) / width
-	need := time.Duration(rounds) * pace(r, p, due[0])
+	need := time.Duration(rounds) * turnDuration(r, p, due[0])
 	return r.View.Now.Add(need).After(w.Deadline)
 }
 
-// pace is how long one turn of the pool takes: as its latest drains did, or by
+// turnDuration is how long one turn of the pool takes: as its latest drains did, or by
 // the estimate while there were none.
-func pace(r *pool.Round, p *pool.Pool, vm *pool.VM) time.Duration {
+func turnDuration(r *pool.Round, p *pool.Pool, vm *pool.VM) time.Duration {
 	if p.Headroom.Typical > 0 {
 		return p.Headroom.Typical
 	}
 	return r.Estimate(vm, record.DrainMaintenance)
 }
 
-// skips takes the VMs out of the wave that cannot have their turn: those that
+// proposeSkip takes the VMs out of the wave that cannot have their turn: those that
 // left their pool, and at the deadline those whose jobs may not be disturbed.
-func skips(r *pool.Round, w *pool.Wave) {
+func proposeSkip(r *pool.Round, w *pool.Wave) {
 	for _, id := range sortedPending(w) {
 		vm := r.View.VM(id)
 		if vm == nil || r.Full() {
--- a/internal/maintenance/world_test.go
+++ b/internal/maintenance/world_test.go
@@ -27,33 +27,33 @@
 // world is a log with its fold, two stewards that fold it late, and the
 // in-process stand-in.
 type world struct {
-	t     *rapid.T
-	now   time.Time
-	log   []record.Record
-	head  *ledger.State
-	nodes []*node
-	late  []record.Record // appended, not yet in the log
-	fake  *standin.Platform
-	waves int
-	ids   int
-	lost  map[string]bool // VMs that do not answer
-	spent map[string]*meter
+	t           *rapid.T
+	now         time.Time
+	log         []record.Record
+	head        *ledger.State
+	nodes       []*node
+	delayed     []record.Record // appended, not yet in the log
+	fake        *standin.Platform
+	waves       int
+	ids         int
+	unreachable map[string]bool // VMs that do not answer
+	shortages   map[string]*shortageMeter
 }
 
 // node is a steward's own fold.
 type node struct {
-	name  string
-	state *ledger.State
-	away  bool // cut off from the log
+	name         string
+	state        *ledger.State
+	disconnected bool // cut off from the log
 }
 
 func newWorld(t *rapid.T) *world {
 	w := &world{
-		t:     t,
-		now:   time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC),
-		head:  ledger.New(),
-		lost:  map[string]bool{},
-		spent: map[string]*meter{},
+		t:           t,
+		now:         time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC),
+		head:        ledger.New(),
+		unreachable: map[string]bool{},
+		shortages:   map[string]*shortageMeter{},
 	}
 	w.fake = standin.New(standin.Options{
 		Now:    func() time.Time { return w.now },
@@ -63,7 +63,7 @@
 		w.nodes = append(w.nodes, &node{name: name, state: ledger.New()})
 	}
 	for _, name := range pools {
-		w.spent[name] = &meter{}
+		w.shortages[name] = &shortageMeter{}
 		w.publish(w.nodes[0], name, 4)
 	}
 	list, err := w.fake.List(context.Background())
@@ -101,9 +101,9 @@
 		w.append(rec)
 	case 1:
 		w.append(rec)
-		w.late = append(w.late, rec)
+		w.delayed = append(w.delayed, rec)
 	case 2:
-		w.late = append(w.late, rec)
+		w.delayed = append(w.delayed, rec)
 	default:
 		w.append(rec)
 	}
@@ -114,28 +114,28 @@
 	if vm, ok := w.head.VMs[rec.Subject.Name]; ok {
 		before = *vm
 	}
-	w.measure()
+	w.measureShortages()
 	w.log = append(w.log, rec)
 	out := w.head.Apply(uint64(len(w.log)), rec)
 	if body, ok := rec.Body.(record.VMDrain); ok && out.Status == ledger.Effective {
 		w.checkDrain(before, body)
 	}
-	w.measure()
+	w.measureShortages()
 }
 
-// deliverLate lets one delayed append take effect.
-func (w *world) deliverLate() {
-	if len(w.late) == 0 {
+// deliverDelayed lets one delayed append take effect.
+func (w *world) deliverDelayed() {
+	if len(w.delayed) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.late)-1).Draw(w.t, "late")
-	rec := w.late[i]
-	w.late = append(w.late[:i:i], w.late[i+1:]...)
+	i := rapid.IntRange(0, len(w.delayed)-1).Draw(w.t, "late")
+	rec := w.delayed[i]
+	w.delayed = append(w.delayed[:i:i], w.delayed[i+1:]...)
 	w.append(rec)
 }
 
 func (w *world) catchUp(n *node, records int) {
-	for n.state.Offset < uint64(len(w.log)) && records > 0 && !n.away {
+	for n.state.Offset < uint64(len(w.log)) && records > 0 && !n.disconnected {
 		n.state.Apply(n.state.Offset+1, w.log[n.state.Offset])
 		records--
 	}
@@ -164,7 +164,7 @@
 	if a, ok := maintenance.ActionOf(vm); ok {
 		result = w.perform(vm, a)
 	}
-	if !maintenance.Settled(vm, result, !w.lost[vm.ID]) {
+	if !maintenance.Settled(vm, result, !w.unreachable[vm.ID]) {
 		return
 	}
 	switch maintenance.Next(vm) {
@@ -200,17 +200,17 @@
 	return steward.ResultOf(status, err)
 }
 
-// watch turns what VMs answer into evidence, decided on the node's view.
-func (w *world) watch(n *node) {
+// reportHealth turns what VMs answer into evidence, decided on the node's view.
+func (w *world) reportHealth(n *node) {
 	for _, id := range sortedVMs(n.state) {
 		vm := n.state.VMs[id]
 		if maintenance.Next(vm) != maintenance.StepNone {
 			continue
 		}
 		switch {
-		case w.lost[id] && !vm.Down:
+		case w.unreachable[id] && !vm.Down:
 			w.send(n, subjectVM(id), record.VMDown{Cause: "no answer"})
-		case !w.lost[id] && vm.Down:
+		case !w.unreachable[id] && vm.Down:
 			w.send(n, subjectVM(id), record.VMUp{})
 		}
 	}
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -158,16 +158,16 @@
 		return nil
 	}
 	hours := m.Left / lastHour
-	if hours > float64(maxAhead/time.Hour) {
+	if hours > float64(maxRunsOut/time.Hour) {
 		return nil
 	}
 	at := now.Add(time.Duration(hours * float64(time.Hour)))
 	return &at
 }
 
-// maxAhead is how far ahead a budget's end is told; beyond it the pace of one
+// maxRunsOut is how far ahead a budget's end is told; beyond it the pace of one
 // hour says nothing.
-const maxAhead = 365 * day
+const maxRunsOut = 365 * day
 
 func waveOf(w *ledger.Wave, now time.Time) Wave {
 	m := Wave{Name: w.ID, Status: w.Status, Started: w.StartedAt, VMs: len(w.VMs)}
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -107,7 +107,7 @@
 
 // While the pool is short the burn goes on without any new record, and a budget
 // that is spent says so.
-func TestBurnGoesOn(t *testing.T) {
+func TestBurnContinuesWithoutRecords(t *testing.T) {
 	h := pool(t, 4)
 	h.vm(0, "vm-0", record.VMDown{Cause: "gone"})
 	m := measure.Of(h.s, start.Add(2*time.Hour)).Services[0]
@@ -120,7 +120,7 @@
 	require.Equal(t, now, *m.RunsOut)
 }
 
-func TestBufferAndQuiet(t *testing.T) {
+func TestBufferWithoutBurn(t *testing.T) {
 	h := pool(t, 5)
 	r := measure.Of(h.s, start.Add(2*time.Hour))
 	m := r.Services[0]
--- a/internal/pool/assign.go
+++ b/internal/pool/assign.go
@@ -7,10 +7,10 @@
 
 // Tiers of supply, the cheapest first.
 const (
-	tierFree  tier = iota // in no pool: nobody is disturbed
-	tierOut               // surplus and out of service already: one disturbance serves both
-	tierDue               // surplus whose turn in a wave is to come: likewise
-	tierServe             // surplus that serves: one more disturbance
+	tierFree         tier = iota // in no pool: nobody is disturbed
+	tierOutOfService             // surplus and out of service already: one disturbance serves both
+	tierPendingTurn              // surplus whose turn in a wave is to come: likewise
+	tierServing                  // surplus that serves: one more disturbance
 )
 
 // shape is what a VM offers; VMs of one shape fit the same pools.
@@ -20,10 +20,10 @@
 
 // class is a supply of like VMs.
 type class struct {
-	tier  tier
-	donor string // pool, or empty for free VMs
-	vms   []*VM
-	left  int // how many are not given away yet
+	tier      tier
+	donor     string // pool, or empty for free VMs
+	vms       []*VM
+	remaining int // how many are not given away yet
 }
 
 // assignment is how many VMs of which class go to which gap.
@@ -48,8 +48,8 @@
 		a.flow[i] = make([]int, len(gaps))
 	}
 	for i, c := range classes {
-		for limit > 0 && c.left > 0 && (c.donor == "" || surplus[c.donor] > 0) && a.augment(i) {
-			c.left--
+		for limit > 0 && c.remaining > 0 && (c.donor == "" || surplus[c.donor] > 0) && a.augment(i) {
+			c.remaining--
 			surplus[c.donor]--
 			limit--
 		}
@@ -70,7 +70,7 @@
 	queue := []int{from}
 	seen := make([]bool, len(a.classes))
 	seen[from] = true
-	order := a.neediest()
+	order := a.gapsByNeed()
 	for len(queue) > 0 {
 		c := queue[0]
 		queue = queue[1:]
@@ -80,8 +80,8 @@
 				continue
 			}
 			viaClass[j] = c
-			if a.filled[j] < g.short() {
-				a.shift(from, j, viaClass, viaGap)
+			if a.filled[j] < g.shortage() {
+				a.applyPath(from, j, viaClass, viaGap)
 				return true
 			}
 			for other := range a.classes {
@@ -96,9 +96,9 @@
 	return false
 }
 
-// neediest returns the gaps by what they still need, so that scarce VMs are
+// gapsByNeed returns the gaps by what they still need, so that scarce VMs are
 // spread over the pools by need and do not all go to the first.
-func (a *assignment) neediest() []int {
+func (a *assignment) gapsByNeed() []int {
 	order := make([]int, len(a.gaps))
 	for j := range order {
 		order[j] = j
@@ -109,8 +109,8 @@
 	return order
 }
 
-// shift moves one VM along the path that ends at gap end.
-func (a *assignment) shift(from, end int, viaClass, viaGap []int) {
+// applyPath moves one VM along the path that ends at gap end.
+func (a *assignment) applyPath(from, end int, viaClass, viaGap []int) {
 	a.filled[end]++
 	for j := end; ; {
 		c := viaClass[j]
--- a/internal/pool/assign_test.go
+++ b/internal/pool/assign_test.go
@@ -33,12 +33,12 @@
 	return false
 }
 
-// best tries every assignment.
-func best(gaps []*gap, classes []*class) score {
+// exhaustiveSearch tries every assignment.
+func exhaustiveSearch(gaps []*gap, classes []*class) score {
 	a := &assignment{gaps: gaps, classes: classes}
-	room := make([]int, len(gaps))
+	remaining := make([]int, len(gaps))
 	for j, g := range gaps {
-		room[j] = g.short()
+		remaining[j] = g.shortage()
 	}
 	var try func(c, left int) score
 	try = func(c, left int) score {
@@ -52,28 +52,28 @@
 			}
 			return try(c+1, next)
 		}
-		top := try(c, left-1) // this VM stays
+		result := try(c, left-1) // this VM stays
 		for j, g := range gaps {
-			if room[j] == 0 || !a.fits(c, g) {
+			if remaining[j] == 0 || !a.fits(c, g) {
 				continue
 			}
-			room[j]--
+			remaining[j]--
 			s := try(c, left-1)
-			room[j]++
+			remaining[j]++
 			s.total++
 			s.tiers[classes[c].tier]++
-			if s.better(top) {
-				top = s
+			if s.better(result) {
+				result = s
 			}
 		}
-		return top
+		return result
 	}
 	return try(0, len(classes[0].vms))
 }
 
 // Gaps are filled with as many VMs as any assignment could, and with the least
 // disturbance among those: every small instance is held against a full search.
-func TestAssignIsTheLeastDisturbing(t *testing.T) {
+func TestAssignMatchesExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var gaps []*gap
 		for range rapid.IntRange(1, 3).Draw(rt, "gaps") {
@@ -86,13 +86,13 @@
 		}
 		var classes []*class
 		surplus := map[string]int{}
-		for tier := tierFree; tier <= tierServe; tier++ {
+		for tier := tierFree; tier <= tierServing; tier++ {
 			n := rapid.IntRange(0, 2).Draw(rt, "supply")
 			if n == 0 {
 				continue
 			}
 			vm := &VM{VM: ledger.VM{Cores: rapid.IntRange(1, 3).Draw(rt, "cores")}}
-			c := &class{tier: tier, left: n}
+			c := &class{tier: tier, remaining: n}
 			for range n {
 				c.vms = append(c.vms, vm)
 			}
@@ -105,7 +105,7 @@
 		if len(classes) == 0 {
 			return
 		}
-		want := best(gaps, classes)
+		want := exhaustiveSearch(gaps, classes)
 		a := assign(gaps, classes, surplus, DefaultMaxProposals)
 		var got score
 		for i, c := range classes {
--- a/internal/pool/fill.go
+++ b/internal/pool/fill.go
@@ -21,12 +21,12 @@
 				if r.Full() {
 					return
 				}
-				r.give(c, g)
+				r.assignVM(c, g)
 			}
 		}
 	}
 	for j, g := range a.gaps {
-		if a.filled[j] < g.short() && g.mayMove {
+		if a.filled[j] < g.shortage() && g.mayMove {
 			r.exchange(g)
 		}
 	}
@@ -38,45 +38,45 @@
 // need and smaller ones lie free.
 func (r *Round) exchange(g *gap) {
 	for _, p := range r.View.Pools {
-		if r.Full() || p == g.pool || r.Surplus(p) > 0 || !r.holds(p, g.pool) {
+		if r.Full() || p == g.pool || r.Surplus(p) > 0 || !r.hasFittingVM(p, g.pool) {
 			continue
 		}
-		if vm := r.bestFree(p); vm != nil && !Fits(vm, g.pool.Doc.Pool) {
-			r.join(vm, p.Name, r.want(p)+1, "in exchange for one that fits pool "+g.pool.Name)
+		if vm := r.bestFreeVM(p); vm != nil && !Fits(vm, g.pool.Doc.Pool) {
+			r.proposeJoin(vm, p.Name, r.targetSize(p)+1, "in exchange for one that fits pool "+g.pool.Name)
 			return
 		}
 	}
 }
 
-// holds reports whether the pool has a VM that fits another one.
-func (r *Round) holds(p, other *Pool) bool {
+// hasFittingVM reports whether the pool has a VM that fits another one.
+func (r *Round) hasFittingVM(p, other *Pool) bool {
 	return slices.ContainsFunc(p.VMs, func(vm *VM) bool { return vm.Serving() && !r.Taken(vm) && Fits(vm, other.Doc.Pool) })
 }
 
-// give sends the best VM of a class to a gap.
-func (r *Round) give(c *class, g *gap) {
-	vm := r.pick(c, g.pool)
+// assignVM sends the best VM of a class to a gap.
+func (r *Round) assignVM(c *class, g *gap) {
+	vm := r.selectVM(c, g.pool)
 	if vm == nil {
 		return
 	}
 	to := g.pool.Name
 	switch c.tier {
 	case tierFree:
-		r.join(vm, to, g.want, "the pool is short of its size")
-	case tierOut:
+		r.proposeJoin(vm, to, g.want, "the pool is short of its size")
+	case tierOutOfService:
 		r.leaving[vm.ID] = true
 		r.joining[to] = append(r.joining[to], vm)
 		r.Propose(vm, record.VMRedirect{Target: to}, vm.Pool, "out of service already and wanted elsewhere")
-	case tierDue:
+	case tierPendingTurn:
 		r.Drain(vm, r.WaveDrain(vm, to), "its turn in the wave, and wanted elsewhere")
-	case tierServe:
+	case tierServing:
 		body := record.VMDrain{Reason: record.DrainMove, Target: to, Estimate: r.Estimate(vm, record.DrainMove)}
 		r.Drain(vm, body, "its pool has too many, the target too few")
 	}
 }
 
-// join proposes that a free VM joins a pool that wants want VMs.
-func (r *Round) join(vm *VM, pool string, want int, why string) {
+// proposeJoin proposes that a free VM joins a pool that wants want VMs.
+func (r *Round) proposeJoin(vm *VM, pool string, want int, why string) {
 	r.joining[pool] = append(r.joining[pool], vm)
 	r.Propose(vm, record.VMJoin{Pool: pool, Want: want}, pool, why)
 }
@@ -92,9 +92,9 @@
 	}
 }
 
-// pick returns the VM of the class that suits the pool best: one without jobs,
+// selectVM returns the VM of the class that suits the pool best: one without jobs,
 // then the one that spreads the pool widest.
-func (r *Round) pick(c *class, to *Pool) *VM {
+func (r *Round) selectVM(c *class, to *Pool) *VM {
 	target := r.spread(to)
 	var donor spread
 	from := r.View.Pool(c.donor)
@@ -103,7 +103,7 @@
 	}
 	var best *VM
 	for _, vm := range c.vms {
-		if r.Taken(vm) || (from != nil && !donor.bears(from, vm)) {
+		if r.Taken(vm) || (from != nil && !donor.canLose(from, vm)) {
 			continue
 		}
 		if best == nil || preferred(target, vm, best) {
@@ -117,5 +117,5 @@
 	if (a.Jobs == 0) != (b.Jobs == 0) {
 		return a.Jobs == 0
 	}
-	return s.better(a, b)
+	return s.spreadsWider(a, b)
 }
--- a/internal/pool/gap.go
+++ b/internal/pool/gap.go
@@ -15,10 +15,10 @@
 	mayMove bool
 }
 
-func (g *gap) short() int { return g.want - g.have }
+func (g *gap) shortage() int { return g.want - g.have }
 
-// want returns how many VMs the pool is to have.
-func (r *Round) want(p *Pool) int {
+// targetSize returns how many VMs the pool is to have.
+func (r *Round) targetSize(p *Pool) int {
 	if r.Policy.Reserve == ReserveOwn {
 		return p.Doc.Pool.Size + max(1, r.Spare().Own[p.Name])
 	}
@@ -38,9 +38,9 @@
 func (r *Round) gaps() []*gap {
 	var gaps []*gap
 	for _, p := range r.View.Pools {
-		g := &gap{pool: p, want: r.want(p), have: r.Present(p)}
-		if g.short() > 0 {
-			g.mayMove = r.lasting(p.GapSince, r.Policy.patience(p).Move) || r.hurts(p)
+		g := &gap{pool: p, want: r.targetSize(p), have: r.Present(p)}
+		if g.shortage() > 0 {
+			g.mayMove = r.hasLasted(p.GapSince, r.Policy.patience(p).Move) || r.budgetNearlySpent(p)
 			gaps = append(gaps, g)
 		}
 	}
@@ -56,7 +56,7 @@
 	size := g.pool.Doc.Pool.Size
 	return need{
 		missing: float64(max(0, size-g.have-got)) / float64(max(1, size)),
-		spare:   float64(g.short()-got) / float64(max(1, g.want)),
+		spare:   float64(g.shortage()-got) / float64(max(1, g.want)),
 	}
 }
 
@@ -64,13 +64,13 @@
 	return cmp.Or(cmp.Compare(o.missing, n.missing), cmp.Compare(o.spare, n.spare))
 }
 
-func (r *Round) lasting(since time.Time, wait time.Duration) bool {
+func (r *Round) hasLasted(since time.Time, wait time.Duration) bool {
 	return !since.IsZero() && r.View.Now.Sub(since) >= wait
 }
 
-// hurts reports whether a pool is at the end of what its budget bears, so that
+// budgetNearlySpent reports whether a pool is at the end of what its budget bears, so that
 // waiting costs more than a move.
-func (r *Round) hurts(p *Pool) bool {
+func (r *Round) budgetNearlySpent(p *Pool) bool {
 	h := &p.Headroom
 	return h.Size-h.Serving >= max(1, h.Budget.MaxUnavailable) || h.Spent > h.Allowed/2
 }
@@ -80,7 +80,7 @@
 func (r *Round) Present(p *Pool) int {
 	n := r.incoming[p.Name] + len(r.joining[p.Name])
 	for _, vm := range p.VMs {
-		if vm.Staying() && !r.lost(vm, p) && !r.leaving[vm.ID] {
+		if vm.Staying() && !r.needsReplacement(vm, p) && !r.leaving[vm.ID] {
 			n++
 		}
 	}
@@ -95,10 +95,10 @@
 			n++
 		}
 	}
-	return max(0, n-r.want(p))
+	return max(0, n-r.targetSize(p))
 }
 
-// lost reports whether a VM has been down for so long that it is replaced.
-func (r *Round) lost(vm *VM, p *Pool) bool {
+// needsReplacement reports whether a VM has been down for so long that it is replaced.
+func (r *Round) needsReplacement(vm *VM, p *Pool) bool {
 	return vm.Down && r.View.Now.Sub(vm.HealthSince) >= r.Policy.patience(p).Replace
 }
--- a/internal/pool/release.go
+++ b/internal/pool/release.go
@@ -20,8 +20,8 @@
 		}
 		spread := r.spread(p)
 		for n := r.Surplus(p); n > 0 && !r.Full(); n-- {
-			vm := r.surplusVM(p, spread, patience.Release > 0 && r.lasting(p.SurplusSince, patience.Release))
-			if vm == nil || !r.release(vm) {
+			vm := r.surplusVM(p, spread, patience.Release > 0 && r.hasLasted(p.SurplusSince, patience.Release))
+			if vm == nil || !r.releaseVM(vm) {
 				break
 			}
 		}
@@ -54,32 +54,32 @@
 func (r *Round) surplusVM(p *Pool, s spread, lasted bool) *VM {
 	var best *VM
 	for _, vm := range p.VMs {
-		if r.Taken(vm) || vm.Down || !vm.Staying() || !s.bears(p, vm) {
+		if r.Taken(vm) || vm.Down || !vm.Staying() || !s.canLose(p, vm) {
 			continue
 		}
 		if !vm.Redirectable() && (!vm.Serving() || !lasted) {
 			continue
 		}
-		if best == nil || cheaper(s, vm, best) {
+		if best == nil || cheaperToRelease(s, vm, best) {
 			best = vm
 		}
 	}
 	return best
 }
 
-// cheaper prefers a VM that is out already, then one without jobs, then one of
+// cheaperToRelease prefers a VM that is out already, then one without jobs, then one of
 // the densest rack.
-func cheaper(s spread, a, b *VM) bool {
+func cheaperToRelease(s spread, a, b *VM) bool {
 	if a.Redirectable() != b.Redirectable() {
 		return a.Redirectable()
 	}
 	if (a.Jobs == 0) != (b.Jobs == 0) {
 		return a.Jobs == 0
 	}
-	return s.better(b, a)
+	return s.spreadsWider(b, a)
 }
 
-func (r *Round) release(vm *VM) bool {
+func (r *Round) releaseVM(vm *VM) bool {
 	if vm.Redirectable() {
 		r.leaving[vm.ID] = true
 		r.Propose(vm, record.VMRedirect{Release: true}, vm.Pool, "out of service already and surplus")
@@ -95,17 +95,17 @@
 	if r.Policy.Reserve == ReserveOwn {
 		return
 	}
-	room := r.untakenFree() - r.Spare().Shared
+	available := r.undecidedFreeVMs() - r.Spare().Shared
 	for _, p := range r.View.Pools {
-		if room <= 0 || r.Full() {
+		if available <= 0 || r.Full() {
 			return
 		}
-		if r.WaveTurns(p) < 2 || r.Surplus(p) >= r.Policy.Surge || r.Present(p) < r.want(p) {
+		if r.WaveTurns(p) < 2 || r.Surplus(p) >= r.Policy.Surge || r.Present(p) < r.targetSize(p) {
 			continue
 		}
-		if vm := r.bestFree(p); vm != nil {
-			r.join(vm, p.Name, r.want(p)+r.Policy.Surge, "lent for the wave")
-			room--
+		if vm := r.bestFreeVM(p); vm != nil {
+			r.proposeJoin(vm, p.Name, r.targetSize(p)+r.Policy.Surge, "lent for the wave")
+			available--
 		}
 	}
 }
@@ -126,7 +126,7 @@
 	return false
 }
 
-func (r *Round) untakenFree() int {
+func (r *Round) undecidedFreeVMs() int {
 	n := 0
 	for _, vm := range r.View.Free {
 		if !r.Taken(vm) {
@@ -136,7 +136,7 @@
 	return n
 }
 
-func (r *Round) bestFree(p *Pool) *VM {
+func (r *Round) bestFreeVM(p *Pool) *VM {
 	s := r.spread(p)
 	var best *VM
 	for _, vm := range r.View.Free {
@@ -156,5 +156,5 @@
 	if c := compareShape(a, b); c != 0 {
 		return c < 0
 	}
-	return s.better(a, b)
+	return s.spreadsWider(a, b)
 }
--- a/internal/pool/reserve.go
+++ b/internal/pool/reserve.go
@@ -55,18 +55,18 @@
 			own[vm.Rack]++
 			racks[vm.Rack]++
 		}
-		loss := lossDistribution{1}.poisson(rates.mean(n)).racks(own, rates)
-		s.Own[p.Name] = loss.spare(failureShare * p.Doc.Budget.Allowed * float64(n))
+		loss := lossDistribution{1}.addVMLosses(rates.meanDown(n)).addRackLosses(own, rates)
+		s.Own[p.Name] = loss.minSpare(failureShare * p.Doc.Budget.Allowed * float64(n))
 	}
-	all = all.poisson(rates.mean(size)).racks(racks, rates)
-	s.Shared = all.spare(failureShare * tightest(pools) * float64(size))
+	all = all.addVMLosses(rates.meanDown(size)).addRackLosses(racks, rates)
+	s.Shared = all.minSpare(failureShare * smallestAllowance(pools) * float64(size))
 	return s
 }
 
-// tightest returns the smallest allowed share among the pools: a shortage of
+// smallestAllowance returns the smallest allowed share among the pools: a shortage of
 // the shared reserve meets the pools in proportion to their sizes, so the pool
 // with the smallest allowance sets the bound.
-func tightest(pools []*Pool) float64 {
+func smallestAllowance(pools []*Pool) float64 {
 	least := 1.0
 	for _, p := range pools {
 		if p.Doc.Pool.Size > 0 {
@@ -76,25 +76,25 @@
 	return least
 }
 
-// mean returns the expected count of n VMs that are down at one moment.
-func (r Rates) mean(n int) float64 { return float64(n) * r.VM * r.Repair.Hours() / 24 }
+// meanDown returns the expected count of n VMs that are down at one moment.
+func (r Rates) meanDown(n int) float64 { return float64(n) * r.VM * r.Repair.Hours() / 24 }
 
 // lossDistribution is the probability of each count of VMs down at one moment.
 type lossDistribution []float64
 
-// poisson adds independent losses with the given mean.
-func (d lossDistribution) poisson(mean float64) lossDistribution {
+// addVMLosses adds independent losses with the given mean.
+func (d lossDistribution) addVMLosses(mean float64) lossDistribution {
 	terms := lossDistribution{}
 	p := math.Exp(-mean)
 	for k := 0; k < maxSpare && (p > 1e-12 || float64(k) < mean); k++ {
 		terms = append(terms, p)
 		p *= mean / float64(k+1)
 	}
-	return d.plus(terms)
+	return d.convolve(terms)
 }
 
-// racks adds the loss of whole racks, which hold counts VMs each.
-func (d lossDistribution) racks(counts map[string]int, r Rates) lossDistribution {
+// addRackLosses adds the loss of whole racks, which hold counts VMs each.
+func (d lossDistribution) addRackLosses(counts map[string]int, r Rates) lossDistribution {
 	byCount := map[int]int{}
 	most := 0
 	for _, n := range counts {
@@ -107,14 +107,14 @@
 			event := make(lossDistribution, n+1)
 			event[0] = 1 - down
 			event[n] = down
-			d = d.plus(event)
+			d = d.convolve(event)
 		}
 	}
 	return d
 }
 
-// plus returns the distribution of the sum of two independent counts.
-func (d lossDistribution) plus(o lossDistribution) lossDistribution {
+// convolve returns the distribution of the sum of two independent counts.
+func (d lossDistribution) convolve(o lossDistribution) lossDistribution {
 	sum := make(lossDistribution, min(len(d)+len(o)-1, maxSpare))
 	for i, p := range d {
 		for j, q := range o {
@@ -123,11 +123,11 @@
 			}
 		}
 	}
-	return sum.trim()
+	return sum.trimTail()
 }
 
-// trim drops a tail too unlikely to matter, which keeps sums of many racks short.
-func (d lossDistribution) trim() lossDistribution {
+// trimTail drops a tail too unlikely to matter, which keeps sums of many racks short.
+func (d lossDistribution) trimTail() lossDistribution {
 	n := len(d)
 	for n > 1 && d[n-1] < 1e-15 {
 		n--
@@ -135,9 +135,9 @@
 	return d[:n]
 }
 
-// spare returns the least count k with an expected shortage beyond k of at most
+// minSpare returns the least count k with an expected shortage beyond k of at most
 // bound VMs.
-func (d lossDistribution) spare(bound float64) int {
+func (d lossDistribution) minSpare(bound float64) int {
 	for k := range maxSpare {
 		shortage := 0.0
 		for n := k + 1; n < len(d); n++ {
--- a/internal/pool/shape_test.go
+++ b/internal/pool/shape_test.go
@@ -19,7 +19,7 @@
 func TestPoolsTakeTheSmallestVMThatFits(t *testing.T) {
 	s := ledger.New()
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	put := func(sub record.Subject, body record.Body) {
+	apply := func(sub record.Subject, body record.Body) {
 		rec := record.Record{ID: fmt.Sprint(s.Offset), Subject: sub, Base: s.Revision(sub), Seen: s.Offset, Author: "test", Time: now, Body: body}
 		out := s.Apply(s.Offset+1, rec)
 		require.Equal(t, ledger.Effective, out.Status, out.Reason)
@@ -32,12 +32,12 @@
 			if cores == 64 {
 				zone = fmt.Sprint("z", i)
 			}
-			put(vm, record.VMRegister{Zone: zone, Rack: zone, Address: "127.0.0.1:1", Cores: cores, MemoryMB: 1024 * cores})
+			apply(vm, record.VMRegister{Zone: zone, Rack: zone, Address: "127.0.0.1:1", Cores: cores, MemoryMB: 1024 * cores})
 		}
 	}
 	publish := func(service string, cores int) {
 		text := fmt.Sprintf("service=%q\nteam=\"t\"\n[pool]\nsize=%d\nmin_cores=%d\n[budget]\nwindow=\"1h\"\nallowed=0.1\nmax_unavailable=1\n[[route]]\nprefix=\"/\"\n", service, each, cores)
-		put(record.Subject{Kind: record.SubjectService, Name: service}, record.DocumentPublish{Text: text})
+		apply(record.Subject{Kind: record.SubjectService, Name: service}, record.DocumentPublish{Text: text})
 	}
 	fill := func() []Proposal {
 		r := NewRound(NewView(s, now), DefaultPolicy())
@@ -49,7 +49,7 @@
 	require.Len(t, joins, each)
 	for _, p := range joins {
 		require.True(t, strings.HasPrefix(p.Subject.Name, "b-small"), p.Subject.Name)
-		put(p.Subject, p.Body)
+		apply(p.Subject, p.Body)
 	}
 	publish("hungry", 64)
 	require.Len(t, fill(), each)
--- a/internal/pool/spread.go
+++ b/internal/pool/spread.go
@@ -13,7 +13,7 @@
 func (r *Round) spread(p *Pool) spread {
 	s := spread{zones: map[string]int{}, racks: map[string]int{}}
 	for _, vm := range p.VMs {
-		if vm.Staying() && !r.lost(vm, p) && !r.leaving[vm.ID] {
+		if vm.Staying() && !r.needsReplacement(vm, p) && !r.leaving[vm.ID] {
 			s.add(vm)
 		}
 	}
@@ -28,8 +28,8 @@
 	s.racks[vm.Rack]++
 }
 
-// better reports whether joining a spreads the pool wider than joining b.
-func (s spread) better(a, b *VM) bool {
+// spreadsWider reports whether joining a spreads the pool wider than joining b.
+func (s spread) spreadsWider(a, b *VM) bool {
 	if c := cmp.Compare(s.zones[a.Zone], s.zones[b.Zone]); c != 0 {
 		return c < 0
 	}
@@ -39,8 +39,8 @@
 	return a.ID < b.ID
 }
 
-// bears reports whether the pool keeps its least spread without the VM.
-func (s spread) bears(p *Pool, vm *VM) bool {
+// canLose reports whether the pool keeps its least spread without the VM.
+func (s spread) canLose(p *Pool, vm *VM) bool {
 	zones, racks := len(s.zones), len(s.racks)
 	if s.zones[vm.Zone] == 1 {
 		zones--
--- a/internal/pool/supply.go
+++ b/internal/pool/supply.go
@@ -7,9 +7,9 @@
 
 // supply collects the VMs that may be given to gaps.
 type supply struct {
-	classes []*class
-	surplus map[string]int // by donor
-	index   map[classKey]*class
+	classes    []*class
+	surplus    map[string]int // by donor
+	classByKey map[classKey]*class
 }
 
 // classKey identifies a class.
@@ -21,14 +21,14 @@
 
 // supply returns the free VMs and the lasting surplus of the pools, by tier.
 func (r *Round) supply() *supply {
-	s := &supply{surplus: map[string]int{}, index: map[classKey]*class{}}
+	s := &supply{surplus: map[string]int{}, classByKey: map[classKey]*class{}}
 	for _, vm := range r.View.Free {
 		if !r.Taken(vm) {
 			s.add(tierFree, "", vm)
 		}
 	}
 	for _, p := range r.View.Pools {
-		r.donate(p, s)
+		r.addSurplus(p, s)
 	}
 	slices.SortStableFunc(s.classes, func(a, b *class) int {
 		return cmp.Or(int(a.tier)-int(b.tier), compareShape(a.vms[0], b.vms[0]))
@@ -49,36 +49,36 @@
 
 func (s *supply) add(t tier, donor string, vm *VM) {
 	key := classKey{t, donor, shape{vm.Cores, vm.MemoryMB, vm.Accelerators}}
-	c := s.index[key]
+	c := s.classByKey[key]
 	if c == nil {
 		c = &class{tier: t, donor: donor}
-		s.index[key] = c
+		s.classByKey[key] = c
 		s.classes = append(s.classes, c)
 	}
 	c.vms = append(c.vms, vm)
-	c.left++
+	c.remaining++
 }
 
-// donate offers a pool's surplus once it has lasted.
-func (r *Round) donate(p *Pool, s *supply) {
+// addSurplus offers a pool's surplus once it has lasted.
+func (r *Round) addSurplus(p *Pool, s *supply) {
 	surplus := r.Surplus(p)
-	if surplus == 0 || !r.lasting(p.SurplusSince, r.Policy.patience(p).Move) {
+	if surplus == 0 || !r.hasLasted(p.SurplusSince, r.Policy.patience(p).Move) {
 		return
 	}
 	s.surplus[p.Name] = surplus
 	spread := r.spread(p)
 	for _, vm := range p.VMs {
-		if r.Taken(vm) || vm.Down || !vm.Staying() || !spread.bears(p, vm) {
+		if r.Taken(vm) || vm.Down || !vm.Staying() || !spread.canLose(p, vm) {
 			continue
 		}
 		switch {
 		case vm.Redirectable():
-			s.add(tierOut, p.Name, vm)
+			s.add(tierOutOfService, p.Name, vm)
 		case !vm.Serving():
 		case r.View.DueWave(vm) != nil:
-			s.add(tierDue, p.Name, vm)
+			s.add(tierPendingTurn, p.Name, vm)
 		default:
-			s.add(tierServe, p.Name, vm)
+			s.add(tierServing, p.Name, vm)
 		}
 	}
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -65,17 +65,17 @@
 // Assess weighs the attempts of a pool's jobs that the state remembers.
 func Assess(st *ledger.State, service string, now time.Time) Assessment {
 	a := Assessment{Doubtful: map[string]bool{}, Probation: map[string]bool{}}
-	h := gather(st, service, now)
+	h := collectHistory(st, service, now)
 	vms := st.PoolVMs(service)
-	aside, back := 0, 0
+	quarantined, due := 0, 0
 	var found []Finding
 	for id, vm := range vms {
 		switch {
 		case vm.Quarantined:
-			aside++
-			if now.Sub(vm.QuarantineChanged) >= term(vm.Quarantines) {
+			quarantined++
+			if now.Sub(vm.QuarantineChanged) >= quarantineTerm(vm.Quarantines) {
 				a.LetBack = append(a.LetBack, id)
-				back++
+				due++
 			}
 			continue
 		case vm.ProbationLeft > 0 && now.Sub(vm.QuarantineChanged) < probationLimit:
@@ -90,7 +90,7 @@
 	}
 	slices.Sort(a.LetBack)
 	allowed := int(MaxShare * float64(len(vms)))
-	a.SetAside = worst(found, allowed-aside)
+	a.SetAside = mostEvidence(found, allowed-quarantined)
 	a.Shared = len(found) > len(a.SetAside)
 	if len(a.Doubtful) > max(1, allowed) {
 		a.Doubtful = map[string]bool{}
@@ -99,8 +99,8 @@
 	return a
 }
 
-// term returns how long a worker stays set aside the nth time in a row.
-func term(n int) time.Duration {
+// quarantineTerm returns how long a worker stays set aside the nth time in a row.
+func quarantineTerm(n int) time.Duration {
 	d := FirstTerm
 	for ; n > 1 && d < MaxTerm; n-- {
 		d *= 2
@@ -108,8 +108,8 @@
 	return min(d, MaxTerm)
 }
 
-// worst returns at most limit findings, those with the most evidence.
-func worst(found []Finding, limit int) []Finding {
+// mostEvidence returns at most limit findings, those with the most evidence.
+func mostEvidence(found []Finding, limit int) []Finding {
 	slices.SortFunc(found, func(a, b Finding) int {
 		return cmp.Or(cmp.Compare(len(b.Jobs), len(a.Jobs)), cmp.Compare(a.Worker, b.Worker))
 	})
@@ -125,18 +125,18 @@
 
 // history is what the pool's remembered jobs tell.
 type history struct {
-	failures map[string][]failure            // by worker
-	lastOK   map[string]time.Time            // by worker
-	okOn     map[usage.Shape]map[string]bool // workers on which a shape succeeded
-	badOn    map[usage.Shape]map[string]bool
+	failures    map[string][]failure            // by worker
+	lastSuccess map[string]time.Time            // by worker
+	succeededOn map[usage.Shape]map[string]bool // workers on which a shape succeeded
+	failedOn    map[usage.Shape]map[string]bool
 }
 
-func gather(st *ledger.State, service string, now time.Time) history {
+func collectHistory(st *ledger.State, service string, now time.Time) history {
 	h := history{
-		failures: map[string][]failure{},
-		lastOK:   map[string]time.Time{},
-		okOn:     map[usage.Shape]map[string]bool{},
-		badOn:    map[usage.Shape]map[string]bool{},
+		failures:    map[string][]failure{},
+		lastSuccess: map[string]time.Time{},
+		succeededOn: map[usage.Shape]map[string]bool{},
+		failedOn:    map[usage.Shape]map[string]bool{},
 	}
 	jobs := st.PoolJobs(service)
 	for _, j := range jobs {
@@ -144,7 +144,7 @@
 			if now.Sub(f.Ended) <= Window {
 				shape := usage.ShapeOf(j.Spec)
 				h.failures[f.Worker] = append(h.failures[f.Worker], failure{job: j.ID, shape: shape, Failure: f})
-				note(h.badOn, shape, f.Worker)
+				addWorker(h.failedOn, shape, f.Worker)
 			}
 		}
 	}
@@ -155,28 +155,28 @@
 		if !j.Succeeded() || now.Sub(j.EndedAt) > Window {
 			continue
 		}
-		if shape := usage.ShapeOf(j.Spec); h.badOn[shape] != nil {
-			note(h.okOn, shape, j.Worker)
+		if shape := usage.ShapeOf(j.Spec); h.failedOn[shape] != nil {
+			addWorker(h.succeededOn, shape, j.Worker)
 		}
-		if j.EndedAt.After(h.lastOK[j.Worker]) {
-			h.lastOK[j.Worker] = j.EndedAt
+		if j.EndedAt.After(h.lastSuccess[j.Worker]) {
+			h.lastSuccess[j.Worker] = j.EndedAt
 		}
 	}
 	return h
 }
 
-func note(m map[usage.Shape]map[string]bool, shape usage.Shape, worker string) {
+func addWorker(m map[usage.Shape]map[string]bool, shape usage.Shape, worker string) {
 	if m[shape] == nil {
 		m[shape] = map[string]bool{}
 	}
 	m[shape][worker] = true
 }
 
-// open returns the failures on a worker that nothing has answered yet: none
+// unresolvedFailures returns the failures on a worker that nothing has answered yet: none
 // older than its last success, its last change of standing or its last return
 // to health.
-func (h history) open(vm *ledger.VM) []failure {
-	since := h.lastOK[vm.ID]
+func (h history) unresolvedFailures(vm *ledger.VM) []failure {
+	since := h.lastSuccess[vm.ID]
 	for _, t := range []time.Time{vm.QuarantineChanged, vm.HealthSince, vm.MaintainedAt} {
 		if t.After(since) {
 			since = t
@@ -195,8 +195,8 @@
 func (h history) evidence(vm *ledger.VM) []string {
 	var jobs []string
 	var ends []time.Time
-	for _, f := range h.open(vm) {
-		if !elsewhere(h.okOn[f.shape], vm.ID) {
+	for _, f := range h.unresolvedFailures(vm) {
+		if !onOtherWorker(h.succeededOn[f.shape], vm.ID) {
 			continue
 		}
 		if !slices.Contains(jobs, f.job) {
@@ -208,21 +208,21 @@
 	if vm.ProbationLeft > 0 && len(jobs) > 0 {
 		return jobs
 	}
-	if len(jobs) < MinJobs || episodes(ends) < minEpisodes {
+	if len(jobs) < MinJobs || countEpisodes(ends) < minEpisodes {
 		return nil
 	}
 	return jobs
 }
 
-// elsewhere reports whether a worker other than this one is in the set.
-func elsewhere(workers map[string]bool, id string) bool {
+// onOtherWorker reports whether a worker other than this one is in the set.
+func onOtherWorker(workers map[string]bool, id string) bool {
 	if workers[id] {
 		return len(workers) > 1
 	}
 	return len(workers) > 0
 }
 
-func episodes(ends []time.Time) int {
+func countEpisodes(ends []time.Time) int {
 	slices.SortFunc(ends, time.Time.Compare)
 	n := 0
 	var last time.Time
@@ -238,8 +238,8 @@
 // doubtful reports whether a job failed on the worker lately that does not fail
 // everywhere.
 func (h history) doubtful(vm *ledger.VM, now time.Time) bool {
-	return slices.ContainsFunc(h.open(vm), func(f failure) bool {
-		broken := elsewhere(h.badOn[f.shape], vm.ID) && !elsewhere(h.okOn[f.shape], vm.ID)
+	return slices.ContainsFunc(h.unresolvedFailures(vm), func(f failure) bool {
+		broken := onOtherWorker(h.failedOn[f.shape], vm.ID) && !onOtherWorker(h.succeededOn[f.shape], vm.ID)
 		return now.Sub(f.Ended) < DoubtFor && !broken
 	})
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -15,15 +15,15 @@
 
 var begin = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// fold is a pool of ten workers whose jobs run and end by records.
-type fold struct {
+// poolState is a pool of ten workers whose jobs run and end by records.
+type poolState struct {
 	st  *ledger.State
 	now time.Time
 	n   int
 }
 
-func newFold() *fold {
-	f := &fold{st: ledger.New(), now: begin}
+func newPoolState() *poolState {
+	f := &poolState{st: ledger.New(), now: begin}
 	f.st.Services["p"] = &ledger.Service{Doc: document.Document{
 		Service: "p",
 		Quotas:  []document.Quota{{Team: "a", MilliCores: 1 << 20, MemoryMB: 1 << 20}},
@@ -35,13 +35,13 @@
 		f.apply(sub, record.VMJoin{Pool: "p"})
 		f.apply(sub, record.VMUp{})
 	}
-	f.pass(time.Second)
+	f.advanceClock(time.Second)
 	return f
 }
 
-func (f *fold) pass(d time.Duration) { f.now = f.now.Add(d) }
+func (f *poolState) advanceClock(d time.Duration) { f.now = f.now.Add(d) }
 
-func (f *fold) apply(sub record.Subject, body record.Body) {
+func (f *poolState) apply(sub record.Subject, body record.Body) {
 	f.n++
 	out := f.st.Apply(uint64(f.n), record.Record{
 		ID: fmt.Sprint(f.n), Subject: sub, Base: f.st.Revision(sub), Seen: uint64(f.n - 1), Time: f.now, Body: body,
@@ -52,7 +52,7 @@
 }
 
 // start places a new job of the shape on the worker and returns its end.
-func (f *fold) start(shape int, worker string) func(record.JobResult) {
+func (f *poolState) start(shape int, worker string) func(record.JobResult) {
 	f.n++
 	sub := record.Subject{Kind: record.SubjectJob, Name: fmt.Sprintf("job-%d", f.n)}
 	f.apply(sub, record.JobSubmit{Service: "p", Team: "a", MilliCores: shape, MemoryMB: 1})
@@ -61,15 +61,15 @@
 }
 
 // run lets one job run for a time and end.
-func (f *fold) run(shape int, worker string, result record.JobResult) {
+func (f *poolState) run(shape int, worker string, result record.JobResult) {
 	end := f.start(shape, worker)
-	f.pass(2 * time.Second)
+	f.advanceClock(2 * time.Second)
 	end(result)
 }
 
-func (f *fold) assess() quarantine.Assessment { return quarantine.Assess(f.st, "p", f.now) }
+func (f *poolState) assess() quarantine.Assessment { return quarantine.Assess(f.st, "p", f.now) }
 
-func (f *fold) setAside() []string {
+func (f *poolState) setAside() []string {
 	var names []string
 	for _, found := range f.assess().SetAside {
 		names = append(names, found.Worker)
@@ -77,8 +77,8 @@
 	return names
 }
 
-func TestWorkerThatFailsSeveralJobsThatSucceedElsewhereIsSetAside(t *testing.T) {
-	f := newFold()
+func TestWorkerFailingJobsThatSucceedElsewhereIsQuarantined(t *testing.T) {
+	f := newPoolState()
 	f.run(1, "w1", record.JobSucceeded)
 	f.run(1, "w0", record.JobFailed)
 	f.run(1, "w0", record.JobFailed)
@@ -89,8 +89,8 @@
 	assert.Len(t, f.assess().SetAside[0].Jobs, quarantine.MinJobs)
 }
 
-func TestBrokenJobsDoNotSpeakAgainstWorkers(t *testing.T) {
-	f := newFold()
+func TestBrokenJobsAreNoEvidence(t *testing.T) {
+	f := newPoolState()
 	for i := range 6 {
 		f.run(1, fmt.Sprintf("w%d", i%2), record.JobFailed)
 	}
@@ -98,8 +98,8 @@
 	assert.Empty(t, f.assess().Doubtful)
 }
 
-func TestSuccessAnswersEarlierFailures(t *testing.T) {
-	f := newFold()
+func TestSuccessClearsEarlierFailures(t *testing.T) {
+	f := newPoolState()
 	f.run(1, "w1", record.JobSucceeded)
 	f.run(1, "w0", record.JobFailed)
 	f.run(1, "w0", record.JobFailed)
@@ -111,12 +111,12 @@
 // A worker crashes with five jobs on it: all fail at the same moment. That is
 // one event, and the worker is not set aside for it.
 func TestCrashIsNoEvidence(t *testing.T) {
-	f := newFold()
+	f := newPoolState()
 	f.run(1, "w1", record.JobSucceeded)
 	var ends []func(record.JobResult)
 	for range 5 {
 		ends = append(ends, f.start(1, "w0"))
-		f.pass(time.Minute)
+		f.advanceClock(time.Minute)
 	}
 	for _, end := range ends {
 		end(record.JobFailed)
@@ -127,7 +127,7 @@
 // Half of the pool fails jobs, as after a bad image. Setting them all aside
 // would empty the pool, so two of ten are, and the shared cause is reported.
 func TestSharedFailureDoesNotEmptyThePool(t *testing.T) {
-	f := newFold()
+	f := newPoolState()
 	f.run(1, "w9", record.JobSucceeded)
 	for range 3 {
 		for w := range 5 {
@@ -140,13 +140,13 @@
 	assert.Empty(t, a.Doubtful)
 }
 
-func TestWorkerComesBackOnProbationAndLongerAsideEachTime(t *testing.T) {
-	f := newFold()
+func TestQuarantineEndsInProbationAndDoubles(t *testing.T) {
+	f := newPoolState()
 	vm := record.Subject{Kind: record.SubjectVM, Name: "w0"}
 	f.apply(vm, record.VMQuarantine{On: true})
-	f.pass(quarantine.FirstTerm - time.Second)
+	f.advanceClock(quarantine.FirstTerm - time.Second)
 	assert.Empty(t, f.assess().LetBack)
-	f.pass(time.Second)
+	f.advanceClock(time.Second)
 	assert.Equal(t, []string{"w0"}, f.assess().LetBack)
 
 	f.apply(vm, record.VMQuarantine{})
@@ -156,8 +156,8 @@
 	assert.Equal(t, []string{"w0"}, f.setAside(), "one failure suffices on probation")
 
 	f.apply(vm, record.VMQuarantine{On: true})
-	f.pass(2*quarantine.FirstTerm - time.Second)
+	f.advanceClock(2*quarantine.FirstTerm - time.Second)
 	assert.Empty(t, f.assess().LetBack)
-	f.pass(time.Second)
+	f.advanceClock(time.Second)
 	assert.Equal(t, []string{"w0"}, f.assess().LetBack)
 }
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -23,8 +23,8 @@
 	// minEnded is how many jobs of a shape must have ended before its estimate
 	// sinks below the declared size.
 	minEnded = 3
-	// runTimeStep weighs the latest run time against the earlier ones.
-	runTimeStep = 0.3
+	// runTimeWeight weighs the latest run time against the earlier ones.
+	runTimeWeight = 0.3
 	// maxShapes bounds the memory; beyond it the shape unused for longest goes.
 	maxShapes = 20_000
 )
@@ -62,15 +62,15 @@
 
 // Estimator holds the estimates. It is not safe for concurrent use.
 type Estimator struct {
-	shapes map[Shape]*estimate
-	clock  uint64 // counts uses, for forgetting
+	shapes   map[Shape]*estimate
+	useCount uint64 // counts uses, for forgetting
 }
 
 type estimate struct {
-	milliCores quantity
-	memoryMB   quantity
-	runTime    float64 // real run time by declared; 0: none seen
-	used       uint64
+	milliCores   quantity
+	memoryMB     quantity
+	runTimeRatio float64 // real run time by declared; 0: none seen
+	lastUsed     uint64
 }
 
 // quantity is the estimate of one resource.
@@ -86,51 +86,51 @@
 // Running takes a report on a job that still runs. It only raises: the job may
 // use more later.
 func (e *Estimator) Running(shape Shape, s Sample) {
-	est := e.of(shape)
+	est := e.estimateFor(shape)
 	est.milliCores.raise(s.MilliCores)
 	est.memoryMB.raise(s.MemoryMB)
 }
 
 // Ended takes the peaks of a job that succeeded.
 func (e *Estimator) Ended(shape Shape, s Sample) {
-	est := e.of(shape)
+	est := e.estimateFor(shape)
 	est.milliCores.end(s.MilliCores)
 	est.memoryMB.end(s.MemoryMB)
 	if s.Ran <= 0 || s.Declared <= 0 {
 		return
 	}
 	ratio := float64(s.Ran) / float64(s.Declared)
-	if est.runTime == 0 {
-		est.runTime = ratio
+	if est.runTimeRatio == 0 {
+		est.runTimeRatio = ratio
 		return
 	}
-	est.runTime += runTimeStep * (ratio - est.runTime)
+	est.runTimeRatio += runTimeWeight * (ratio - est.runTimeRatio)
 }
 
 func newQuantity(declared int) quantity {
 	return quantity{declared: float64(declared), value: float64(declared)}
 }
 
-// target is what one job's peak asks to reserve. A peak within the declared size
+// reservation is what one job's peak asks to reserve. A peak within the declared size
 // confirms it: a margin on top would take room for nothing.
-func (q *quantity) target(seen int) float64 {
-	t := float64(seen) * (1 + margin)
-	if float64(seen) <= q.declared {
+func (q *quantity) reservation(peak int) float64 {
+	t := float64(peak) * (1 + margin)
+	if float64(peak) <= q.declared {
 		return min(t, q.declared)
 	}
 	return t
 }
 
-func (q *quantity) raise(seen int) {
-	q.value = max(q.value, q.target(seen))
+func (q *quantity) raise(peak int) {
+	q.value = max(q.value, q.reservation(peak))
 }
 
-func (q *quantity) end(seen int) {
-	if seen <= 0 {
+func (q *quantity) end(peak int) {
+	if peak <= 0 {
 		return
 	}
 	q.ended++
-	target := q.target(seen)
+	target := q.reservation(peak)
 	if target >= q.value {
 		q.value = target
 		return
@@ -154,36 +154,36 @@
 
 // RunTime returns how long a job of the shape is expected to run.
 func (e *Estimator) RunTime(shape Shape, declared time.Duration) time.Duration {
-	if est, ok := e.shapes[shape]; ok && est.runTime > 0 {
-		return time.Duration(est.runTime * float64(declared))
+	if est, ok := e.shapes[shape]; ok && est.runTimeRatio > 0 {
+		return time.Duration(est.runTimeRatio * float64(declared))
 	}
 	return declared
 }
 
-func (e *Estimator) of(shape Shape) *estimate {
-	e.clock++
+func (e *Estimator) estimateFor(shape Shape) *estimate {
+	e.useCount++
 	est, ok := e.shapes[shape]
 	if !ok {
-		e.makeRoom()
+		e.evictOldest()
 		est = &estimate{
 			milliCores: newQuantity(shape.MilliCores),
 			memoryMB:   newQuantity(shape.MemoryMB),
 		}
 		e.shapes[shape] = est
 	}
-	est.used = e.clock
+	est.lastUsed = e.useCount
 	return est
 }
 
-func (e *Estimator) makeRoom() {
+func (e *Estimator) evictOldest() {
 	if len(e.shapes) < maxShapes {
 		return
 	}
 	var oldest Shape
 	first := uint64(0)
 	for shape, est := range e.shapes {
-		if first == 0 || est.used < first {
-			oldest, first = shape, est.used
+		if first == 0 || est.lastUsed < first {
+			oldest, first = shape, est.lastUsed
 		}
 	}
 	delete(e.shapes, oldest)
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -15,7 +15,7 @@
 	return usage.Shape{Service: "export", Team: "t", MilliCores: 4000, MemoryMB: 8000, Accelerators: 1}
 }
 
-func TestDeclaredSizeStandsUntilSomethingIsSeen(t *testing.T) {
+func TestDeclaredSizeIsUsedWithoutSamples(t *testing.T) {
 	e := usage.NewEstimator()
 	assert.Equal(t, ledger.Resources{MilliCores: 4000, MemoryMB: 8000, Accelerators: 1}, e.Size(shape()))
 	assert.Equal(t, time.Hour, e.RunTime(shape(), time.Hour))
@@ -31,7 +31,7 @@
 	assert.Equal(t, ledger.Resources{MilliCores: 4000, MemoryMB: 8000, Accelerators: 1}, e.Size(shape()))
 }
 
-func TestEstimateRisesAtOnceAndSinksSlowly(t *testing.T) {
+func TestEstimateRisesAtOnceAndFallsSlowly(t *testing.T) {
 	e := usage.NewEstimator()
 	e.Running(shape(), usage.Sample{MilliCores: 9000, MemoryMB: 1000})
 	assert.Equal(t, 9900, e.Size(shape()).MilliCores, "one late report of a running job is enough to raise")
@@ -50,7 +50,7 @@
 	assert.InDelta(t, 20*time.Minute, e.RunTime(shape(), 2*time.Hour), float64(time.Second))
 }
 
-func TestShapesAreForgottenBeyondTheBound(t *testing.T) {
+func TestLeastRecentlyUsedShapeIsEvicted(t *testing.T) {
 	e := usage.NewEstimator()
 	e.Running(shape(), usage.Sample{MilliCores: 8000})
 	for i := range 20_000 {
