--- a/internal/pool/assign.go
+++ b/internal/pool/assign.go
@@ -2,45 +2,45 @@
 
 import "slices"
 
-// tier orders supply by what its use disturbs.
+// tier ranks supply by how much disturbance its use causes.
 type tier int
 
-// Tiers of supply, the cheapest first.
+// Tiers of supply, the least disturbing first.
 const (
-	tierFree         tier = iota // in no pool: nobody is disturbed
-	tierOutOfService             // surplus and out of service already: one disturbance serves both
-	tierPendingTurn              // surplus whose turn in a wave is to come: likewise
-	tierServing                  // surplus that serves: one more disturbance
+	tierFree         tier = iota // in no pool: no disturbance
+	tierOutOfService             // surplus and already out of service: no additional drain
+	tierPendingTurn              // surplus with a pending turn in a wave: the drain serves both
+	tierServing                  // surplus that is serving: one additional drain
 )
 
-// shape is what a VM offers; VMs of one shape fit the same pools.
+// shape is the size of a VM; VMs of one shape fit the same pools.
 type shape struct {
 	cores, memoryMB, accelerators int
 }
 
-// class is a supply of like VMs.
+// class is a group of VMs of one tier, donor and shape.
 type class struct {
 	tier      tier
 	donor     string // pool, or empty for free VMs
 	vms       []*VM
-	remaining int // how many are not given away yet
+	remaining int // VMs not assigned yet
 }
 
-// assignment is how many VMs of which class go to which gap.
+// assignment holds how many VMs of each class go to each gap.
 type assignment struct {
 	gaps    []*gap
 	classes []*class
-	flow    [][]int // class, gap
-	filled  []int   // gap
+	flow    [][]int // indexed by class, then gap
+	filled  []int   // indexed by gap
 }
 
-// assign gives as many VMs to gaps as can be, of the lowest tiers that can be.
-// It offers the supply in the order of the tiers and gives each VM away along
-// an augmenting path, so that a VM which fits everywhere does not take the only
-// gap that another fits. The sets of VMs that can be given away at once form a
-// matroid, so taking the cheapest first ends at the least disturbance among the
-// largest assignments. surplus bounds what each donor gives over all its
-// classes, limit all that are given away.
+// assign fills the gaps with as many VMs as possible and, among the largest
+// assignments, uses the lowest tiers. classes must be sorted by tier. Each VM is
+// assigned along an augmenting path, so that a VM which fits every gap does not
+// take the only gap that another VM fits. The sets of VMs that can be assigned
+// together form a matroid, so the greedy order by tier yields the least
+// disturbance. surplus limits the VMs that each donor gives over all its classes
+// and is decremented; limit is the total.
 func assign(gaps []*gap, classes []*class, surplus map[string]int, limit int) *assignment {
 	a := &assignment{gaps: gaps, classes: classes, filled: make([]int, len(gaps))}
 	a.flow = make([][]int, len(classes))
@@ -57,10 +57,10 @@
 	return a
 }
 
-// augment gives one VM of class from away and reports whether it could.
+// augment assigns one VM of class from and reports whether a path existed.
 func (a *assignment) augment(from int) bool {
-	viaGap := make([]int, len(a.classes)) // the gap that a class was reached by
-	viaClass := make([]int, len(a.gaps))  // the class that a gap was reached from
+	viaGap := make([]int, len(a.classes)) // the gap through which a class was reached
+	viaClass := make([]int, len(a.gaps))  // the class from which a gap was reached
 	for i := range viaGap {
 		viaGap[i] = -1
 	}
@@ -96,8 +96,8 @@
 	return false
 }
 
-// gapsByNeed returns the gaps by what they still need, so that scarce VMs are
-// spread over the pools by need and do not all go to the first.
+// gapsByNeed returns the indexes of the gaps, the greatest need first. Scarce
+// VMs are so shared by need instead of all going to the first pool.
 func (a *assignment) gapsByNeed() []int {
 	order := make([]int, len(a.gaps))
 	for j := range order {
@@ -109,7 +109,7 @@
 	return order
 }
 
-// applyPath moves one VM along the path that ends at gap end.
+// applyPath assigns one VM of class from along the path that ends at gap end.
 func (a *assignment) applyPath(from, end int, viaClass, viaGap []int) {
 	a.filled[end]++
 	for j := end; ; {
@@ -123,6 +123,7 @@
 	}
 }
 
+// fits reports whether VMs of class c may be assigned to the gap.
 func (a *assignment) fits(c int, g *gap) bool {
 	cl := a.classes[c]
 	if cl.donor == g.pool.Name || (cl.tier != tierFree && !g.mayMove) {
@@ -131,7 +132,7 @@
 	return Fits(cl.vms[0], g.pool.Doc.Pool)
 }
 
-// String names the tier.
+// String returns the name of the tier.
 func (t tier) String() string {
 	return [...]string{"free", "out", "due", "serving"}[t]
 }
--- a/internal/pool/assign_test.go
+++ b/internal/pool/assign_test.go
@@ -14,13 +14,14 @@
 
 func TestMain(m *testing.M) { randomcheck.Main(m, 20261202, 500) }
 
-// score is an assignment's worth: VMs given away, and how many of each tier.
+// score rates an assignment by the number of VMs, in total and of each tier.
 type score struct {
 	total int
 	tiers [4]int
 }
 
-// better prefers more VMs, then more of the lower tiers.
+// better reports whether s has more VMs than o, or as many but more of the lower
+// tiers.
 func (s score) better(o score) bool {
 	if s.total != o.total {
 		return s.total > o.total
@@ -33,7 +34,7 @@
 	return false
 }
 
-// exhaustiveSearch tries every assignment.
+// exhaustiveSearch returns the best score of all possible assignments.
 func exhaustiveSearch(gaps []*gap, classes []*class) score {
 	a := &assignment{gaps: gaps, classes: classes}
 	remaining := make([]int, len(gaps))
@@ -52,7 +53,7 @@
 			}
 			return try(c+1, next)
 		}
-		result := try(c, left-1) // this VM stays
+		result := try(c, left-1) // leaves this VM unassigned
 		for j, g := range gaps {
 			if remaining[j] == 0 || !a.fits(c, g) {
 				continue
@@ -71,8 +72,9 @@
 	return try(0, len(classes[0].vms))
 }
 
-// Gaps are filled with as many VMs as any assignment could, and with the least
-// disturbance among those: every small instance is held against a full search.
+// The assignment must fill gaps with the greatest possible number of VMs and,
+// among such assignments, cause the least disturbance. Random small instances
+// are compared with an exhaustive search.
 func TestAssignMatchesExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var gaps []*gap
--- a/internal/pool/gap.go
+++ b/internal/pool/gap.go
@@ -10,14 +10,14 @@
 	pool *Pool
 	want int
 	have int
-	// mayMove says that the gap has lasted, or hurts, enough to drain a VM of
-	// another pool for it.
+	// mayMove is set if a VM of another pool may be drained for the gap: the gap
+	// has lasted, or the pool's budget is nearly spent.
 	mayMove bool
 }
 
 func (g *gap) shortage() int { return g.want - g.have }
 
-// targetSize returns how many VMs the pool is to have.
+// targetSize returns how many VMs the pool should have.
 func (r *Round) targetSize(p *Pool) int {
 	if r.Policy.Reserve == ReserveOwn {
 		return p.Doc.Pool.Size + max(1, r.Spare().Own[p.Name])
@@ -34,7 +34,7 @@
 	return *r.spare
 }
 
-// gaps returns the pools that are short, by name.
+// gaps returns the gaps of the pools that are short, sorted by pool name.
 func (r *Round) gaps() []*gap {
 	var gaps []*gap
 	for _, p := range r.View.Pools {
@@ -47,11 +47,11 @@
 	return gaps
 }
 
-// need is how much a gap wants its next VM: the share of the declared size that
-// is missing, then the share of what the pool should have beyond it.
+// need ranks gaps by urgency: by the missing share of the declared size, then by
+// the missing share of the target size, which includes the pool's own spare VMs.
 type need struct{ missing, spare float64 }
 
-// need returns the gap's need once it has got so many VMs.
+// need returns the need of the gap after got VMs were assigned to it.
 func (g *gap) need(got int) need {
 	size := g.pool.Doc.Pool.Size
 	return need{
@@ -60,23 +60,25 @@
 	}
 }
 
+// compare orders needs, the greatest first.
 func (n need) compare(o need) int {
 	return cmp.Or(cmp.Compare(o.missing, n.missing), cmp.Compare(o.spare, n.spare))
 }
 
+// hasLasted reports whether a condition that began at since has lasted for wait.
 func (r *Round) hasLasted(since time.Time, wait time.Duration) bool {
 	return !since.IsZero() && r.View.Now.Sub(since) >= wait
 }
 
-// budgetNearlySpent reports whether a pool is at the end of what its budget bears, so that
-// waiting costs more than a move.
+// budgetNearlySpent reports whether the pool has max_unavailable VMs out or has
+// spent more than half of its budget, so that waiting costs more than a move.
 func (r *Round) budgetNearlySpent(p *Pool) bool {
 	h := &p.Headroom
 	return h.Size-h.Serving >= max(1, h.Budget.MaxUnavailable) || h.Spent > h.Allowed/2
 }
 
-// Present counts the VMs that the pool can rely on: those that stay, unless
-// down for so long that they are replaced, and those on their way in.
+// Present counts the VMs that the pool can rely on: VMs that stay in it, except
+// those down for so long that they are replaced, and VMs in transit to it.
 func (r *Round) Present(p *Pool) int {
 	n := r.incoming[p.Name] + len(r.joining[p.Name])
 	for _, vm := range p.VMs {
@@ -87,7 +89,8 @@
 	return n
 }
 
-// Surplus counts the VMs that the pool has too many and that are in good health.
+// Surplus returns by how many the pool's VMs that are not down, and those in
+// transit to it, exceed its target size.
 func (r *Round) Surplus(p *Pool) int {
 	n := r.incoming[p.Name] + len(r.joining[p.Name])
 	for _, vm := range p.VMs {
@@ -98,7 +101,8 @@
 	return max(0, n-r.targetSize(p))
 }
 
-// needsReplacement reports whether a VM has been down for so long that it is replaced.
+// needsReplacement reports whether the VM has been down for the pool's
+// Patience.Replace or longer.
 func (r *Round) needsReplacement(vm *VM, p *Pool) bool {
 	return vm.Down && r.View.Now.Sub(vm.HealthSince) >= r.Policy.patience(p).Replace
 }
--- a/internal/pool/policy.go
+++ b/internal/pool/policy.go
@@ -7,56 +7,58 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Policy bounds and paces planning. Every steward of a deployment should have
-// the same one: a plan is a function of the view and the policy.
+// Policy holds the limits and delays of planning. All stewards of a deployment
+// should use the same policy, because a plan is a function of the view and the
+// policy.
 type Policy struct {
 	// MaxProposals bounds the proposals of one round.
 	MaxProposals int
-	// Patience sets how long planning waits before it disturbs VMs, by what the
-	// pool's document weighs.
+	// Patience is how long planning waits before it disturbs VMs, by the weigh
+	// setting of the pool's document.
 	Patience map[document.Weigh]Patience
 	// Estimate is how long a drain of each reason keeps a VM out of service
 	// beyond the time in which its requests finish.
 	Estimate map[record.DrainReason]time.Duration
-	// Reserve says where spare VMs are kept.
+	// Reserve selects where spare VMs are kept.
 	Reserve ReserveMode
-	// Rates and FailureShare size the spare, see Spare.
+	// Rates and FailureShare determine the number of spare VMs, see SpareFor.
 	Rates        Rates
 	FailureShare float64
 	// WaveShare is the part of a pool's budget that a wave may use while its
-	// deadline is not at risk; the rest is left for failures.
+	// deadline is not at risk; the rest is kept for failures.
 	WaveShare float64
 	// Surge is how many free VMs a wave may lend to one pool at a time.
 	Surge int
 }
 
-// Patience is how long planning waits, against shuffling VMs between documents
-// that are changed back and forth.
+// Patience holds the delays of planning. They prevent VMs from moving between
+// pools whose documents are changed back and forth.
 type Patience struct {
-	// Replace is how long a VM must be down before its pool gets another.
+	// Replace is how long a VM must be down before its pool gets another VM.
 	Replace time.Duration
 	// Move is how long a gap and a surplus must last before a VM is drained to
-	// move from the one to the other.
+	// move from the pool with the surplus to the pool with the gap.
 	Move time.Duration
-	// Release is how long a surplus must last before a VM is drained for the
-	// reserve alone; 0 means never.
+	// Release is how long a surplus must last before a VM is drained only to
+	// return it to the reserve; 0 means never.
 	Release time.Duration
 }
 
 // ReserveMode is where spare VMs are kept.
 type ReserveMode string
 
-// Ways to keep spare VMs.
+// Values of ReserveMode.
 const (
 	// ReserveShared keeps spare VMs free, for any pool.
 	ReserveShared ReserveMode = "shared"
-	// ReserveOwn gives each pool spare VMs of its own; the baseline.
+	// ReserveOwn gives each pool spare VMs of its own. It is the baseline of
+	// comparisons.
 	ReserveOwn ReserveMode = "own"
 )
 
 // Defaults of Policy.
 const (
-	// DefaultMaxProposals keeps a round well under the log's append ceiling.
+	// DefaultMaxProposals keeps a round well under the log's limit on appends.
 	DefaultMaxProposals = 64
 	DefaultFailureShare = 0.25
 	DefaultWaveShare    = 0.75
@@ -83,5 +85,5 @@
 	}
 }
 
-// patience returns the waits of a pool.
+// patience returns the delays that apply to a pool.
 func (p Policy) patience(pool *Pool) Patience { return p.Patience[pool.Doc.Weigh] }
--- a/internal/pool/proposal.go
+++ b/internal/pool/proposal.go
@@ -9,10 +9,10 @@
 	Subject record.Subject
 	Base    record.Revision
 	Body    record.Body
-	// Share is the key by which stewards divide the work: one pool's decisions
-	// have one author as long as all stewards live.
+	// Share is the key by which stewards divide the work. All decisions of one
+	// pool have the same author while no steward fails.
 	Share string
-	// Why explains the decision in the log.
+	// Why is the reason that the steward logs with the decision.
 	Why string
 }
 
--- a/internal/pool/release.go
+++ b/internal/pool/release.go
@@ -4,11 +4,11 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Release gives a lasting surplus back to the reserve of free VMs, where the
-// pool's document weighs that higher than the disturbance. A VM that is out of
-// service anyway goes at once. Pools with turns left in a wave are passed over:
-// the VMs of the wave's last turns are redirected, so that the surplus goes back
-// without a drain of its own.
+// Release proposes to return surplus VMs to the reserve of free VMs. A surplus
+// VM that is already out of service is released at once, a serving VM only after
+// the surplus has lasted and if the pool's document weighs the buffer. Pools with
+// pending turns in a wave are skipped: their surplus is released by redirecting
+// the VMs of the last turns, which needs no additional drain.
 func Release(r *Round) {
 	if r.Policy.Reserve == ReserveOwn {
 		return
@@ -28,7 +28,8 @@
 	}
 }
 
-// WaveTurns counts the pool's VMs that wait for their turn in a running wave.
+// WaveTurns counts the pool's VMs with a pending turn in a running wave that the
+// round has not yet decided about.
 func (r *Round) WaveTurns(p *Pool) int {
 	n := 0
 	for _, vm := range p.VMs {
@@ -39,7 +40,7 @@
 	return n
 }
 
-// Out reports whether the wave has VMs of the pool out of service.
+// Out reports whether the wave has drained VMs of the pool that are not down.
 func (r *Round) Out(w *Wave, p *Pool) bool {
 	for _, vm := range p.VMs {
 		if vm.Drain != nil && vm.Drain.Wave == w.ID && !vm.Down {
@@ -49,8 +50,8 @@
 	return false
 }
 
-// surplusVM returns the VM whose leaving costs least, or nil. Serving VMs are
-// taken only if the surplus has lasted.
+// surplusVM returns the VM whose release disturbs the pool least, or nil.
+// Serving VMs qualify only if the surplus has lasted.
 func (r *Round) surplusVM(p *Pool, s spread, lasted bool) *VM {
 	var best *VM
 	for _, vm := range p.VMs {
@@ -67,8 +68,8 @@
 	return best
 }
 
-// cheaperToRelease prefers a VM that is out already, then one without jobs, then one of
-// the densest rack.
+// cheaperToRelease prefers a VM that is already out of service, then a VM
+// without jobs, then a VM of the zone and rack with the most VMs of the pool.
 func cheaperToRelease(s spread, a, b *VM) bool {
 	if a.Redirectable() != b.Redirectable() {
 		return a.Redirectable()
@@ -79,18 +80,20 @@
 	return s.spreadsWider(b, a)
 }
 
+// releaseVM proposes to release the VM and reports whether the pool's budget
+// allows it.
 func (r *Round) releaseVM(vm *VM) bool {
 	if vm.Redirectable() {
 		r.leaving[vm.ID] = true
-		r.Propose(vm, record.VMRedirect{Release: true}, vm.Pool, "out of service already and surplus")
+		r.Propose(vm, record.VMRedirect{Release: true}, vm.Pool, "surplus and already out of service")
 		return true
 	}
 	body := record.VMDrain{Reason: record.DrainMove, Release: true, Estimate: r.Estimate(vm, record.DrainMove)}
-	return r.Drain(vm, body, "surplus for longer than the pool's document bears") == ""
+	return r.Drain(vm, body, "surplus for longer than the pool's document allows") == ""
 }
 
-// Lend gives free VMs beyond the reserve to pools that are in the middle of a
-// wave, so that a VM can be out without the pool being short.
+// Lend proposes that free VMs beyond the reserve join pools with pending turns in
+// a wave, so that a VM can be drained without making the pool short.
 func Lend(r *Round) {
 	if r.Policy.Reserve == ReserveOwn {
 		return
@@ -110,8 +113,8 @@
 	}
 }
 
-// Arriving reports whether a free VM is on its way into the pool and will serve
-// before long.
+// Arriving reports whether a VM joins the pool in this round or has joined it
+// and is not serving yet.
 func (r *Round) Arriving(p *Pool) bool {
 	for _, vm := range r.joining[p.Name] {
 		if vm.Phase == record.PhaseFree {
@@ -126,6 +129,7 @@
 	return false
 }
 
+// undecidedFreeVMs counts the free VMs that the round has not decided about.
 func (r *Round) undecidedFreeVMs() int {
 	n := 0
 	for _, vm := range r.View.Free {
@@ -136,6 +140,7 @@
 	return n
 }
 
+// bestFreeVM returns the free VM that suits the pool best, or nil.
 func (r *Round) bestFreeVM(p *Pool) *VM {
 	s := r.spread(p)
 	var best *VM
@@ -150,8 +155,8 @@
 	return best
 }
 
-// smaller prefers the smaller of two VMs that fit, then the one that spreads
-// the pool wider.
+// smaller prefers the smaller of two VMs that fit, then the VM that spreads the
+// pool more widely.
 func smaller(s spread, a, b *VM) bool {
 	if c := compareShape(a, b); c != 0 {
 		return c < 0
--- a/internal/pool/reserve.go
+++ b/internal/pool/reserve.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Rates is how often VMs are lost and for how long.
+// Rates holds the failure rates of VMs and racks and the repair time.
 type Rates struct {
-	VM     float64 // losses of one VM a day
-	Rack   float64 // losses of one rack a day
+	VM     float64 // failures of one VM per day
+	Rack   float64 // failures of one rack per day
 	Repair time.Duration
 }
 
-// DefaultRates returns the rates of an ordinary fleet: 26 of 4,000 VMs a day,
-// and one of a thousand racks a week.
+// DefaultRates returns the rates of a typical fleet: 26 of 4,000 VMs fail per
+// day, and one of 1,000 racks per week.
 func DefaultRates() Rates {
 	return Rates{VM: 26.0 / 4000, Rack: 1.0 / 7000, Repair: 4 * time.Hour}
 }
@@ -21,10 +21,10 @@
 // maxSpare bounds the search for a spare count.
 const maxSpare = 512
 
-// Spare is how many spare VMs a fleet needs.
+// Spare holds how many spare VMs a fleet needs.
 type Spare struct {
-	// Own is the count by pool when each keeps its own, Shared the count when
-	// all draw on one reserve of free VMs.
+	// Own is the number of spare VMs by pool if each pool keeps its own; Shared
+	// is their number if all pools share one reserve of free VMs.
 	Own    map[string]int
 	Shared int
 }
@@ -38,10 +38,10 @@
 	return sum
 }
 
-// SpareFor sizes the spare VMs so that failures are expected to use no more
-// than failureShare of any pool's availability budget. VMs fail on their own
-// and by racks; a spare VM covers a lost one until the repair. One reserve for
-// all needs fewer VMs, as the pools' bad days fall on different days.
+// SpareFor returns the spare VMs with which failures are expected to use at most
+// failureShare of any pool's availability budget. VMs fail individually and by
+// rack; a spare VM replaces a failed VM until its repair. A shared reserve needs
+// fewer VMs, because the pools rarely have failures at the same time.
 func SpareFor(pools []*Pool, rates Rates, failureShare float64) Spare {
 	s := Spare{Own: map[string]int{}}
 	all := lossDistribution{1}
@@ -63,9 +63,9 @@
 	return s
 }
 
-// smallestAllowance returns the smallest allowed share among the pools: a shortage of
-// the shared reserve meets the pools in proportion to their sizes, so the pool
-// with the smallest allowance sets the bound.
+// smallestAllowance returns the smallest allowed share of unavailable VMs among
+// the pools. A shortage of the shared reserve affects the pools in proportion to
+// their sizes, so the pool with the smallest allowance determines the limit.
 func smallestAllowance(pools []*Pool) float64 {
 	least := 1.0
 	for _, p := range pools {
@@ -76,13 +76,15 @@
 	return least
 }
 
-// meanDown returns the expected count of n VMs that are down at one moment.
+// meanDown returns the expected number of VMs that are down at a time, of n.
 func (r Rates) meanDown(n int) float64 { return float64(n) * r.VM * r.Repair.Hours() / 24 }
 
-// lossDistribution is the probability of each count of VMs down at one moment.
+// lossDistribution holds the probability of each number of VMs that are down at
+// a time, indexed by that number.
 type lossDistribution []float64
 
-// addVMLosses adds independent losses with the given mean.
+// addVMLosses adds independent failures of VMs, Poisson distributed with the
+// given mean.
 func (d lossDistribution) addVMLosses(mean float64) lossDistribution {
 	terms := lossDistribution{}
 	p := math.Exp(-mean)
@@ -93,7 +95,8 @@
 	return d.convolve(terms)
 }
 
-// addRackLosses adds the loss of whole racks, which hold counts VMs each.
+// addRackLosses adds failures of whole racks; counts is the number of VMs by
+// rack.
 func (d lossDistribution) addRackLosses(counts map[string]int, r Rates) lossDistribution {
 	byCount := map[int]int{}
 	most := 0
@@ -126,7 +129,7 @@
 	return sum.trimTail()
 }
 
-// trimTail drops a tail too unlikely to matter, which keeps sums of many racks short.
+// trimTail drops a negligible tail, which keeps sums over many racks short.
 func (d lossDistribution) trimTail() lossDistribution {
 	n := len(d)
 	for n > 1 && d[n-1] < 1e-15 {
@@ -135,8 +138,8 @@
 	return d[:n]
 }
 
-// minSpare returns the least count k with an expected shortage beyond k of at most
-// bound VMs.
+// minSpare returns the smallest number of spare VMs with which the expected
+// shortage is at most bound VMs, and at most maxSpare.
 func (d lossDistribution) minSpare(bound float64) int {
 	for k := range maxSpare {
 		shortage := 0.0
--- a/internal/pool/round.go
+++ b/internal/pool/round.go
@@ -8,31 +8,32 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Round is one planning round: the view and what was decided so far, so that
-// later steps see the earlier ones' use of VMs and budgets.
+// Round is one planning round: the view and the decisions so far, so that later
+// steps account for the VMs and budgets that earlier steps used.
 type Round struct {
 	View      *View
 	Policy    Policy
 	Proposals []Proposal
-	// Waits says which pools a running wave holds back from for now, and why.
+	// Waits lists the pools in which a running wave can begin no turn now.
 	Waits []Wait
 
 	taken    map[string]bool
 	headroom map[string]*ledger.Headroom
-	incoming map[string]int   // VMs on their way by an effective drain, by pool
-	joining  map[string][]*VM // VMs that the round sends, by pool
-	leaving  map[string]bool  // VMs that the round takes from their pool
+	incoming map[string]int   // VMs in transit by an effective drain, by target pool
+	joining  map[string][]*VM // VMs that this round moves, by target pool
+	leaving  map[string]bool  // VMs that this round removes from their pool
 	spare    *Spare
 }
 
-// Wait is a pool with turns left in a running wave of which none can begin now.
+// Wait is a pool with pending turns in a running wave, none of which can begin
+// now.
 type Wait struct {
 	Wave   string
 	Pool   string
 	Reason string
 }
 
-// NewRound begins a round over the view.
+// NewRound returns a round over the view without decisions.
 func NewRound(v *View, p Policy) *Round {
 	r := &Round{
 		View:     v,
@@ -51,10 +52,10 @@
 	return r
 }
 
-// Full reports whether the round has as many proposals as it may.
+// Full reports whether the round has reached Policy.MaxProposals.
 func (r *Round) Full() bool { return len(r.Proposals) >= r.Policy.MaxProposals }
 
-// Taken reports whether the round already decided about the VM.
+// Taken reports whether the round has already decided about the VM.
 func (r *Round) Taken(vm *VM) bool { return r.taken[vm.ID] }
 
 // Propose adds a decision about a VM.
@@ -68,8 +69,8 @@
 	r.Proposals = append(r.Proposals, OnWave(w, body, why))
 }
 
-// Headroom returns the round's working copy of a pool's headroom, nil for a
-// pool without a document.
+// Headroom returns the round's working copy of the pool's headroom, or nil if
+// the pool has no document.
 func (r *Round) Headroom(pool string) *ledger.Headroom {
 	if h, ok := r.headroom[pool]; ok {
 		return h
@@ -87,8 +88,8 @@
 	return &h
 }
 
-// Drain proposes to drain a VM if its pool's budget bears it. It
-// returns the reason when not.
+// Drain proposes to drain a VM if its pool's budget allows it. Otherwise it
+// returns the reason for the refusal.
 func (r *Round) Drain(vm *VM, body record.VMDrain, why string) string {
 	h := r.Headroom(vm.Pool)
 	if h != nil {
@@ -109,9 +110,10 @@
 	return ""
 }
 
-// Estimate returns how long a drain of the VM is expected to keep it out of
-// service: the longest that requests may take to finish, the wait for its jobs
-// where the document asks for it, and what the reason adds.
+// Estimate returns how long a drain is expected to keep the VM out of service:
+// the document's drain limit for requests, the remaining time of the VM's jobs
+// if the document lets drains wait for them, and the policy's estimate for the
+// reason.
 func (r *Round) Estimate(vm *VM, reason record.DrainReason) time.Duration {
 	estimate := r.Policy.Estimate[reason]
 	p := r.View.Pool(vm.Pool)
@@ -125,7 +127,7 @@
 	return estimate
 }
 
-// Fits reports whether the VM has what the pool's document needs.
+// Fits reports whether the VM meets the minimum sizes of the pool's document.
 func Fits(vm *VM, need document.Pool) bool {
 	return vm.Cores >= need.MinCores && vm.MemoryMB >= need.MinMemoryMB && vm.Accelerators >= need.MinAccelerators
 }
--- a/internal/pool/shape_test.go
+++ b/internal/pool/shape_test.go
@@ -12,10 +12,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// A team whose pool needs small VMs publishes first; large and small VMs are
-// free, the large ones in more zones. If its pool took the large ones, the pool
-// of the next team, which needs large VMs, would stay short with small VMs
-// lying free.
+// A pool that needs small VMs is published first, while small and large VMs are
+// free, the large ones in more zones. If it took the large VMs for their spread,
+// the next pool, which needs large VMs, would stay short while small VMs are free.
 func TestPoolsTakeTheSmallestVMThatFits(t *testing.T) {
 	s := ledger.New()
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/internal/pool/spread.go
+++ b/internal/pool/spread.go
@@ -8,8 +8,8 @@
 	racks map[string]int
 }
 
-// spread returns the pool's spread with the round's joins and without the VMs
-// that leave.
+// spread returns the pool's spread, with the VMs that join it in this round and
+// without those that leave it.
 func (r *Round) spread(p *Pool) spread {
 	s := spread{zones: map[string]int{}, racks: map[string]int{}}
 	for _, vm := range p.VMs {
@@ -28,7 +28,8 @@
 	s.racks[vm.Rack]++
 }
 
-// spreadsWider reports whether joining a spreads the pool wider than joining b.
+// spreadsWider reports whether adding a spreads the pool more widely than adding
+// b.
 func (s spread) spreadsWider(a, b *VM) bool {
 	if c := cmp.Compare(s.zones[a.Zone], s.zones[b.Zone]); c != 0 {
 		return c < 0
@@ -39,7 +40,8 @@
 	return a.ID < b.ID
 }
 
-// canLose reports whether the pool keeps its least spread without the VM.
+// canLose reports whether the pool keeps its minimum number of zones and racks
+// without the VM, or, below the minimum, as many as it has.
 func (s spread) canLose(p *Pool, vm *VM) bool {
 	zones, racks := len(s.zones), len(s.racks)
 	if s.zones[vm.Zone] == 1 {
--- a/internal/pool/supply.go
+++ b/internal/pool/supply.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// supply collects the VMs that may be given to gaps.
+// supply holds the VMs that may be assigned to gaps.
 type supply struct {
 	classes    []*class
 	surplus    map[string]int // by donor
@@ -19,7 +19,8 @@
 	shape shape
 }
 
-// supply returns the free VMs and the lasting surplus of the pools, by tier.
+// supply returns the free VMs and the pools' surplus that has lasted, sorted by
+// tier and shape.
 func (r *Round) supply() *supply {
 	s := &supply{surplus: map[string]int{}, classByKey: map[classKey]*class{}}
 	for _, vm := range r.View.Free {
@@ -36,9 +37,9 @@
 	return s
 }
 
-// compareShape orders VMs from the smallest to the largest. Pools are given the
-// smallest VM that fits: a pool that takes larger ones than it asks for leaves
-// a later document that needs them short, with smaller VMs lying free.
+// compareShape orders VMs from the smallest to the largest. A pool gets the
+// smallest VM that fits. If it took larger VMs, a later document that needs them
+// would stay short while smaller VMs are free.
 func compareShape(a, b *VM) int {
 	return cmp.Or(
 		cmp.Compare(a.Accelerators, b.Accelerators),
@@ -59,7 +60,7 @@
 	c.remaining++
 }
 
-// addSurplus offers a pool's surplus once it has lasted.
+// addSurplus adds the pool's surplus to the supply once it has lasted.
 func (r *Round) addSurplus(p *Pool, s *supply) {
 	surplus := r.Surplus(p)
 	if surplus == 0 || !r.hasLasted(p.SurplusSince, r.Policy.patience(p).Move) {
--- a/internal/pool/view.go
+++ b/internal/pool/view.go
@@ -1,6 +1,7 @@
-// Package pool plans which VMs are in which pools: it fills gaps from the free
-// VMs, moves VMs from pools that have too many and gives surplus back. It is
-// pure: a plan is a function of a View and a Policy, equal on every node.
+// Package pool plans the assignment of VMs to pools: it fills gaps with free
+// VMs, moves VMs from pools with a surplus and returns surplus to the reserve.
+// Its functions have no side effects: a plan depends only on a View and a Policy,
+// so it is the same on every node.
 package pool
 
 import (
@@ -13,8 +14,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// View is a copy of what planning needs of the folded state, so that a round
-// holds no lock and sees one moment. It is not changed after NewView.
+// View is a copy of the part of the folded state that planning reads. A round so
+// needs no lock and sees a consistent state. It is immutable after NewView.
 type View struct {
 	Offset uint64
 	Now    time.Time
@@ -29,8 +30,8 @@
 // VM is one VM of a View.
 type VM struct {
 	ledger.VM
-	// Jobs counts the jobs placed on the VM; JobsUntil is when the last of them
-	// ends by its declaration.
+	// Jobs is the number of jobs placed on the VM; JobsUntil is when the last of
+	// them ends by its declared run time.
 	Jobs      int
 	JobsUntil time.Time
 }
@@ -40,7 +41,7 @@
 	Name     string
 	Doc      document.Document
 	Headroom ledger.Headroom
-	// GapSince and SurplusSince are those of ledger.Account.
+	// GapSince and SurplusSince are copied from ledger.Account.
 	GapSince     time.Time
 	SurplusSince time.Time
 	VMs          []*VM // by ID
@@ -147,13 +148,13 @@
 	slices.SortFunc(v.Waves, func(a, b *Wave) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Pool returns a pool by name, nil when it has no document.
+// Pool returns the pool by name, or nil if it has no document.
 func (v *View) Pool(name string) *Pool { return v.byPool[name] }
 
-// VM returns a VM by ID, nil when it is not known.
+// VM returns the VM by ID, or nil if it is unknown.
 func (v *View) VM(id string) *VM { return v.byVM[id] }
 
-// DueWave returns the running wave in which the VM still has its turn, or nil.
+// DueWave returns the running wave in which the VM has a pending turn, or nil.
 func (v *View) DueWave(vm *VM) *Wave {
 	for _, w := range v.Waves {
 		if w.Running && w.VMs[vm.ID] == ledger.WavePending {
