--- a/internal/maintenance/events_test.go
+++ b/internal/maintenance/events_test.go
@@ -14,7 +14,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/standin"
 )
 
-// documentText is a service's document with a budget that a few drains use up.
+// documentText is a service's document with a budget that a few drains exhaust.
 const documentText = `
 service = %q
 team = "test"
@@ -61,7 +61,8 @@
 	w.now = w.now.Add(d)
 }
 
-// toggleOutage cuts a node off from the log, or lets hours pass with all cut off.
+// toggleOutage disconnects a node from the log or reconnects it. Sometimes three
+// hours pass in addition.
 func (w *world) toggleOutage() {
 	n := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(w.t, "cut")]
 	n.disconnected = !n.disconnected
@@ -70,7 +71,7 @@
 	}
 }
 
-// toggleFault loses a rack or a VM, or brings one back.
+// toggleFault crashes or recovers a VM or a rack.
 func (w *world) toggleFault() {
 	vm := w.head.VMs[w.drawVM()]
 	target := vm.ID
@@ -91,7 +92,7 @@
 	require.NoError(w.t, err)
 }
 
-// clearFaults ends all faults; delayed appends arrive.
+// clearFaults ends all faults and delivers the delayed appends.
 func (w *world) clearFaults() {
 	for id := range w.head.VMs {
 		if w.unreachable[id] {
@@ -119,7 +120,7 @@
 
 func sortedVMs(s *ledger.State) []string { return slices.Sorted(maps.Keys(s.VMs)) }
 
-// shortageMeter sums up the short VMs of one pool over time.
+// shortageMeter records how many VMs one pool is short of over time.
 type shortageMeter struct {
 	spans []shortageSpan
 	short int
@@ -138,7 +139,7 @@
 	m.short, m.at = short, now
 }
 
-// since returns the VM-seconds after a time.
+// since returns the VM-seconds of shortage after from.
 func (m *shortageMeter) since(from time.Time) float64 {
 	sum := 0.0
 	for _, s := range m.spans {
@@ -153,7 +154,7 @@
 	return sum
 }
 
-// measureShortages reads the pools' short VMs at the fold's time.
+// measureShortages records the shortage of each pool at the fold's time.
 func (w *world) measureShortages() {
 	for name, m := range w.shortages {
 		svc, ok := w.head.Services[name]
--- a/internal/maintenance/history_test.go
+++ b/internal/maintenance/history_test.go
@@ -16,15 +16,14 @@
 
 func TestMain(m *testing.M) { randomcheck.Main(m, 20261202, 2000) }
 
-// What operators and callers rely on, under anything that may happen: two
-// stewards plan and act on views that are behind, appends are doubled, delayed
-// or lost to their author, replies of the platform are lost after the action
-// took effect, racks fail in mid-wave, operators drain and publish meanwhile,
-// and the log is away for hours. No planned drain may break a pool's budget, no
-// VM may be in two pools, no reboot may start but for a decision in effect at
-// that moment, and each decision is carried out once. Why it can hold: only the
-// fold lets a decision take effect, and the platform carries out an operation
-// ID once and refuses fencing tokens below the highest it has seen.
+// Two stewards plan and act on stale views while appends are duplicated or
+// delayed, replies of the platform are lost after the action took effect, racks
+// fail during waves, operators drain VMs and publish documents, and nodes are cut
+// off from the log for hours. A planned drain must not exceed a pool's budget, a
+// VM must not be in two pools, a reboot must start only for a decision that is in
+// effect, and each decision must be executed once. This holds because decisions
+// take effect only in the fold, and the platform executes an operation ID once and
+// refuses fencing tokens below the highest that it has seen.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld(rt)
@@ -36,7 +35,7 @@
 	})
 }
 
-// randomStep lets one thing happen.
+// randomStep applies one random event.
 func (w *world) randomStep() {
 	node := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(w.t, "node")]
 	switch rapid.IntRange(0, 15).Draw(w.t, "event") {
@@ -61,7 +60,7 @@
 	}
 }
 
-// operatorAction is an operator's act, decided on a node's view.
+// operatorAction sends a random decision of an operator, based on the node's view.
 func (w *world) operatorAction(n *node) {
 	vm := w.drawVM()
 	switch rapid.IntRange(0, 5).Draw(w.t, "operator") {
@@ -81,7 +80,8 @@
 	}
 }
 
-// checkInvariants holds the state against what must always be true of it.
+// checkInvariants verifies that each VM is in at most one pool and that its phase
+// is consistent with that.
 func (w *world) checkInvariants() {
 	members := map[string]string{}
 	for _, pool := range pools {
@@ -97,8 +97,9 @@
 	}
 }
 
-// checkDrain holds an effective drain against the budget as this test knows it:
-// short VMs and spent VM-seconds are its own sums, not the ledger's accounts.
+// checkDrain verifies that an effective drain is within the pool's budget. The
+// shortage and the spent VM-seconds are measured by this test, independently of
+// the ledger's accounts.
 func (w *world) checkDrain(before ledger.VM, body record.VMDrain) {
 	if !before.Serving() {
 		return
@@ -127,9 +128,9 @@
 	require.LessOrEqual(w.t, spent+need, allowed+1, "drain of %s", before.ID)
 }
 
-// recoverAndConverge ends all faults and lets the stewards go on: every drain must come to its
-// end, every wave too, the pools get their sizes, and the platform has rebooted
-// each VM as often as was decided.
+// recoverAndConverge ends all faults and runs the stewards until nothing is left to
+// do: every drain and wave must end, the pools must reach their sizes, and the
+// platform must have rebooted each VM as often as was decided.
 func (w *world) recoverAndConverge() {
 	w.clearFaults()
 	for range 400 {
@@ -163,11 +164,11 @@
 	}
 	for _, pool := range pools {
 		u := w.head.Unavailability(pool)
-		require.True(w.t, u.Short == 0 || free == 0, "pool %s is short of %d with %d VMs free", pool, u.Short, free)
+		require.True(w.t, u.Short == 0 || free == 0, "pool %s is short of %d VMs with %d VMs free", pool, u.Short, free)
 	}
 }
 
-// converged reports whether nothing is left to do.
+// converged reports whether no drain, wave or gap is left to work on.
 func (w *world) converged() bool {
 	for _, vm := range w.head.VMs {
 		if vm.Drain != nil || vm.Phase == record.PhaseReturning {
--- a/internal/maintenance/step.go
+++ b/internal/maintenance/step.go
@@ -8,27 +8,27 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Step is what has to be done next for a VM that is out of service.
+// Step is the next action for a VM that is out of service.
 type Step int
 
 // Steps, in the order of a drain's phases.
 const (
 	// StepNone: nothing to do.
 	StepNone Step = iota
-	// StepQuiesce: drain it on the platform and wait until no request is in
-	// flight; then it is drained.
+	// StepQuiesce: drain the VM on the platform and wait until no request is in
+	// flight; the VM is then drained.
 	StepQuiesce
-	// StepDecide: record the phase that follows, see After.
+	// StepDecide: record the next phase, see After.
 	StepDecide
-	// StepReboot: reboot it on the platform; then record what follows.
+	// StepReboot: reboot the VM on the platform, then record the next phase.
 	StepReboot
-	// StepJoin: record the join of its target pool.
+	// StepJoin: record that the VM joins its target pool.
 	StepJoin
-	// StepReturn: let it take tasks again and wait until it is healthy.
+	// StepReturn: undrain the VM on the platform and wait until it is healthy.
 	StepReturn
 )
 
-// Next returns the step that the VM's phase calls for.
+// Next returns the step for the VM's phase.
 func Next(vm *ledger.VM) Step {
 	switch vm.Phase {
 	case record.PhaseDraining:
@@ -45,9 +45,8 @@
 	return StepNone
 }
 
-// After returns the phase that follows once the present one is done. A VM of a
-// wave is rebooted before it goes on to its old pool, its new one or the free
-// VMs.
+// After returns the phase that follows the VM's current phase. A VM of a wave is
+// rebooted before it returns to its pool, joins another pool or becomes free.
 func After(vm *ledger.VM) record.VMPhase {
 	d := vm.Drain
 	switch {
@@ -65,7 +64,7 @@
 	return record.PhaseReturning
 }
 
-// Verb is an action on a VM at the platform.
+// Verb is the kind of an action on the platform.
 type Verb string
 
 // Actions on a VM.
@@ -75,19 +74,19 @@
 	VerbUndrain Verb = "undrain"
 )
 
-// Action is what a step asks of the platform. Its ID is derived from the
-// decision, so that every steward and every retry sends the same one and the
-// platform carries it out once.
+// Action is the request of a step to the platform. Its ID is derived from the
+// decision, so that all stewards and all retries send the same ID and the
+// platform executes the action once.
 type Action struct {
 	Verb  Verb
 	ID    string
 	Fence uint64
 }
 
-// ActionOf returns the action of the VM's present step, or false when the step
+// ActionOf returns the action of the VM's current step, or false if the step
 // needs none. Drain and reboot carry the drain's offset as fencing token. The
-// undrain carries the VM's latest revision, above that: a reboot of the drain
-// that is still on its way is refused from then on, when the VM may be serving.
+// undrain carries the VM's revision, which is higher, so that the platform
+// refuses a delayed reboot of the same drain once the VM may be serving.
 func ActionOf(vm *ledger.VM) (Action, bool) {
 	d := vm.Drain
 	switch Next(vm) {
@@ -102,29 +101,31 @@
 	return Action{}, false
 }
 
-// Result is what is known of an action.
+// Result is the known outcome of an action.
 type Result int
 
 // Results of an action.
 const (
-	// ResultUnknown: no reply, or one that tells nothing. It is sent again.
+	// ResultUnknown: no reply, or a reply without an outcome. The action is sent
+	// again.
 	ResultUnknown Result = iota
 	ResultRunning
 	ResultDone
 	ResultFailed
-	// ResultNotFound: the platform does not have the VM, perhaps for now.
+	// ResultNotFound: the platform does not list the VM, possibly temporarily.
 	ResultNotFound
 )
 
-// String returns the result's name in metrics.
+// String returns the name of the result in metrics.
 func (r Result) String() string {
 	return [...]string{"unknown", "running", "done", "failed", "not-found"}[r]
 }
 
-// Settled reports whether the VM's step is through, by the result of its action
-// and whether the VM answers its health check. On a VM that the platform lost
-// no task runs, which is all that a drain asks for. A reboot that failed but left
-// the VM healthy is over too, as when the VM went down on its own meanwhile.
+// Settled reports whether the VM's step is complete, given the result of its
+// action and whether the VM passes its health check. A drain is complete if the
+// platform has no such VM or failed the action, because then no task runs on the
+// VM. A failed reboot is complete if the VM is healthy, for example because it
+// restarted by itself meanwhile.
 func Settled(vm *ledger.VM, r Result, healthy bool) bool {
 	switch Next(vm) {
 	case StepNone:
@@ -139,14 +140,14 @@
 	return true
 }
 
-// Bounds after which a VM that is out counts as failed.
+// Limits after which a VM that is out of service is treated as failed.
 const (
 	overdueFactor = 3
 	minOverdue    = 10 * time.Minute
 )
 
-// OverdueAfter returns for how long a VM may be in its phase: far longer than its
-// drain's estimate.
+// OverdueAfter returns how long the VM may stay in its phase: overdueFactor times
+// its drain's estimate, at least minOverdue.
 func OverdueAfter(vm *ledger.VM) time.Duration {
 	if vm.Drain == nil {
 		return minOverdue
@@ -154,8 +155,8 @@
 	return max(minOverdue, overdueFactor*vm.Drain.Estimate)
 }
 
-// Overdue reports whether the VM has been in its phase for so long that it is
-// not expected back.
+// Overdue reports whether the VM is out of service and has been in its phase for
+// longer than OverdueAfter.
 func Overdue(vm *ledger.VM, now time.Time) bool {
 	return Next(vm) != StepNone && now.Sub(vm.PhaseSince) > OverdueAfter(vm)
 }
--- a/internal/maintenance/wave.go
+++ b/internal/maintenance/wave.go
@@ -1,5 +1,6 @@
-// Package maintenance plans maintenance waves and the steps of a drain. It is
-// pure: plans are functions of a pool.View and the time in it.
+// Package maintenance plans maintenance waves and the steps of a drain. Its
+// functions have no side effects: a plan depends only on a pool.View and a
+// pool.Policy.
 package maintenance
 
 import (
@@ -13,11 +14,12 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Plan is one planning round: what every steward proposes on this view. Each
-// step sees what the earlier ones used of VMs and budgets.
+// Plan runs one planning round and returns its proposals, which are the same for
+// every steward with this view. Each step of the round accounts for the VMs and
+// budgets that the earlier steps used.
 func Plan(v *pool.View, p pool.Policy) []pool.Proposal { return Round(v, p).Proposals }
 
-// Round is Plan with what the round found besides.
+// Round runs one planning round and returns it, with its proposals and waits.
 func Round(v *pool.View, p pool.Policy) *pool.Round {
 	r := pool.NewRound(v, p)
 	pool.Fill(r)
@@ -28,7 +30,7 @@
 }
 
 // Drains proposes the next drains of the running waves: for each pool, in the
-// order of its turns, as many as its budget bears.
+// order of its turns, as many as its budget allows.
 func Drains(r *pool.Round) {
 	for _, w := range r.View.Waves {
 		if !w.Running {
@@ -43,13 +45,13 @@
 	}
 }
 
-// proposeTurns begins the turns of one pool. When it begins none, the round tells why:
-// a wave pauses by itself while failures use up what the pool bears, and goes on
-// by itself.
+// proposeTurns proposes drains for the due VMs of one pool. If none is possible
+// and the wave has no VM of the pool out, it adds the reason to the round's waits:
+// a wave pauses while failures use up the pool's budget and then resumes.
 func proposeTurns(r *pool.Round, w *pool.Wave, p *pool.Pool, due []*pool.VM) {
 	atRisk := deadlineAtRisk(r, w, p, due)
 	if !atRisk && r.Arriving(p) {
-		return // soon a drain costs the pool less
+		return // a drain will cost less once the joining VM serves
 	}
 	proposed, reason := 0, ""
 	for _, vm := range due {
@@ -67,7 +69,7 @@
 	}
 }
 
-// proposeTurn proposes a turn, or returns why it has to wait.
+// proposeTurn proposes the drain of a VM's turn, or returns why it must wait.
 func proposeTurn(r *pool.Round, vm *pool.VM, body record.VMDrain, atRisk bool) string {
 	if !atRisk {
 		if reason := waitReason(r, r.View.Pool(vm.Pool), vm, body); reason != "" {
@@ -77,11 +79,11 @@
 	return r.Drain(vm, body, "its turn in the wave")
 }
 
-// dueTurns returns the pool's VMs that could be drained now in the order of their
-// turns: zones and racks that have VMs out already come first, so that one
-// failure domain is finished before the next is begun, then VMs without jobs.
-// VMs that are down get their turn once no other is left: until then they may
-// come back, and the rest does not wait for them.
+// dueTurns returns the pool's VMs that may be drained now, in the order of their
+// turns. Zones and racks with VMs of a wave already out come first, so that one
+// failure domain is completed before the next begins, then VMs with fewer jobs to
+// wait for. VMs that are down are returned only if no other VM is left: they may
+// recover until then, and the other VMs do not wait for them.
 func dueTurns(r *pool.Round, w *pool.Wave, p *pool.Pool) []*pool.VM {
 	var due []*pool.VM
 	for _, vm := range p.VMs {
@@ -110,7 +112,7 @@
 	return due
 }
 
-// drainedByDomain counts the pool's VMs in a wave's drain by zone and rack.
+// drainedByDomain counts the pool's VMs in the drain of a wave by zone and rack.
 func drainedByDomain(p *pool.Pool) (zones, racks map[string]int) {
 	zones, racks = map[string]int{}, map[string]int{}
 	for _, vm := range p.VMs {
@@ -122,7 +124,7 @@
 	return zones, racks
 }
 
-// jobsToWaitFor counts the jobs that a drain of the VM would wait for.
+// jobsToWaitFor returns how many jobs a drain of the VM would wait for.
 func jobsToWaitFor(p *pool.Pool, vm *pool.VM) int {
 	if p.Doc.Jobs.OnDrain == document.LongJobsWait {
 		return vm.Jobs
@@ -130,10 +132,9 @@
 	return 0
 }
 
-// waitReason returns why a wave keeps back from the pool for now though its budget
-// might bear the drain, or an empty string. One unit of max_unavailable and a
-// part of the window's VM-seconds are left for failures, until the deadline is
-// at risk.
+// waitReason returns why a wave must not drain the VM now, or an empty string.
+// While the deadline is not at risk, a wave leaves one unit of max_unavailable and
+// a part of the window's VM-seconds (see pool.Policy.WaveShare) for failures.
 func waitReason(r *pool.Round, p *pool.Pool, vm *pool.VM, body record.VMDrain) string {
 	reduced := *r.Headroom(p.Name)
 	reduced.Budget.MaxUnavailable = maxParallelTurns(p)
@@ -141,13 +142,14 @@
 	return reduced.RefusalOf(&vm.VM, body)
 }
 
-// maxParallelTurns is how many VMs of the pool a wave takes at once while it is not
-// pressed.
+// maxParallelTurns returns how many VMs of the pool a wave drains at once while
+// its deadline is not at risk.
 func maxParallelTurns(p *pool.Pool) int {
 	return max(min(1, p.Doc.Budget.MaxUnavailable), p.Doc.Budget.MaxUnavailable-1)
 }
 
-// deadlineAtRisk reports whether the wave's deadline is at risk at the careful pace.
+// deadlineAtRisk reports whether the wave would miss its deadline with
+// maxParallelTurns drains at a time.
 func deadlineAtRisk(r *pool.Round, w *pool.Wave, p *pool.Pool, due []*pool.VM) bool {
 	if w.Deadline.IsZero() {
 		return false
@@ -161,8 +163,8 @@
 	return r.View.Now.Add(need).After(w.Deadline)
 }
 
-// turnDuration is how long one turn of the pool takes: as its latest drains did, or by
-// the estimate while there were none.
+// turnDuration returns how long one turn of the pool takes: the typical duration
+// of its latest drains, or the estimate if that is unknown.
 func turnDuration(r *pool.Round, p *pool.Pool, vm *pool.VM) time.Duration {
 	if p.Headroom.Typical > 0 {
 		return p.Headroom.Typical
@@ -170,8 +172,8 @@
 	return r.Estimate(vm, record.DrainMaintenance)
 }
 
-// proposeSkip takes the VMs out of the wave that cannot have their turn: those that
-// left their pool, and at the deadline those whose jobs may not be disturbed.
+// proposeSkip proposes to skip a VM that cannot have its turn: a VM that left its
+// pool or, near the deadline, a VM with jobs that may not be disturbed.
 func proposeSkip(r *pool.Round, w *pool.Wave) {
 	for _, id := range sortedPending(w) {
 		vm := r.View.VM(id)
@@ -179,15 +181,16 @@
 			continue
 		}
 		if reason := skipReason(r, w, vm); reason != "" {
-			r.ProposeWave(w, record.WaveSkip{VM: id, Reason: reason}, "it cannot have its turn")
+			r.ProposeWave(w, record.WaveSkip{VM: id, Reason: reason}, "the VM cannot have its turn")
 			return // the next skip needs the wave's new revision
 		}
 	}
 }
 
+// skipReason returns why the wave skips the VM, or an empty string.
 func skipReason(r *pool.Round, w *pool.Wave, vm *pool.VM) string {
 	if vm.Phase == record.PhaseFree {
-		return "the VM is in no pool any more"
+		return "the VM is no longer in a pool"
 	}
 	p := r.View.Pool(vm.Pool)
 	if p == nil || vm.Jobs == 0 || p.Doc.Jobs.OnDrain != document.LongJobsSkip {
--- a/internal/maintenance/world_test.go
+++ b/internal/maintenance/world_test.go
@@ -24,27 +24,27 @@
 	rackSize = 2
 )
 
-// world is a log with its fold, two stewards that fold it late, and the
-// in-process stand-in.
+// world holds a log with its up-to-date fold, two stewards that fold it with a
+// delay, and an in-process stand-in of the platform.
 type world struct {
 	t           *rapid.T
 	now         time.Time
 	log         []record.Record
 	head        *ledger.State
 	nodes       []*node
-	delayed     []record.Record // appended, not yet in the log
+	delayed     []record.Record // sent, not yet in the log
 	fake        *standin.Platform
 	waves       int
 	ids         int
-	unreachable map[string]bool // VMs that do not answer
+	unreachable map[string]bool // VMs that fail their health check
 	shortages   map[string]*shortageMeter
 }
 
-// node is a steward's own fold.
+// node is a steward with its own fold.
 type node struct {
 	name         string
 	state        *ledger.State
-	disconnected bool // cut off from the log
+	disconnected bool // receives no records
 }
 
 func newWorld(t *rapid.T) *world {
@@ -78,7 +78,7 @@
 
 func subjectVM(id string) record.Subject { return record.Subject{Kind: record.SubjectVM, Name: id} }
 
-// record returns a decision made on the node's view.
+// record returns a record that is based on the node's view.
 func (w *world) record(n *node, sub record.Subject, body record.Body) record.Record {
 	w.ids++
 	return record.Record{
@@ -92,7 +92,7 @@
 	}
 }
 
-// send appends a decision: once, twice, or at some later time.
+// send appends a decision once, twice, or with a delay.
 func (w *world) send(n *node, sub record.Subject, body record.Body) {
 	rec := w.record(n, sub, body)
 	switch rapid.IntRange(0, 9).Draw(w.t, "append") {
@@ -123,7 +123,7 @@
 	w.measureShortages()
 }
 
-// deliverDelayed lets one delayed append take effect.
+// deliverDelayed appends one of the delayed records.
 func (w *world) deliverDelayed() {
 	if len(w.delayed) == 0 {
 		return
@@ -149,8 +149,8 @@
 	}
 }
 
-// act carries out the steps that the node's view calls for, however old it is:
-// a paused process wakes up with an old view.
+// act executes the steps for the node's view, which may be stale as after a pause
+// of the process.
 func (w *world) act(n *node) {
 	for _, id := range sortedVMs(n.state) {
 		if vm := n.state.VMs[id]; maintenance.Next(vm) != maintenance.StepNone {
@@ -177,8 +177,8 @@
 	}
 }
 
-// perform sends an action to the platform. A reboot that starts must be decided
-// in the log at this moment, whatever the sender's view.
+// perform sends an action to the platform. A reboot must start only if the log's
+// current state calls for it, however stale the sender's view is.
 func (w *world) perform(vm *ledger.VM, a maintenance.Action) maintenance.Result {
 	if rapid.IntRange(0, 5).Draw(w.t, "reply") == 0 {
 		_, err := w.fake.Order(standin.Fault{Kind: standin.APILoseReply, Target: vm.ID, Count: 1})
@@ -200,7 +200,7 @@
 	return steward.ResultOf(status, err)
 }
 
-// reportHealth turns what VMs answer into evidence, decided on the node's view.
+// reportHealth sends records of VMs whose health differs from the node's view.
 func (w *world) reportHealth(n *node) {
 	for _, id := range sortedVMs(n.state) {
 		vm := n.state.VMs[id]
