--- a/internal/forecast/fleet_test.go
+++ b/internal/forecast/fleet_test.go
@@ -11,8 +11,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/forecast"
 )
 
-// startRun returns a run of an example deployment with spare VMs, for a fleet that
-// never fails.
+// startRun returns a run of an example deployment with spare VMs and without
+// expected failures.
 func startRun(t testing.TB, name string, spare int) *forecast.Run {
 	t.Helper()
 	r, err := readDeployment(t, name).Start(spare, policyNoFailures())
@@ -27,7 +27,7 @@
 	return d
 }
 
-// publish, resize and startWave are acts of an operator.
+// publish, resize and startWave are actions of an operator.
 func publish(t testing.TB, r *forecast.Run, service, text string) {
 	t.Helper()
 	require.NoError(t, deployment.Publish(r, service, text))
--- a/internal/forecast/policy_test.go
+++ b/internal/forecast/policy_test.go
@@ -19,18 +19,17 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// policyNoFailures sizes the reserve for a fleet that never fails, so that tests
-// say how many free VMs they mean.
+// policyNoFailures returns the default policy with failure rates of zero. The
+// reserve is then empty, so that tests set the number of free VMs explicitly.
 func policyNoFailures() pool.Policy {
 	p := pool.DefaultPolicy()
 	p.Rates = pool.Rates{}
 	return p
 }
 
-// Two documents are changed back and forth every half minute, one up and the
-// other down. Operators see no VM shuffled between the pools, as neither the
-// gap nor the surplus lasts. Then the change stays, and just the VMs that it
-// asks for move, each once.
+// Two documents are changed back and forth every 30 s, one up and the other down.
+// No VM may move between the pools, because neither the gap nor the surplus lasts.
+// After the change stays, exactly the required VM moves, once.
 func TestDocumentsChangedBackAndForthMoveNoVM(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -62,9 +61,8 @@
 	}
 }
 
-// A pool shrinks and another grows while a wave runs over the first. Callers
-// see each VM out once: the VM that moves is one whose turn is to come, and its
-// drain serves both.
+// A pool shrinks and another grows while a wave runs over the first. Each VM must
+// be drained only once: a VM with a pending turn moves, and its drain serves both.
 func TestMoveAndMaintenanceShareOneDrain(t *testing.T) {
 	r := startRun(t, "feldkamm", 0)
 	startWave(t, r, 24*time.Hour, "conversion")
@@ -83,8 +81,8 @@
 	assert.Len(t, r.State.PoolVMs("preview"), 13)
 }
 
-// A surplus stays where the document weighs moves, and goes back to the reserve
-// where it weighs the buffer, after it has lasted; a wave takes it along in both.
+// With weigh = "moves" a surplus stays in the pool; with weigh = "buffer" it
+// returns to the reserve after it has lasted. In both cases a wave releases it.
 func TestSurplusByWeigh(t *testing.T) {
 	cases := []struct {
 		deployment, pool string
@@ -101,7 +99,7 @@
 			require.Equal(t, c.weigh, r.State.Services[c.pool].Doc.Weigh)
 			resize(t, r, c.pool, c.size)
 			r.To(r.Now.Add(20 * time.Minute))
-			assert.Zero(t, deployment.Free(r), "patience")
+			assert.Zero(t, deployment.Free(r), "the surplus has not lasted long enough")
 			for range 6 {
 				r.To(r.Now.Add(10 * time.Minute))
 			}
@@ -110,13 +108,13 @@
 			r.To(r.Now.Add(3 * time.Hour))
 			assert.Equal(t, 2, deployment.Free(r))
 			drains, _ := deployment.Disturbed(r)
-			assert.Equal(t, 12, drains, "the wave's last turns lead to the reserve")
+			assert.Equal(t, 12, drains, "the wave's last turns must release the surplus")
 		})
 	}
 }
 
-// A free VM beyond the reserve is lent to a pool in the middle of a wave: the
-// pool is then never short, and the wave gives the VM back without a drain more.
+// A free VM beyond the reserve is lent to a pool during its wave. The pool must
+// never be short, and the VM must return without an additional drain.
 func TestWaveUsesFreeVMBeyondReserve(t *testing.T) {
 	r := startRun(t, "ramcharan", 1)
 	startWave(t, r, 24*time.Hour, "booking")
@@ -128,13 +126,13 @@
 	assert.Zero(t, r.State.Services["booking"].Account.Spent(deployment.Epoch, r.Now.Add(time.Hour))-joinCharge(r))
 }
 
-// joinCharge is what filling the pool at the beginning cost.
+// joinCharge returns the VM-seconds that the initial fill of the pool cost.
 func joinCharge(r *forecast.Run) float64 {
 	return r.State.Services["booking"].Account.Spent(deployment.Epoch, deployment.Epoch.Add(time.Hour))
 }
 
-// A VM that is lost for good is replaced from the reserve after a while, does
-// not hold up a wave of the other racks, and its return fills no gap twice.
+// A permanently lost VM must be replaced from the reserve after Patience.Replace
+// and must not block a wave; the wave skips it.
 func TestLostVMIsReplacedAndDoesNotBlockWave(t *testing.T) {
 	r := startRun(t, "ramcharan", 1)
 	var lost string
@@ -144,7 +142,7 @@
 	r.Lost = func(id string) bool { return id == lost }
 	r.OnVM(lost, record.VMDown{Cause: "no answer"})
 	r.To(r.Now.Add(time.Minute))
-	assert.Equal(t, 1, deployment.Free(r), "patience")
+	assert.Equal(t, 1, deployment.Free(r), "the VM has not been down long enough")
 	r.To(r.Now.Add(2 * time.Minute))
 	r.To(r.Now.Add(2 * time.Minute))
 	assert.Zero(t, deployment.Free(r))
@@ -156,8 +154,8 @@
 	assert.Equal(t, []string{lost}, slices.Collect(maps.Keys(w.Skips)))
 }
 
-// The shared reserve needs no more VMs than the pools' own, and grows with the
-// rates of failure.
+// The shared reserve must not need more VMs than reserves per pool, and both must
+// not shrink when failure rates rise.
 func TestSpareFor(t *testing.T) {
 	r := startRun(t, "ramcharan", 0)
 	view := pool.NewView(r.State, r.Now)
@@ -175,9 +173,9 @@
 	assert.Positive(t, before.Shared)
 }
 
-// A pool that needs large VMs is published when another one, which would do with
-// small ones, holds them all, and small VMs are free. Its owner must not wait
-// for ever: a small VM joins that pool and a large one moves over.
+// A pool that needs large VMs is published while another pool, for which small VMs
+// suffice, holds all of them, and small VMs are free. Without exchanges the new
+// pool would stay short forever.
 func TestLargeVMsAreExchangedForSmallOnes(t *testing.T) {
 	d := readDeployment(t, "feldkamm")
 	r := forecast.New(ledger.New(), deployment.Epoch, policyNoFailures(), deployment.Usual)
@@ -202,6 +200,6 @@
 	for range 60 {
 		r.To(r.Now.Add(10 * time.Minute))
 	}
-	assert.Len(t, r.State.PoolVMs(largePool), 8, "all the large VMs there are")
+	assert.Len(t, r.State.PoolVMs(largePool), 8, "all large VMs must move")
 	assert.Zero(t, r.State.Unavailability(d.Pools[0]).Short)
 }
--- a/internal/forecast/run.go
+++ b/internal/forecast/run.go
@@ -1,7 +1,7 @@
-// Package forecast plays the planning forward over a copy of the folded state:
-// the same planner and the same fold as in production, with drains, reboots and
-// returns that take as long as told. The dry run of a wave is such a run, and so
-// are the measurements of planning policies. It is pure.
+// Package forecast simulates planning on a copy of the folded state, with the
+// production planner and fold and with given durations of drains, reboots and
+// returns. The dry run of a wave and the measurements of planning policies use
+// it. It has no side effects.
 package forecast
 
 import (
@@ -17,19 +17,19 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// authors sign the records of a run in turns. The fold doubts a jump of its time
-// until a second author confirms it.
+// authors are the alternating authors of a run's records. The fold accepts a jump
+// of its time only after a second author confirms it.
 var authors = [...]string{"forecast-1", "forecast-2"}
 
-// Times is how long the steps of a drain take.
+// Times holds the durations of the steps of a drain.
 type Times struct {
-	Drain  time.Duration // until no request and no task is left
+	Drain  time.Duration // until no request and no task is running
 	Reboot time.Duration
-	Return time.Duration // until seen healthy
+	Return time.Duration // until the VM is reported healthy
 }
 
-// Learned returns the times of a VM's pool as its latest drains took them, and
-// otherwise where the pool has had too few.
+// Learned returns a function that scales fallback to the typical duration of the
+// latest drains of a VM's pool, and returns fallback if that is unknown.
 func Learned(s *ledger.State, fallback Times) func(*ledger.VM) Times {
 	return func(vm *ledger.VM) Times {
 		svc, ok := s.Services[vm.Pool]
@@ -43,32 +43,33 @@
 	}
 }
 
-// Planner returns the proposals of one round.
+// Planner returns the proposals of one planning round.
 type Planner func(*pool.View, pool.Policy) []pool.Proposal
 
-// Run is a state that planning and its consequences move forward.
+// Run is a simulation that advances a state by planning rounds and by the steps
+// of the drains that they start.
 type Run struct {
 	State  *ledger.State
 	Now    time.Time
 	Policy pool.Policy
 	Plan   Planner
-	// Times returns how long the steps take on a VM.
+	// Times returns the durations of the steps for a VM.
 	Times func(vm *ledger.VM) Times
-	// Lost reports whether a VM does not answer; its steps do not end, and it is
-	// given up in the end.
+	// Lost reports whether a VM is unreachable. Its steps do not end; it is given up
+	// after maintenance.OverdueAfter.
 	Lost func(vm string) bool
 
 	pending map[string]pendingStep
 	ids     int
 }
 
-// pendingStep is what a VM is busy with.
+// pendingStep is the step of a VM at a revision and the time at which it ends.
 type pendingStep struct {
 	revision record.Revision
 	endsAt   time.Time
 }
 
-// New returns a run over state, which it changes, with the production planner.
+// New returns a run with the production planner. The run modifies state.
 func New(state *ledger.State, now time.Time, policy pool.Policy, times Times) *Run {
 	return &Run{
 		State:   state,
@@ -81,7 +82,7 @@
 	}
 }
 
-// Append folds a record that was decided on the present state.
+// Append folds a record that is based on the current state.
 func (r *Run) Append(sub record.Subject, body record.Body) ledger.Outcome {
 	r.ids++
 	return r.State.Apply(r.State.Offset+1, record.Record{
@@ -100,7 +101,8 @@
 	return r.Append(record.Subject{Kind: record.SubjectVM, Name: id}, body)
 }
 
-// Round plans once, folds the proposals and reports how many took effect.
+// Round runs one planning round, folds its proposals and returns how many took
+// effect.
 func (r *Run) Round() int {
 	effective := 0
 	for _, p := range r.Plan(pool.NewView(r.State, r.Now), r.Policy) {
@@ -111,8 +113,8 @@
 	return effective
 }
 
-// To moves the run to a time: steps end in the order in which they fall due, and
-// planning follows each.
+// To advances the run to the time end. Steps end in the order of their end times,
+// and planning rounds run after each until no proposal takes effect.
 func (r *Run) To(end time.Time) {
 	for {
 		for r.Round() > 0 {
@@ -129,7 +131,8 @@
 	}
 }
 
-// nextStep returns the VM whose step ends first.
+// nextStep returns the VM whose step ends first and when it ends. The ID is empty
+// if no step will end.
 func (r *Run) nextStep() (string, time.Time) {
 	first, at := "", time.Time{}
 	for _, id := range slices.Sorted(maps.Keys(r.State.VMs)) {
@@ -145,7 +148,8 @@
 	return first, at
 }
 
-// stepEnd returns when a VM's step ends. A lost VM's step ends with giving it up.
+// stepEnd returns when the VM's step ends and whether it ends at all. A step of a
+// lost VM ends when the VM is given up.
 func (r *Run) stepEnd(vm *ledger.VM) (time.Time, bool) {
 	if r.Lost(vm.ID) {
 		return vm.PhaseSince.Add(maintenance.OverdueAfter(vm)), !r.givenUp(vm)
@@ -158,13 +162,14 @@
 	return s.endsAt, true
 }
 
-// givenUp reports whether a VM that does not come back is down for the fold and
-// out of its wave.
+// givenUp reports whether the VM is marked as down and no active wave waits for
+// it.
 func (r *Run) givenUp(vm *ledger.VM) bool {
 	return vm.Down && r.waveOf(vm) == ""
 }
 
-// waveOf returns the active wave that waits for the VM, or an empty string.
+// waveOf returns the ID of the active wave that waits for the VM, or an empty
+// string.
 func (r *Run) waveOf(vm *ledger.VM) string {
 	if vm.Drain == nil {
 		return ""
@@ -175,7 +180,7 @@
 	return ""
 }
 
-// giveUp records that a VM does not come back.
+// giveUp records that the VM is down and skips it in its wave.
 func (r *Run) giveUp(vm *ledger.VM) {
 	if !vm.Down {
 		r.OnVM(vm.ID, record.VMDown{Cause: "did not come back"})
@@ -197,7 +202,8 @@
 	return 0
 }
 
-// jobsLeft is how long a drain waits for the VM's jobs by their declaration.
+// jobsLeft returns how long a drain waits for the VM's jobs by their declared run
+// times.
 func (r *Run) jobsLeft(vm *ledger.VM) time.Duration {
 	svc, ok := r.State.Services[vm.Pool]
 	if !ok || svc.Doc.Jobs.OnDrain != document.LongJobsWait {
@@ -210,7 +216,8 @@
 	return left
 }
 
-// endJobs ends what a drain has waited for, or preempts what it does not wait for.
+// endJobs records that the VM's jobs succeeded if the drain waited for them, and
+// otherwise that they were preempted.
 func (r *Run) endJobs(vm *ledger.VM) {
 	result := record.JobPreempted
 	if svc, ok := r.State.Services[vm.Pool]; ok && svc.Doc.Jobs.OnDrain == document.LongJobsWait {
@@ -221,7 +228,7 @@
 	}
 }
 
-// finish ends a VM's step with the record that a steward would write.
+// finish ends the VM's step with the record that a steward would append.
 func (r *Run) finish(id string) {
 	vm := r.State.VMs[id]
 	delete(r.pending, id)
--- a/internal/forecast/turns_test.go
+++ b/internal/forecast/turns_test.go
@@ -14,7 +14,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// placeJob runs a job of the pool on one of its VMs and returns the VM.
+// placeJob places a job of the pool on its first VM and returns the VM's ID.
 func placeJob(t *testing.T, r *forecast.Run, service string, runTime time.Duration) string {
 	t.Helper()
 	svc := r.State.Services[service]
@@ -32,7 +32,7 @@
 	return vm
 }
 
-// returnedVMs counts the VMs that have had their turn.
+// returnedVMs counts the VMs that have completed their turn.
 func returnedVMs(r *forecast.Run) int {
 	n := 0
 	for _, progress := range r.State.Waves["w"].VMs {
@@ -43,10 +43,10 @@
 	return n
 }
 
-// A job runs on the VM whose turn would come first. Where the document says
-// skip, callers' other VMs are maintained, that VM is never drained, and at the
-// deadline the wave reports it and ends. Where it says wait, the VM's turn is the
-// last and the drain's estimate covers the job.
+// A job runs on the VM whose turn would come first. With on_drain = "skip" the
+// wave must maintain the other VMs, never drain that VM, and skip it with a reason
+// at the deadline. With "wait" the VM's turn must be the last, and the drain's
+// estimate must include the job.
 func TestLongJobsSkipOrDelayTheTurn(t *testing.T) {
 	t.Run("skip", func(t *testing.T) {
 		r := startRun(t, "feldkamm", 0)
@@ -72,13 +72,13 @@
 		assert.Equal(t, 10, returnedVMs(r))
 		assert.GreaterOrEqual(t, r.State.VMs[jobVM].Drain.Estimate, 90*time.Minute)
 		r.To(r.Now.Add(2 * time.Hour))
-		assert.Equal(t, ledger.WaveDone, r.State.Waves["w"].Status, "it ends with the job")
+		assert.Equal(t, ledger.WaveDone, r.State.Waves["w"].Status, "the wave must end once the job has ended")
 	})
 }
 
-// Twelve VMs take two minutes each, in racks that may be out together. With a day
-// to go a wave leaves one unit of max_unavailable for failures; with ten minutes
-// it takes all that the budget bears, and not more.
+// Twelve turns of two minutes each, in racks that may be out together. With a day
+// left a wave must leave one unit of max_unavailable for failures; with ten
+// minutes left it must use all that the budget allows, and not more.
 func TestDeadlineSetsParallelDrains(t *testing.T) {
 	for deadline, want := range map[time.Duration]int{24 * time.Hour: 1, 10 * time.Minute: 2} {
 		t.Run(fmt.Sprint(deadline), func(t *testing.T) {
--- a/internal/forecast/wave.go
+++ b/internal/forecast/wave.go
@@ -12,49 +12,50 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Bounds of a wave's forecast.
+// Limits of a wave's forecast.
 const (
-	// horizon is how far a forecast looks ahead. A wave that is not done by
-	// then is stuck for all that planning is concerned.
+	// horizon is how far a forecast looks ahead. A wave that has not ended by then
+	// is treated as stuck.
 	horizon = 60 * 24 * time.Hour
-	// idleStep is how far a forecast moves while nothing happens, as when a
-	// wave waits for its pools' budgets to recover.
+	// idleStep is the first time step while no VM has a step to end, for example
+	// while a wave waits for its pools' budgets. It doubles up to maxIdleStep.
 	idleStep    = time.Minute
 	maxIdleStep = time.Hour
-	// waveID is the subject of the wave that is tried.
+	// waveID is the ID of the simulated wave.
 	waveID = "forecast"
 )
 
-// ErrRefused means that the wave cannot be started; the text says why.
+// ErrRefused is returned, wrapped with the reason, if the wave cannot be started.
 var ErrRefused = errors.New("the wave would be refused")
 
 // Wave is the forecast of a maintenance wave.
 type Wave struct {
 	Start time.Time
-	// End is when the last VM is back; zero when the wave would not end within
-	// the horizon.
+	// End is when the wave ends; zero if it would not end within the horizon.
 	End   time.Time
 	Turns []Turn
-	// Waiting names the VMs without a turn within the horizon.
+	// Waiting lists the VMs that do not complete a turn within the horizon, skipped
+	// VMs included, sorted by ID.
 	Waiting []string
-	// Moves counts VMs that come back to another pool or to the reserve.
+	// Moves counts the VMs whose turn ends in another pool or in the reserve.
 	Moves int
 }
 
-// Turn is one VM's turn.
+// Turn is the turn of one VM.
 type Turn struct {
 	VM, Pool, Zone, Rack string
 	Out, Back            time.Time
-	// Target is where the VM goes when it does not come back to its pool; "free"
-	// stands for the reserve.
+	// Target is the pool that the VM joins after its turn, "free" for the reserve,
+	// or empty if it returns to its own pool.
 	Target string
 }
 
-// Duration returns how long the wave would take.
+// Duration returns how long the wave would take. It is meaningless if End is zero.
 func (w Wave) Duration() time.Duration { return w.End.Sub(w.Start) }
 
-// ForWave plays a wave over pools forward on a copy of the state. The error is
-// ErrRefused with the reason, or that the state could not be copied.
+// ForWave simulates a wave on a copy of the state. It returns an error that wraps
+// ErrRefused if the wave cannot be started, or an error if the state cannot be
+// copied.
 func ForWave(s *ledger.State, now time.Time, start record.WaveStart, policy pool.Policy, times Times) (Wave, error) {
 	data, err := ledger.EncodeSnapshot(s)
 	if err != nil {
@@ -76,7 +77,7 @@
 	return w, nil
 }
 
-// simulate moves the run on until the wave is over or the horizon is reached.
+// simulate advances the run until the wave ends or the horizon is reached.
 func (w *Wave) simulate(r *Run) {
 	turns := map[string]*Turn{}
 	pause := idleStep
@@ -99,7 +100,8 @@
 	w.summarize(r)
 }
 
-// recordTurns keeps what became of the VMs with the last records.
+// recordTurns updates the turns from the wave's progress in the state. turns holds
+// the turns that have begun, by VM.
 func (w *Wave) recordTurns(r *Run, turns map[string]*Turn) {
 	for id, progress := range r.State.Waves[waveID].VMs {
 		vm, known := r.State.VMs[id]
@@ -116,6 +118,7 @@
 	}
 }
 
+// destination returns the Turn.Target of a VM that came from the pool from.
 func destination(from string, vm *ledger.VM) string {
 	switch vm.Pool {
 	case from:
@@ -126,6 +129,8 @@
 	return vm.Pool
 }
 
+// summarize sets the end of the wave, the waiting VMs and the moves, and sorts the
+// turns by their begin.
 func (w *Wave) summarize(r *Run) {
 	wave := r.State.Waves[waveID]
 	if !wave.Active() {
--- a/internal/forecast/wave_test.go
+++ b/internal/forecast/wave_test.go
@@ -17,9 +17,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// An operator tries a wave before it starts one: the forecast names each VM's
-// turn and the end, changes nothing, and the wave that is then started ends when
-// the forecast said.
+// The forecast of a wave must contain the turn of each VM and must not change the
+// state. The wave that is then started must end at the forecast time.
 func TestForecastMatchesWave(t *testing.T) {
 	r := startRun(t, "feldkamm", 1)
 	before, err := r.State.Digest()
@@ -43,9 +42,9 @@
 	assert.ErrorIs(t, err, forecast.ErrRefused)
 }
 
-// A pool's budget is all but spent. The forecast tells the operator that the
-// wave would wait until old charges leave the window, and the running wave
-// does wait, with a reason, and goes on by itself.
+// A pool's budget is nearly spent. The forecast must include the wait until old
+// charges leave the window. The running wave must wait with a reason and resume
+// without intervention.
 func TestWaveWaitsForBudgetAndResumes(t *testing.T) {
 	r := startRun(t, "ramcharan", 0)
 	vm := slices.Min(slices.Collect(maps.Keys(r.State.PoolVMs("dispatch"))))
--- a/internal/maintenance/step.go
+++ b/internal/maintenance/step.go
@@ -125,7 +125,7 @@
 // action and whether the VM passes its health check. A drain is complete if the
 // platform has no such VM or failed the action, because then no task runs on the
 // VM. A failed reboot is complete if the VM is healthy, for example because it
-// restarted by itself meanwhile.
+// crashed and recovered meanwhile.
 func Settled(vm *ledger.VM, r Result, healthy bool) bool {
 	switch Next(vm) {
 	case StepNone:
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,10 +1,11 @@
-// Package quarantine finds workers that fail the jobs they start. It is pure.
+// Package quarantine detects workers that fail the jobs placed on them. It has no
+// side effects.
 //
-// A worker that fails everything at once is always free, so a placement by free
-// room sends it one job after the other. One failure proves nothing about a
-// worker: a job may be broken by itself, and a worker that crashed takes all its
-// jobs with it. Evidence is therefore several jobs, failed at several times, of
-// which jobs of the same shape succeed on other workers.
+// A worker that fails every job at once always has free capacity, so placement by
+// free capacity would send it one job after the other. A single failure is no
+// evidence against a worker: the job itself may be broken, and a crash of a worker
+// fails all its jobs together. The evidence is therefore several jobs that failed
+// at several times while jobs of the same shape succeed on other workers.
 package quarantine
 
 import (
@@ -16,53 +17,55 @@
 	"github.com/yuccadrift/yuccadrift/internal/usage"
 )
 
-// Rules of the evidence.
+// Rules for evidence and quarantine.
 const (
-	// MinJobs is how many different jobs must have failed on a worker since its
-	// last success, all of shapes that succeed on other workers.
+	// MinJobs is the minimum number of different jobs that must have failed on a
+	// worker since its last success, all of shapes that succeed on other workers.
 	MinJobs = 3
-	// minEpisodes is at how many different times they must have failed: jobs
-	// that end within episodeGap of each other may be one crash.
+	// minEpisodes is the minimum number of separate times at which they must have
+	// failed. Failures within episodeGap of each other may be a single crash.
 	minEpisodes = 2
 	episodeGap  = time.Second
-	// Window is for how long a failure counts.
+	// Window is how long a failure counts as evidence.
 	Window = 30 * time.Minute
-	// DoubtFor is for how long a worker with a fresh failure gets one job at a
-	// time.
+	// DoubtFor is how long a worker gets one job at a time after a failure.
 	DoubtFor = time.Minute
-	// MaxShare is the share of a pool's workers that may be set aside, or be
-	// doubted: when more look bad, the cause is shared and setting workers
-	// aside would only empty the pool.
+	// MaxShare is the maximum share of a pool's workers in quarantine, and of
+	// doubtful workers. If more workers fail jobs, the cause is shared and
+	// quarantine would only empty the pool.
 	MaxShare = 0.2
-	// FirstTerm is how long a worker is set aside at first; each further time
-	// in a row doubles it up to MaxTerm.
+	// FirstTerm is the duration of the first quarantine. Each further one in a row
+	// lasts twice as long, up to MaxTerm.
 	FirstTerm = 5 * time.Minute
 	MaxTerm   = time.Hour
-	// probationLimit is after how long without a failure a worker on probation
-	// takes jobs as any other, though too few came to prove it.
+	// probationLimit is the maximum duration of probation. It ends then even if the
+	// worker has completed too few jobs.
 	probationLimit = 10 * time.Minute
 )
 
-// Finding is a worker to be set aside and the jobs that speak against it.
+// Finding is a worker to be quarantined and the failed jobs that are the evidence.
 type Finding struct {
 	Worker string
 	Jobs   []string
 }
 
-// Assessment is what was found about a pool's workers.
+// Assessment is the result of Assess for the workers of a pool.
 type Assessment struct {
-	// Doubtful workers get one repeatable job at a time.
+	// Doubtful holds the workers with a recent failure. They get one repeatable job
+	// at a time.
 	Doubtful map[string]bool
-	// Probation holds the workers that have not yet proved themselves.
+	// Probation holds the workers that are on probation after a quarantine.
 	Probation map[string]bool
-	// SetAside and LetBack are the decisions due.
+	// SetAside lists the workers to quarantine now, LetBack those whose quarantine
+	// ends now.
 	SetAside []Finding
 	LetBack  []string
-	// Shared is set when more workers look bad than may be set aside.
+	// Shared is set if more workers fail jobs than may be quarantined or doubtful,
+	// which indicates a shared cause.
 	Shared bool
 }
 
-// Assess weighs the attempts of a pool's jobs that the state remembers.
+// Assess evaluates the attempts of the pool's jobs that the state retains.
 func Assess(st *ledger.State, service string, now time.Time) Assessment {
 	a := Assessment{Doubtful: map[string]bool{}, Probation: map[string]bool{}}
 	h := collectHistory(st, service, now)
@@ -99,7 +102,7 @@
 	return a
 }
 
-// quarantineTerm returns how long a worker stays set aside the nth time in a row.
+// quarantineTerm returns the duration of the nth quarantine in a row.
 func quarantineTerm(n int) time.Duration {
 	d := FirstTerm
 	for ; n > 1 && d < MaxTerm; n-- {
@@ -108,7 +111,8 @@
 	return min(d, MaxTerm)
 }
 
-// mostEvidence returns at most limit findings, those with the most evidence.
+// mostEvidence returns at most limit findings, those with the most jobs as
+// evidence.
 func mostEvidence(found []Finding, limit int) []Finding {
 	slices.SortFunc(found, func(a, b Finding) int {
 		return cmp.Or(cmp.Compare(len(b.Jobs), len(a.Jobs)), cmp.Compare(a.Worker, b.Worker))
@@ -116,18 +120,18 @@
 	return found[:max(0, min(limit, len(found)))]
 }
 
-// failure is one failed attempt.
+// failure is a failed attempt of a job.
 type failure struct {
 	job   string
 	shape usage.Shape
 	ledger.Failure
 }
 
-// history is what the pool's remembered jobs tell.
+// history holds the successes and failures of the pool's retained jobs.
 type history struct {
 	failures    map[string][]failure            // by worker
 	lastSuccess map[string]time.Time            // by worker
-	succeededOn map[usage.Shape]map[string]bool // workers on which a shape succeeded
+	succeededOn map[usage.Shape]map[string]bool // workers by shape on which a job succeeded
 	failedOn    map[usage.Shape]map[string]bool
 }
 
@@ -172,9 +176,8 @@
 	m[shape][worker] = true
 }
 
-// unresolvedFailures returns the failures on a worker that nothing has answered yet: none
-// older than its last success, its last change of standing or its last return
-// to health.
+// unresolvedFailures returns the failures on the worker since its last success,
+// change of quarantine, change of health and maintenance.
 func (h history) unresolvedFailures(vm *ledger.VM) []failure {
 	since := h.lastSuccess[vm.ID]
 	for _, t := range []time.Time{vm.QuarantineChanged, vm.HealthSince, vm.MaintainedAt} {
@@ -191,7 +194,8 @@
 	return list
 }
 
-// evidence returns the jobs that speak against the worker when they suffice.
+// evidence returns the failed jobs that justify a quarantine of the worker, or nil
+// if they do not suffice. On probation one job suffices.
 func (h history) evidence(vm *ledger.VM) []string {
 	var jobs []string
 	var ends []time.Time
@@ -214,7 +218,7 @@
 	return jobs
 }
 
-// onOtherWorker reports whether a worker other than this one is in the set.
+// onOtherWorker reports whether the set contains a worker other than id.
 func onOtherWorker(workers map[string]bool, id string) bool {
 	if workers[id] {
 		return len(workers) > 1
@@ -222,6 +226,8 @@
 	return len(workers) > 0
 }
 
+// countEpisodes returns the number of groups of end times that are more than
+// episodeGap apart. It sorts ends.
 func countEpisodes(ends []time.Time) int {
 	slices.SortFunc(ends, time.Time.Compare)
 	n := 0
@@ -235,8 +241,8 @@
 	return n
 }
 
-// doubtful reports whether a job failed on the worker lately that does not fail
-// everywhere.
+// doubtful reports whether a job failed on the worker within DoubtFor whose shape
+// does not also fail on other workers without succeeding on any of them.
 func (h history) doubtful(vm *ledger.VM, now time.Time) bool {
 	return slices.ContainsFunc(h.unresolvedFailures(vm), func(f failure) bool {
 		broken := onOtherWorker(h.failedOn[f.shape], vm.ID) && !onOtherWorker(h.succeededOn[f.shape], vm.ID)
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -15,7 +15,7 @@
 
 var begin = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// poolState is a pool of ten workers whose jobs run and end by records.
+// poolState is a folded state with a pool of ten workers.
 type poolState struct {
 	st  *ledger.State
 	now time.Time
@@ -51,7 +51,8 @@
 	}
 }
 
-// start places a new job of the shape on the worker and returns its end.
+// start places a new job of the shape on the worker and returns a function that
+// ends the job.
 func (f *poolState) start(shape int, worker string) func(record.JobResult) {
 	f.n++
 	sub := record.Subject{Kind: record.SubjectJob, Name: fmt.Sprintf("job-%d", f.n)}
@@ -60,7 +61,7 @@
 	return func(result record.JobResult) { f.apply(sub, record.JobEnd{Result: result}) }
 }
 
-// run lets one job run for a time and end.
+// run places a job that ends after two seconds.
 func (f *poolState) run(shape int, worker string, result record.JobResult) {
 	end := f.start(shape, worker)
 	f.advanceClock(2 * time.Second)
@@ -82,7 +83,7 @@
 	f.run(1, "w1", record.JobSucceeded)
 	f.run(1, "w0", record.JobFailed)
 	f.run(1, "w0", record.JobFailed)
-	assert.Empty(t, f.setAside(), "two jobs are too few")
+	assert.Empty(t, f.setAside(), "two jobs must not suffice")
 	assert.Equal(t, map[string]bool{"w0": true}, f.assess().Doubtful)
 	f.run(1, "w0", record.JobFailed)
 	assert.Equal(t, []string{"w0"}, f.setAside())
@@ -94,7 +95,7 @@
 	for i := range 6 {
 		f.run(1, fmt.Sprintf("w%d", i%2), record.JobFailed)
 	}
-	assert.Empty(t, f.setAside(), "the shape has succeeded nowhere")
+	assert.Empty(t, f.setAside(), "the shape has not succeeded on any worker")
 	assert.Empty(t, f.assess().Doubtful)
 }
 
@@ -108,8 +109,8 @@
 	assert.Empty(t, f.setAside())
 }
 
-// A worker crashes with five jobs on it: all fail at the same moment. That is
-// one event, and the worker is not set aside for it.
+// A worker crashes with five jobs, which all fail at the same time. This is one
+// event and must not cause a quarantine.
 func TestCrashIsNoEvidence(t *testing.T) {
 	f := newPoolState()
 	f.run(1, "w1", record.JobSucceeded)
@@ -124,8 +125,9 @@
 	assert.Empty(t, f.setAside())
 }
 
-// Half of the pool fails jobs, as after a bad image. Setting them all aside
-// would empty the pool, so two of ten are, and the shared cause is reported.
+// Half of the pool fails jobs, for example because of a bad image. Quarantine of
+// all of them would empty the pool, so only two of ten workers are quarantined and
+// the shared cause is reported.
 func TestSharedFailureDoesNotEmptyThePool(t *testing.T) {
 	f := newPoolState()
 	f.run(1, "w9", record.JobSucceeded)
@@ -153,7 +155,7 @@
 	f.run(1, "w1", record.JobSucceeded)
 	assert.True(t, f.assess().Probation["w0"])
 	f.run(1, "w0", record.JobFailed)
-	assert.Equal(t, []string{"w0"}, f.setAside(), "one failure suffices on probation")
+	assert.Equal(t, []string{"w0"}, f.setAside(), "one failure must suffice on probation")
 
 	f.apply(vm, record.VMQuarantine{On: true})
 	f.advanceClock(2*quarantine.FirstTerm - time.Second)
