--- a/internal/burnmetrics/burnmetrics.go
+++ b/internal/burnmetrics/burnmetrics.go
@@ -1,6 +1,6 @@
-// Package burnmetrics exports the measures of the folded state as Prometheus
-// metrics. Every steward exports them; they are equal on nodes at one offset,
-// so a dashboard takes the maximum over nodes.
+// Package burnmetrics exports the figures of package measure as Prometheus metrics.
+// Every steward exports them. The values are equal on nodes at the same offset, so
+// a dashboard should use the maximum over nodes.
 package burnmetrics
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/yuccadrift/yuccadrift/internal/measure"
 )
 
-// reportTTL is for how long a report is reused, so that several scrapers cost one
+// reportTTL is how long a report is reused, so that several scrapers cause only one
 // pass over the state.
 const reportTTL = time.Second
 
-// State is the folded state; a follower.Follower is one.
+// State gives read access to the folded state. follower.Follower implements it.
 type State interface {
 	View(func(*ledger.State))
 }
 
-// Collector is a prometheus.Collector.
+// Collector implements prometheus.Collector.
 type Collector struct {
 	state State
 	now   func() time.Time
@@ -44,17 +44,17 @@
 // Metrics, named as in examples/alerts.yml.
 var (
 	burnRate          = desc("budget_burn_rate", "Budget use over the window relative to even use; 1 spends the budget in its own window.", "service", "window")
-	left              = desc("budget_left_vm_seconds", "VM-seconds left in the budget's window; negative once it is broken.", "service")
+	left              = desc("budget_left_vm_seconds", "VM-seconds left in the budget's window; negative if the budget is exceeded.", "service")
 	allowed           = desc("budget_allowed_vm_seconds", "VM-seconds of the budget per window.", "service")
 	spent             = desc("budget_spent_vm_seconds", "VM-seconds spent in the budget's window by cause.", "service", "cause")
-	serving           = desc("pool_serving_vms", "VMs of the pool that serve.", "service")
-	size              = desc("pool_size_vms", "VMs that the pool's document asks for.", "service")
-	spare             = desc("pool_spare_vms", "VMs that serve beyond the declared size.", "service")
-	moves             = desc("pool_moves_total", "VMs that came from other pools.", "service")
+	serving           = desc("pool_serving_vms", "VMs of the pool that are serving.", "service")
+	size              = desc("pool_size_vms", "VMs that the pool's document declares.", "service")
+	spare             = desc("pool_spare_vms", "VMs that are serving beyond the declared size.", "service")
+	moves             = desc("pool_moves_total", "VMs that joined from other pools.", "service")
 	reboots           = desc("pool_reboots_total", "VMs of the pool that were rebooted.", "service")
-	free              = desc("free_vms", "VMs in no pool, the common reserve.")
+	free              = desc("free_vms", "VMs in no pool, the shared reserve.")
 	buffer            = desc("buffer_ratio", "Share of all VMs that are spare or free.")
-	waveSeconds       = desc("wave_seconds", "Time since the wave's start, until its end once it is over.", "wave", "status")
+	waveSeconds       = desc("wave_seconds", "Time from the wave's start to its end, or to now while it is active.", "wave", "status")
 	waveFinishedRatio = desc("wave_finished_ratio", "Share of the wave's VMs that are back or skipped.", "wave", "status")
 	foldOffset        = desc("ledger_offset", "Highest folded offset of the log.")
 )
@@ -101,6 +101,7 @@
 	gauge(foldOffset, float64(r.Offset))
 }
 
+// current returns the report, which it renews if it is older than reportTTL.
 func (c *Collector) current() measure.Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,7 +113,7 @@
 	return c.report
 }
 
-// WindowName names a window as alert rules write it: 5m, 1h.
+// WindowName returns the window in the form of alert rules, such as 5m or 1h.
 func WindowName(d time.Duration) string {
 	if d%time.Hour == 0 {
 		return trimZero(d.String(), "0m0s")
--- a/internal/burnmetrics/burnmetrics_test.go
+++ b/internal/burnmetrics/burnmetrics_test.go
@@ -19,8 +19,8 @@
 
 func (f fixedState) View(fn func(*ledger.State)) { fn(f.state) }
 
-// exported returns the names of the metrics of a state with one service and one
-// wave, by way of a registry that refuses inconsistent metrics.
+// exported returns the number of metrics by name for a state with one service and
+// one wave. It uses a registry that refuses inconsistent metrics.
 func exported(t *testing.T) map[string]int {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "..", "examples", "ramcharan", "booking.toml"))
@@ -54,7 +54,7 @@
 	require.Equal(t, len(ledger.Causes()), names["yuccadrift_budget_spent_vm_seconds"])
 }
 
-// An alert on a metric that nobody exports never fires, and nobody notices.
+// An alert on a metric that is not exported never fires, without any error.
 func TestAlertRulesNameExportedMetrics(t *testing.T) {
 	rules, err := os.ReadFile(filepath.Join("..", "..", "examples", "alerts.yml"))
 	require.NoError(t, err)
--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -1,3 +1,3 @@
-// Package capacity measures what real processes cost as the fleet grows. All of
-// it is benchmarks: docs/MEASUREMENTS.md keeps their figures with the commands.
+// Package capacity contains benchmarks of the resource use of real processes at
+// several fleet sizes. docs/MEASUREMENTS.md lists their figures and commands.
 package capacity
--- a/internal/capacity/inforce_test.go
+++ b/internal/capacity/inforce_test.go
@@ -15,12 +15,12 @@
 	"github.com/yuccadrift/yuccadrift/internal/testkit"
 )
 
-// inForceNodes is the number of entry VMs of each deployment today.
+// inForceNodes is the number of entry VMs of each deployment.
 const inForceNodes = 8
 
-// BenchmarkInForce is the time from the start of a publish's append until the
-// entry processes of all entry VMs act on the document, one document after the
-// other over the fleet's services.
+// BenchmarkInForce measures the time from the start of the append of a document
+// until the entry processes of all entry VMs use it. It publishes one document
+// after the other, for one service of the fleet after the other.
 func BenchmarkInForce(b *testing.B) {
 	for _, slow := range []time.Duration{0, 100 * time.Millisecond} {
 		b.Run("log-delay="+slow.String(), func(b *testing.B) { measureInForce(b, slow) })
@@ -78,7 +78,7 @@
 		r := <-replies
 		require.NoError(b, r.err)
 		require.GreaterOrEqual(b, r.status.ActingOffset, uint64(offset))
-		require.Equal(b, record.Revision(offset), r.status.Revision(name), "the document took effect")
+		require.Equal(b, record.Revision(offset), r.status.Revision(name), "the document must take effect")
 	}
 	return time.Since(began)
 }
--- a/internal/capacity/node_test.go
+++ b/internal/capacity/node_test.go
@@ -21,21 +21,21 @@
 
 func TestMain(m *testing.M) { os.Exit(testkit.Main(m)) }
 
-// Length of a measurement of real processes.
+// Parameters of the measurements.
 const (
-	settleTime  = 45 * time.Second // the first snapshot is published and read by then
+	settleTime  = 45 * time.Second // by then the first snapshot has been published and read
 	measureTime = 20 * time.Second
 	// clockTick is the unit of processor time in /proc.
 	clockTick = 10 * time.Millisecond
-	// submitBatch is how many jobs one append submits.
+	// submitBatch is the number of jobs that one append submits.
 	submitBatch = 250
 )
 
-// usage is what a process used since its start.
+// usage holds the resources that a process has used since its start.
 type usage struct {
 	cpu   time.Duration
 	bytes int64 // read and written by system calls, sockets included
-	rss   int64 // resident now
+	rss   int64 // current resident set
 	peak  int64
 }
 
@@ -58,7 +58,7 @@
 	}
 }
 
-// readNumbers reads the lines "name: number" of a file.
+// readNumbers reads the lines of the form "name: number" of a file.
 func readNumbers(tb testing.TB, path string) map[string]int64 {
 	file, err := os.Open(path)
 	require.NoError(tb, err)
@@ -74,14 +74,15 @@
 	return values
 }
 
-// seedLog puts the log of a fleet at rest on the platform, as its first entries.
+// seedLog appends the log of an idle fleet as the first entries of the platform's
+// log.
 func seedLog(tb testing.TB, s *testkit.Standin) *fleet.History {
 	h := fleet.AtRest(s.List())
 	const batch = 500
 	for i := 0; i < len(h.Entries); i += batch {
 		_, err := s.Client.Append(tb.Context(), settings.DefaultStream, h.Entries[i:min(i+batch, len(h.Entries))])
 		require.NoError(tb, err)
-		time.Sleep(time.Second / 50) // under the ceiling of appends
+		time.Sleep(time.Second / 50) // below the limit on the rate of appends
 	}
 	return h
 }
@@ -95,26 +96,27 @@
 	return list
 }
 
-// load is what a control plane is measured under.
+// load holds the parameters of one benchmark of the control plane.
 type load struct{ vms, nodes, tasks int }
 
-// BenchmarkNode is what the daemons of one entry VM use with the whole fleet at
-// rest, as the mean of all entry VMs: processor time, memory, and bytes read
-// and written by system calls, nearly all of them payload of sockets.
+// BenchmarkNode measures what the daemons of one entry VM use while the fleet is
+// idle, as the mean over all entry VMs: processor time, memory, and bytes read and
+// written by system calls, nearly all of them socket payload.
 func BenchmarkNode(b *testing.B) {
 	for _, l := range []load{{1000, 3, 0}, {1000, 8, 0}, {1000, 24, 0}, {4000, 3, 0}, {4000, 8, 0}, {4000, 24, 0}} {
 		b.Run(fmt.Sprintf("vms=%d/nodes=%d", l.vms, l.nodes), func(b *testing.B) { measureNode(b, l) })
 	}
 }
 
-// BenchmarkTasks is the same while tasks run that neither begin nor end.
+// BenchmarkTasks measures the same while a constant set of tasks runs.
 func BenchmarkTasks(b *testing.B) {
 	for _, l := range []load{{1000, 8, 0}, {1000, 8, 500}, {1000, 8, 2000}} {
 		b.Run(fmt.Sprintf("tasks=%d", l.tasks), func(b *testing.B) { measureNode(b, l) })
 	}
 }
 
-// submitJobs has jobs of an hour run, spread over the pools, and waits until all do.
+// submitJobs submits jobs of one hour, spread over the pools, and waits until all
+// of them run.
 func submitJobs(b *testing.B, c *testkit.Cluster, jobs int) {
 	var entries [][]byte
 	for i := range jobs {
@@ -138,7 +140,7 @@
 	}, time.Minute, time.Second)
 }
 
-// startCluster starts a stand-in and entry VMs over a fleet at rest.
+// startCluster starts a stand-in with an idle fleet and the daemons of entry VMs.
 func startCluster(b *testing.B, vms, nodes int, before func(*testkit.Standin)) *testkit.Cluster {
 	all := []string{"zone-a", "zone-b", "zone-c", "zone-d", "zone-e", "zone-f"}
 	c := testkit.Start(b, testkit.Options{
--- a/internal/forecast/policy_test.go
+++ b/internal/forecast/policy_test.go
@@ -99,7 +99,7 @@
 			require.Equal(t, c.weigh, r.State.Services[c.pool].Doc.Weigh)
 			resize(t, r, c.pool, c.size)
 			r.To(r.Now.Add(20 * time.Minute))
-			assert.Zero(t, deployment.Free(r), "the surplus has not lasted long enough")
+			assert.Zero(t, deployment.Free(r), "patience")
 			for range 6 {
 				r.To(r.Now.Add(10 * time.Minute))
 			}
@@ -142,7 +142,7 @@
 	r.Lost = func(id string) bool { return id == lost }
 	r.OnVM(lost, record.VMDown{Cause: "no answer"})
 	r.To(r.Now.Add(time.Minute))
-	assert.Equal(t, 1, deployment.Free(r), "the VM has not been down long enough")
+	assert.Equal(t, 1, deployment.Free(r), "patience")
 	r.To(r.Now.Add(2 * time.Minute))
 	r.To(r.Now.Add(2 * time.Minute))
 	assert.Zero(t, deployment.Free(r))
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,6 +1,7 @@
-// Package measure computes from the folded state what the users measure: burn
-// of the availability budgets, buffer cost, roll-out time and moves. It is pure.
-// The command line's report and the metrics show the same numbers.
+// Package measure computes figures from the folded state: burn rates of the
+// availability budgets, spare capacity, duration of maintenance waves and moves. It
+// has no side effects. The report of the command line and the metrics show the same
+// figures.
 package measure
 
 import (
@@ -12,89 +13,92 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Windows are the windows that burn rates are given over, shortest first. Pairs
-// of a short and a long one tell a burn that goes on from one that is over.
+// Windows returns the windows of burn rates, shortest first. A short and a long
+// window together distinguish a burn that continues from one that is over.
 func Windows() []time.Duration {
 	return []time.Duration{5 * time.Minute, 30 * time.Minute, time.Hour, 6 * time.Hour, 24 * time.Hour}
 }
 
-// Burn is the burn rate of a budget over a window: 1 spends the budget exactly
-// in the budget's own window, 2 in half of it.
+// Burn is the burn rate of a budget over a window. A rate of 1 spends the budget
+// exactly in the budget's window, a rate of 2 in half of it.
 type Burn struct {
 	Window time.Duration `json:"window_ns"`
 	Rate   float64       `json:"rate"`
 }
 
-// Cause is what one cause has spent and how often it took VMs out.
+// Cause holds the VM-seconds that one cause has spent and how often it took VMs
+// out of service.
 type Cause struct {
 	Name      string  `json:"cause"`
 	VMSeconds float64 `json:"vm_seconds"` // in the budget's window
 	Events    int     `json:"events"`     // since the pool's account was opened
 }
 
-// Service is the measures of one service and its pool.
+// Service holds the figures of one service and its pool.
 type Service struct {
 	Name     string          `json:"service"`
 	Revision record.Revision `json:"revision"`
 	Size     int             `json:"size"`
 	Serving  int             `json:"serving"`
 	// Window is the budget's window; Allowed, Spent and Left are VM-seconds in
-	// it. Left is negative once the budget is broken.
+	// it. Left is negative if the budget is exceeded.
 	Window  time.Duration `json:"window_ns"`
 	Allowed float64       `json:"allowed_vm_seconds"`
 	Spent   float64       `json:"spent_vm_seconds"`
 	Left    float64       `json:"left_vm_seconds"`
 	Burns   []Burn        `json:"burns"`
-	// RunsOut is when Left is spent at the rate of the last hour; nil when
-	// nothing was spent in it. Spending that leaves the window meanwhile is not
-	// counted, so the true time is no sooner.
+	// RunsOut is when Left is spent at the rate of the last hour: the time of the
+	// report if nothing is left, nil if nothing was spent in the last hour or the
+	// time is more than a year ahead. Charges that leave the window meanwhile are
+	// not considered, so the budget lasts at least until then at this rate.
 	RunsOut *time.Time `json:"runs_out,omitempty"`
 	Causes  []Cause    `json:"causes"`
-	// Spare is VMs serving beyond the size now, SpareVMSeconds their time in the
-	// budget's window: the pool's own buffer.
+	// Spare is the number of VMs that serve beyond the size now, SpareVMSeconds the
+	// time of such VMs in the budget's window.
 	Spare          int     `json:"spare"`
 	SpareVMSeconds float64 `json:"spare_vm_seconds"`
 	Moves          int     `json:"moves"`
 	Reboots        int     `json:"reboots"`
 }
 
-// Wave is the roll-out of one maintenance wave.
+// Wave holds the progress of one maintenance wave.
 type Wave struct {
 	Name     string            `json:"wave"`
 	Status   ledger.WaveStatus `json:"status"`
 	Started  time.Time         `json:"started"`
-	Took     time.Duration     `json:"took_ns"` // so far, while it is active
+	Took     time.Duration     `json:"took_ns"` // until now while the wave is active
 	VMs      int               `json:"vms"`
-	Finished int               `json:"finished"` // back
+	Finished int               `json:"finished"` // VMs that are back
 	Skipped  int               `json:"skipped"`
 }
 
-// Fleet sums over all pools.
+// Fleet holds the figures of the whole fleet.
 type Fleet struct {
 	VMs int `json:"vms"`
-	// Free is VMs in no pool now, the common reserve, FreeVMSeconds their time
-	// in the last day.
+	// Free is the number of VMs in no pool now, which form the shared reserve;
+	// FreeVMSeconds is the time of such VMs in the last day.
 	Free          int     `json:"free"`
 	FreeVMSeconds float64 `json:"free_vm_seconds_last_day"`
-	// Buffer is the share of VMs that are spare or free now.
+	// Buffer is the share of all VMs that are spare or free now.
 	Buffer float64 `json:"buffer"`
 	Moves  int     `json:"moves"`
 }
 
-// Report is all measures at one time.
+// Report holds all figures at one time.
 type Report struct {
 	Time     time.Time `json:"time"`
 	Offset   uint64    `json:"offset"`
 	Fleet    Fleet     `json:"fleet"`
 	Services []Service `json:"services"`
 	Waves    []Wave    `json:"waves"`
-	// Baseline is set by those who show it beside the buffer.
+	// Baseline is nil unless the caller of Of sets it, see BaselineOf.
 	Baseline *Baseline `json:"buffer_baseline,omitempty"`
 }
 
 const day = 24 * time.Hour
 
-// Of returns the measures of a state at the time now.
+// Of returns the figures of a state at the time now, or at the state's own time if
+// that is later.
 func Of(s *ledger.State, now time.Time) Report {
 	if now.Before(s.Now) {
 		now = s.Now
@@ -140,7 +144,8 @@
 	return m
 }
 
-// burnRate relates what was spent in a window to an even use of the budget.
+// burnRate returns the ratio of spent to the even use of the budget over the
+// window.
 func burnRate(spent float64, window time.Duration, m Service) float64 {
 	even := m.Allowed * window.Seconds() / m.Window.Seconds()
 	if even <= 0 {
@@ -149,7 +154,7 @@
 	return spent / even
 }
 
-// runsOut returns when the budget is spent at the pace of the last hour.
+// runsOut returns Service.RunsOut for the VM-seconds spent in the last hour.
 func runsOut(m Service, lastHour float64, now time.Time) *time.Time {
 	if m.Left <= 0 {
 		return &now
@@ -165,8 +170,8 @@
 	return &at
 }
 
-// maxRunsOut is how far ahead a budget's end is told; beyond it the pace of one
-// hour says nothing.
+// maxRunsOut is how far ahead Service.RunsOut may be. The rate of one hour is not
+// meaningful beyond it.
 const maxRunsOut = 365 * day
 
 func waveOf(w *ledger.Wave, now time.Time) Wave {
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -13,7 +13,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// document allows 10% of 4 VMs over 10 hours: 4 VM-hours.
+// document has a budget of 10% of 4 VMs over 10 hours, which is 4 VM-hours.
 const document = `service = "booking"
 team = "t"
 [pool]
@@ -28,7 +28,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// history folds records at times of their own.
+// history folds records with given times.
 type history struct {
 	t *testing.T
 	s *ledger.State
@@ -51,7 +51,7 @@
 	}
 }
 
-// pool is the service with n VMs serving and one VM in the reserve.
+// pool returns a history with n serving VMs in a pool and one VM in the reserve.
 func pool(t *testing.T, n int) history {
 	h := history{t: t, s: ledger.New()}
 	register := record.VMRegister{Zone: "a", Rack: "r", Address: "127.0.0.1:1", Cores: 32, MemoryMB: 65536}
@@ -73,9 +73,9 @@
 	return rates
 }
 
-// A VM fails at 1h and is up again at 3h; another is drained at 2h30 and out
-// until 3h30. Over ten hours that is 3 of 4 VM-hours: the short windows at 4h
-// show that it is over, the long ones what it cost.
+// A VM is down from 1h to 3h, another is drained from 2h30m to 3h30m, which spends
+// 3 of 4 VM-hours. At 4h the short windows must show that the burn is over, the
+// long windows its cost.
 func TestBurn(t *testing.T) {
 	h := pool(t, 4)
 	h.vm(time.Hour, "vm-0", record.VMDown{Cause: "gone"})
@@ -89,13 +89,13 @@
 	require.InDelta(t, 3*3600, m.Spent, 1)
 	require.InDelta(t, 3600, m.Left, 1)
 	require.Equal(t, 4, m.Serving)
-	// An even use spends 0.4 VM-hours an hour; the last hour spent 0.5.
+	// Even use is 0.4 VM-hours per hour; the last hour spent 0.5.
 	got := rates(m)
 	require.Zero(t, got[5*time.Minute])
 	require.Zero(t, got[30*time.Minute])
 	require.InDelta(t, 0.5/0.4, got[time.Hour], 0.01)
 	require.InDelta(t, 3/2.4, got[6*time.Hour], 0.01)
-	require.Equal(t, start.Add(6*time.Hour), *m.RunsOut, "one VM-hour left at half a VM-hour an hour")
+	require.Equal(t, start.Add(6*time.Hour), *m.RunsOut, "one VM-hour is left at 0.5 VM-hours per hour")
 
 	by := map[string]float64{}
 	for _, c := range m.Causes {
@@ -105,8 +105,8 @@
 	require.InDelta(t, 1, by["operator"], 0.01)
 }
 
-// While the pool is short the burn goes on without any new record, and a budget
-// that is spent says so.
+// While the pool is short the burn must continue without new records. A spent
+// budget must have run out now.
 func TestBurnContinuesWithoutRecords(t *testing.T) {
 	h := pool(t, 4)
 	h.vm(0, "vm-0", record.VMDown{Cause: "gone"})
@@ -146,14 +146,14 @@
 
 const day = 24 * time.Hour
 
-// Three pools with tight budgets: the baseline keeps spare VMs for each of them,
-// one reserve needs fewer.
+// With three pools of small budgets the baseline needs a spare VM for each, a
+// shared reserve fewer.
 func TestBaseline(t *testing.T) {
 	h := pool(t, 4)
 	tight := strings.Replace(document, "allowed = 0.1", "allowed = 0.0003", 1)
 	for i, name := range []string{"booking", "returns", "fitting"} {
 		h.put(time.Hour, record.SubjectService, name, record.DocumentPublish{Text: strings.Replace(tight, "booking", name, 1)})
-		for j := range 4 * min(1, i) { // the first has its VMs
+		for j := range 4 * min(1, i) { // the first pool already has VMs
 			vm := fmt.Sprintf("%s-%d", name, j)
 			h.vm(time.Hour, vm, record.VMRegister{Zone: "a", Rack: vm, Address: "127.0.0.1:1", Cores: 32, MemoryMB: 65536}, record.VMJoin{Pool: name}, record.VMUp{})
 		}
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,10 +1,12 @@
-// Package usage corrects the declared size and run time of jobs by what earlier
-// jobs of the same shape were seen to use. It is pure.
+// Package usage estimates the size and run time of jobs from their declared values
+// and from the measured use of earlier jobs of the same shape. It has no side
+// effects outside of an Estimator.
 //
-// Reports come late and declared values are often far from the truth: too small
-// ones overload a worker, too large ones leave it idle. An estimate follows an
-// excess at once and sinks slowly, because too small a reservation harms the
-// neighbours on the worker and too large a one only wastes room.
+// Usage reports arrive with a delay, and declared values are often far off: values
+// that are too small overload a worker, values that are too large leave it idle. An
+// estimate rises to a higher use at once and falls slowly, because a reservation
+// that is too small harms the other jobs on the worker, while one that is too large
+// only wastes capacity.
 package usage
 
 import (
@@ -16,22 +18,23 @@
 
 // Parameters of the estimates.
 const (
-	// margin is reserved beyond the highest use seen.
+	// margin is the share reserved on top of a peak above the declared size.
 	margin = 0.10
-	// lowerStep is the part of the way that one ended job lowers an estimate.
+	// lowerStep is the fraction of the difference to its reservation by which an
+	// ended job lowers an estimate.
 	lowerStep = 0.25
-	// minEnded is how many jobs of a shape must have ended before its estimate
-	// sinks below the declared size.
+	// minEnded is how many jobs of a shape with a reported peak must have ended
+	// before its estimate may fall.
 	minEnded = 3
-	// runTimeWeight weighs the latest run time against the earlier ones.
+	// runTimeWeight is the weight of the latest run time in the moving average.
 	runTimeWeight = 0.3
-	// maxShapes bounds the memory; beyond it the shape unused for longest goes.
+	// maxShapes limits memory; beyond it the least recently used shape is evicted.
 	maxShapes = 20_000
 )
 
-// Shape names jobs that are expected to use alike: those of one team in one
-// pool that declare the same size. Their run times may differ, as one program
-// takes inputs of all lengths.
+// Shape identifies jobs that are expected to use similar resources: jobs of one
+// team in one pool that declare the same size. Their run times may differ, because
+// a program may process inputs of any length.
 type Shape struct {
 	Service      string
 	Team         string
@@ -51,8 +54,8 @@
 	}
 }
 
-// Sample is what one job used: the peaks that reports showed, 0 when none came,
-// and how long it ran of the run time that it declared, 0 when not known.
+// Sample is the measured use of one job: the peaks of its usage reports, 0 if there
+// were none, and its actual and declared run time, 0 if unknown.
 type Sample struct {
 	MilliCores int
 	MemoryMB   int
@@ -60,38 +63,38 @@
 	Declared   time.Duration
 }
 
-// Estimator holds the estimates. It is not safe for concurrent use.
+// Estimator holds the estimates by shape. It is not safe for concurrent use.
 type Estimator struct {
 	shapes   map[Shape]*estimate
-	useCount uint64 // counts uses, for forgetting
+	useCount uint64 // logical time of the least recently used order
 }
 
 type estimate struct {
 	milliCores   quantity
 	memoryMB     quantity
-	runTimeRatio float64 // real run time by declared; 0: none seen
+	runTimeRatio float64 // average of actual to declared run time; 0 if unknown
 	lastUsed     uint64
 }
 
-// quantity is the estimate of one resource.
+// quantity is the estimate for one resource.
 type quantity struct {
 	declared float64
 	value    float64
 	ended    int
 }
 
-// NewEstimator returns an Estimator that knows nothing.
+// NewEstimator returns an Estimator without samples.
 func NewEstimator() *Estimator { return &Estimator{shapes: map[Shape]*estimate{}} }
 
-// Running takes a report on a job that still runs. It only raises: the job may
-// use more later.
+// Running records a usage report of a running job. It only raises the estimates,
+// because the job may use more later.
 func (e *Estimator) Running(shape Shape, s Sample) {
 	est := e.estimateFor(shape)
 	est.milliCores.raise(s.MilliCores)
 	est.memoryMB.raise(s.MemoryMB)
 }
 
-// Ended takes the peaks of a job that succeeded.
+// Ended records the peaks and the run time of a job that succeeded.
 func (e *Estimator) Ended(shape Shape, s Sample) {
 	est := e.estimateFor(shape)
 	est.milliCores.end(s.MilliCores)
@@ -111,8 +114,8 @@
 	return quantity{declared: float64(declared), value: float64(declared)}
 }
 
-// reservation is what one job's peak asks to reserve. A peak within the declared size
-// confirms it: a margin on top would take room for nothing.
+// reservation returns what to reserve for a job with the given peak: the peak plus
+// margin, but not more than the declared size if the peak is within it.
 func (q *quantity) reservation(peak int) float64 {
 	t := float64(peak) * (1 + margin)
 	if float64(peak) <= q.declared {
@@ -121,10 +124,12 @@
 	return t
 }
 
+// raise increases the estimate to the reservation for the peak.
 func (q *quantity) raise(peak int) {
 	q.value = max(q.value, q.reservation(peak))
 }
 
+// end updates the estimate with the peak of an ended job; 0 means no report.
 func (q *quantity) end(peak int) {
 	if peak <= 0 {
 		return
@@ -140,7 +145,7 @@
 	}
 }
 
-// Size returns what to reserve for a job of the shape.
+// Size returns the resources to reserve for a job of the shape.
 func (e *Estimator) Size(shape Shape) ledger.Resources {
 	r := ledger.Resources{MilliCores: shape.MilliCores, MemoryMB: shape.MemoryMB, Accelerators: shape.Accelerators}
 	est, ok := e.shapes[shape]
@@ -152,7 +157,7 @@
 	return r
 }
 
-// RunTime returns how long a job of the shape is expected to run.
+// RunTime returns the expected run time of a job of the shape.
 func (e *Estimator) RunTime(shape Shape, declared time.Duration) time.Duration {
 	if est, ok := e.shapes[shape]; ok && est.runTimeRatio > 0 {
 		return time.Duration(est.runTimeRatio * float64(declared))
@@ -160,6 +165,8 @@
 	return declared
 }
 
+// estimateFor returns the estimate of the shape, which it creates if needed, and
+// marks it as used.
 func (e *Estimator) estimateFor(shape Shape) *estimate {
 	e.useCount++
 	est, ok := e.shapes[shape]
@@ -175,6 +182,7 @@
 	return est
 }
 
+// evictOldest removes the least recently used shape if there are maxShapes.
 func (e *Estimator) evictOldest() {
 	if len(e.shapes) < maxShapes {
 		return
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -20,7 +20,7 @@
 	assert.Equal(t, ledger.Resources{MilliCores: 4000, MemoryMB: 8000, Accelerators: 1}, e.Size(shape()))
 	assert.Equal(t, time.Hour, e.RunTime(shape(), time.Hour))
 	e.Ended(shape(), usage.Sample{})
-	assert.Equal(t, ledger.Resources{MilliCores: 4000, MemoryMB: 8000, Accelerators: 1}, e.Size(shape()), "a job without reports teaches nothing")
+	assert.Equal(t, ledger.Resources{MilliCores: 4000, MemoryMB: 8000, Accelerators: 1}, e.Size(shape()), "a job without usage reports must not change the estimate")
 }
 
 func TestPeakWithinTheDeclaredSizeConfirmsIt(t *testing.T) {
@@ -34,8 +34,8 @@
 func TestEstimateRisesAtOnceAndFallsSlowly(t *testing.T) {
 	e := usage.NewEstimator()
 	e.Running(shape(), usage.Sample{MilliCores: 9000, MemoryMB: 1000})
-	assert.Equal(t, 9900, e.Size(shape()).MilliCores, "one late report of a running job is enough to raise")
-	assert.Equal(t, 8000, e.Size(shape()).MemoryMB, "a running job may yet use more, so it lowers nothing")
+	assert.Equal(t, 9900, e.Size(shape()).MilliCores, "one report of a running job must raise the estimate")
+	assert.Equal(t, 8000, e.Size(shape()).MemoryMB, "a running job may use more later and must not lower the estimate")
 
 	previous := e.Size(shape()).MilliCores
 	for i := range 40 {
