--- a/internal/maintenance/wave.go
+++ b/internal/maintenance/wave.go
@@ -149,7 +149,8 @@
 }
 
 // deadlineAtRisk reports whether the wave would miss its deadline with
-// maxParallelTurns drains at a time.
+// maxParallelTurns drains at a time, or with one at a time if the budget sets
+// one_domain.
 func deadlineAtRisk(r *pool.Round, w *pool.Wave, p *pool.Pool, due []*pool.VM) bool {
 	if w.Deadline.IsZero() {
 		return false
--- a/internal/pool/release.go
+++ b/internal/pool/release.go
@@ -6,7 +6,7 @@
 
 // Release proposes to return surplus VMs to the reserve of free VMs. A surplus
 // VM that is already out of service is released at once, a serving VM only after
-// the surplus has lasted and if the pool's document weighs the buffer. Pools with
+// the surplus has lasted for Patience.Release, and never if that is 0. Pools with
 // pending turns in a wave are skipped: their surplus is released by redirecting
 // the VMs of the last turns, which needs no additional drain.
 func Release(r *Round) {
@@ -92,8 +92,9 @@
 	return r.Drain(vm, body, "surplus for longer than the pool's document allows") == ""
 }
 
-// Lend proposes that free VMs beyond the reserve join pools with pending turns in
-// a wave, so that a VM can be drained without making the pool short.
+// Lend proposes that free VMs beyond the reserve join pools with at least two
+// pending turns in a wave, so that a VM can be drained without making the pool
+// short.
 func Lend(r *Round) {
 	if r.Policy.Reserve == ReserveOwn {
 		return
@@ -113,8 +114,8 @@
 	}
 }
 
-// Arriving reports whether a VM joins the pool in this round or has joined it
-// and is not serving yet.
+// Arriving reports whether a free VM joins the pool in this round, or has joined
+// it, is not down and is not serving yet.
 func (r *Round) Arriving(p *Pool) bool {
 	for _, vm := range r.joining[p.Name] {
 		if vm.Phase == record.PhaseFree {
--- a/internal/pool/round.go
+++ b/internal/pool/round.go
@@ -14,7 +14,8 @@
 	View      *View
 	Policy    Policy
 	Proposals []Proposal
-	// Waits lists the pools in which a running wave can begin no turn now.
+	// Waits lists the pools in which a running wave can begin no turn now and has
+	// no turn in progress.
 	Waits []Wait
 
 	taken    map[string]bool
@@ -89,7 +90,8 @@
 }
 
 // Drain proposes to drain a VM if its pool's budget allows it. Otherwise it
-// returns the reason for the refusal.
+// returns the reason for the refusal. A pool without a document has no budget and
+// allows every drain.
 func (r *Round) Drain(vm *VM, body record.VMDrain, why string) string {
 	h := r.Headroom(vm.Pool)
 	if h != nil {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -176,8 +176,8 @@
 	m[shape][worker] = true
 }
 
-// unresolvedFailures returns the failures on the worker since its last success,
-// change of quarantine, change of health and maintenance.
+// unresolvedFailures returns the failures of attempts on the worker that started
+// after its last success, change of quarantine, change of health and maintenance.
 func (h history) unresolvedFailures(vm *ledger.VM) []failure {
 	since := h.lastSuccess[vm.ID]
 	for _, t := range []time.Time{vm.QuarantineChanged, vm.HealthSince, vm.MaintainedAt} {
