--- a/internal/forecast/run.go
+++ b/internal/forecast/run.go
@@ -28,9 +28,9 @@
 	Return time.Duration // until the VM is reported healthy
 }
 
-// Learned returns a function that scales fallback to the typical duration of the
+// TypicalTimes returns a function that scales fallback to the typical duration of the
 // latest drains of a VM's pool, and returns fallback if that is unknown.
-func Learned(s *ledger.State, fallback Times) func(*ledger.VM) Times {
+func TypicalTimes(s *ledger.State, fallback Times) func(*ledger.VM) Times {
 	return func(vm *ledger.VM) Times {
 		svc, ok := s.Services[vm.Pool]
 		if !ok || svc.Account.Typical() == 0 {
--- a/internal/forecast/wave.go
+++ b/internal/forecast/wave.go
@@ -66,7 +66,7 @@
 		return Wave{}, errors.Wrap(err, "copy the state")
 	}
 	r := New(state, now, policy, times)
-	r.Times = Learned(state, times)
+	r.Times = TypicalTimes(state, times)
 	r.Lost = func(id string) bool { return state.VMs[id].Down }
 	out := r.Append(record.Subject{Kind: record.SubjectWave, Name: waveID}, start)
 	if out.Status != ledger.Effective {
--- a/internal/maintenance/wave.go
+++ b/internal/maintenance/wave.go
@@ -50,7 +50,7 @@
 // a wave pauses while failures use up the pool's budget and then resumes.
 func proposeTurns(r *pool.Round, w *pool.Wave, p *pool.Pool, due []*pool.VM) {
 	atRisk := deadlineAtRisk(r, w, p, due)
-	if !atRisk && r.Arriving(p) {
+	if !atRisk && r.HasJoiningVM(p) {
 		return // a drain will cost less once the joining VM serves
 	}
 	proposed, reason := 0, ""
@@ -87,7 +87,7 @@
 func dueTurns(r *pool.Round, w *pool.Wave, p *pool.Pool) []*pool.VM {
 	var due []*pool.VM
 	for _, vm := range p.VMs {
-		if w.VMs[vm.ID] != ledger.WavePending || vm.Phase != record.PhaseServing || r.Taken(vm) {
+		if w.VMs[vm.ID] != ledger.WavePending || vm.Phase != record.PhaseServing || r.Decided(vm) {
 			continue
 		}
 		if vm.Jobs > 0 && p.Doc.Jobs.OnDrain == document.LongJobsSkip {
--- a/internal/pool/fill.go
+++ b/internal/pool/fill.go
@@ -52,7 +52,7 @@
 // hasFittingVM reports whether p has a serving VM, not yet decided about, that
 // fits the other pool.
 func (r *Round) hasFittingVM(p, other *Pool) bool {
-	return slices.ContainsFunc(p.VMs, func(vm *VM) bool { return vm.Serving() && !r.Taken(vm) && Fits(vm, other.Doc.Pool) })
+	return slices.ContainsFunc(p.VMs, func(vm *VM) bool { return vm.Serving() && !r.Decided(vm) && Fits(vm, other.Doc.Pool) })
 }
 
 // assignVM proposes to move the best VM of a class to a gap.
@@ -106,7 +106,7 @@
 	}
 	var best *VM
 	for _, vm := range c.vms {
-		if r.Taken(vm) || (from != nil && !donor.canLose(from, vm)) {
+		if r.Decided(vm) || (from != nil && !donor.canLose(from, vm)) {
 			continue
 		}
 		if best == nil || preferred(target, vm, best) {
--- a/internal/pool/release.go
+++ b/internal/pool/release.go
@@ -15,7 +15,7 @@
 	}
 	for _, p := range r.View.Pools {
 		patience := r.Policy.patience(p)
-		if r.WaveTurns(p) > 0 {
+		if r.PendingTurns(p) > 0 {
 			continue
 		}
 		spread := r.spread(p)
@@ -28,12 +28,12 @@
 	}
 }
 
-// WaveTurns counts the pool's VMs with a pending turn in a running wave that the
+// PendingTurns counts the pool's VMs with a pending turn in a running wave that the
 // round has not yet decided about.
-func (r *Round) WaveTurns(p *Pool) int {
+func (r *Round) PendingTurns(p *Pool) int {
 	n := 0
 	for _, vm := range p.VMs {
-		if !r.Taken(vm) && r.View.DueWave(vm) != nil {
+		if !r.Decided(vm) && r.View.DueWave(vm) != nil {
 			n++
 		}
 	}
@@ -55,7 +55,7 @@
 func (r *Round) surplusVM(p *Pool, s spread, lasted bool) *VM {
 	var best *VM
 	for _, vm := range p.VMs {
-		if r.Taken(vm) || vm.Down || !vm.Staying() || !s.canLose(p, vm) {
+		if r.Decided(vm) || vm.Down || !vm.Staying() || !s.canLose(p, vm) {
 			continue
 		}
 		if !vm.Redirectable() && (!vm.Serving() || !lasted) {
@@ -104,7 +104,7 @@
 		if available <= 0 || r.Full() {
 			return
 		}
-		if r.WaveTurns(p) < 2 || r.Surplus(p) >= r.Policy.Surge || r.Present(p) < r.targetSize(p) {
+		if r.PendingTurns(p) < 2 || r.Surplus(p) >= r.Policy.Surge || r.Present(p) < r.targetSize(p) {
 			continue
 		}
 		if vm := r.bestFreeVM(p); vm != nil {
@@ -114,9 +114,9 @@
 	}
 }
 
-// Arriving reports whether a free VM joins the pool in this round, or has joined
+// HasJoiningVM reports whether a free VM joins the pool in this round, or has joined
 // it, is not down and is not serving yet.
-func (r *Round) Arriving(p *Pool) bool {
+func (r *Round) HasJoiningVM(p *Pool) bool {
 	for _, vm := range r.joining[p.Name] {
 		if vm.Phase == record.PhaseFree {
 			return true
@@ -134,7 +134,7 @@
 func (r *Round) undecidedFreeVMs() int {
 	n := 0
 	for _, vm := range r.View.Free {
-		if !r.Taken(vm) {
+		if !r.Decided(vm) {
 			n++
 		}
 	}
@@ -146,7 +146,7 @@
 	s := r.spread(p)
 	var best *VM
 	for _, vm := range r.View.Free {
-		if r.Taken(vm) || !Fits(vm, p.Doc.Pool) {
+		if r.Decided(vm) || !Fits(vm, p.Doc.Pool) {
 			continue
 		}
 		if best == nil || smaller(s, vm, best) {
--- a/internal/pool/round.go
+++ b/internal/pool/round.go
@@ -18,7 +18,7 @@
 	// no turn in progress.
 	Waits []Wait
 
-	taken    map[string]bool
+	decided    map[string]bool
 	headroom map[string]*ledger.Headroom
 	incoming map[string]int   // VMs in transit by an effective drain, by target pool
 	joining  map[string][]*VM // VMs that this round moves, by target pool
@@ -39,7 +39,7 @@
 	r := &Round{
 		View:     v,
 		Policy:   p,
-		taken:    map[string]bool{},
+		decided:    map[string]bool{},
 		headroom: map[string]*ledger.Headroom{},
 		incoming: map[string]int{},
 		joining:  map[string][]*VM{},
@@ -56,12 +56,12 @@
 // Full reports whether the round has reached Policy.MaxProposals.
 func (r *Round) Full() bool { return len(r.Proposals) >= r.Policy.MaxProposals }
 
-// Taken reports whether the round has already decided about the VM.
-func (r *Round) Taken(vm *VM) bool { return r.taken[vm.ID] }
+// Decided reports whether the round has already decided about the VM.
+func (r *Round) Decided(vm *VM) bool { return r.decided[vm.ID] }
 
 // Propose adds a decision about a VM.
 func (r *Round) Propose(vm *VM, body record.Body, share, why string) {
-	r.taken[vm.ID] = true
+	r.decided[vm.ID] = true
 	r.Proposals = append(r.Proposals, OnVM(vm, body, share, why))
 }
 
--- a/internal/pool/supply.go
+++ b/internal/pool/supply.go
@@ -24,7 +24,7 @@
 func (r *Round) supply() *supply {
 	s := &supply{surplus: map[string]int{}, classByKey: map[classKey]*class{}}
 	for _, vm := range r.View.Free {
-		if !r.Taken(vm) {
+		if !r.Decided(vm) {
 			s.add(tierFree, "", vm)
 		}
 	}
@@ -69,7 +69,7 @@
 	s.surplus[p.Name] = surplus
 	spread := r.spread(p)
 	for _, vm := range p.VMs {
-		if r.Taken(vm) || vm.Down || !vm.Staying() || !spread.canLose(p, vm) {
+		if r.Decided(vm) || vm.Down || !vm.Staying() || !spread.canLose(p, vm) {
 			continue
 		}
 		switch {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -28,8 +28,8 @@
 	episodeGap  = time.Second
 	// Window is how long a failure counts as evidence.
 	Window = 30 * time.Minute
-	// DoubtFor is how long a worker gets one job at a time after a failure.
-	DoubtFor = time.Minute
+	// DoubtDuration is how long a worker gets one job at a time after a failure.
+	DoubtDuration = time.Minute
 	// MaxShare is the maximum share of a pool's workers in quarantine, and of
 	// doubtful workers. If more workers fail jobs, the cause is shared and
 	// quarantine would only empty the pool.
@@ -246,6 +246,6 @@
 func (h history) doubtful(vm *ledger.VM, now time.Time) bool {
 	return slices.ContainsFunc(h.unresolvedFailures(vm), func(f failure) bool {
 		broken := onOtherWorker(h.failedOn[f.shape], vm.ID) && !onOtherWorker(h.succeededOn[f.shape], vm.ID)
-		return now.Sub(f.Ended) < DoubtFor && !broken
+		return now.Sub(f.Ended) < DoubtDuration && !broken
 	})
 }
