--- a/internal/forecast/run.go
+++ b/internal/forecast/run.go
@@ -28,8 +28,8 @@
 	Return time.Duration // until the VM is reported healthy
 }
 
-// TypicalTimes returns a function that scales fallback to the typical duration of the
-// latest drains of a VM's pool, and returns fallback if that is unknown.
+// TypicalTimes returns a function that scales fallback to the typical duration of
+// the latest drains of a VM's pool, or returns fallback if that is unknown.
 func TypicalTimes(s *ledger.State, fallback Times) func(*ledger.VM) Times {
 	return func(vm *ledger.VM) Times {
 		svc, ok := s.Services[vm.Pool]
--- a/internal/pool/round.go
+++ b/internal/pool/round.go
@@ -18,7 +18,7 @@
 	// no turn in progress.
 	Waits []Wait
 
-	decided    map[string]bool
+	decided  map[string]bool
 	headroom map[string]*ledger.Headroom
 	incoming map[string]int   // VMs in transit by an effective drain, by target pool
 	joining  map[string][]*VM // VMs that this round moves, by target pool
@@ -39,7 +39,7 @@
 	r := &Round{
 		View:     v,
 		Policy:   p,
-		decided:    map[string]bool{},
+		decided:  map[string]bool{},
 		headroom: map[string]*ledger.Headroom{},
 		incoming: map[string]int{},
 		joining:  map[string][]*VM{},
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -241,8 +241,8 @@
 	return n
 }
 
-// doubtful reports whether a job failed on the worker within DoubtFor whose shape
-// does not also fail on other workers without succeeding on any of them.
+// doubtful reports whether a job failed on the worker within DoubtDuration. Jobs
+// whose shape fails on other workers and succeeds on none of them do not count.
 func (h history) doubtful(vm *ledger.VM, now time.Time) bool {
 	return slices.ContainsFunc(h.unresolvedFailures(vm), func(f failure) bool {
 		broken := onOtherWorker(h.failedOn[f.shape], vm.ID) && !onOtherWorker(h.succeededOn[f.shape], vm.ID)
