--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -38,8 +38,8 @@
 	// lasts twice as long, up to MaxTerm.
 	FirstTerm = 5 * time.Minute
 	MaxTerm   = time.Hour
-	// probationLimit is the maximum duration of probation. It ends then even if the
-	// worker has completed too few jobs.
+	// probationLimit is how long after its quarantine a worker is in
+	// Assessment.Probation at most, even if it has completed too few jobs.
 	probationLimit = 10 * time.Minute
 )
 
