--- a/internal/forecast/wave.go
+++ b/internal/forecast/wave.go
@@ -12,49 +12,50 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Bounds of a wave's forecast.
+// Limits of a wave's forecast.
 const (
-	// horizon is how far a forecast looks ahead. A wave that is not done by
-	// then is stuck for all that planning is concerned.
+	// horizon is how far a forecast looks ahead. A wave that has not ended by then
+	// is treated as stuck.
 	horizon = 60 * 24 * time.Hour
-	// quietStep is how far a forecast moves while nothing happens, as when a
-	// wave waits for its pools' budgets to recover.
-	quietStep = time.Minute
-	maxQuiet  = time.Hour
-	// waveID is the subject of the wave that is tried.
+	// idleStep is the first time step while no VM has a step to end, for example
+	// while a wave waits for its pools' budgets. It doubles up to maxIdleStep.
+	idleStep    = time.Minute
+	maxIdleStep = time.Hour
+	// waveID is the ID of the simulated wave.
 	waveID = "forecast"
 )
 
-// ErrRefused means that the wave cannot be started; the text says why.
+// ErrRefused is returned, wrapped with the reason, if the wave cannot be started.
 var ErrRefused = errors.New("the wave would be refused")
 
 // Wave is the forecast of a maintenance wave.
 type Wave struct {
 	Start time.Time
-	// End is when the last VM is back; zero when the wave would not end within
-	// the horizon.
+	// End is when the wave ends; zero if it would not end within the horizon.
 	End   time.Time
 	Turns []Turn
-	// Waiting names the VMs without a turn within the horizon.
+	// Waiting lists the VMs that do not complete a turn within the horizon, skipped
+	// VMs included, sorted by ID.
 	Waiting []string
-	// Moves counts VMs that come back to another pool or to the reserve.
+	// Moves counts the VMs whose turn ends in another pool or in the reserve.
 	Moves int
 }
 
-// Turn is one VM's turn.
+// Turn is the turn of one VM.
 type Turn struct {
 	VM, Pool, Zone, Rack string
 	Out, Back            time.Time
-	// Target is where the VM goes when it does not come back to its pool; "free"
-	// stands for the reserve.
+	// Target is the pool that the VM joins after its turn, "free" for the reserve,
+	// or empty if it returns to its own pool.
 	Target string
 }
 
-// Duration returns how long the wave would take.
+// Duration returns how long the wave would take. It is meaningless if End is zero.
 func (w Wave) Duration() time.Duration { return w.End.Sub(w.Start) }
 
-// ForWave plays a wave over pools forward on a copy of the state. The error is
-// ErrRefused with the reason, or that the state could not be copied.
+// ForWave simulates a wave on a copy of the state. It returns an error that wraps
+// ErrRefused if the wave cannot be started, or an error if the state cannot be
+// copied.
 func ForWave(s *ledger.State, now time.Time, start record.WaveStart, policy pool.Policy, times Times) (Wave, error) {
 	data, err := ledger.EncodeSnapshot(s)
 	if err != nil {
@@ -65,58 +66,60 @@
 		return Wave{}, errors.Wrap(err, "copy the state")
 	}
 	r := New(state, now, policy, times)
-	r.Times = Learned(state, times)
+	r.Times = TypicalTimes(state, times)
 	r.Lost = func(id string) bool { return state.VMs[id].Down }
 	out := r.Append(record.Subject{Kind: record.SubjectWave, Name: waveID}, start)
 	if out.Status != ledger.Effective {
 		return Wave{}, errors.Wrap(ErrRefused, out.Reason)
 	}
 	w := Wave{Start: now}
-	w.play(r)
+	w.simulate(r)
 	return w, nil
 }
 
-// play moves the run on until the wave is over or the horizon is reached.
-func (w *Wave) play(r *Run) {
-	open := map[string]*Turn{}
-	pause := quietStep
+// simulate advances the run until the wave ends or the horizon is reached.
+func (w *Wave) simulate(r *Run) {
+	turns := map[string]*Turn{}
+	pause := idleStep
 	for r.State.Waves[waveID].Active() && r.Now.Before(w.Start.Add(horizon)) {
 		before := r.State.Offset
 		r.Round()
-		id, at := r.next()
+		id, at := r.nextStep()
 		if id == "" {
 			r.Now = r.Now.Add(pause)
-			pause = min(2*pause, maxQuiet)
+			pause = min(2*pause, maxIdleStep)
 		} else {
 			r.Now = later(r.Now, at)
 			r.finish(id)
 		}
 		if r.State.Offset != before {
-			pause = quietStep
+			pause = idleStep
 		}
-		w.note(r, open)
+		w.recordTurns(r, turns)
 	}
-	w.close(r)
+	w.summarize(r)
 }
 
-// note keeps what became of the VMs with the last records.
-func (w *Wave) note(r *Run, open map[string]*Turn) {
+// recordTurns updates the turns from the wave's progress in the state. turns holds
+// the turns that have begun, by VM.
+func (w *Wave) recordTurns(r *Run, turns map[string]*Turn) {
 	for id, progress := range r.State.Waves[waveID].VMs {
 		vm, known := r.State.VMs[id]
-		turn := open[id]
+		turn := turns[id]
 		switch {
 		case !known:
 		case progress == ledger.WaveOut && turn == nil:
-			open[id] = &Turn{VM: id, Pool: vm.Pool, Zone: vm.Zone, Rack: vm.Rack, Out: vm.Drain.Since}
+			turns[id] = &Turn{VM: id, Pool: vm.Pool, Zone: vm.Zone, Rack: vm.Rack, Out: vm.Drain.Since}
 		case progress == ledger.WaveBack && turn != nil && turn.Back.IsZero():
 			turn.Back = r.Now
-			turn.Target = moved(turn.Pool, vm)
+			turn.Target = destination(turn.Pool, vm)
 			w.Turns = append(w.Turns, *turn)
 		}
 	}
 }
 
-func moved(from string, vm *ledger.VM) string {
+// destination returns the Turn.Target of a VM that came from the pool from.
+func destination(from string, vm *ledger.VM) string {
 	switch vm.Pool {
 	case from:
 		return ""
@@ -126,7 +129,9 @@
 	return vm.Pool
 }
 
-func (w *Wave) close(r *Run) {
+// summarize sets the end of the wave, the waiting VMs and the moves, and sorts the
+// turns by their begin.
+func (w *Wave) summarize(r *Run) {
 	wave := r.State.Waves[waveID]
 	if !wave.Active() {
 		w.End = wave.FinishedAt
--- a/internal/forecast/wave_test.go
+++ b/internal/forecast/wave_test.go
@@ -17,11 +17,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// An operator tries a wave before it starts one: the forecast names each VM's
-// turn and the end, changes nothing, and the wave that is then started ends when
-// the forecast said.
-func TestForecastIsWhatTheWaveDoes(t *testing.T) {
-	r := start(t, "feldkamm", 1)
+// The forecast of a wave must contain the turn of each VM and must not change the
+// state. The wave that is then started must end at the forecast time.
+func TestForecastMatchesWave(t *testing.T) {
+	r := startRun(t, "feldkamm", 1)
 	before, err := r.State.Digest()
 	require.NoError(t, err)
 	start := record.WaveStart{Pools: []string{"compare", "preview"}, Deadline: r.Now.Add(24 * time.Hour)}
@@ -43,11 +42,11 @@
 	assert.ErrorIs(t, err, forecast.ErrRefused)
 }
 
-// A pool's budget is all but spent. The forecast tells the operator that the
-// wave would wait until old charges leave the window, and the running wave
-// does wait, with a reason, and goes on by itself.
-func TestWaveWaitsForTheBudgetByItself(t *testing.T) {
-	r := start(t, "ramcharan", 0)
+// A pool's budget is nearly spent. The forecast must include the wait until old
+// charges leave the window. The running wave must wait with a reason and resume
+// without intervention.
+func TestWaveWaitsForBudgetAndResumes(t *testing.T) {
+	r := startRun(t, "ramcharan", 0)
 	vm := slices.Min(slices.Collect(maps.Keys(r.State.PoolVMs("dispatch"))))
 	r.Lost = func(id string) bool { return id == vm }
 	r.OnVM(vm, record.VMDown{Cause: "no answer"})
--- a/internal/maintenance/wave.go
+++ b/internal/maintenance/wave.go
@@ -1,5 +1,6 @@
-// Package maintenance plans maintenance waves and the steps of a drain. It is
-// pure: plans are functions of a pool.View and the time in it.
+// Package maintenance plans maintenance waves and the steps of a drain. Its
+// functions have no side effects: a plan depends only on a pool.View and a
+// pool.Policy.
 package maintenance
 
 import (
@@ -13,11 +14,12 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Plan is one planning round: what every steward proposes on this view. Each
-// step sees what the earlier ones used of VMs and budgets.
+// Plan runs one planning round and returns its proposals, which are the same for
+// every steward with this view. Each step of the round accounts for the VMs and
+// budgets that the earlier steps used.
 func Plan(v *pool.View, p pool.Policy) []pool.Proposal { return Round(v, p).Proposals }
 
-// Round is Plan with what the round found besides.
+// Round runs one planning round and returns it, with its proposals and waits.
 func Round(v *pool.View, p pool.Policy) *pool.Round {
 	r := pool.NewRound(v, p)
 	pool.Fill(r)
@@ -28,64 +30,64 @@
 }
 
 // Drains proposes the next drains of the running waves: for each pool, in the
-// order of its turns, as many as its budget bears.
+// order of its turns, as many as its budget allows.
 func Drains(r *pool.Round) {
 	for _, w := range r.View.Waves {
 		if !w.Running {
 			continue
 		}
-		skips(r, w)
+		proposeSkip(r, w)
 		for _, p := range r.View.Pools {
-			if due := turns(r, w, p); len(due) > 0 {
-				drains(r, w, p, due)
+			if due := dueTurns(r, w, p); len(due) > 0 {
+				proposeTurns(r, w, p, due)
 			}
 		}
 	}
 }
 
-// drains begins the turns of one pool. When it begins none, the round tells why:
-// a wave pauses by itself while failures use up what the pool bears, and goes on
-// by itself.
-func drains(r *pool.Round, w *pool.Wave, p *pool.Pool, due []*pool.VM) {
-	pressed := pressed(r, w, p, due)
-	if !pressed && r.Arriving(p) {
-		return // soon a drain costs the pool less
+// proposeTurns proposes drains for the due VMs of one pool. If none is possible
+// and the wave has no VM of the pool out, it adds the reason to the round's waits:
+// a wave pauses while failures use up the pool's budget and then resumes.
+func proposeTurns(r *pool.Round, w *pool.Wave, p *pool.Pool, due []*pool.VM) {
+	atRisk := deadlineAtRisk(r, w, p, due)
+	if !atRisk && r.HasJoiningVM(p) {
+		return // a drain will cost less once the joining VM serves
 	}
-	begun, reason := 0, ""
+	proposed, reason := 0, ""
 	for _, vm := range due {
 		if r.Full() {
 			return
 		}
-		no := begin(r, vm, r.WaveDrain(vm, ""), pressed)
-		if no == "" {
-			begun++
+		refusal := proposeTurn(r, vm, r.WaveDrain(vm, ""), atRisk)
+		if refusal == "" {
+			proposed++
 		}
-		reason = cmp.Or(reason, no)
+		reason = cmp.Or(reason, refusal)
 	}
-	if begun == 0 && reason != "" && !r.Out(w, p) {
+	if proposed == 0 && reason != "" && !r.Out(w, p) {
 		r.Waits = append(r.Waits, pool.Wait{Wave: w.ID, Pool: p.Name, Reason: reason})
 	}
 }
 
-// begin proposes a turn, or returns why it has to wait.
-func begin(r *pool.Round, vm *pool.VM, body record.VMDrain, pressed bool) string {
-	if !pressed {
-		if reason := hold(r, r.View.Pool(vm.Pool), vm, body); reason != "" {
+// proposeTurn proposes the drain of a VM's turn, or returns why it must wait.
+func proposeTurn(r *pool.Round, vm *pool.VM, body record.VMDrain, atRisk bool) string {
+	if !atRisk {
+		if reason := waitReason(r, r.View.Pool(vm.Pool), vm, body); reason != "" {
 			return reason
 		}
 	}
 	return r.Drain(vm, body, "its turn in the wave")
 }
 
-// turns returns the pool's VMs that could be drained now in the order of their
-// turns: zones and racks that have VMs out already come first, so that one
-// failure domain is finished before the next is begun, then VMs without jobs.
-// VMs that are down get their turn once no other is left: until then they may
-// come back, and the rest does not wait for them.
-func turns(r *pool.Round, w *pool.Wave, p *pool.Pool) []*pool.VM {
+// dueTurns returns the pool's VMs that may be drained now, in the order of their
+// turns. Zones and racks with VMs of a wave already out come first, so that one
+// failure domain is completed before the next begins, then VMs with fewer jobs to
+// wait for. VMs that are down are returned only if no other VM is left: they may
+// recover until then, and the other VMs do not wait for them.
+func dueTurns(r *pool.Round, w *pool.Wave, p *pool.Pool) []*pool.VM {
 	var due []*pool.VM
 	for _, vm := range p.VMs {
-		if w.VMs[vm.ID] != ledger.WavePending || vm.Phase != record.PhaseServing || r.Taken(vm) {
+		if w.VMs[vm.ID] != ledger.WavePending || vm.Phase != record.PhaseServing || r.Decided(vm) {
 			continue
 		}
 		if vm.Jobs > 0 && p.Doc.Jobs.OnDrain == document.LongJobsSkip {
@@ -96,12 +98,12 @@
 	if slices.ContainsFunc(due, func(vm *pool.VM) bool { return !vm.Down }) {
 		due = slices.DeleteFunc(due, func(vm *pool.VM) bool { return vm.Down })
 	}
-	zones, racks := outDomains(p)
+	zones, racks := drainedByDomain(p)
 	slices.SortFunc(due, func(a, b *pool.VM) int {
 		return cmp.Or(
 			cmp.Compare(zones[b.Zone], zones[a.Zone]),
 			cmp.Compare(racks[b.Rack], racks[a.Rack]),
-			cmp.Compare(waiting(p, a), waiting(p, b)),
+			cmp.Compare(jobsToWaitFor(p, a), jobsToWaitFor(p, b)),
 			cmp.Compare(a.Zone, b.Zone),
 			cmp.Compare(a.Rack, b.Rack),
 			cmp.Compare(a.ID, b.ID),
@@ -110,8 +112,8 @@
 	return due
 }
 
-// outDomains counts the pool's VMs in a wave's drain by zone and rack.
-func outDomains(p *pool.Pool) (zones, racks map[string]int) {
+// drainedByDomain counts the pool's VMs in the drain of a wave by zone and rack.
+func drainedByDomain(p *pool.Pool) (zones, racks map[string]int) {
 	zones, racks = map[string]int{}, map[string]int{}
 	for _, vm := range p.VMs {
 		if vm.Drain != nil && vm.Drain.Wave != "" {
@@ -122,72 +124,74 @@
 	return zones, racks
 }
 
-// waiting counts the jobs that a drain of the VM would wait for.
-func waiting(p *pool.Pool, vm *pool.VM) int {
+// jobsToWaitFor returns how many jobs a drain of the VM would wait for.
+func jobsToWaitFor(p *pool.Pool, vm *pool.VM) int {
 	if p.Doc.Jobs.OnDrain == document.LongJobsWait {
 		return vm.Jobs
 	}
 	return 0
 }
 
-// hold returns why a wave keeps back from the pool for now though its budget
-// might bear the drain, or an empty string. One unit of max_unavailable and a
-// part of the window's VM-seconds are left for failures, until the deadline is
-// at risk.
-func hold(r *pool.Round, p *pool.Pool, vm *pool.VM, body record.VMDrain) string {
-	careful := *r.Headroom(p.Name)
-	careful.Budget.MaxUnavailable = parallel(p)
-	careful.Allowed *= r.Policy.WaveShare
-	return careful.RefusalOf(&vm.VM, body)
+// waitReason returns why a wave must not drain the VM now, or an empty string.
+// While the deadline is not at risk, a wave leaves one unit of max_unavailable and
+// a part of the window's VM-seconds (see pool.Policy.WaveShare) for failures.
+func waitReason(r *pool.Round, p *pool.Pool, vm *pool.VM, body record.VMDrain) string {
+	reduced := *r.Headroom(p.Name)
+	reduced.Budget.MaxUnavailable = maxParallelTurns(p)
+	reduced.Allowed *= r.Policy.WaveShare
+	return reduced.RefusalOf(&vm.VM, body)
 }
 
-// parallel is how many VMs of the pool a wave takes at once while it is not
-// pressed.
-func parallel(p *pool.Pool) int {
+// maxParallelTurns returns how many VMs of the pool a wave drains at once while
+// its deadline is not at risk.
+func maxParallelTurns(p *pool.Pool) int {
 	return max(min(1, p.Doc.Budget.MaxUnavailable), p.Doc.Budget.MaxUnavailable-1)
 }
 
-// pressed reports whether the wave's deadline is at risk at the careful pace.
-func pressed(r *pool.Round, w *pool.Wave, p *pool.Pool, due []*pool.VM) bool {
+// deadlineAtRisk reports whether the wave would miss its deadline with
+// maxParallelTurns drains at a time, or with one at a time if the budget sets
+// one_domain.
+func deadlineAtRisk(r *pool.Round, w *pool.Wave, p *pool.Pool, due []*pool.VM) bool {
 	if w.Deadline.IsZero() {
 		return false
 	}
-	width := max(1, parallel(p))
+	width := max(1, maxParallelTurns(p))
 	if p.Doc.Budget.OneDomain {
 		width = 1
 	}
 	rounds := (len(due) + width - 1) / width
-	need := time.Duration(rounds) * pace(r, p, due[0])
+	need := time.Duration(rounds) * turnDuration(r, p, due[0])
 	return r.View.Now.Add(need).After(w.Deadline)
 }
 
-// pace is how long one turn of the pool takes: as its latest drains did, or by
-// the estimate while there were none.
-func pace(r *pool.Round, p *pool.Pool, vm *pool.VM) time.Duration {
+// turnDuration returns how long one turn of the pool takes: the typical duration
+// of its latest drains, or the estimate if that is unknown.
+func turnDuration(r *pool.Round, p *pool.Pool, vm *pool.VM) time.Duration {
 	if p.Headroom.Typical > 0 {
 		return p.Headroom.Typical
 	}
 	return r.Estimate(vm, record.DrainMaintenance)
 }
 
-// skips takes the VMs out of the wave that cannot have their turn: those that
-// left their pool, and at the deadline those whose jobs may not be disturbed.
-func skips(r *pool.Round, w *pool.Wave) {
+// proposeSkip proposes to skip a VM that cannot have its turn: a VM that left its
+// pool or, near the deadline, a VM with jobs that may not be disturbed.
+func proposeSkip(r *pool.Round, w *pool.Wave) {
 	for _, id := range sortedPending(w) {
 		vm := r.View.VM(id)
 		if vm == nil || r.Full() {
 			continue
 		}
 		if reason := skipReason(r, w, vm); reason != "" {
-			r.ProposeWave(w, record.WaveSkip{VM: id, Reason: reason}, "it cannot have its turn")
+			r.ProposeWave(w, record.WaveSkip{VM: id, Reason: reason}, "the VM cannot have its turn")
 			return // the next skip needs the wave's new revision
 		}
 	}
 }
 
+// skipReason returns why the wave skips the VM, or an empty string.
 func skipReason(r *pool.Round, w *pool.Wave, vm *pool.VM) string {
 	if vm.Phase == record.PhaseFree {
-		return "the VM is in no pool any more"
+		return "the VM is no longer in a pool"
 	}
 	p := r.View.Pool(vm.Pool)
 	if p == nil || vm.Jobs == 0 || p.Doc.Jobs.OnDrain != document.LongJobsSkip {
--- a/internal/maintenance/world_test.go
+++ b/internal/maintenance/world_test.go
@@ -24,36 +24,36 @@
 	rackSize = 2
 )
 
-// world is a log with its fold, two stewards that fold it late, and the
-// in-process stand-in.
+// world holds a log with its up-to-date fold, two stewards that fold it with a
+// delay, and an in-process stand-in of the platform.
 type world struct {
-	t     *rapid.T
-	now   time.Time
-	log   []record.Record
-	head  *ledger.State
-	nodes []*node
-	late  []record.Record // appended, not yet in the log
-	fake  *standin.Platform
-	waves int
-	ids   int
-	lost  map[string]bool // VMs that do not answer
-	spent map[string]*meter
+	t           *rapid.T
+	now         time.Time
+	log         []record.Record
+	head        *ledger.State
+	nodes       []*node
+	delayed     []record.Record // sent, not yet in the log
+	fake        *standin.Platform
+	waves       int
+	ids         int
+	unreachable map[string]bool // VMs that fail their health check
+	shortages   map[string]*shortageMeter
 }
 
-// node is a steward's own fold.
+// node is a steward with its own fold.
 type node struct {
-	name  string
-	state *ledger.State
-	away  bool // cut off from the log
+	name         string
+	state        *ledger.State
+	disconnected bool // receives no records
 }
 
 func newWorld(t *rapid.T) *world {
 	w := &world{
-		t:     t,
-		now:   time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC),
-		head:  ledger.New(),
-		lost:  map[string]bool{},
-		spent: map[string]*meter{},
+		t:           t,
+		now:         time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC),
+		head:        ledger.New(),
+		unreachable: map[string]bool{},
+		shortages:   map[string]*shortageMeter{},
 	}
 	w.fake = standin.New(standin.Options{
 		Now:    func() time.Time { return w.now },
@@ -63,7 +63,7 @@
 		w.nodes = append(w.nodes, &node{name: name, state: ledger.New()})
 	}
 	for _, name := range pools {
-		w.spent[name] = &meter{}
+		w.shortages[name] = &shortageMeter{}
 		w.publish(w.nodes[0], name, 4)
 	}
 	list, err := w.fake.List(context.Background())
@@ -78,7 +78,7 @@
 
 func subjectVM(id string) record.Subject { return record.Subject{Kind: record.SubjectVM, Name: id} }
 
-// record returns a decision made on the node's view.
+// record returns a record that is based on the node's view.
 func (w *world) record(n *node, sub record.Subject, body record.Body) record.Record {
 	w.ids++
 	return record.Record{
@@ -92,7 +92,7 @@
 	}
 }
 
-// send appends a decision: once, twice, or at some later time.
+// send appends a decision once, twice, or with a delay.
 func (w *world) send(n *node, sub record.Subject, body record.Body) {
 	rec := w.record(n, sub, body)
 	switch rapid.IntRange(0, 9).Draw(w.t, "append") {
@@ -101,9 +101,9 @@
 		w.append(rec)
 	case 1:
 		w.append(rec)
-		w.late = append(w.late, rec)
+		w.delayed = append(w.delayed, rec)
 	case 2:
-		w.late = append(w.late, rec)
+		w.delayed = append(w.delayed, rec)
 	default:
 		w.append(rec)
 	}
@@ -114,28 +114,28 @@
 	if vm, ok := w.head.VMs[rec.Subject.Name]; ok {
 		before = *vm
 	}
-	w.measure()
+	w.measureShortages()
 	w.log = append(w.log, rec)
 	out := w.head.Apply(uint64(len(w.log)), rec)
 	if body, ok := rec.Body.(record.VMDrain); ok && out.Status == ledger.Effective {
 		w.checkDrain(before, body)
 	}
-	w.measure()
+	w.measureShortages()
 }
 
-// deliverLate lets one delayed append take effect.
-func (w *world) deliverLate() {
-	if len(w.late) == 0 {
+// deliverDelayed appends one of the delayed records.
+func (w *world) deliverDelayed() {
+	if len(w.delayed) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.late)-1).Draw(w.t, "late")
-	rec := w.late[i]
-	w.late = append(w.late[:i:i], w.late[i+1:]...)
+	i := rapid.IntRange(0, len(w.delayed)-1).Draw(w.t, "late")
+	rec := w.delayed[i]
+	w.delayed = append(w.delayed[:i:i], w.delayed[i+1:]...)
 	w.append(rec)
 }
 
 func (w *world) catchUp(n *node, records int) {
-	for n.state.Offset < uint64(len(w.log)) && records > 0 && !n.away {
+	for n.state.Offset < uint64(len(w.log)) && records > 0 && !n.disconnected {
 		n.state.Apply(n.state.Offset+1, w.log[n.state.Offset])
 		records--
 	}
@@ -149,8 +149,8 @@
 	}
 }
 
-// act carries out the steps that the node's view calls for, however old it is:
-// a paused process wakes up with an old view.
+// act executes the steps for the node's view, which may be stale as after a pause
+// of the process.
 func (w *world) act(n *node) {
 	for _, id := range sortedVMs(n.state) {
 		if vm := n.state.VMs[id]; maintenance.Next(vm) != maintenance.StepNone {
@@ -164,7 +164,7 @@
 	if a, ok := maintenance.ActionOf(vm); ok {
 		result = w.perform(vm, a)
 	}
-	if !maintenance.Settled(vm, result, !w.lost[vm.ID]) {
+	if !maintenance.Settled(vm, result, !w.unreachable[vm.ID]) {
 		return
 	}
 	switch maintenance.Next(vm) {
@@ -177,8 +177,8 @@
 	}
 }
 
-// perform sends an action to the platform. A reboot that starts must be decided
-// in the log at this moment, whatever the sender's view.
+// perform sends an action to the platform. A reboot must start only if the log's
+// current state calls for it, however stale the sender's view is.
 func (w *world) perform(vm *ledger.VM, a maintenance.Action) maintenance.Result {
 	if rapid.IntRange(0, 5).Draw(w.t, "reply") == 0 {
 		_, err := w.fake.Order(standin.Fault{Kind: standin.APILoseReply, Target: vm.ID, Count: 1})
@@ -200,17 +200,17 @@
 	return steward.ResultOf(status, err)
 }
 
-// watch turns what VMs answer into evidence, decided on the node's view.
-func (w *world) watch(n *node) {
+// reportHealth sends records of VMs whose health differs from the node's view.
+func (w *world) reportHealth(n *node) {
 	for _, id := range sortedVMs(n.state) {
 		vm := n.state.VMs[id]
 		if maintenance.Next(vm) != maintenance.StepNone {
 			continue
 		}
 		switch {
-		case w.lost[id] && !vm.Down:
+		case w.unreachable[id] && !vm.Down:
 			w.send(n, subjectVM(id), record.VMDown{Cause: "no answer"})
-		case !w.lost[id] && vm.Down:
+		case !w.unreachable[id] && vm.Down:
 			w.send(n, subjectVM(id), record.VMUp{})
 		}
 	}
--- a/internal/pool/assign_test.go
+++ b/internal/pool/assign_test.go
@@ -14,13 +14,14 @@
 
 func TestMain(m *testing.M) { randomcheck.Main(m, 20261202, 500) }
 
-// score is an assignment's worth: VMs given away, and how many of each tier.
+// score rates an assignment by the number of VMs, in total and of each tier.
 type score struct {
 	total int
 	tiers [4]int
 }
 
-// better prefers more VMs, then more of the lower tiers.
+// better reports whether s has more VMs than o, or as many but more of the lower
+// tiers.
 func (s score) better(o score) bool {
 	if s.total != o.total {
 		return s.total > o.total
@@ -33,12 +34,12 @@
 	return false
 }
 
-// best tries every assignment.
-func best(gaps []*gap, classes []*class) score {
+// exhaustiveSearch returns the best score of all possible assignments.
+func exhaustiveSearch(gaps []*gap, classes []*class) score {
 	a := &assignment{gaps: gaps, classes: classes}
-	room := make([]int, len(gaps))
+	remaining := make([]int, len(gaps))
 	for j, g := range gaps {
-		room[j] = g.short()
+		remaining[j] = g.shortage()
 	}
 	var try func(c, left int) score
 	try = func(c, left int) score {
@@ -52,28 +53,29 @@
 			}
 			return try(c+1, next)
 		}
-		top := try(c, left-1) // this VM stays
+		result := try(c, left-1) // leaves this VM unassigned
 		for j, g := range gaps {
-			if room[j] == 0 || !a.fits(c, g) {
+			if remaining[j] == 0 || !a.fits(c, g) {
 				continue
 			}
-			room[j]--
+			remaining[j]--
 			s := try(c, left-1)
-			room[j]++
+			remaining[j]++
 			s.total++
 			s.tiers[classes[c].tier]++
-			if s.better(top) {
-				top = s
+			if s.better(result) {
+				result = s
 			}
 		}
-		return top
+		return result
 	}
 	return try(0, len(classes[0].vms))
 }
 
-// Gaps are filled with as many VMs as any assignment could, and with the least
-// disturbance among those: every small instance is held against a full search.
-func TestAssignIsTheLeastDisturbing(t *testing.T) {
+// The assignment must fill gaps with the greatest possible number of VMs and,
+// among such assignments, cause the least disturbance. Random small instances
+// are compared with an exhaustive search.
+func TestAssignMatchesExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var gaps []*gap
 		for range rapid.IntRange(1, 3).Draw(rt, "gaps") {
@@ -86,13 +88,13 @@
 		}
 		var classes []*class
 		surplus := map[string]int{}
-		for tier := tierFree; tier <= tierServe; tier++ {
+		for tier := tierFree; tier <= tierServing; tier++ {
 			n := rapid.IntRange(0, 2).Draw(rt, "supply")
 			if n == 0 {
 				continue
 			}
 			vm := &VM{VM: ledger.VM{Cores: rapid.IntRange(1, 3).Draw(rt, "cores")}}
-			c := &class{tier: tier, left: n}
+			c := &class{tier: tier, remaining: n}
 			for range n {
 				c.vms = append(c.vms, vm)
 			}
@@ -105,7 +107,7 @@
 		if len(classes) == 0 {
 			return
 		}
-		want := best(gaps, classes)
+		want := exhaustiveSearch(gaps, classes)
 		a := assign(gaps, classes, surplus, DefaultMaxProposals)
 		var got score
 		for i, c := range classes {
--- a/internal/pool/reserve.go
+++ b/internal/pool/reserve.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Rates is how often VMs are lost and for how long.
+// Rates holds the failure rates of VMs and racks and the repair time.
 type Rates struct {
-	VM     float64 // losses of one VM a day
-	Rack   float64 // losses of one rack a day
+	VM     float64 // failures of one VM per day
+	Rack   float64 // failures of one rack per day
 	Repair time.Duration
 }
 
-// DefaultRates returns the rates of an ordinary fleet: 26 of 4,000 VMs a day,
-// and one of a thousand racks a week.
+// DefaultRates returns the rates of a typical fleet: 26 of 4,000 VMs fail per
+// day, and one of 1,000 racks per week.
 func DefaultRates() Rates {
 	return Rates{VM: 26.0 / 4000, Rack: 1.0 / 7000, Repair: 4 * time.Hour}
 }
@@ -21,10 +21,10 @@
 // maxSpare bounds the search for a spare count.
 const maxSpare = 512
 
-// Spare is how many spare VMs a fleet needs.
+// Spare holds how many spare VMs a fleet needs.
 type Spare struct {
-	// Own is the count by pool when each keeps its own, Shared the count when
-	// all draw on one reserve of free VMs.
+	// Own is the number of spare VMs by pool if each pool keeps its own; Shared
+	// is their number if all pools share one reserve of free VMs.
 	Own    map[string]int
 	Shared int
 }
@@ -38,10 +38,10 @@
 	return sum
 }
 
-// SpareFor sizes the spare VMs so that failures are expected to use no more
-// than failureShare of any pool's availability budget. VMs fail on their own
-// and by racks; a spare VM covers a lost one until the repair. One reserve for
-// all needs fewer VMs, as the pools' bad days fall on different days.
+// SpareFor returns the spare VMs with which failures are expected to use at most
+// failureShare of any pool's availability budget. VMs fail individually and by
+// rack; a spare VM replaces a failed VM until its repair. A shared reserve needs
+// fewer VMs, because the pools rarely have failures at the same time.
 func SpareFor(pools []*Pool, rates Rates, failureShare float64) Spare {
 	s := Spare{Own: map[string]int{}}
 	all := lossDistribution{1}
@@ -55,18 +55,18 @@
 			own[vm.Rack]++
 			racks[vm.Rack]++
 		}
-		loss := lossDistribution{1}.poisson(rates.mean(n)).racks(own, rates)
-		s.Own[p.Name] = loss.spare(failureShare * p.Doc.Budget.Allowed * float64(n))
+		loss := lossDistribution{1}.addVMLosses(rates.meanDown(n)).addRackLosses(own, rates)
+		s.Own[p.Name] = loss.minSpare(failureShare * p.Doc.Budget.Allowed * float64(n))
 	}
-	all = all.poisson(rates.mean(size)).racks(racks, rates)
-	s.Shared = all.spare(failureShare * tightest(pools) * float64(size))
+	all = all.addVMLosses(rates.meanDown(size)).addRackLosses(racks, rates)
+	s.Shared = all.minSpare(failureShare * smallestAllowance(pools) * float64(size))
 	return s
 }
 
-// tightest returns the smallest allowed share among the pools: a shortage of
-// the shared reserve meets the pools in proportion to their sizes, so the pool
-// with the smallest allowance sets the bound.
-func tightest(pools []*Pool) float64 {
+// smallestAllowance returns the smallest allowed share of unavailable VMs among
+// the pools. A shortage of the shared reserve affects the pools in proportion to
+// their sizes, so the pool with the smallest allowance determines the limit.
+func smallestAllowance(pools []*Pool) float64 {
 	least := 1.0
 	for _, p := range pools {
 		if p.Doc.Pool.Size > 0 {
@@ -76,25 +76,28 @@
 	return least
 }
 
-// mean returns the expected count of n VMs that are down at one moment.
-func (r Rates) mean(n int) float64 { return float64(n) * r.VM * r.Repair.Hours() / 24 }
+// meanDown returns the expected number of VMs that are down at a time, of n.
+func (r Rates) meanDown(n int) float64 { return float64(n) * r.VM * r.Repair.Hours() / 24 }
 
-// lossDistribution is the probability of each count of VMs down at one moment.
+// lossDistribution holds the probability of each number of VMs that are down at
+// a time, indexed by that number.
 type lossDistribution []float64
 
-// poisson adds independent losses with the given mean.
-func (d lossDistribution) poisson(mean float64) lossDistribution {
+// addVMLosses adds independent failures of VMs, Poisson distributed with the
+// given mean.
+func (d lossDistribution) addVMLosses(mean float64) lossDistribution {
 	terms := lossDistribution{}
 	p := math.Exp(-mean)
 	for k := 0; k < maxSpare && (p > 1e-12 || float64(k) < mean); k++ {
 		terms = append(terms, p)
 		p *= mean / float64(k+1)
 	}
-	return d.plus(terms)
+	return d.convolve(terms)
 }
 
-// racks adds the loss of whole racks, which hold counts VMs each.
-func (d lossDistribution) racks(counts map[string]int, r Rates) lossDistribution {
+// addRackLosses adds failures of whole racks; counts is the number of VMs by
+// rack.
+func (d lossDistribution) addRackLosses(counts map[string]int, r Rates) lossDistribution {
 	byCount := map[int]int{}
 	most := 0
 	for _, n := range counts {
@@ -107,14 +110,14 @@
 			event := make(lossDistribution, n+1)
 			event[0] = 1 - down
 			event[n] = down
-			d = d.plus(event)
+			d = d.convolve(event)
 		}
 	}
 	return d
 }
 
-// plus returns the distribution of the sum of two independent counts.
-func (d lossDistribution) plus(o lossDistribution) lossDistribution {
+// convolve returns the distribution of the sum of two independent counts.
+func (d lossDistribution) convolve(o lossDistribution) lossDistribution {
 	sum := make(lossDistribution, min(len(d)+len(o)-1, maxSpare))
 	for i, p := range d {
 		for j, q := range o {
@@ -123,11 +126,11 @@
 			}
 		}
 	}
-	return sum.trim()
+	return sum.trimTail()
 }
 
-// trim drops a tail too unlikely to matter, which keeps sums of many racks short.
-func (d lossDistribution) trim() lossDistribution {
+// trimTail drops a negligible tail, which keeps sums over many racks short.
+func (d lossDistribution) trimTail() lossDistribution {
 	n := len(d)
 	for n > 1 && d[n-1] < 1e-15 {
 		n--
@@ -135,9 +138,9 @@
 	return d[:n]
 }
 
-// spare returns the least count k with an expected shortage beyond k of at most
-// bound VMs.
-func (d lossDistribution) spare(bound float64) int {
+// minSpare returns the smallest number of spare VMs with which the expected
+// shortage is at most bound VMs, and at most maxSpare.
+func (d lossDistribution) minSpare(bound float64) int {
 	for k := range maxSpare {
 		shortage := 0.0
 		for n := k + 1; n < len(d); n++ {
--- a/internal/pool/supply.go
+++ b/internal/pool/supply.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// supply collects the VMs that may be given to gaps.
+// supply holds the VMs that may be assigned to gaps.
 type supply struct {
-	classes []*class
-	surplus map[string]int // by donor
-	index   map[classKey]*class
+	classes    []*class
+	surplus    map[string]int // by donor
+	classByKey map[classKey]*class
 }
 
 // classKey identifies a class.
@@ -19,16 +19,17 @@
 	shape shape
 }
 
-// supply returns the free VMs and the lasting surplus of the pools, by tier.
+// supply returns the free VMs and the pools' surplus that has lasted, sorted by
+// tier and shape.
 func (r *Round) supply() *supply {
-	s := &supply{surplus: map[string]int{}, index: map[classKey]*class{}}
+	s := &supply{surplus: map[string]int{}, classByKey: map[classKey]*class{}}
 	for _, vm := range r.View.Free {
-		if !r.Taken(vm) {
+		if !r.Decided(vm) {
 			s.add(tierFree, "", vm)
 		}
 	}
 	for _, p := range r.View.Pools {
-		r.donate(p, s)
+		r.addSurplus(p, s)
 	}
 	slices.SortStableFunc(s.classes, func(a, b *class) int {
 		return cmp.Or(int(a.tier)-int(b.tier), compareShape(a.vms[0], b.vms[0]))
@@ -36,9 +37,9 @@
 	return s
 }
 
-// compareShape orders VMs from the smallest to the largest. Pools are given the
-// smallest VM that fits: a pool that takes larger ones than it asks for leaves
-// a later document that needs them short, with smaller VMs lying free.
+// compareShape orders VMs from the smallest to the largest. A pool gets the
+// smallest VM that fits. If it took larger VMs, a later document that needs them
+// would stay short while smaller VMs are free.
 func compareShape(a, b *VM) int {
 	return cmp.Or(
 		cmp.Compare(a.Accelerators, b.Accelerators),
@@ -49,36 +50,36 @@
 
 func (s *supply) add(t tier, donor string, vm *VM) {
 	key := classKey{t, donor, shape{vm.Cores, vm.MemoryMB, vm.Accelerators}}
-	c := s.index[key]
+	c := s.classByKey[key]
 	if c == nil {
 		c = &class{tier: t, donor: donor}
-		s.index[key] = c
+		s.classByKey[key] = c
 		s.classes = append(s.classes, c)
 	}
 	c.vms = append(c.vms, vm)
-	c.left++
+	c.remaining++
 }
 
-// donate offers a pool's surplus once it has lasted.
-func (r *Round) donate(p *Pool, s *supply) {
+// addSurplus adds the pool's surplus to the supply once it has lasted.
+func (r *Round) addSurplus(p *Pool, s *supply) {
 	surplus := r.Surplus(p)
-	if surplus == 0 || !r.lasting(p.SurplusSince, r.Policy.patience(p).Move) {
+	if surplus == 0 || !r.hasLasted(p.SurplusSince, r.Policy.patience(p).Move) {
 		return
 	}
 	s.surplus[p.Name] = surplus
 	spread := r.spread(p)
 	for _, vm := range p.VMs {
-		if r.Taken(vm) || vm.Down || !vm.Staying() || !spread.bears(p, vm) {
+		if r.Decided(vm) || vm.Down || !vm.Staying() || !spread.canLose(p, vm) {
 			continue
 		}
 		switch {
 		case vm.Redirectable():
-			s.add(tierOut, p.Name, vm)
+			s.add(tierOutOfService, p.Name, vm)
 		case !vm.Serving():
 		case r.View.DueWave(vm) != nil:
-			s.add(tierDue, p.Name, vm)
+			s.add(tierPendingTurn, p.Name, vm)
 		default:
-			s.add(tierServe, p.Name, vm)
+			s.add(tierServing, p.Name, vm)
 		}
 	}
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -15,15 +15,15 @@
 
 var begin = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// fold is a pool of ten workers whose jobs run and end by records.
-type fold struct {
+// poolState is a folded state with a pool of ten workers.
+type poolState struct {
 	st  *ledger.State
 	now time.Time
 	n   int
 }
 
-func newFold() *fold {
-	f := &fold{st: ledger.New(), now: begin}
+func newPoolState() *poolState {
+	f := &poolState{st: ledger.New(), now: begin}
 	f.st.Services["p"] = &ledger.Service{Doc: document.Document{
 		Service: "p",
 		Quotas:  []document.Quota{{Team: "a", MilliCores: 1 << 20, MemoryMB: 1 << 20}},
@@ -35,13 +35,13 @@
 		f.apply(sub, record.VMJoin{Pool: "p"})
 		f.apply(sub, record.VMUp{})
 	}
-	f.pass(time.Second)
+	f.advanceClock(time.Second)
 	return f
 }
 
-func (f *fold) pass(d time.Duration) { f.now = f.now.Add(d) }
+func (f *poolState) advanceClock(d time.Duration) { f.now = f.now.Add(d) }
 
-func (f *fold) apply(sub record.Subject, body record.Body) {
+func (f *poolState) apply(sub record.Subject, body record.Body) {
 	f.n++
 	out := f.st.Apply(uint64(f.n), record.Record{
 		ID: fmt.Sprint(f.n), Subject: sub, Base: f.st.Revision(sub), Seen: uint64(f.n - 1), Time: f.now, Body: body,
@@ -51,8 +51,9 @@
 	}
 }
 
-// start places a new job of the shape on the worker and returns its end.
-func (f *fold) start(shape int, worker string) func(record.JobResult) {
+// start places a new job of the shape on the worker and returns a function that
+// ends the job.
+func (f *poolState) start(shape int, worker string) func(record.JobResult) {
 	f.n++
 	sub := record.Subject{Kind: record.SubjectJob, Name: fmt.Sprintf("job-%d", f.n)}
 	f.apply(sub, record.JobSubmit{Service: "p", Team: "a", MilliCores: shape, MemoryMB: 1})
@@ -60,16 +61,16 @@
 	return func(result record.JobResult) { f.apply(sub, record.JobEnd{Result: result}) }
 }
 
-// run lets one job run for a time and end.
-func (f *fold) run(shape int, worker string, result record.JobResult) {
+// run places a job that ends after two seconds.
+func (f *poolState) run(shape int, worker string, result record.JobResult) {
 	end := f.start(shape, worker)
-	f.pass(2 * time.Second)
+	f.advanceClock(2 * time.Second)
 	end(result)
 }
 
-func (f *fold) assess() quarantine.Assessment { return quarantine.Assess(f.st, "p", f.now) }
+func (f *poolState) assess() quarantine.Assessment { return quarantine.Assess(f.st, "p", f.now) }
 
-func (f *fold) setAside() []string {
+func (f *poolState) setAside() []string {
 	var names []string
 	for _, found := range f.assess().SetAside {
 		names = append(names, found.Worker)
@@ -77,29 +78,29 @@
 	return names
 }
 
-func TestWorkerThatFailsSeveralJobsThatSucceedElsewhereIsSetAside(t *testing.T) {
-	f := newFold()
+func TestWorkerFailingJobsThatSucceedElsewhereIsQuarantined(t *testing.T) {
+	f := newPoolState()
 	f.run(1, "w1", record.JobSucceeded)
 	f.run(1, "w0", record.JobFailed)
 	f.run(1, "w0", record.JobFailed)
-	assert.Empty(t, f.setAside(), "two jobs are too few")
+	assert.Empty(t, f.setAside(), "two jobs must not suffice")
 	assert.Equal(t, map[string]bool{"w0": true}, f.assess().Doubtful)
 	f.run(1, "w0", record.JobFailed)
 	assert.Equal(t, []string{"w0"}, f.setAside())
 	assert.Len(t, f.assess().SetAside[0].Jobs, quarantine.MinJobs)
 }
 
-func TestBrokenJobsDoNotSpeakAgainstWorkers(t *testing.T) {
-	f := newFold()
+func TestBrokenJobsAreNoEvidence(t *testing.T) {
+	f := newPoolState()
 	for i := range 6 {
 		f.run(1, fmt.Sprintf("w%d", i%2), record.JobFailed)
 	}
-	assert.Empty(t, f.setAside(), "the shape has succeeded nowhere")
+	assert.Empty(t, f.setAside(), "the shape has not succeeded on any worker")
 	assert.Empty(t, f.assess().Doubtful)
 }
 
-func TestSuccessAnswersEarlierFailures(t *testing.T) {
-	f := newFold()
+func TestSuccessClearsEarlierFailures(t *testing.T) {
+	f := newPoolState()
 	f.run(1, "w1", record.JobSucceeded)
 	f.run(1, "w0", record.JobFailed)
 	f.run(1, "w0", record.JobFailed)
@@ -108,15 +109,15 @@
 	assert.Empty(t, f.setAside())
 }
 
-// A worker crashes with five jobs on it: all fail at the same moment. That is
-// one event, and the worker is not set aside for it.
+// A worker crashes with five jobs, which all fail at the same time. This is one
+// event and must not cause a quarantine.
 func TestCrashIsNoEvidence(t *testing.T) {
-	f := newFold()
+	f := newPoolState()
 	f.run(1, "w1", record.JobSucceeded)
 	var ends []func(record.JobResult)
 	for range 5 {
 		ends = append(ends, f.start(1, "w0"))
-		f.pass(time.Minute)
+		f.advanceClock(time.Minute)
 	}
 	for _, end := range ends {
 		end(record.JobFailed)
@@ -124,10 +125,11 @@
 	assert.Empty(t, f.setAside())
 }
 
-// Half of the pool fails jobs, as after a bad image. Setting them all aside
-// would empty the pool, so two of ten are, and the shared cause is reported.
+// Half of the pool fails jobs, for example because of a bad image. Quarantine of
+// all of them would empty the pool, so only two of ten workers are quarantined and
+// the shared cause is reported.
 func TestSharedFailureDoesNotEmptyThePool(t *testing.T) {
-	f := newFold()
+	f := newPoolState()
 	f.run(1, "w9", record.JobSucceeded)
 	for range 3 {
 		for w := range 5 {
@@ -140,24 +142,24 @@
 	assert.Empty(t, a.Doubtful)
 }
 
-func TestWorkerComesBackOnProbationAndLongerAsideEachTime(t *testing.T) {
-	f := newFold()
+func TestQuarantineEndsInProbationAndDoubles(t *testing.T) {
+	f := newPoolState()
 	vm := record.Subject{Kind: record.SubjectVM, Name: "w0"}
 	f.apply(vm, record.VMQuarantine{On: true})
-	f.pass(quarantine.FirstTerm - time.Second)
+	f.advanceClock(quarantine.FirstTerm - time.Second)
 	assert.Empty(t, f.assess().LetBack)
-	f.pass(time.Second)
+	f.advanceClock(time.Second)
 	assert.Equal(t, []string{"w0"}, f.assess().LetBack)
 
 	f.apply(vm, record.VMQuarantine{})
 	f.run(1, "w1", record.JobSucceeded)
 	assert.True(t, f.assess().Probation["w0"])
 	f.run(1, "w0", record.JobFailed)
-	assert.Equal(t, []string{"w0"}, f.setAside(), "one failure suffices on probation")
+	assert.Equal(t, []string{"w0"}, f.setAside(), "one failure must suffice on probation")
 
 	f.apply(vm, record.VMQuarantine{On: true})
-	f.pass(2*quarantine.FirstTerm - time.Second)
+	f.advanceClock(2*quarantine.FirstTerm - time.Second)
 	assert.Empty(t, f.assess().LetBack)
-	f.pass(time.Second)
+	f.advanceClock(time.Second)
 	assert.Equal(t, []string{"w0"}, f.assess().LetBack)
 }
