--- a/cmd/yuccadrift-standin/main_test.go
+++ b/cmd/yuccadrift-standin/main_test.go
@@ -27,7 +27,7 @@
 	os.Exit(m.Run())
 }
 
-func commandWith(t *testing.T, settings string, args ...string) *exec.Cmd {
+func commandWithSettings(t *testing.T, settings string, args ...string) *exec.Cmd {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "standin.toml")
 	require.NoError(t, os.WriteFile(path, []byte(settings), 0o600))
@@ -36,7 +36,7 @@
 	return cmd
 }
 
-const good = `
+const validSettings = `
 listen = "127.0.0.1:0"
 [[fleet]]
 prefix = "vm"
@@ -47,7 +47,7 @@
 func TestServesUntilTerminated(t *testing.T) {
 	// A developer starts the binary, takes the control page's address from its
 	// log, finds the page there, and ends it with SIGTERM: exit code 0.
-	cmd := commandWith(t, good)
+	cmd := commandWithSettings(t, validSettings)
 	stderr, err := cmd.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, cmd.Start())
@@ -70,10 +70,10 @@
 	require.NoError(t, cmd.Wait())
 }
 
-func TestAllMistakesAreReportedWithTheirLines(t *testing.T) {
+func TestAllSettingsErrorsAreReportedWithTheirLines(t *testing.T) {
 	// A developer checks a file with a mistake in nearly every line and sees all
 	// of them in one go, each with its line, and a non-zero exit.
-	cmd := commandWith(t, strings.Join([]string{
+	cmd := commandWithSettings(t, strings.Join([]string{
 		`listen = "localhost:80"`,
 		`log_level = "loud"`,
 		`log_format = "xml"`,
@@ -122,19 +122,19 @@
 }
 
 func TestCheckAcceptsGoodSettings(t *testing.T) {
-	require.NoError(t, commandWith(t, good, "--check").Run())
+	require.NoError(t, commandWithSettings(t, validSettings, "--check").Run())
 	_, err := loadSettings("../../examples/settings/standin.toml")
 	require.NoError(t, err)
 }
 
-func TestAddressInUseEndsWithItsName(t *testing.T) {
+func TestAddressInUseIsReported(t *testing.T) {
 	// Something else has the address already: the binary says which one it could
 	// not have and exits non-zero.
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
 	address := listener.Addr().String()
-	out, err := commandWith(t, strings.Replace(good, "127.0.0.1:0", address, 1)).CombinedOutput()
+	out, err := commandWithSettings(t, strings.Replace(validSettings, "127.0.0.1:0", address, 1)).CombinedOutput()
 	require.Error(t, err)
 	require.Contains(t, string(out), "listen on "+address)
 }
--- a/cmd/yuccadrift-standin/settings.go
+++ b/cmd/yuccadrift-standin/settings.go
@@ -77,7 +77,7 @@
 	s, positions, problems := tomlfile.DecodeOver(path, data, defaultSettings())
 	if !problems.Malformed() {
 		check := checker{positions: positions, problems: &problems}
-		check.settings(s)
+		check.checkSettings(s)
 	}
 	return s, problems.Err()
 }
@@ -88,18 +88,18 @@
 	problems  *tomlfile.Problems
 }
 
-func (c checker) require(ok bool, key, wrong, expected string) {
+func (c checker) require(ok bool, key, problem, expected string) {
 	if !ok {
-		c.problems.Add(c.positions.Problem(key, wrong, expected))
+		c.problems.Add(c.positions.Problem(key, problem, expected))
 	}
 }
 
-// within requires low <= value <= high.
-func (c checker) within(value, low, high int, key string) {
+// requireRange requires low <= value <= high.
+func (c checker) requireRange(value, low, high int, key string) {
 	c.require(value >= low && value <= high, key, fmt.Sprintf("%d is out of range", value), fmt.Sprintf("%d to %d", low, high))
 }
 
-func (c checker) settings(s settings) {
+func (c checker) checkSettings(s settings) {
 	c.require(s.Listen.IsValid(), "listen", "is missing", "an IP number with a port, such as \"127.0.0.1:7070\"")
 	c.require(hclog.LevelFromString(s.LogLevel) != hclog.NoLevel, "log_level", "is unknown", "trace, debug, info, warn, error or off")
 	c.require(s.LogFormat == "text" || s.LogFormat == "json", "log_format", "is unknown", "text or json")
@@ -108,16 +108,16 @@
 	c.require(s.LogService.RetentionAge.Duration >= 0, "log.retention_age", "is negative", "a duration, or \"0s\" for no limit")
 	c.require(s.LogService.AppendsPerSecond > 0, "log.appends_per_second", "is not positive", "a number of appends")
 	c.require(len(s.Fleet) > 0, "fleet", "is missing", "at least one table [[fleet]]")
-	c.fleet(s.Fleet)
+	c.checkFleet(s.Fleet)
 }
 
-func (c checker) fleet(groups []groupSetting) {
+func (c checker) checkFleet(groups []groupSetting) {
 	prefixes := map[string]bool{}
 	ports := map[int]string{}
 	total := 0
 	for i, g := range groups {
 		key := func(name string) string { return fmt.Sprintf("fleet[%d].%s", i, name) }
-		c.group(g, key)
+		c.checkGroup(g, key)
 		c.require(!prefixes[g.Prefix], key("prefix"), "is used by another group", "a prefix of its own")
 		prefixes[g.Prefix] = true
 		total += max(0, g.Count)
@@ -130,9 +130,9 @@
 	}
 }
 
-func (c checker) group(g groupSetting, key func(string) string) {
+func (c checker) checkGroup(g groupSetting, key func(string) string) {
 	c.require(namePattern.MatchString(g.Prefix), key("prefix"), fmt.Sprintf("%q is no name", g.Prefix), "lower-case letters, digits and hyphens")
-	c.within(g.Count, 1, maxVMs, key("count"))
+	c.requireRange(g.Count, 1, maxVMs, key("count"))
 	c.require(len(g.Zones) > 0, key("zones"), "is missing", "at least one availability zone")
 	for i, zone := range g.Zones {
 		c.require(namePattern.MatchString(zone), key(fmt.Sprintf("zones[%d]", i)), fmt.Sprintf("%q is no name", zone), "lower-case letters, digits and hyphens")
--- a/internal/platform/appender.go
+++ b/internal/platform/appender.go
@@ -68,8 +68,8 @@
 	opts    AppenderOptions
 	limiter *rate.Limiter
 	queue   chan *pending
-	// held is the entry that did not fit into the last batch.
-	held *pending
+	// overflow is the entry that did not fit into the last batch.
+	overflow *pending
 }
 
 // pending is one entry on its way. claimed settles a race: the duty takes the
@@ -77,10 +77,10 @@
 type pending struct {
 	data    []byte
 	claimed atomic.Bool
-	done    chan appended
+	done    chan appendResult
 }
 
-type appended struct {
+type appendResult struct {
 	offset Offset
 	err    error
 }
@@ -105,7 +105,7 @@
 	if len(data) > MaxEntryBytes {
 		return 0, errors.Wrapf(ErrRejected, "an entry holds at most %d bytes", MaxEntryBytes)
 	}
-	p := &pending{data: data, done: make(chan appended, 1)}
+	p := &pending{data: data, done: make(chan appendResult, 1)}
 	select {
 	case a.queue <- p:
 	case <-ctx.Done():
@@ -126,25 +126,25 @@
 // still waits then waits for the next Serve or the end of its caller's context.
 func (a *Appender) Serve(ctx context.Context) error {
 	for {
-		first, err := a.next(ctx)
+		first, err := a.nextEntry(ctx)
 		if err != nil {
 			return err
 		}
 		if err := a.limiter.Wait(ctx); err != nil {
-			a.held = first
+			a.overflow = first
 			return err
 		}
-		a.flush(ctx, a.gather(ctx, first))
+		a.flush(ctx, a.collectBatch(ctx, first))
 	}
 }
 
-// next returns the entry that begins the next batch.
-func (a *Appender) next(ctx context.Context) (*pending, error) {
+// nextEntry returns the entry that begins the next batch.
+func (a *Appender) nextEntry(ctx context.Context) (*pending, error) {
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	if first := a.held; first != nil {
-		a.held = nil
+	if first := a.overflow; first != nil {
+		a.overflow = nil
 		return first, nil
 	}
 	select {
@@ -155,8 +155,8 @@
 	}
 }
 
-// gather fills a batch until it is full or has lingered long enough.
-func (a *Appender) gather(ctx context.Context, first *pending) []*pending {
+// collectBatch fills a batch until it is full or has lingered long enough.
+func (a *Appender) collectBatch(ctx context.Context, first *pending) []*pending {
 	batch := []*pending{first}
 	size := len(first.data)
 	linger := time.NewTimer(a.opts.Linger)
@@ -165,7 +165,7 @@
 		select {
 		case p := <-a.queue:
 			if size += len(p.data); size > a.opts.BatchBytes {
-				a.held = p
+				a.overflow = p
 				return batch
 			}
 			batch = append(batch, p)
@@ -197,9 +197,9 @@
 	offset, err := a.log.Append(ctx, a.stream, entries)
 	for i, p := range sent {
 		if err != nil {
-			p.done <- appended{err: err}
+			p.done <- appendResult{err: err}
 			continue
 		}
-		p.done <- appended{offset: offset + Offset(i)}
+		p.done <- appendResult{offset: offset + Offset(i)}
 	}
 }
--- a/internal/platform/appender_test.go
+++ b/internal/platform/appender_test.go
@@ -9,54 +9,54 @@
 	"github.com/stretchr/testify/require"
 )
 
-func newGatedLog() *gatedLog {
-	return &gatedLog{calls: make(chan [][]byte, 16), verdict: make(chan error, 16)}
+func newBlockingLog() *blockingLog {
+	return &blockingLog{calls: make(chan [][]byte, 16), results: make(chan error, 16)}
 }
 
 // appendAll starts an append per entry and returns their results in that order.
-func appendAll(ctx context.Context, a *Appender, entries ...string) []chan appended {
-	var results []chan appended
+func appendAll(ctx context.Context, a *Appender, entries ...string) []chan appendResult {
+	var results []chan appendResult
 	for _, data := range entries {
-		result := make(chan appended, 1)
+		result := make(chan appendResult, 1)
 		results = append(results, result)
 		go func() {
 			offset, err := a.Append(ctx, []byte(data))
-			result <- appended{offset: offset, err: err}
+			result <- appendResult{offset: offset, err: err}
 		}()
 		synctest.Wait()
 	}
 	return results
 }
 
-func TestAppenderBatchesAndGivesEachItsOffset(t *testing.T) {
+func TestAppenderBatchesEntriesInOrder(t *testing.T) {
 	// Five callers wait. Three see adjacent offsets from one append to the log;
 	// the fourth's entry does not fit and goes with the next, still before the
 	// fifth's.
 	synctest.Test(t, func(t *testing.T) {
-		log := newGatedLog()
+		log := newBlockingLog()
 		a := NewAppender(log, "s", AppenderOptions{BatchBytes: 6, Linger: time.Second, Rate: 10})
 		results := appendAll(t.Context(), a, "aa", "bb", "cc", "dd", "ee")
 		go a.Serve(t.Context())
 		require.Equal(t, [][]byte{[]byte("aa"), []byte("bb"), []byte("cc")}, <-log.calls)
-		log.verdict <- nil
-		log.verdict <- nil
+		log.results <- nil
+		log.results <- nil
 		for i, result := range results {
-			require.Equal(t, appended{offset: Offset(i + 1)}, <-result)
+			require.Equal(t, appendResult{offset: Offset(i + 1)}, <-result)
 		}
 		require.Equal(t, [][]byte{[]byte("dd"), []byte("ee")}, <-log.calls)
 	})
 }
 
-func TestAppenderKeepsToItsRate(t *testing.T) {
+func TestAppenderRateLimit(t *testing.T) {
 	// Ten entries come one after the other, each after the last was answered.
 	// At two appends a second the tenth is answered no sooner than 4.5 s on.
 	synctest.Test(t, func(t *testing.T) {
-		log := newGatedLog()
+		log := newBlockingLog()
 		a := NewAppender(log, "s", AppenderOptions{Rate: 2})
 		go a.Serve(t.Context())
 		start := time.Now()
 		for range 10 {
-			log.verdict <- nil
+			log.results <- nil
 			_, err := a.Append(t.Context(), []byte("x"))
 			require.NoError(t, err)
 			<-log.calls
@@ -65,12 +65,12 @@
 	})
 }
 
-func TestAppenderTellsWithdrawnFromUnknown(t *testing.T) {
+func TestAppenderErrorsOfCancelledAppends(t *testing.T) {
 	// The first entry is with the log, the second still waits, when both callers
 	// give up. The first sees ErrUnknownOutcome, the second ErrUnavailable; the
 	// second's entry must then never be sent, or a retry would double it.
 	synctest.Test(t, func(t *testing.T) {
-		log := newGatedLog()
+		log := newBlockingLog()
 		a := NewAppender(log, "s", AppenderOptions{})
 		go a.Serve(t.Context())
 		ctx, cancel := context.WithCancel(t.Context())
@@ -81,18 +81,18 @@
 		require.ErrorIs(t, (<-first).err, ErrUnknownOutcome)
 		require.ErrorIs(t, (<-second).err, ErrUnavailable)
 		third := appendAll(t.Context(), a, "third")[0]
-		log.verdict <- nil
-		log.verdict <- ErrThrottled
+		log.results <- nil
+		log.results <- ErrThrottled
 		require.Equal(t, [][]byte{[]byte("third")}, <-log.calls)
 		require.ErrorIs(t, (<-third).err, ErrThrottled)
 	})
 }
 
-func TestAppenderFinishesTheAppendUnderWay(t *testing.T) {
+func TestAppenderFinishesAppendInFlightOnShutdown(t *testing.T) {
 	// The process is told to stop while an append is with the log. Its caller
 	// sees the offset, not "unknown": the append isn't cut with the duty.
 	synctest.Test(t, func(t *testing.T) {
-		log := newGatedLog()
+		log := newBlockingLog()
 		a := NewAppender(log, "s", AppenderOptions{})
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
@@ -100,8 +100,8 @@
 		result := appendAll(t.Context(), a, "x")[0]
 		<-log.calls
 		cancel()
-		log.verdict <- nil
-		require.Equal(t, appended{offset: 1}, <-result)
+		log.results <- nil
+		require.Equal(t, appendResult{offset: 1}, <-result)
 		require.ErrorIs(t, <-ended, context.Canceled)
 	})
 }
--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -13,7 +13,7 @@
 // Append implements Log.
 func (c *Client) Append(ctx context.Context, stream string, entries [][]byte) (Offset, error) {
 	var reply AppendReply
-	k := call{method: http.MethodPost, path: logPath(stream), in: AppendRequest{Entries: entries}, out: &reply, acts: true}
+	k := call{method: http.MethodPost, path: logPath(stream), requestBody: AppendRequest{Entries: entries}, replyBody: &reply, mutates: true}
 	if err := c.do(ctx, &k); err != nil {
 		return 0, err
 	}
@@ -28,10 +28,10 @@
 	query.Set(QueryMax, strconv.Itoa(max))
 	query.Set(QueryWaitMS, strconv.FormatInt(wait.Milliseconds(), 10))
 	var batch Batch
-	k := call{method: http.MethodGet, path: logPath(stream) + "?" + query.Encode(), out: &batch, wait: wait}
+	k := call{method: http.MethodGet, path: logPath(stream) + "?" + query.Encode(), replyBody: &batch, wait: wait}
 	err := c.do(ctx, &k)
 	if errors.Is(err, ErrTrimmed) {
-		return Batch{First: k.refusal.First, Next: k.refusal.Next}, err
+		return Batch{First: k.errorReply.First, Next: k.errorReply.Next}, err
 	}
 	if err != nil {
 		return Batch{}, err
@@ -44,7 +44,7 @@
 // List implements Fleet.
 func (c *Client) List(ctx context.Context) (VMList, error) {
 	var list VMList
-	err := c.do(ctx, &call{method: http.MethodGet, path: "/v1/vms", out: &list})
+	err := c.do(ctx, &call{method: http.MethodGet, path: "/v1/vms", replyBody: &list})
 	return list, err
 }
 
@@ -67,13 +67,13 @@
 func (c *Client) Operation(ctx context.Context, vm, id string) (OperationStatus, error) {
 	var reply OperationReply
 	path := vmPath(vm) + "/operations/" + url.PathEscape(id)
-	err := c.do(ctx, &call{method: http.MethodGet, path: path, out: &reply})
+	err := c.do(ctx, &call{method: http.MethodGet, path: path, replyBody: &reply})
 	return reply.Status, err
 }
 
 func (c *Client) actOnVM(ctx context.Context, vm, verb string, op Operation) (OperationStatus, error) {
 	var reply OperationReply
-	k := call{method: http.MethodPost, path: vmPath(vm) + "/" + verb, in: op, out: &reply, acts: true}
+	k := call{method: http.MethodPost, path: vmPath(vm) + "/" + verb, requestBody: op, replyBody: &reply, mutates: true}
 	err := c.do(ctx, &k)
 	return reply.Status, err
 }
@@ -88,7 +88,7 @@
 // Renew implements Tasks.
 func (c *Client) Renew(ctx context.Context, worker string, tasks []string, lease time.Duration, fence Offset) error {
 	in := RenewRequest{Tasks: tasks, Lease: lease, Fence: fence}
-	return c.do(ctx, &call{method: http.MethodPost, path: workerPath(worker) + "/renew", in: in, acts: true})
+	return c.do(ctx, &call{method: http.MethodPost, path: workerPath(worker) + "/renew", requestBody: in, mutates: true})
 }
 
 // Checkpoint implements Tasks.
@@ -109,20 +109,20 @@
 // Status implements Tasks.
 func (c *Client) Status(ctx context.Context, worker string) ([]TaskStatus, error) {
 	var statuses []TaskStatus
-	err := c.do(ctx, &call{method: http.MethodGet, path: workerPath(worker) + "/tasks", out: &statuses})
+	err := c.do(ctx, &call{method: http.MethodGet, path: workerPath(worker) + "/tasks", replyBody: &statuses})
 	return statuses, err
 }
 
 // Usage implements Tasks.
 func (c *Client) Usage(ctx context.Context) ([]Usage, error) {
 	var usage []Usage
-	err := c.do(ctx, &call{method: http.MethodGet, path: "/v1/usage", out: &usage})
+	err := c.do(ctx, &call{method: http.MethodGet, path: "/v1/usage", replyBody: &usage})
 	return usage, err
 }
 
 func (c *Client) actOnTask(ctx context.Context, path string, in any) (TaskStatus, error) {
 	var status TaskStatus
-	err := c.do(ctx, &call{method: http.MethodPost, path: path, in: in, out: &status, acts: true})
+	err := c.do(ctx, &call{method: http.MethodPost, path: path, requestBody: in, replyBody: &status, mutates: true})
 	return status, err
 }
 
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -78,14 +78,14 @@
 // call is one request. acts is true when it changes something on the platform:
 // only then a missing reply is an unknown outcome rather than unavailability.
 type call struct {
-	method string
-	path   string
-	in     any
-	out    any
-	acts   bool
-	wait   time.Duration
-	// refusal is filled from the body of a refusal.
-	refusal ErrorReply
+	method      string
+	path        string
+	requestBody any
+	replyBody   any
+	mutates     bool
+	wait        time.Duration
+	// errorReply is filled from the body of a refusal.
+	errorReply ErrorReply
 }
 
 // do sends the call once and sorts its outcome into the errors of this package.
@@ -98,26 +98,26 @@
 	if err := ctx.Err(); err != nil {
 		return errors.Wrap(ErrUnavailable, err.Error())
 	}
-	var used connUse
-	req, err := c.request(httptrace.WithClientTrace(ctx, used.trace()), k)
+	var used connTracker
+	req, err := c.newRequest(httptrace.WithClientTrace(ctx, used.clientTrace()), k)
 	if err != nil {
 		return errors.Wrap(ErrRejected, err.Error())
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return k.lost(used.written(), err)
+		return k.noReplyError(used.sealAndReportWrites(), err)
 	}
 	defer resp.Body.Close()
-	return k.answer(resp)
+	return k.handleResponse(resp)
 }
 
-// request builds the HTTP request. The Transport replays a request by itself
+// newRequest builds the HTTP request. The Transport replays a request by itself
 // when a reused connection breaks and the request is "replayable"; a POST
 // without GetBody and without an idempotency header never is.
-func (c *Client) request(ctx context.Context, k *call) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, k *call) (*http.Request, error) {
 	var body io.Reader
-	if k.in != nil {
-		data, err := json.Marshal(k.in)
+	if k.requestBody != nil {
+		data, err := json.Marshal(k.requestBody)
 		if err != nil {
 			return nil, err
 		}
@@ -128,48 +128,48 @@
 		return nil, err
 	}
 	req.GetBody = nil
-	if k.in != nil {
+	if k.requestBody != nil {
 		req.Header.Set("Content-Type", "application/json")
 	}
 	return req, nil
 }
 
-// lost sorts a call without a complete reply.
-func (k *call) lost(written bool, cause error) error {
-	if k.acts && written {
+// noReplyError sorts a call without a complete reply.
+func (k *call) noReplyError(written bool, cause error) error {
+	if k.mutates && written {
 		return errors.Wrap(ErrUnknownOutcome, cause.Error())
 	}
 	return errors.Wrap(ErrUnavailable, cause.Error())
 }
 
-// answer sorts a reply. A success counts only when its body is whole; a
+// handleResponse sorts a reply. A success counts only when its body is whole; a
 // refusal's status line says enough by itself.
-func (k *call) answer(resp *http.Response) error {
+func (k *call) handleResponse(resp *http.Response) error {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, MaxBodyBytes+1))
 	if err == nil && len(data) > MaxBodyBytes {
 		err = errors.New("reply exceeds the limit")
 	}
 	if resp.StatusCode != http.StatusOK {
-		return k.refused(resp.StatusCode, data)
+		return k.statusError(resp.StatusCode, data)
 	}
 	if err != nil {
-		return k.lost(true, err)
+		return k.noReplyError(true, err)
 	}
-	if k.out == nil {
+	if k.replyBody == nil {
 		return nil
 	}
-	if err := json.Unmarshal(data, k.out); err != nil {
-		return k.lost(true, errors.Wrap(err, "malformed reply"))
+	if err := json.Unmarshal(data, k.replyBody); err != nil {
+		return k.noReplyError(true, errors.Wrap(err, "malformed reply"))
 	}
 	return nil
 }
 
-// refused maps a status code to an error of this package.
-func (k *call) refused(status int, data []byte) error {
-	if json.Unmarshal(data, &k.refusal) != nil || k.refusal.Message == "" {
-		k.refusal.Message = http.StatusText(status)
+// statusError maps a status code to an error of this package.
+func (k *call) statusError(status int, data []byte) error {
+	if json.Unmarshal(data, &k.errorReply) != nil || k.errorReply.Message == "" {
+		k.errorReply.Message = http.StatusText(status)
 	}
-	message := k.refusal.Message
+	message := k.errorReply.Message
 	switch {
 	case status == http.StatusConflict:
 		return errors.Wrap(ErrFenced, message)
@@ -182,30 +182,30 @@
 	case status == http.StatusServiceUnavailable:
 		return errors.Wrap(ErrUnavailable, message)
 	case status >= http.StatusInternalServerError:
-		return k.lost(true, errors.New(message))
+		return k.noReplyError(true, errors.New(message))
 	default:
 		return errors.Wrap(ErrRejected, message)
 	}
 }
 
-// connUse follows which connection a request got and whether it wrote to it.
+// connTracker follows which connection a request got and whether it wrote to it.
 // The Transport sets it on the goroutine of the call.
-type connUse struct {
-	conn *sealableConn
-	mark uint64
+type connTracker struct {
+	conn         *sealableConn
+	writesBefore uint64
 }
 
-func (u *connUse) trace() *httptrace.ClientTrace {
+func (u *connTracker) clientTrace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		u.conn, _ = info.Conn.(*sealableConn)
 		if u.conn != nil {
-			u.mark = u.conn.mark()
+			u.writesBefore = u.conn.writeCount()
 		}
 	}}
 }
 
-// written reports whether any byte of the failed request can have left, and
+// sealAndReportWrites reports whether any byte of the failed request can have left, and
 // makes sure that none leaves later.
-func (u *connUse) written() bool {
-	return u.conn != nil && u.conn.seal(u.mark)
+func (u *connTracker) sealAndReportWrites() bool {
+	return u.conn != nil && u.conn.seal(u.writesBefore)
 }
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -21,7 +21,7 @@
 	requests atomic.Int32
 }
 
-func startRaw(t *testing.T, serve func(s *rawServer, conn net.Conn, number int)) *rawServer {
+func startRawServer(t *testing.T, serve func(s *rawServer, conn net.Conn, number int)) *rawServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -59,7 +59,7 @@
 
 const wholeReply = "HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"offset\": 7}"
 
-func TestOutcomeFollowsFromWhatWasSentAndReceived(t *testing.T) {
+func TestErrorDependsOnWhatWasSentAndReceived(t *testing.T) {
 	// The caller sees ErrUnavailable only where the platform cannot have acted,
 	// ErrUnknownOutcome wherever it may have: the connection breaks at each point
 	// of the exchange in turn. A read never acts, so it is never "unknown".
@@ -95,7 +95,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := startRaw(t, tc.serve)
+			s := startRawServer(t, tc.serve)
 			offset, err := s.client(t).Append(t.Context(), "s", [][]byte{[]byte("x")})
 			require.ErrorIs(t, err, tc.act)
 			require.Equal(t, tc.wantOffset, offset)
@@ -123,7 +123,7 @@
 func TestDeadlineWithoutReplyIsUnknown(t *testing.T) {
 	// The platform reads the append and hangs; the caller's deadline passes. It
 	// sees ErrUnknownOutcome, since the append may take effect later.
-	s := startRaw(t, func(s *rawServer, conn net.Conn, _ int) {
+	s := startRawServer(t, func(s *rawServer, conn net.Conn, _ int) {
 		s.readRequest(bufio.NewReader(conn))
 		io.Copy(io.Discard, conn)
 	})
@@ -137,7 +137,7 @@
 	// The platform answers one append, then takes a second one on the same
 	// connection and cuts. net/http would replay a replayable request by itself
 	// here, and the append would be in the log twice under one call.
-	s := startRaw(t, func(s *rawServer, conn net.Conn, number int) {
+	s := startRawServer(t, func(s *rawServer, conn net.Conn, number int) {
 		r := bufio.NewReader(conn)
 		s.readRequest(r)
 		io.WriteString(conn, wholeReply)
@@ -160,7 +160,7 @@
 	near, far := net.Pipe()
 	defer far.Close()
 	conn := &sealableConn{Conn: near}
-	require.False(t, conn.seal(conn.mark()))
+	require.False(t, conn.seal(conn.writeCount()))
 	_, err := conn.Write([]byte("late"))
 	require.ErrorIs(t, err, errSealed)
 	near.Close()
@@ -168,17 +168,17 @@
 	require.Empty(t, left)
 }
 
-// gatedLog is a Log whose appends wait for a verdict.
-type gatedLog struct {
+// blockingLog is a Log whose appends wait for a verdict.
+type blockingLog struct {
 	Log
 	calls   chan [][]byte
-	verdict chan error
+	results chan error
 	next    Offset
 }
 
-func (l *gatedLog) Append(ctx context.Context, _ string, entries [][]byte) (Offset, error) {
+func (l *blockingLog) Append(ctx context.Context, _ string, entries [][]byte) (Offset, error) {
 	l.calls <- entries
-	if err := <-l.verdict; err != nil {
+	if err := <-l.results; err != nil {
 		return 0, err
 	}
 	first := l.next + 1
--- a/internal/platform/conn.go
+++ b/internal/platform/conn.go
@@ -38,19 +38,19 @@
 	return c.Conn.Write(p)
 }
 
-// mark returns the number of writes so far.
-func (c *sealableConn) mark() uint64 {
+// writeCount returns the number of writes so far.
+func (c *sealableConn) writeCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
 // seal refuses all further writes and reports whether any came after mark.
-func (c *sealableConn) seal(mark uint64) bool {
+func (c *sealableConn) seal(before uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
-	return c.writes > mark
+	return c.writes > before
 }
 
 // dialSealable wraps a dialer so that its connections are sealableConns.
--- a/internal/standin/api.go
+++ b/internal/standin/api.go
@@ -53,29 +53,29 @@
 		if r.Method == http.MethodPost {
 			body := http.MaxBytesReader(w, r.Body, platform.MaxBodyBytes)
 			if err := json.NewDecoder(body).Decode(&in); err != nil {
-				refuse(w, errors.Wrap(platform.ErrRejected, err.Error()), platform.Batch{})
+				writeError(w, errors.Wrap(platform.ErrRejected, err.Error()), platform.Batch{})
 				return
 			}
 		}
 		out, err := do(r, &in)
 		if err != nil {
 			batch, _ := out.(platform.Batch)
-			refuse(w, err, batch)
+			writeError(w, err, batch)
 			return
 		}
-		answer(w, r, out)
+		writeReply(w, r, out)
 	}
 }
 
 // compressFrom is the size in bytes from which an answer is compressed.
 const compressFrom = 1 << 10
 
-// answer replies with a success, compressed when it is large and the client
+// writeReply replies with a success, compressed when it is large and the client
 // accepts that.
-func answer(w http.ResponseWriter, r *http.Request, out any) {
+func writeReply(w http.ResponseWriter, r *http.Request, out any) {
 	body := mustJSON(out)
 	if len(body) < compressFrom || !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
-		send(w, http.StatusOK, body)
+		writeBody(w, http.StatusOK, body)
 		return
 	}
 	var small bytes.Buffer
@@ -83,25 +83,25 @@
 	zip.Write(body) // a Buffer takes all
 	zip.Close()
 	w.Header().Set("Content-Encoding", "gzip")
-	send(w, http.StatusOK, small.Bytes())
+	writeBody(w, http.StatusOK, small.Bytes())
 }
 
-func reply(w http.ResponseWriter, status int, out any) { send(w, status, mustJSON(out)) }
+func writeJSON(w http.ResponseWriter, status int, out any) { writeBody(w, status, mustJSON(out)) }
 
-func send(w http.ResponseWriter, status int, body []byte) {
+func writeBody(w http.ResponseWriter, status int, body []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
 	w.Write(body)
 }
 
-// refuse answers with the status code of an error. An unknown outcome gets no
+// writeError answers with the status code of an error. An unknown outcome gets no
 // answer: the connection is cut.
-func refuse(w http.ResponseWriter, err error, batch platform.Batch) {
+func writeError(w http.ResponseWriter, err error, batch platform.Batch) {
 	if errors.Is(err, platform.ErrUnknownOutcome) {
-		cut()
+		cutConnection()
 	}
-	reply(w, statusOf(err), platform.ErrorReply{Message: err.Error(), First: batch.First, Next: batch.Next})
+	writeJSON(w, statusOf(err), platform.ErrorReply{Message: err.Error(), First: batch.First, Next: batch.Next})
 }
 
 func statusOf(err error) int {
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -53,7 +53,7 @@
 	counts   VMCounters
 	keys     map[string]KeyCounters
 	busy     int
-	inFlight map[*backendRun]struct{}
+	inFlight map[*backendRequest]struct{}
 	boots    int
 	server   *http.Server
 	stopped  chan struct{} // closed when the present boot ends
@@ -62,10 +62,10 @@
 // open serves on listener until close.
 func (b *backend) open(listener net.Listener, connections, boots int) {
 	limited := &limitListener{
-		Listener: listener,
-		limit:    connections,
-		refuse:   func() { b.count(func(c *VMCounters) { c.RefusedConnections++ }) },
-		cut: func() bool {
+		Listener:  listener,
+		limit:     connections,
+		onRefused: func() { b.updateCounts(func(c *VMCounters) { c.RefusedConnections++ }) },
+		shouldCut: func() bool {
 			_, ok := b.platform.takeFault(CutBeforeRead, b.vm)
 			return ok
 		},
@@ -77,7 +77,7 @@
 	}
 	b.mu.Lock()
 	b.server, b.stopped, b.boots = server, stopped, boots
-	b.inFlight = map[*backendRun]struct{}{}
+	b.inFlight = map[*backendRequest]struct{}{}
 	b.mu.Unlock()
 	go server.Serve(limited)
 }
@@ -104,7 +104,7 @@
 // countCut counts a request that the VM's end cuts: a lost VM's apart, for no one
 // could have spared those, and a run that its client had given up apart, for no
 // one waits for it.
-func (b *backend) countCut(run *backendRun, lost bool) {
+func (b *backend) countCut(run *backendRequest, lost bool) {
 	switch {
 	case lost:
 		b.counts.LostInFlight++
@@ -121,7 +121,7 @@
 	return b.boots, b.server != nil
 }
 
-func (b *backend) count(f func(*VMCounters)) {
+func (b *backend) updateCounts(f func(*VMCounters)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f(&b.counts)
@@ -133,11 +133,11 @@
 		b.serveHealth(w)
 		return
 	}
-	run := &backendRun{backend: b, w: w, r: r, key: r.Header.Get(HeaderKey), stopped: stopped}
-	if !b.arrive(run) {
-		cut()
+	run := &backendRequest{backend: b, w: w, r: r, key: r.Header.Get(HeaderKey), stopped: stopped}
+	if !b.addRequest(run) {
+		cutConnection()
 	}
-	defer b.depart(run)
+	defer b.removeRequest(run)
 	run.serve()
 }
 
@@ -149,8 +149,8 @@
 	io.WriteString(w, "ok\n")
 }
 
-// arrive counts a request; false means that the VM has gone down meanwhile.
-func (b *backend) arrive(run *backendRun) bool {
+// addRequest counts a request; false means that the VM has gone down meanwhile.
+func (b *backend) addRequest(run *backendRequest) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counts.Seen++
@@ -166,8 +166,8 @@
 	}
 }
 
-// depart ends a request unless the VM went down and counted it as cut.
-func (b *backend) depart(run *backendRun) {
+// removeRequest ends a request unless the VM went down and counted it as cut.
+func (b *backend) removeRequest(run *backendRequest) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	select {
@@ -186,8 +186,8 @@
 	return c
 }
 
-// enter takes a slot, or counts the refusal.
-func (b *backend) enter(key string) bool {
+// acquireSlot takes a slot, or counts the refusal.
+func (b *backend) acquireSlot(key string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.busy >= b.slots {
@@ -200,7 +200,7 @@
 	return true
 }
 
-func (b *backend) leave() {
+func (b *backend) releaseSlot() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.busy--
@@ -214,8 +214,8 @@
 	return b.countKey(key, KeyCounters{Runs: 1}).Runs
 }
 
-// backendRun is the handling of one request.
-type backendRun struct {
+// backendRequest is the handling of one request.
+type backendRequest struct {
 	backend *backend
 	w       http.ResponseWriter
 	r       *http.Request
@@ -223,47 +223,47 @@
 	stopped <-chan struct{}
 }
 
-// cut breaks the connection; net/http takes this panic for just that.
-func cut() { panic(http.ErrAbortHandler) }
+// cutConnection breaks the connection; net/http takes this panic for just that.
+func cutConnection() { panic(http.ErrAbortHandler) }
 
-func (run *backendRun) fault(kind FaultKind) (Fault, bool) {
+func (run *backendRequest) fault(kind FaultKind) (Fault, bool) {
 	return run.backend.platform.takeFault(kind, run.backend.vm)
 }
 
-func (run *backendRun) cutIf(kind FaultKind) {
+func (run *backendRequest) cutOnFault(kind FaultKind) {
 	if _, ok := run.fault(kind); ok {
-		cut()
+		cutConnection()
 	}
 }
 
-func (run *backendRun) serve() {
-	run.cutIf(CutAfterHeader)
+func (run *backendRequest) serve() {
+	run.cutOnFault(CutAfterHeader)
 	if _, ok := run.fault(BackendError); ok {
 		http.Error(run.w, "ordered to fail", http.StatusInternalServerError)
 		return
 	}
-	if !run.backend.enter(run.key) {
+	if !run.backend.acquireSlot(run.key) {
 		run.w.Header().Set(HeaderBackend, NotRun)
 		http.Error(run.w, "all slots are busy", http.StatusServiceUnavailable)
 		return
 	}
-	defer run.backend.leave()
+	defer run.backend.releaseSlot()
 	body, err := io.Copy(io.Discard, http.MaxBytesReader(run.w, run.r.Body, maxBodyBytes))
 	if err != nil {
-		cut()
+		cutConnection()
 	}
 	run.freeze()
 	number := run.backend.countRun(run.key)
-	run.workFor()
-	run.cutIf(CutAfterRun)
+	run.simulateWork()
+	run.cutOnFault(CutAfterRun)
 	if f, ok := run.fault(BackendLate); ok {
 		run.sleep(f.Delay())
 	}
-	run.answer(number, body)
+	run.writeAnswer(number, body)
 }
 
 // freeze holds the request for the fault's delay, or until the fault ends.
-func (run *backendRun) freeze() {
+func (run *backendRequest) freeze() {
 	f, ok := run.fault(BackendFreeze)
 	if !ok {
 		return
@@ -272,13 +272,13 @@
 	for f.DelayMS == 0 && run.backend.platform.isActive(f.ID) {
 		run.sleep(freezePoll)
 		if run.r.Context().Err() != nil {
-			cut()
+			cutConnection()
 		}
 	}
 }
 
-// workFor spends the run's time. A run goes on when its client leaves.
-func (run *backendRun) workFor() {
+// simulateWork spends the run's time. A run goes on when its client leaves.
+func (run *backendRequest) simulateWork() {
 	work := run.backend.work
 	if ms, err := strconv.ParseFloat(run.r.Header.Get(HeaderWorkMS), 64); err == nil && ms >= 0 {
 		work = time.Duration(min(ms*float64(time.Millisecond), float64(maxWork)))
@@ -290,7 +290,7 @@
 }
 
 // sleep waits for d; when the VM goes down first, the run ends there.
-func (run *backendRun) sleep(d time.Duration) {
+func (run *backendRequest) sleep(d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -299,13 +299,13 @@
 	select {
 	case <-timer.C:
 	case <-run.stopped:
-		cut()
+		cutConnection()
 	}
 }
 
-// answer writes the answer whole within the handler, so that a request counts
+// writeAnswer writes the answer whole within the handler, so that a request counts
 // as in flight until the answer has left.
-func (run *backendRun) answer(number int, bodyBytes int64) {
+func (run *backendRequest) writeAnswer(number int, bodyBytes int64) {
 	echo := run.r.Header.Get(HeaderEcho)
 	size, err := strconv.Atoi(run.r.Header.Get(HeaderReplyBytes))
 	body := ReplyBody(echo, min(size, maxReplyBytes))
@@ -324,7 +324,7 @@
 	}
 	run.w.Write(body)
 	if http.NewResponseController(run.w).Flush() != nil || cutMid {
-		cut()
+		cutConnection()
 	}
 }
 
@@ -338,7 +338,7 @@
 	BodyBytes int64  `json:"body_bytes"`
 }
 
-func (run *backendRun) describe(number int, bodyBytes int64) []byte {
+func (run *backendRequest) describe(number int, bodyBytes int64) []byte {
 	return mustJSON(Answer{
 		VM:        run.backend.vm,
 		Path:      run.r.URL.Path,
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -21,17 +21,17 @@
 	eventPoll = time.Millisecond
 )
 
-// bench is a Server with one VM, a platform client and an HTTP client that
+// testServer is a Server with one VM, a platform client and an HTTP client that
 // opens a connection per request.
-type bench struct {
+type testServer struct {
 	*Server
-	fake   *Platform
-	client *platform.Client
-	http   http.Client
-	vm     string
+	fake           *Platform
+	client         *platform.Client
+	http           http.Client
+	backendAddress string
 }
 
-func startBench(t *testing.T, group Group) *bench {
+func startTestServer(t *testing.T, group Group) *testServer {
 	t.Helper()
 	group.Prefix, group.Count = "vm", 1
 	fake := New(Options{RetentionEntries: 3, Groups: []Group{group}})
@@ -40,7 +40,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(ctx) }()
-	b := &bench{Server: server, fake: fake, vm: server.BackendAddresses()[0]}
+	b := &testServer{Server: server, fake: fake, backendAddress: server.BackendAddresses()[0]}
 	b.client = platform.NewClient(server.Addr(), platform.ClientOptions{})
 	b.http.Transport = &http.Transport{DisableKeepAlives: true}
 	t.Cleanup(func() {
@@ -52,9 +52,9 @@
 }
 
 // call sends a request with a key and returns the status and body, or an error.
-func (b *bench) call(t *testing.T, key string, headers ...string) (*http.Response, []byte, error) {
+func (b *testServer) call(t *testing.T, key string, headers ...string) (*http.Response, []byte, error) {
 	t.Helper()
-	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+b.vm+"/path", strings.NewReader("body"))
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+b.backendAddress+"/path", strings.NewReader("body"))
 	require.NoError(t, err)
 	req.Header.Set(HeaderKey, key)
 	for i := 0; i < len(headers); i += 2 {
@@ -69,16 +69,18 @@
 	return resp, body, err
 }
 
-func (b *bench) key(key string) KeyCounters { return b.Counters(false, key).Backends.Keys[key] }
+func (b *testServer) keyCounters(key string) KeyCounters {
+	return b.Counters(false, key).Backends.Keys[key]
+}
 
-// await waits until the counters say so.
-func (b *bench) await(t *testing.T, ok func(BackendCounters) bool) {
+// awaitCounters waits until the counters say so.
+func (b *testServer) awaitCounters(t *testing.T, ok func(BackendCounters) bool) {
 	t.Helper()
 	require.Eventually(t, func() bool { return ok(b.Counters(true).Backends) }, eventWait, eventPoll)
 }
 
 func TestAnswerEchoesItsRequest(t *testing.T) {
-	b := startBench(t, Group{})
+	b := startTestServer(t, Group{})
 	resp, body, err := b.call(t, "k", HeaderEcho, "abc", HeaderReplyBytes, "10")
 	require.NoError(t, err)
 	require.Equal(t, "abcabcabca", string(body))
@@ -88,7 +90,7 @@
 	var answer Answer
 	require.NoError(t, json.Unmarshal(body, &answer))
 	require.Equal(t, Answer{VM: "vm-01", Path: "/path", Key: "k", Echo: "abc", Run: 2, BodyBytes: 4}, answer)
-	health, err := http.Get("http://" + b.vm + HealthPath)
+	health, err := http.Get("http://" + b.backendAddress + HealthPath)
 	require.NoError(t, err)
 	health.Body.Close()
 	require.Equal(t, http.StatusOK, health.StatusCode)
@@ -113,12 +115,12 @@
 		{BackendLate, http.StatusOK, KeyCounters{Seen: 1, Runs: 1}},
 		{BackendFreeze, http.StatusOK, KeyCounters{Seen: 1, Runs: 1}},
 	}
-	b := startBench(t, Group{})
+	b := startTestServer(t, Group{})
 	for _, tc := range cases {
 		t.Run(string(tc.kind), func(t *testing.T) {
 			key := string(tc.kind)
 			const delay = 50 * time.Millisecond
-			order(t, b.fake, Fault{Kind: tc.kind, Target: "vm-01", Count: 1, DelayMS: delay.Milliseconds()})
+			orderFaults(t, b.fake, Fault{Kind: tc.kind, Target: "vm-01", Count: 1, DelayMS: delay.Milliseconds()})
 			start := time.Now()
 			resp, _, err := b.call(t, key, HeaderReplyBytes, "100000")
 			if tc.status == 0 {
@@ -131,7 +133,7 @@
 			if tc.status == http.StatusOK {
 				require.GreaterOrEqual(t, time.Since(start), delay)
 			}
-			require.Equal(t, tc.want, b.key(key))
+			require.Equal(t, tc.want, b.keyCounters(key))
 			require.Empty(t, b.fake.Faults(), "the fault is used up")
 		})
 	}
@@ -140,21 +142,21 @@
 func TestHealthCheckFaults(t *testing.T) {
 	// A health check sees 503 while that is ordered, and passes unharmed where
 	// only a request is to be cut.
-	b := startBench(t, Group{})
-	order(t, b.fake, Fault{Kind: BackendUnhealthy, Count: 1}, Fault{Kind: CutBeforeRead})
+	b := startTestServer(t, Group{})
+	orderFaults(t, b.fake, Fault{Kind: BackendUnhealthy, Count: 1}, Fault{Kind: CutBeforeRead})
 	for _, want := range []int{http.StatusServiceUnavailable, http.StatusOK} {
-		resp, err := http.Get("http://" + b.vm + HealthPath)
+		resp, err := http.Get("http://" + b.backendAddress + HealthPath)
 		require.NoError(t, err)
 		resp.Body.Close()
 		require.Equal(t, want, resp.StatusCode)
 	}
 }
 
-func TestFullSlotsAnswerNotRun(t *testing.T) {
+func TestRequestsAboveTheSlotsAreAnsweredNotRun(t *testing.T) {
 	// Two frozen requests fill both slots. A third sees 503 with "not-run" and
 	// did not run; after the freeze both others run and are answered.
-	b := startBench(t, Group{Slots: 2})
-	ids := order(t, b.fake, Fault{Kind: BackendFreeze})
+	b := startTestServer(t, Group{Slots: 2})
+	ids := orderFaults(t, b.fake, Fault{Kind: BackendFreeze})
 	answers := make(chan error, 2)
 	for range 2 {
 		go func() {
@@ -162,30 +164,30 @@
 			answers <- err
 		}()
 	}
-	b.await(t, func(c BackendCounters) bool { return c.VMs["vm-01"].MaxBusy == 2 })
+	b.awaitCounters(t, func(c BackendCounters) bool { return c.VMs["vm-01"].MaxBusy == 2 })
 	resp, _, err := b.call(t, "third")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.Equal(t, NotRun, resp.Header.Get(HeaderBackend))
-	require.Equal(t, KeyCounters{Seen: 1, Refused: 1}, b.key("third"))
+	require.Equal(t, KeyCounters{Seen: 1, Refused: 1}, b.keyCounters("third"))
 	b.fake.Clear(ids...)
 	require.NoError(t, <-answers)
 	require.NoError(t, <-answers)
-	require.Equal(t, KeyCounters{Seen: 2, Runs: 2}, b.key("held"))
+	require.Equal(t, KeyCounters{Seen: 2, Runs: 2}, b.keyCounters("held"))
 }
 
 func TestConnectionsAboveTheLimitAreClosed(t *testing.T) {
 	// Two idle connections are open; a third is closed at accept, before anything
 	// is read. When one of the two ends there is room again.
-	b := startBench(t, Group{Connections: 2})
+	b := startTestServer(t, Group{Connections: 2})
 	var open []net.Conn
 	for range 2 {
-		conn, err := net.Dial("tcp", b.vm)
+		conn, err := net.Dial("tcp", b.backendAddress)
 		require.NoError(t, err)
 		defer conn.Close()
 		open = append(open, conn)
 	}
-	third, err := net.Dial("tcp", b.vm)
+	third, err := net.Dial("tcp", b.backendAddress)
 	require.NoError(t, err)
 	defer third.Close()
 	_, err = third.Read(make([]byte, 1))
@@ -198,24 +200,24 @@
 	}, eventWait, eventPoll)
 }
 
-func TestRebootCutsAndComesBack(t *testing.T) {
+func TestRebootCutsRequestsAndServesAgain(t *testing.T) {
 	// A VM is rebooted while a request runs on it: the caller's connection
 	// breaks, the cut is counted, nothing listens until the VM is brought back, and
 	// then the same address serves again, its one slot free and the counts kept.
-	b := startBench(t, Group{Slots: 1})
-	order(t, b.fake, Fault{Kind: BootNever})
+	b := startTestServer(t, Group{Slots: 1})
+	orderFaults(t, b.fake, Fault{Kind: BootNever})
 	failed := make(chan error, 1)
 	go func() {
 		_, _, err := b.call(t, "long", HeaderWorkMS, "600000")
 		failed <- err
 	}()
-	b.await(t, func(c BackendCounters) bool { return c.Runs == 1 })
-	_, err := b.client.Reboot(t.Context(), "vm-01", op("r", 1))
+	b.awaitCounters(t, func(c BackendCounters) bool { return c.Runs == 1 })
+	_, err := b.client.Reboot(t.Context(), "vm-01", newOperation("r", 1))
 	require.NoError(t, err)
 	require.Error(t, <-failed)
-	_, err = net.Dial("tcp", b.vm)
+	_, err = net.Dial("tcp", b.backendAddress)
 	require.Error(t, err)
-	order(t, b.fake, Fault{Kind: VMRecover, Target: "vm-01"})
+	orderFaults(t, b.fake, Fault{Kind: VMRecover, Target: "vm-01"})
 	require.Eventually(t, func() bool {
 		resp, _, err := b.call(t, "after")
 		return err == nil && resp.StatusCode == http.StatusOK
@@ -226,24 +228,24 @@
 	require.Equal(t, map[string]int{"vm-01": 1}, counters.Reboots)
 }
 
-func TestLostVMCutsApart(t *testing.T) {
+func TestCutsOfALostVMAreCountedSeparately(t *testing.T) {
 	// A VM is lost while a request runs on it: the caller's connection breaks, and
 	// the cut is not counted among those that a drain would have spared.
-	b := startBench(t, Group{})
+	b := startTestServer(t, Group{})
 	failed := make(chan error, 1)
 	go func() {
 		_, _, err := b.call(t, "long", HeaderWorkMS, "600000")
 		failed <- err
 	}()
-	b.await(t, func(c BackendCounters) bool { return c.Runs == 1 })
-	order(t, b.fake, Fault{Kind: VMCrash, Target: "zone/zone-a"})
+	b.awaitCounters(t, func(c BackendCounters) bool { return c.Runs == 1 })
+	orderFaults(t, b.fake, Fault{Kind: VMCrash, Target: "zone/zone-a"})
 	require.Error(t, <-failed)
 	counters := b.Counters(false).Backends
 	require.Equal(t, []int{0, 1}, []int{counters.CutInFlight, counters.LostInFlight})
 }
 
-// abandoned returns how many runs the VM has whose client has given up.
-func (b *bench) abandoned(vm string) int {
+// abandonedRuns returns how many runs the VM has whose client has given up.
+func (b *testServer) abandonedRuns(vm string) int {
 	b.Server.mu.Lock()
 	server := b.backends[vm]
 	b.Server.mu.Unlock()
@@ -258,15 +260,15 @@
 	return n
 }
 
-func TestRebootCountsAbandonedRunsApart(t *testing.T) {
+func TestAbandonedRunsAreCountedSeparately(t *testing.T) {
 	// A client gives up on a run that goes on, and another one waits for its own.
 	// The reboot cuts both; only the second was in flight for a client.
-	b := startBench(t, Group{})
+	b := startTestServer(t, Group{})
 	ctx, giveUp := context.WithCancel(t.Context())
 	gone := make(chan struct{})
 	go func() {
 		defer close(gone)
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+b.vm, nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+b.backendAddress, nil)
 		if err == nil {
 			req.Header.Set(HeaderWorkMS, "600000")
 			_, err = http.DefaultClient.Do(req)
@@ -275,17 +277,17 @@
 			t.Errorf("got %v", err)
 		}
 	}()
-	b.await(t, func(c BackendCounters) bool { return c.Runs == 1 })
+	b.awaitCounters(t, func(c BackendCounters) bool { return c.Runs == 1 })
 	giveUp()
 	<-gone
-	require.Eventually(t, func() bool { return b.abandoned("vm-01") == 1 }, eventWait, eventPoll)
+	require.Eventually(t, func() bool { return b.abandonedRuns("vm-01") == 1 }, eventWait, eventPoll)
 	failed := make(chan error, 1)
 	go func() {
 		_, _, err := b.call(t, "waits", HeaderWorkMS, "600000")
 		failed <- err
 	}()
-	b.await(t, func(c BackendCounters) bool { return c.Runs == 2 })
-	_, err := b.client.Reboot(t.Context(), "vm-01", op("r", 1))
+	b.awaitCounters(t, func(c BackendCounters) bool { return c.Runs == 2 })
+	_, err := b.client.Reboot(t.Context(), "vm-01", newOperation("r", 1))
 	require.NoError(t, err)
 	require.Error(t, <-failed)
 	counters := b.Counters(false).Backends
--- a/internal/standin/boot.go
+++ b/internal/standin/boot.go
@@ -8,10 +8,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-// reboot takes the VM down with its tasks and says when it is up again.
-func (p *Platform) reboot(v *vmState, now time.Time) {
+// startReboot takes the VM down with its tasks and says when it is up again.
+func (p *Platform) startReboot(v *vmState, now time.Time) {
 	p.counters.reboots[v.vm.ID]++
-	p.endTasksOf(v.vm.ID, "the VM was rebooted", now)
+	p.failTasksOn(v.vm.ID, "the VM was rebooted", now)
 	v.up = false
 	v.booting = true
 	v.bootDue = time.Time{}
@@ -24,53 +24,53 @@
 	}
 }
 
-// nextBoot offers the earliest boot that is to finish.
-func (p *Platform) nextBoot(first *earliest) {
+// offerBoots offers the earliest boot that is to finish.
+func (p *Platform) offerBoots(first *earliestEvent) {
 	for _, v := range p.fleet.order {
 		if v.booting && !v.bootDue.IsZero() {
-			first.offer(v.bootDue, func(now time.Time) { p.booted(v, now) })
+			first.offer(v.bootDue, func(now time.Time) { p.finishBoot(v, now) })
 		}
 	}
 }
 
-func (p *Platform) booted(v *vmState, now time.Time) {
+func (p *Platform) finishBoot(v *vmState, now time.Time) {
 	v.boots++
 	v.vm.BootID = bootID(v.vm.ID, v.boots)
 	v.up = true
 	v.booting = false
-	v.settle(platform.VerbReboot, platform.OperationDone)
-	p.record(v, now)
+	v.endOperations(platform.VerbReboot, platform.OperationDone)
+	p.recordListed(v, now)
 }
 
-// crash loses VMs for good, or until they are recovered.
-func (p *Platform) crash(target string, now time.Time) error {
-	return p.each(target, func(v *vmState) {
-		p.endTasksOf(v.vm.ID, "the VM was lost", now)
+// crashVMs loses VMs for good, or until they are recovered.
+func (p *Platform) crashVMs(target string, now time.Time) error {
+	return p.forEachVM(target, func(v *vmState) {
+		p.failTasksOn(v.vm.ID, "the VM was lost", now)
 		v.up = false
 		v.booting = false
 		v.lost = true
-		v.settle("", platform.OperationFailed)
-		p.record(v, now)
+		v.endOperations("", platform.OperationFailed)
+		p.recordListed(v, now)
 	})
 }
 
-// recover brings back VMs that were lost or never booted.
-func (p *Platform) recover(target string, now time.Time) error {
-	return p.each(target, func(v *vmState) {
+// recoverVMs brings back VMs that were lost or never booted.
+func (p *Platform) recoverVMs(target string, now time.Time) error {
+	return p.forEachVM(target, func(v *vmState) {
 		if v.up {
 			return
 		}
 		v.lost = false
-		p.booted(v, now)
+		p.finishBoot(v, now)
 	})
 }
 
-// each applies f to the VM, or to the VMs of the rack or zone, that target names.
-func (p *Platform) each(target string, f func(*vmState)) error {
-	domain, name := failureDomain(target)
+// forEachVM applies f to the VM, or to the VMs of the rack or zone, that target names.
+func (p *Platform) forEachVM(target string, f func(*vmState)) error {
+	domain, name := parseTarget(target)
 	found := false
 	for _, v := range p.fleet.order {
-		if v.in(domain, name) {
+		if v.inDomain(domain, name) {
 			found = true
 			f(v)
 		}
@@ -81,7 +81,7 @@
 	return nil
 }
 
-func (v *vmState) in(domain, name string) bool {
+func (v *vmState) inDomain(domain, name string) bool {
 	switch domain {
 	case "rack":
 		return v.vm.Rack == name
--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -141,7 +141,7 @@
 	c := s.platform.Counters()
 	c.Backends = BackendCounters{VMs: map[string]VMCounters{}, Keys: map[string]KeyCounters{}}
 	all := map[string]KeyCounters{}
-	for _, b := range s.all() {
+	for _, b := range s.allBackends() {
 		b.addTo(&c.Backends, all)
 	}
 	for key, counts := range all {
@@ -176,7 +176,7 @@
 func (s *Server) Reset() {
 	s.platform.ClearAll()
 	s.platform.ResetCounters()
-	for _, b := range s.all() {
+	for _, b := range s.allBackends() {
 		b.mu.Lock()
 		b.counts = VMCounters{}
 		b.keys = map[string]KeyCounters{}
--- a/internal/standin/control_test.go
+++ b/internal/standin/control_test.go
@@ -18,8 +18,8 @@
 func TestAddedVMIsListedWithItsAddress(t *testing.T) {
 	// A VM is added while the system runs. The list shows it only once its
 	// backend server is bound, and then that address answers.
-	b := startBench(t, Group{})
-	order(t, b.fake, Fault{Kind: VMAdd, Target: "vm"})
+	b := startTestServer(t, Group{})
+	orderFaults(t, b.fake, Fault{Kind: VMAdd, Target: "vm"})
 	var added platform.VM
 	require.Eventually(t, func() bool {
 		list, err := b.client.List(t.Context())
@@ -30,7 +30,7 @@
 		added = list.VMs[len(list.VMs)-1]
 		return added.ID == "vm-02"
 	}, eventWait, eventPoll)
-	b.vm = added.Address
+	b.backendAddress = added.Address
 	_, _, err := b.call(t, "k")
 	require.NoError(t, err)
 }
@@ -38,7 +38,7 @@
 func TestControlPage(t *testing.T) {
 	// A tester orders two faults over HTTP, sees them on the page, clears one by
 	// ID, and resets. A malformed order is refused with a reason.
-	b := startBench(t, Group{})
+	b := startTestServer(t, Group{})
 	control := "http://" + b.Addr() + "/control/"
 	post := func(path string, in any) (int, []byte) {
 		data, err := json.Marshal(in)
@@ -75,17 +75,17 @@
 	require.Empty(t, b.Counters(true).Backends.Keys)
 }
 
-func TestClientSeesTheSameOutcomesAsInProcess(t *testing.T) {
+func TestHTTPClientReturnsTheSameErrorsAsInProcess(t *testing.T) {
 	// Every outcome of the fake in process reaches the client over HTTP as the
 	// same error; where the reply is lost the append is in the log all the same.
-	b := startBench(t, Group{})
+	b := startTestServer(t, Group{})
 	_, err := b.client.Append(t.Context(), "s", entries("a", "b"))
 	require.NoError(t, err)
-	order(t, b.fake, Fault{Kind: LogLoseReply, Count: 1})
+	orderFaults(t, b.fake, Fault{Kind: LogLoseReply, Count: 1})
 	_, err = b.client.Append(t.Context(), "s", entries("c"))
 	require.ErrorIs(t, err, platform.ErrUnknownOutcome)
-	require.Equal(t, []string{"a", "b", "c"}, texts(t, b.client, 1))
-	order(t, b.fake, Fault{Kind: LogRefuse, Count: 1})
+	require.Equal(t, []string{"a", "b", "c"}, readTexts(t, b.client, 1))
+	orderFaults(t, b.fake, Fault{Kind: LogRefuse, Count: 1})
 	_, err = b.client.Append(t.Context(), "s", entries("d"))
 	require.ErrorIs(t, err, platform.ErrUnavailable)
 	_, err = b.client.Append(t.Context(), "s", entries("d"))
@@ -93,20 +93,20 @@
 	batch, err := b.client.Read(t.Context(), "s", 1, 1, 0)
 	require.ErrorIs(t, err, platform.ErrTrimmed)
 	require.Equal(t, platform.Batch{First: 2, Next: 5}, batch)
-	order(t, b.fake, Fault{Kind: LogHang, Count: 1})
+	orderFaults(t, b.fake, Fault{Kind: LogHang, Count: 1})
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	_, err = b.client.Read(ctx, "s", 1, 1, 0)
 	require.ErrorIs(t, err, platform.ErrUnavailable)
 	_, err = b.client.Read(t.Context(), "s", 0, 1, 0)
 	require.ErrorIs(t, err, platform.ErrRejected)
-	_, err = b.client.Drain(t.Context(), "vm-01", op("d", 5))
+	_, err = b.client.Drain(t.Context(), "vm-01", newOperation("d", 5))
 	require.NoError(t, err)
-	_, err = b.client.Undrain(t.Context(), "vm-01", op("u", 4))
+	_, err = b.client.Undrain(t.Context(), "vm-01", newOperation("u", 4))
 	require.ErrorIs(t, err, platform.ErrFenced)
 	_, err = b.client.Operation(t.Context(), "vm-01", "u")
 	require.ErrorIs(t, err, platform.ErrNotFound)
-	status, err := b.client.Undrain(t.Context(), "vm-01", op("u", 5))
+	status, err := b.client.Undrain(t.Context(), "vm-01", newOperation("u", 5))
 	require.NoError(t, err)
 	require.Equal(t, platform.OperationDone, status)
 }
@@ -114,29 +114,29 @@
 func TestClientRunsTasks(t *testing.T) {
 	// A task is started, renewed, throttled, seen in status and usage,
 	// checkpointed and a second one stopped, all over HTTP.
-	b := startBench(t, Group{})
+	b := startTestServer(t, Group{})
 	c, ctx := b.client, t.Context()
 	for _, id := range []string{"t 1", "t/2"} {
-		status, err := c.Start(ctx, spec(id, time.Hour, time.Hour), op("s", 1))
+		status, err := c.Start(ctx, newTaskSpec(id, time.Hour, time.Hour), newOperation("s", 1))
 		require.NoError(t, err)
 		require.Equal(t, platform.TaskStatus{ID: id, Worker: "vm-01", Phase: platform.TaskRunning}, status)
 	}
 	require.NoError(t, c.Renew(ctx, "vm-01", []string{"t 1", "t/2"}, time.Hour, 1))
-	_, err := c.Throttle(ctx, "t 1", 0.25, op("th", 1))
+	_, err := c.Throttle(ctx, "t 1", 0.25, newOperation("th", 1))
 	require.NoError(t, err)
 	usage, err := c.Usage(ctx)
 	require.NoError(t, err)
 	require.Len(t, usage, 2)
 	require.Equal(t, 1.0, usage[0].Cores)
-	status, err := c.Checkpoint(ctx, "t 1", op("c", 1))
+	status, err := c.Checkpoint(ctx, "t 1", newOperation("c", 1))
 	require.NoError(t, err)
 	require.Equal(t, platform.TaskCheckpointed, status.Phase)
-	_, err = c.Stop(ctx, "t/2", op("x", 1))
+	_, err = c.Stop(ctx, "t/2", newOperation("x", 1))
 	require.NoError(t, err)
 	statuses, err := c.Status(ctx, "vm-01")
 	require.NoError(t, err)
 	require.Len(t, statuses, 2)
-	_, err = c.Stop(ctx, "t 3", op("x", 1))
+	_, err = c.Stop(ctx, "t 3", newOperation("x", 1))
 	require.ErrorIs(t, err, platform.ErrNotFound)
 	require.False(t, errors.Is(err, platform.ErrUnknownOutcome))
 }
--- a/internal/standin/counters.go
+++ b/internal/standin/counters.go
@@ -36,13 +36,13 @@
 }
 
 type counterState struct {
-	since      time.Time
-	log        LogCounters
-	second     int64
-	inSecond   int
-	reboots    map[string]int
-	taskStarts map[string]int
-	jobStarts  map[string]int
+	since           time.Time
+	log             LogCounters
+	currentSecond   int64
+	appendsInSecond int
+	reboots         map[string]int
+	taskStarts      map[string]int
+	jobStarts       map[string]int
 }
 
 func newCounterState(now time.Time) counterState {
@@ -60,11 +60,11 @@
 	for _, data := range entries {
 		c.log.BytesAppended += int64(len(data))
 	}
-	if second := now.Unix(); second != c.second {
-		c.second, c.inSecond = second, 0
+	if second := now.Unix(); second != c.currentSecond {
+		c.currentSecond, c.appendsInSecond = second, 0
 	}
-	c.inSecond++
-	c.log.PeakAppends = max(c.log.PeakAppends, c.inSecond)
+	c.appendsInSecond++
+	c.log.PeakAppends = max(c.log.PeakAppends, c.appendsInSecond)
 }
 
 func (p *Platform) countRead(batch platform.Batch) {
@@ -78,7 +78,7 @@
 
 // Counters returns the counts since the start or the last reset.
 func (p *Platform) Counters() Counters {
-	now := p.look()
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
 	c := Counters{
 		Since:      p.counters.since,
@@ -99,7 +99,7 @@
 
 // ResetCounters begins counting anew; the state and the faults stay.
 func (p *Platform) ResetCounters() {
-	now := p.look()
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
 	p.counters = newCounterState(now)
 }
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -111,13 +111,13 @@
 // faultSet holds the active faults in the order of their ordering.
 type faultSet struct {
 	active []*Fault
-	last   int
-	// any is false while active is empty; it may stay true after faults expired.
-	any atomic.Bool
+	lastID int
+	// nonEmpty is false while active is empty; it may stay true after faults expired.
+	nonEmpty atomic.Bool
 }
 
-// known reports whether the kind has a line in FaultHelp.
-func known(kind FaultKind) bool {
+// isKnownKind reports whether the kind has a line in FaultHelp.
+func isKnownKind(kind FaultKind) bool {
 	for _, help := range FaultHelp {
 		if help.Kind == kind {
 			return true
@@ -126,9 +126,9 @@
 	return false
 }
 
-// check refuses an order that could not mean anything.
-func (f Fault) check() error {
-	if !known(f.Kind) {
+// validate refuses an order that could not mean anything.
+func (f Fault) validate() error {
+	if !isKnownKind(f.Kind) {
 		return errors.Errorf("unknown kind of fault %q", f.Kind)
 	}
 	if f.Skip < 0 || f.Count < 0 || f.ForMS < 0 || f.DelayMS < 0 {
@@ -141,13 +141,13 @@
 }
 
 func (s *faultSet) order(f Fault, now time.Time) string {
-	s.last++
-	f.ID = strconv.Itoa(s.last)
+	s.lastID++
+	f.ID = strconv.Itoa(s.lastID)
 	if f.ForMS > 0 {
 		f.until = now.Add(time.Duration(f.ForMS) * time.Millisecond)
 	}
 	s.active = append(s.active, &f)
-	s.any.Store(true)
+	s.nonEmpty.Store(true)
 	return f.ID
 }
 
@@ -155,7 +155,7 @@
 	s.active = slices.DeleteFunc(s.active, func(f *Fault) bool {
 		return slices.Contains(ids, f.ID)
 	})
-	s.any.Store(len(s.active) > 0)
+	s.nonEmpty.Store(len(s.active) > 0)
 }
 
 // take returns the first active fault of the kind for any of the subjects and
@@ -197,15 +197,15 @@
 // get no ID. Nothing is ordered when any of them is malformed.
 func (p *Platform) Order(faults ...Fault) ([]string, error) {
 	for _, f := range faults {
-		if err := f.check(); err != nil {
+		if err := f.validate(); err != nil {
 			return nil, err
 		}
 	}
-	now := p.look()
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
 	ids := []string{}
 	for _, f := range faults {
-		done, err := p.actAtOnce(f, now)
+		done, err := p.applyImmediateFault(f, now)
 		if err != nil {
 			return ids, err
 		}
@@ -218,22 +218,22 @@
 
 // Clear ends the faults with these IDs; ClearAll ends every one.
 func (p *Platform) Clear(ids ...string) {
-	p.look()
+	p.lockAndAdvance()
 	defer p.mu.Unlock()
 	p.faults.clear(ids)
 }
 
 // ClearAll ends all faults.
 func (p *Platform) ClearAll() {
-	p.look()
+	p.lockAndAdvance()
 	defer p.mu.Unlock()
 	p.faults.active = nil
-	p.faults.any.Store(false)
+	p.faults.nonEmpty.Store(false)
 }
 
 // Faults returns the active faults.
 func (p *Platform) Faults() []Fault {
-	now := p.look()
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
 	p.faults.expire(now)
 	active := make([]Fault, 0, len(p.faults.active))
@@ -246,7 +246,7 @@
 // takeFault is faultSet.take under the lock, which it spares backend servers
 // and their benchmarks while no fault is ordered.
 func (p *Platform) takeFault(kind FaultKind, subjects ...string) (Fault, bool) {
-	if !p.faults.any.Load() {
+	if !p.faults.nonEmpty.Load() {
 		return Fault{}, false
 	}
 	p.mu.Lock()
@@ -262,22 +262,22 @@
 	return slices.ContainsFunc(p.faults.active, func(f *Fault) bool { return f.ID == id })
 }
 
-// actAtOnce carries out the kinds that are events rather than conditions.
-func (p *Platform) actAtOnce(f Fault, now time.Time) (bool, error) {
+// applyImmediateFault carries out the kinds that are events rather than conditions.
+func (p *Platform) applyImmediateFault(f Fault, now time.Time) (bool, error) {
 	switch f.Kind {
 	case VMCrash:
-		return true, p.crash(f.Target, now)
+		return true, p.crashVMs(f.Target, now)
 	case VMRecover:
-		return true, p.recover(f.Target, now)
+		return true, p.recoverVMs(f.Target, now)
 	case VMAdd:
-		return true, p.addOne(f.Target, now)
+		return true, p.addVM(f.Target, now)
 	default:
 		return false, nil
 	}
 }
 
-// failureDomain splits a target like "rack/NAME".
-func failureDomain(target string) (domain, name string) {
+// parseTarget splits a target like "rack/NAME".
+func parseTarget(target string) (domain, name string) {
 	domain, name, found := strings.Cut(target, "/")
 	if !found {
 		return "", target
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -76,14 +76,14 @@
 	boots      int
 	fence      platform.Offset
 	ops        map[string]*operation
-	past       []listed
+	history    []listVersion
 }
 
-// listed is what the list said of a VM from a time on; gone means nothing.
-type listed struct {
-	at   time.Time
-	vm   platform.VM
-	gone bool
+// listVersion is what the list said of a VM from a time on; gone means nothing.
+type listVersion struct {
+	at     time.Time
+	vm     platform.VM
+	absent bool
 }
 
 // operation is one action on a VM.
@@ -94,32 +94,32 @@
 
 type groupState struct {
 	Group
-	made int
+	created int
 }
 
 // fleetState holds the VMs in the order in which they appeared.
 type fleetState struct {
-	groups  map[string]*groupState
-	vms     map[string]*vmState
-	order   []*vmState
-	inZones map[string]int
-	served  bool          // a Server binds the addresses
-	changed chan struct{} // tells the Server of a change
+	groups     map[string]*groupState
+	vms        map[string]*vmState
+	order      []*vmState
+	vmsPerZone map[string]int
+	hasServer  bool          // a Server binds the addresses
+	changed    chan struct{} // tells the Server of a change
 }
 
 func newFleetState() fleetState {
 	return fleetState{
-		groups:  map[string]*groupState{},
-		vms:     map[string]*vmState{},
-		inZones: map[string]int{},
-		changed: make(chan struct{}, 1),
+		groups:     map[string]*groupState{},
+		vms:        map[string]*vmState{},
+		vmsPerZone: map[string]int{},
+		changed:    make(chan struct{}, 1),
 	}
 }
 
 // AddGroup adds the VMs of a group. Until a Server gives a VM the address of its
 // backend server it has one that nobody listens at.
 func (p *Platform) AddGroup(group Group) {
-	now := p.look()
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
 	g := &groupState{Group: group.withDefaults()}
 	p.fleet.groups[g.Prefix] = g
@@ -128,7 +128,7 @@
 	}
 }
 
-func (p *Platform) addOne(prefix string, now time.Time) error {
+func (p *Platform) addVM(prefix string, now time.Time) error {
 	g, ok := p.fleet.groups[prefix]
 	if !ok {
 		return errors.Errorf("no group of VMs %q", prefix)
@@ -139,13 +139,13 @@
 
 func (p *Platform) newVM(g *groupState, now time.Time) {
 	f := &p.fleet
-	zone := g.Zones[g.made%len(g.Zones)]
+	zone := g.Zones[g.created%len(g.Zones)]
 	number := len(f.order)
 	v := &vmState{group: g, up: true, boots: 1, ops: map[string]*operation{}}
 	v.vm = platform.VM{
-		ID:           fmt.Sprintf("%s-%02d", g.Prefix, g.made+1),
+		ID:           fmt.Sprintf("%s-%02d", g.Prefix, g.created+1),
 		Zone:         zone,
-		Rack:         fmt.Sprintf("%s-r%02d", zone, f.inZones[zone]/g.RackSize+1),
+		Rack:         fmt.Sprintf("%s-r%02d", zone, f.vmsPerZone[zone]/g.RackSize+1),
 		Address:      fmt.Sprintf("10.%d.%d.%d:8000", number>>16, number>>8&0xff, number&0xff),
 		Cores:        g.Cores,
 		MemoryMB:     g.MemoryMB,
@@ -154,27 +154,27 @@
 	}
 	v.vm.BootID = bootID(v.vm.ID, v.boots)
 	if g.BasePort > 0 {
-		v.port = g.BasePort + g.made
+		v.port = g.BasePort + g.created
 	}
-	if f.served {
+	if f.hasServer {
 		v.vm.Address = ""
 	}
-	g.made++
-	f.inZones[zone]++
+	g.created++
+	f.vmsPerZone[zone]++
 	f.vms[v.vm.ID] = v
 	f.order = append(f.order, v)
-	p.record(v, now)
+	p.recordListed(v, now)
 }
 
 func bootID(vm string, boot int) string { return fmt.Sprintf("%s-boot-%d", vm, boot) }
 
-// record notes what the list says of the VM from now on and tells the Server.
-func (p *Platform) record(v *vmState, now time.Time) {
+// recordListed notes what the list says of the VM from now on and tells the Server.
+func (p *Platform) recordListed(v *vmState, now time.Time) {
 	v.vm.State = platform.VMLive
 	if v.drained || v.booting {
 		v.vm.State = platform.VMLeaving
 	}
-	v.past = append(v.past, listed{at: now, vm: v.vm, gone: v.lost})
+	v.history = append(v.history, listVersion{at: now, vm: v.vm, absent: v.lost})
 	select {
 	case p.fleet.changed <- struct{}{}:
 	default:
@@ -183,10 +183,10 @@
 
 // List implements platform.Fleet.
 func (p *Platform) List(ctx context.Context) (platform.VMList, error) {
-	if err := p.apiGate(ctx, "list"); err != nil {
+	if err := p.applyAPIFaults(ctx, "list"); err != nil {
 		return platform.VMList{}, errors.Wrap(platform.ErrUnavailable, err.Error())
 	}
-	now := p.look()
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
 	asOf := now
 	if lag, ok := p.faults.take(ListLag, now); ok {
@@ -197,30 +197,30 @@
 	}
 	list := platform.VMList{AsOf: asOf, VMs: []platform.VM{}}
 	for _, v := range p.fleet.order {
-		if vm, ok := v.at(asOf); ok {
+		if vm, ok := v.listedAt(asOf); ok {
 			list.VMs = append(list.VMs, vm)
 		}
 	}
 	return list, nil
 }
 
-// at returns what the list said of the VM at a time.
-func (v *vmState) at(asOf time.Time) (platform.VM, bool) {
-	for i := len(v.past) - 1; i >= 0; i-- {
-		if !v.past[i].at.After(asOf) {
-			vm := v.past[i].vm
+// listedAt returns what the list said of the VM at a time.
+func (v *vmState) listedAt(asOf time.Time) (platform.VM, bool) {
+	for i := len(v.history) - 1; i >= 0; i-- {
+		if !v.history[i].at.After(asOf) {
+			vm := v.history[i].vm
 			if v.advertised != "" {
 				vm.Address = v.advertised
 			}
-			return vm, !v.past[i].gone && v.vm.Address != ""
+			return vm, !v.history[i].absent && v.vm.Address != ""
 		}
 	}
 	return platform.VM{}, false
 }
 
-// apiGate applies the faults that come before a call on a VM or task acts. A
+// applyAPIFaults applies the faults that come before a call on a VM or task acts. A
 // fault's target is one of the subjects.
-func (p *Platform) apiGate(ctx context.Context, subjects ...string) error {
+func (p *Platform) applyAPIFaults(ctx context.Context, subjects ...string) error {
 	if _, ok := p.takeFault(APIRefuse, subjects...); ok {
 		return errors.Wrap(platform.ErrUnavailable, "the platform refuses")
 	}
@@ -249,10 +249,10 @@
 
 // Operation implements platform.Fleet.
 func (p *Platform) Operation(ctx context.Context, vm, id string) (platform.OperationStatus, error) {
-	if err := p.apiGate(ctx, vm, "operation"); err != nil {
+	if err := p.applyAPIFaults(ctx, vm, "operation"); err != nil {
 		return "", errors.Wrap(platform.ErrUnavailable, err.Error())
 	}
-	p.look()
+	p.lockAndAdvance()
 	defer p.mu.Unlock()
 	v, ok := p.fleet.vms[vm]
 	if !ok {
@@ -266,12 +266,12 @@
 }
 
 func (p *Platform) actOnVM(ctx context.Context, id, verb string, op platform.Operation) (platform.OperationStatus, error) {
-	if err := p.apiGate(ctx, id, verb); err != nil {
+	if err := p.applyAPIFaults(ctx, id, verb); err != nil {
 		return "", err
 	}
-	now := p.look()
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
-	done, err := p.carryOut(id, verb, op, now)
+	done, err := p.executeVMOperation(id, verb, op, now)
 	if err != nil {
 		return "", err
 	}
@@ -282,8 +282,8 @@
 	return done.status, nil
 }
 
-// carryOut does an action on a VM once per operation ID.
-func (p *Platform) carryOut(id, verb string, op platform.Operation, now time.Time) (*operation, error) {
+// executeVMOperation does an action on a VM once per operation ID.
+func (p *Platform) executeVMOperation(id, verb string, op platform.Operation, now time.Time) (*operation, error) {
 	v, ok := p.fleet.vms[id]
 	if !ok || v.lost {
 		return nil, errors.Wrapf(platform.ErrNotFound, "VM %q", id)
@@ -303,26 +303,26 @@
 	v.fence = op.Fence
 	done := &operation{verb: verb, status: platform.OperationRunning}
 	v.ops[op.ID] = done
-	p.act(v, done, now)
+	p.applyVMAction(v, done, now)
 	return done, nil
 }
 
-func (p *Platform) act(v *vmState, op *operation, now time.Time) {
+func (p *Platform) applyVMAction(v *vmState, op *operation, now time.Time) {
 	switch op.verb {
 	case platform.VerbDrain:
 		v.drained = true
 	case platform.VerbUndrain:
 		v.drained = false
-		v.settle(platform.VerbDrain, platform.OperationFailed)
+		v.endOperations(platform.VerbDrain, platform.OperationFailed)
 		op.status = platform.OperationDone
 	case platform.VerbReboot:
-		p.reboot(v, now)
+		p.startReboot(v, now)
 	}
-	p.record(v, now)
+	p.recordListed(v, now)
 }
 
-// settle ends the running operations of one verb, or of all when it is empty.
-func (v *vmState) settle(verb string, status platform.OperationStatus) {
+// endOperations ends the running operations of one verb, or of all when it is empty.
+func (v *vmState) endOperations(verb string, status platform.OperationStatus) {
 	for _, op := range v.ops {
 		if op.status == platform.OperationRunning && (verb == "" || op.verb == verb) {
 			op.status = status
@@ -333,8 +333,8 @@
 // finishDrains ends the drains of VMs on which no task runs any more.
 func (p *Platform) finishDrains() {
 	for _, v := range p.fleet.order {
-		if v.drained && !p.tasks.runningOn(v.vm.ID) {
-			v.settle(platform.VerbDrain, platform.OperationDone)
+		if v.drained && !p.tasks.hasRunningTaskOn(v.vm.ID) {
+			v.endOperations(platform.VerbDrain, platform.OperationDone)
 		}
 	}
 }
--- a/internal/standin/fleet_test.go
+++ b/internal/standin/fleet_test.go
@@ -10,16 +10,16 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-func sixVMs() Options {
+func sixVMOptions() Options {
 	return Options{Groups: []Group{{Prefix: "vm", Count: 6, Zones: []string{"zone-a", "zone-b"}, RackSize: 2, Boot: 10 * time.Second}}}
 }
 
-func op(id string, fence platform.Offset) platform.Operation {
+func newOperation(id string, fence platform.Offset) platform.Operation {
 	return platform.Operation{ID: id, Fence: fence}
 }
 
 // listed returns the list's line on a VM.
-func lineOf(t *testing.T, p *Platform, vm string) (platform.VM, bool) {
+func listedVM(t *testing.T, p *Platform, vm string) (platform.VM, bool) {
 	t.Helper()
 	list, err := p.List(t.Context())
 	require.NoError(t, err)
@@ -31,15 +31,15 @@
 	return platform.VM{}, false
 }
 
-func requireStatus(t *testing.T, p *Platform, vm, id string, want platform.OperationStatus) {
+func requireOperationStatus(t *testing.T, p *Platform, vm, id string, want platform.OperationStatus) {
 	t.Helper()
 	status, err := p.Operation(t.Context(), vm, id)
 	require.NoError(t, err)
 	require.Equal(t, want, status)
 }
 
-func TestVMsFillZonesAndRacks(t *testing.T) {
-	p := New(sixVMs())
+func TestVMsAreSpreadOverZonesAndRacks(t *testing.T) {
+	p := New(sixVMOptions())
 	racks := map[string]int{}
 	list, err := p.List(t.Context())
 	require.NoError(t, err)
@@ -54,51 +54,51 @@
 	// the reboot ends 10 s on with another boot ID; the VM is leaving until it is
 	// undrained.
 	synctest.Test(t, func(t *testing.T) {
-		p := New(sixVMs())
-		_, err := p.Start(t.Context(), spec("t", time.Minute, 3*time.Second), op("start", 1))
+		p := New(sixVMOptions())
+		_, err := p.Start(t.Context(), newTaskSpec("t", time.Minute, 3*time.Second), newOperation("start", 1))
 		require.NoError(t, err)
-		status, err := p.Drain(t.Context(), "vm-01", op("drain", 2))
+		status, err := p.Drain(t.Context(), "vm-01", newOperation("drain", 2))
 		require.NoError(t, err)
 		require.Equal(t, platform.OperationRunning, status)
 		time.Sleep(3 * time.Second)
-		requireStatus(t, p, "vm-01", "drain", platform.OperationDone)
-		before, _ := lineOf(t, p, "vm-01")
-		_, err = p.Reboot(t.Context(), "vm-01", op("reboot", 3))
+		requireOperationStatus(t, p, "vm-01", "drain", platform.OperationDone)
+		before, _ := listedVM(t, p, "vm-01")
+		_, err = p.Reboot(t.Context(), "vm-01", newOperation("reboot", 3))
 		require.NoError(t, err)
 		time.Sleep(9 * time.Second)
-		requireStatus(t, p, "vm-01", "reboot", platform.OperationRunning)
+		requireOperationStatus(t, p, "vm-01", "reboot", platform.OperationRunning)
 		time.Sleep(time.Second)
-		requireStatus(t, p, "vm-01", "reboot", platform.OperationDone)
-		after, _ := lineOf(t, p, "vm-01")
+		requireOperationStatus(t, p, "vm-01", "reboot", platform.OperationDone)
+		after, _ := listedVM(t, p, "vm-01")
 		require.NotEqual(t, before.BootID, after.BootID)
 		require.Equal(t, platform.VMLeaving, after.State)
-		_, err = p.Undrain(t.Context(), "vm-01", op("undrain", 4))
+		_, err = p.Undrain(t.Context(), "vm-01", newOperation("undrain", 4))
 		require.NoError(t, err)
-		after, _ = lineOf(t, p, "vm-01")
+		after, _ = listedVM(t, p, "vm-01")
 		require.Equal(t, platform.VMLive, after.State)
 	})
 }
 
-func TestOperationIsCarriedOutOnceAndFenced(t *testing.T) {
+func TestOperationIsIdempotentAndFenced(t *testing.T) {
 	// The reply to a reboot is lost, so the steward sends the same operation
 	// twice more, the last time after the boot: one reboot. A steward that woke
 	// up with an older decision then sees ErrFenced, and nothing happens.
 	synctest.Test(t, func(t *testing.T) {
-		p := New(sixVMs())
-		order(t, p, Fault{Kind: APILoseReply, Target: "vm-01", Count: 1})
-		_, err := p.Reboot(t.Context(), "vm-01", op("r", 5))
+		p := New(sixVMOptions())
+		orderFaults(t, p, Fault{Kind: APILoseReply, Target: "vm-01", Count: 1})
+		_, err := p.Reboot(t.Context(), "vm-01", newOperation("r", 5))
 		require.ErrorIs(t, err, platform.ErrUnknownOutcome)
-		_, err = p.Reboot(t.Context(), "vm-01", op("r", 5))
+		_, err = p.Reboot(t.Context(), "vm-01", newOperation("r", 5))
 		require.NoError(t, err)
 		time.Sleep(time.Minute)
-		status, err := p.Reboot(t.Context(), "vm-01", op("r", 5))
+		status, err := p.Reboot(t.Context(), "vm-01", newOperation("r", 5))
 		require.NoError(t, err)
 		require.Equal(t, platform.OperationDone, status)
-		_, err = p.Reboot(t.Context(), "vm-01", op("older", 4))
+		_, err = p.Reboot(t.Context(), "vm-01", newOperation("older", 4))
 		require.ErrorIs(t, err, platform.ErrFenced)
 		_, err = p.Operation(t.Context(), "vm-01", "older")
 		require.ErrorIs(t, err, platform.ErrNotFound)
-		_, err = p.Drain(t.Context(), "vm-01", op("r", 5))
+		_, err = p.Drain(t.Context(), "vm-01", newOperation("r", 5))
 		require.ErrorIs(t, err, platform.ErrRejected)
 		require.Equal(t, map[string]int{"vm-01": 1}, p.Counters().Reboots)
 	})
@@ -107,14 +107,14 @@
 func TestRefusedAndSlowActions(t *testing.T) {
 	// A refused drain is "unavailable" and did nothing; a slow one is late.
 	synctest.Test(t, func(t *testing.T) {
-		p := New(sixVMs())
-		order(t, p, Fault{Kind: APIRefuse, Target: "drain", Count: 1}, Fault{Kind: APISlow, DelayMS: 4000, Count: 1, Target: "drain"})
-		_, err := p.Drain(t.Context(), "vm-01", op("d", 1))
+		p := New(sixVMOptions())
+		orderFaults(t, p, Fault{Kind: APIRefuse, Target: "drain", Count: 1}, Fault{Kind: APISlow, DelayMS: 4000, Count: 1, Target: "drain"})
+		_, err := p.Drain(t.Context(), "vm-01", newOperation("d", 1))
 		require.ErrorIs(t, err, platform.ErrUnavailable)
 		_, err = p.Operation(t.Context(), "vm-01", "d")
 		require.ErrorIs(t, err, platform.ErrNotFound)
 		start := time.Now()
-		_, err = p.Drain(t.Context(), "vm-01", op("d", 1))
+		_, err = p.Drain(t.Context(), "vm-01", newOperation("d", 1))
 		require.NoError(t, err)
 		require.Equal(t, 4*time.Second, time.Since(start))
 	})
@@ -124,17 +124,17 @@
 	// The list lags by 30 s: a VM that was lost is listed as live until then, a
 	// new one is missing until then, and AsOf says how old the list is.
 	synctest.Test(t, func(t *testing.T) {
-		p := New(sixVMs())
+		p := New(sixVMOptions())
 		time.Sleep(time.Minute)
-		order(t, p, Fault{Kind: ListLag, DelayMS: 30_000}, Fault{Kind: VMCrash, Target: "vm-01"}, Fault{Kind: VMAdd, Target: "vm"})
+		orderFaults(t, p, Fault{Kind: ListLag, DelayMS: 30_000}, Fault{Kind: VMCrash, Target: "vm-01"}, Fault{Kind: VMAdd, Target: "vm"})
 		time.Sleep(29 * time.Second)
-		_, lostListed := lineOf(t, p, "vm-01")
-		_, newListed := lineOf(t, p, "vm-07")
+		_, lostListed := listedVM(t, p, "vm-01")
+		_, newListed := listedVM(t, p, "vm-07")
 		require.True(t, lostListed)
 		require.False(t, newListed)
 		time.Sleep(time.Second)
-		_, lostListed = lineOf(t, p, "vm-01")
-		_, newListed = lineOf(t, p, "vm-07")
+		_, lostListed = listedVM(t, p, "vm-01")
+		_, newListed = listedVM(t, p, "vm-07")
 		require.False(t, lostListed)
 		require.True(t, newListed)
 		list, err := p.List(t.Context())
@@ -143,25 +143,25 @@
 	})
 }
 
-func TestVMsThatDoNotComeBack(t *testing.T) {
+func TestSlowAndFailedBoots(t *testing.T) {
 	// One VM boots slowly, one never comes back until it is recovered, and a
 	// rack's loss ends a reboot there as failed.
 	synctest.Test(t, func(t *testing.T) {
-		p := New(sixVMs())
-		order(t, p, Fault{Kind: BootSlow, Target: "vm-01", DelayMS: 5000}, Fault{Kind: BootNever, Target: "vm-02"})
+		p := New(sixVMOptions())
+		orderFaults(t, p, Fault{Kind: BootSlow, Target: "vm-01", DelayMS: 5000}, Fault{Kind: BootNever, Target: "vm-02"})
 		for _, vm := range []string{"vm-01", "vm-02", "vm-06"} {
-			_, err := p.Reboot(t.Context(), vm, op("r", 1))
+			_, err := p.Reboot(t.Context(), vm, newOperation("r", 1))
 			require.NoError(t, err)
 		}
-		order(t, p, Fault{Kind: VMCrash, Target: "rack/zone-b-r02"})
-		requireStatus(t, p, "vm-06", "r", platform.OperationFailed)
+		orderFaults(t, p, Fault{Kind: VMCrash, Target: "rack/zone-b-r02"})
+		requireOperationStatus(t, p, "vm-06", "r", platform.OperationFailed)
 		time.Sleep(14 * time.Second)
-		requireStatus(t, p, "vm-01", "r", platform.OperationRunning)
+		requireOperationStatus(t, p, "vm-01", "r", platform.OperationRunning)
 		time.Sleep(time.Second)
-		requireStatus(t, p, "vm-01", "r", platform.OperationDone)
+		requireOperationStatus(t, p, "vm-01", "r", platform.OperationDone)
 		time.Sleep(time.Hour)
-		requireStatus(t, p, "vm-02", "r", platform.OperationRunning)
-		order(t, p, Fault{Kind: VMRecover, Target: "vm-02"})
-		requireStatus(t, p, "vm-02", "r", platform.OperationDone)
+		requireOperationStatus(t, p, "vm-02", "r", platform.OperationRunning)
+		orderFaults(t, p, Fault{Kind: VMRecover, Target: "vm-02"})
+		requireOperationStatus(t, p, "vm-02", "r", platform.OperationDone)
 	})
 }
--- a/internal/standin/listener.go
+++ b/internal/standin/listener.go
@@ -13,9 +13,9 @@
 // comes beyond at once, as a backend server does that is out of connections.
 type limitListener struct {
 	net.Listener
-	limit  int
-	refuse func()
-	cut    func() bool
+	limit     int
+	onRefused func()
+	shouldCut func() bool
 
 	mu   sync.Mutex
 	open int
@@ -28,15 +28,15 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.enter() {
+		if l.acquire() {
 			return &backendConn{Conn: conn, listener: l}, nil
 		}
-		l.refuse()
+		l.onRefused()
 		conn.Close()
 	}
 }
 
-func (l *limitListener) enter() bool {
+func (l *limitListener) acquire() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open >= l.limit {
@@ -46,7 +46,7 @@
 	return true
 }
 
-func (l *limitListener) leave() {
+func (l *limitListener) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open--
@@ -56,8 +56,8 @@
 // client sent unread.
 type backendConn struct {
 	net.Conn
-	listener *limitListener
-	once     sync.Once
+	listener  *limitListener
+	closeOnce sync.Once
 }
 
 var healthCheckStart = []byte("GET " + HealthPath)
@@ -66,7 +66,7 @@
 // pass, so that they do not use up a fault meant for a request.
 func (c *backendConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n > 0 && !bytes.HasPrefix(p[:n], healthCheckStart) && c.listener.cut() {
+	if n > 0 && !bytes.HasPrefix(p[:n], healthCheckStart) && c.listener.shouldCut() {
 		c.Close()
 		return 0, net.ErrClosed
 	}
@@ -75,6 +75,6 @@
 
 // Close closes the connection and makes room for another.
 func (c *backendConn) Close() error {
-	c.once.Do(c.listener.leave)
+	c.closeOnce.Do(c.listener.release)
 	return c.Conn.Close()
 }
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -15,7 +15,7 @@
 // logState is the log service.
 type logState struct {
 	streams   map[string]*stream
-	late      []lateAppend
+	delayed   []delayedAppend
 	limiter   *rate.Limiter
 	keepCount int
 	keepAge   time.Duration
@@ -25,9 +25,9 @@
 type stream struct {
 	first   platform.Offset
 	entries []logEntry
-	// grown is closed and replaced when an entry is added or will be at a time
+	// changed is closed and replaced when an entry is added or will be at a time
 	// that is now known.
-	grown chan struct{}
+	changed chan struct{}
 }
 
 type logEntry struct {
@@ -35,8 +35,8 @@
 	at   time.Time
 }
 
-// lateAppend is an append whose client has given up and that still takes effect.
-type lateAppend struct {
+// delayedAppend is an append whose client has given up and that still takes effect.
+type delayedAppend struct {
 	due     time.Time
 	stream  string
 	entries [][]byte
@@ -51,32 +51,32 @@
 	}
 }
 
-func (s *stream) next() platform.Offset { return s.first + platform.Offset(len(s.entries)) }
+func (s *stream) nextOffset() platform.Offset { return s.first + platform.Offset(len(s.entries)) }
 
 func (l *logState) stream(name string) *stream {
 	s, ok := l.streams[name]
 	if !ok {
-		s = &stream{first: 1, grown: make(chan struct{})}
+		s = &stream{first: 1, changed: make(chan struct{})}
 		l.streams[name] = s
 	}
 	return s
 }
 
-// add appends entries and wakes the readers.
-func (l *logState) add(name string, entries [][]byte, now time.Time) platform.Offset {
+// appendEntries appends entries and wakes the readers.
+func (l *logState) appendEntries(name string, entries [][]byte, now time.Time) platform.Offset {
 	s := l.stream(name)
-	offset := s.next()
+	offset := s.nextOffset()
 	for _, data := range entries {
 		s.entries = append(s.entries, logEntry{data: data, at: now})
 	}
-	s.wake()
+	s.notifyReaders()
 	return offset
 }
 
-// wake lets the waiting readers look again.
-func (s *stream) wake() {
-	close(s.grown)
-	s.grown = make(chan struct{})
+// notifyReaders lets the waiting readers look again.
+func (s *stream) notifyReaders() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // trim drops what retention no longer covers.
@@ -93,12 +93,12 @@
 	}
 }
 
-// nextEvent offers the earliest delayed append.
-func (l *logState) nextEvent(first *earliest) {
-	for i, late := range l.late {
+// offerDelayedAppends offers the earliest delayed append.
+func (l *logState) offerDelayedAppends(first *earliestEvent) {
+	for i, late := range l.delayed {
 		first.offer(late.due, func(now time.Time) {
-			l.late = slices.Delete(l.late, i, i+1)
-			l.add(late.stream, late.entries, now)
+			l.delayed = slices.Delete(l.delayed, i, i+1)
+			l.appendEntries(late.stream, late.entries, now)
 		})
 	}
 }
@@ -108,11 +108,11 @@
 	if err := checkAppend(name, entries); err != nil {
 		return 0, err
 	}
-	if err := p.logGate(ctx, name, "append"); err != nil {
+	if err := p.applyLogFaults(ctx, name, "append"); err != nil {
 		return 0, err
 	}
 	entries = cloneEntries(entries)
-	now := p.look()
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
 	if !p.log.limiter.AllowN(now, 1) {
 		p.counters.log.Throttled++
@@ -120,11 +120,11 @@
 	}
 	p.counters.countAppend(entries, now)
 	if f, ok := p.faults.take(LogLate, now, name); ok {
-		p.log.late = append(p.log.late, lateAppend{due: now.Add(f.Delay()), stream: name, entries: entries})
-		p.log.stream(name).wake()
+		p.log.delayed = append(p.log.delayed, delayedAppend{due: now.Add(f.Delay()), stream: name, entries: entries})
+		p.log.stream(name).notifyReaders()
 		return 0, errors.Wrap(platform.ErrUnknownOutcome, "append delayed")
 	}
-	offset := p.log.add(name, entries, now)
+	offset := p.log.appendEntries(name, entries, now)
 	if _, ok := p.faults.take(LogLoseReply, now, name); ok {
 		return 0, errors.Wrap(platform.ErrUnknownOutcome, "reply lost")
 	}
@@ -159,9 +159,9 @@
 	return nil
 }
 
-// logGate applies the faults that come before a log call acts. A fault's target
+// applyLogFaults applies the faults that come before a log call acts. A fault's target
 // is the stream or the call ("append" or "read").
-func (p *Platform) logGate(ctx context.Context, name, verb string) error {
+func (p *Platform) applyLogFaults(ctx context.Context, name, verb string) error {
 	if _, ok := p.takeFault(LogRefuse, name, verb); ok {
 		return errors.Wrap(platform.ErrUnavailable, "the log refuses")
 	}
@@ -182,66 +182,66 @@
 	if from == 0 || limit <= 0 {
 		return platform.Batch{}, errors.Wrap(platform.ErrRejected, "offset and maximum start at 1")
 	}
-	if err := p.logGate(ctx, name, "read"); err != nil {
+	if err := p.applyLogFaults(ctx, name, "read"); err != nil {
 		return platform.Batch{}, errors.Wrap(platform.ErrUnavailable, err.Error())
 	}
 	timeout := time.NewTimer(min(wait, platform.MaxReadWait))
 	defer timeout.Stop()
 	for {
-		look, err := p.readNow(name, from, limit)
-		if err != nil || len(look.batch.Entries) > 0 || wait <= 0 {
-			p.countRead(look.batch)
-			return look.batch, err
+		snapshot, err := p.readNow(name, from, limit)
+		if err != nil || len(snapshot.batch.Entries) > 0 || wait <= 0 {
+			p.countRead(snapshot.batch)
+			return snapshot.batch, err
 		}
-		late := time.NewTimer(look.late)
+		delayed := time.NewTimer(snapshot.untilDelayed)
 		select {
-		case <-look.grown:
-		case <-late.C:
+		case <-snapshot.changed:
+		case <-delayed.C:
 		case <-timeout.C:
-			late.Stop()
-			p.countRead(look.batch)
-			return look.batch, nil
+			delayed.Stop()
+			p.countRead(snapshot.batch)
+			return snapshot.batch, nil
 		case <-ctx.Done():
-			late.Stop()
+			delayed.Stop()
 			return platform.Batch{}, errors.Wrap(platform.ErrUnavailable, ctx.Err().Error())
 		}
-		late.Stop()
+		delayed.Stop()
 	}
 }
 
-// readLook is one look at a stream: what is there, what tells of growth, and
+// readSnapshot is one look at a stream: what is there, what tells of growth, and
 // how long until a delayed append may take effect.
-type readLook struct {
-	batch platform.Batch
-	grown <-chan struct{}
-	late  time.Duration
+type readSnapshot struct {
+	batch        platform.Batch
+	changed      <-chan struct{}
+	untilDelayed time.Duration
 }
 
 // readNow reads without waiting.
-func (p *Platform) readNow(name string, from platform.Offset, limit int) (readLook, error) {
-	now := p.look()
+func (p *Platform) readNow(name string, from platform.Offset, limit int) (readSnapshot, error) {
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
 	s := p.log.stream(name)
-	look := readLook{grown: s.grown, late: p.log.untilLate(now)}
-	look.batch = platform.Batch{First: s.first, Next: s.next()}
+	snapshot := readSnapshot{changed: s.changed, untilDelayed: p.log.untilDelayedAppend(now)}
+	snapshot.batch = platform.Batch{First: s.first, Next: s.nextOffset()}
 	if from < s.first {
-		return look, errors.Wrapf(platform.ErrTrimmed, "offset %d, retained from %d", from, s.first)
+		return snapshot, errors.Wrapf(platform.ErrTrimmed, "offset %d, retained from %d", from, s.first)
 	}
 	bytes := 0
-	for offset := from; offset < s.next() && len(look.batch.Entries) < limit; offset++ {
+	for offset := from; offset < s.nextOffset() && len(snapshot.batch.Entries) < limit; offset++ {
 		data := s.entries[offset-s.first].data
 		bytes += len(data)
-		if bytes > platform.MaxReadBytes && len(look.batch.Entries) > 0 {
+		if bytes > platform.MaxReadBytes && len(snapshot.batch.Entries) > 0 {
 			break
 		}
-		look.batch.Entries = append(look.batch.Entries, platform.Entry{Offset: offset, Data: data})
+		snapshot.batch.Entries = append(snapshot.batch.Entries, platform.Entry{Offset: offset, Data: data})
 	}
-	return look, nil
+	return snapshot, nil
 }
 
-// untilLate returns the time until the next delayed append is due.
-func (l *logState) untilLate(now time.Time) time.Duration {
-	first := earliest{at: now.Add(platform.MaxReadWait)}
-	l.nextEvent(&first)
+// untilDelayedAppend returns the time until the next delayed append is due.
+func (l *logState) untilDelayedAppend(now time.Time) time.Duration {
+	first := earliestEvent{at: now.Add(platform.MaxReadWait)}
+	l.offerDelayedAppends(&first)
 	return first.at.Sub(now)
 }
--- a/internal/standin/log_test.go
+++ b/internal/standin/log_test.go
@@ -19,15 +19,15 @@
 	return list
 }
 
-func order(t *testing.T, p *Platform, faults ...Fault) []string {
+func orderFaults(t *testing.T, p *Platform, faults ...Fault) []string {
 	t.Helper()
 	ids, err := p.Order(faults...)
 	require.NoError(t, err)
 	return ids
 }
 
-// texts reads a whole stream from an offset on.
-func texts(t *testing.T, p platform.Log, from platform.Offset) []string {
+// readTexts reads a whole stream from an offset on.
+func readTexts(t *testing.T, p platform.Log, from platform.Offset) []string {
 	t.Helper()
 	batch, err := p.Read(t.Context(), "s", from, 1000, 0)
 	require.NoError(t, err)
@@ -61,25 +61,25 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := New(Options{})
-				order(t, p, tc.fault)
+				orderFaults(t, p, tc.fault)
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
 				_, err := p.Append(ctx, "s", entries("x"))
 				require.ErrorIs(t, err, tc.want)
 				time.Sleep(time.Minute)
-				require.Equal(t, tc.after, texts(t, p, 1))
+				require.Equal(t, tc.after, readTexts(t, p, 1))
 			})
 		})
 	}
 }
 
-func TestLateAppendLandsBehindItsRetry(t *testing.T) {
+func TestDelayedAppendFollowsItsRetry(t *testing.T) {
 	// The first append's reply is lost and its effect delayed; the client sends
 	// the entry again and sees offset 1. Two seconds later the first copy lands
 	// behind it and wakes a waiting reader: the log holds both.
 	synctest.Test(t, func(t *testing.T) {
 		p := New(Options{})
-		order(t, p, Fault{Kind: LogLate, Count: 1, DelayMS: 2000})
+		orderFaults(t, p, Fault{Kind: LogLate, Count: 1, DelayMS: 2000})
 		_, err := p.Append(t.Context(), "s", entries("first copy"))
 		require.ErrorIs(t, err, platform.ErrUnknownOutcome)
 		offset, err := p.Append(t.Context(), "s", entries("second copy"))
@@ -93,7 +93,7 @@
 	})
 }
 
-func TestAppendCeiling(t *testing.T) {
+func TestAppendRateLimit(t *testing.T) {
 	// A client appends 20 times at once at a ceiling of 8 a second: the burst of
 	// two passes, the rest sees ErrThrottled and nothing of it is kept. Half a
 	// second on there is room again.
@@ -107,7 +107,7 @@
 			}
 		}
 		require.Equal(t, 18, throttled)
-		require.Len(t, texts(t, p, 1), 2)
+		require.Len(t, readTexts(t, p, 1), 2)
 		time.Sleep(500 * time.Millisecond)
 		_, err := p.Append(t.Context(), "s", entries("x"))
 		require.NoError(t, err)
@@ -128,7 +128,7 @@
 		batch, err := p.Read(t.Context(), "s", 1, 10, 0)
 		require.ErrorIs(t, err, platform.ErrTrimmed)
 		require.Equal(t, platform.Batch{First: 3, Next: 6}, batch)
-		require.Len(t, texts(t, p, 3), 3)
+		require.Len(t, readTexts(t, p, 3), 3)
 		time.Sleep(2 * time.Minute)
 		batch, err = p.Read(t.Context(), "s", 5, 10, 0)
 		require.ErrorIs(t, err, platform.ErrTrimmed)
@@ -155,7 +155,7 @@
 		require.NoError(t, err)
 		require.Len(t, batch.Entries, 1)
 		require.Equal(t, 4*time.Second, time.Since(start))
-		order(t, p, Fault{Kind: LogLate, DelayMS: 500})
+		orderFaults(t, p, Fault{Kind: LogLate, DelayMS: 500})
 		time.AfterFunc(time.Second, func() { p.Append(t.Context(), "s", entries("y")) })
 		batch, err = p.Read(t.Context(), "s", 2, 10, 3*time.Second)
 		require.NoError(t, err)
--- a/internal/standin/machines.go
+++ b/internal/standin/machines.go
@@ -2,8 +2,8 @@
 
 import "github.com/pkg/errors"
 
-// machine is what the Server needs to know of a VM.
-type machine struct {
+// vmInfo is what the Server needs to know of a VM.
+type vmInfo struct {
 	id          string
 	zone        string
 	address     string // empty until the Server has bound one
@@ -15,23 +15,23 @@
 	connections int
 }
 
-// serveBackends says that a Server binds the addresses of all VMs. Until it has
+// clearAddresses says that a Server binds the addresses of all VMs. Until it has
 // done so for a VM, the list leaves that VM out.
-func (p *Platform) serveBackends() {
-	p.look()
+func (p *Platform) clearAddresses() {
+	p.lockAndAdvance()
 	defer p.mu.Unlock()
-	p.fleet.served = true
+	p.fleet.hasServer = true
 	for _, v := range p.fleet.order {
 		v.setAddress("")
 	}
 }
 
-func (p *Platform) machines() []machine {
-	p.look()
+func (p *Platform) vmInfos() []vmInfo {
+	p.lockAndAdvance()
 	defer p.mu.Unlock()
-	machines := make([]machine, 0, len(p.fleet.order))
+	machines := make([]vmInfo, 0, len(p.fleet.order))
 	for _, v := range p.fleet.order {
-		machines = append(machines, machine{
+		machines = append(machines, vmInfo{
 			id:          v.vm.ID,
 			zone:        v.vm.Zone,
 			address:     v.vm.Address,
@@ -47,7 +47,7 @@
 }
 
 func (p *Platform) setAddress(vm, address string) {
-	p.look()
+	p.lockAndAdvance()
 	defer p.mu.Unlock()
 	p.fleet.vms[vm].setAddress(address)
 }
@@ -55,15 +55,15 @@
 // setAddress also amends the past: an address never changes once it is bound.
 func (v *vmState) setAddress(address string) {
 	v.vm.Address = address
-	for i := range v.past {
-		v.past[i].vm.Address = address
+	for i := range v.history {
+		v.history[i].vm.Address = address
 	}
 }
 
 // Advertise makes the list show other addresses, by VM, than those that the
 // backend servers listen on: those of proxies that stand in front of them.
 func (p *Platform) Advertise(addresses map[string]string) error {
-	p.look()
+	p.lockAndAdvance()
 	defer p.mu.Unlock()
 	for vm := range addresses {
 		if p.fleet.vms[vm] == nil {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -65,7 +65,7 @@
 		listener: listener,
 		backends: map[string]*backend{},
 	}
-	p.serveBackends()
+	p.clearAddresses()
 	if err := s.reconcile(); err != nil {
 		s.close()
 		return nil, err
@@ -80,7 +80,7 @@
 // which their VMs appeared.
 func (s *Server) BackendAddresses() []string {
 	var addresses []string
-	for _, m := range s.platform.machines() {
+	for _, m := range s.platform.vmInfos() {
 		addresses = append(addresses, m.address)
 	}
 	return addresses
@@ -113,12 +113,12 @@
 
 func (s *Server) close() {
 	s.listener.Close()
-	for _, b := range s.all() {
+	for _, b := range s.allBackends() {
 		b.close(false)
 	}
 }
 
-func (s *Server) all() []*backend {
+func (s *Server) allBackends() []*backend {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := make([]*backend, 0, len(s.backends))
@@ -131,16 +131,16 @@
 // reconcile opens and closes backend servers to match their VMs. A VM whose
 // address is still in use is tried again the next time.
 func (s *Server) reconcile() error {
-	var failed error
-	for _, m := range s.platform.machines() {
-		if err := s.match(m); err != nil {
-			failed = err
+	var lastErr error
+	for _, m := range s.platform.vmInfos() {
+		if err := s.reconcileVM(m); err != nil {
+			lastErr = err
 		}
 	}
-	return failed
+	return lastErr
 }
 
-func (s *Server) match(m machine) error {
+func (s *Server) reconcileVM(m vmInfo) error {
 	b := s.backendOf(m)
 	boots, open := b.isOpen()
 	if open && (!m.up || boots != m.boots) {
@@ -165,7 +165,7 @@
 	return nil
 }
 
-func (s *Server) backendOf(m machine) *backend {
+func (s *Server) backendOf(m vmInfo) *backend {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b, ok := s.backends[m.id]
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -82,9 +82,9 @@
 	return p
 }
 
-// look locks the state, brings it up to the present and returns that time. The
+// lockAndAdvance locks the state, brings it up to the present and returns that time. The
 // caller unlocks.
-func (p *Platform) look() time.Time {
+func (p *Platform) lockAndAdvance() time.Time {
 	p.mu.Lock()
 	now := p.now()
 	p.advance(now)
@@ -103,26 +103,26 @@
 		p.finishDrains()
 	}
 	p.finishDrains()
-	p.forgetTasks(now)
+	p.dropEndedTasks(now)
 	p.log.trim(now)
 }
 
 // nextEvent returns the earliest event that is still to come, or no function.
 func (p *Platform) nextEvent() (time.Time, func(time.Time)) {
-	var first earliest
-	p.log.nextEvent(&first)
-	p.nextBoot(&first)
-	p.nextTaskEvent(&first)
+	var first earliestEvent
+	p.log.offerDelayedAppends(&first)
+	p.offerBoots(&first)
+	p.offerTaskEnds(&first)
 	return first.at, first.apply
 }
 
-// earliest keeps the event with the earliest time of those offered to it.
-type earliest struct {
+// earliestEvent keeps the event with the earliest time of those offered to it.
+type earliestEvent struct {
 	at    time.Time
 	apply func(time.Time)
 }
 
-func (e *earliest) offer(at time.Time, apply func(time.Time)) {
+func (e *earliestEvent) offer(at time.Time, apply func(time.Time)) {
 	if e.apply == nil || at.Before(e.at) {
 		e.at, e.apply = at, apply
 	}
--- a/internal/standin/tasks.go
+++ b/internal/standin/tasks.go
@@ -14,21 +14,21 @@
 
 // task is one task that was started. Its real needs may differ from its spec.
 type task struct {
-	spec     platform.TaskSpec
-	phase    platform.TaskPhase
-	reason   string
-	started  time.Time
-	ended    time.Time
-	cores    float64
-	memoryMB int
-	// left is the unthrottled run time still needed at since; share is the part
+	spec         platform.TaskSpec
+	phase        platform.TaskPhase
+	reason       string
+	started      time.Time
+	ended        time.Time
+	realCores    float64
+	realMemoryMB int
+	// workLeft is the unthrottled run time still needed at since; share is the part
 	// of full speed granted from then on.
-	left       time.Duration
-	since      time.Time
-	share      float64
-	leaseUntil time.Time
-	failAt     time.Time // set on a worker that fails everything
-	checkpoint string
+	workLeft       time.Duration
+	updatedAt      time.Time
+	share          float64
+	leaseExpiresAt time.Time
+	failAt         time.Time // set on a worker that fails everything
+	checkpoint     string
 }
 
 // taskState holds the tasks: running ones by ID, ended ones in order of ending,
@@ -67,7 +67,7 @@
 
 // remaining returns the unthrottled run time still needed at now.
 func (t *task) remaining(now time.Time) time.Duration {
-	return t.left - time.Duration(float64(now.Sub(t.since))*t.share)
+	return t.workLeft - time.Duration(float64(now.Sub(t.updatedAt))*t.share)
 }
 
 // finishAt returns when the task will succeed; false when it is stopped short.
@@ -75,10 +75,10 @@
 	if t.share <= 0 {
 		return time.Time{}, false
 	}
-	return t.since.Add(time.Duration(float64(t.left) / t.share)), true
+	return t.updatedAt.Add(time.Duration(float64(t.workLeft) / t.share)), true
 }
 
-func (s *taskState) runningOn(worker string) bool {
+func (s *taskState) hasRunningTaskOn(worker string) bool {
 	for _, t := range s.running {
 		if t.spec.Worker == worker {
 			return true
@@ -107,8 +107,8 @@
 	s.ended = append(s.ended, t)
 }
 
-// nextTaskEvent offers the earliest end of a running task.
-func (p *Platform) nextTaskEvent(first *earliest) {
+// offerTaskEnds offers the earliest end of a running task.
+func (p *Platform) offerTaskEnds(first *earliestEvent) {
 	for _, t := range p.tasks.running {
 		end := func(phase platform.TaskPhase, reason string) func(time.Time) {
 			return func(now time.Time) { p.tasks.end(t, phase, reason, now) }
@@ -116,15 +116,15 @@
 		if at, ok := t.finishAt(); ok {
 			first.offer(at, end(platform.TaskSucceeded, ""))
 		}
-		first.offer(t.leaseUntil, end(platform.TaskExpired, "the lease lapsed"))
+		first.offer(t.leaseExpiresAt, end(platform.TaskExpired, "the lease lapsed"))
 		if !t.failAt.IsZero() {
 			first.offer(t.failAt, end(platform.TaskFailed, "the worker failed the task"))
 		}
 	}
 }
 
-// endTasksOf fails the running tasks of a worker that goes down.
-func (p *Platform) endTasksOf(worker, reason string, now time.Time) {
+// failTasksOn fails the running tasks of a worker that goes down.
+func (p *Platform) failTasksOn(worker, reason string, now time.Time) {
 	for _, t := range p.tasks.running {
 		if t.spec.Worker == worker {
 			p.tasks.end(t, platform.TaskFailed, reason, now)
@@ -132,21 +132,21 @@
 	}
 }
 
-func (p *Platform) forgetTasks(now time.Time) {
+func (p *Platform) dropEndedTasks(now time.Time) {
 	p.tasks.ended = slices.DeleteFunc(p.tasks.ended, func(t *task) bool {
 		return now.Sub(t.ended) > endedTaskRetention
 	})
 }
 
-// onTask runs one operation on a task ID: once per operation ID, not below the
+// actOnTask runs one operation on a task ID: once per operation ID, not below the
 // fence, and with the reply lost if that was ordered.
-func (p *Platform) onTask(ctx context.Context, id, verb string, op platform.Operation, do func(time.Time) (*task, error)) (platform.TaskStatus, error) {
-	if err := p.apiGate(ctx, id, verb); err != nil {
+func (p *Platform) actOnTask(ctx context.Context, id, verb string, op platform.Operation, do func(time.Time) (*task, error)) (platform.TaskStatus, error) {
+	if err := p.applyAPIFaults(ctx, id, verb); err != nil {
 		return platform.TaskStatus{}, err
 	}
-	now := p.look()
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
-	status, err := p.once(id, op, func() (*task, error) { return do(now) })
+	status, err := p.executeTaskOperation(id, op, func() (*task, error) { return do(now) })
 	if err != nil {
 		return platform.TaskStatus{}, err
 	}
@@ -156,18 +156,18 @@
 	return status, nil
 }
 
-// once does an operation that is new. One that was done before gets the present
+// executeTaskOperation does an operation that is new. One that was done before gets the present
 // status of its task, or the one it had then if the task is forgotten.
-func (p *Platform) once(id string, op platform.Operation, do func() (*task, error)) (platform.TaskStatus, error) {
+func (p *Platform) executeTaskOperation(id string, op platform.Operation, do func() (*task, error)) (platform.TaskStatus, error) {
 	if id == "" || op.ID == "" {
 		return platform.TaskStatus{}, errors.Wrap(platform.ErrRejected, "the task or the operation has no ID")
 	}
 	key := taskOp{task: id, op: op.ID}
-	if then, ok := p.tasks.ops[key]; ok {
+	if previous, ok := p.tasks.ops[key]; ok {
 		if t, ok := p.tasks.find(id); ok {
 			return t.status(), nil
 		}
-		return then, nil
+		return previous, nil
 	}
 	if seen := p.tasks.fences[id]; op.Fence < seen {
 		return platform.TaskStatus{}, errors.Wrapf(platform.ErrFenced, "task %q has seen %d, got %d", id, seen, op.Fence)
@@ -184,15 +184,15 @@
 // Start implements platform.Tasks. A further operation ID on a task ID is a
 // further start: that a run is started once is for the caller to see to.
 func (p *Platform) Start(ctx context.Context, spec platform.TaskSpec, op platform.Operation) (platform.TaskStatus, error) {
-	if err := p.apiGate(ctx, spec.Worker); err != nil {
+	if err := p.applyAPIFaults(ctx, spec.Worker); err != nil {
 		return platform.TaskStatus{}, err
 	}
-	return p.onTask(ctx, spec.ID, "start", op, func(now time.Time) (*task, error) {
-		return p.start(spec, now)
+	return p.actOnTask(ctx, spec.ID, "start", op, func(now time.Time) (*task, error) {
+		return p.startTask(spec, now)
 	})
 }
 
-func (p *Platform) start(spec platform.TaskSpec, now time.Time) (*task, error) {
+func (p *Platform) startTask(spec platform.TaskSpec, now time.Time) (*task, error) {
 	if spec.Lease <= 0 || spec.Work < 0 || spec.Cores < 0 || spec.MemoryMB < 0 || spec.Accelerators < 0 {
 		return nil, errors.Wrap(platform.ErrRejected, "lease, work or size is out of range")
 	}
@@ -214,7 +214,7 @@
 	if spec.Job != "" {
 		p.counters.jobStarts[spec.Job]++
 	}
-	if t.memoryMB > v.vm.MemoryMB {
+	if t.realMemoryMB > v.vm.MemoryMB {
 		p.tasks.end(t, platform.TaskFailed, "out of memory", now)
 		return t, nil
 	}
@@ -236,28 +236,28 @@
 }
 
 func (p *Platform) newTask(spec platform.TaskSpec, now time.Time) (*task, error) {
-	real, _ := p.faults.take(TaskReality, now, spec.ID, spec.Job)
+	reality, _ := p.faults.take(TaskReality, now, spec.ID, spec.Job)
 	needs := spec.Declared
 	if needs == (platform.Size{}) {
 		needs = platform.Size{Cores: spec.Cores, MemoryMB: spec.MemoryMB}
 	}
 	t := &task{
-		spec:       spec,
-		phase:      platform.TaskRunning,
-		started:    now,
-		cores:      scale(needs.Cores, real.CoresFactor),
-		memoryMB:   int(scale(float64(needs.MemoryMB), real.MemoryFactor)),
-		left:       time.Duration(scale(float64(spec.Work), real.WorkFactor)),
-		since:      now,
-		share:      1,
-		leaseUntil: now.Add(spec.Lease),
+		spec:           spec,
+		phase:          platform.TaskRunning,
+		started:        now,
+		realCores:      scale(needs.Cores, reality.CoresFactor),
+		realMemoryMB:   int(scale(float64(needs.MemoryMB), reality.MemoryFactor)),
+		workLeft:       time.Duration(scale(float64(spec.Work), reality.WorkFactor)),
+		updatedAt:      now,
+		share:          1,
+		leaseExpiresAt: now.Add(spec.Lease),
 	}
 	if spec.Checkpoint != "" {
 		left, ok := p.tasks.checkpoints[spec.Checkpoint]
 		if !ok {
 			return nil, errors.Wrapf(platform.ErrNotFound, "checkpoint %q", spec.Checkpoint)
 		}
-		t.left = left
+		t.workLeft = left
 	}
 	if f, ok := p.faults.take(WorkerFails, now, spec.Worker); ok {
 		t.failAt = now.Add(f.Delay())
@@ -276,13 +276,13 @@
 // Renew implements platform.Tasks. It renews what it can; tasks that do not run
 // on the worker any more are named in ErrNotFound.
 func (p *Platform) Renew(ctx context.Context, worker string, ids []string, lease time.Duration, fence platform.Offset) error {
-	if err := p.apiGate(ctx, worker, "renew"); err != nil {
+	if err := p.applyAPIFaults(ctx, worker, "renew"); err != nil {
 		return err
 	}
 	if lease <= 0 {
 		return errors.Wrap(platform.ErrRejected, "the lease is not positive")
 	}
-	now := p.look()
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
 	var fenced, missing []string
 	for _, id := range ids {
@@ -293,7 +293,7 @@
 		case fence < p.tasks.fences[id]:
 			fenced = append(fenced, id)
 		default:
-			t.leaseUntil = now.Add(lease)
+			t.leaseExpiresAt = now.Add(lease)
 		}
 	}
 	if _, ok := p.faults.take(APILoseReply, now, worker, "renew"); ok {
@@ -308,9 +308,9 @@
 	return nil
 }
 
-// onRunning is onTask for actions on a running task; an ended one is left as it is.
-func (p *Platform) onRunning(ctx context.Context, id, verb string, op platform.Operation, do func(*task, time.Time)) (platform.TaskStatus, error) {
-	return p.onTask(ctx, id, verb, op, func(now time.Time) (*task, error) {
+// actOnRunningTask is onTask for actions on a running task; an ended one is left as it is.
+func (p *Platform) actOnRunningTask(ctx context.Context, id, verb string, op platform.Operation, do func(*task, time.Time)) (platform.TaskStatus, error) {
+	return p.actOnTask(ctx, id, verb, op, func(now time.Time) (*task, error) {
 		t, ok := p.tasks.find(id)
 		if !ok {
 			return nil, errors.Wrapf(platform.ErrNotFound, "task %q", id)
@@ -324,7 +324,7 @@
 
 // Checkpoint implements platform.Tasks: the task's progress is saved and it ends.
 func (p *Platform) Checkpoint(ctx context.Context, id string, op platform.Operation) (platform.TaskStatus, error) {
-	return p.onRunning(ctx, id, platform.VerbCheckpoint, op, func(t *task, now time.Time) {
+	return p.actOnRunningTask(ctx, id, platform.VerbCheckpoint, op, func(t *task, now time.Time) {
 		t.checkpoint = fmt.Sprintf("checkpoint-%d", len(p.tasks.checkpoints)+1)
 		p.tasks.checkpoints[t.checkpoint] = t.remaining(now)
 		p.tasks.end(t, platform.TaskCheckpointed, "", now)
@@ -336,30 +336,30 @@
 	if !(share >= 0 && share <= 1) {
 		return platform.TaskStatus{}, errors.Wrap(platform.ErrRejected, "the share is not within 0 and 1")
 	}
-	return p.onRunning(ctx, id, platform.VerbThrottle, op, func(t *task, now time.Time) {
-		t.left, t.since, t.share = t.remaining(now), now, share
+	return p.actOnRunningTask(ctx, id, platform.VerbThrottle, op, func(t *task, now time.Time) {
+		t.workLeft, t.updatedAt, t.share = t.remaining(now), now, share
 	})
 }
 
 // Stop implements platform.Tasks.
 func (p *Platform) Stop(ctx context.Context, id string, op platform.Operation) (platform.TaskStatus, error) {
-	return p.onRunning(ctx, id, platform.VerbStop, op, func(t *task, now time.Time) {
+	return p.actOnRunningTask(ctx, id, platform.VerbStop, op, func(t *task, now time.Time) {
 		p.tasks.end(t, platform.TaskStopped, "", now)
 	})
 }
 
 // Status implements platform.Tasks.
 func (p *Platform) Status(ctx context.Context, worker string) ([]platform.TaskStatus, error) {
-	if err := p.apiGate(ctx, worker, "status"); err != nil {
+	if err := p.applyAPIFaults(ctx, worker, "status"); err != nil {
 		return nil, errors.Wrap(platform.ErrUnavailable, err.Error())
 	}
-	p.look()
+	p.lockAndAdvance()
 	defer p.mu.Unlock()
 	if _, ok := p.fleet.vms[worker]; !ok {
 		return nil, errors.Wrapf(platform.ErrNotFound, "worker %q", worker)
 	}
 	statuses := []platform.TaskStatus{}
-	for t := range p.eachTask() {
+	for t := range p.allTasks() {
 		if t.spec.Worker == worker {
 			statuses = append(statuses, t.status())
 		}
--- a/internal/standin/tasks_test.go
+++ b/internal/standin/tasks_test.go
@@ -10,13 +10,13 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-func spec(id string, lease, work time.Duration) platform.TaskSpec {
+func newTaskSpec(id string, lease, work time.Duration) platform.TaskSpec {
 	return platform.TaskSpec{ID: id, Job: "job", Worker: "vm-01", Cores: 4, MemoryMB: 1000, Lease: lease, Work: work}
 }
 
-func start(t *testing.T, p *Platform, s platform.TaskSpec) {
+func startTask(t *testing.T, p *Platform, s platform.TaskSpec) {
 	t.Helper()
-	_, err := p.Start(t.Context(), s, op("start "+s.ID, 1))
+	_, err := p.Start(t.Context(), s, newOperation("start "+s.ID, 1))
 	require.NoError(t, err)
 }
 
@@ -33,13 +33,13 @@
 	require.Failf(t, "no such task", "%s", id)
 }
 
-func TestLeaseLapses(t *testing.T) {
+func TestLeaseExpires(t *testing.T) {
 	// The holder renews once and is then paused past the lease: the platform
 	// stops the task 10 s after the renewal. The holder wakes up, renews and sees
 	// ErrNotFound with the task's name.
 	synctest.Test(t, func(t *testing.T) {
-		p := New(sixVMs())
-		start(t, p, spec("t", 10*time.Second, time.Hour))
+		p := New(sixVMOptions())
+		startTask(t, p, newTaskSpec("t", 10*time.Second, time.Hour))
 		time.Sleep(9 * time.Second)
 		require.NoError(t, p.Renew(t.Context(), "vm-01", []string{"t"}, 10*time.Second, 1))
 		time.Sleep(9 * time.Second)
@@ -55,8 +55,8 @@
 func TestRenewIsFenced(t *testing.T) {
 	// A holder with an older token than the task's can't keep its lease alive.
 	synctest.Test(t, func(t *testing.T) {
-		p := New(sixVMs())
-		_, err := p.Start(t.Context(), spec("t", 10*time.Second, time.Hour), op("s", 7))
+		p := New(sixVMOptions())
+		_, err := p.Start(t.Context(), newTaskSpec("t", 10*time.Second, time.Hour), newOperation("s", 7))
 		require.NoError(t, err)
 		time.Sleep(5 * time.Second)
 		require.ErrorIs(t, p.Renew(t.Context(), "vm-01", []string{"t"}, time.Minute, 6), platform.ErrFenced)
@@ -70,20 +70,20 @@
 	// operation ID it is one start; a new ID for the same task is a second one,
 	// which the counters show so that a test can forbid it.
 	synctest.Test(t, func(t *testing.T) {
-		p := New(sixVMs())
-		order(t, p, Fault{Kind: APILoseReply, Target: "start", Count: 1})
-		s := spec("t", time.Hour, time.Second)
-		_, err := p.Start(t.Context(), s, op("a", 1))
+		p := New(sixVMOptions())
+		orderFaults(t, p, Fault{Kind: APILoseReply, Target: "start", Count: 1})
+		s := newTaskSpec("t", time.Hour, time.Second)
+		_, err := p.Start(t.Context(), s, newOperation("a", 1))
 		require.ErrorIs(t, err, platform.ErrUnknownOutcome)
-		status, err := p.Start(t.Context(), s, op("a", 1))
+		status, err := p.Start(t.Context(), s, newOperation("a", 1))
 		require.NoError(t, err)
 		require.Equal(t, platform.TaskRunning, status.Phase)
 		require.Equal(t, 1, p.Counters().MaxTaskStarts)
 		time.Sleep(2 * time.Hour)
-		status, err = p.Start(t.Context(), s, op("a", 1))
+		status, err = p.Start(t.Context(), s, newOperation("a", 1))
 		require.NoError(t, err, "an operation is known beyond the hour of its task")
 		require.Equal(t, "t", status.ID)
-		_, err = p.Start(t.Context(), s, op("b", 1))
+		_, err = p.Start(t.Context(), s, newOperation("b", 1))
 		require.NoError(t, err)
 		counters := p.Counters()
 		require.Equal(t, map[string]int{"t": 2}, counters.TaskStarts)
@@ -95,18 +95,18 @@
 	// A task of 10 s runs 2 s, then at half speed for 4 s, then is checkpointed:
 	// 6 s are left, and resumed elsewhere it ends after just these.
 	synctest.Test(t, func(t *testing.T) {
-		p := New(sixVMs())
-		start(t, p, spec("t", time.Hour, 10*time.Second))
+		p := New(sixVMOptions())
+		startTask(t, p, newTaskSpec("t", time.Hour, 10*time.Second))
 		time.Sleep(2 * time.Second)
-		_, err := p.Throttle(t.Context(), "t", 0.5, op("throttle", 2))
+		_, err := p.Throttle(t.Context(), "t", 0.5, newOperation("throttle", 2))
 		require.NoError(t, err)
 		time.Sleep(4 * time.Second)
-		status, err := p.Checkpoint(t.Context(), "t", op("checkpoint", 3))
+		status, err := p.Checkpoint(t.Context(), "t", newOperation("checkpoint", 3))
 		require.NoError(t, err)
 		require.Equal(t, platform.TaskCheckpointed, status.Phase)
-		resumed := spec("t2", time.Hour, 10*time.Second)
+		resumed := newTaskSpec("t2", time.Hour, 10*time.Second)
 		resumed.Checkpoint = status.Checkpoint
-		start(t, p, resumed)
+		startTask(t, p, resumed)
 		time.Sleep(6*time.Second - time.Millisecond)
 		requirePhase(t, p, "t2", platform.TaskRunning)
 		time.Sleep(time.Millisecond)
@@ -118,12 +118,12 @@
 	// Every start on the worker is accepted as running and fails half a second
 	// later; starts on other workers are not touched.
 	synctest.Test(t, func(t *testing.T) {
-		p := New(sixVMs())
-		order(t, p, Fault{Kind: WorkerFails, Target: "vm-01", DelayMS: 500})
-		start(t, p, spec("t", time.Hour, time.Minute))
-		other := spec("other", time.Hour, time.Minute)
+		p := New(sixVMOptions())
+		orderFaults(t, p, Fault{Kind: WorkerFails, Target: "vm-01", DelayMS: 500})
+		startTask(t, p, newTaskSpec("t", time.Hour, time.Minute))
+		other := newTaskSpec("other", time.Hour, time.Minute)
 		other.Worker = "vm-02"
-		start(t, p, other)
+		startTask(t, p, other)
 		requirePhase(t, p, "t", platform.TaskRunning)
 		time.Sleep(time.Second)
 		requirePhase(t, p, "t", platform.TaskFailed)
@@ -133,13 +133,13 @@
 	})
 }
 
-func TestRealSizesAndLateUsage(t *testing.T) {
+func TestTaskRealityAndUsageLag(t *testing.T) {
 	// A job's tasks use twice the cores and three times the time declared. Usage
 	// lags by 20 s: it shows nothing before, and goes on after the task ended.
 	synctest.Test(t, func(t *testing.T) {
-		p := New(sixVMs())
-		order(t, p, Fault{Kind: TaskReality, Target: "job", CoresFactor: 2, WorkFactor: 3}, Fault{Kind: UsageLag, DelayMS: 20_000})
-		start(t, p, spec("t", time.Hour, 10*time.Second))
+		p := New(sixVMOptions())
+		orderFaults(t, p, Fault{Kind: TaskReality, Target: "job", CoresFactor: 2, WorkFactor: 3}, Fault{Kind: UsageLag, DelayMS: 20_000})
+		startTask(t, p, newTaskSpec("t", time.Hour, 10*time.Second))
 		time.Sleep(19 * time.Second)
 		usage, err := p.Usage(t.Context())
 		require.NoError(t, err)
@@ -158,27 +158,27 @@
 	})
 }
 
-func TestWorkersRefuseWhatTheyCannotTake(t *testing.T) {
+func TestStartIsRejectedOnUnsuitableWorkers(t *testing.T) {
 	// A start is refused on a full, a draining and an unknown worker, and a
 	// reboot fails the tasks that run.
 	synctest.Test(t, func(t *testing.T) {
-		p := New(sixVMs())
+		p := New(sixVMOptions())
 		for _, id := range []string{"1", "2", "3", "4", "5", "6", "7", "8"} {
-			start(t, p, spec(id, time.Hour, time.Hour))
+			startTask(t, p, newTaskSpec(id, time.Hour, time.Hour))
 		}
-		_, err := p.Start(t.Context(), spec("9", time.Hour, time.Hour), op("s", 1))
+		_, err := p.Start(t.Context(), newTaskSpec("9", time.Hour, time.Hour), newOperation("s", 1))
 		require.ErrorIs(t, err, platform.ErrRejected)
-		_, err = p.Stop(t.Context(), "1", op("stop", 2))
+		_, err = p.Stop(t.Context(), "1", newOperation("stop", 2))
 		require.NoError(t, err)
-		_, err = p.Drain(t.Context(), "vm-01", op("d", 1))
+		_, err = p.Drain(t.Context(), "vm-01", newOperation("d", 1))
 		require.NoError(t, err)
-		_, err = p.Start(t.Context(), spec("9", time.Hour, time.Hour), op("s", 1))
+		_, err = p.Start(t.Context(), newTaskSpec("9", time.Hour, time.Hour), newOperation("s", 1))
 		require.ErrorIs(t, err, platform.ErrRejected)
-		unknown := spec("9", time.Hour, time.Hour)
+		unknown := newTaskSpec("9", time.Hour, time.Hour)
 		unknown.Worker = "nobody"
-		_, err = p.Start(t.Context(), unknown, op("s", 1))
+		_, err = p.Start(t.Context(), unknown, newOperation("s", 1))
 		require.ErrorIs(t, err, platform.ErrNotFound)
-		_, err = p.Reboot(t.Context(), "vm-01", op("r", 1))
+		_, err = p.Reboot(t.Context(), "vm-01", newOperation("r", 1))
 		require.NoError(t, err)
 		requirePhase(t, p, "1", platform.TaskStopped)
 		requirePhase(t, p, "2", platform.TaskFailed)
--- a/internal/standin/usage.go
+++ b/internal/standin/usage.go
@@ -12,8 +12,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-// eachTask yields the ended tasks in order of ending, then the running ones by ID.
-func (p *Platform) eachTask() iter.Seq[*task] {
+// allTasks yields the ended tasks in order of ending, then the running ones by ID.
+func (p *Platform) allTasks() iter.Seq[*task] {
 	return func(yield func(*task) bool) {
 		for _, t := range p.tasks.ended {
 			if !yield(t) {
@@ -31,23 +31,23 @@
 // Usage implements platform.Tasks: what the tasks that ran at AsOf really used.
 // A throttled task is reported at its present share, also for the past.
 func (p *Platform) Usage(ctx context.Context) ([]platform.Usage, error) {
-	if err := p.apiGate(ctx, "usage"); err != nil {
+	if err := p.applyAPIFaults(ctx, "usage"); err != nil {
 		return nil, errors.Wrap(platform.ErrUnavailable, err.Error())
 	}
-	now := p.look()
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
 	asOf := now
 	if lag, ok := p.faults.take(UsageLag, now); ok {
 		asOf = now.Add(-lag.Delay())
 	}
 	reports := []platform.Usage{}
-	for t := range p.eachTask() {
-		if t.ranAt(asOf) {
+	for t := range p.allTasks() {
+		if t.wasRunningAt(asOf) {
 			reports = append(reports, platform.Usage{
 				Task:     t.spec.ID,
 				Worker:   t.spec.Worker,
-				Cores:    t.cores * t.share,
-				MemoryMB: t.memoryMB,
+				Cores:    t.realCores * t.share,
+				MemoryMB: t.realMemoryMB,
 				AsOf:     asOf,
 			})
 		}
@@ -55,7 +55,7 @@
 	return reports, nil
 }
 
-func (t *task) ranAt(at time.Time) bool {
+func (t *task) wasRunningAt(at time.Time) bool {
 	if t.started.After(at) {
 		return false
 	}
--- a/internal/trace/facts.go
+++ b/internal/trace/facts.go
@@ -68,20 +68,20 @@
 	return fact
 }
 
-// Differ lists where got is not what f states.
-func (f Facts) Differ(got Facts) []string {
+// Diff lists where got is not what f states.
+func (f Facts) Diff(got Facts) []string {
 	var out []string
-	out = append(out, differing("service", f.Services, got.Services)...)
-	out = append(out, differing("VM", f.VMs, got.VMs)...)
-	out = append(out, differing("wave", f.Waves, got.Waves)...)
-	out = append(out, differing("job", f.Jobs, got.Jobs)...)
+	out = append(out, diffMaps("service", f.Services, got.Services)...)
+	out = append(out, diffMaps("VM", f.VMs, got.VMs)...)
+	out = append(out, diffMaps("wave", f.Waves, got.Waves)...)
+	out = append(out, diffMaps("job", f.Jobs, got.Jobs)...)
 	if !slices.Equal(f.Members, got.Members) {
 		out = append(out, fmt.Sprintf("members: stated %v, replayed %v", f.Members, got.Members))
 	}
 	return out
 }
 
-func differing[V comparable](what string, stated, got map[string]V) []string {
+func diffMaps[V comparable](what string, stated, got map[string]V) []string {
 	var out []string
 	all := maps.Clone(stated)
 	if all == nil {
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -16,11 +16,11 @@
 
 // Limits of a recording.
 const (
-	readMax = 1000
-	// pollPause is the pause between looks at the log and the list of VMs.
-	pollPause = 100 * time.Millisecond
-	// listEvery is how many looks at the log there are to one at the list.
-	listEvery = 5
+	maxReadEntries = 1000
+	// pollInterval is the pause between looks at the log and the list of VMs.
+	pollInterval = 100 * time.Millisecond
+	// readsPerList is how many looks at the log there are to one at the list.
+	readsPerList = 5
 )
 
 // Source is what a recording reads.
@@ -31,12 +31,12 @@
 
 // Recorder writes a trace of the platform's log and list.
 type Recorder struct {
-	source Source
-	stream string
-	writer *Writer
-	state  *ledger.State
-	counts map[ledger.Status]int
-	vms    map[string]platform.VM
+	source       Source
+	stream       string
+	writer       *Writer
+	state        *ledger.State
+	statusCounts map[ledger.Status]int
+	lastListed   map[string]platform.VM
 }
 
 // NewRecorder begins a trace of a stream. It starts with the entry after the
@@ -54,12 +54,12 @@
 		return nil, err
 	}
 	return &Recorder{
-		source: source,
-		stream: stream,
-		writer: w,
-		state:  state,
-		counts: map[ledger.Status]int{},
-		vms:    map[string]platform.VM{},
+		source:       source,
+		stream:       stream,
+		writer:       w,
+		state:        state,
+		statusCounts: map[ledger.Status]int{},
+		lastListed:   map[string]platform.VM{},
 	}, nil
 }
 
@@ -67,21 +67,21 @@
 // asked again: outages belong to what is recorded.
 func (r *Recorder) Follow(ctx context.Context) error {
 	for n := 0; ctx.Err() == nil; n++ {
-		if err := r.Entries(ctx); err != nil && !passing(err) {
+		if err := r.Entries(ctx); err != nil && !isTransient(err) {
 			return err
 		}
-		if n%listEvery == 0 {
-			if err := r.List(ctx); err != nil && !passing(err) {
+		if n%readsPerList == 0 {
+			if err := r.List(ctx); err != nil && !isTransient(err) {
 				return err
 			}
 		}
-		wait.Sleep(ctx, pollPause)
+		wait.Sleep(ctx, pollInterval)
 	}
 	return nil
 }
 
-// passing reports whether the platform may answer later.
-func passing(err error) bool {
+// isTransient reports whether the platform may answer later.
+func isTransient(err error) bool {
 	return errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrUnknownOutcome) ||
 		errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
 }
@@ -91,12 +91,12 @@
 func (r *Recorder) Entries(ctx context.Context) error {
 	for {
 		from := platform.Offset(r.state.Offset + 1)
-		batch, err := r.source.Read(ctx, r.stream, from, readMax, 0)
+		batch, err := r.source.Read(ctx, r.stream, from, maxReadEntries, 0)
 		if err != nil {
 			return err
 		}
 		for _, e := range batch.Entries {
-			if err := r.entry(e); err != nil {
+			if err := r.recordEntry(e); err != nil {
 				return err
 			}
 		}
@@ -106,9 +106,9 @@
 	}
 }
 
-func (r *Recorder) entry(e platform.Entry) error {
+func (r *Recorder) recordEntry(e platform.Entry) error {
 	out := r.state.ApplyData(uint64(e.Offset), e.Data)
-	r.counts[out.Status]++
+	r.statusCounts[out.Status]++
 	line := NewEntry(e.Data, out)
 	return r.writer.Write(Line{Entry: &line})
 }
@@ -122,21 +122,21 @@
 	present := map[string]bool{}
 	for _, vm := range list.VMs {
 		present[vm.ID] = true
-		old, known := r.vms[vm.ID]
+		old, known := r.lastListed[vm.ID]
 		if known && old.State == vm.State && old.BootID == vm.BootID {
 			continue
 		}
-		r.vms[vm.ID] = vm
+		r.lastListed[vm.ID] = vm
 		line := VM{At: list.AsOf, ID: vm.ID, State: string(vm.State), BootID: vm.BootID}
 		if err := r.writer.Write(Line{VM: &line}); err != nil {
 			return err
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(r.vms)) {
+	for _, id := range slices.Sorted(maps.Keys(r.lastListed)) {
 		if present[id] {
 			continue
 		}
-		delete(r.vms, id)
+		delete(r.lastListed, id)
 		if err := r.writer.Write(Line{VM: &VM{At: list.AsOf, ID: id}}); err != nil {
 			return err
 		}
@@ -149,6 +149,6 @@
 
 // Close states the end and closes the trace.
 func (r *Recorder) Close() (End, error) {
-	end := End{Offset: r.state.Offset, Statuses: r.counts, Facts: FactsOf(r.state)}
+	end := End{Offset: r.state.Offset, Statuses: r.statusCounts, Facts: FactsOf(r.state)}
 	return end, r.writer.Close(end)
 }
--- a/internal/trace/replay.go
+++ b/internal/trace/replay.go
@@ -31,59 +31,59 @@
 	State *ledger.State `json:"-"`
 }
 
-// replay is a Result in the making.
-type replay struct {
+// replayer is a Result in the making.
+type replayer struct {
 	Result
-	line  int
-	boots map[string]*boots // by VM
-	tries map[string]bool   // not-repeatable jobs whose last attempt may have run
+	line       int
+	boots      map[string]*bootCounts // by VM
+	mayHaveRun map[string]bool        // not-repeatable jobs whose last attempt may have run
 }
 
-// boots counts a VM's boots beside what could have caused them.
-type boots struct {
-	id    string // latest boot ID
-	seen  int    // boots after the first
-	cause int    // effective reboots and failures
+// bootCounts counts a VM's boots beside what could have caused them.
+type bootCounts struct {
+	id        string // latest boot ID
+	observed  int    // boots after the first
+	explained int    // effective reboots and failures
 }
 
 // Replay folds the trace's entries again and checks them. The error is
 // ErrFormat.
 func Replay(from io.Reader) (Result, error) {
-	r := &replay{
-		Result: Result{Statuses: map[ledger.Status]int{}, State: ledger.New()},
-		boots:  map[string]*boots{},
-		tries:  map[string]bool{},
+	r := &replayer{
+		Result:     Result{Statuses: map[ledger.Status]int{}, State: ledger.New()},
+		boots:      map[string]*bootCounts{},
+		mayHaveRun: map[string]bool{},
 	}
-	if err := Read(from, r.take); err != nil {
+	if err := Read(from, r.handleLine); err != nil {
 		return r.Result, err
 	}
-	r.finish()
+	r.checkBoots()
 	return r.Result, nil
 }
 
-func (r *replay) differ(format string, args ...any) {
+func (r *replayer) addDifference(format string, args ...any) {
 	r.Differences = append(r.Differences, Difference{Line: r.line, Offset: r.State.Offset, What: fmt.Sprintf(format, args...)})
 }
 
-func (r *replay) take(line Line) {
+func (r *replayer) handleLine(line Line) {
 	r.line++
 	switch {
 	case line.Header != nil:
-		r.begin(*line.Header)
+		r.handleHeader(*line.Header)
 	case line.Entry != nil:
-		r.entry(*line.Entry)
+		r.replayEntry(*line.Entry)
 	case line.VM != nil:
 		r.VMEvents++
-		r.vm(*line.VM)
+		r.countBoot(*line.VM)
 	case line.Request != nil:
 		r.Requests++
-		r.request(*line.Request)
+		r.checkRequest(*line.Request)
 	case line.End != nil:
-		r.end(*line.End)
+		r.checkEnd(*line.End)
 	}
 }
 
-func (r *replay) begin(h Header) {
+func (r *replayer) handleHeader(h Header) {
 	r.Header = h
 	r.Header.Snapshot = nil
 	if len(h.Snapshot) == 0 {
@@ -91,18 +91,18 @@
 	}
 	state, err := ledger.DecodeSnapshot(h.Snapshot)
 	if err != nil {
-		r.differ("the snapshot that the trace begins with: %v", err)
+		r.addDifference("the snapshot that the trace begins with: %v", err)
 		return
 	}
 	r.State = state
 }
 
-// entry folds one entry. Reasons are not compared: they are for people and may
+// replayEntry folds one entry. Reasons are not compared: they are for people and may
 // be reworded.
-func (r *replay) entry(e Entry) {
+func (r *replayer) replayEntry(e Entry) {
 	r.Entries++
 	if e.Offset <= r.State.Offset {
-		r.differ("offset %d comes after %d", e.Offset, r.State.Offset)
+		r.addDifference("offset %d comes after %d", e.Offset, r.State.Offset)
 		return
 	}
 	var before record.Revision
@@ -113,38 +113,38 @@
 	out := r.State.ApplyData(e.Offset, e.Bytes())
 	r.Statuses[out.Status]++
 	if out.Status != e.Status || out.Current != e.Current {
-		r.differ("record %s on %s: stated %s with revision %d, replayed %s with revision %d (%s)",
+		r.addDifference("record %s on %s: stated %s with revision %d, replayed %s with revision %d (%s)",
 			out.ID, out.Subject, e.Status, e.Current, out.Status, out.Current, out.Reason)
 	}
 	if out.Status != ledger.Effective {
 		return
 	}
 	if out.Current != 0 && out.Current < before {
-		r.differ("%s fell from revision %d to %d", out.Subject, before, out.Current)
+		r.addDifference("%s fell from revision %d to %d", out.Subject, before, out.Current)
 	}
-	r.effective(rec)
+	r.checkEffective(rec)
 }
 
-// effective checks the promises after an effective record.
-func (r *replay) effective(rec record.Record) {
+// checkEffective checks the promises after an effective record.
+func (r *replayer) checkEffective(rec record.Record) {
 	switch b := rec.Body.(type) {
 	case record.VMDown:
-		r.bootsOf(rec.Subject.Name).cause++
+		r.bootsOf(rec.Subject.Name).explained++
 	case record.VMAdvance:
 		if b.To == record.PhaseRebooting {
-			r.bootsOf(rec.Subject.Name).cause++
+			r.bootsOf(rec.Subject.Name).explained++
 		}
 	case record.VMDrain:
-		r.drained(rec.Subject.Name)
+		r.checkDrain(rec.Subject.Name)
 	case record.VMJoin:
-		r.joined(rec.Subject.Name)
+		r.checkJoin(rec.Subject.Name)
 	case record.JobPlace, record.JobEnd:
-		r.job(rec)
+		r.checkAttempts(rec)
 	}
 }
 
-// drained checks that a planned drain stayed within its pool's bound.
-func (r *replay) drained(vm string) {
+// checkDrain checks that a planned drain stayed within its pool's bound.
+func (r *replayer) checkDrain(vm string) {
 	pool := r.State.VMs[vm].Pool
 	svc, ok := r.State.Services[pool]
 	if !ok {
@@ -152,12 +152,12 @@
 	}
 	u := r.State.Unavailability(pool)
 	if u.Short > svc.Doc.Budget.MaxUnavailable {
-		r.differ("the drain of %s leaves pool %s short of %d VMs, allowed are %d", vm, pool, u.Short, svc.Doc.Budget.MaxUnavailable)
+		r.addDifference("the drain of %s leaves pool %s short of %d VMs, allowed are %d", vm, pool, u.Short, svc.Doc.Budget.MaxUnavailable)
 	}
 }
 
-// joined checks that the VM is in one pool.
-func (r *replay) joined(vm string) {
+// checkJoin checks that the VM is in one pool.
+func (r *replayer) checkJoin(vm string) {
 	var pools []string
 	for name := range maps.Keys(r.State.Services) {
 		if _, ok := r.State.PoolVMs(name)[vm]; ok {
@@ -165,13 +165,13 @@
 		}
 	}
 	if len(pools) != 1 {
-		r.differ("VM %s is in %d pools: %v", vm, len(pools), pools)
+		r.addDifference("VM %s is in %d pools: %v", vm, len(pools), pools)
 	}
 }
 
-// job checks that a job that is not repeatable is not placed again after an
+// checkAttempts checks that a job that is not repeatable is not placed again after an
 // attempt that may have run to its end.
-func (r *replay) job(rec record.Record) {
+func (r *replayer) checkAttempts(rec record.Record) {
 	id := rec.Subject.Name
 	j, ok := r.State.Jobs[id]
 	if !ok || j.Spec.Repeatable {
@@ -179,65 +179,65 @@
 	}
 	switch b := rec.Body.(type) {
 	case record.JobPlace:
-		if r.tries[id] {
-			r.differ("job %s is not repeatable and was placed again", id)
+		if r.mayHaveRun[id] {
+			r.addDifference("job %s is not repeatable and was placed again", id)
 		}
-		r.tries[id] = true
+		r.mayHaveRun[id] = true
 	case record.JobEnd:
-		r.tries[id] = b.Result != record.JobNotStarted && b.Result != record.JobPreempted
+		r.mayHaveRun[id] = b.Result != record.JobNotStarted && b.Result != record.JobPreempted
 	}
 }
 
-func (r *replay) bootsOf(vm string) *boots {
+func (r *replayer) bootsOf(vm string) *bootCounts {
 	b, ok := r.boots[vm]
 	if !ok {
-		b = &boots{}
+		b = &bootCounts{}
 		r.boots[vm] = b
 	}
 	return b
 }
 
-// vm counts boots. The boot that a VM has when it is first listed, or listed
+// countBoot counts boots. The boot that a VM has when it is first listed, or listed
 // anew, is none of them.
-func (r *replay) vm(e VM) {
+func (r *replayer) countBoot(e VM) {
 	b := r.bootsOf(e.ID)
 	if b.id != "" && e.BootID != "" && b.id != e.BootID {
-		b.seen++
+		b.observed++
 	}
 	b.id = e.BootID
 }
 
-// request checks the outcome that a caller was told.
-func (r *replay) request(q Request) {
+// checkRequest checks the outcome that a caller was told.
+func (r *replayer) checkRequest(q Request) {
 	switch {
 	case q.Outcome == "not-run" && q.Runs > 0:
-		r.differ("the caller of %s was told not-run, it ran %d times", q.Key, q.Runs)
+		r.addDifference("the caller of %s was told not-run, it ran %d times", q.Key, q.Runs)
 	case q.Outcome == "ran" && q.Runs == 0:
-		r.differ("the caller of %s was told ran, it did not run", q.Key)
+		r.addDifference("the caller of %s was told ran, it did not run", q.Key)
 	case !q.Repeatable && q.Runs > 1:
-		r.differ("%s is not repeatable and ran %d times", q.Key, q.Runs)
+		r.addDifference("%s is not repeatable and ran %d times", q.Key, q.Runs)
 	}
 }
 
-func (r *replay) end(e End) {
+func (r *replayer) checkEnd(e End) {
 	if r.State.Offset != e.Offset {
-		r.differ("the trace states offset %d at its end", e.Offset)
+		r.addDifference("the trace states offset %d at its end", e.Offset)
 	}
-	for _, what := range e.Facts.Differ(FactsOf(r.State)) {
-		r.differ("%s", what)
+	for _, what := range e.Facts.Diff(FactsOf(r.State)) {
+		r.addDifference("%s", what)
 	}
 	if !maps.Equal(r.Statuses, e.Statuses) {
-		r.differ("stated %v, replayed %v", e.Statuses, r.Statuses)
+		r.addDifference("stated %v, replayed %v", e.Statuses, r.Statuses)
 	}
 }
 
-// finish checks what only the whole trace shows. Boots are compared at the end,
+// checkBoots checks what only the whole trace shows. Boots are compared at the end,
 // since the platform's list lags behind the log.
-func (r *replay) finish() {
+func (r *replayer) checkBoots() {
 	r.Offset = r.State.Offset
 	for _, vm := range slices.Sorted(maps.Keys(r.boots)) {
-		if b := r.boots[vm]; b.seen > b.cause {
-			r.differ("VM %s booted %d times, with %d reboots and failures on the log", vm, b.seen, b.cause)
+		if b := r.boots[vm]; b.observed > b.explained {
+			r.addDifference("VM %s booted %d times, with %d reboots and failures on the log", vm, b.observed, b.explained)
 		}
 	}
 }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -21,8 +21,8 @@
 // start of the recorded times.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// put appends a record for vm-1 and returns the offset that it got.
-func put(t *testing.T, p *standin.Platform, id string, base record.Revision, body record.Body) record.Revision {
+// appendRecord appends a record for vm-1 and returns the offset that it got.
+func appendRecord(t *testing.T, p *standin.Platform, id string, base record.Revision, body record.Body) record.Revision {
 	t.Helper()
 	sub := record.Subject{Kind: record.SubjectVM, Name: "vm-01"}
 	data, err := record.Encode(record.Record{ID: id, Subject: sub, Base: base, Author: "test", Time: start, Body: body})
@@ -32,17 +32,17 @@
 	return record.Revision(offset)
 }
 
-// recording is a VM that registers, goes down and comes up again, with a void
+// recordTrace is a VM that registers, goes down and comes up again, with a void
 // copy and an entry that is no record in between.
-func recording(t *testing.T, requests ...trace.Request) []byte {
+func recordTrace(t *testing.T, requests ...trace.Request) []byte {
 	t.Helper()
 	p := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 1, Zones: []string{"a"}}}})
-	rev := put(t, p, "1", 0, record.VMRegister{Zone: "a", Rack: "r", Address: "127.0.0.1:1", Cores: 1, MemoryMB: 1})
-	down := put(t, p, "2", rev, record.VMDown{Cause: "no answer"})
-	put(t, p, "2", rev, record.VMDown{Cause: "no answer"})
+	rev := appendRecord(t, p, "1", 0, record.VMRegister{Zone: "a", Rack: "r", Address: "127.0.0.1:1", Cores: 1, MemoryMB: 1})
+	down := appendRecord(t, p, "2", rev, record.VMDown{Cause: "no answer"})
+	appendRecord(t, p, "2", rev, record.VMDown{Cause: "no answer"})
 	_, err := p.Append(t.Context(), stream, [][]byte{[]byte("no\x00json")})
 	require.NoError(t, err)
-	put(t, p, "3", down, record.VMUp{})
+	appendRecord(t, p, "3", down, record.VMUp{})
 
 	var out bytes.Buffer
 	rec, err := trace.NewRecorder(p, stream, "a VM fails", nil, &out)
@@ -57,8 +57,8 @@
 	return out.Bytes()
 }
 
-func TestReplayAgrees(t *testing.T) {
-	data := recording(t,
+func TestReplayOfUnchangedTrace(t *testing.T) {
+	data := recordTrace(t,
 		trace.Request{Key: "k1", Outcome: "ran", Runs: 1, Seen: 1},
 		trace.Request{Key: "k2", Outcome: "not-run"},
 		trace.Request{Key: "k3", Outcome: "unknown", Repeatable: true, Runs: 2, Seen: 2})
@@ -81,7 +81,7 @@
 		"outcome":  {func(l []trace.Line) { l[down].Entry.Status = ledger.Stale }, "stated stale"},
 		"revision": {func(l []trace.Line) { l[down].Entry.Current++ }, "with revision"},
 		"offset":   {func(l []trace.Line) { l[down].Entry.Offset = 1 }, "comes after"},
-		"reboot":   {func(l []trace.Line) { l[down+1], l[request] = booted("x"), booted("y") }, "vm-01 booted 2 times, with 1"},
+		"reboot":   {func(l []trace.Line) { l[down+1], l[request] = bootLine("x"), bootLine("y") }, "vm-01 booted 2 times, with 1"},
 		"not run":  {func(l []trace.Line) { l[request].Request.Runs = 1 }, "told not-run"},
 		"ran":      {func(l []trace.Line) { l[request].Request.Outcome = "ran" }, "did not run"},
 		"doubled":  {func(l []trace.Line) { *l[request].Request = trace.Request{Outcome: "unknown", Runs: 2} }, "ran 2 times"},
@@ -92,10 +92,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var lines []trace.Line
-			good := recording(t, trace.Request{Key: "k", Outcome: "not-run"})
+			good := recordTrace(t, trace.Request{Key: "k", Outcome: "not-run"})
 			require.NoError(t, trace.Read(bytes.NewReader(good), func(l trace.Line) { lines = append(lines, l) }))
 			c.change(lines)
-			result, err := trace.Replay(bytes.NewReader(written(t, lines)))
+			result, err := trace.Replay(bytes.NewReader(encodeTrace(t, lines)))
 			require.NoError(t, err)
 			var what string
 			for _, d := range result.Differences {
@@ -106,9 +106,9 @@
 	}
 }
 
-func booted(id string) trace.Line { return trace.Line{VM: &trace.VM{ID: "vm-01", BootID: id}} }
+func bootLine(id string) trace.Line { return trace.Line{VM: &trace.VM{ID: "vm-01", BootID: id}} }
 
-func written(t *testing.T, lines []trace.Line) []byte {
+func encodeTrace(t *testing.T, lines []trace.Line) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	w, err := trace.NewWriter(&out, *lines[0].Header)
@@ -125,14 +125,14 @@
 // replay comes to the outcomes that depend on what came before.
 func TestReplayFromASnapshot(t *testing.T) {
 	p := standin.New(standin.Options{})
-	rev := put(t, p, "1", 0, record.VMRegister{Zone: "a", Rack: "r", Address: "127.0.0.1:1", Cores: 1, MemoryMB: 1})
+	rev := appendRecord(t, p, "1", 0, record.VMRegister{Zone: "a", Rack: "r", Address: "127.0.0.1:1", Cores: 1, MemoryMB: 1})
 	state := ledger.New()
 	batch, err := p.Read(t.Context(), stream, 1, 10, 0)
 	require.NoError(t, err)
 	state.ApplyData(1, batch.Entries[0].Data)
 	snapshot, err := ledger.EncodeSnapshot(state)
 	require.NoError(t, err)
-	put(t, p, "2", rev, record.VMDown{Cause: "no answer"})
+	appendRecord(t, p, "2", rev, record.VMDown{Cause: "no answer"})
 
 	var out bytes.Buffer
 	rec, err := trace.NewRecorder(p, stream, "from a snapshot", snapshot, &out)
@@ -147,8 +147,8 @@
 }
 
 // A trace that was cut short, as by a full disk, must not pass as complete.
-func TestReplayRefusesBrokenTraces(t *testing.T) {
-	good := recording(t)
+func TestReplayRejectsBrokenTraces(t *testing.T) {
+	good := recordTrace(t)
 	for name, data := range map[string][]byte{
 		"empty": nil, "no gzip": []byte("{}"), "cut short": good[:len(good)/2],
 	} {
@@ -157,8 +157,8 @@
 	}
 }
 
-// recorded are the traces that must be there, as internal/proof records them.
-var recorded = []string{
+// expectedTraces are the traces that must be there, as internal/proof records them.
+var expectedTraces = []string{
 	"conflicting-publish", "wave-rack-lost", "log-outage", "outage-rejoin", "paused-holder", "lapsed-lease",
 	"cancellation-burst", "black-hole-worker", "retention-gap", "lost-replies",
 }
@@ -168,7 +168,7 @@
 	const dir = "../../testdata/traces"
 	files, err := filepath.Glob(filepath.Join(dir, "*.jsonl.gz"))
 	require.NoError(t, err)
-	for _, name := range recorded {
+	for _, name := range expectedTraces {
 		require.Contains(t, files, filepath.Join(dir, name+".jsonl.gz"))
 	}
 	for _, file := range files {
