--- a/internal/platform/api.go
+++ b/internal/platform/api.go
@@ -1,7 +1,6 @@
-// Package platform is the peer package for the platform: its append-only log
-// service, its VMs, its task runner and its lagging list of VMs. The types in
-// this file are what the rest of the system knows about the platform; the wire
-// protocol stays inside this package.
+// Package platform is the client of the platform: its append-only log service,
+// its VMs, its task runner and its lagging list of VMs. Other packages use the
+// types in this file. The wire protocol stays inside this package.
 package platform
 
 import (
@@ -11,24 +10,26 @@
 	"github.com/pkg/errors"
 )
 
-// Errors that callers tell apart with errors.Is.
+// Errors that callers distinguish with errors.Is.
 var (
-	// ErrUnavailable means that the platform could not be reached or refused to
-	// serve before it acted: the action did not take effect.
+	// ErrUnavailable means that the platform could not be reached or refused the
+	// request before acting on it. The action did not take effect.
 	ErrUnavailable = errors.New("platform unavailable")
-	// ErrUnknownOutcome means that the request was sent and no reply came: the
-	// action may have taken effect, or may still do so later.
+	// ErrUnknownOutcome means that the request was sent and no reply arrived. The
+	// action may have taken effect, or may still take effect later.
 	ErrUnknownOutcome = errors.New("platform outcome unknown")
-	// ErrTrimmed means that the offset asked for is below the retained range.
+	// ErrTrimmed means that the requested offset is below the retained range.
 	ErrTrimmed = errors.New("offset below the retained range of the log")
-	// ErrThrottled means that the append ceiling was reached; nothing was kept.
+	// ErrThrottled means that the append rate limit was reached. Nothing was appended.
 	ErrThrottled = errors.New("platform append rate exceeded")
-	// ErrFenced means that the platform has seen a higher fencing token for the
-	// same VM or task.
+	// ErrFenced means that the platform has accepted a higher fencing token for
+	// the same VM or task.
 	ErrFenced = errors.New("fencing token is older than one already seen")
-	// ErrNotFound means that the VM, task or operation is not known.
+	// ErrNotFound means that the platform does not know the VM, task, operation or
+	// checkpoint.
 	ErrNotFound = errors.New("not found on the platform")
-	// ErrRejected means that the platform refused the request as malformed.
+	// ErrRejected means that the request is malformed or exceeds a limit, or that
+	// the worker can't accept the task.
 	ErrRejected = errors.New("rejected by the platform")
 )
 
@@ -42,8 +43,8 @@
 	Data   []byte
 }
 
-// Batch is the answer to a read. First is the lowest retained offset and Next
-// the offset that the next append will get, both at the time of the read.
+// Batch is the result of a read. First is the lowest retained offset and Next is
+// the offset of the next append, both at the time of the read.
 type Batch struct {
 	First   Offset
 	Next    Offset
@@ -52,16 +53,16 @@
 
 // Log is the append-only log service.
 type Log interface {
-	// Append adds entries to a stream, in order and adjacent, and returns the
-	// offset of the first. With ErrUnknownOutcome the entries may be in the log.
+	// Append adds entries to a stream, in order and at consecutive offsets, and
+	// returns the first offset. After ErrUnknownOutcome the entries may be in the log.
 	Append(ctx context.Context, stream string, entries [][]byte) (Offset, error)
-	// Read returns at most max entries from offset from on. When none is there
-	// yet it waits up to wait for one. ErrTrimmed comes with a Batch that
-	// carries First and Next.
+	// Read returns at most max entries, starting at offset from. If there is none
+	// yet, Read waits up to wait for one. With ErrTrimmed, Read returns a Batch
+	// with First and Next set.
 	Read(ctx context.Context, stream string, from Offset, max int, wait time.Duration) (Batch, error)
 }
 
-// VMState is what the lagging list says of a VM.
+// VMState is the state of a VM in the lagging list.
 type VMState string
 
 // States of a VM in the lagging list.
@@ -70,7 +71,7 @@
 	VMLeaving VMState = "leaving"
 )
 
-// VM is one line of the lagging list.
+// VM is one VM in the lagging list.
 type VM struct {
 	ID           string  `json:"id"`
 	Zone         string  `json:"zone"`
@@ -80,25 +81,25 @@
 	MemoryMB     int     `json:"memory_mb"`
 	Accelerators int     `json:"accelerators"`
 	State        VMState `json:"state"`
-	// BootID changes with every boot, so a finished reboot shows here.
+	// BootID changes with every boot and so shows that a reboot is done.
 	BootID string `json:"boot_id"`
 }
 
-// VMList is the lagging list: true at AsOf, not now.
+// VMList is the lagging list of VMs as it was at AsOf.
 type VMList struct {
 	AsOf time.Time `json:"as_of"`
 	VMs  []VM      `json:"vms"`
 }
 
-// Operation identifies one action on a VM or task. The platform carries out an
-// ID once, however often it is sent, and refuses a Fence below the highest that
-// it has seen for the same VM or task.
+// Operation identifies one action on a VM or task. The platform executes an ID
+// once, however often it is sent, and returns ErrFenced if Fence is lower than
+// the highest accepted for the same VM or task.
 type Operation struct {
 	ID    string `json:"id"`
 	Fence Offset `json:"fence"`
 }
 
-// OperationStatus is how far an operation got.
+// OperationStatus is the status of an operation.
 type OperationStatus string
 
 // Statuses of an operation.
@@ -112,19 +113,20 @@
 type Fleet interface {
 	// List returns the lagging list.
 	List(ctx context.Context) (VMList, error)
-	// Drain tells the platform that the VM takes no new tasks; done once no
-	// task runs on it.
+	// Drain stops the VM from accepting new tasks. The operation is done when no
+	// task runs on the VM any more.
 	Drain(ctx context.Context, vm string, op Operation) (OperationStatus, error)
-	// Undrain lets the VM take tasks again.
+	// Undrain lets the VM accept tasks again.
 	Undrain(ctx context.Context, vm string, op Operation) (OperationStatus, error)
-	// Reboot restarts the VM for maintenance; done once it has booted.
+	// Reboot restarts the VM for maintenance. The operation is done when the VM
+	// has booted.
 	Reboot(ctx context.Context, vm string, op Operation) (OperationStatus, error)
-	// Operation returns the status of an operation sent before, or ErrNotFound
-	// when the platform never got it.
+	// Operation returns the status of an earlier operation, or ErrNotFound if the
+	// platform did not receive it.
 	Operation(ctx context.Context, vm, id string) (OperationStatus, error)
 }
 
-// TaskSpec is what the platform is asked to run on a worker.
+// TaskSpec describes a task to run on a worker.
 type TaskSpec struct {
 	ID           string        `json:"id"`            // one run of one job
 	Job          string        `json:"job,omitempty"` // the job that the run belongs to
@@ -132,14 +134,14 @@
 	Cores        float64       `json:"cores"`
 	MemoryMB     int           `json:"memory_mb"`
 	Accelerators int           `json:"accelerators"`
-	Lease        time.Duration `json:"lease"` // the task is stopped when not renewed for this long
-	// Work is the time the task needs unthrottled; the stand-in's substitute
-	// for a real command line.
+	Lease        time.Duration `json:"lease"` // the platform ends the task if it is not renewed for this long
+	// Work is the run time of the unthrottled task. The stand-in uses it in place
+	// of a real command line.
 	Work time.Duration `json:"work"`
-	// Checkpoint names the checkpoint to resume from, or is empty.
+	// Checkpoint is the checkpoint to resume from; empty starts from the beginning.
 	Checkpoint string `json:"checkpoint,omitempty"`
-	// Declared is what the job's owner declared, where the size above was
-	// corrected since; the stand-in takes it for what the task really needs.
+	// Declared is the size that the job's author declared, set if Cores and
+	// MemoryMB were corrected. The stand-in treats it as the task's real need.
 	Declared Size `json:"declared,omitzero"`
 }
 
@@ -159,10 +161,10 @@
 	TaskFailed       TaskPhase = "failed"
 	TaskStopped      TaskPhase = "stopped"
 	TaskCheckpointed TaskPhase = "checkpointed"
-	TaskExpired      TaskPhase = "expired" // its lease lapsed
+	TaskExpired      TaskPhase = "expired" // its lease expired
 )
 
-// TaskStatus is the platform's word on a task.
+// TaskStatus is the status of a task as the platform reports it.
 type TaskStatus struct {
 	ID         string    `json:"id"`
 	Worker     string    `json:"worker"`
@@ -171,7 +173,7 @@
 	Reason     string    `json:"reason,omitempty"`
 }
 
-// Usage is one worker's or task's use of resources, true at AsOf.
+// Usage is the resource usage of one task on a worker at AsOf.
 type Usage struct {
 	Task     string    `json:"task"`
 	Worker   string    `json:"worker"`
@@ -187,7 +189,8 @@
 	Checkpoint(ctx context.Context, task string, op Operation) (TaskStatus, error)
 	Throttle(ctx context.Context, task string, share float64, op Operation) (TaskStatus, error)
 	Stop(ctx context.Context, task string, op Operation) (TaskStatus, error)
-	// Status returns the tasks of a worker, ended ones of the last hour included.
+	// Status returns the tasks of a worker, including those that ended within the
+	// last hour.
 	Status(ctx context.Context, worker string) ([]TaskStatus, error)
 	Usage(ctx context.Context) ([]Usage, error)
 }
--- a/internal/platform/appender.go
+++ b/internal/platform/appender.go
@@ -19,17 +19,17 @@
 	DefaultAppendTimeout = 5 * time.Second
 )
 
-// AppenderOptions tunes an Appender; zero values take the defaults.
+// AppenderOptions configures an Appender. Zero values take the defaults.
 type AppenderOptions struct {
 	// BatchEntries and BatchBytes bound one append to the log.
 	BatchEntries int
 	BatchBytes   int
-	// Linger is how long the first entry of a batch waits for others.
+	// Linger is how long a batch waits for further entries.
 	Linger time.Duration
-	// Rate is the ceiling of appends per second, all batches counted. The log's
-	// ceiling is shared, so each process keeps to its part.
+	// Rate limits the appends (batches) per second. All processes share the log's
+	// rate limit, so each process stays within its part.
 	Rate float64
-	// Queue is how many entries may wait.
+	// Queue is the capacity of the queue, in entries.
 	Queue int
 	// Timeout bounds one append to the log.
 	Timeout time.Duration
@@ -59,21 +59,22 @@
 	return o
 }
 
-// Appender is the duty that turns the concurrent appends of one process to one
-// stream into few appends to the log. One append is under way at a time, so
-// entries land in the order in which they were taken from the queue.
+// Appender batches the concurrent appends of one process to one stream. One
+// append to the log is in flight at a time, so entries are in the log in the order
+// of the queue.
 type Appender struct {
 	log     Log
 	stream  string
 	opts    AppenderOptions
 	limiter *rate.Limiter
 	queue   chan *pending
-	// overflow is the entry that did not fit into the last batch.
+	// overflow is the entry that begins the next batch: it did not fit into the
+	// last batch, or the last Serve ended before sending it.
 	overflow *pending
 }
 
-// pending is one entry on its way. claimed settles a race: the duty takes the
-// entry for a batch or its caller withdraws it, never both.
+// pending is one queued entry. Either Serve claims it for a batch or its caller
+// claims it to withdraw it, never both.
 type pending struct {
 	data    []byte
 	claimed atomic.Bool
@@ -85,7 +86,8 @@
 	err    error
 }
 
-// NewAppender returns an Appender for a stream of log; Serve has to run.
+// NewAppender returns an Appender for a stream of log. Entries are sent only while
+// Serve runs.
 func NewAppender(log Log, stream string, opts AppenderOptions) *Appender {
 	opts = opts.withDefaults()
 	return &Appender{
@@ -97,10 +99,9 @@
 	}
 }
 
-// Append hands one entry to the duty and waits for its offset. When ctx ends
-// first the error is ErrUnavailable if the entry was not sent yet, and then it
-// never will be; otherwise it is ErrUnknownOutcome. Other errors are those of
-// Log.Append.
+// Append queues one entry and waits for its offset. If ctx ends first, Append
+// returns ErrUnavailable if the entry was not sent and never will be, and
+// ErrUnknownOutcome otherwise. Other errors are those of Log.Append.
 func (a *Appender) Append(ctx context.Context, data []byte) (Offset, error) {
 	if len(data) > MaxEntryBytes {
 		return 0, errors.Wrapf(ErrRejected, "an entry holds at most %d bytes", MaxEntryBytes)
@@ -122,8 +123,9 @@
 	}
 }
 
-// Serve appends until ctx ends; an append under way is finished first. What
-// still waits then waits for the next Serve or the end of its caller's context.
+// Serve appends queued entries until ctx ends. It finishes an append in flight
+// first. Entries still queued wait for the next Serve or the end of their
+// callers' contexts.
 func (a *Appender) Serve(ctx context.Context) error {
 	for {
 		first, err := a.nextEntry(ctx)
@@ -155,7 +157,7 @@
 	}
 }
 
-// collectBatch fills a batch until it is full or has lingered long enough.
+// collectBatch adds entries to a batch until it is full or Linger has passed.
 func (a *Appender) collectBatch(ctx context.Context, first *pending) []*pending {
 	batch := []*pending{first}
 	size := len(first.data)
@@ -178,8 +180,9 @@
 	return batch
 }
 
-// flush appends what was not withdrawn and tells each caller its offset. It
-// outlives ctx: an append cut short would only turn an answer into "unknown".
+// flush appends the entries that were not withdrawn and sends each caller its
+// result. The append is not cancelled with ctx, since that would only turn the
+// result into ErrUnknownOutcome.
 func (a *Appender) flush(ctx context.Context, batch []*pending) {
 	var sent []*pending
 	var entries [][]byte
--- a/internal/platform/appender_test.go
+++ b/internal/platform/appender_test.go
@@ -13,7 +13,7 @@
 	return &blockingLog{calls: make(chan [][]byte, 16), results: make(chan error, 16)}
 }
 
-// appendAll starts an append per entry and returns their results in that order.
+// appendAll starts one append per entry and returns their result channels in order.
 func appendAll(ctx context.Context, a *Appender, entries ...string) []chan appendResult {
 	var results []chan appendResult
 	for _, data := range entries {
@@ -29,9 +29,9 @@
 }
 
 func TestAppenderBatchesEntriesInOrder(t *testing.T) {
-	// Five callers wait. Three see adjacent offsets from one append to the log;
-	// the fourth's entry does not fit and goes with the next, still before the
-	// fifth's.
+	// Five callers append. The first three entries go into one append and get
+	// consecutive offsets. The fourth does not fit and begins the next batch, before
+	// the fifth.
 	synctest.Test(t, func(t *testing.T) {
 		log := newBlockingLog()
 		a := NewAppender(log, "s", AppenderOptions{BatchBytes: 6, Linger: time.Second, Rate: 10})
@@ -48,8 +48,8 @@
 }
 
 func TestAppenderRateLimit(t *testing.T) {
-	// Ten entries come one after the other, each after the last was answered.
-	// At two appends a second the tenth is answered no sooner than 4.5 s on.
+	// Ten entries are appended one after the other. At two appends per second the
+	// tenth can't complete before 4.5 s.
 	synctest.Test(t, func(t *testing.T) {
 		log := newBlockingLog()
 		a := NewAppender(log, "s", AppenderOptions{Rate: 2})
@@ -66,9 +66,9 @@
 }
 
 func TestAppenderErrorsOfCancelledAppends(t *testing.T) {
-	// The first entry is with the log, the second still waits, when both callers
-	// give up. The first sees ErrUnknownOutcome, the second ErrUnavailable; the
-	// second's entry must then never be sent, or a retry would double it.
+	// Both callers give up while the first entry is in flight and the second is
+	// queued. The first gets ErrUnknownOutcome and the second ErrUnavailable. The
+	// second entry must never be sent, or a retry would duplicate it.
 	synctest.Test(t, func(t *testing.T) {
 		log := newBlockingLog()
 		a := NewAppender(log, "s", AppenderOptions{})
@@ -89,8 +89,8 @@
 }
 
 func TestAppenderFinishesAppendInFlightOnShutdown(t *testing.T) {
-	// The process is told to stop while an append is with the log. Its caller
-	// sees the offset, not "unknown": the append isn't cut with the duty.
+	// Serve's context ends while an append is in flight. The append is not
+	// cancelled, so its caller gets the offset and not ErrUnknownOutcome.
 	synctest.Test(t, func(t *testing.T) {
 		log := newBlockingLog()
 		a := NewAppender(log, "s", AppenderOptions{})
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -21,17 +21,17 @@
 	idleTimeout        = 30 * time.Second
 )
 
-// ClientOptions tunes a Client; zero values take the defaults.
+// ClientOptions configures a Client. Zero values take the defaults.
 type ClientOptions struct {
-	// Timeout bounds a call whose context has no deadline of its own. A read
-	// that waits for entries gets its wait on top.
+	// Timeout bounds a call whose context has no deadline. A read that waits for
+	// entries gets its wait in addition.
 	Timeout time.Duration
-	// DialTimeout bounds the connecting alone.
+	// DialTimeout bounds connecting.
 	DialTimeout time.Duration
 }
 
-// Client speaks to the platform over HTTP and JSON. It implements Log, Fleet
-// and Tasks, sends every request at most once and is safe for concurrent use.
+// Client accesses the platform over HTTP and JSON. It implements Log, Fleet and
+// Tasks. It sends every request at most once and is safe for concurrent use.
 type Client struct {
 	base    string
 	timeout time.Duration
@@ -44,7 +44,7 @@
 	_ Tasks = (*Client)(nil)
 )
 
-// NewClient returns a client of the platform at addr, an "IP:port".
+// NewClient returns a client for the platform at addr, an "IP:port".
 func NewClient(addr string, opts ClientOptions) *Client {
 	if opts.Timeout <= 0 {
 		opts.Timeout = DefaultTimeout
@@ -56,8 +56,8 @@
 		DialContext:         dialSealable(&net.Dialer{Timeout: opts.DialTimeout}),
 		MaxIdleConnsPerHost: idleConns,
 		IdleConnTimeout:     idleTimeout,
-		// The Transport asks for gzip: the list of VMs and batches of records
-		// shrink to a fraction. A platform that knows no gzip answers plainly.
+		// The Transport requests gzip, which shrinks the list of VMs and batches of
+		// records to a fraction. A platform without gzip sends them uncompressed.
 		DisableCompression: false,
 	}
 	return &Client{
@@ -75,8 +75,9 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// call is one request. acts is true when it changes something on the platform:
-// only then a missing reply is an unknown outcome rather than unavailability.
+// call is one request and its reply. mutates is true if the request changes state
+// on the platform: only then does a missing reply mean ErrUnknownOutcome instead
+// of ErrUnavailable.
 type call struct {
 	method      string
 	path        string
@@ -84,11 +85,11 @@
 	replyBody   any
 	mutates     bool
 	wait        time.Duration
-	// errorReply is filled from the body of a refusal.
+	// errorReply is decoded from the body of an error reply.
 	errorReply ErrorReply
 }
 
-// do sends the call once and sorts its outcome into the errors of this package.
+// do sends the call once and maps its outcome to the errors of this package.
 func (c *Client) do(ctx context.Context, k *call) error {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
@@ -111,9 +112,9 @@
 	return k.handleResponse(resp)
 }
 
-// newRequest builds the HTTP request. The Transport replays a request by itself
-// when a reused connection breaks and the request is "replayable"; a POST
-// without GetBody and without an idempotency header never is.
+// newRequest builds the HTTP request. http.Transport resends a "replayable"
+// request if a reused connection breaks. A POST without GetBody and without an
+// idempotency header is never replayable.
 func (c *Client) newRequest(ctx context.Context, k *call) (*http.Request, error) {
 	var body io.Reader
 	if k.requestBody != nil {
@@ -134,7 +135,7 @@
 	return req, nil
 }
 
-// noReplyError sorts a call without a complete reply.
+// noReplyError returns the error of a call without a complete reply.
 func (k *call) noReplyError(written bool, cause error) error {
 	if k.mutates && written {
 		return errors.Wrap(ErrUnknownOutcome, cause.Error())
@@ -142,12 +143,12 @@
 	return errors.Wrap(ErrUnavailable, cause.Error())
 }
 
-// handleResponse sorts a reply. A success counts only when its body is whole; a
-// refusal's status line says enough by itself.
+// handleResponse decodes a reply. A success requires the complete body. For an
+// error reply the status code is enough.
 func (k *call) handleResponse(resp *http.Response) error {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, MaxBodyBytes+1))
 	if err == nil && len(data) > MaxBodyBytes {
-		err = errors.New("reply exceeds the limit")
+		err = errors.New("reply exceeds the size limit")
 	}
 	if resp.StatusCode != http.StatusOK {
 		return k.statusError(resp.StatusCode, data)
@@ -188,8 +189,8 @@
 	}
 }
 
-// connTracker follows which connection a request got and whether it wrote to it.
-// The Transport sets it on the goroutine of the call.
+// connTracker records the connection that a request uses and the number of writes
+// to it before the request. The Transport sets it on the goroutine of the call.
 type connTracker struct {
 	conn         *sealableConn
 	writesBefore uint64
@@ -204,8 +205,8 @@
 	}}
 }
 
-// sealAndReportWrites reports whether any byte of the failed request can have left, and
-// makes sure that none leaves later.
+// sealAndReportWrites reports whether any byte of the failed request may have been
+// sent, and seals the connection so that none is sent later.
 func (u *connTracker) sealAndReportWrites() bool {
 	return u.conn != nil && u.conn.seal(u.writesBefore)
 }
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -15,7 +15,7 @@
 )
 
 // rawServer runs serve on every connection, numbered from 1, and counts the
-// requests that serve read with readRequest.
+// requests read with readRequest.
 type rawServer struct {
 	listener net.Listener
 	requests atomic.Int32
@@ -60,9 +60,9 @@
 const wholeReply = "HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"offset\": 7}"
 
 func TestErrorDependsOnWhatWasSentAndReceived(t *testing.T) {
-	// The caller sees ErrUnavailable only where the platform cannot have acted,
-	// ErrUnknownOutcome wherever it may have: the connection breaks at each point
-	// of the exchange in turn. A read never acts, so it is never "unknown".
+	// The connection breaks at each point of the exchange in turn. An append returns
+	// ErrUnavailable only if the platform can't have acted, and ErrUnknownOutcome
+	// if it may have. A read changes nothing, so it never returns ErrUnknownOutcome.
 	respond := func(reply string) func(*rawServer, net.Conn, int) {
 		return func(s *rawServer, conn net.Conn, _ int) {
 			s.readRequest(bufio.NewReader(conn))
@@ -106,8 +106,8 @@
 }
 
 func TestNothingSentIsUnavailable(t *testing.T) {
-	// The caller sees ErrUnavailable: no connection came about, so no byte of the
-	// action left. First nobody listens, then the context has ended beforehand.
+	// Without a connection no byte is sent, so the append returns ErrUnavailable:
+	// first with a cancelled context, then with nothing listening.
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	c := NewClient(listener.Addr().String(), ClientOptions{})
@@ -121,8 +121,8 @@
 }
 
 func TestDeadlineWithoutReplyIsUnknown(t *testing.T) {
-	// The platform reads the append and hangs; the caller's deadline passes. It
-	// sees ErrUnknownOutcome, since the append may take effect later.
+	// The platform reads the append and hangs until the caller's deadline. The append
+	// may take effect later, so it returns ErrUnknownOutcome.
 	s := startRawServer(t, func(s *rawServer, conn net.Conn, _ int) {
 		s.readRequest(bufio.NewReader(conn))
 		io.Copy(io.Discard, conn)
@@ -134,9 +134,9 @@
 }
 
 func TestBrokenReusedConnectionIsNotReplayed(t *testing.T) {
-	// The platform answers one append, then takes a second one on the same
-	// connection and cuts. net/http would replay a replayable request by itself
-	// here, and the append would be in the log twice under one call.
+	// The platform answers one append, reads a second one on the same connection and
+	// closes it. net/http resends a replayable request in this case, and one call
+	// would append its entry twice.
 	s := startRawServer(t, func(s *rawServer, conn net.Conn, number int) {
 		r := bufio.NewReader(conn)
 		s.readRequest(r)
@@ -155,8 +155,8 @@
 
 func TestSealedConnectionWritesNothing(t *testing.T) {
 	// A call fails before its request is written, and the Transport's goroutine
-	// writes a moment later. The caller was told "unavailable", so that write
-	// must not reach the platform.
+	// writes just after that. The caller got ErrUnavailable, so the write must not
+	// reach the platform.
 	near, far := net.Pipe()
 	defer far.Close()
 	conn := &sealableConn{Conn: near}
@@ -168,7 +168,7 @@
 	require.Empty(t, left)
 }
 
-// blockingLog is a Log whose appends wait for a verdict.
+// blockingLog is a Log whose appends block until the test sends a result.
 type blockingLog struct {
 	Log
 	calls   chan [][]byte
--- a/internal/platform/conn.go
+++ b/internal/platform/conn.go
@@ -8,16 +8,16 @@
 	"github.com/pkg/errors"
 )
 
-// errSealed is what a write gets after the connection was sealed.
+// errSealed is returned by writes to a sealed connection.
 var errSealed = errors.New("connection sealed")
 
-// sealableConn counts its writes and can be sealed against further ones.
+// sealableConn counts its writes and can be sealed against further writes.
 //
-// The failure it is for: a request fails, and whether any byte left decides
-// between ErrUnavailable and ErrUnknownOutcome. The Transport writes on a
-// goroutine of its own, so "nothing written yet" may be false a moment later.
-// Sealing and asking under one lock makes the answer final: a write that comes
-// after is refused, one that came before is counted.
+// When a request fails, the client returns ErrUnavailable if no byte was sent and
+// ErrUnknownOutcome otherwise. http.Transport writes on its own goroutine, so a
+// byte may be sent just after the check. Sealing the connection and reading the
+// count under one lock prevents that: an earlier write is counted and a later
+// write fails.
 type sealableConn struct {
 	net.Conn
 
@@ -26,7 +26,8 @@
 	sealed bool
 }
 
-// Write counts the write before it happens, so a partial one counts too.
+// Write implements net.Conn. It counts the write first, so that a partial write
+// is counted too.
 func (c *sealableConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
@@ -45,7 +46,8 @@
 	return c.writes
 }
 
-// seal refuses all further writes and reports whether any came after mark.
+// seal makes all further writes fail and reports whether there were writes since
+// writeCount returned before.
 func (c *sealableConn) seal(before uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,7 +55,7 @@
 	return c.writes > before
 }
 
-// dialSealable wraps a dialer so that its connections are sealableConns.
+// dialSealable returns a dial function whose connections are sealableConns.
 func dialSealable(d *net.Dialer) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := d.DialContext(ctx, network, address)
--- a/internal/platform/wire.go
+++ b/internal/platform/wire.go
@@ -10,12 +10,13 @@
 	MaxAppendBytes = 2 << 20
 	// MaxAppendEntries bounds the number of entries of one append.
 	MaxAppendEntries = 1000
-	// MaxReadBytes is the amount of data after which a read ends its batch.
+	// MaxReadBytes bounds the data of one batch, except that a batch always holds
+	// at least one entry if there is one.
 	MaxReadBytes = 2 << 20
 	// MaxReadWait bounds how long a read waits for an entry.
 	MaxReadWait = time.Minute
-	// MaxBodyBytes bounds a message in either direction; it covers the limits
-	// above in base64 and the lagging list of some ten thousand VMs.
+	// MaxBodyBytes bounds a message in either direction. It leaves enough for the
+	// limits above in base64 and for a lagging list of about ten thousand VMs.
 	MaxBodyBytes = 16 << 20
 )
 
@@ -36,8 +37,8 @@
 	VerbStop       = "stop"
 )
 
-// The messages below are the wire form spoken between Client and the stand-in;
-// no other package uses them.
+// The messages below are the wire format between Client and the stand-in. No
+// other package uses them.
 
 // AppendRequest is the body of an append.
 type AppendRequest struct {
@@ -49,12 +50,12 @@
 	Offset Offset `json:"offset"`
 }
 
-// OperationReply answers an action on a VM.
+// OperationReply is the reply to an action on a VM and to a status query.
 type OperationReply struct {
 	Status OperationStatus `json:"status"`
 }
 
-// StartRequest asks for a task to be started.
+// StartRequest is the body of a task start.
 type StartRequest struct {
 	Spec TaskSpec  `json:"spec"`
 	Op   Operation `json:"op"`
@@ -67,14 +68,14 @@
 	Fence Offset        `json:"fence"`
 }
 
-// TaskAction acts on a running task; Share is used by throttle only.
+// TaskAction is the body of an action on a running task. Only throttle uses Share.
 type TaskAction struct {
 	Op    Operation `json:"op"`
 	Share float64   `json:"share,omitempty"`
 }
 
-// ErrorReply is the body of every refusal. First and Next are set when a read
-// was refused because its offset is trimmed.
+// ErrorReply is the body of every error reply. First and Next are set only if a
+// read failed because its offset is trimmed.
 type ErrorReply struct {
 	Message string `json:"message"`
 	First   Offset `json:"first,omitempty"`
