--- a/internal/trace/facts.go
+++ b/internal/trace/facts.go
@@ -10,13 +10,13 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Facts is what a trace states of the folded state at its end. It is compared
-// in place of the digest, which changes with the layout of the state from build
-// to build.
+// Facts summarizes the folded state at the end of a trace. Replay compares it
+// instead of the digest, which changes with the layout of the state between
+// builds.
 type Facts struct {
 	Services map[string]record.Revision `json:"services"`
-	VMs      map[string]string          `json:"vms"`   // "pool phase", with "down" if so
-	Waves    map[string]string          `json:"waves"` // status and counts of VMs by progress
+	VMs      map[string]string          `json:"vms"`   // "POOL PHASE", then "down" and "quarantined" if they apply
+	Waves    map[string]string          `json:"waves"` // status and number of VMs by progress
 	Jobs     map[string]string          `json:"jobs"`  // status, attempts and result
 	Members  []string                   `json:"members"`
 }
@@ -68,7 +68,7 @@
 	return fact
 }
 
-// Diff lists where got is not what f states.
+// Diff describes each difference between f, as stated in the trace, and got.
 func (f Facts) Diff(got Facts) []string {
 	var out []string
 	out = append(out, diffMaps("service", f.Services, got.Services)...)
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -17,19 +17,19 @@
 // Limits of a recording.
 const (
 	maxReadEntries = 1000
-	// pollInterval is the pause between looks at the log and the list of VMs.
+	// pollInterval is the pause between two reads of the log.
 	pollInterval = 100 * time.Millisecond
-	// readsPerList is how many looks at the log there are to one at the list.
+	// readsPerList is the number of reads of the log for each read of the list of VMs.
 	readsPerList = 5
 )
 
-// Source is what a recording reads.
+// Source is the platform interface that a recording reads.
 type Source interface {
 	platform.Log
 	List(ctx context.Context) (platform.VMList, error)
 }
 
-// Recorder writes a trace of the platform's log and list.
+// Recorder writes a trace of the platform's log and list of VMs.
 type Recorder struct {
 	source       Source
 	stream       string
@@ -39,8 +39,8 @@
 	lastListed   map[string]platform.VM
 }
 
-// NewRecorder begins a trace of a stream. It starts with the entry after the
-// snapshot, or with the first one when that is empty.
+// NewRecorder begins a trace of a stream. The trace starts with the entry after the
+// snapshot, or with the first entry if the snapshot is empty.
 func NewRecorder(source Source, stream, note string, snapshot []byte, to io.Writer) (*Recorder, error) {
 	state := ledger.New()
 	if len(snapshot) > 0 {
@@ -63,8 +63,8 @@
 	}, nil
 }
 
-// Follow records until ctx ends. What the platform does not answer meanwhile is
-// asked again: outages belong to what is recorded.
+// Follow records until ctx ends. It retries reads that fail with a transient error,
+// since recorded runs include outages of the platform.
 func (r *Recorder) Follow(ctx context.Context) error {
 	for n := 0; ctx.Err() == nil; n++ {
 		if err := r.Entries(ctx); err != nil && !isTransient(err) {
@@ -80,14 +80,15 @@
 	return nil
 }
 
-// isTransient reports whether the platform may answer later.
+// isTransient reports whether a read may succeed later.
 func isTransient(err error) bool {
 	return errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrUnknownOutcome) ||
 		errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
 }
 
-// Entries records the log up to its present end. The error is of the platform,
-// with ErrTrimmed when entries were lost to the recording, or of writing.
+// Entries records the log up to its current end. It returns an error of the platform
+// or of writing. ErrTrimmed means that the log dropped entries before they were
+// recorded.
 func (r *Recorder) Entries(ctx context.Context) error {
 	for {
 		from := platform.Offset(r.state.Offset + 1)
@@ -113,7 +114,7 @@
 	return r.writer.Write(Line{Entry: &line})
 }
 
-// List records what changed on the list of VMs.
+// List records the changes in the list of VMs.
 func (r *Recorder) List(ctx context.Context) error {
 	list, err := r.source.List(ctx)
 	if err != nil {
@@ -147,7 +148,7 @@
 // Request records one request.
 func (r *Recorder) Request(q Request) error { return r.writer.Write(Line{Request: &q}) }
 
-// Close states the end and closes the trace.
+// Close writes the last line, closes the trace and returns the line's content.
 func (r *Recorder) Close() (End, error) {
 	end := End{Offset: r.state.Offset, Statuses: r.statusCounts, Facts: FactsOf(r.state)}
 	return end, r.writer.Close(end)
--- a/internal/trace/replay.go
+++ b/internal/trace/replay.go
@@ -10,15 +10,15 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Difference is a place where the replay does not bear out what the trace
-// states, or where a promise is broken.
+// Difference is a place where the replay differs from what the trace states, or
+// where a promise is broken.
 type Difference struct {
 	Line   int    `json:"line"`
-	Offset uint64 `json:"offset"` // of the latest entry before or at Line
+	Offset uint64 `json:"offset"` // of the last entry at or before Line
 	What   string `json:"what"`
 }
 
-// Result is what a replay found.
+// Result is the result of a replay.
 type Result struct {
 	Header      Header                `json:"header"`
 	Entries     int                   `json:"entries"`
@@ -31,23 +31,23 @@
 	State *ledger.State `json:"-"`
 }
 
-// replayer is a Result in the making.
+// replayer holds the state of a replay.
 type replayer struct {
 	Result
 	line       int
 	boots      map[string]*bootCounts // by VM
-	mayHaveRun map[string]bool        // not-repeatable jobs whose last attempt may have run
+	mayHaveRun map[string]bool        // non-repeatable jobs whose last attempt may have run
 }
 
-// bootCounts counts a VM's boots beside what could have caused them.
+// bootCounts counts a VM's boots and the records that explain them.
 type bootCounts struct {
 	id        string // latest boot ID
-	observed  int    // boots after the first
-	explained int    // effective reboots and failures
+	observed  int    // boots after the first listed one
+	explained int    // effective records of reboots and failures
 }
 
-// Replay folds the trace's entries again and checks them. The error is
-// ErrFormat.
+// Replay folds the trace's entries again and checks the outcomes and the promises.
+// It returns ErrFormat if the trace is malformed or incomplete.
 func Replay(from io.Reader) (Result, error) {
 	r := &replayer{
 		Result:     Result{Statuses: map[ledger.Status]int{}, State: ledger.New()},
@@ -97,8 +97,8 @@
 	r.State = state
 }
 
-// replayEntry folds one entry. Reasons are not compared: they are for people and may
-// be reworded.
+// replayEntry folds one entry and compares the outcome. Reasons are not compared:
+// they are for people and may be reworded.
 func (r *replayer) replayEntry(e Entry) {
 	r.Entries++
 	if e.Offset <= r.State.Offset {
@@ -125,7 +125,7 @@
 	r.checkEffective(rec)
 }
 
-// checkEffective checks the promises after an effective record.
+// checkEffective checks the promises that an effective record concerns.
 func (r *replayer) checkEffective(rec record.Record) {
 	switch b := rec.Body.(type) {
 	case record.VMDown:
@@ -143,7 +143,7 @@
 	}
 }
 
-// checkDrain checks that a planned drain stayed within its pool's bound.
+// checkDrain checks that a planned drain keeps its pool within max_unavailable.
 func (r *replayer) checkDrain(vm string) {
 	pool := r.State.VMs[vm].Pool
 	svc, ok := r.State.Services[pool]
@@ -156,7 +156,7 @@
 	}
 }
 
-// checkJoin checks that the VM is in one pool.
+// checkJoin checks that the VM is in exactly one pool.
 func (r *replayer) checkJoin(vm string) {
 	var pools []string
 	for name := range maps.Keys(r.State.Services) {
@@ -169,8 +169,8 @@
 	}
 }
 
-// checkAttempts checks that a job that is not repeatable is not placed again after an
-// attempt that may have run to its end.
+// checkAttempts checks that a non-repeatable job is not placed again after an
+// attempt that may have run.
 func (r *replayer) checkAttempts(rec record.Record) {
 	id := rec.Subject.Name
 	j, ok := r.State.Jobs[id]
@@ -197,8 +197,8 @@
 	return b
 }
 
-// countBoot counts boots. The boot that a VM has when it is first listed, or listed
-// anew, is none of them.
+// countBoot counts a VM's boot if the boot ID changed while the VM was listed. The
+// boot ID of a VM that was not listed before does not count.
 func (r *replayer) countBoot(e VM) {
 	b := r.bootsOf(e.ID)
 	if b.id != "" && e.BootID != "" && b.id != e.BootID {
@@ -207,7 +207,7 @@
 	b.id = e.BootID
 }
 
-// checkRequest checks the outcome that a caller was told.
+// checkRequest compares the outcome stated to a caller with the runs.
 func (r *replayer) checkRequest(q Request) {
 	switch {
 	case q.Outcome == "not-run" && q.Runs > 0:
@@ -231,8 +231,8 @@
 	}
 }
 
-// checkBoots checks what only the whole trace shows. Boots are compared at the end,
-// since the platform's list lags behind the log.
+// checkBoots checks that every boot is explained by a record. It runs at the end of
+// the trace, since the platform's list lags behind the log.
 func (r *replayer) checkBoots() {
 	r.Offset = r.State.Offset
 	for _, vm := range slices.Sorted(maps.Keys(r.boots)) {
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,7 +1,7 @@
-// Package trace records what happened in a real run as compressed JSON lines,
-// and replays it: the log's entries are folded again and compared with the
-// outcomes that were recorded, and the promises are checked against what the
-// platform listed and what callers were told.
+// Package trace records a real run as compressed JSON lines and replays it. A
+// replay folds the log's entries again, compares the outcomes with the recorded
+// ones, and checks the promises against the platform's list of VMs and the
+// outcomes stated to callers.
 package trace
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/yuccadrift/yuccadrift/internal/record"
 )
 
-// Version of the format.
+// Version is the version of the trace format.
 const Version = 1
 
-// ErrFormat means that the bytes are no trace of this version.
+// ErrFormat means that the data is not a complete trace of this version.
 var ErrFormat = errors.New("not a trace")
 
 // Line is one line of a trace; exactly one field is set. The first line is a
@@ -32,28 +32,27 @@
 	End     *End     `json:"end,omitempty"`
 }
 
-// Header says what was recorded.
+// Header describes the recording.
 type Header struct {
 	Version  int       `json:"version"`
 	Recorded time.Time `json:"recorded"`
 	Stream   string    `json:"stream"`
 	Note     string    `json:"note,omitempty"`
-	// Snapshot is the state before the first entry; empty for the empty state.
+	// Snapshot is the state before the first entry, or empty for the empty state.
 	Snapshot []byte `json:"snapshot,omitempty"`
 }
 
-// Entry is one entry of the log with the outcome that the recording process
-// stated for it.
+// Entry is one entry of the log with the outcome of folding it during the recording.
 type Entry struct {
 	Offset  uint64          `json:"offset"`
 	Data    json.RawMessage `json:"data,omitempty"`
-	Raw     []byte          `json:"raw,omitempty"` // in place of Data when that is no JSON
+	Raw     []byte          `json:"raw,omitempty"` // instead of Data if the entry is not JSON
 	Status  ledger.Status   `json:"status"`
 	Reason  string          `json:"reason,omitempty"`
 	Current record.Revision `json:"current,omitempty"`
 }
 
-// Bytes returns the entry as it stood on the log.
+// Bytes returns the data of the entry as read from the log.
 func (e Entry) Bytes() []byte {
 	if e.Raw != nil {
 		return e.Raw
@@ -61,7 +60,7 @@
 	return e.Data
 }
 
-// NewEntry returns the trace's entry for the log's bytes and their outcome.
+// NewEntry returns the Entry for the data of a log entry and its outcome.
 func NewEntry(data []byte, out ledger.Outcome) Entry {
 	e := Entry{Offset: out.Offset, Status: out.Status, Reason: out.Reason, Current: out.Current}
 	if json.Valid(data) {
@@ -72,16 +71,16 @@
 	return e
 }
 
-// VM is a change on the platform's lagging list.
+// VM is a change in the platform's lagging list.
 type VM struct {
-	At     time.Time `json:"at"` // when the list was true
+	At     time.Time `json:"at"` // AsOf of the list
 	ID     string    `json:"id"`
 	State  string    `json:"state"` // empty: no longer listed
 	BootID string    `json:"boot_id,omitempty"`
 }
 
-// Request is what one caller saw of one request, and what the backend servers
-// counted for its key.
+// Request is one request with the outcome stated to its caller and the backend
+// servers' counters for its key.
 type Request struct {
 	At         time.Time `json:"at"`
 	Key        string    `json:"key"`
@@ -93,7 +92,7 @@
 	Seen int `json:"seen"`
 }
 
-// End closes a trace. Without it the trace was cut short.
+// End is the last line of a trace. A trace without it is incomplete.
 type End struct {
 	Offset uint64 `json:"offset"`
 	// Statuses counts the entries by outcome.
@@ -107,7 +106,7 @@
 	enc *json.Encoder
 }
 
-// NewWriter begins a trace with its header.
+// NewWriter returns a Writer after writing the header.
 func NewWriter(to io.Writer, h Header) (*Writer, error) {
 	zip := gzip.NewWriter(to)
 	w := &Writer{zip: zip, enc: json.NewEncoder(zip)}
@@ -120,7 +119,7 @@
 	return errors.Wrap(w.enc.Encode(line), "write trace")
 }
 
-// Close ends the trace with its last line.
+// Close writes the last line and flushes the trace.
 func (w *Writer) Close(end End) error {
 	if err := w.Write(Line{End: &end}); err != nil {
 		return err
@@ -128,7 +127,8 @@
 	return errors.Wrap(w.zip.Close(), "write trace")
 }
 
-// Read calls visit for each line in order. The error is ErrFormat.
+// Read calls visit for each line in order. It returns ErrFormat if the data is not a
+// complete trace of this version.
 func Read(from io.Reader, visit func(Line)) error {
 	zip, err := gzip.NewReader(from)
 	if err != nil {
@@ -151,7 +151,7 @@
 		visit(line)
 	}
 	if !ended {
-		return errors.Wrap(ErrFormat, "cut short: no last line")
+		return errors.Wrap(ErrFormat, "incomplete: no last line")
 	}
 	return nil
 }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -18,10 +18,10 @@
 
 const stream = "log"
 
-// start of the recorded times.
+// start is the time of all records.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// appendRecord appends a record for vm-1 and returns the offset that it got.
+// appendRecord appends a record for vm-01 and returns its offset.
 func appendRecord(t *testing.T, p *standin.Platform, id string, base record.Revision, body record.Body) record.Revision {
 	t.Helper()
 	sub := record.Subject{Kind: record.SubjectVM, Name: "vm-01"}
@@ -32,8 +32,8 @@
 	return record.Revision(offset)
 }
 
-// recordTrace is a VM that registers, goes down and comes up again, with a void
-// copy and an entry that is no record in between.
+// recordTrace records a VM that registers, goes down and comes up again, with a
+// duplicate record and a malformed entry in between.
 func recordTrace(t *testing.T, requests ...trace.Request) []byte {
 	t.Helper()
 	p := standin.New(standin.Options{Groups: []standin.Group{{Prefix: "vm", Count: 1, Zones: []string{"a"}}}})
@@ -70,10 +70,10 @@
 	require.Equal(t, 3, result.Requests)
 }
 
-// A trace whose statements or promises do not hold must not pass: each change
-// to a good trace has to be found, or a wrong fold would look right.
+// Each change to a valid trace must be found. Otherwise a fold with wrong outcomes
+// would pass.
 func TestReplayFindsDifferences(t *testing.T) {
-	const down, request, end = 2, 7, 8 // lines of the good trace
+	const down, request, end = 2, 7, 8 // lines of the valid trace
 	for name, c := range map[string]struct {
 		change func(lines []trace.Line)
 		what   string
@@ -121,8 +121,8 @@
 	return out.Bytes()
 }
 
-// The beginning of the log is gone: a recording starts from a snapshot, and its
-// replay comes to the outcomes that depend on what came before.
+// The log no longer has its first entries, so a recording starts from a snapshot.
+// Outcomes that depend on the entries before it must be the same in the replay.
 func TestReplayFromASnapshot(t *testing.T) {
 	p := standin.New(standin.Options{})
 	rev := appendRecord(t, p, "1", 0, record.VMRegister{Zone: "a", Rack: "r", Address: "127.0.0.1:1", Cores: 1, MemoryMB: 1})
@@ -146,7 +146,7 @@
 	require.Equal(t, map[ledger.Status]int{ledger.Effective: 1}, result.Statuses)
 }
 
-// A trace that was cut short, as by a full disk, must not pass as complete.
+// A truncated trace, for example after a full disk, must not pass as complete.
 func TestReplayRejectsBrokenTraces(t *testing.T) {
 	good := recordTrace(t)
 	for name, data := range map[string][]byte{
@@ -157,13 +157,13 @@
 	}
 }
 
-// expectedTraces are the traces that must be there, as internal/proof records them.
+// expectedTraces are the stored traces that internal/proof records.
 var expectedTraces = []string{
 	"conflicting-publish", "wave-rack-lost", "log-outage", "outage-rejoin", "paused-holder", "lapsed-lease",
 	"cancellation-burst", "black-hole-worker", "retention-gap", "lost-replies",
 }
 
-// Every recorded trace must still fold to what was stated when it was recorded.
+// Every stored trace must still fold to the outcomes and facts that it states.
 func TestRecordedTraces(t *testing.T) {
 	const dir = "../../testdata/traces"
 	files, err := filepath.Glob(filepath.Join(dir, "*.jsonl.gz"))
