--- a/cmd/yuccadrift-standin/main.go
+++ b/cmd/yuccadrift-standin/main.go
@@ -1,6 +1,6 @@
-// Command yuccadrift-standin is a fake of the platform for development and
-// tests: log service, VMs, tasks, lagging list and backend servers, with faults
-// to order on its control page.
+// Command yuccadrift-standin is a fake of the platform for development and tests:
+// log service, VMs, tasks, lagging list and backend servers. Its control page
+// injects faults.
 package main
 
 import (
--- a/cmd/yuccadrift-standin/settings.go
+++ b/cmd/yuccadrift-standin/settings.go
@@ -13,16 +13,16 @@
 	"github.com/yuccadrift/yuccadrift/internal/tomlfile"
 )
 
-// settings is the TOML file of the stand-in.
+// settings is the content of the stand-in's TOML file.
 type settings struct {
-	// Listen is the address of the platform's interface and the control page;
-	// backend servers listen on its IP.
+	// Listen is the address of the platform's API and the control page. Backend
+	// servers listen on its IP.
 	Listen     tomlfile.Address  `toml:"listen"`
 	LogLevel   string            `toml:"log_level"`
 	LogFormat  string            `toml:"log_format"`
 	LogService logServiceSetting `toml:"log"`
 	Fleet      []groupSetting    `toml:"fleet"`
-	// DefaultWork is how long a request runs that does not say.
+	// DefaultWork is the run time of requests that don't set it.
 	DefaultWork tomlfile.Duration `toml:"default_work"`
 }
 
@@ -33,8 +33,8 @@
 	AppendsPerSecond int               `toml:"appends_per_second"`
 }
 
-// groupSetting is one table of [[fleet]]; 0 or absent means the default, but
-// for accelerators.
+// groupSetting is one table of [[fleet]]. 0 or absent means the default, except
+// that accelerators has none and count, prefix and zones are required.
 type groupSetting struct {
 	Prefix       string   `toml:"prefix"`
 	Count        int      `toml:"count"`
@@ -68,7 +68,7 @@
 	}
 }
 
-// loadSettings reads and checks the file; all mistakes come in one error.
+// loadSettings reads and checks the file. Its error lists all problems.
 func loadSettings(path string) (settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return s, problems.Err()
 }
 
-// checker collects mistakes in values that decoded well.
+// checker collects the problems of the decoded values.
 type checker struct {
 	positions tomlfile.Positions
 	problems  *tomlfile.Problems
@@ -154,7 +154,7 @@
 	c.require(g.BasePort >= 0 && g.BasePort+max(0, g.Count)-1 <= maxPort, key("base_port"), "leaves the range of ports", fmt.Sprintf("0 for any, or up to %d with all VMs", maxPort))
 }
 
-// options turns the settings into those of the package.
+// options converts the settings to the options of package standin.
 func (s settings) options() standin.Options {
 	opts := standin.Options{
 		RetentionEntries: s.LogService.RetentionEntries,
--- a/internal/standin/api.go
+++ b/internal/standin/api.go
@@ -15,7 +15,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-// routes is the platform's interface and the control page.
+// routes returns the handler of the platform's API and the control page.
 func (s *Server) routes() http.Handler {
 	p := s.platform
 	mux := http.NewServeMux()
@@ -46,7 +46,8 @@
 	return mux
 }
 
-// handle decodes the body into a message, runs do and encodes what it returns.
+// handle returns a handler that decodes the body of a POST, calls do and encodes its
+// result.
 func handle[In any](do func(*http.Request, *In) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in In
@@ -67,11 +68,11 @@
 	}
 }
 
-// compressFrom is the size in bytes from which an answer is compressed.
+// compressFrom is the minimum size in bytes of a compressed reply.
 const compressFrom = 1 << 10
 
-// writeReply replies with a success, compressed when it is large and the client
-// accepts that.
+// writeReply writes a success reply, compressed if it is large and the client accepts
+// gzip.
 func writeReply(w http.ResponseWriter, r *http.Request, out any) {
 	body := mustJSON(out)
 	if len(body) < compressFrom || !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
@@ -80,7 +81,7 @@
 	}
 	var small bytes.Buffer
 	zip := gzip.NewWriter(&small)
-	zip.Write(body) // a Buffer takes all
+	zip.Write(body) // a Buffer never fails
 	zip.Close()
 	w.Header().Set("Content-Encoding", "gzip")
 	writeBody(w, http.StatusOK, small.Bytes())
@@ -95,8 +96,8 @@
 	w.Write(body)
 }
 
-// writeError answers with the status code of an error. An unknown outcome gets no
-// answer: the connection is cut.
+// writeError writes the status code and message of an error. For an unknown outcome it
+// cuts the connection instead.
 func writeError(w http.ResponseWriter, err error, batch platform.Batch) {
 	if errors.Is(err, platform.ErrUnknownOutcome) {
 		cutConnection()
@@ -147,7 +148,7 @@
 	}
 	act, ok := verbs[r.PathValue("verb")]
 	if !ok {
-		return nil, errors.Wrapf(platform.ErrRejected, "a VM has no action %q", r.PathValue("verb"))
+		return nil, errors.Wrapf(platform.ErrRejected, "unknown action %q on a VM", r.PathValue("verb"))
 	}
 	status, err := act(r.Context(), r.PathValue("vm"), *op)
 	return platform.OperationReply{Status: status}, err
@@ -163,6 +164,6 @@
 	case platform.VerbStop:
 		return p.Stop(r.Context(), task, in.Op)
 	default:
-		return nil, errors.Wrapf(platform.ErrRejected, "a task has no action %q", verb)
+		return nil, errors.Wrapf(platform.ErrRejected, "unknown action %q on a task", verb)
 	}
 }
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -13,27 +13,27 @@
 	"github.com/pkg/errors"
 )
 
-// Headers that a backend server knows.
+// Headers of requests to backend servers and of their answers.
 const (
-	// HeaderKey carries the request's key, by which runs are counted.
+	// HeaderKey carries the request's key. Runs are counted by key.
 	HeaderKey = "Yuccadrift-Key"
-	// HeaderBackend says NotRun when the server refused a request unrun.
+	// HeaderBackend is NotRun if the server refused a request without running it.
 	HeaderBackend = "Yuccadrift-Backend"
 	// NotRun is the value of HeaderBackend.
 	NotRun = "not-run"
-	// HeaderWorkMS sets how long the run takes, in milliseconds (a decimal).
+	// HeaderWorkMS sets the duration of the run in milliseconds, as a decimal.
 	HeaderWorkMS = "X-Standin-Work-Ms"
-	// HeaderReplyBytes sets the size of the answer's body.
+	// HeaderReplyBytes sets the size of the answer's body in bytes.
 	HeaderReplyBytes = "X-Standin-Reply-Bytes"
-	// HeaderEcho is a token that the answer repeats in its header and body.
+	// HeaderEcho carries a token that the answer repeats in its header and body.
 	HeaderEcho = "X-Standin-Echo"
-	// HeaderVM names the VM that answered.
+	// HeaderVM carries the ID of the VM that answered.
 	HeaderVM = "X-Standin-Vm"
-	// HeaderRun is the number of the run among those of the key.
+	// HeaderRun carries the number of the run among the runs of the key.
 	HeaderRun = "X-Standin-Run"
 )
 
-// Bounds of a backend server.
+// Limits of a backend server.
 const (
 	maxWork        = 10 * time.Minute
 	maxReplyBytes  = 64 << 20
@@ -42,7 +42,7 @@
 	readHeaderWait = 10 * time.Second
 )
 
-// backend is the backend server of one VM. It keeps its counts over reboots.
+// backend is the backend server of one VM. Its counters survive reboots.
 type backend struct {
 	vm       string
 	platform *Platform
@@ -56,10 +56,10 @@
 	inFlight map[*backendRequest]struct{}
 	boots    int
 	server   *http.Server
-	stopped  chan struct{} // closed when the present boot ends
+	stopped  chan struct{} // closed when the current boot ends
 }
 
-// open serves on listener until close.
+// open starts serving on listener. It serves until close is called.
 func (b *backend) open(listener net.Listener, connections, boots int) {
 	limited := &limitListener{
 		Listener:  listener,
@@ -82,8 +82,8 @@
 	go server.Serve(limited)
 }
 
-// close cuts the connections, as a VM does that goes down, and counts the
-// requests that it cut.
+// close cuts all connections, as when a VM goes down, and counts the requests in
+// flight.
 func (b *backend) close(lost bool) {
 	b.mu.Lock()
 	server := b.server
@@ -101,9 +101,9 @@
 	}
 }
 
-// countCut counts a request that the VM's end cuts: a lost VM's apart, for no one
-// could have spared those, and a run that its client had given up apart, for no
-// one waits for it.
+// countCut counts a request that is cut because the VM goes down. Requests on a lost
+// VM are counted separately since no drain could have prevented the cut, and
+// abandoned runs since no client waits for them.
 func (b *backend) countCut(run *backendRequest, lost bool) {
 	switch {
 	case lost:
@@ -127,7 +127,7 @@
 	f(&b.counts)
 }
 
-// serve handles one request of the boot that ends with stopped.
+// serve handles one request. stopped is closed when the current boot ends.
 func (b *backend) serve(w http.ResponseWriter, r *http.Request, stopped <-chan struct{}) {
 	if r.URL.Path == HealthPath {
 		b.serveHealth(w)
@@ -149,7 +149,7 @@
 	io.WriteString(w, "ok\n")
 }
 
-// addRequest counts a request; false means that the VM has gone down meanwhile.
+// addRequest counts a request. It returns false if the VM has gone down.
 func (b *backend) addRequest(run *backendRequest) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -166,7 +166,8 @@
 	}
 }
 
-// removeRequest ends a request unless the VM went down and counted it as cut.
+// removeRequest removes a request from those in flight, unless the VM went down and
+// the request was counted as cut.
 func (b *backend) removeRequest(run *backendRequest) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -186,7 +187,8 @@
 	return c
 }
 
-// acquireSlot takes a slot, or counts the refusal.
+// acquireSlot acquires a slot. If none is free, it counts the refusal and returns
+// false.
 func (b *backend) acquireSlot(key string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -206,7 +208,7 @@
 	b.busy--
 }
 
-// countRun counts the start of a run and returns its number for the key.
+// countRun counts a run and returns its number among the runs of the key.
 func (b *backend) countRun(key string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -214,7 +216,7 @@
 	return b.countKey(key, KeyCounters{Runs: 1}).Runs
 }
 
-// backendRequest is the handling of one request.
+// backendRequest is one request in a backend server.
 type backendRequest struct {
 	backend *backend
 	w       http.ResponseWriter
@@ -223,7 +225,8 @@
 	stopped <-chan struct{}
 }
 
-// cutConnection breaks the connection; net/http takes this panic for just that.
+// cutConnection closes the connection without a reply: net/http does so on this
+// panic.
 func cutConnection() { panic(http.ErrAbortHandler) }
 
 func (run *backendRequest) fault(kind FaultKind) (Fault, bool) {
@@ -239,7 +242,7 @@
 func (run *backendRequest) serve() {
 	run.cutOnFault(CutAfterHeader)
 	if _, ok := run.fault(BackendError); ok {
-		http.Error(run.w, "ordered to fail", http.StatusInternalServerError)
+		http.Error(run.w, "failed by a fault", http.StatusInternalServerError)
 		return
 	}
 	if !run.backend.acquireSlot(run.key) {
@@ -262,7 +265,8 @@
 	run.writeAnswer(number, body)
 }
 
-// freeze holds the request for the fault's delay, or until the fault ends.
+// freeze blocks the request for the fault's delay, or until the fault ends if it has
+// no delay.
 func (run *backendRequest) freeze() {
 	f, ok := run.fault(BackendFreeze)
 	if !ok {
@@ -277,7 +281,8 @@
 	}
 }
 
-// simulateWork spends the run's time. A run goes on when its client leaves.
+// simulateWork waits for the duration of the run. The run continues if its client
+// disconnects.
 func (run *backendRequest) simulateWork() {
 	work := run.backend.work
 	if ms, err := strconv.ParseFloat(run.r.Header.Get(HeaderWorkMS), 64); err == nil && ms >= 0 {
@@ -289,7 +294,7 @@
 	run.sleep(work)
 }
 
-// sleep waits for d; when the VM goes down first, the run ends there.
+// sleep waits for d. If the VM goes down first, it cuts the connection.
 func (run *backendRequest) sleep(d time.Duration) {
 	if d <= 0 {
 		return
@@ -303,8 +308,8 @@
 	}
 }
 
-// writeAnswer writes the answer whole within the handler, so that a request counts
-// as in flight until the answer has left.
+// writeAnswer writes and flushes the answer within the handler, so that the request
+// counts as in flight until the answer is sent.
 func (run *backendRequest) writeAnswer(number int, bodyBytes int64) {
 	echo := run.r.Header.Get(HeaderEcho)
 	size, err := strconv.Atoi(run.r.Header.Get(HeaderReplyBytes))
@@ -328,7 +333,7 @@
 	}
 }
 
-// Answer is the body of an answer whose size was not asked for.
+// Answer is the body of an answer to a request without HeaderReplyBytes.
 type Answer struct {
 	VM        string `json:"vm"`
 	Path      string `json:"path"`
@@ -349,8 +354,7 @@
 	})
 }
 
-// ReplyBody is the body of an answer of size bytes to a request with an echo
-// token: the token over and over.
+// ReplyBody returns an answer's body of size bytes: the echo token, repeated.
 func ReplyBody(echo string, size int) []byte {
 	if echo == "" {
 		echo = "-"
@@ -361,7 +365,7 @@
 	return []byte(strings.Repeat(echo, size/len(echo)+1)[:size])
 }
 
-// listenOn binds a backend server's address.
+// listenOn listens on a TCP address.
 func listenOn(address string) (net.Listener, error) {
 	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", address)
 	return listener, errors.Wrapf(err, "listen on %s", address)
--- a/internal/standin/boot.go
+++ b/internal/standin/boot.go
@@ -8,7 +8,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-// startReboot takes the VM down with its tasks and says when it is up again.
+// startReboot takes the VM and its tasks down and sets the end of the boot.
 func (p *Platform) startReboot(v *vmState, now time.Time) {
 	p.counters.reboots[v.vm.ID]++
 	p.failTasksOn(v.vm.ID, "the VM was rebooted", now)
@@ -24,7 +24,7 @@
 	}
 }
 
-// offerBoots offers the earliest boot that is to finish.
+// offerBoots offers the ends of all boots in progress.
 func (p *Platform) offerBoots(first *earliestEvent) {
 	for _, v := range p.fleet.order {
 		if v.booting && !v.bootDue.IsZero() {
@@ -42,7 +42,7 @@
 	p.recordListed(v, now)
 }
 
-// crashVMs loses VMs for good, or until they are recovered.
+// crashVMs takes VMs and their tasks down until the VMs are recovered.
 func (p *Platform) crashVMs(target string, now time.Time) error {
 	return p.forEachVM(target, func(v *vmState) {
 		p.failTasksOn(v.vm.ID, "the VM was lost", now)
@@ -54,7 +54,7 @@
 	})
 }
 
-// recoverVMs brings back VMs that were lost or never booted.
+// recoverVMs brings up the VMs that are down, also during a reboot.
 func (p *Platform) recoverVMs(target string, now time.Time) error {
 	return p.forEachVM(target, func(v *vmState) {
 		if v.up {
@@ -65,7 +65,7 @@
 	})
 }
 
-// forEachVM applies f to the VM, or to the VMs of the rack or zone, that target names.
+// forEachVM calls f for the VM that target names, or for each VM of the rack or zone.
 func (p *Platform) forEachVM(target string, f func(*vmState)) error {
 	domain, name := parseTarget(target)
 	found := false
--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -10,9 +10,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-// KeyCounters counts the requests with one key at the backend servers: Seen are
-// all whose header arrived, Runs those that began to run, Refused those that
-// were answered as not run for want of a slot.
+// KeyCounters counts the requests with one key at the backend servers. Seen counts
+// requests whose header arrived, Runs those that began to run, and Refused those
+// answered as not run because no slot was free.
 type KeyCounters struct {
 	Seen    int `json:"seen"`
 	Runs    int `json:"runs"`
@@ -23,25 +23,25 @@
 	return KeyCounters{Seen: k.Seen + other.Seen, Runs: k.Runs + other.Runs, Refused: k.Refused + other.Refused}
 }
 
-// VMCounters counts the requests at one backend server, health checks left out.
+// VMCounters counts the requests at one backend server, without health checks.
 type VMCounters struct {
 	Seen               int `json:"seen"`
 	Runs               int `json:"runs"`
 	Refused            int `json:"refused"`
 	RefusedConnections int `json:"refused_connections"`
-	// CutInFlight is how many requests were cut by a reboot, CutAbandoned how many
-	// runs whose client had given up before, LostInFlight those cut by the loss of
-	// the VM.
+	// CutInFlight counts requests cut by a reboot or by closing the Server,
+	// CutAbandoned runs cut so whose client had disconnected before, and
+	// LostInFlight requests cut by the loss of the VM.
 	CutInFlight  int `json:"cut_in_flight"`
 	CutAbandoned int `json:"cut_abandoned"`
 	LostInFlight int `json:"lost_in_flight"`
-	// MaxBusy is the most slots in use at a time.
+	// MaxBusy is the maximum number of slots in use at a time.
 	MaxBusy int `json:"max_busy"`
-	// LastSeen is when the last request arrived.
+	// LastSeen is the time at which the last request arrived.
 	LastSeen time.Time `json:"last_seen"`
 }
 
-// BackendCounters sums up the backend servers.
+// BackendCounters is the sum over all backend servers.
 type BackendCounters struct {
 	Seen               int                   `json:"seen"`
 	Runs               int                   `json:"runs"`
@@ -52,34 +52,33 @@
 	LostInFlight       int                   `json:"lost_in_flight"`
 	MaxRunsPerKey      int                   `json:"max_runs_per_key"`
 	VMs                map[string]VMCounters `json:"vms"`
-	// Keys holds the keys that were asked for; by default those that ran twice
-	// or more.
+	// Keys holds the requested keys and all keys that ran more than once.
 	Keys map[string]KeyCounters `json:"keys"`
 }
 
-// FaultOrder is the body of a POST of faults.
+// FaultOrder is the body of POST /control/faults.
 type FaultOrder struct {
 	Order    []Fault  `json:"order,omitempty"`
 	Clear    []string `json:"clear,omitempty"`
 	ClearAll bool     `json:"clear_all,omitempty"`
 }
 
-// FaultReply lists the IDs of the faults ordered and all that are active.
+// FaultReply lists the IDs of the ordered faults and all active faults.
 type FaultReply struct {
 	IDs    []string `json:"ids"`
 	Active []Fault  `json:"active"`
 }
 
-// AdvertiseOrder is the body of a POST of advertised addresses, by VM.
+// AdvertiseOrder is the body of POST /control/advertise: addresses by VM.
 type AdvertiseOrder struct {
 	Addresses map[string]string `json:"addresses"`
 }
 
 // Query parameters of the counters.
 const (
-	// QueryKey asks for the counters of one key; it may be repeated.
+	// QueryKey requests the counters of one key. It may be repeated.
 	QueryKey = "key"
-	// QueryAllKeys asks for those of all keys when it is "1".
+	// QueryAllKeys requests the counters of all keys if it is "1".
 	QueryAllKeys = "all_keys"
 )
 
@@ -135,8 +134,8 @@
 	return FaultReply{IDs: ids, Active: s.platform.Faults()}, nil
 }
 
-// Counters returns the platform's counters and those of the backend servers,
-// with the keys asked for.
+// Counters returns the counters of the platform and of the backend servers, with
+// the requested keys.
 func (s *Server) Counters(allKeys bool, keys ...string) Counters {
 	c := s.platform.Counters()
 	c.Backends = BackendCounters{VMs: map[string]VMCounters{}, Keys: map[string]KeyCounters{}}
@@ -172,7 +171,7 @@
 	}
 }
 
-// Reset clears all faults and counters; the state of the platform stays.
+// Reset clears all faults and counters. It keeps the state of the platform.
 func (s *Server) Reset() {
 	s.platform.ClearAll()
 	s.platform.ResetCounters()
--- a/internal/standin/counters.go
+++ b/internal/standin/counters.go
@@ -7,7 +7,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-// LogCounters counts calls on the log. Bytes are those of the entries' data.
+// LogCounters counts calls on the log. Bytes count the data of entries only.
 type LogCounters struct {
 	Appends       int   `json:"appends"`
 	Throttled     int   `json:"throttled"`
@@ -15,21 +15,21 @@
 	BytesAppended int64 `json:"bytes_appended"`
 	Reads         int   `json:"reads"`
 	BytesRead     int64 `json:"bytes_read"`
-	// PeakAppends is the most appends within one second of the clock.
+	// PeakAppends is the maximum number of appends within one second of the clock.
 	PeakAppends int `json:"peak_appends_per_second"`
 	// AppendsPerSecond and ReadsPerSecond are means since the last reset.
 	AppendsPerSecond float64 `json:"appends_per_second"`
 	ReadsPerSecond   float64 `json:"reads_per_second"`
 }
 
-// Counters is what tests assert on.
+// Counters holds the counters of the stand-in, for tests to assert on.
 type Counters struct {
 	Since      time.Time      `json:"since"`
 	Log        LogCounters    `json:"log"`
 	Reboots    map[string]int `json:"reboots"`     // per VM
 	TaskStarts map[string]int `json:"task_starts"` // per task ID
 	JobStarts  map[string]int `json:"job_starts"`  // per job
-	// MaxTaskStarts is the most starts of one task ID.
+	// MaxTaskStarts is the maximum number of starts of one task ID.
 	MaxTaskStarts int `json:"max_task_starts"`
 	// Backends is filled by the Server.
 	Backends BackendCounters `json:"backends"`
@@ -76,7 +76,8 @@
 	}
 }
 
-// Counters returns the counts since the start or the last reset.
+// Counters returns the counters since the start or the last reset. It leaves
+// Backends empty.
 func (p *Platform) Counters() Counters {
 	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
@@ -97,7 +98,7 @@
 	return c
 }
 
-// ResetCounters begins counting anew; the state and the faults stay.
+// ResetCounters resets the counters. It keeps the state and the faults.
 func (p *Platform) ResetCounters() {
 	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -10,11 +10,11 @@
 	"github.com/pkg/errors"
 )
 
-// FaultKind names a fault that can be ordered.
+// FaultKind is a kind of fault that can be ordered.
 type FaultKind string
 
-// Faults of the log, of actions on VMs and tasks ("api"), of VMs and tasks, and
-// of backend servers. FaultHelp says what each does.
+// Faults of the log, of actions on VMs and tasks ("api"), of VMs and tasks, and of
+// backend servers. FaultHelp describes each of them.
 const (
 	LogRefuse    FaultKind = "log_refuse"
 	LogSlow      FaultKind = "log_slow"
@@ -46,7 +46,7 @@
 	BackendUnhealthy FaultKind = "backend_unhealthy"
 )
 
-// FaultHelp describes every kind, with what Target names, in a line each.
+// FaultHelp describes every kind and its Target in one line.
 var FaultHelp = []struct {
 	Kind FaultKind
 	Text string
@@ -64,7 +64,7 @@
 	{BootSlow, "boots of VM Target take delay_ms longer"},
 	{BootNever, "VM Target does not come back from a reboot"},
 	{WorkerFails, "every task started on worker Target fails after delay_ms"},
-	{TaskReality, "tasks of job (or task) Target use cores, memory and time times their factors"},
+	{TaskReality, "tasks of job (or task) Target use cores, memory and time multiplied by the factors"},
 	{VMCrash, "at once: VM Target is lost with its tasks (also rack/NAME, zone/NAME)"},
 	{VMRecover, "at once: a lost or never booting VM Target comes back"},
 	{VMAdd, "at once: group Target gets one more VM"},
@@ -79,25 +79,25 @@
 	{BackendUnhealthy, "its health check answers 503"},
 }
 
-// Fault is one order. It applies to calls whose subject matches Target.
+// Fault is a fault to inject. It applies to calls with a subject equal to Target.
 type Fault struct {
-	// ID is given by the stand-in.
+	// ID is assigned by the stand-in.
 	ID   string    `json:"id,omitempty"`
 	Kind FaultKind `json:"kind"`
-	// Target names what is affected; empty means all.
+	// Target is the subject that the fault affects; empty means all.
 	Target string `json:"target,omitempty"`
-	// Skip lets this many matching calls pass first.
+	// Skip is the number of matching calls that pass before the fault applies.
 	Skip int `json:"skip,omitempty"`
-	// Count ends the fault after this many matching calls; 0 means no such end.
+	// Count ends the fault after it applied to this many calls; 0 means no limit.
 	Count int `json:"count,omitempty"`
-	// ForMS ends the fault after this many milliseconds; 0 means no such end.
+	// ForMS ends the fault after this many milliseconds; 0 means no limit.
 	ForMS int64 `json:"for_ms,omitempty"`
-	// DelayMS is the delay in milliseconds of kinds that have one.
+	// DelayMS is the delay in milliseconds, for kinds that have one.
 	DelayMS int64 `json:"delay_ms,omitempty"`
-	// Factor lengthens runs; 0 means 1.
+	// Factor multiplies the duration of runs; 0 means 1.
 	Factor float64 `json:"factor,omitempty"`
-	// CoresFactor, MemoryFactor and WorkFactor turn declared sizes and run times
-	// into real ones; 0 means 1.
+	// CoresFactor, MemoryFactor and WorkFactor multiply a task's declared size and
+	// run time to get the real ones; 0 means 1.
 	CoresFactor  float64 `json:"cores_factor,omitempty"`
 	MemoryFactor float64 `json:"memory_factor,omitempty"`
 	WorkFactor   float64 `json:"work_factor,omitempty"`
@@ -108,15 +108,15 @@
 // Delay returns DelayMS as a duration.
 func (f Fault) Delay() time.Duration { return time.Duration(f.DelayMS) * time.Millisecond }
 
-// faultSet holds the active faults in the order of their ordering.
+// faultSet holds the active faults in the order in which they were ordered.
 type faultSet struct {
 	active []*Fault
 	lastID int
-	// nonEmpty is false while active is empty; it may stay true after faults expired.
+	// nonEmpty is false only if active is empty. It may be true after faults expired.
 	nonEmpty atomic.Bool
 }
 
-// isKnownKind reports whether the kind has a line in FaultHelp.
+// isKnownKind reports whether FaultHelp has the kind.
 func isKnownKind(kind FaultKind) bool {
 	for _, help := range FaultHelp {
 		if help.Kind == kind {
@@ -126,7 +126,7 @@
 	return false
 }
 
-// validate refuses an order that could not mean anything.
+// validate returns an error if the kind is unknown or a number is negative.
 func (f Fault) validate() error {
 	if !isKnownKind(f.Kind) {
 		return errors.Errorf("unknown kind of fault %q", f.Kind)
@@ -158,8 +158,8 @@
 	s.nonEmpty.Store(len(s.active) > 0)
 }
 
-// take returns the first active fault of the kind for any of the subjects and
-// uses up one of its counts.
+// take returns the first active fault of the kind that matches one of the subjects,
+// and uses up one of its Count.
 func (s *faultSet) take(kind FaultKind, now time.Time, subjects ...string) (Fault, bool) {
 	if len(s.active) == 0 {
 		return Fault{}, false
@@ -193,8 +193,8 @@
 	return f.Target == "" || slices.Contains(subjects, f.Target)
 }
 
-// Order orders faults and returns their IDs. Kinds that act at once act now and
-// get no ID. Nothing is ordered when any of them is malformed.
+// Order activates faults and returns their IDs. Kinds that are events are applied
+// immediately and get no ID. If a fault is malformed, Order activates none.
 func (p *Platform) Order(faults ...Fault) ([]string, error) {
 	for _, f := range faults {
 		if err := f.validate(); err != nil {
@@ -216,7 +216,7 @@
 	return ids, nil
 }
 
-// Clear ends the faults with these IDs; ClearAll ends every one.
+// Clear ends the faults with these IDs.
 func (p *Platform) Clear(ids ...string) {
 	p.lockAndAdvance()
 	defer p.mu.Unlock()
@@ -243,8 +243,8 @@
 	return active
 }
 
-// takeFault is faultSet.take under the lock, which it spares backend servers
-// and their benchmarks while no fault is ordered.
+// takeFault locks mu and calls faultSet.take. While no fault is active it does not lock
+// mu, since backend servers call it for every request, also in benchmarks.
 func (p *Platform) takeFault(kind FaultKind, subjects ...string) (Fault, bool) {
 	if !p.faults.nonEmpty.Load() {
 		return Fault{}, false
@@ -262,7 +262,8 @@
 	return slices.ContainsFunc(p.faults.active, func(f *Fault) bool { return f.ID == id })
 }
 
-// applyImmediateFault carries out the kinds that are events rather than conditions.
+// applyImmediateFault applies a fault that is an event. It returns false for other
+// kinds.
 func (p *Platform) applyImmediateFault(f Fault, now time.Time) (bool, error) {
 	switch f.Kind {
 	case VMCrash:
@@ -276,7 +277,7 @@
 	}
 }
 
-// parseTarget splits a target like "rack/NAME".
+// parseTarget splits a target such as "rack/NAME". The domain of a VM is empty.
 func parseTarget(target string) (domain, name string) {
 	domain, name, found := strings.Cut(target, "/")
 	if !found {
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -11,8 +11,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/wait"
 )
 
-// Group is a set of alike VMs. They go over the zones in turn and fill racks
-// there, which groups share.
+// Group is a set of equal VMs. They are assigned to the zones in turn and fill the
+// racks of each zone. All groups share the racks.
 type Group struct {
 	Prefix       string
 	Count        int
@@ -21,17 +21,17 @@
 	Cores        int
 	MemoryMB     int
 	Accelerators int
-	// Slots is how many requests a backend server runs at a time, Connections
-	// how many it keeps open.
+	// Slots is the number of requests that a backend server runs at a time.
+	// Connections is the number of connections that it accepts at a time.
 	Slots       int
 	Connections int
-	// BasePort is the port of the first backend server; 0 means any free ports.
+	// BasePort is the port of the first backend server; 0 picks free ports.
 	BasePort int
-	// Boot is how long a reboot takes.
+	// Boot is the duration of a reboot.
 	Boot time.Duration
 }
 
-// Defaults of Group, the sizes of the brief.
+// Defaults of Group. The sizes are those in the project's requirements.
 const (
 	DefaultRackSize    = 4
 	DefaultSlots       = 8
@@ -61,25 +61,25 @@
 	return g
 }
 
-// vmState is one VM and its past.
+// vmState is one VM with the history of its listing.
 type vmState struct {
 	vm    platform.VM
 	group *groupState
-	port  int // of the backend server; 0 means any
-	// advertised is the address that the list shows, empty for the real one.
+	port  int // of the backend server; 0 picks a free port
+	// advertised is the address shown in the list; empty for the real one.
 	advertised string
 	up         bool
 	lost       bool
 	drained    bool
 	booting    bool
-	bootDue    time.Time // when booting; zero when it never comes back
+	bootDue    time.Time // end of the boot; zero if the VM never comes back
 	boots      int
 	fence      platform.Offset
 	ops        map[string]*operation
 	history    []listVersion
 }
 
-// listVersion is what the list said of a VM from a time on; gone means nothing.
+// listVersion is how a VM is listed from a time on. If absent, it is not listed.
 type listVersion struct {
 	at     time.Time
 	vm     platform.VM
@@ -97,14 +97,14 @@
 	created int
 }
 
-// fleetState holds the VMs in the order in which they appeared.
+// fleetState holds the VMs; order is the order of creation.
 type fleetState struct {
 	groups     map[string]*groupState
 	vms        map[string]*vmState
 	order      []*vmState
 	vmsPerZone map[string]int
-	hasServer  bool          // a Server binds the addresses
-	changed    chan struct{} // tells the Server of a change
+	hasServer  bool          // a Server assigns the addresses
+	changed    chan struct{} // notifies the Server of a change
 }
 
 func newFleetState() fleetState {
@@ -116,8 +116,8 @@
 	}
 }
 
-// AddGroup adds the VMs of a group. Until a Server gives a VM the address of its
-// backend server it has one that nobody listens at.
+// AddGroup adds the VMs of a group. Without a Server, nothing listens on their
+// addresses.
 func (p *Platform) AddGroup(group Group) {
 	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
@@ -131,7 +131,7 @@
 func (p *Platform) addVM(prefix string, now time.Time) error {
 	g, ok := p.fleet.groups[prefix]
 	if !ok {
-		return errors.Errorf("no group of VMs %q", prefix)
+		return errors.Errorf("unknown group of VMs %q", prefix)
 	}
 	p.newVM(g, now)
 	return nil
@@ -168,7 +168,7 @@
 
 func bootID(vm string, boot int) string { return fmt.Sprintf("%s-boot-%d", vm, boot) }
 
-// recordListed notes what the list says of the VM from now on and tells the Server.
+// recordListed records how the VM is listed from now on and notifies the Server.
 func (p *Platform) recordListed(v *vmState, now time.Time) {
 	v.vm.State = platform.VMLive
 	if v.drained || v.booting {
@@ -204,7 +204,7 @@
 	return list, nil
 }
 
-// listedAt returns what the list said of the VM at a time.
+// listedAt returns the VM as listed at a time, or false if it was not listed.
 func (v *vmState) listedAt(asOf time.Time) (platform.VM, bool) {
 	for i := len(v.history) - 1; i >= 0; i-- {
 		if !v.history[i].at.After(asOf) {
@@ -218,11 +218,11 @@
 	return platform.VM{}, false
 }
 
-// applyAPIFaults applies the faults that come before a call on a VM or task acts. A
-// fault's target is one of the subjects.
+// applyAPIFaults applies the faults that take effect before a call on a VM or task.
+// A fault's target is one of the subjects.
 func (p *Platform) applyAPIFaults(ctx context.Context, subjects ...string) error {
 	if _, ok := p.takeFault(APIRefuse, subjects...); ok {
-		return errors.Wrap(platform.ErrUnavailable, "the platform refuses")
+		return errors.Wrap(platform.ErrUnavailable, "call refused by a fault")
 	}
 	if f, ok := p.takeFault(APISlow, subjects...); ok {
 		if err := wait.Sleep(ctx, f.Delay()); err != nil {
@@ -282,7 +282,7 @@
 	return done.status, nil
 }
 
-// executeVMOperation does an action on a VM once per operation ID.
+// executeVMOperation executes an action on a VM once per operation ID.
 func (p *Platform) executeVMOperation(id, verb string, op platform.Operation, now time.Time) (*operation, error) {
 	v, ok := p.fleet.vms[id]
 	if !ok || v.lost {
@@ -298,7 +298,7 @@
 		return known, nil
 	}
 	if op.Fence < v.fence {
-		return nil, errors.Wrapf(platform.ErrFenced, "VM %q has seen %d, got %d", id, v.fence, op.Fence)
+		return nil, errors.Wrapf(platform.ErrFenced, "VM %q has accepted token %d, got %d", id, v.fence, op.Fence)
 	}
 	v.fence = op.Fence
 	done := &operation{verb: verb, status: platform.OperationRunning}
@@ -321,7 +321,8 @@
 	p.recordListed(v, now)
 }
 
-// endOperations ends the running operations of one verb, or of all when it is empty.
+// endOperations ends the VM's running operations of one verb, or of all verbs if it is
+// empty.
 func (v *vmState) endOperations(verb string, status platform.OperationStatus) {
 	for _, op := range v.ops {
 		if op.status == platform.OperationRunning && (verb == "" || op.verb == verb) {
@@ -330,7 +331,7 @@
 	}
 }
 
-// finishDrains ends the drains of VMs on which no task runs any more.
+// finishDrains marks the drains of VMs without running tasks as done.
 func (p *Platform) finishDrains() {
 	for _, v := range p.fleet.order {
 		if v.drained && !p.tasks.hasRunningTaskOn(v.vm.ID) {
--- a/internal/standin/listener.go
+++ b/internal/standin/listener.go
@@ -9,8 +9,8 @@
 // HealthPath is the path of a backend server's health check.
 const HealthPath = "/healthz"
 
-// limitListener accepts at most limit connections at a time and closes what
-// comes beyond at once, as a backend server does that is out of connections.
+// limitListener accepts at most limit connections at a time and closes further ones
+// at once, like a backend server at its connection limit.
 type limitListener struct {
 	net.Listener
 	limit     int
@@ -52,8 +52,8 @@
 	l.open--
 }
 
-// backendConn counts itself out when closed, and may be cut with what the
-// client sent unread.
+// backendConn is a connection to a backend server. It releases its place in the
+// listener when closed, and CutBeforeRead can close it before a request is read.
 type backendConn struct {
 	net.Conn
 	listener  *limitListener
@@ -62,8 +62,9 @@
 
 var healthCheckStart = []byte("GET " + HealthPath)
 
-// Read drops what came and closes when CutBeforeRead was ordered. Health checks
-// pass, so that they do not use up a fault meant for a request.
+// Read implements net.Conn. It discards the data and closes the connection if
+// CutBeforeRead is active. Health checks are exempt, so that they don't use up a
+// fault meant for a request.
 func (c *backendConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 && !bytes.HasPrefix(p[:n], healthCheckStart) && c.listener.shouldCut() {
@@ -73,7 +74,7 @@
 	return n, err
 }
 
-// Close closes the connection and makes room for another.
+// Close closes the connection and allows the listener to accept another one.
 func (c *backendConn) Close() error {
 	c.closeOnce.Do(c.listener.release)
 	return c.Conn.Close()
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -12,7 +12,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/wait"
 )
 
-// logState is the log service.
+// logState is the state of the log service.
 type logState struct {
 	streams   map[string]*stream
 	delayed   []delayedAppend
@@ -21,12 +21,12 @@
 	keepAge   time.Duration
 }
 
-// stream is one named stream; first is the offset of entries[0].
+// stream is one named stream. first is the offset of entries[0].
 type stream struct {
 	first   platform.Offset
 	entries []logEntry
-	// changed is closed and replaced when an entry is added or will be at a time
-	// that is now known.
+	// changed is closed and replaced if an entry is added, or if a delayed append
+	// is queued and its time is known.
 	changed chan struct{}
 }
 
@@ -35,7 +35,7 @@
 	at   time.Time
 }
 
-// delayedAppend is an append whose client has given up and that still takes effect.
+// delayedAppend is an append without a reply that takes effect at due.
 type delayedAppend struct {
 	due     time.Time
 	stream  string
@@ -62,7 +62,7 @@
 	return s
 }
 
-// appendEntries appends entries and wakes the readers.
+// appendEntries appends entries and wakes the waiting readers.
 func (l *logState) appendEntries(name string, entries [][]byte, now time.Time) platform.Offset {
 	s := l.stream(name)
 	offset := s.nextOffset()
@@ -73,13 +73,13 @@
 	return offset
 }
 
-// notifyReaders lets the waiting readers look again.
+// notifyReaders makes the waiting readers read again.
 func (s *stream) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// trim drops what retention no longer covers.
+// trim removes the entries beyond the retention limits.
 func (l *logState) trim(now time.Time) {
 	for _, s := range l.streams {
 		drop := max(0, len(s.entries)-l.keepCount)
@@ -93,7 +93,7 @@
 	}
 }
 
-// offerDelayedAppends offers the earliest delayed append.
+// offerDelayedAppends offers all delayed appends.
 func (l *logState) offerDelayedAppends(first *earliestEvent) {
 	for i, late := range l.delayed {
 		first.offer(late.due, func(now time.Time) {
@@ -141,7 +141,7 @@
 
 func checkAppend(name string, entries [][]byte) error {
 	if name == "" {
-		return errors.Wrap(platform.ErrRejected, "the stream has no name")
+		return errors.Wrap(platform.ErrRejected, "the stream name is empty")
 	}
 	if len(entries) == 0 || len(entries) > platform.MaxAppendEntries {
 		return errors.Wrapf(platform.ErrRejected, "an append holds 1 to %d entries", platform.MaxAppendEntries)
@@ -159,11 +159,11 @@
 	return nil
 }
 
-// applyLogFaults applies the faults that come before a log call acts. A fault's target
-// is the stream or the call ("append" or "read").
+// applyLogFaults applies the faults that take effect before a log call. A fault's
+// target is the stream or the call ("append" or "read").
 func (p *Platform) applyLogFaults(ctx context.Context, name, verb string) error {
 	if _, ok := p.takeFault(LogRefuse, name, verb); ok {
-		return errors.Wrap(platform.ErrUnavailable, "the log refuses")
+		return errors.Wrap(platform.ErrUnavailable, "log call refused by a fault")
 	}
 	if f, ok := p.takeFault(LogSlow, name, verb); ok {
 		if err := wait.Sleep(ctx, f.Delay()); err != nil {
@@ -180,7 +180,7 @@
 // Read implements platform.Log.
 func (p *Platform) Read(ctx context.Context, name string, from platform.Offset, limit int, wait time.Duration) (platform.Batch, error) {
 	if from == 0 || limit <= 0 {
-		return platform.Batch{}, errors.Wrap(platform.ErrRejected, "offset and maximum start at 1")
+		return platform.Batch{}, errors.Wrap(platform.ErrRejected, "offset and maximum must be at least 1")
 	}
 	if err := p.applyLogFaults(ctx, name, "read"); err != nil {
 		return platform.Batch{}, errors.Wrap(platform.ErrUnavailable, err.Error())
@@ -209,8 +209,9 @@
 	}
 }
 
-// readSnapshot is one look at a stream: what is there, what tells of growth, and
-// how long until a delayed append may take effect.
+// readSnapshot is the result of one read without waiting: the entries, a channel
+// that is closed when the stream changes, and the time until the next delayed
+// append of any stream.
 type readSnapshot struct {
 	batch        platform.Batch
 	changed      <-chan struct{}
@@ -239,7 +240,8 @@
 	return snapshot, nil
 }
 
-// untilDelayedAppend returns the time until the next delayed append is due.
+// untilDelayedAppend returns the time until the next delayed append, at most
+// MaxReadWait.
 func (l *logState) untilDelayedAppend(now time.Time) time.Duration {
 	first := earliestEvent{at: now.Add(platform.MaxReadWait)}
 	l.offerDelayedAppends(&first)
--- a/internal/standin/machines.go
+++ b/internal/standin/machines.go
@@ -2,12 +2,12 @@
 
 import "github.com/pkg/errors"
 
-// vmInfo is what the Server needs to know of a VM.
+// vmInfo is the state of a VM that the Server needs.
 type vmInfo struct {
 	id          string
 	zone        string
 	address     string // empty until the Server has bound one
-	port        int    // to bind when the address is empty
+	port        int    // to bind while the address is empty
 	up          bool
 	lost        bool
 	boots       int
@@ -15,8 +15,8 @@
 	connections int
 }
 
-// clearAddresses says that a Server binds the addresses of all VMs. Until it has
-// done so for a VM, the list leaves that VM out.
+// clearAddresses clears the addresses of all VMs, so that a Server assigns them. A VM
+// is not listed until the Server has bound its address.
 func (p *Platform) clearAddresses() {
 	p.lockAndAdvance()
 	defer p.mu.Unlock()
@@ -52,7 +52,7 @@
 	p.fleet.vms[vm].setAddress(address)
 }
 
-// setAddress also amends the past: an address never changes once it is bound.
+// setAddress sets the address in the history too, since a bound address never changes.
 func (v *vmState) setAddress(address string) {
 	v.vm.Address = address
 	for i := range v.history {
@@ -60,14 +60,14 @@
 	}
 }
 
-// Advertise makes the list show other addresses, by VM, than those that the
-// backend servers listen on: those of proxies that stand in front of them.
+// Advertise sets the addresses shown in the list, by VM, for example those of
+// proxies in front of the backend servers.
 func (p *Platform) Advertise(addresses map[string]string) error {
 	p.lockAndAdvance()
 	defer p.mu.Unlock()
 	for vm := range addresses {
 		if p.fleet.vms[vm] == nil {
-			return errors.Errorf("no VM %q", vm)
+			return errors.Errorf("unknown VM %q", vm)
 		}
 	}
 	for vm, address := range addresses {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -15,21 +15,21 @@
 	"github.com/yuccadrift/yuccadrift/internal/supervise"
 )
 
-// reconcilePeriod is how often the Server looks whether VMs went down or came up.
+// reconcilePeriod is the interval at which the Server checks which VMs are up.
 const reconcilePeriod = 10 * time.Millisecond
 
-// ServerOptions sets a Server up.
+// ServerOptions configures a Server.
 type ServerOptions struct {
-	// Listen is the "IP:port" of the platform's interface and the control page;
-	// backend servers listen on the same IP. "127.0.0.1:0" when empty.
+	// Listen is the "IP:port" of the platform's API and the control page;
+	// "127.0.0.1:0" if empty. Backend servers listen on the same IP.
 	Listen string
-	// Work is how long a request runs that does not say; 0 means no time.
+	// Work is the run time of requests without HeaderWorkMS.
 	Work time.Duration
-	// Logger gets what happens; nothing is logged when nil.
+	// Logger is optional; nil disables logging.
 	Logger hclog.Logger
 }
 
-// Server puts a Platform behind HTTP and runs the backend servers of its VMs.
+// Server serves a Platform over HTTP and runs the backend servers of its VMs.
 type Server struct {
 	platform *Platform
 	work     time.Duration
@@ -41,7 +41,8 @@
 	backends map[string]*backend
 }
 
-// NewServer binds all addresses, so that they are known before Serve runs.
+// NewServer returns a Server. It binds all addresses, so that they are known before
+// Serve runs.
 func NewServer(p *Platform, opts ServerOptions) (*Server, error) {
 	if opts.Listen == "" {
 		opts.Listen = "127.0.0.1:0"
@@ -73,11 +74,11 @@
 	return s, nil
 }
 
-// Addr returns the "IP:port" of the platform's interface and the control page.
+// Addr returns the "IP:port" of the platform's API and the control page.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// BackendAddresses returns the addresses of the backend servers in the order in
-// which their VMs appeared.
+// BackendAddresses returns the addresses of the backend servers in the order of
+// their VMs' creation.
 func (s *Server) BackendAddresses() []string {
 	var addresses []string
 	for _, m := range s.platform.vmInfos() {
@@ -86,8 +87,8 @@
 	return addresses
 }
 
-// Serve runs until ctx ends, then closes every address. It runs once: no restart
-// mends an interface that can't be served any more.
+// Serve serves until ctx ends and then closes all listeners. A failure to serve the
+// API is fatal, since Serve can't be restarted: its listener is closed.
 func (s *Server) Serve(ctx context.Context) error {
 	server := &http.Server{Handler: s.routes(), ReadHeaderTimeout: readHeaderWait}
 	failed := make(chan error, 1)
@@ -101,12 +102,12 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case err := <-failed:
-			return supervise.Fatal(errors.Wrap(err, "serve the platform's interface"))
+			return supervise.Fatal(errors.Wrap(err, "serve the platform's API"))
 		case <-s.platform.fleet.changed:
 		case <-ticker.C:
 		}
 		if err := s.reconcile(); err != nil {
-			s.logger.Warn("a backend server can't listen yet", "error", err)
+			s.logger.Warn("backend server can't listen, retrying", "error", err)
 		}
 	}
 }
@@ -128,8 +129,9 @@
 	return list
 }
 
-// reconcile opens and closes backend servers to match their VMs. A VM whose
-// address is still in use is tried again the next time.
+// reconcile opens and closes backend servers to match their VMs. It returns the last
+// error. A backend server whose address is still in use is retried in the next
+// call.
 func (s *Server) reconcile() error {
 	var lastErr error
 	for _, m := range s.platform.vmInfos() {
@@ -176,7 +178,8 @@
 	return b
 }
 
-// mustJSON encodes a message of this package; one that can't be is a bug here.
+// mustJSON encodes a message of this package. It panics if the message can't be
+// encoded, which is a bug.
 func mustJSON(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,10 +1,10 @@
-// Package standin is a small fake of the platform for development and tests:
-// the log service, VMs, tasks under leases, the lagging list, and backend
-// servers, each with faults to order.
+// Package standin is a fake of the platform for development and tests: the log
+// service, VMs, tasks with leases, the lagging list and backend servers, all with
+// fault injection.
 //
-// Platform is the state; it implements the interfaces of package platform, so a
-// test can use it in process. Its state advances when it is looked at, by the
-// injected clock, without a goroutine. Server puts it behind HTTP and runs the
+// Platform implements the interfaces of package platform, so a test can use it in
+// process. It has no goroutine: each call first advances the state to the current
+// time of the injected clock. Server serves a Platform over HTTP and runs the
 // backend servers.
 package standin
 
@@ -24,20 +24,20 @@
 	DefaultBoot             = 2 * time.Second
 )
 
-// endedTaskRetention is how long Status still shows an ended task.
+// endedTaskRetention is how long Status includes an ended task.
 const endedTaskRetention = time.Hour
 
-// Options sets a Platform up; zero values take the defaults.
+// Options configures a Platform. Zero values take the defaults.
 type Options struct {
-	// Now is the clock; time.Now when nil.
+	// Now is the clock; time.Now if nil.
 	Now func() time.Time
-	// RetentionEntries is how many entries a stream keeps.
+	// RetentionEntries is the number of entries that a stream keeps.
 	RetentionEntries int
 	// RetentionAge is how long a stream keeps an entry; 0 means forever.
 	RetentionAge time.Duration
-	// AppendsPerSecond is the ceiling over all streams; negative means none.
+	// AppendsPerSecond limits the appends to all streams; negative means no limit.
 	AppendsPerSecond int
-	// Groups are the VMs to begin with.
+	// Groups are the initial VMs.
 	Groups []Group
 }
 
@@ -82,8 +82,8 @@
 	return p
 }
 
-// lockAndAdvance locks the state, brings it up to the present and returns that time. The
-// caller unlocks.
+// lockAndAdvance locks mu, advances the state to the current time and returns that
+// time. The caller must unlock mu.
 func (p *Platform) lockAndAdvance() time.Time {
 	p.mu.Lock()
 	now := p.now()
@@ -91,8 +91,8 @@
 	return now
 }
 
-// advance applies what has fallen due, in the order of the due times: boots
-// that finish, tasks that end, leases that lapse, appends that were delayed.
+// advance applies the events that are due, in the order of their times: ends of
+// boots and tasks, expired leases and delayed appends.
 func (p *Platform) advance(now time.Time) {
 	for {
 		due, apply := p.nextEvent()
@@ -107,7 +107,8 @@
 	p.log.trim(now)
 }
 
-// nextEvent returns the earliest event that is still to come, or no function.
+// nextEvent returns the time of the earliest pending event and the function that applies
+// it, which is nil if there is none.
 func (p *Platform) nextEvent() (time.Time, func(time.Time)) {
 	var first earliestEvent
 	p.log.offerDelayedAppends(&first)
@@ -116,7 +117,7 @@
 	return first.at, first.apply
 }
 
-// earliestEvent keeps the event with the earliest time of those offered to it.
+// earliestEvent keeps the earliest of the events offered to it.
 type earliestEvent struct {
 	at    time.Time
 	apply func(time.Time)
@@ -128,8 +129,8 @@
 	}
 }
 
-// newLimiter returns the append ceiling. Its burst is a quarter second's worth,
-// so the ceiling also holds over a single second within a quarter.
+// newLimiter returns the limiter of appends. Its burst is a quarter of a second's
+// appends, so that any single second exceeds the limit by at most a quarter.
 func newLimiter(perSecond int) *rate.Limiter {
 	if perSecond < 0 {
 		return rate.NewLimiter(rate.Inf, 1)
--- a/internal/standin/tasks.go
+++ b/internal/standin/tasks.go
@@ -12,7 +12,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-// task is one task that was started. Its real needs may differ from its spec.
+// task is a started task. Its real needs may differ from its spec.
 type task struct {
 	spec         platform.TaskSpec
 	phase        platform.TaskPhase
@@ -21,18 +21,18 @@
 	ended        time.Time
 	realCores    float64
 	realMemoryMB int
-	// workLeft is the unthrottled run time still needed at since; share is the part
-	// of full speed granted from then on.
+	// workLeft is the unthrottled run time still needed at updatedAt. share is the
+	// fraction of full speed since then.
 	workLeft       time.Duration
 	updatedAt      time.Time
 	share          float64
 	leaseExpiresAt time.Time
-	failAt         time.Time // set on a worker that fails everything
+	failAt         time.Time // set if WorkerFails applies; otherwise zero
 	checkpoint     string
 }
 
-// taskState holds the tasks: running ones by ID, ended ones in order of ending,
-// what was saved by checkpoints, and fences and operations per task ID.
+// taskState holds the running tasks by ID, the ended tasks in the order in which they
+// ended, the work left at each checkpoint, and the fences and operations by task ID.
 type taskState struct {
 	running     map[string]*task
 	ended       []*task
@@ -70,7 +70,7 @@
 	return t.workLeft - time.Duration(float64(now.Sub(t.updatedAt))*t.share)
 }
 
-// finishAt returns when the task will succeed; false when it is stopped short.
+// finishAt returns the time at which the task will succeed, or false if its share is 0.
 func (t *task) finishAt() (time.Time, bool) {
 	if t.share <= 0 {
 		return time.Time{}, false
@@ -87,7 +87,7 @@
 	return false
 }
 
-// find returns the running task with the ID, else the one that ended last.
+// find returns the running task with the ID, or otherwise the one that ended last.
 func (s *taskState) find(id string) (*task, bool) {
 	if t, ok := s.running[id]; ok {
 		return t, true
@@ -100,14 +100,14 @@
 	return nil, false
 }
 
-// end moves a running task to the ended ones.
+// end ends a task and adds it to the ended ones.
 func (s *taskState) end(t *task, phase platform.TaskPhase, reason string, now time.Time) {
 	t.phase, t.reason, t.ended = phase, reason, now
 	delete(s.running, t.spec.ID)
 	s.ended = append(s.ended, t)
 }
 
-// offerTaskEnds offers the earliest end of a running task.
+// offerTaskEnds offers the possible ends of all running tasks.
 func (p *Platform) offerTaskEnds(first *earliestEvent) {
 	for _, t := range p.tasks.running {
 		end := func(phase platform.TaskPhase, reason string) func(time.Time) {
@@ -116,14 +116,14 @@
 		if at, ok := t.finishAt(); ok {
 			first.offer(at, end(platform.TaskSucceeded, ""))
 		}
-		first.offer(t.leaseExpiresAt, end(platform.TaskExpired, "the lease lapsed"))
+		first.offer(t.leaseExpiresAt, end(platform.TaskExpired, "the lease expired"))
 		if !t.failAt.IsZero() {
 			first.offer(t.failAt, end(platform.TaskFailed, "the worker failed the task"))
 		}
 	}
 }
 
-// failTasksOn fails the running tasks of a worker that goes down.
+// failTasksOn ends the running tasks of a worker as failed.
 func (p *Platform) failTasksOn(worker, reason string, now time.Time) {
 	for _, t := range p.tasks.running {
 		if t.spec.Worker == worker {
@@ -138,8 +138,8 @@
 	})
 }
 
-// actOnTask runs one operation on a task ID: once per operation ID, not below the
-// fence, and with the reply lost if that was ordered.
+// actOnTask runs an operation on a task ID with fault injection. It calls do as
+// described at executeTaskOperation.
 func (p *Platform) actOnTask(ctx context.Context, id, verb string, op platform.Operation, do func(time.Time) (*task, error)) (platform.TaskStatus, error) {
 	if err := p.applyAPIFaults(ctx, id, verb); err != nil {
 		return platform.TaskStatus{}, err
@@ -156,8 +156,10 @@
 	return status, nil
 }
 
-// executeTaskOperation does an operation that is new. One that was done before gets the present
-// status of its task, or the one it had then if the task is forgotten.
+// executeTaskOperation calls do once per operation ID and returns the task's status.
+// For an operation that was executed before, it returns the current status of the
+// task, or the status after the operation if the task has been dropped. It returns
+// ErrFenced if the operation's fence is too low.
 func (p *Platform) executeTaskOperation(id string, op platform.Operation, do func() (*task, error)) (platform.TaskStatus, error) {
 	if id == "" || op.ID == "" {
 		return platform.TaskStatus{}, errors.Wrap(platform.ErrRejected, "the task or the operation has no ID")
@@ -170,7 +172,7 @@
 		return previous, nil
 	}
 	if seen := p.tasks.fences[id]; op.Fence < seen {
-		return platform.TaskStatus{}, errors.Wrapf(platform.ErrFenced, "task %q has seen %d, got %d", id, seen, op.Fence)
+		return platform.TaskStatus{}, errors.Wrapf(platform.ErrFenced, "task %q has accepted token %d, got %d", id, seen, op.Fence)
 	}
 	t, err := do()
 	if err != nil {
@@ -181,8 +183,8 @@
 	return t.status(), nil
 }
 
-// Start implements platform.Tasks. A further operation ID on a task ID is a
-// further start: that a run is started once is for the caller to see to.
+// Start implements platform.Tasks. Another operation ID for the same task ID starts the
+// task again: the caller must make sure that it starts a run only once.
 func (p *Platform) Start(ctx context.Context, spec platform.TaskSpec, op platform.Operation) (platform.TaskStatus, error) {
 	if err := p.applyAPIFaults(ctx, spec.Worker); err != nil {
 		return platform.TaskStatus{}, err
@@ -201,10 +203,10 @@
 		return nil, errors.Wrapf(platform.ErrNotFound, "worker %q", spec.Worker)
 	}
 	if !v.up || v.drained {
-		return nil, errors.Wrapf(platform.ErrRejected, "worker %q takes no tasks", spec.Worker)
+		return nil, errors.Wrapf(platform.ErrRejected, "worker %q is down or draining", spec.Worker)
 	}
 	if !p.fits(spec, v) {
-		return nil, errors.Wrapf(platform.ErrRejected, "worker %q has no room", spec.Worker)
+		return nil, errors.Wrapf(platform.ErrRejected, "worker %q has too little free capacity", spec.Worker)
 	}
 	t, err := p.newTask(spec, now)
 	if err != nil {
@@ -222,7 +224,8 @@
 	return t, nil
 }
 
-// fits compares declared sizes, throttled ones by their share of cores.
+// fits reports whether the specified sizes of the worker's running tasks and of spec fit
+// on the worker. A throttled task counts with its share of cores.
 func (p *Platform) fits(spec platform.TaskSpec, v *vmState) bool {
 	cores, memory, accelerators := spec.Cores, spec.MemoryMB, spec.Accelerators
 	for _, t := range p.tasks.running {
@@ -265,7 +268,7 @@
 	return t, nil
 }
 
-// scale multiplies by a factor, of which 0 stands for 1.
+// scale multiplies value by factor, where 0 means 1.
 func scale(value, factor float64) float64 {
 	if factor == 0 {
 		return value
@@ -273,8 +276,9 @@
 	return value * factor
 }
 
-// Renew implements platform.Tasks. It renews what it can; tasks that do not run
-// on the worker any more are named in ErrNotFound.
+// Renew implements platform.Tasks. It renews every lease that it can. If some tasks are
+// fenced, ErrFenced names them; otherwise ErrNotFound names the tasks that don't
+// run on the worker.
 func (p *Platform) Renew(ctx context.Context, worker string, ids []string, lease time.Duration, fence platform.Offset) error {
 	if err := p.applyAPIFaults(ctx, worker, "renew"); err != nil {
 		return err
@@ -308,7 +312,7 @@
 	return nil
 }
 
-// actOnRunningTask is onTask for actions on a running task; an ended one is left as it is.
+// actOnRunningTask is like actOnTask, but calls do only if the task is running.
 func (p *Platform) actOnRunningTask(ctx context.Context, id, verb string, op platform.Operation, do func(*task, time.Time)) (platform.TaskStatus, error) {
 	return p.actOnTask(ctx, id, verb, op, func(now time.Time) (*task, error) {
 		t, ok := p.tasks.find(id)
@@ -322,7 +326,7 @@
 	})
 }
 
-// Checkpoint implements platform.Tasks: the task's progress is saved and it ends.
+// Checkpoint implements platform.Tasks. It saves the task's progress and ends the task.
 func (p *Platform) Checkpoint(ctx context.Context, id string, op platform.Operation) (platform.TaskStatus, error) {
 	return p.actOnRunningTask(ctx, id, platform.VerbCheckpoint, op, func(t *task, now time.Time) {
 		t.checkpoint = fmt.Sprintf("checkpoint-%d", len(p.tasks.checkpoints)+1)
@@ -331,7 +335,7 @@
 	})
 }
 
-// Throttle implements platform.Tasks: the task goes on at a share of its speed.
+// Throttle implements platform.Tasks. The task continues at a share of full speed.
 func (p *Platform) Throttle(ctx context.Context, id string, share float64, op platform.Operation) (platform.TaskStatus, error) {
 	if !(share >= 0 && share <= 1) {
 		return platform.TaskStatus{}, errors.Wrap(platform.ErrRejected, "the share is not within 0 and 1")
--- a/internal/standin/usage.go
+++ b/internal/standin/usage.go
@@ -12,7 +12,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-// allTasks yields the ended tasks in order of ending, then the running ones by ID.
+// allTasks yields the ended tasks in the order in which they ended, then the running
+// tasks by ID.
 func (p *Platform) allTasks() iter.Seq[*task] {
 	return func(yield func(*task) bool) {
 		for _, t := range p.tasks.ended {
@@ -28,8 +29,9 @@
 	}
 }
 
-// Usage implements platform.Tasks: what the tasks that ran at AsOf really used.
-// A throttled task is reported at its present share, also for the past.
+// Usage implements platform.Tasks. It returns the real usage of the tasks that were
+// running at AsOf. A throttled task is reported with its current share, also for
+// a time before the throttling.
 func (p *Platform) Usage(ctx context.Context) ([]platform.Usage, error) {
 	if err := p.applyAPIFaults(ctx, "usage"); err != nil {
 		return nil, errors.Wrap(platform.ErrUnavailable, err.Error())
