--- a/cmd/yuccadrift-standin/main_test.go
+++ b/cmd/yuccadrift-standin/main_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// runAsCommand makes the test binary behave as the command.
+// runAsCommand is the environment variable that makes the test binary run main.
 const runAsCommand = "YUCCADRIFT_TEST_RUN_COMMAND"
 
 func TestMain(m *testing.M) {
@@ -45,8 +45,8 @@
 `
 
 func TestServesUntilTerminated(t *testing.T) {
-	// A developer starts the binary, takes the control page's address from its
-	// log, finds the page there, and ends it with SIGTERM: exit code 0.
+	// The binary logs the addresses of its control page and backend servers, serves the
+	// control page, and exits with code 0 after SIGTERM.
 	cmd := commandWithSettings(t, validSettings)
 	stderr, err := cmd.StderrPipe()
 	require.NoError(t, err)
@@ -59,7 +59,7 @@
 			control = found[1]
 		}
 	}
-	require.NotEmpty(t, control, "the addresses are not in the log")
+	require.NotEmpty(t, control, "the addresses must be in the log")
 	resp, err := http.Get(control)
 	require.NoError(t, err)
 	resp.Body.Close()
@@ -71,8 +71,8 @@
 }
 
 func TestAllSettingsErrorsAreReportedWithTheirLines(t *testing.T) {
-	// A developer checks a file with a mistake in nearly every line and sees all
-	// of them in one go, each with its line, and a non-zero exit.
+	// --check of a file with many errors reports all of them, each with its line, and
+	// exits with a non-zero code.
 	cmd := commandWithSettings(t, strings.Join([]string{
 		`listen = "localhost:80"`,
 		`log_level = "loud"`,
@@ -128,8 +128,8 @@
 }
 
 func TestAddressInUseIsReported(t *testing.T) {
-	// Something else has the address already: the binary says which one it could
-	// not have and exits non-zero.
+	// If the address is in use, the binary exits with a non-zero code and names the
+	// address.
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -51,7 +51,8 @@
 	return b
 }
 
-// call sends a request with a key and returns the status and body, or an error.
+// call sends a request with a key to the backend server and returns the response
+// and its body, or an error.
 func (b *testServer) call(t *testing.T, key string, headers ...string) (*http.Response, []byte, error) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+b.backendAddress+"/path", strings.NewReader("body"))
@@ -73,7 +74,7 @@
 	return b.Counters(false, key).Backends.Keys[key]
 }
 
-// awaitCounters waits until the counters say so.
+// awaitCounters waits until ok returns true for the backend counters.
 func (b *testServer) awaitCounters(t *testing.T, ok func(BackendCounters) bool) {
 	t.Helper()
 	require.Eventually(t, func() bool { return ok(b.Counters(true).Backends) }, eventWait, eventPoll)
@@ -94,16 +95,16 @@
 	require.NoError(t, err)
 	health.Body.Close()
 	require.Equal(t, http.StatusOK, health.StatusCode)
-	require.Equal(t, 2, b.Counters(false).Backends.Seen, "health checks are not counted")
+	require.Equal(t, 2, b.Counters(false).Backends.Seen, "health checks must not be counted")
 	require.Equal(t, 2, b.Counters(false).Backends.MaxRunsPerKey)
 }
 
 func TestBackendFaults(t *testing.T) {
-	// What the client of a backend server sees under each fault, and whether the
-	// request was seen and ran: a cut after the run looks like one before it.
+	// For each fault: the response of a backend server, and whether the request arrived
+	// and ran. A client can't distinguish a cut after the run from one before it.
 	cases := []struct {
 		kind   FaultKind
-		status int // 0 when the connection breaks
+		status int // 0 if the connection is cut
 		want   KeyCounters
 	}{
 		{CutBeforeRead, 0, KeyCounters{}},
@@ -128,20 +129,20 @@
 			} else {
 				require.NoError(t, err)
 				require.Equal(t, tc.status, resp.StatusCode)
-				require.Empty(t, resp.Header.Get(HeaderBackend), "only a refusal says not run")
+				require.Empty(t, resp.Header.Get(HeaderBackend), "only a refusal may state not-run")
 			}
 			if tc.status == http.StatusOK {
 				require.GreaterOrEqual(t, time.Since(start), delay)
 			}
 			require.Equal(t, tc.want, b.keyCounters(key))
-			require.Empty(t, b.fake.Faults(), "the fault is used up")
+			require.Empty(t, b.fake.Faults(), "the fault must be used up")
 		})
 	}
 }
 
 func TestHealthCheckFaults(t *testing.T) {
-	// A health check sees 503 while that is ordered, and passes unharmed where
-	// only a request is to be cut.
+	// A health check gets 503 under BackendUnhealthy and is not cut by
+	// CutBeforeRead, which affects requests only.
 	b := startTestServer(t, Group{})
 	orderFaults(t, b.fake, Fault{Kind: BackendUnhealthy, Count: 1}, Fault{Kind: CutBeforeRead})
 	for _, want := range []int{http.StatusServiceUnavailable, http.StatusOK} {
@@ -153,8 +154,8 @@
 }
 
 func TestRequestsAboveTheSlotsAreAnsweredNotRun(t *testing.T) {
-	// Two frozen requests fill both slots. A third sees 503 with "not-run" and
-	// did not run; after the freeze both others run and are answered.
+	// Two frozen requests occupy both slots. A third gets 503 with "not-run" and does
+	// not run. After the freeze the first two run and are answered.
 	b := startTestServer(t, Group{Slots: 2})
 	ids := orderFaults(t, b.fake, Fault{Kind: BackendFreeze})
 	answers := make(chan error, 2)
@@ -177,8 +178,8 @@
 }
 
 func TestConnectionsAboveTheLimitAreClosed(t *testing.T) {
-	// Two idle connections are open; a third is closed at accept, before anything
-	// is read. When one of the two ends there is room again.
+	// Two idle connections are open. A third is closed when accepted, before anything
+	// is read. After one of the two is closed, a new connection is served.
 	b := startTestServer(t, Group{Connections: 2})
 	var open []net.Conn
 	for range 2 {
@@ -201,9 +202,9 @@
 }
 
 func TestRebootCutsRequestsAndServesAgain(t *testing.T) {
-	// A VM is rebooted while a request runs on it: the caller's connection
-	// breaks, the cut is counted, nothing listens until the VM is brought back, and
-	// then the same address serves again, its one slot free and the counts kept.
+	// A VM is rebooted while a request runs on it. The connection is cut, the cut is
+	// counted, and nothing listens until the VM is recovered. Then the same address
+	// serves again with its slot free and its counters kept.
 	b := startTestServer(t, Group{Slots: 1})
 	orderFaults(t, b.fake, Fault{Kind: BootNever})
 	failed := make(chan error, 1)
@@ -229,8 +230,8 @@
 }
 
 func TestCutsOfALostVMAreCountedSeparately(t *testing.T) {
-	// A VM is lost while a request runs on it: the caller's connection breaks, and
-	// the cut is not counted among those that a drain would have spared.
+	// A VM is lost while a request runs on it. The connection is cut, and the cut is
+	// not counted among those that a drain could have prevented.
 	b := startTestServer(t, Group{})
 	failed := make(chan error, 1)
 	go func() {
@@ -244,7 +245,7 @@
 	require.Equal(t, []int{0, 1}, []int{counters.CutInFlight, counters.LostInFlight})
 }
 
-// abandonedRuns returns how many runs the VM has whose client has given up.
+// abandonedRuns returns the number of runs on the VM whose client has disconnected.
 func (b *testServer) abandonedRuns(vm string) int {
 	b.Server.mu.Lock()
 	server := b.backends[vm]
@@ -261,8 +262,8 @@
 }
 
 func TestAbandonedRunsAreCountedSeparately(t *testing.T) {
-	// A client gives up on a run that goes on, and another one waits for its own.
-	// The reboot cuts both; only the second was in flight for a client.
+	// One client disconnects from a run that continues, and another waits for its run.
+	// The reboot cuts both, but only the second counts as cut in flight.
 	b := startTestServer(t, Group{})
 	ctx, giveUp := context.WithCancel(t.Context())
 	gone := make(chan struct{})
@@ -274,7 +275,7 @@
 			_, err = http.DefaultClient.Do(req)
 		}
 		if !errors.Is(err, context.Canceled) {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want context.Canceled", err)
 		}
 	}()
 	b.awaitCounters(t, func(c BackendCounters) bool { return c.Runs == 1 })
--- a/internal/standin/bench_test.go
+++ b/internal/standin/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-// BenchmarkBackend is what the fake itself costs a request: the floor under
-// every figure that is measured against it.
+// BenchmarkBackend measures the cost of a request to the stand-in itself, which is part
+// of every figure measured with it.
 func BenchmarkBackend(b *testing.B) {
 	fake := New(Options{Groups: []Group{{Prefix: "vm", Count: 1}}})
 	server, err := NewServer(fake, ServerOptions{})
@@ -32,7 +32,7 @@
 	}
 }
 
-// BenchmarkAppend is one append of one entry through the client.
+// BenchmarkAppend measures an append of one entry through the client.
 func BenchmarkAppend(b *testing.B) {
 	server, err := NewServer(New(Options{AppendsPerSecond: -1, RetentionEntries: 1000}), ServerOptions{})
 	require.NoError(b, err)
@@ -48,7 +48,8 @@
 	}
 }
 
-// BenchmarkListOf4000 is the lagging list at the size to design for.
+// BenchmarkListOf4000 measures the lagging list at the fleet size that the design
+// targets.
 func BenchmarkListOf4000(b *testing.B) {
 	fake := New(Options{Groups: []Group{{Prefix: "vm", Count: 4000, Zones: []string{"a", "b", "c"}}}})
 	for b.Loop() {
--- a/internal/standin/compress_test.go
+++ b/internal/standin/compress_test.go
@@ -9,9 +9,9 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-// Stewards read the list of all VMs every few seconds; at thousands of VMs the
-// plain list alone would use up what a node may spend on control. The client
-// asks for compression and sees the same list.
+// Stewards read the list of all VMs every few seconds. With thousands of VMs, an
+// uncompressed list alone would exceed a node's budget for control traffic. The
+// client requests compression and gets the same list.
 func TestListIsCompressed(t *testing.T) {
 	fake := New(Options{Groups: []Group{{Prefix: "vm", Count: 100}}})
 	server, err := NewServer(fake, ServerOptions{})
--- a/internal/standin/control_test.go
+++ b/internal/standin/control_test.go
@@ -16,8 +16,8 @@
 )
 
 func TestAddedVMIsListedWithItsAddress(t *testing.T) {
-	// A VM is added while the system runs. The list shows it only once its
-	// backend server is bound, and then that address answers.
+	// A VM is added while the Server runs. It is listed only after its backend server
+	// has bound its address, and then this address answers.
 	b := startTestServer(t, Group{})
 	orderFaults(t, b.fake, Fault{Kind: VMAdd, Target: "vm"})
 	var added platform.VM
@@ -36,8 +36,8 @@
 }
 
 func TestControlPage(t *testing.T) {
-	// A tester orders two faults over HTTP, sees them on the page, clears one by
-	// ID, and resets. A malformed order is refused with a reason.
+	// Faults are ordered, shown on the control page, cleared by ID and reset over
+	// HTTP. A malformed order is rejected with a reason.
 	b := startTestServer(t, Group{})
 	control := "http://" + b.Addr() + "/control/"
 	post := func(path string, in any) (int, []byte) {
@@ -76,8 +76,8 @@
 }
 
 func TestHTTPClientReturnsTheSameErrorsAsInProcess(t *testing.T) {
-	// Every outcome of the fake in process reaches the client over HTTP as the
-	// same error; where the reply is lost the append is in the log all the same.
+	// The HTTP client returns the same error as the stand-in in process. After a lost
+	// reply the append is in the log.
 	b := startTestServer(t, Group{})
 	_, err := b.client.Append(t.Context(), "s", entries("a", "b"))
 	require.NoError(t, err)
@@ -112,8 +112,8 @@
 }
 
 func TestClientRunsTasks(t *testing.T) {
-	// A task is started, renewed, throttled, seen in status and usage,
-	// checkpointed and a second one stopped, all over HTTP.
+	// Over HTTP, one task is started, renewed, throttled, reported in status and usage
+	// and checkpointed, and a second task is stopped.
 	b := startTestServer(t, Group{})
 	c, ctx := b.client, t.Context()
 	for _, id := range []string{"t 1", "t/2"} {
--- a/internal/standin/fleet_test.go
+++ b/internal/standin/fleet_test.go
@@ -18,7 +18,7 @@
 	return platform.Operation{ID: id, Fence: fence}
 }
 
-// listed returns the list's line on a VM.
+// listedVM returns the VM as the list shows it, or false if it is not listed.
 func listedVM(t *testing.T, p *Platform, vm string) (platform.VM, bool) {
 	t.Helper()
 	list, err := p.List(t.Context())
@@ -50,9 +50,9 @@
 }
 
 func TestDrainRebootUndrain(t *testing.T) {
-	// A VM is drained, rebooted and taken back. Its task keeps the drain running;
-	// the reboot ends 10 s on with another boot ID; the VM is leaving until it is
-	// undrained.
+	// A VM is drained, rebooted and undrained. The drain runs until the VM's task
+	// ends, the reboot ends after 10 s with a new boot ID, and the VM is listed as
+	// leaving until it is undrained.
 	synctest.Test(t, func(t *testing.T) {
 		p := New(sixVMOptions())
 		_, err := p.Start(t.Context(), newTaskSpec("t", time.Minute, 3*time.Second), newOperation("start", 1))
@@ -80,9 +80,9 @@
 }
 
 func TestOperationIsIdempotentAndFenced(t *testing.T) {
-	// The reply to a reboot is lost, so the steward sends the same operation
-	// twice more, the last time after the boot: one reboot. A steward that woke
-	// up with an older decision then sees ErrFenced, and nothing happens.
+	// The reply to a reboot is lost, so the steward sends the operation twice more,
+	// the last time after the boot: the VM reboots once. A paused steward that then
+	// sends an older decision gets ErrFenced, and nothing happens.
 	synctest.Test(t, func(t *testing.T) {
 		p := New(sixVMOptions())
 		orderFaults(t, p, Fault{Kind: APILoseReply, Target: "vm-01", Count: 1})
@@ -105,7 +105,7 @@
 }
 
 func TestRefusedAndSlowActions(t *testing.T) {
-	// A refused drain is "unavailable" and did nothing; a slow one is late.
+	// A refused drain returns ErrUnavailable and has no effect. A slow one is delayed.
 	synctest.Test(t, func(t *testing.T) {
 		p := New(sixVMOptions())
 		orderFaults(t, p, Fault{Kind: APIRefuse, Target: "drain", Count: 1}, Fault{Kind: APISlow, DelayMS: 4000, Count: 1, Target: "drain"})
@@ -121,8 +121,8 @@
 }
 
 func TestLaggingList(t *testing.T) {
-	// The list lags by 30 s: a VM that was lost is listed as live until then, a
-	// new one is missing until then, and AsOf says how old the list is.
+	// The list lags by 30 s: a lost VM stays listed and a new VM is missing for that
+	// long, and AsOf is 30 s ago.
 	synctest.Test(t, func(t *testing.T) {
 		p := New(sixVMOptions())
 		time.Sleep(time.Minute)
@@ -144,8 +144,8 @@
 }
 
 func TestSlowAndFailedBoots(t *testing.T) {
-	// One VM boots slowly, one never comes back until it is recovered, and a
-	// rack's loss ends a reboot there as failed.
+	// One VM boots slowly, one never comes back until it is recovered, and the loss of
+	// a rack fails a reboot in it.
 	synctest.Test(t, func(t *testing.T) {
 		p := New(sixVMOptions())
 		orderFaults(t, p, Fault{Kind: BootSlow, Target: "vm-01", DelayMS: 5000}, Fault{Kind: BootNever, Target: "vm-02"})
--- a/internal/standin/log_test.go
+++ b/internal/standin/log_test.go
@@ -26,7 +26,7 @@
 	return ids
 }
 
-// readTexts reads a whole stream from an offset on.
+// readTexts reads the stream "s" from an offset on.
 func readTexts(t *testing.T, p platform.Log, from platform.Offset) []string {
 	t.Helper()
 	batch, err := p.Read(t.Context(), "s", from, 1000, 0)
@@ -39,8 +39,8 @@
 }
 
 func TestLogOutcomes(t *testing.T) {
-	// What the client sees and what is in the log afterwards, fault by fault. The
-	// client's deadline is 1 s; a minute after the call the log is read.
+	// For each fault: the error of an append with a deadline of 1 s, and the log's
+	// content a minute later.
 	cases := []struct {
 		name  string
 		fault Fault
@@ -74,9 +74,9 @@
 }
 
 func TestDelayedAppendFollowsItsRetry(t *testing.T) {
-	// The first append's reply is lost and its effect delayed; the client sends
-	// the entry again and sees offset 1. Two seconds later the first copy lands
-	// behind it and wakes a waiting reader: the log holds both.
+	// The first append gets no reply and is delayed. The client retries and gets
+	// offset 1. After 2 s the first append takes effect behind the retry and wakes a
+	// waiting reader: the log contains both copies.
 	synctest.Test(t, func(t *testing.T) {
 		p := New(Options{})
 		orderFaults(t, p, Fault{Kind: LogLate, Count: 1, DelayMS: 2000})
@@ -94,9 +94,9 @@
 }
 
 func TestAppendRateLimit(t *testing.T) {
-	// A client appends 20 times at once at a ceiling of 8 a second: the burst of
-	// two passes, the rest sees ErrThrottled and nothing of it is kept. Half a
-	// second on there is room again.
+	// A client appends 20 times at once at a limit of 8 per second. The burst of two
+	// passes. The others get ErrThrottled and are not in the log. Half a second later
+	// an append passes again.
 	synctest.Test(t, func(t *testing.T) {
 		p := New(Options{AppendsPerSecond: 8})
 		throttled := 0
@@ -116,9 +116,9 @@
 }
 
 func TestRetention(t *testing.T) {
-	// A reader that fell behind asks for offset 1 and sees ErrTrimmed with the
-	// retained range: first because only three entries are kept, then because
-	// all are older than a minute. Offsets go on counting.
+	// A reader that reads a trimmed offset gets ErrTrimmed with the retained range:
+	// first since only three entries are kept, then since all entries are older than
+	// a minute. Offsets are not reused.
 	synctest.Test(t, func(t *testing.T) {
 		p := New(Options{RetentionEntries: 3, RetentionAge: time.Minute})
 		for range 5 {
@@ -140,9 +140,9 @@
 }
 
 func TestReadWaits(t *testing.T) {
-	// A reader at the end of the stream sees an empty batch after its wait when
-	// nothing comes, and the entry at once when one comes, also when it comes by
-	// an append that was delayed while the reader waited.
+	// A reader at the end of the stream gets an empty batch after its wait, or a new
+	// entry as soon as it is appended, also by an append that is delayed while the
+	// reader waits.
 	synctest.Test(t, func(t *testing.T) {
 		p := New(Options{})
 		start := time.Now()
--- a/internal/standin/tasks_test.go
+++ b/internal/standin/tasks_test.go
@@ -30,13 +30,13 @@
 			return
 		}
 	}
-	require.Failf(t, "no such task", "%s", id)
+	require.Failf(t, "task not found", "%s", id)
 }
 
 func TestLeaseExpires(t *testing.T) {
-	// The holder renews once and is then paused past the lease: the platform
-	// stops the task 10 s after the renewal. The holder wakes up, renews and sees
-	// ErrNotFound with the task's name.
+	// The lease holder renews once and is then paused beyond the lease. The platform
+	// ends the task 10 s after the renewal. A later renewal returns ErrNotFound with
+	// the task's ID.
 	synctest.Test(t, func(t *testing.T) {
 		p := New(sixVMOptions())
 		startTask(t, p, newTaskSpec("t", 10*time.Second, time.Hour))
@@ -53,7 +53,7 @@
 }
 
 func TestRenewIsFenced(t *testing.T) {
-	// A holder with an older token than the task's can't keep its lease alive.
+	// A lease holder with an older fencing token than the task's can't renew its lease.
 	synctest.Test(t, func(t *testing.T) {
 		p := New(sixVMOptions())
 		_, err := p.Start(t.Context(), newTaskSpec("t", 10*time.Second, time.Hour), newOperation("s", 7))
@@ -66,9 +66,9 @@
 }
 
 func TestStartIsCountedPerOperation(t *testing.T) {
-	// The reply to a start is lost after its effect. Sent again with its
-	// operation ID it is one start; a new ID for the same task is a second one,
-	// which the counters show so that a test can forbid it.
+	// The reply to a start is lost. A retry with the same operation ID does not start
+	// the task again. A new operation ID does, and the counters show it, so that
+	// tests can check for double starts.
 	synctest.Test(t, func(t *testing.T) {
 		p := New(sixVMOptions())
 		orderFaults(t, p, Fault{Kind: APILoseReply, Target: "start", Count: 1})
@@ -81,7 +81,7 @@
 		require.Equal(t, 1, p.Counters().MaxTaskStarts)
 		time.Sleep(2 * time.Hour)
 		status, err = p.Start(t.Context(), s, newOperation("a", 1))
-		require.NoError(t, err, "an operation is known beyond the hour of its task")
+		require.NoError(t, err, "an operation must be known after its task was dropped")
 		require.Equal(t, "t", status.ID)
 		_, err = p.Start(t.Context(), s, newOperation("b", 1))
 		require.NoError(t, err)
@@ -92,8 +92,8 @@
 }
 
 func TestThrottleCheckpointAndResume(t *testing.T) {
-	// A task of 10 s runs 2 s, then at half speed for 4 s, then is checkpointed:
-	// 6 s are left, and resumed elsewhere it ends after just these.
+	// A task of 10 s runs for 2 s, then for 4 s at half speed, and is checkpointed. 6 s
+	// of work are left: a second task that resumes from the checkpoint takes 6 s.
 	synctest.Test(t, func(t *testing.T) {
 		p := New(sixVMOptions())
 		startTask(t, p, newTaskSpec("t", time.Hour, 10*time.Second))
@@ -115,8 +115,8 @@
 }
 
 func TestWorkerThatFailsEverything(t *testing.T) {
-	// Every start on the worker is accepted as running and fails half a second
-	// later; starts on other workers are not touched.
+	// Every task on the worker starts as running and fails half a second later. Tasks
+	// on other workers are not affected.
 	synctest.Test(t, func(t *testing.T) {
 		p := New(sixVMOptions())
 		orderFaults(t, p, Fault{Kind: WorkerFails, Target: "vm-01", DelayMS: 500})
@@ -134,8 +134,8 @@
 }
 
 func TestTaskRealityAndUsageLag(t *testing.T) {
-	// A job's tasks use twice the cores and three times the time declared. Usage
-	// lags by 20 s: it shows nothing before, and goes on after the task ended.
+	// A job's tasks use twice the cores and three times the run time declared. Usage
+	// lags by 20 s: it shows a task 20 s after its start and until 20 s after its end.
 	synctest.Test(t, func(t *testing.T) {
 		p := New(sixVMOptions())
 		orderFaults(t, p, Fault{Kind: TaskReality, Target: "job", CoresFactor: 2, WorkFactor: 3}, Fault{Kind: UsageLag, DelayMS: 20_000})
@@ -159,8 +159,8 @@
 }
 
 func TestStartIsRejectedOnUnsuitableWorkers(t *testing.T) {
-	// A start is refused on a full, a draining and an unknown worker, and a
-	// reboot fails the tasks that run.
+	// A start is rejected on a full, a draining and an unknown worker, and a reboot
+	// fails the running tasks.
 	synctest.Test(t, func(t *testing.T) {
 		p := New(sixVMOptions())
 		for _, id := range []string{"1", "2", "3", "4", "5", "6", "7", "8"} {
