--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -99,14 +99,14 @@
 	if err := ctx.Err(); err != nil {
 		return errors.Wrap(ErrUnavailable, err.Error())
 	}
-	var used connTracker
-	req, err := c.newRequest(httptrace.WithClientTrace(ctx, used.clientTrace()), k)
+	var conn connTracker
+	req, err := c.newRequest(httptrace.WithClientTrace(ctx, conn.clientTrace()), k)
 	if err != nil {
 		return errors.Wrap(ErrRejected, err.Error())
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return k.noReplyError(used.sealAndReportWrites(), err)
+		return k.noReplyError(conn.sealAndReportWrites(), err)
 	}
 	defer resp.Body.Close()
 	return k.handleResponse(resp)
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -104,11 +104,11 @@
 // countCut counts a request that is cut because the VM goes down. Requests on a lost
 // VM are counted separately since no drain could have prevented the cut, and
 // abandoned runs since no client waits for them.
-func (b *backend) countCut(run *backendRequest, lost bool) {
+func (b *backend) countCut(request *backendRequest, lost bool) {
 	switch {
 	case lost:
 		b.counts.LostInFlight++
-	case run.r.Context().Err() != nil:
+	case request.r.Context().Err() != nil:
 		b.counts.CutAbandoned++
 	default:
 		b.counts.CutInFlight++
@@ -133,12 +133,12 @@
 		b.serveHealth(w)
 		return
 	}
-	run := &backendRequest{backend: b, w: w, r: r, key: r.Header.Get(HeaderKey), stopped: stopped}
-	if !b.addRequest(run) {
+	request := &backendRequest{backend: b, w: w, r: r, key: r.Header.Get(HeaderKey), stopped: stopped}
+	if !b.addRequest(request) {
 		cutConnection()
 	}
-	defer b.removeRequest(run)
-	run.serve()
+	defer b.removeRequest(request)
+	request.serve()
 }
 
 func (b *backend) serveHealth(w http.ResponseWriter) {
@@ -150,31 +150,31 @@
 }
 
 // addRequest counts a request. It returns false if the VM has gone down.
-func (b *backend) addRequest(run *backendRequest) bool {
+func (b *backend) addRequest(request *backendRequest) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counts.Seen++
 	b.counts.LastSeen = b.platform.now()
-	b.countKey(run.key, KeyCounters{Seen: 1})
+	b.countKey(request.key, KeyCounters{Seen: 1})
 	select {
-	case <-run.stopped:
+	case <-request.stopped:
 		b.counts.CutInFlight++
 		return false
 	default:
-		b.inFlight[run] = struct{}{}
+		b.inFlight[request] = struct{}{}
 		return true
 	}
 }
 
 // removeRequest removes a request from those in flight, unless the VM went down and
 // the request was counted as cut.
-func (b *backend) removeRequest(run *backendRequest) {
+func (b *backend) removeRequest(request *backendRequest) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	select {
-	case <-run.stopped:
+	case <-request.stopped:
 	default:
-		delete(b.inFlight, run)
+		delete(b.inFlight, request)
 	}
 }
 
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -95,10 +95,10 @@
 
 // offerDelayedAppends offers all delayed appends.
 func (l *logState) offerDelayedAppends(first *earliestEvent) {
-	for i, late := range l.delayed {
-		first.offer(late.due, func(now time.Time) {
+	for i, pending := range l.delayed {
+		first.offer(pending.due, func(now time.Time) {
 			l.delayed = slices.Delete(l.delayed, i, i+1)
-			l.appendEntries(late.stream, late.entries, now)
+			l.appendEntries(pending.stream, pending.entries, now)
 		})
 	}
 }
--- a/internal/standin/machines.go
+++ b/internal/standin/machines.go
@@ -29,9 +29,9 @@
 func (p *Platform) vmInfos() []vmInfo {
 	p.lockAndAdvance()
 	defer p.mu.Unlock()
-	machines := make([]vmInfo, 0, len(p.fleet.order))
+	infos := make([]vmInfo, 0, len(p.fleet.order))
 	for _, v := range p.fleet.order {
-		machines = append(machines, vmInfo{
+		infos = append(infos, vmInfo{
 			id:          v.vm.ID,
 			zone:        v.vm.Zone,
 			address:     v.vm.Address,
@@ -43,7 +43,7 @@
 			connections: v.group.Connections,
 		})
 	}
-	return machines
+	return infos
 }
 
 func (p *Platform) setAddress(vm, address string) {
--- a/internal/standin/tasks.go
+++ b/internal/standin/tasks.go
@@ -171,8 +171,8 @@
 		}
 		return previous, nil
 	}
-	if seen := p.tasks.fences[id]; op.Fence < seen {
-		return platform.TaskStatus{}, errors.Wrapf(platform.ErrFenced, "task %q has accepted token %d, got %d", id, seen, op.Fence)
+	if highest := p.tasks.fences[id]; op.Fence < highest {
+		return platform.TaskStatus{}, errors.Wrapf(platform.ErrFenced, "task %q has accepted token %d, got %d", id, highest, op.Fence)
 	}
 	t, err := do()
 	if err != nil {
