--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -73,10 +73,10 @@
 		return fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: 0\r\n\r\n", status)
 	}
 	cases := []struct {
-		name       string
-		serve      func(*rawServer, net.Conn, int)
-		act, look  error
-		wantOffset Offset
+		name                 string
+		serve                func(*rawServer, net.Conn, int)
+		wantAppend, wantRead error
+		wantOffset           Offset
 	}{
 		{"whole reply", respond(wholeReply), nil, nil, 7},
 		{"cut after the request", respond(""), ErrUnknownOutcome, ErrUnavailable, 0},
@@ -97,10 +97,10 @@
 		t.Run(tc.name, func(t *testing.T) {
 			s := startRawServer(t, tc.serve)
 			offset, err := s.client(t).Append(t.Context(), "s", [][]byte{[]byte("x")})
-			require.ErrorIs(t, err, tc.act)
+			require.ErrorIs(t, err, tc.wantAppend)
 			require.Equal(t, tc.wantOffset, offset)
 			_, err = s.client(t).Read(t.Context(), "s", 1, 1, 0)
-			require.ErrorIs(t, err, tc.look)
+			require.ErrorIs(t, err, tc.wantRead)
 		})
 	}
 }
