--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -225,8 +225,8 @@
 	stopped <-chan struct{}
 }
 
-// cutConnection closes the connection without a reply: net/http does so on this
-// panic.
+// cutConnection ends the handler and closes the connection before the reply is
+// complete: net/http does so on this panic.
 func cutConnection() { panic(http.ErrAbortHandler) }
 
 func (run *backendRequest) fault(kind FaultKind) (Fault, bool) {
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// offerDelayedAppends offers all delayed appends.
+// offerDelayedAppends offers all delayed appends to first.
 func (l *logState) offerDelayedAppends(first *earliestEvent) {
 	for i, pending := range l.delayed {
 		first.offer(pending.due, func(now time.Time) {
--- a/internal/standin/tasks.go
+++ b/internal/standin/tasks.go
@@ -138,8 +138,8 @@
 	})
 }
 
-// actOnTask runs an operation on a task ID with fault injection. It calls do as
-// described at executeTaskOperation.
+// actOnTask applies faults and executes an operation on a task ID. See
+// executeTaskOperation for when it calls do.
 func (p *Platform) actOnTask(ctx context.Context, id, verb string, op platform.Operation, do func(time.Time) (*task, error)) (platform.TaskStatus, error) {
 	if err := p.applyAPIFaults(ctx, id, verb); err != nil {
 		return platform.TaskStatus{}, err
