--- a/cmd/yuccadrift-standin/main_test.go
+++ b/cmd/yuccadrift-standin/main_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// runAsCommand makes the test binary behave as the command.
+// runAsCommand is the environment variable that makes the test binary run main.
 const runAsCommand = "YUCCADRIFT_TEST_RUN_COMMAND"
 
 func TestMain(m *testing.M) {
@@ -27,7 +27,7 @@
 	os.Exit(m.Run())
 }
 
-func commandWith(t *testing.T, settings string, args ...string) *exec.Cmd {
+func commandWithSettings(t *testing.T, settings string, args ...string) *exec.Cmd {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "standin.toml")
 	require.NoError(t, os.WriteFile(path, []byte(settings), 0o600))
@@ -36,7 +36,7 @@
 	return cmd
 }
 
-const good = `
+const validSettings = `
 listen = "127.0.0.1:0"
 [[fleet]]
 prefix = "vm"
@@ -45,9 +45,9 @@
 `
 
 func TestServesUntilTerminated(t *testing.T) {
-	// A developer starts the binary, takes the control page's address from its
-	// log, finds the page there, and ends it with SIGTERM: exit code 0.
-	cmd := commandWith(t, good)
+	// The binary logs the addresses of its control page and backend servers, serves the
+	// control page, and exits with code 0 after SIGTERM.
+	cmd := commandWithSettings(t, validSettings)
 	stderr, err := cmd.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, cmd.Start())
@@ -59,7 +59,7 @@
 			control = found[1]
 		}
 	}
-	require.NotEmpty(t, control, "the addresses are not in the log")
+	require.NotEmpty(t, control, "the addresses must be in the log")
 	resp, err := http.Get(control)
 	require.NoError(t, err)
 	resp.Body.Close()
@@ -70,10 +70,10 @@
 	require.NoError(t, cmd.Wait())
 }
 
-func TestAllMistakesAreReportedWithTheirLines(t *testing.T) {
-	// A developer checks a file with a mistake in nearly every line and sees all
-	// of them in one go, each with its line, and a non-zero exit.
-	cmd := commandWith(t, strings.Join([]string{
+func TestAllSettingsErrorsAreReportedWithTheirLines(t *testing.T) {
+	// --check of a file with many errors reports all of them, each with its line, and
+	// exits with a non-zero code.
+	cmd := commandWithSettings(t, strings.Join([]string{
 		`listen = "localhost:80"`,
 		`log_level = "loud"`,
 		`log_format = "xml"`,
@@ -122,19 +122,19 @@
 }
 
 func TestCheckAcceptsGoodSettings(t *testing.T) {
-	require.NoError(t, commandWith(t, good, "--check").Run())
+	require.NoError(t, commandWithSettings(t, validSettings, "--check").Run())
 	_, err := loadSettings("../../examples/settings/standin.toml")
 	require.NoError(t, err)
 }
 
-func TestAddressInUseEndsWithItsName(t *testing.T) {
-	// Something else has the address already: the binary says which one it could
-	// not have and exits non-zero.
+func TestAddressInUseIsReported(t *testing.T) {
+	// If the address is in use, the binary exits with a non-zero code and names the
+	// address.
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
 	address := listener.Addr().String()
-	out, err := commandWith(t, strings.Replace(good, "127.0.0.1:0", address, 1)).CombinedOutput()
+	out, err := commandWithSettings(t, strings.Replace(validSettings, "127.0.0.1:0", address, 1)).CombinedOutput()
 	require.Error(t, err)
 	require.Contains(t, string(out), "listen on "+address)
 }
--- a/internal/platform/appender.go
+++ b/internal/platform/appender.go
@@ -19,17 +19,17 @@
 	DefaultAppendTimeout = 5 * time.Second
 )
 
-// AppenderOptions tunes an Appender; zero values take the defaults.
+// AppenderOptions configures an Appender. Zero values take the defaults.
 type AppenderOptions struct {
 	// BatchEntries and BatchBytes bound one append to the log.
 	BatchEntries int
 	BatchBytes   int
-	// Linger is how long the first entry of a batch waits for others.
+	// Linger is how long a batch waits for further entries.
 	Linger time.Duration
-	// Rate is the ceiling of appends per second, all batches counted. The log's
-	// ceiling is shared, so each process keeps to its part.
+	// Rate limits the appends (batches) per second. All processes share the log's
+	// rate limit, so each process stays within its part.
 	Rate float64
-	// Queue is how many entries may wait.
+	// Queue is the capacity of the queue, in entries.
 	Queue int
 	// Timeout bounds one append to the log.
 	Timeout time.Duration
@@ -59,33 +59,35 @@
 	return o
 }
 
-// Appender is the duty that turns the concurrent appends of one process to one
-// stream into few appends to the log. One append is under way at a time, so
-// entries land in the order in which they were taken from the queue.
+// Appender batches the concurrent appends of one process to one stream. One
+// append to the log is in flight at a time, so entries are in the log in the order
+// of the queue.
 type Appender struct {
 	log     Log
 	stream  string
 	opts    AppenderOptions
 	limiter *rate.Limiter
 	queue   chan *pending
-	// held is the entry that did not fit into the last batch.
-	held *pending
+	// overflow is the entry that begins the next batch: it did not fit into the
+	// last batch, or the last Serve ended before sending it.
+	overflow *pending
 }
 
-// pending is one entry on its way. claimed settles a race: the duty takes the
-// entry for a batch or its caller withdraws it, never both.
+// pending is one queued entry. Either Serve claims it for a batch or its caller
+// claims it to withdraw it, never both.
 type pending struct {
 	data    []byte
 	claimed atomic.Bool
-	done    chan appended
+	done    chan appendResult
 }
 
-type appended struct {
+type appendResult struct {
 	offset Offset
 	err    error
 }
 
-// NewAppender returns an Appender for a stream of log; Serve has to run.
+// NewAppender returns an Appender for a stream of log. Entries are sent only while
+// Serve runs.
 func NewAppender(log Log, stream string, opts AppenderOptions) *Appender {
 	opts = opts.withDefaults()
 	return &Appender{
@@ -97,15 +99,14 @@
 	}
 }
 
-// Append hands one entry to the duty and waits for its offset. When ctx ends
-// first the error is ErrUnavailable if the entry was not sent yet, and then it
-// never will be; otherwise it is ErrUnknownOutcome. Other errors are those of
-// Log.Append.
+// Append queues one entry and waits for its offset. If ctx ends first, Append
+// returns ErrUnavailable if the entry was not sent and never will be, and
+// ErrUnknownOutcome otherwise. Other errors are those of Log.Append.
 func (a *Appender) Append(ctx context.Context, data []byte) (Offset, error) {
 	if len(data) > MaxEntryBytes {
 		return 0, errors.Wrapf(ErrRejected, "an entry holds at most %d bytes", MaxEntryBytes)
 	}
-	p := &pending{data: data, done: make(chan appended, 1)}
+	p := &pending{data: data, done: make(chan appendResult, 1)}
 	select {
 	case a.queue <- p:
 	case <-ctx.Done():
@@ -122,29 +123,30 @@
 	}
 }
 
-// Serve appends until ctx ends; an append under way is finished first. What
-// still waits then waits for the next Serve or the end of its caller's context.
+// Serve appends queued entries until ctx ends. It finishes an append in flight
+// first. Entries still queued wait for the next Serve or the end of their
+// callers' contexts.
 func (a *Appender) Serve(ctx context.Context) error {
 	for {
-		first, err := a.next(ctx)
+		first, err := a.nextEntry(ctx)
 		if err != nil {
 			return err
 		}
 		if err := a.limiter.Wait(ctx); err != nil {
-			a.held = first
+			a.overflow = first
 			return err
 		}
-		a.flush(ctx, a.gather(ctx, first))
+		a.flush(ctx, a.collectBatch(ctx, first))
 	}
 }
 
-// next returns the entry that begins the next batch.
-func (a *Appender) next(ctx context.Context) (*pending, error) {
+// nextEntry returns the entry that begins the next batch.
+func (a *Appender) nextEntry(ctx context.Context) (*pending, error) {
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	if first := a.held; first != nil {
-		a.held = nil
+	if first := a.overflow; first != nil {
+		a.overflow = nil
 		return first, nil
 	}
 	select {
@@ -155,8 +157,8 @@
 	}
 }
 
-// gather fills a batch until it is full or has lingered long enough.
-func (a *Appender) gather(ctx context.Context, first *pending) []*pending {
+// collectBatch adds entries to a batch until it is full or Linger has passed.
+func (a *Appender) collectBatch(ctx context.Context, first *pending) []*pending {
 	batch := []*pending{first}
 	size := len(first.data)
 	linger := time.NewTimer(a.opts.Linger)
@@ -165,7 +167,7 @@
 		select {
 		case p := <-a.queue:
 			if size += len(p.data); size > a.opts.BatchBytes {
-				a.held = p
+				a.overflow = p
 				return batch
 			}
 			batch = append(batch, p)
@@ -178,8 +180,9 @@
 	return batch
 }
 
-// flush appends what was not withdrawn and tells each caller its offset. It
-// outlives ctx: an append cut short would only turn an answer into "unknown".
+// flush appends the entries that were not withdrawn and sends each caller its
+// result. The append is not cancelled with ctx, since that would only turn the
+// result into ErrUnknownOutcome.
 func (a *Appender) flush(ctx context.Context, batch []*pending) {
 	var sent []*pending
 	var entries [][]byte
@@ -197,9 +200,9 @@
 	offset, err := a.log.Append(ctx, a.stream, entries)
 	for i, p := range sent {
 		if err != nil {
-			p.done <- appended{err: err}
+			p.done <- appendResult{err: err}
 			continue
 		}
-		p.done <- appended{offset: offset + Offset(i)}
+		p.done <- appendResult{offset: offset + Offset(i)}
 	}
 }
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -15,13 +15,13 @@
 )
 
 // rawServer runs serve on every connection, numbered from 1, and counts the
-// requests that serve read with readRequest.
+// requests read with readRequest.
 type rawServer struct {
 	listener net.Listener
 	requests atomic.Int32
 }
 
-func startRaw(t *testing.T, serve func(s *rawServer, conn net.Conn, number int)) *rawServer {
+func startRawServer(t *testing.T, serve func(s *rawServer, conn net.Conn, number int)) *rawServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -59,10 +59,10 @@
 
 const wholeReply = "HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"offset\": 7}"
 
-func TestOutcomeFollowsFromWhatWasSentAndReceived(t *testing.T) {
-	// The caller sees ErrUnavailable only where the platform cannot have acted,
-	// ErrUnknownOutcome wherever it may have: the connection breaks at each point
-	// of the exchange in turn. A read never acts, so it is never "unknown".
+func TestErrorDependsOnWhatWasSentAndReceived(t *testing.T) {
+	// The connection breaks at each point of the exchange in turn. An append returns
+	// ErrUnavailable only if the platform can't have acted, and ErrUnknownOutcome
+	// if it may have. A read changes nothing, so it never returns ErrUnknownOutcome.
 	respond := func(reply string) func(*rawServer, net.Conn, int) {
 		return func(s *rawServer, conn net.Conn, _ int) {
 			s.readRequest(bufio.NewReader(conn))
@@ -73,10 +73,10 @@
 		return fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: 0\r\n\r\n", status)
 	}
 	cases := []struct {
-		name       string
-		serve      func(*rawServer, net.Conn, int)
-		act, look  error
-		wantOffset Offset
+		name                 string
+		serve                func(*rawServer, net.Conn, int)
+		wantAppend, wantRead error
+		wantOffset           Offset
 	}{
 		{"whole reply", respond(wholeReply), nil, nil, 7},
 		{"cut after the request", respond(""), ErrUnknownOutcome, ErrUnavailable, 0},
@@ -95,19 +95,19 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := startRaw(t, tc.serve)
+			s := startRawServer(t, tc.serve)
 			offset, err := s.client(t).Append(t.Context(), "s", [][]byte{[]byte("x")})
-			require.ErrorIs(t, err, tc.act)
+			require.ErrorIs(t, err, tc.wantAppend)
 			require.Equal(t, tc.wantOffset, offset)
 			_, err = s.client(t).Read(t.Context(), "s", 1, 1, 0)
-			require.ErrorIs(t, err, tc.look)
+			require.ErrorIs(t, err, tc.wantRead)
 		})
 	}
 }
 
 func TestNothingSentIsUnavailable(t *testing.T) {
-	// The caller sees ErrUnavailable: no connection came about, so no byte of the
-	// action left. First nobody listens, then the context has ended beforehand.
+	// Without a connection no byte is sent, so the append returns ErrUnavailable:
+	// first with a cancelled context, then with nothing listening.
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	c := NewClient(listener.Addr().String(), ClientOptions{})
@@ -121,9 +121,9 @@
 }
 
 func TestDeadlineWithoutReplyIsUnknown(t *testing.T) {
-	// The platform reads the append and hangs; the caller's deadline passes. It
-	// sees ErrUnknownOutcome, since the append may take effect later.
-	s := startRaw(t, func(s *rawServer, conn net.Conn, _ int) {
+	// The platform reads the append and hangs until the caller's deadline. The append
+	// may take effect later, so it returns ErrUnknownOutcome.
+	s := startRawServer(t, func(s *rawServer, conn net.Conn, _ int) {
 		s.readRequest(bufio.NewReader(conn))
 		io.Copy(io.Discard, conn)
 	})
@@ -134,10 +134,10 @@
 }
 
 func TestBrokenReusedConnectionIsNotReplayed(t *testing.T) {
-	// The platform answers one append, then takes a second one on the same
-	// connection and cuts. net/http would replay a replayable request by itself
-	// here, and the append would be in the log twice under one call.
-	s := startRaw(t, func(s *rawServer, conn net.Conn, number int) {
+	// The platform answers one append, reads a second one on the same connection and
+	// closes it. net/http resends a replayable request in this case, and one call
+	// would append its entry twice.
+	s := startRawServer(t, func(s *rawServer, conn net.Conn, number int) {
 		r := bufio.NewReader(conn)
 		s.readRequest(r)
 		io.WriteString(conn, wholeReply)
@@ -155,12 +155,12 @@
 
 func TestSealedConnectionWritesNothing(t *testing.T) {
 	// A call fails before its request is written, and the Transport's goroutine
-	// writes a moment later. The caller was told "unavailable", so that write
-	// must not reach the platform.
+	// writes just after that. The caller got ErrUnavailable, so the write must not
+	// reach the platform.
 	near, far := net.Pipe()
 	defer far.Close()
 	conn := &sealableConn{Conn: near}
-	require.False(t, conn.seal(conn.mark()))
+	require.False(t, conn.seal(conn.writeCount()))
 	_, err := conn.Write([]byte("late"))
 	require.ErrorIs(t, err, errSealed)
 	near.Close()
@@ -168,17 +168,17 @@
 	require.Empty(t, left)
 }
 
-// gatedLog is a Log whose appends wait for a verdict.
-type gatedLog struct {
+// blockingLog is a Log whose appends block until the test sends a result.
+type blockingLog struct {
 	Log
 	calls   chan [][]byte
-	verdict chan error
+	results chan error
 	next    Offset
 }
 
-func (l *gatedLog) Append(ctx context.Context, _ string, entries [][]byte) (Offset, error) {
+func (l *blockingLog) Append(ctx context.Context, _ string, entries [][]byte) (Offset, error) {
 	l.calls <- entries
-	if err := <-l.verdict; err != nil {
+	if err := <-l.results; err != nil {
 		return 0, err
 	}
 	first := l.next + 1
--- a/internal/standin/api.go
+++ b/internal/standin/api.go
@@ -15,7 +15,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-// routes is the platform's interface and the control page.
+// routes returns the handler of the platform's API and the control page.
 func (s *Server) routes() http.Handler {
 	p := s.platform
 	mux := http.NewServeMux()
@@ -46,62 +46,63 @@
 	return mux
 }
 
-// handle decodes the body into a message, runs do and encodes what it returns.
+// handle returns a handler that decodes the body of a POST, calls do and encodes its
+// result.
 func handle[In any](do func(*http.Request, *In) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in In
 		if r.Method == http.MethodPost {
 			body := http.MaxBytesReader(w, r.Body, platform.MaxBodyBytes)
 			if err := json.NewDecoder(body).Decode(&in); err != nil {
-				refuse(w, errors.Wrap(platform.ErrRejected, err.Error()), platform.Batch{})
+				writeError(w, errors.Wrap(platform.ErrRejected, err.Error()), platform.Batch{})
 				return
 			}
 		}
 		out, err := do(r, &in)
 		if err != nil {
 			batch, _ := out.(platform.Batch)
-			refuse(w, err, batch)
+			writeError(w, err, batch)
 			return
 		}
-		answer(w, r, out)
+		writeReply(w, r, out)
 	}
 }
 
-// compressFrom is the size in bytes from which an answer is compressed.
+// compressFrom is the minimum size in bytes of a compressed reply.
 const compressFrom = 1 << 10
 
-// answer replies with a success, compressed when it is large and the client
-// accepts that.
-func answer(w http.ResponseWriter, r *http.Request, out any) {
+// writeReply writes a success reply, compressed if it is large and the client accepts
+// gzip.
+func writeReply(w http.ResponseWriter, r *http.Request, out any) {
 	body := mustJSON(out)
 	if len(body) < compressFrom || !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
-		send(w, http.StatusOK, body)
+		writeBody(w, http.StatusOK, body)
 		return
 	}
 	var small bytes.Buffer
 	zip := gzip.NewWriter(&small)
-	zip.Write(body) // a Buffer takes all
+	zip.Write(body) // a Buffer never fails
 	zip.Close()
 	w.Header().Set("Content-Encoding", "gzip")
-	send(w, http.StatusOK, small.Bytes())
+	writeBody(w, http.StatusOK, small.Bytes())
 }
 
-func reply(w http.ResponseWriter, status int, out any) { send(w, status, mustJSON(out)) }
+func writeJSON(w http.ResponseWriter, status int, out any) { writeBody(w, status, mustJSON(out)) }
 
-func send(w http.ResponseWriter, status int, body []byte) {
+func writeBody(w http.ResponseWriter, status int, body []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
 	w.Write(body)
 }
 
-// refuse answers with the status code of an error. An unknown outcome gets no
-// answer: the connection is cut.
-func refuse(w http.ResponseWriter, err error, batch platform.Batch) {
+// writeError writes the status code and message of an error. For an unknown outcome it
+// cuts the connection instead.
+func writeError(w http.ResponseWriter, err error, batch platform.Batch) {
 	if errors.Is(err, platform.ErrUnknownOutcome) {
-		cut()
+		cutConnection()
 	}
-	reply(w, statusOf(err), platform.ErrorReply{Message: err.Error(), First: batch.First, Next: batch.Next})
+	writeJSON(w, statusOf(err), platform.ErrorReply{Message: err.Error(), First: batch.First, Next: batch.Next})
 }
 
 func statusOf(err error) int {
@@ -147,7 +148,7 @@
 	}
 	act, ok := verbs[r.PathValue("verb")]
 	if !ok {
-		return nil, errors.Wrapf(platform.ErrRejected, "a VM has no action %q", r.PathValue("verb"))
+		return nil, errors.Wrapf(platform.ErrRejected, "unknown action %q on a VM", r.PathValue("verb"))
 	}
 	status, err := act(r.Context(), r.PathValue("vm"), *op)
 	return platform.OperationReply{Status: status}, err
@@ -163,6 +164,6 @@
 	case platform.VerbStop:
 		return p.Stop(r.Context(), task, in.Op)
 	default:
-		return nil, errors.Wrapf(platform.ErrRejected, "a task has no action %q", verb)
+		return nil, errors.Wrapf(platform.ErrRejected, "unknown action %q on a task", verb)
 	}
 }
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -13,27 +13,27 @@
 	"github.com/pkg/errors"
 )
 
-// Headers that a backend server knows.
+// Headers of requests to backend servers and of their answers.
 const (
-	// HeaderKey carries the request's key, by which runs are counted.
+	// HeaderKey carries the request's key. Runs are counted by key.
 	HeaderKey = "Yuccadrift-Key"
-	// HeaderBackend says NotRun when the server refused a request unrun.
+	// HeaderBackend is NotRun if the server refused a request without running it.
 	HeaderBackend = "Yuccadrift-Backend"
 	// NotRun is the value of HeaderBackend.
 	NotRun = "not-run"
-	// HeaderWorkMS sets how long the run takes, in milliseconds (a decimal).
+	// HeaderWorkMS sets the duration of the run in milliseconds, as a decimal.
 	HeaderWorkMS = "X-Standin-Work-Ms"
-	// HeaderReplyBytes sets the size of the answer's body.
+	// HeaderReplyBytes sets the size of the answer's body in bytes.
 	HeaderReplyBytes = "X-Standin-Reply-Bytes"
-	// HeaderEcho is a token that the answer repeats in its header and body.
+	// HeaderEcho carries a token that the answer repeats in its header and body.
 	HeaderEcho = "X-Standin-Echo"
-	// HeaderVM names the VM that answered.
+	// HeaderVM carries the ID of the VM that answered.
 	HeaderVM = "X-Standin-Vm"
-	// HeaderRun is the number of the run among those of the key.
+	// HeaderRun carries the number of the run among the runs of the key.
 	HeaderRun = "X-Standin-Run"
 )
 
-// Bounds of a backend server.
+// Limits of a backend server.
 const (
 	maxWork        = 10 * time.Minute
 	maxReplyBytes  = 64 << 20
@@ -42,7 +42,7 @@
 	readHeaderWait = 10 * time.Second
 )
 
-// backend is the backend server of one VM. It keeps its counts over reboots.
+// backend is the backend server of one VM. Its counters survive reboots.
 type backend struct {
 	vm       string
 	platform *Platform
@@ -53,19 +53,19 @@
 	counts   VMCounters
 	keys     map[string]KeyCounters
 	busy     int
-	inFlight map[*backendRun]struct{}
+	inFlight map[*backendRequest]struct{}
 	boots    int
 	server   *http.Server
-	stopped  chan struct{} // closed when the present boot ends
+	stopped  chan struct{} // closed when the current boot ends
 }
 
-// open serves on listener until close.
+// open starts serving on listener. It serves until close is called.
 func (b *backend) open(listener net.Listener, connections, boots int) {
 	limited := &limitListener{
-		Listener: listener,
-		limit:    connections,
-		refuse:   func() { b.count(func(c *VMCounters) { c.RefusedConnections++ }) },
-		cut: func() bool {
+		Listener:  listener,
+		limit:     connections,
+		onRefused: func() { b.updateCounts(func(c *VMCounters) { c.RefusedConnections++ }) },
+		shouldCut: func() bool {
 			_, ok := b.platform.takeFault(CutBeforeRead, b.vm)
 			return ok
 		},
@@ -77,13 +77,13 @@
 	}
 	b.mu.Lock()
 	b.server, b.stopped, b.boots = server, stopped, boots
-	b.inFlight = map[*backendRun]struct{}{}
+	b.inFlight = map[*backendRequest]struct{}{}
 	b.mu.Unlock()
 	go server.Serve(limited)
 }
 
-// close cuts the connections, as a VM does that goes down, and counts the
-// requests that it cut.
+// close cuts all connections, as when a VM goes down, and counts the requests in
+// flight.
 func (b *backend) close(lost bool) {
 	b.mu.Lock()
 	server := b.server
@@ -101,14 +101,14 @@
 	}
 }
 
-// countCut counts a request that the VM's end cuts: a lost VM's apart, for no one
-// could have spared those, and a run that its client had given up apart, for no
-// one waits for it.
-func (b *backend) countCut(run *backendRun, lost bool) {
+// countCut counts a request that is cut because the VM goes down. Requests on a lost
+// VM are counted separately since no drain could have prevented the cut, and
+// abandoned runs since no client waits for them.
+func (b *backend) countCut(request *backendRequest, lost bool) {
 	switch {
 	case lost:
 		b.counts.LostInFlight++
-	case run.r.Context().Err() != nil:
+	case request.r.Context().Err() != nil:
 		b.counts.CutAbandoned++
 	default:
 		b.counts.CutInFlight++
@@ -121,24 +121,24 @@
 	return b.boots, b.server != nil
 }
 
-func (b *backend) count(f func(*VMCounters)) {
+func (b *backend) updateCounts(f func(*VMCounters)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f(&b.counts)
 }
 
-// serve handles one request of the boot that ends with stopped.
+// serve handles one request. stopped is closed when the current boot ends.
 func (b *backend) serve(w http.ResponseWriter, r *http.Request, stopped <-chan struct{}) {
 	if r.URL.Path == HealthPath {
 		b.serveHealth(w)
 		return
 	}
-	run := &backendRun{backend: b, w: w, r: r, key: r.Header.Get(HeaderKey), stopped: stopped}
-	if !b.arrive(run) {
-		cut()
+	request := &backendRequest{backend: b, w: w, r: r, key: r.Header.Get(HeaderKey), stopped: stopped}
+	if !b.addRequest(request) {
+		cutConnection()
 	}
-	defer b.depart(run)
-	run.serve()
+	defer b.removeRequest(request)
+	request.serve()
 }
 
 func (b *backend) serveHealth(w http.ResponseWriter) {
@@ -149,31 +149,32 @@
 	io.WriteString(w, "ok\n")
 }
 
-// arrive counts a request; false means that the VM has gone down meanwhile.
-func (b *backend) arrive(run *backendRun) bool {
+// addRequest counts a request. It returns false if the VM has gone down.
+func (b *backend) addRequest(request *backendRequest) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counts.Seen++
 	b.counts.LastSeen = b.platform.now()
-	b.countKey(run.key, KeyCounters{Seen: 1})
+	b.countKey(request.key, KeyCounters{Seen: 1})
 	select {
-	case <-run.stopped:
+	case <-request.stopped:
 		b.counts.CutInFlight++
 		return false
 	default:
-		b.inFlight[run] = struct{}{}
+		b.inFlight[request] = struct{}{}
 		return true
 	}
 }
 
-// depart ends a request unless the VM went down and counted it as cut.
-func (b *backend) depart(run *backendRun) {
+// removeRequest removes a request from those in flight, unless the VM went down and
+// the request was counted as cut.
+func (b *backend) removeRequest(request *backendRequest) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	select {
-	case <-run.stopped:
+	case <-request.stopped:
 	default:
-		delete(b.inFlight, run)
+		delete(b.inFlight, request)
 	}
 }
 
@@ -186,8 +187,9 @@
 	return c
 }
 
-// enter takes a slot, or counts the refusal.
-func (b *backend) enter(key string) bool {
+// acquireSlot acquires a slot. If none is free, it counts the refusal and returns
+// false.
+func (b *backend) acquireSlot(key string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.busy >= b.slots {
@@ -200,13 +202,13 @@
 	return true
 }
 
-func (b *backend) leave() {
+func (b *backend) releaseSlot() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.busy--
 }
 
-// countRun counts the start of a run and returns its number for the key.
+// countRun counts a run and returns its number among the runs of the key.
 func (b *backend) countRun(key string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -214,8 +216,8 @@
 	return b.countKey(key, KeyCounters{Runs: 1}).Runs
 }
 
-// backendRun is the handling of one request.
-type backendRun struct {
+// backendRequest is one request in a backend server.
+type backendRequest struct {
 	backend *backend
 	w       http.ResponseWriter
 	r       *http.Request
@@ -223,47 +225,49 @@
 	stopped <-chan struct{}
 }
 
-// cut breaks the connection; net/http takes this panic for just that.
-func cut() { panic(http.ErrAbortHandler) }
+// cutConnection ends the handler and closes the connection before the reply is
+// complete: net/http does so on this panic.
+func cutConnection() { panic(http.ErrAbortHandler) }
 
-func (run *backendRun) fault(kind FaultKind) (Fault, bool) {
+func (run *backendRequest) fault(kind FaultKind) (Fault, bool) {
 	return run.backend.platform.takeFault(kind, run.backend.vm)
 }
 
-func (run *backendRun) cutIf(kind FaultKind) {
+func (run *backendRequest) cutOnFault(kind FaultKind) {
 	if _, ok := run.fault(kind); ok {
-		cut()
+		cutConnection()
 	}
 }
 
-func (run *backendRun) serve() {
-	run.cutIf(CutAfterHeader)
+func (run *backendRequest) serve() {
+	run.cutOnFault(CutAfterHeader)
 	if _, ok := run.fault(BackendError); ok {
-		http.Error(run.w, "ordered to fail", http.StatusInternalServerError)
+		http.Error(run.w, "failed by a fault", http.StatusInternalServerError)
 		return
 	}
-	if !run.backend.enter(run.key) {
+	if !run.backend.acquireSlot(run.key) {
 		run.w.Header().Set(HeaderBackend, NotRun)
 		http.Error(run.w, "all slots are busy", http.StatusServiceUnavailable)
 		return
 	}
-	defer run.backend.leave()
+	defer run.backend.releaseSlot()
 	body, err := io.Copy(io.Discard, http.MaxBytesReader(run.w, run.r.Body, maxBodyBytes))
 	if err != nil {
-		cut()
+		cutConnection()
 	}
 	run.freeze()
 	number := run.backend.countRun(run.key)
-	run.workFor()
-	run.cutIf(CutAfterRun)
+	run.simulateWork()
+	run.cutOnFault(CutAfterRun)
 	if f, ok := run.fault(BackendLate); ok {
 		run.sleep(f.Delay())
 	}
-	run.answer(number, body)
+	run.writeAnswer(number, body)
 }
 
-// freeze holds the request for the fault's delay, or until the fault ends.
-func (run *backendRun) freeze() {
+// freeze blocks the request for the fault's delay, or until the fault ends if it has
+// no delay.
+func (run *backendRequest) freeze() {
 	f, ok := run.fault(BackendFreeze)
 	if !ok {
 		return
@@ -272,13 +276,14 @@
 	for f.DelayMS == 0 && run.backend.platform.isActive(f.ID) {
 		run.sleep(freezePoll)
 		if run.r.Context().Err() != nil {
-			cut()
+			cutConnection()
 		}
 	}
 }
 
-// workFor spends the run's time. A run goes on when its client leaves.
-func (run *backendRun) workFor() {
+// simulateWork waits for the duration of the run. The run continues if its client
+// disconnects.
+func (run *backendRequest) simulateWork() {
 	work := run.backend.work
 	if ms, err := strconv.ParseFloat(run.r.Header.Get(HeaderWorkMS), 64); err == nil && ms >= 0 {
 		work = time.Duration(min(ms*float64(time.Millisecond), float64(maxWork)))
@@ -289,8 +294,8 @@
 	run.sleep(work)
 }
 
-// sleep waits for d; when the VM goes down first, the run ends there.
-func (run *backendRun) sleep(d time.Duration) {
+// sleep waits for d. If the VM goes down first, it cuts the connection.
+func (run *backendRequest) sleep(d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -299,13 +304,13 @@
 	select {
 	case <-timer.C:
 	case <-run.stopped:
-		cut()
+		cutConnection()
 	}
 }
 
-// answer writes the answer whole within the handler, so that a request counts
-// as in flight until the answer has left.
-func (run *backendRun) answer(number int, bodyBytes int64) {
+// writeAnswer writes and flushes the answer within the handler, so that the request
+// counts as in flight until the answer is sent.
+func (run *backendRequest) writeAnswer(number int, bodyBytes int64) {
 	echo := run.r.Header.Get(HeaderEcho)
 	size, err := strconv.Atoi(run.r.Header.Get(HeaderReplyBytes))
 	body := ReplyBody(echo, min(size, maxReplyBytes))
@@ -324,11 +329,11 @@
 	}
 	run.w.Write(body)
 	if http.NewResponseController(run.w).Flush() != nil || cutMid {
-		cut()
+		cutConnection()
 	}
 }
 
-// Answer is the body of an answer whose size was not asked for.
+// Answer is the body of an answer to a request without HeaderReplyBytes.
 type Answer struct {
 	VM        string `json:"vm"`
 	Path      string `json:"path"`
@@ -338,7 +343,7 @@
 	BodyBytes int64  `json:"body_bytes"`
 }
 
-func (run *backendRun) describe(number int, bodyBytes int64) []byte {
+func (run *backendRequest) describe(number int, bodyBytes int64) []byte {
 	return mustJSON(Answer{
 		VM:        run.backend.vm,
 		Path:      run.r.URL.Path,
@@ -349,8 +354,7 @@
 	})
 }
 
-// ReplyBody is the body of an answer of size bytes to a request with an echo
-// token: the token over and over.
+// ReplyBody returns an answer's body of size bytes: the echo token, repeated.
 func ReplyBody(echo string, size int) []byte {
 	if echo == "" {
 		echo = "-"
@@ -361,7 +365,7 @@
 	return []byte(strings.Repeat(echo, size/len(echo)+1)[:size])
 }
 
-// listenOn binds a backend server's address.
+// listenOn listens on a TCP address.
 func listenOn(address string) (net.Listener, error) {
 	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", address)
 	return listener, errors.Wrapf(err, "listen on %s", address)
--- a/internal/standin/counters.go
+++ b/internal/standin/counters.go
@@ -7,7 +7,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-// LogCounters counts calls on the log. Bytes are those of the entries' data.
+// LogCounters counts calls on the log. Bytes count the data of entries only.
 type LogCounters struct {
 	Appends       int   `json:"appends"`
 	Throttled     int   `json:"throttled"`
@@ -15,34 +15,34 @@
 	BytesAppended int64 `json:"bytes_appended"`
 	Reads         int   `json:"reads"`
 	BytesRead     int64 `json:"bytes_read"`
-	// PeakAppends is the most appends within one second of the clock.
+	// PeakAppends is the maximum number of appends within one second of the clock.
 	PeakAppends int `json:"peak_appends_per_second"`
 	// AppendsPerSecond and ReadsPerSecond are means since the last reset.
 	AppendsPerSecond float64 `json:"appends_per_second"`
 	ReadsPerSecond   float64 `json:"reads_per_second"`
 }
 
-// Counters is what tests assert on.
+// Counters holds the counters of the stand-in, for tests to assert on.
 type Counters struct {
 	Since      time.Time      `json:"since"`
 	Log        LogCounters    `json:"log"`
 	Reboots    map[string]int `json:"reboots"`     // per VM
 	TaskStarts map[string]int `json:"task_starts"` // per task ID
 	JobStarts  map[string]int `json:"job_starts"`  // per job
-	// MaxTaskStarts is the most starts of one task ID.
+	// MaxTaskStarts is the maximum number of starts of one task ID.
 	MaxTaskStarts int `json:"max_task_starts"`
 	// Backends is filled by the Server.
 	Backends BackendCounters `json:"backends"`
 }
 
 type counterState struct {
-	since      time.Time
-	log        LogCounters
-	second     int64
-	inSecond   int
-	reboots    map[string]int
-	taskStarts map[string]int
-	jobStarts  map[string]int
+	since           time.Time
+	log             LogCounters
+	currentSecond   int64
+	appendsInSecond int
+	reboots         map[string]int
+	taskStarts      map[string]int
+	jobStarts       map[string]int
 }
 
 func newCounterState(now time.Time) counterState {
@@ -60,11 +60,11 @@
 	for _, data := range entries {
 		c.log.BytesAppended += int64(len(data))
 	}
-	if second := now.Unix(); second != c.second {
-		c.second, c.inSecond = second, 0
+	if second := now.Unix(); second != c.currentSecond {
+		c.currentSecond, c.appendsInSecond = second, 0
 	}
-	c.inSecond++
-	c.log.PeakAppends = max(c.log.PeakAppends, c.inSecond)
+	c.appendsInSecond++
+	c.log.PeakAppends = max(c.log.PeakAppends, c.appendsInSecond)
 }
 
 func (p *Platform) countRead(batch platform.Batch) {
@@ -76,9 +76,10 @@
 	}
 }
 
-// Counters returns the counts since the start or the last reset.
+// Counters returns the counters since the start or the last reset. It leaves
+// Backends empty.
 func (p *Platform) Counters() Counters {
-	now := p.look()
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
 	c := Counters{
 		Since:      p.counters.since,
@@ -97,9 +98,9 @@
 	return c
 }
 
-// ResetCounters begins counting anew; the state and the faults stay.
+// ResetCounters resets the counters. It keeps the state and the faults.
 func (p *Platform) ResetCounters() {
-	now := p.look()
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
 	p.counters = newCounterState(now)
 }
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -11,8 +11,8 @@
 	"github.com/yuccadrift/yuccadrift/internal/wait"
 )
 
-// Group is a set of alike VMs. They go over the zones in turn and fill racks
-// there, which groups share.
+// Group is a set of equal VMs. They are assigned to the zones in turn and fill the
+// racks of each zone. All groups share the racks.
 type Group struct {
 	Prefix       string
 	Count        int
@@ -21,17 +21,17 @@
 	Cores        int
 	MemoryMB     int
 	Accelerators int
-	// Slots is how many requests a backend server runs at a time, Connections
-	// how many it keeps open.
+	// Slots is the number of requests that a backend server runs at a time.
+	// Connections is the number of connections that it accepts at a time.
 	Slots       int
 	Connections int
-	// BasePort is the port of the first backend server; 0 means any free ports.
+	// BasePort is the port of the first backend server; 0 picks free ports.
 	BasePort int
-	// Boot is how long a reboot takes.
+	// Boot is the duration of a reboot.
 	Boot time.Duration
 }
 
-// Defaults of Group, the sizes of the brief.
+// Defaults of Group. The sizes are those in the project's requirements.
 const (
 	DefaultRackSize    = 4
 	DefaultSlots       = 8
@@ -61,29 +61,29 @@
 	return g
 }
 
-// vmState is one VM and its past.
+// vmState is one VM with the history of its listing.
 type vmState struct {
 	vm    platform.VM
 	group *groupState
-	port  int // of the backend server; 0 means any
-	// advertised is the address that the list shows, empty for the real one.
+	port  int // of the backend server; 0 picks a free port
+	// advertised is the address shown in the list; empty for the real one.
 	advertised string
 	up         bool
 	lost       bool
 	drained    bool
 	booting    bool
-	bootDue    time.Time // when booting; zero when it never comes back
+	bootDue    time.Time // end of the boot; zero if the VM never comes back
 	boots      int
 	fence      platform.Offset
 	ops        map[string]*operation
-	past       []listed
+	history    []listVersion
 }
 
-// listed is what the list said of a VM from a time on; gone means nothing.
-type listed struct {
-	at   time.Time
-	vm   platform.VM
-	gone bool
+// listVersion is how a VM is listed from a time on. If absent, it is not listed.
+type listVersion struct {
+	at     time.Time
+	vm     platform.VM
+	absent bool
 }
 
 // operation is one action on a VM.
@@ -94,32 +94,32 @@
 
 type groupState struct {
 	Group
-	made int
+	created int
 }
 
-// fleetState holds the VMs in the order in which they appeared.
+// fleetState holds the VMs; order is the order of creation.
 type fleetState struct {
-	groups  map[string]*groupState
-	vms     map[string]*vmState
-	order   []*vmState
-	inZones map[string]int
-	served  bool          // a Server binds the addresses
-	changed chan struct{} // tells the Server of a change
+	groups     map[string]*groupState
+	vms        map[string]*vmState
+	order      []*vmState
+	vmsPerZone map[string]int
+	hasServer  bool          // a Server assigns the addresses
+	changed    chan struct{} // notifies the Server of a change
 }
 
 func newFleetState() fleetState {
 	return fleetState{
-		groups:  map[string]*groupState{},
-		vms:     map[string]*vmState{},
-		inZones: map[string]int{},
-		changed: make(chan struct{}, 1),
+		groups:     map[string]*groupState{},
+		vms:        map[string]*vmState{},
+		vmsPerZone: map[string]int{},
+		changed:    make(chan struct{}, 1),
 	}
 }
 
-// AddGroup adds the VMs of a group. Until a Server gives a VM the address of its
-// backend server it has one that nobody listens at.
+// AddGroup adds the VMs of a group. Without a Server, nothing listens on their
+// addresses.
 func (p *Platform) AddGroup(group Group) {
-	now := p.look()
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
 	g := &groupState{Group: group.withDefaults()}
 	p.fleet.groups[g.Prefix] = g
@@ -128,10 +128,10 @@
 	}
 }
 
-func (p *Platform) addOne(prefix string, now time.Time) error {
+func (p *Platform) addVM(prefix string, now time.Time) error {
 	g, ok := p.fleet.groups[prefix]
 	if !ok {
-		return errors.Errorf("no group of VMs %q", prefix)
+		return errors.Errorf("unknown group of VMs %q", prefix)
 	}
 	p.newVM(g, now)
 	return nil
@@ -139,13 +139,13 @@
 
 func (p *Platform) newVM(g *groupState, now time.Time) {
 	f := &p.fleet
-	zone := g.Zones[g.made%len(g.Zones)]
+	zone := g.Zones[g.created%len(g.Zones)]
 	number := len(f.order)
 	v := &vmState{group: g, up: true, boots: 1, ops: map[string]*operation{}}
 	v.vm = platform.VM{
-		ID:           fmt.Sprintf("%s-%02d", g.Prefix, g.made+1),
+		ID:           fmt.Sprintf("%s-%02d", g.Prefix, g.created+1),
 		Zone:         zone,
-		Rack:         fmt.Sprintf("%s-r%02d", zone, f.inZones[zone]/g.RackSize+1),
+		Rack:         fmt.Sprintf("%s-r%02d", zone, f.vmsPerZone[zone]/g.RackSize+1),
 		Address:      fmt.Sprintf("10.%d.%d.%d:8000", number>>16, number>>8&0xff, number&0xff),
 		Cores:        g.Cores,
 		MemoryMB:     g.MemoryMB,
@@ -154,27 +154,27 @@
 	}
 	v.vm.BootID = bootID(v.vm.ID, v.boots)
 	if g.BasePort > 0 {
-		v.port = g.BasePort + g.made
+		v.port = g.BasePort + g.created
 	}
-	if f.served {
+	if f.hasServer {
 		v.vm.Address = ""
 	}
-	g.made++
-	f.inZones[zone]++
+	g.created++
+	f.vmsPerZone[zone]++
 	f.vms[v.vm.ID] = v
 	f.order = append(f.order, v)
-	p.record(v, now)
+	p.recordListed(v, now)
 }
 
 func bootID(vm string, boot int) string { return fmt.Sprintf("%s-boot-%d", vm, boot) }
 
-// record notes what the list says of the VM from now on and tells the Server.
-func (p *Platform) record(v *vmState, now time.Time) {
+// recordListed records how the VM is listed from now on and notifies the Server.
+func (p *Platform) recordListed(v *vmState, now time.Time) {
 	v.vm.State = platform.VMLive
 	if v.drained || v.booting {
 		v.vm.State = platform.VMLeaving
 	}
-	v.past = append(v.past, listed{at: now, vm: v.vm, gone: v.lost})
+	v.history = append(v.history, listVersion{at: now, vm: v.vm, absent: v.lost})
 	select {
 	case p.fleet.changed <- struct{}{}:
 	default:
@@ -183,10 +183,10 @@
 
 // List implements platform.Fleet.
 func (p *Platform) List(ctx context.Context) (platform.VMList, error) {
-	if err := p.apiGate(ctx, "list"); err != nil {
+	if err := p.applyAPIFaults(ctx, "list"); err != nil {
 		return platform.VMList{}, errors.Wrap(platform.ErrUnavailable, err.Error())
 	}
-	now := p.look()
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
 	asOf := now
 	if lag, ok := p.faults.take(ListLag, now); ok {
@@ -197,32 +197,32 @@
 	}
 	list := platform.VMList{AsOf: asOf, VMs: []platform.VM{}}
 	for _, v := range p.fleet.order {
-		if vm, ok := v.at(asOf); ok {
+		if vm, ok := v.listedAt(asOf); ok {
 			list.VMs = append(list.VMs, vm)
 		}
 	}
 	return list, nil
 }
 
-// at returns what the list said of the VM at a time.
-func (v *vmState) at(asOf time.Time) (platform.VM, bool) {
-	for i := len(v.past) - 1; i >= 0; i-- {
-		if !v.past[i].at.After(asOf) {
-			vm := v.past[i].vm
+// listedAt returns the VM as listed at a time, or false if it was not listed.
+func (v *vmState) listedAt(asOf time.Time) (platform.VM, bool) {
+	for i := len(v.history) - 1; i >= 0; i-- {
+		if !v.history[i].at.After(asOf) {
+			vm := v.history[i].vm
 			if v.advertised != "" {
 				vm.Address = v.advertised
 			}
-			return vm, !v.past[i].gone && v.vm.Address != ""
+			return vm, !v.history[i].absent && v.vm.Address != ""
 		}
 	}
 	return platform.VM{}, false
 }
 
-// apiGate applies the faults that come before a call on a VM or task acts. A
-// fault's target is one of the subjects.
-func (p *Platform) apiGate(ctx context.Context, subjects ...string) error {
+// applyAPIFaults applies the faults that take effect before a call on a VM or task.
+// A fault's target is one of the subjects.
+func (p *Platform) applyAPIFaults(ctx context.Context, subjects ...string) error {
 	if _, ok := p.takeFault(APIRefuse, subjects...); ok {
-		return errors.Wrap(platform.ErrUnavailable, "the platform refuses")
+		return errors.Wrap(platform.ErrUnavailable, "call refused by a fault")
 	}
 	if f, ok := p.takeFault(APISlow, subjects...); ok {
 		if err := wait.Sleep(ctx, f.Delay()); err != nil {
@@ -249,10 +249,10 @@
 
 // Operation implements platform.Fleet.
 func (p *Platform) Operation(ctx context.Context, vm, id string) (platform.OperationStatus, error) {
-	if err := p.apiGate(ctx, vm, "operation"); err != nil {
+	if err := p.applyAPIFaults(ctx, vm, "operation"); err != nil {
 		return "", errors.Wrap(platform.ErrUnavailable, err.Error())
 	}
-	p.look()
+	p.lockAndAdvance()
 	defer p.mu.Unlock()
 	v, ok := p.fleet.vms[vm]
 	if !ok {
@@ -266,12 +266,12 @@
 }
 
 func (p *Platform) actOnVM(ctx context.Context, id, verb string, op platform.Operation) (platform.OperationStatus, error) {
-	if err := p.apiGate(ctx, id, verb); err != nil {
+	if err := p.applyAPIFaults(ctx, id, verb); err != nil {
 		return "", err
 	}
-	now := p.look()
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
-	done, err := p.carryOut(id, verb, op, now)
+	done, err := p.executeVMOperation(id, verb, op, now)
 	if err != nil {
 		return "", err
 	}
@@ -282,8 +282,8 @@
 	return done.status, nil
 }
 
-// carryOut does an action on a VM once per operation ID.
-func (p *Platform) carryOut(id, verb string, op platform.Operation, now time.Time) (*operation, error) {
+// executeVMOperation executes an action on a VM once per operation ID.
+func (p *Platform) executeVMOperation(id, verb string, op platform.Operation, now time.Time) (*operation, error) {
 	v, ok := p.fleet.vms[id]
 	if !ok || v.lost {
 		return nil, errors.Wrapf(platform.ErrNotFound, "VM %q", id)
@@ -298,31 +298,32 @@
 		return known, nil
 	}
 	if op.Fence < v.fence {
-		return nil, errors.Wrapf(platform.ErrFenced, "VM %q has seen %d, got %d", id, v.fence, op.Fence)
+		return nil, errors.Wrapf(platform.ErrFenced, "VM %q has accepted token %d, got %d", id, v.fence, op.Fence)
 	}
 	v.fence = op.Fence
 	done := &operation{verb: verb, status: platform.OperationRunning}
 	v.ops[op.ID] = done
-	p.act(v, done, now)
+	p.applyVMAction(v, done, now)
 	return done, nil
 }
 
-func (p *Platform) act(v *vmState, op *operation, now time.Time) {
+func (p *Platform) applyVMAction(v *vmState, op *operation, now time.Time) {
 	switch op.verb {
 	case platform.VerbDrain:
 		v.drained = true
 	case platform.VerbUndrain:
 		v.drained = false
-		v.settle(platform.VerbDrain, platform.OperationFailed)
+		v.endOperations(platform.VerbDrain, platform.OperationFailed)
 		op.status = platform.OperationDone
 	case platform.VerbReboot:
-		p.reboot(v, now)
+		p.startReboot(v, now)
 	}
-	p.record(v, now)
+	p.recordListed(v, now)
 }
 
-// settle ends the running operations of one verb, or of all when it is empty.
-func (v *vmState) settle(verb string, status platform.OperationStatus) {
+// endOperations ends the VM's running operations of one verb, or of all verbs if it is
+// empty.
+func (v *vmState) endOperations(verb string, status platform.OperationStatus) {
 	for _, op := range v.ops {
 		if op.status == platform.OperationRunning && (verb == "" || op.verb == verb) {
 			op.status = status
@@ -330,11 +331,11 @@
 	}
 }
 
-// finishDrains ends the drains of VMs on which no task runs any more.
+// finishDrains marks the drains of VMs without running tasks as done.
 func (p *Platform) finishDrains() {
 	for _, v := range p.fleet.order {
-		if v.drained && !p.tasks.runningOn(v.vm.ID) {
-			v.settle(platform.VerbDrain, platform.OperationDone)
+		if v.drained && !p.tasks.hasRunningTaskOn(v.vm.ID) {
+			v.endOperations(platform.VerbDrain, platform.OperationDone)
 		}
 	}
 }
--- a/internal/standin/listener.go
+++ b/internal/standin/listener.go
@@ -9,13 +9,13 @@
 // HealthPath is the path of a backend server's health check.
 const HealthPath = "/healthz"
 
-// limitListener accepts at most limit connections at a time and closes what
-// comes beyond at once, as a backend server does that is out of connections.
+// limitListener accepts at most limit connections at a time and closes further ones
+// at once, like a backend server at its connection limit.
 type limitListener struct {
 	net.Listener
-	limit  int
-	refuse func()
-	cut    func() bool
+	limit     int
+	onRefused func()
+	shouldCut func() bool
 
 	mu   sync.Mutex
 	open int
@@ -28,15 +28,15 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.enter() {
+		if l.acquire() {
 			return &backendConn{Conn: conn, listener: l}, nil
 		}
-		l.refuse()
+		l.onRefused()
 		conn.Close()
 	}
 }
 
-func (l *limitListener) enter() bool {
+func (l *limitListener) acquire() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open >= l.limit {
@@ -46,35 +46,36 @@
 	return true
 }
 
-func (l *limitListener) leave() {
+func (l *limitListener) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open--
 }
 
-// backendConn counts itself out when closed, and may be cut with what the
-// client sent unread.
+// backendConn is a connection to a backend server. It releases its place in the
+// listener when closed, and CutBeforeRead can close it before a request is read.
 type backendConn struct {
 	net.Conn
-	listener *limitListener
-	once     sync.Once
+	listener  *limitListener
+	closeOnce sync.Once
 }
 
 var healthCheckStart = []byte("GET " + HealthPath)
 
-// Read drops what came and closes when CutBeforeRead was ordered. Health checks
-// pass, so that they do not use up a fault meant for a request.
+// Read implements net.Conn. It discards the data and closes the connection if
+// CutBeforeRead is active. Health checks are exempt, so that they don't use up a
+// fault meant for a request.
 func (c *backendConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n > 0 && !bytes.HasPrefix(p[:n], healthCheckStart) && c.listener.cut() {
+	if n > 0 && !bytes.HasPrefix(p[:n], healthCheckStart) && c.listener.shouldCut() {
 		c.Close()
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
-// Close closes the connection and makes room for another.
+// Close closes the connection and allows the listener to accept another one.
 func (c *backendConn) Close() error {
-	c.once.Do(c.listener.leave)
+	c.closeOnce.Do(c.listener.release)
 	return c.Conn.Close()
 }
--- a/internal/standin/machines.go
+++ b/internal/standin/machines.go
@@ -2,12 +2,12 @@
 
 import "github.com/pkg/errors"
 
-// machine is what the Server needs to know of a VM.
-type machine struct {
+// vmInfo is the state of a VM that the Server needs.
+type vmInfo struct {
 	id          string
 	zone        string
 	address     string // empty until the Server has bound one
-	port        int    // to bind when the address is empty
+	port        int    // to bind while the address is empty
 	up          bool
 	lost        bool
 	boots       int
@@ -15,23 +15,23 @@
 	connections int
 }
 
-// serveBackends says that a Server binds the addresses of all VMs. Until it has
-// done so for a VM, the list leaves that VM out.
-func (p *Platform) serveBackends() {
-	p.look()
+// clearAddresses clears the addresses of all VMs, so that a Server assigns them. A VM
+// is not listed until the Server has bound its address.
+func (p *Platform) clearAddresses() {
+	p.lockAndAdvance()
 	defer p.mu.Unlock()
-	p.fleet.served = true
+	p.fleet.hasServer = true
 	for _, v := range p.fleet.order {
 		v.setAddress("")
 	}
 }
 
-func (p *Platform) machines() []machine {
-	p.look()
+func (p *Platform) vmInfos() []vmInfo {
+	p.lockAndAdvance()
 	defer p.mu.Unlock()
-	machines := make([]machine, 0, len(p.fleet.order))
+	infos := make([]vmInfo, 0, len(p.fleet.order))
 	for _, v := range p.fleet.order {
-		machines = append(machines, machine{
+		infos = append(infos, vmInfo{
 			id:          v.vm.ID,
 			zone:        v.vm.Zone,
 			address:     v.vm.Address,
@@ -43,31 +43,31 @@
 			connections: v.group.Connections,
 		})
 	}
-	return machines
+	return infos
 }
 
 func (p *Platform) setAddress(vm, address string) {
-	p.look()
+	p.lockAndAdvance()
 	defer p.mu.Unlock()
 	p.fleet.vms[vm].setAddress(address)
 }
 
-// setAddress also amends the past: an address never changes once it is bound.
+// setAddress sets the address in the history too, since a bound address never changes.
 func (v *vmState) setAddress(address string) {
 	v.vm.Address = address
-	for i := range v.past {
-		v.past[i].vm.Address = address
+	for i := range v.history {
+		v.history[i].vm.Address = address
 	}
 }
 
-// Advertise makes the list show other addresses, by VM, than those that the
-// backend servers listen on: those of proxies that stand in front of them.
+// Advertise sets the addresses shown in the list, by VM, for example those of
+// proxies in front of the backend servers.
 func (p *Platform) Advertise(addresses map[string]string) error {
-	p.look()
+	p.lockAndAdvance()
 	defer p.mu.Unlock()
 	for vm := range addresses {
 		if p.fleet.vms[vm] == nil {
-			return errors.Errorf("no VM %q", vm)
+			return errors.Errorf("unknown VM %q", vm)
 		}
 	}
 	for vm, address := range addresses {
--- a/internal/standin/tasks.go
+++ b/internal/standin/tasks.go
@@ -12,27 +12,27 @@
 	"github.com/yuccadrift/yuccadrift/internal/platform"
 )
 
-// task is one task that was started. Its real needs may differ from its spec.
+// task is a started task. Its real needs may differ from its spec.
 type task struct {
-	spec     platform.TaskSpec
-	phase    platform.TaskPhase
-	reason   string
-	started  time.Time
-	ended    time.Time
-	cores    float64
-	memoryMB int
-	// left is the unthrottled run time still needed at since; share is the part
-	// of full speed granted from then on.
-	left       time.Duration
-	since      time.Time
-	share      float64
-	leaseUntil time.Time
-	failAt     time.Time // set on a worker that fails everything
-	checkpoint string
+	spec         platform.TaskSpec
+	phase        platform.TaskPhase
+	reason       string
+	started      time.Time
+	ended        time.Time
+	realCores    float64
+	realMemoryMB int
+	// workLeft is the unthrottled run time still needed at updatedAt. share is the
+	// fraction of full speed since then.
+	workLeft       time.Duration
+	updatedAt      time.Time
+	share          float64
+	leaseExpiresAt time.Time
+	failAt         time.Time // set if WorkerFails applies; otherwise zero
+	checkpoint     string
 }
 
-// taskState holds the tasks: running ones by ID, ended ones in order of ending,
-// what was saved by checkpoints, and fences and operations per task ID.
+// taskState holds the running tasks by ID, the ended tasks in the order in which they
+// ended, the work left at each checkpoint, and the fences and operations by task ID.
 type taskState struct {
 	running     map[string]*task
 	ended       []*task
@@ -67,18 +67,18 @@
 
 // remaining returns the unthrottled run time still needed at now.
 func (t *task) remaining(now time.Time) time.Duration {
-	return t.left - time.Duration(float64(now.Sub(t.since))*t.share)
+	return t.workLeft - time.Duration(float64(now.Sub(t.updatedAt))*t.share)
 }
 
-// finishAt returns when the task will succeed; false when it is stopped short.
+// finishAt returns the time at which the task will succeed, or false if its share is 0.
 func (t *task) finishAt() (time.Time, bool) {
 	if t.share <= 0 {
 		return time.Time{}, false
 	}
-	return t.since.Add(time.Duration(float64(t.left) / t.share)), true
+	return t.updatedAt.Add(time.Duration(float64(t.workLeft) / t.share)), true
 }
 
-func (s *taskState) runningOn(worker string) bool {
+func (s *taskState) hasRunningTaskOn(worker string) bool {
 	for _, t := range s.running {
 		if t.spec.Worker == worker {
 			return true
@@ -87,7 +87,7 @@
 	return false
 }
 
-// find returns the running task with the ID, else the one that ended last.
+// find returns the running task with the ID, or otherwise the one that ended last.
 func (s *taskState) find(id string) (*task, bool) {
 	if t, ok := s.running[id]; ok {
 		return t, true
@@ -100,15 +100,15 @@
 	return nil, false
 }
 
-// end moves a running task to the ended ones.
+// end ends a task and adds it to the ended ones.
 func (s *taskState) end(t *task, phase platform.TaskPhase, reason string, now time.Time) {
 	t.phase, t.reason, t.ended = phase, reason, now
 	delete(s.running, t.spec.ID)
 	s.ended = append(s.ended, t)
 }
 
-// nextTaskEvent offers the earliest end of a running task.
-func (p *Platform) nextTaskEvent(first *earliest) {
+// offerTaskEnds offers the possible ends of all running tasks.
+func (p *Platform) offerTaskEnds(first *earliestEvent) {
 	for _, t := range p.tasks.running {
 		end := func(phase platform.TaskPhase, reason string) func(time.Time) {
 			return func(now time.Time) { p.tasks.end(t, phase, reason, now) }
@@ -116,15 +116,15 @@
 		if at, ok := t.finishAt(); ok {
 			first.offer(at, end(platform.TaskSucceeded, ""))
 		}
-		first.offer(t.leaseUntil, end(platform.TaskExpired, "the lease lapsed"))
+		first.offer(t.leaseExpiresAt, end(platform.TaskExpired, "the lease expired"))
 		if !t.failAt.IsZero() {
 			first.offer(t.failAt, end(platform.TaskFailed, "the worker failed the task"))
 		}
 	}
 }
 
-// endTasksOf fails the running tasks of a worker that goes down.
-func (p *Platform) endTasksOf(worker, reason string, now time.Time) {
+// failTasksOn ends the running tasks of a worker as failed.
+func (p *Platform) failTasksOn(worker, reason string, now time.Time) {
 	for _, t := range p.tasks.running {
 		if t.spec.Worker == worker {
 			p.tasks.end(t, platform.TaskFailed, reason, now)
@@ -132,21 +132,21 @@
 	}
 }
 
-func (p *Platform) forgetTasks(now time.Time) {
+func (p *Platform) dropEndedTasks(now time.Time) {
 	p.tasks.ended = slices.DeleteFunc(p.tasks.ended, func(t *task) bool {
 		return now.Sub(t.ended) > endedTaskRetention
 	})
 }
 
-// onTask runs one operation on a task ID: once per operation ID, not below the
-// fence, and with the reply lost if that was ordered.
-func (p *Platform) onTask(ctx context.Context, id, verb string, op platform.Operation, do func(time.Time) (*task, error)) (platform.TaskStatus, error) {
-	if err := p.apiGate(ctx, id, verb); err != nil {
+// actOnTask applies faults and executes an operation on a task ID. See
+// executeTaskOperation for when it calls do.
+func (p *Platform) actOnTask(ctx context.Context, id, verb string, op platform.Operation, do func(time.Time) (*task, error)) (platform.TaskStatus, error) {
+	if err := p.applyAPIFaults(ctx, id, verb); err != nil {
 		return platform.TaskStatus{}, err
 	}
-	now := p.look()
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
-	status, err := p.once(id, op, func() (*task, error) { return do(now) })
+	status, err := p.executeTaskOperation(id, op, func() (*task, error) { return do(now) })
 	if err != nil {
 		return platform.TaskStatus{}, err
 	}
@@ -156,21 +156,23 @@
 	return status, nil
 }
 
-// once does an operation that is new. One that was done before gets the present
-// status of its task, or the one it had then if the task is forgotten.
-func (p *Platform) once(id string, op platform.Operation, do func() (*task, error)) (platform.TaskStatus, error) {
+// executeTaskOperation calls do once per operation ID and returns the task's status.
+// For an operation that was executed before, it returns the current status of the
+// task, or the status after the operation if the task has been dropped. It returns
+// ErrFenced if the operation's fence is too low.
+func (p *Platform) executeTaskOperation(id string, op platform.Operation, do func() (*task, error)) (platform.TaskStatus, error) {
 	if id == "" || op.ID == "" {
 		return platform.TaskStatus{}, errors.Wrap(platform.ErrRejected, "the task or the operation has no ID")
 	}
 	key := taskOp{task: id, op: op.ID}
-	if then, ok := p.tasks.ops[key]; ok {
+	if previous, ok := p.tasks.ops[key]; ok {
 		if t, ok := p.tasks.find(id); ok {
 			return t.status(), nil
 		}
-		return then, nil
+		return previous, nil
 	}
-	if seen := p.tasks.fences[id]; op.Fence < seen {
-		return platform.TaskStatus{}, errors.Wrapf(platform.ErrFenced, "task %q has seen %d, got %d", id, seen, op.Fence)
+	if highest := p.tasks.fences[id]; op.Fence < highest {
+		return platform.TaskStatus{}, errors.Wrapf(platform.ErrFenced, "task %q has accepted token %d, got %d", id, highest, op.Fence)
 	}
 	t, err := do()
 	if err != nil {
@@ -181,18 +183,18 @@
 	return t.status(), nil
 }
 
-// Start implements platform.Tasks. A further operation ID on a task ID is a
-// further start: that a run is started once is for the caller to see to.
+// Start implements platform.Tasks. Another operation ID for the same task ID starts the
+// task again: the caller must make sure that it starts a run only once.
 func (p *Platform) Start(ctx context.Context, spec platform.TaskSpec, op platform.Operation) (platform.TaskStatus, error) {
-	if err := p.apiGate(ctx, spec.Worker); err != nil {
+	if err := p.applyAPIFaults(ctx, spec.Worker); err != nil {
 		return platform.TaskStatus{}, err
 	}
-	return p.onTask(ctx, spec.ID, "start", op, func(now time.Time) (*task, error) {
-		return p.start(spec, now)
+	return p.actOnTask(ctx, spec.ID, "start", op, func(now time.Time) (*task, error) {
+		return p.startTask(spec, now)
 	})
 }
 
-func (p *Platform) start(spec platform.TaskSpec, now time.Time) (*task, error) {
+func (p *Platform) startTask(spec platform.TaskSpec, now time.Time) (*task, error) {
 	if spec.Lease <= 0 || spec.Work < 0 || spec.Cores < 0 || spec.MemoryMB < 0 || spec.Accelerators < 0 {
 		return nil, errors.Wrap(platform.ErrRejected, "lease, work or size is out of range")
 	}
@@ -201,10 +203,10 @@
 		return nil, errors.Wrapf(platform.ErrNotFound, "worker %q", spec.Worker)
 	}
 	if !v.up || v.drained {
-		return nil, errors.Wrapf(platform.ErrRejected, "worker %q takes no tasks", spec.Worker)
+		return nil, errors.Wrapf(platform.ErrRejected, "worker %q is down or draining", spec.Worker)
 	}
 	if !p.fits(spec, v) {
-		return nil, errors.Wrapf(platform.ErrRejected, "worker %q has no room", spec.Worker)
+		return nil, errors.Wrapf(platform.ErrRejected, "worker %q has too little free capacity", spec.Worker)
 	}
 	t, err := p.newTask(spec, now)
 	if err != nil {
@@ -214,7 +216,7 @@
 	if spec.Job != "" {
 		p.counters.jobStarts[spec.Job]++
 	}
-	if t.memoryMB > v.vm.MemoryMB {
+	if t.realMemoryMB > v.vm.MemoryMB {
 		p.tasks.end(t, platform.TaskFailed, "out of memory", now)
 		return t, nil
 	}
@@ -222,7 +224,8 @@
 	return t, nil
 }
 
-// fits compares declared sizes, throttled ones by their share of cores.
+// fits reports whether the specified sizes of the worker's running tasks and of spec fit
+// on the worker. A throttled task counts with its share of cores.
 func (p *Platform) fits(spec platform.TaskSpec, v *vmState) bool {
 	cores, memory, accelerators := spec.Cores, spec.MemoryMB, spec.Accelerators
 	for _, t := range p.tasks.running {
@@ -236,28 +239,28 @@
 }
 
 func (p *Platform) newTask(spec platform.TaskSpec, now time.Time) (*task, error) {
-	real, _ := p.faults.take(TaskReality, now, spec.ID, spec.Job)
+	reality, _ := p.faults.take(TaskReality, now, spec.ID, spec.Job)
 	needs := spec.Declared
 	if needs == (platform.Size{}) {
 		needs = platform.Size{Cores: spec.Cores, MemoryMB: spec.MemoryMB}
 	}
 	t := &task{
-		spec:       spec,
-		phase:      platform.TaskRunning,
-		started:    now,
-		cores:      scale(needs.Cores, real.CoresFactor),
-		memoryMB:   int(scale(float64(needs.MemoryMB), real.MemoryFactor)),
-		left:       time.Duration(scale(float64(spec.Work), real.WorkFactor)),
-		since:      now,
-		share:      1,
-		leaseUntil: now.Add(spec.Lease),
+		spec:           spec,
+		phase:          platform.TaskRunning,
+		started:        now,
+		realCores:      scale(needs.Cores, reality.CoresFactor),
+		realMemoryMB:   int(scale(float64(needs.MemoryMB), reality.MemoryFactor)),
+		workLeft:       time.Duration(scale(float64(spec.Work), reality.WorkFactor)),
+		updatedAt:      now,
+		share:          1,
+		leaseExpiresAt: now.Add(spec.Lease),
 	}
 	if spec.Checkpoint != "" {
 		left, ok := p.tasks.checkpoints[spec.Checkpoint]
 		if !ok {
 			return nil, errors.Wrapf(platform.ErrNotFound, "checkpoint %q", spec.Checkpoint)
 		}
-		t.left = left
+		t.workLeft = left
 	}
 	if f, ok := p.faults.take(WorkerFails, now, spec.Worker); ok {
 		t.failAt = now.Add(f.Delay())
@@ -265,7 +268,7 @@
 	return t, nil
 }
 
-// scale multiplies by a factor, of which 0 stands for 1.
+// scale multiplies value by factor, where 0 means 1.
 func scale(value, factor float64) float64 {
 	if factor == 0 {
 		return value
@@ -273,16 +276,17 @@
 	return value * factor
 }
 
-// Renew implements platform.Tasks. It renews what it can; tasks that do not run
-// on the worker any more are named in ErrNotFound.
+// Renew implements platform.Tasks. It renews every lease that it can. If some tasks are
+// fenced, ErrFenced names them; otherwise ErrNotFound names the tasks that don't
+// run on the worker.
 func (p *Platform) Renew(ctx context.Context, worker string, ids []string, lease time.Duration, fence platform.Offset) error {
-	if err := p.apiGate(ctx, worker, "renew"); err != nil {
+	if err := p.applyAPIFaults(ctx, worker, "renew"); err != nil {
 		return err
 	}
 	if lease <= 0 {
 		return errors.Wrap(platform.ErrRejected, "the lease is not positive")
 	}
-	now := p.look()
+	now := p.lockAndAdvance()
 	defer p.mu.Unlock()
 	var fenced, missing []string
 	for _, id := range ids {
@@ -293,7 +297,7 @@
 		case fence < p.tasks.fences[id]:
 			fenced = append(fenced, id)
 		default:
-			t.leaseUntil = now.Add(lease)
+			t.leaseExpiresAt = now.Add(lease)
 		}
 	}
 	if _, ok := p.faults.take(APILoseReply, now, worker, "renew"); ok {
@@ -308,9 +312,9 @@
 	return nil
 }
 
-// onRunning is onTask for actions on a running task; an ended one is left as it is.
-func (p *Platform) onRunning(ctx context.Context, id, verb string, op platform.Operation, do func(*task, time.Time)) (platform.TaskStatus, error) {
-	return p.onTask(ctx, id, verb, op, func(now time.Time) (*task, error) {
+// actOnRunningTask is like actOnTask, but calls do only if the task is running.
+func (p *Platform) actOnRunningTask(ctx context.Context, id, verb string, op platform.Operation, do func(*task, time.Time)) (platform.TaskStatus, error) {
+	return p.actOnTask(ctx, id, verb, op, func(now time.Time) (*task, error) {
 		t, ok := p.tasks.find(id)
 		if !ok {
 			return nil, errors.Wrapf(platform.ErrNotFound, "task %q", id)
@@ -322,44 +326,44 @@
 	})
 }
 
-// Checkpoint implements platform.Tasks: the task's progress is saved and it ends.
+// Checkpoint implements platform.Tasks. It saves the task's progress and ends the task.
 func (p *Platform) Checkpoint(ctx context.Context, id string, op platform.Operation) (platform.TaskStatus, error) {
-	return p.onRunning(ctx, id, platform.VerbCheckpoint, op, func(t *task, now time.Time) {
+	return p.actOnRunningTask(ctx, id, platform.VerbCheckpoint, op, func(t *task, now time.Time) {
 		t.checkpoint = fmt.Sprintf("checkpoint-%d", len(p.tasks.checkpoints)+1)
 		p.tasks.checkpoints[t.checkpoint] = t.remaining(now)
 		p.tasks.end(t, platform.TaskCheckpointed, "", now)
 	})
 }
 
-// Throttle implements platform.Tasks: the task goes on at a share of its speed.
+// Throttle implements platform.Tasks. The task continues at a share of full speed.
 func (p *Platform) Throttle(ctx context.Context, id string, share float64, op platform.Operation) (platform.TaskStatus, error) {
 	if !(share >= 0 && share <= 1) {
 		return platform.TaskStatus{}, errors.Wrap(platform.ErrRejected, "the share is not within 0 and 1")
 	}
-	return p.onRunning(ctx, id, platform.VerbThrottle, op, func(t *task, now time.Time) {
-		t.left, t.since, t.share = t.remaining(now), now, share
+	return p.actOnRunningTask(ctx, id, platform.VerbThrottle, op, func(t *task, now time.Time) {
+		t.workLeft, t.updatedAt, t.share = t.remaining(now), now, share
 	})
 }
 
 // Stop implements platform.Tasks.
 func (p *Platform) Stop(ctx context.Context, id string, op platform.Operation) (platform.TaskStatus, error) {
-	return p.onRunning(ctx, id, platform.VerbStop, op, func(t *task, now time.Time) {
+	return p.actOnRunningTask(ctx, id, platform.VerbStop, op, func(t *task, now time.Time) {
 		p.tasks.end(t, platform.TaskStopped, "", now)
 	})
 }
 
 // Status implements platform.Tasks.
 func (p *Platform) Status(ctx context.Context, worker string) ([]platform.TaskStatus, error) {
-	if err := p.apiGate(ctx, worker, "status"); err != nil {
+	if err := p.applyAPIFaults(ctx, worker, "status"); err != nil {
 		return nil, errors.Wrap(platform.ErrUnavailable, err.Error())
 	}
-	p.look()
+	p.lockAndAdvance()
 	defer p.mu.Unlock()
 	if _, ok := p.fleet.vms[worker]; !ok {
 		return nil, errors.Wrapf(platform.ErrNotFound, "worker %q", worker)
 	}
 	statuses := []platform.TaskStatus{}
-	for t := range p.eachTask() {
+	for t := range p.allTasks() {
 		if t.spec.Worker == worker {
 			statuses = append(statuses, t.status())
 		}
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -16,31 +16,31 @@
 
 // Limits of a recording.
 const (
-	readMax = 1000
-	// pollPause is the pause between looks at the log and the list of VMs.
-	pollPause = 100 * time.Millisecond
-	// listEvery is how many looks at the log there are to one at the list.
-	listEvery = 5
+	maxReadEntries = 1000
+	// pollInterval is the pause between two reads of the log.
+	pollInterval = 100 * time.Millisecond
+	// readsPerList is the number of reads of the log for each read of the list of VMs.
+	readsPerList = 5
 )
 
-// Source is what a recording reads.
+// Source is the platform interface that a recording reads.
 type Source interface {
 	platform.Log
 	List(ctx context.Context) (platform.VMList, error)
 }
 
-// Recorder writes a trace of the platform's log and list.
+// Recorder writes a trace of the platform's log and list of VMs.
 type Recorder struct {
-	source Source
-	stream string
-	writer *Writer
-	state  *ledger.State
-	counts map[ledger.Status]int
-	vms    map[string]platform.VM
+	source       Source
+	stream       string
+	writer       *Writer
+	state        *ledger.State
+	statusCounts map[ledger.Status]int
+	lastListed   map[string]platform.VM
 }
 
-// NewRecorder begins a trace of a stream. It starts with the entry after the
-// snapshot, or with the first one when that is empty.
+// NewRecorder begins a trace of a stream. The trace starts with the entry after the
+// snapshot, or with the first entry if the snapshot is empty.
 func NewRecorder(source Source, stream, note string, snapshot []byte, to io.Writer) (*Recorder, error) {
 	state := ledger.New()
 	if len(snapshot) > 0 {
@@ -54,49 +54,50 @@
 		return nil, err
 	}
 	return &Recorder{
-		source: source,
-		stream: stream,
-		writer: w,
-		state:  state,
-		counts: map[ledger.Status]int{},
-		vms:    map[string]platform.VM{},
+		source:       source,
+		stream:       stream,
+		writer:       w,
+		state:        state,
+		statusCounts: map[ledger.Status]int{},
+		lastListed:   map[string]platform.VM{},
 	}, nil
 }
 
-// Follow records until ctx ends. What the platform does not answer meanwhile is
-// asked again: outages belong to what is recorded.
+// Follow records until ctx ends. It retries reads that fail with a transient error,
+// since recorded runs include outages of the platform.
 func (r *Recorder) Follow(ctx context.Context) error {
 	for n := 0; ctx.Err() == nil; n++ {
-		if err := r.Entries(ctx); err != nil && !passing(err) {
+		if err := r.Entries(ctx); err != nil && !isTransient(err) {
 			return err
 		}
-		if n%listEvery == 0 {
-			if err := r.List(ctx); err != nil && !passing(err) {
+		if n%readsPerList == 0 {
+			if err := r.List(ctx); err != nil && !isTransient(err) {
 				return err
 			}
 		}
-		wait.Sleep(ctx, pollPause)
+		wait.Sleep(ctx, pollInterval)
 	}
 	return nil
 }
 
-// passing reports whether the platform may answer later.
-func passing(err error) bool {
+// isTransient reports whether a read may succeed later.
+func isTransient(err error) bool {
 	return errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrUnknownOutcome) ||
 		errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
 }
 
-// Entries records the log up to its present end. The error is of the platform,
-// with ErrTrimmed when entries were lost to the recording, or of writing.
+// Entries records the log up to its current end. It returns an error of the platform
+// or of writing. ErrTrimmed means that the log dropped entries before they were
+// recorded.
 func (r *Recorder) Entries(ctx context.Context) error {
 	for {
 		from := platform.Offset(r.state.Offset + 1)
-		batch, err := r.source.Read(ctx, r.stream, from, readMax, 0)
+		batch, err := r.source.Read(ctx, r.stream, from, maxReadEntries, 0)
 		if err != nil {
 			return err
 		}
 		for _, e := range batch.Entries {
-			if err := r.entry(e); err != nil {
+			if err := r.recordEntry(e); err != nil {
 				return err
 			}
 		}
@@ -106,14 +107,14 @@
 	}
 }
 
-func (r *Recorder) entry(e platform.Entry) error {
+func (r *Recorder) recordEntry(e platform.Entry) error {
 	out := r.state.ApplyData(uint64(e.Offset), e.Data)
-	r.counts[out.Status]++
+	r.statusCounts[out.Status]++
 	line := NewEntry(e.Data, out)
 	return r.writer.Write(Line{Entry: &line})
 }
 
-// List records what changed on the list of VMs.
+// List records the changes in the list of VMs.
 func (r *Recorder) List(ctx context.Context) error {
 	list, err := r.source.List(ctx)
 	if err != nil {
@@ -122,21 +123,21 @@
 	present := map[string]bool{}
 	for _, vm := range list.VMs {
 		present[vm.ID] = true
-		old, known := r.vms[vm.ID]
+		old, known := r.lastListed[vm.ID]
 		if known && old.State == vm.State && old.BootID == vm.BootID {
 			continue
 		}
-		r.vms[vm.ID] = vm
+		r.lastListed[vm.ID] = vm
 		line := VM{At: list.AsOf, ID: vm.ID, State: string(vm.State), BootID: vm.BootID}
 		if err := r.writer.Write(Line{VM: &line}); err != nil {
 			return err
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(r.vms)) {
+	for _, id := range slices.Sorted(maps.Keys(r.lastListed)) {
 		if present[id] {
 			continue
 		}
-		delete(r.vms, id)
+		delete(r.lastListed, id)
 		if err := r.writer.Write(Line{VM: &VM{At: list.AsOf, ID: id}}); err != nil {
 			return err
 		}
@@ -147,8 +148,8 @@
 // Request records one request.
 func (r *Recorder) Request(q Request) error { return r.writer.Write(Line{Request: &q}) }
 
-// Close states the end and closes the trace.
+// Close writes the last line, closes the trace and returns the line's content.
 func (r *Recorder) Close() (End, error) {
-	end := End{Offset: r.state.Offset, Statuses: r.counts, Facts: FactsOf(r.state)}
+	end := End{Offset: r.state.Offset, Statuses: r.statusCounts, Facts: FactsOf(r.state)}
 	return end, r.writer.Close(end)
 }
