--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -26,7 +26,7 @@
 	version, revision := buildVersion()
 	gauge := prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "yuccadrift_build_info",
-		Help: "Constant 1, labeled with the build of this process.",
+		Help: "Constant 1, labelled with the build of this process.",
 		ConstLabels: prometheus.Labels{
 			"binary":     binary,
 			"version":    version,
--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -37,7 +37,7 @@
 		return free, &problem{
 			status:     http.StatusServiceUnavailable,
 			reason:     ReasonMemory,
-			line:       "too many request bodies are buffered at once; try again",
+			line:       "too many request bodies are held at once; try again",
 			retryAfter: time.Second,
 
 			transient: true,
@@ -53,7 +53,7 @@
 	if errors.As(err, &large) {
 		return free, bodyTooLarge(limit)
 	}
-	p = badRequest(ReasonBodyCut, "the body is incomplete or took too long: %v", err)
+	p = badRequest(ReasonBodyCut, "the body broke off or took too long: %v", err)
 	p.transient = true
 	return free, p
 }
@@ -113,6 +113,6 @@
 	return &problem{
 		status: http.StatusRequestEntityTooLarge,
 		reason: ReasonBodySize,
-		line:   fmt.Sprintf("the body is too large; at most %d bytes are accepted here", limit),
+		line:   fmt.Sprintf("the body is too large; at most %d bytes are taken here", limit),
 	}
 }
--- a/internal/caller/parse.go
+++ b/internal/caller/parse.go
@@ -57,7 +57,7 @@
 		return nil, &problem{
 			status: http.StatusRequestHeaderFieldsTooLarge,
 			reason: ReasonHeader,
-			line:   fmt.Sprintf("the header has %d bytes; at most %d are accepted", n, h.cfg.MaxHeader),
+			line:   fmt.Sprintf("the header has %d bytes; at most %d are taken", n, h.cfg.MaxHeader),
 		}
 	}
 	if !isUnambiguousPath(r.URL) {
--- a/internal/entrypeer/convert.go
+++ b/internal/entrypeer/convert.go
@@ -11,7 +11,7 @@
 )
 
 // errMalformed reports a message that this build cannot decode.
-var errMalformed = errors.New("malformed message from an entry peer")
+var errMalformed = errors.New("malformed message of an entry peer")
 
 const idSize = 16
 
--- a/internal/entrypeer/metrics.go
+++ b/internal/entrypeer/metrics.go
@@ -21,13 +21,13 @@
 	}
 	return &collector{
 		node:       node,
-		records:    desc("records", "Keys of requests that must not be repeated of which this member has a record."),
-		inProgress: desc("in_progress", "Claims granted by this member that a running attempt holds."),
-		handovers:  desc("handovers_awaited", "Handovers from earlier owners that this member awaits."),
-		floors:     desc("floors", "Ranges of keys whose records are lost; their keys up to a certain age are answered with unknown."),
-		suspects:   desc("suspects", "Peers that this member does not trust."),
-		granting:   desc("granting", "1 if this process may grant claims, 0 otherwise."),
-		dropped:    desc("reports_dropped_total", "Reports of the end of an attempt that could not be delivered to the owner of the key."),
+		records:    desc("records", "Keys of not-repeatable requests that this member owns and remembers."),
+		inProgress: desc("in_progress", "Claims of this owner that are held by a running attempt."),
+		handovers:  desc("handovers_awaited", "Handovers from earlier owners that have not arrived yet."),
+		floors:     desc("floors", "Lost members whose keys of a certain age are answered with unknown."),
+		suspects:   desc("suspects", "Peers that this member does not trust at present."),
+		granting:   desc("granting", "1 while this process may grant claims."),
+		dropped:    desc("reports_dropped_total", "Ends of attempts that could not be reported to the owner of their key."),
 	}
 }
 
--- a/internal/entrypeer/server.go
+++ b/internal/entrypeer/server.go
@@ -22,7 +22,7 @@
 	pb.RegisterEntryPeerServer(to, &server{node: n})
 }
 
-var errUnknownMember = status.Error(codes.FailedPrecondition, "this process does not run the requested member")
+var errUnknownMember = status.Error(codes.FailedPrecondition, "no such member here")
 
 func badRequest(err error) error { return status.Error(codes.InvalidArgument, err.Error()) }
 
--- a/internal/entrypeer/state.go
+++ b/internal/entrypeer/state.go
@@ -58,7 +58,7 @@
 
 func sendState(source StateSource, above uint64, out grpc.ServerStreamingServer[pb.StateReply]) error {
 	if source == nil {
-		return status.Error(codes.Unimplemented, "this process does not serve its state")
+		return status.Error(codes.Unimplemented, "this process passes on no state")
 	}
 	snapshot, err := source.Snapshot()
 	if err != nil {
--- a/internal/entrypeer/tail.go
+++ b/internal/entrypeer/tail.go
@@ -33,7 +33,7 @@
 
 func tailReply(source StateSource, in *pb.TailRequest) (*pb.TailReply, error) {
 	if source == nil {
-		return nil, status.Error(codes.Unimplemented, "this process does not serve log entries")
+		return nil, status.Error(codes.Unimplemented, "this process passes on no entries")
 	}
 	entries, gap, err := source.Tail(in.GetAfter(), in.GetHash())
 	if err != nil {
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -237,7 +237,7 @@
 }
 
 // errNoState means that there is no state to return yet.
-var errNoState = errors.New("no entry was folded yet")
+var errNoState = errors.New("nothing was folded yet")
 
 // Snapshot returns the encoded state for a peer. Peers that start together get
 // the same bytes, so that a restart of all nodes costs one encoding.
--- a/internal/follower/propose.go
+++ b/internal/follower/propose.go
@@ -56,7 +56,7 @@
 			return out, nil
 		case <-ctx.Done():
 			timer.Stop()
-			return ledger.Outcome{}, errors.Wrap(ctx.Err(), "the record's outcome is unknown")
+			return ledger.Outcome{}, errors.Wrap(ctx.Err(), "outcome of the record is unknown")
 		case <-timer.C:
 		}
 	}
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -129,7 +129,7 @@
 	case http.MethodDelete:
 		return h.cancel(ctx, req, id)
 	default:
-		return errorResponse(http.StatusMethodNotAllowed, "method "+req.http.Method+" is not supported")
+		return errorResponse(http.StatusMethodNotAllowed, "method "+req.http.Method+" is not taken")
 	}
 }
 
@@ -141,7 +141,7 @@
 
 func (h *Handler) queueLength(ctx context.Context, req *request) response {
 	if req.http.Method != http.MethodGet {
-		return errorResponse(http.StatusMethodNotAllowed, "a queue supports only GET")
+		return errorResponse(http.StatusMethodNotAllowed, "a queue can only be read")
 	}
 	n, ok := h.Owners.WaitingJobs(ctx, req.queue.Service, req.queue.Name)
 	if !ok {
--- a/internal/front/metrics.go
+++ b/internal/front/metrics.go
@@ -16,7 +16,7 @@
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{requests: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name:    "yuccadrift_front_request_seconds",
-		Help:    "Time from a caller's request to its response, in seconds, by method and status.",
+		Help:    "Time from a caller's request to its answer, in seconds, by method and status.",
 		Buckets: []float64{0.003, 0.01, 0.03, 0.1, 0.3, 1, 3},
 	}, []string{"method", "status"})}
 	r.MustRegister(m.requests)
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -140,7 +140,7 @@
 		}
 		mayBeStored = true
 		if wait.Sleep(ctx, retryInterval) != nil {
-			return platform.StoreUnknown, errors.Wrap(res.err, "the outcome stayed unknown")
+			return platform.StoreUnknown, errors.Wrap(res.err, "the outcome stayed open")
 		}
 	}
 }
@@ -149,7 +149,7 @@
 // A refusal after an unknown outcome counts as unknown.
 func (r *Router) tryRoutes(ctx context.Context, partition int, record workload.Record) outcome {
 	mayBeStored := false
-	last := outcome{status: platform.StoreRefused, err: errors.New("no usable route to the store")}
+	last := outcome{status: platform.StoreRefused, err: errors.New("no node has a way to the store")}
 	for _, storeVia := range r.routes(partition) {
 		last = storeVia(ctx, partition, record)
 		mayBeStored = mayBeStored || last.status == platform.StoreUnknown
@@ -222,7 +222,7 @@
 		case r.relaySlots <- struct{}{}:
 			defer func() { <-r.relaySlots }()
 		default:
-			return outcome{status: platform.StoreRefused, err: errors.Errorf("%d records are being relayed through other nodes already", maxRelaysInFlight)}
+			return outcome{status: platform.StoreRefused, err: errors.Errorf("%d records are on their way through other nodes", maxRelaysInFlight)}
 		}
 		wasPending := false
 		for {
--- a/internal/joblog/acceptor.go
+++ b/internal/joblog/acceptor.go
@@ -94,7 +94,7 @@
 	case <-ctx.Done():
 	}
 	if a.withdraw(partition, req) {
-		return platform.StoreRefused, false, errors.New("the request timed out before it was sent to the store")
+		return platform.StoreRefused, false, errors.New("the request's time ended before it was sent to the store")
 	}
 	return platform.StoreUnknown, false, ctx.Err()
 }
@@ -114,7 +114,7 @@
 		return req, nil
 	}
 	if len(q.waiting) >= maxQueuedRecords {
-		return nil, errors.Errorf("%d records are waiting for the store already", len(q.waiting))
+		return nil, errors.Errorf("%d records wait for the store already", len(q.waiting))
 	}
 	req := &storeRequest{record: r, encoded: encoded, waiters: 1, done: make(chan struct{})}
 	q.waiting = append(q.waiting, req)
--- a/internal/jobrunner/metrics.go
+++ b/internal/jobrunner/metrics.go
@@ -22,12 +22,12 @@
 	m := &Metrics{
 		startWait: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "yuccadrift_job_start_seconds",
-			Help:    "Time from the submission of a job to the platform's confirmation that its task was started.",
+			Help:    "Time from a job's submission to the platform's word that its task was started.",
 			Buckets: startBuckets,
 		}, []string{"urgent"}),
 		events: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "yuccadrift_job_events_total",
-			Help: "Events of jobs that this steward ran.",
+			Help: "Events of jobs that this steward drove.",
 		}, []string{"event"}),
 	}
 	reg.MustRegister(m.startWait, m.events)
--- a/internal/ledger/apply.go
+++ b/internal/ledger/apply.go
@@ -147,7 +147,7 @@
 func (s *State) checkRevision(rec record.Record) (Status, string) {
 	h, exists := s.head(rec.Subject)
 	if h.LastID == rec.ID && rec.ID != "" {
-		return Duplicate, fmt.Sprintf("record %s was already folded at offset %d", rec.ID, h.Revision)
+		return Duplicate, fmt.Sprintf("record %s already took its turn at offset %d", rec.ID, h.Revision)
 	}
 	if !checksBase(rec.Body) {
 		return Effective, ""
@@ -159,7 +159,7 @@
 		return Effective, ""
 	}
 	if rec.Base != 0 {
-		return Stale, fmt.Sprintf("%s does not exist", rec.Subject)
+		return Stale, fmt.Sprintf("%s does not exist (any more)", rec.Subject)
 	}
 	if rec.Seen >= s.Offset {
 		return Stale, fmt.Sprintf("the record claims to have seen offset %d, which is not before its own", rec.Seen)
--- a/internal/ledger/drain.go
+++ b/internal/ledger/drain.go
@@ -153,7 +153,7 @@
 		return reason
 	}
 	if !vm.Redirectable() {
-		return refusef("VM %s has no drain that can be redirected", vm.ID)
+		return refusef("VM %s has no drain that could lead elsewhere", vm.ID)
 	}
 	if reason := s.checkLeave(vm, b.Target, b.Release); reason != allowed {
 		return reason
--- a/internal/ledger/job_rules.go
+++ b/internal/ledger/job_rules.go
@@ -19,7 +19,7 @@
 		return refusef("job %s asks for more than any VM can have", rec.Subject.Name)
 	}
 	if n := len(s.Jobs); n >= MaxJobs {
-		return refusef("%d jobs are queued, placed or recently ended; no more are accepted until ended jobs expire", n)
+		return refusef("%d jobs are queued, placed or lately ended; no more are taken until some are forgotten", n)
 	}
 	if _, ok := s.Quota(b.Service, b.Team); !ok {
 		return refusef("team %q has no quota in service %s; its document's owner can add one", b.Team, b.Service)
@@ -155,7 +155,7 @@
 	case record.JobSucceeded, record.JobFailed, record.JobPreempted,
 		record.JobNotStarted, record.JobLapsed, record.JobStopped:
 	default:
-		return refusef("%q is not a job result", b.Result)
+		return refusef("%q is no result of a job", b.Result)
 	}
 	if j.Status != JobPlaced {
 		return refusef("job %s is not placed", j.ID)
@@ -244,7 +244,7 @@
 		}
 		return s.checkCapacity(j, vm, Resources{MilliCores: b.MilliCores - j.MilliCores})
 	}
-	return refusef("%q is no preemption action", b.Action)
+	return refusef("%q is no way to make room", b.Action)
 }
 
 func (s *State) cancelJob(rec record.Record, b record.JobCancel) refusal {
--- a/internal/ledger/member.go
+++ b/internal/ledger/member.go
@@ -166,7 +166,7 @@
 		return refusef("%s is no member", rec.Subject.Name)
 	}
 	if !slices.Contains(b.Electorate, m.Name) {
-		return refusef("the electorate of %s does not include the member itself", m.Name)
+		return refusef("the electorate of %s lacks the member itself", m.Name)
 	}
 	m.Electorate = slices.Compact(slices.Sorted(slices.Values(b.Electorate)))
 	m.ElectedAt = rec.Time.UTC().Round(0)
@@ -196,7 +196,7 @@
 		return refusef("%s is no member", name)
 	}
 	if rec.Seen < m.JoinedAt {
-		return refusef("%s joined at offset %d, after this vote was written", name, m.JoinedAt)
+		return refusef("%s joined at offset %d, after this word on it was written", name, m.JoinedAt)
 	}
 	if _, ok := s.Members[by]; !ok || by == name {
 		return refusef("%s has no vote on %s", by, name)
--- a/internal/ledger/vm.go
+++ b/internal/ledger/vm.go
@@ -91,7 +91,7 @@
 func (s *State) freeVM(vm *VM) refusal {
 	d := vm.Drain
 	if !d.Release {
-		return refusef("VM %s stays in pool %s; its drain is not a release", vm.ID, vm.Pool)
+		return refusef("VM %s stays in pool %s; its drain is no release", vm.ID, vm.Pool)
 	}
 	s.changeVM(vm, func() {
 		vm.Drain = nil
@@ -233,7 +233,7 @@
 		return reason
 	}
 	if vm.Quarantined == b.On {
-		return refusef("VM %s already has quarantine = %t", vm.ID, b.On)
+		return refusef("VM %s is set aside already or not at all (%t)", vm.ID, b.On)
 	}
 	vm.Quarantined = b.On
 	vm.QuarantineChanged = s.Now
--- a/internal/maintenance/wave.go
+++ b/internal/maintenance/wave.go
@@ -182,7 +182,7 @@
 			continue
 		}
 		if reason := skipReason(r, w, vm); reason != "" {
-			r.ProposeWave(w, record.WaveSkip{VM: id, Reason: reason}, "the VM cannot have its turn")
+			r.ProposeWave(w, record.WaveSkip{VM: id, Reason: reason}, "it cannot have its turn")
 			return // the next skip needs the wave's new revision
 		}
 	}
@@ -191,7 +191,7 @@
 // skipReason returns why the wave skips the VM, or an empty string.
 func skipReason(r *pool.Round, w *pool.Wave, vm *pool.VM) string {
 	if vm.Phase == record.PhaseFree {
-		return "the VM is no longer in a pool"
+		return "the VM is in no pool any more"
 	}
 	p := r.View.Pool(vm.Pool)
 	if p == nil || vm.Jobs == 0 || p.Doc.Jobs.OnDrain != document.LongJobsSkip {
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -91,7 +91,7 @@
 // "unknown" for requests that never ran.
 func (s *session) updateReadiness() {
 	if s.member.RefusesFreshKeys() {
-		s.duty.setReadiness("keys minted now may have claims at lost entry VMs")
+		s.duty.setReadiness("keys that are minted now may be known to lost entry VMs")
 		return
 	}
 	s.duty.setReadiness("")
--- a/internal/node/intake.go
+++ b/internal/node/intake.go
@@ -76,7 +76,7 @@
 	case err != nil:
 		return intake.StoreResponse{Status: platform.StoreUnknown}, err
 	case response.StoreResult == nil:
-		return intake.StoreResponse{Status: platform.StoreUnknown}, errors.Errorf("response of node %s has no store result", address)
+		return intake.StoreResponse{Status: platform.StoreUnknown}, errors.Errorf("node %s gave no outcome", address)
 	}
 	s := response.StoreResult
 	return intake.StoreResponse{Status: s.Status, Pending: s.Pending, Unavailable: s.Unavailable, Reason: s.Reason}, nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -108,7 +108,7 @@
 	metrics := prometheus.NewRegistry()
 	metrics.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "yuccadrift_log_lines_dropped_total",
-		Help: "Log lines that were dropped because the output was too slow.",
+		Help: "Log lines that were dropped because nobody read them fast enough.",
 	}, func() float64 { return float64(async.Dropped()) }))
 	if n.suspendMeter, err = suspend.NewMeter(); err != nil {
 		return nil, err
--- a/internal/node/owners.go
+++ b/internal/node/owners.go
@@ -188,7 +188,7 @@
 func (p peerHandler) ServeStore(ctx context.Context, req nodepeer.Request) (nodepeer.Response, error) {
 	record, ok, err := workload.DecodeRecord(req.RecordKey, req.RecordValue)
 	if err != nil || !ok || record.Submission == nil && !record.Cancel {
-		return nodepeer.Response{StoreResult: &nodepeer.StoreResult{Status: platform.StoreInvalid, Reason: "record is neither a submission nor a cancellation"}}, nil
+		return nodepeer.Response{StoreResult: &nodepeer.StoreResult{Status: platform.StoreInvalid, Reason: "no record of a caller"}}, nil
 	}
 	response := p.intake.Serve(ctx, intake.StoreRequest{Partition: req.Partition, Record: record, PendingAfter: time.Duration(req.PendingAfterMS) * time.Millisecond})
 	return nodepeer.Response{StoreResult: &nodepeer.StoreResult{Status: response.Status, Pending: response.Pending, Unavailable: response.Unavailable, Reason: response.Reason}}, nil
--- a/internal/nodepeer/nodepeer.go
+++ b/internal/nodepeer/nodepeer.go
@@ -223,7 +223,7 @@
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
 	)
 	if err != nil {
-		return nil, errors.Wrap(err, "create connection to a node")
+		return nil, errors.Wrap(err, "connection to a node")
 	}
 	c.conns[address] = conn
 	return conn, nil
--- a/internal/owner/metrics.go
+++ b/internal/owner/metrics.go
@@ -23,25 +23,25 @@
 	m := &Metrics{
 		orders: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "yuccadrift_worker_order_seconds",
-			Help:    "Time from an order to a worker until its answer, in seconds, by kind and outcome.",
+			Help:    "Time from an order to a worker to its answer, in seconds, by kind and outcome.",
 			Buckets: []float64{0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.3, 1, 3},
 		}, []string{"order", "outcome"}),
 		events: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "yuccadrift_job_events_total",
-			Help: "Events of jobs and runs, by kind.",
+			Help: "What happened to jobs and runs, by kind.",
 		}, []string{"event"}),
 		planWork: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "yuccadrift_plan_work_total",
-			Help: "Planning work: plans, plans truncated because too many starts were unanswered, jobs ranked, workers and runs checked.",
+			Help: "What deciding on starts took: plans, those cut short by starts without an answer, jobs ranked, workers and runs looked at.",
 		}, []string{"work"}),
 		maxEventDelay: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "yuccadrift_owner_delay_seconds",
-			Help:    "Longest time from an event until its owner applied it, per interval of one second, in seconds.",
+			Help:    "The longest time in a second that something waited for its owner's decision, in seconds.",
 			Buckets: []float64{0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 3, 10},
 		}),
 		maxStepTime: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "yuccadrift_owner_step_seconds",
-			Help:    "Longest step of an owner's scheduler core, per interval of one second, in seconds.",
+			Help:    "The longest decision of an owner in a second, in seconds.",
 			Buckets: []float64{0.0002, 0.0005, 0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1},
 		}),
 	}
--- a/internal/placement/explain.go
+++ b/internal/placement/explain.go
@@ -22,7 +22,7 @@
 	}
 	over := exceeds(j.Declared, maxOfEach(p.Admitted))
 	if over == "" {
-		over = "cores, memory and accelerators together"
+		over = "cores, memory and accelerators that are together"
 	}
 	return fmt.Sprintf("the job asks for %s, more than any worker has that the needs of pool %s admit; split the job or change the pool's needs", over, p.Name)
 }
@@ -48,7 +48,7 @@
 var obstacleNames = [obstacleCount]string{
 	setAside:            "set aside",
 	onProbation:         "kept to one repeatable job after a failure",
-	failedBefore:        "on which it failed before",
+	failedBefore:        "where it failed before",
 	noSlot:              "without a free slot",
 	noCores:             "without the cores",
 	noMemory:            "without the memory",
--- a/internal/requestmetrics/requestmetrics.go
+++ b/internal/requestmetrics/requestmetrics.go
@@ -39,11 +39,11 @@
 		}),
 		retries: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "yuccadrift_retries_total",
-			Help: "Retries at backend servers by the failure that caused them.",
+			Help: "Further tries at a backend server by the failure that led to them.",
 		}, []string{"service", "failure"}),
 		sheds: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "yuccadrift_sheds_total",
-			Help: "Requests that no backend server could take, by refusal.",
+			Help: "Requests that no backend server could take, by the refusal.",
 		}, []string{"service", "class", "refusal"}),
 	}
 	reg.MustRegister(m.requests, m.latency, m.inFlight, m.retries, m.sheds)
--- a/internal/requestmetrics/services.go
+++ b/internal/requestmetrics/services.go
@@ -11,13 +11,13 @@
 	backendsDesc = prometheus.NewDesc("yuccadrift_backends",
 		"Backend servers that this process may use.", []string{"service"}, nil)
 	ejectedDesc = prometheus.NewDesc("yuccadrift_backends_ejected",
-		"Backend servers that are ejected because of failed requests.", []string{"service"}, nil)
+		"Backend servers that are out by the evidence of requests.", []string{"service"}, nil)
 	unhealthyDesc = prometheus.NewDesc("yuccadrift_backends_unhealthy",
-		"Backend servers that are unhealthy by health checks or the log, used as a last resort.", []string{"service"}, nil)
+		"Backend servers that are a last resort, by health checks or the log.", []string{"service"}, nil)
 	inFlightDesc = prometheus.NewDesc("yuccadrift_attempts_in_flight",
-		"Attempts in flight at backend servers.", []string{"service"}, nil)
+		"Attempts under way at backend servers.", []string{"service"}, nil)
 	waitingDesc = prometheus.NewDesc("yuccadrift_requests_waiting",
-		"Quick requests waiting for a slot.", []string{"service"}, nil)
+		"Quick requests that wait for a slot.", []string{"service"}, nil)
 )
 
 // Services returns a collector that reads each service's status at each scrape.
--- a/internal/standin/api.go
+++ b/internal/standin/api.go
@@ -148,7 +148,7 @@
 	}
 	act, ok := verbs[r.PathValue("verb")]
 	if !ok {
-		return nil, errors.Wrapf(platform.ErrRejected, "unknown action %q on a VM", r.PathValue("verb"))
+		return nil, errors.Wrapf(platform.ErrRejected, "a VM has no action %q", r.PathValue("verb"))
 	}
 	status, err := act(r.Context(), r.PathValue("vm"), *op)
 	return platform.OperationReply{Status: status}, err
@@ -164,6 +164,6 @@
 	case platform.VerbStop:
 		return p.Stop(r.Context(), task, in.Op)
 	default:
-		return nil, errors.Wrapf(platform.ErrRejected, "unknown action %q on a task", verb)
+		return nil, errors.Wrapf(platform.ErrRejected, "a task has no action %q", verb)
 	}
 }
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -242,7 +242,7 @@
 func (run *backendRequest) serve() {
 	run.cutOnFault(CutAfterHeader)
 	if _, ok := run.fault(BackendError); ok {
-		http.Error(run.w, "failed by a fault", http.StatusInternalServerError)
+		http.Error(run.w, "ordered to fail", http.StatusInternalServerError)
 		return
 	}
 	if !run.backend.acquireSlot(run.key) {
--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -112,7 +112,7 @@
 	fmt.Fprintln(w, "GET  /control/counters  counters (?key=K, ?all_keys=1)")
 	fmt.Fprintln(w, `POST /control/advertise {"addresses":{"vm-01":"127.0.0.1:4001"}}  what the list shows`)
 	fmt.Fprintln(w, "POST /control/reset     clear faults and counters")
-	fmt.Fprintln(w, "\nFaults have target, skip, count and for_ms, and delay_ms and factors where named:")
+	fmt.Fprintln(w, "\nFaults take target, skip, count, for_ms and where named delay_ms and factors:")
 	for _, help := range FaultHelp {
 		fmt.Fprintf(w, "  %-18s %s\n", help.Kind, help.Text)
 	}
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -64,7 +64,7 @@
 	{BootSlow, "boots of VM Target take delay_ms longer"},
 	{BootNever, "VM Target does not come back from a reboot"},
 	{WorkerFails, "every task started on worker Target fails after delay_ms"},
-	{TaskReality, "tasks of job (or task) Target use cores, memory and time multiplied by the factors"},
+	{TaskReality, "tasks of job (or task) Target use cores, memory and time times their factors"},
 	{VMCrash, "at once: VM Target is lost with its tasks (also rack/NAME, zone/NAME)"},
 	{VMRecover, "at once: a lost or never booting VM Target comes back"},
 	{VMAdd, "at once: group Target gets one more VM"},
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -131,7 +131,7 @@
 func (p *Platform) addVM(prefix string, now time.Time) error {
 	g, ok := p.fleet.groups[prefix]
 	if !ok {
-		return errors.Errorf("unknown group of VMs %q", prefix)
+		return errors.Errorf("no group of VMs %q", prefix)
 	}
 	p.newVM(g, now)
 	return nil
@@ -222,7 +222,7 @@
 // A fault's target is one of the subjects.
 func (p *Platform) applyAPIFaults(ctx context.Context, subjects ...string) error {
 	if _, ok := p.takeFault(APIRefuse, subjects...); ok {
-		return errors.Wrap(platform.ErrUnavailable, "call refused by a fault")
+		return errors.Wrap(platform.ErrUnavailable, "the platform refuses")
 	}
 	if f, ok := p.takeFault(APISlow, subjects...); ok {
 		if err := wait.Sleep(ctx, f.Delay()); err != nil {
@@ -298,7 +298,7 @@
 		return known, nil
 	}
 	if op.Fence < v.fence {
-		return nil, errors.Wrapf(platform.ErrFenced, "VM %q has accepted token %d, got %d", id, v.fence, op.Fence)
+		return nil, errors.Wrapf(platform.ErrFenced, "VM %q has seen %d, got %d", id, v.fence, op.Fence)
 	}
 	v.fence = op.Fence
 	done := &operation{verb: verb, status: platform.OperationRunning}
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -141,7 +141,7 @@
 
 func checkAppend(name string, entries [][]byte) error {
 	if name == "" {
-		return errors.Wrap(platform.ErrRejected, "the stream name is empty")
+		return errors.Wrap(platform.ErrRejected, "the stream has no name")
 	}
 	if len(entries) == 0 || len(entries) > platform.MaxAppendEntries {
 		return errors.Wrapf(platform.ErrRejected, "an append holds 1 to %d entries", platform.MaxAppendEntries)
@@ -163,7 +163,7 @@
 // target is the stream or the call ("append" or "read").
 func (p *Platform) applyLogFaults(ctx context.Context, name, verb string) error {
 	if _, ok := p.takeFault(LogRefuse, name, verb); ok {
-		return errors.Wrap(platform.ErrUnavailable, "log call refused by a fault")
+		return errors.Wrap(platform.ErrUnavailable, "the log refuses")
 	}
 	if f, ok := p.takeFault(LogSlow, name, verb); ok {
 		if err := wait.Sleep(ctx, f.Delay()); err != nil {
@@ -180,7 +180,7 @@
 // Read implements platform.Log.
 func (p *Platform) Read(ctx context.Context, name string, from platform.Offset, limit int, wait time.Duration) (platform.Batch, error) {
 	if from == 0 || limit <= 0 {
-		return platform.Batch{}, errors.Wrap(platform.ErrRejected, "offset and maximum must be at least 1")
+		return platform.Batch{}, errors.Wrap(platform.ErrRejected, "offset and maximum start at 1")
 	}
 	if err := p.applyLogFaults(ctx, name, "read"); err != nil {
 		return platform.Batch{}, errors.Wrap(platform.ErrUnavailable, err.Error())
--- a/internal/standin/machines.go
+++ b/internal/standin/machines.go
@@ -67,7 +67,7 @@
 	defer p.mu.Unlock()
 	for vm := range addresses {
 		if p.fleet.vms[vm] == nil {
-			return errors.Errorf("unknown VM %q", vm)
+			return errors.Errorf("no VM %q", vm)
 		}
 	}
 	for vm, address := range addresses {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -102,7 +102,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case err := <-failed:
-			return supervise.Fatal(errors.Wrap(err, "serve the platform's API"))
+			return supervise.Fatal(errors.Wrap(err, "serve the platform's interface"))
 		case <-s.platform.fleet.changed:
 		case <-ticker.C:
 		}
--- a/internal/standin/tasks.go
+++ b/internal/standin/tasks.go
@@ -116,7 +116,7 @@
 		if at, ok := t.finishAt(); ok {
 			first.offer(at, end(platform.TaskSucceeded, ""))
 		}
-		first.offer(t.leaseExpiresAt, end(platform.TaskExpired, "the lease expired"))
+		first.offer(t.leaseExpiresAt, end(platform.TaskExpired, "the lease lapsed"))
 		if !t.failAt.IsZero() {
 			first.offer(t.failAt, end(platform.TaskFailed, "the worker failed the task"))
 		}
@@ -172,7 +172,7 @@
 		return previous, nil
 	}
 	if highest := p.tasks.fences[id]; op.Fence < highest {
-		return platform.TaskStatus{}, errors.Wrapf(platform.ErrFenced, "task %q has accepted token %d, got %d", id, highest, op.Fence)
+		return platform.TaskStatus{}, errors.Wrapf(platform.ErrFenced, "task %q has seen %d, got %d", id, highest, op.Fence)
 	}
 	t, err := do()
 	if err != nil {
@@ -203,10 +203,10 @@
 		return nil, errors.Wrapf(platform.ErrNotFound, "worker %q", spec.Worker)
 	}
 	if !v.up || v.drained {
-		return nil, errors.Wrapf(platform.ErrRejected, "worker %q is down or draining", spec.Worker)
+		return nil, errors.Wrapf(platform.ErrRejected, "worker %q takes no tasks", spec.Worker)
 	}
 	if !p.fits(spec, v) {
-		return nil, errors.Wrapf(platform.ErrRejected, "worker %q has too little free capacity", spec.Worker)
+		return nil, errors.Wrapf(platform.ErrRejected, "worker %q has no room", spec.Worker)
 	}
 	t, err := p.newTask(spec, now)
 	if err != nil {
--- a/internal/steward/daemon.go
+++ b/internal/steward/daemon.go
@@ -78,7 +78,7 @@
 			return
 		}
 		_, detail := d.follower.Condition()
-		d.readiness.Unready("log", "the end of the log has not been read recently, so nothing is decided; "+detail)
+		d.readiness.Unready("log", "the end of the log was not reached lately; nothing is decided; "+detail)
 	})
 }
 
--- a/internal/steward/metrics.go
+++ b/internal/steward/metrics.go
@@ -28,20 +28,20 @@
 		}, []string{"kind", "outcome"}),
 		actions: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "yuccadrift_steward_actions_total",
-			Help: "Actions sent to the platform, including repeats, by action and result.",
+			Help: "Actions sent to the platform, repeats included, by action and what the reply proved.",
 		}, []string{"action", "result"}),
 		roundSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "yuccadrift_steward_planning_round_seconds",
-			Help:    "Duration of a planning round without its appends.",
+			Help:    "Time that one planning round takes, the appends left out.",
 			Buckets: prometheus.ExponentialBuckets(0.0001, 2, 12),
 		}),
 		heldBack: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "yuccadrift_steward_failures_held_back_total",
-			Help: "VM failures not recorded because this node's network may be the cause.",
+			Help: "Failed health checks not recorded because the fault may lie in this node's network.",
 		}),
 		spare: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "yuccadrift_spare_vms_needed",
-			Help: "Spare VMs needed to cover failures, as one shared reserve or as the sum of one reserve per pool.",
+			Help: "Spare VMs that failures call for: as one reserve, or as the sum of each pool's own.",
 		}, []string{"kept"}),
 	}
 	if to != nil {
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -127,13 +127,13 @@
 // Validate returns an error if the job can't be accepted.
 func (s *Spec) Validate() error {
 	if len(s.Payload) > maxPayloadBytes {
-		return errors.Errorf("payload has %d bytes, the maximum is %d", len(s.Payload), maxPayloadBytes)
+		return errors.Errorf("spec has %d bytes, at most %d are taken", len(s.Payload), maxPayloadBytes)
 	}
 	if len(s.Steps) == 0 {
 		return errors.New("a job needs at least one step")
 	}
 	if s.Repeat < 0 || s.Repeat > maxOccurrences {
-		return errors.Errorf("job has %d occurrences, not between 0 and %d", s.Repeat, maxOccurrences)
+		return errors.Errorf("%d occurrences, between 0 and %d are taken", s.Repeat, maxOccurrences)
 	}
 	tasks := 0
 	for i := range s.Steps {
@@ -153,7 +153,7 @@
 		return errors.Errorf("step %d: count %d is not between 1 and %d", i, s.Count, maxTasksPerJob)
 	}
 	if s.Resources.CPU < 0 || s.Resources.MemoryMB < 0 || s.Resources.GPU < 0 {
-		return errors.Errorf("step %d: a requested resource is negative", i)
+		return errors.Errorf("step %d: a need is negative", i)
 	}
 	for _, d := range s.DependsOn {
 		if d < 0 || d >= i {
