--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -265,7 +265,7 @@
 // A long answer is streamed. If it is truncated, reading must return an error instead
 // of io.EOF, so that the caller's connection can be aborted.
 func TestTruncatedStreamReturnsError(t *testing.T) {
-	const size = 1000 // over HoldMax
+	const size = 1000 // over MaxBufferedBodyBytes
 	head := "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n"
 	for name, cut := range map[string]bool{"whole": false, "cut": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -10,7 +10,7 @@
 	"github.com/yuccadrift/yuccadrift/internal/outcome"
 )
 
-// receive reads the start of an answer. A body of up to HoldMax bytes is buffered
+// receive reads the start of an answer. A body of up to MaxBufferedBodyBytes bytes is buffered
 // completely; a longer one is left to be streamed.
 func (c *Client) receive(ctx context.Context, pool *connPool, cn *conn, req *Request, res *http.Response) Answer {
 	if isUnframed(req.Method, res) {
--- a/internal/bench/waves/patience.go
+++ b/internal/bench/waves/patience.go
@@ -22,7 +22,7 @@
 	designVMs, dailyLosses, lossFactor = 4000, 26, 50
 )
 
-// setting is a patience of the planning, the same for all documents.
+// setting holds delays of the planning, the same for all documents.
 type setting struct {
 	name   string
 	delays pool.Delays
--- a/internal/bench/waves/variant.go
+++ b/internal/bench/waves/variant.go
@@ -1,6 +1,6 @@
 // Package waves compares the decisions about a fleet with plain baselines, over the
 // example deployments in simulated time: maintenance waves, the reserve of free
-// VMs, patience with changing documents, and the order of turns. Results are in
+// VMs, planning delays with changing documents, and the order of turns. Results are in
 // docs/MEASUREMENTS.md, section "Fleet decisions".
 package waves
 
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -29,8 +29,8 @@
 
 // Observer records metrics of requests.
 type Observer interface {
-	// RequestStarted is called at the start and Ended at the end of every request. service is
-	// empty if the request names no service.
+	// RequestStarted is called at the start and RequestEnded at the end of every
+	// request. service is empty if the request names no service.
 	RequestStarted()
 	RequestEnded(service string, class document.Class, o outcome.Outcome, reason outcome.Reason, took time.Duration)
 }
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -39,7 +39,8 @@
 	IdleTimeout    time.Duration
 	// Stop is closed when the process must stop.
 	Stop <-chan struct{}
-	// Notice is how long the balancer may still send callers here after Unready.
+	// Notice is how long the balancer may still send callers here after
+	// SetNotReady.
 	Notice time.Duration
 	// Drain returns how long requests in flight may take after Notice.
 	Drain func() time.Duration
--- a/internal/entrypeer/asker.go
+++ b/internal/entrypeer/asker.go
@@ -11,7 +11,7 @@
 // InFlightClient queries entry processes from a process that is not one.
 type InFlightClient struct{ conns *connPool }
 
-// NewInFlightClient returns an Asker. Close closes its connections.
+// NewInFlightClient returns an InFlightClient. Close closes its connections.
 func NewInFlightClient() *InFlightClient { return &InFlightClient{conns: newConnPool(nil)} }
 
 // Close closes the connections.
--- a/internal/entrypeer/state.go
+++ b/internal/entrypeer/state.go
@@ -86,8 +86,8 @@
 	addresses []string
 }
 
-// NewStateClient returns a States for the peers at the addresses (IP:port). Close
-// closes its connections.
+// NewStateClient returns a StateClient for the peers at the addresses (IP:port).
+// Close closes its connections.
 func NewStateClient(addresses []string) *StateClient {
 	return &StateClient{conns: newConnPool(nil), addresses: addresses}
 }
--- a/internal/fleetowner/actions.go
+++ b/internal/fleetowner/actions.go
@@ -96,7 +96,7 @@
 		o.enqueue(ctx, func(c *fleet.Core, now time.Time) { c.HandleOrderResult(a.VM, fleet.OrderRefused, now) })
 		return
 	}
-	// The platform calls the owner the holder, and its epoch the token.
+	// The platform's protocol calls the owner the lease holder, and its epoch the fencing token.
 	issuer := platform.OrderIssuer{Node: o.deps.Node, Token: o.epoch}
 	var status platform.VMOrderStatus
 	var err error
--- a/internal/forecast/policy_test.go
+++ b/internal/forecast/policy_test.go
@@ -131,7 +131,7 @@
 	return r.State.Services["booking"].Account.Spent(deployment.Epoch, deployment.Epoch.Add(time.Hour))
 }
 
-// A permanently lost VM must be replaced from the reserve after Patience.Replace
+// A permanently lost VM must be replaced from the reserve after Delays.Replace
 // and must not block a wave; the wave skips it.
 func TestLostVMIsReplacedAndDoesNotBlockWave(t *testing.T) {
 	r := startRun(t, "ramcharan", 1)
--- a/internal/ledger/clock.go
+++ b/internal/ledger/clock.go
@@ -20,20 +20,20 @@
 }
 
 // Clock derives the ledger's time from the times on the authors' records: the
-// highest claim is the current time.
+// highest reading is the current time.
 //
 // An author whose clock is years ahead would charge every unavailable VM with
 // those years, move all charges out of the budget windows and then stop the
-// ledger's time until the other clocks have caught up. A claim that jumps ahead
+// ledger's time until the other clocks have caught up. A reading that jumps ahead
 // by more than MaxSkew can therefore be reverted: once two other authors, who
 // had folded the jump before they wrote, state times behind it, the author is
-// distrusted, the ledger's time goes back to the highest other claim and
+// distrusted, the ledger's time goes back to the highest other reading and
 // charges are truncated there. A correct jump, such as the first record after a
 // quiet night, is never contradicted in this way, because whoever writes after
 // folding it has a clock at least near it. While a jump is neither confirmed
 // nor contradicted, budgets are checked as of both times.
 type Clock struct {
-	// Top is the highest claim, Other the highest claim of any other author.
+	// Top is the highest reading, Other the highest reading of any other author.
 	Top   ClockReading `json:"top"`
 	Other ClockReading `json:"other"`
 	// JumpFrom and JumpTo are the times before and after the latest jump of
@@ -41,7 +41,7 @@
 	JumpFrom time.Time `json:"jump_from"`
 	JumpTo   time.Time `json:"jump_to"`
 	JumpAt   uint64    `json:"jump_at"`
-	// Contradictions holds the claims that contradict the jump, one per author.
+	// Contradictions holds the readings that contradict the jump, one per author.
 	Contradictions []ClockReading `json:"against,omitempty"`
 	Distrusted     []string       `json:"distrusted,omitempty"`
 }
@@ -92,7 +92,7 @@
 	return c.JumpFrom, true
 }
 
-// recordContradiction records a claim against the latest jump and reports
+// recordContradiction records the reading if it contradicts the latest jump, and reports
 // whether it reverted the jump. seen must be at or after the jump: the author
 // then read its clock after folding the jump. Without that condition a record
 // that was delayed for hours would look like a clock that is hours behind.
@@ -129,7 +129,7 @@
 	c.Contradictions = nil
 }
 
-// rejects reports whether the claim must be ignored. An author whose clock
+// rejects reports whether the reading must be ignored. An author whose clock
 // agrees with the others again is removed from Distrusted.
 func (c *Clock) rejects(reading ClockReading) bool {
 	i := slices.Index(c.Distrusted, reading.Author)
--- a/internal/ledger/headroom.go
+++ b/internal/ledger/headroom.go
@@ -9,7 +9,7 @@
 )
 
 // Headroom is what a pool's availability budget allows at one moment. Planners
-// keep a copy and call Take for each drain that they propose, so that the
+// keep a copy and call AddOutage for each drain that they propose, so that the
 // drains of one round fit together; the ledger checks each drain against a new
 // one.
 type Headroom struct {
--- a/internal/ledger/member_end.go
+++ b/internal/ledger/member_end.go
@@ -30,7 +30,7 @@
 	At   uint64    `json:"at"`
 	// Lead is the most by which such a time lay ahead of its record's clock.
 	Lead time.Duration `json:"lead"`
-	// Contradictions holds the claims that contradict Time, one per author.
+	// Contradictions holds the readings that contradict Time, one per author.
 	Contradictions []ClockReading `json:"against,omitempty"`
 }
 
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -223,7 +223,7 @@
 }
 
 // usableByUrgent returns the free capacity for urgent jobs of the size
-// UrgentPiece, in millicores.
+// UrgentJobSize, in millicores.
 func usableByUrgent(p *placement.Pool) int {
 	n := 0
 	for _, w := range p.Workers {
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -88,7 +88,7 @@
 	// requirements. It is empty while no such VM is known.
 	Admitted []ledger.Resources
 	// UrgentReserve is the capacity of the pool that is reserved for urgent work,
-	// in millicores. It is counted in units of UrgentPiece, the size of an
+	// in millicores. It is counted in units of UrgentJobSize, the size of an
 	// urgent job, since free cores scattered over the workers cannot start one.
 	UrgentReserve int
 	UrgentJobSize ledger.Resources
@@ -123,7 +123,7 @@
 }
 
 // urgentCapacity returns the part of a worker's free capacity that urgent jobs
-// of the size UrgentPiece can use, in millicores.
+// of the size UrgentJobSize can use, in millicores.
 func (p *Pool) urgentCapacity(w *Worker) int {
 	if w.Standing != Open || w.Slots <= 0 {
 		return 0
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -226,7 +226,7 @@
 	}
 }
 
-// growUrgentJobSize raises the urgent piece to the size of an urgent job.
+// growUrgentJobSize raises UrgentJobSize to the size of an urgent job.
 func (p *Pool) growUrgentJobSize(j *ledger.Job) {
 	if !j.Spec.Urgent {
 		return
@@ -238,7 +238,7 @@
 }
 
 // setUrgentReserve sets the capacity reserved for urgent work. If the pool has
-// no urgent jobs, the urgent piece is half of the smallest worker.
+// no urgent jobs, UrgentJobSize is half of the smallest worker.
 func (p *Pool) setUrgentReserve(milliCores int) {
 	p.UrgentReserve = milliCores
 	if milliCores <= 0 || len(p.Workers) == 0 {
--- a/internal/pool/gap.go
+++ b/internal/pool/gap.go
@@ -102,7 +102,7 @@
 }
 
 // needsReplacement reports whether the VM has been down for the pool's
-// Patience.Replace or longer.
+// Delays.Replace or longer.
 func (r *Round) needsReplacement(vm *VM, p *Pool) bool {
 	return vm.Down && r.View.Now.Sub(vm.HealthSince) >= r.Policy.delays(p).Replace
 }
--- a/internal/pool/policy.go
+++ b/internal/pool/policy.go
@@ -13,7 +13,7 @@
 type Policy struct {
 	// MaxProposals bounds the proposals of one round.
 	MaxProposals int
-	// Delays is how long planning waits before it disturbs VMs, by the weigh
+	// Delays holds how long planning waits before it disturbs VMs, by the weigh
 	// setting of the pool's document.
 	Delays map[document.Weigh]Delays
 	// Estimate is how long a drain of each reason keeps a VM out of service
--- a/internal/pool/release.go
+++ b/internal/pool/release.go
@@ -6,7 +6,7 @@
 
 // Release proposes to return surplus VMs to the reserve of free VMs. A surplus
 // VM that is already out of service is released at once, a serving VM only after
-// the surplus has lasted for Patience.Release, and never if that is 0. Pools with
+// the surplus has lasted for Delays.Release, and never if that is 0. Pools with
 // pending turns in a wave are skipped: their surplus is released by redirecting
 // the VMs of the last turns, which needs no additional drain.
 func Release(r *Round) {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -56,8 +56,8 @@
 	Doubtful map[string]bool
 	// Probation holds the workers that are on probation after a quarantine.
 	Probation map[string]bool
-	// ToQuarantine lists the workers to quarantine now, LetBack those whose quarantine
-	// ends now.
+	// ToQuarantine lists the workers to quarantine now, ToRelease those whose
+	// quarantine ends now.
 	ToQuarantine []Finding
 	ToRelease    []string
 	// SharedCause is set if more workers fail jobs than may be quarantined or doubtful,
--- a/internal/supervise/supervise.go
+++ b/internal/supervise/supervise.go
@@ -62,7 +62,7 @@
 	// process.
 	Serve func(ctx context.Context) error
 	// StopTimeout bounds the time from the end of ctx to the return of Serve; 0
-	// means DefaultStopWithin.
+	// means DefaultStopTimeout.
 	StopTimeout time.Duration
 }
 
