--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -99,7 +99,7 @@
 func ok(string) []byte { return []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") }
 
 func client(b *scriptedServer) *Client {
-	c := NewClient(Config{ConnectTimeout: time.Second, IdleTimeout: time.Minute, HoldMax: 64, HeaderMax: 4096})
+	c := NewClient(Config{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxBufferedBodyBytes: 64, MaxHeaderBytes: 4096})
 	c.Update(map[string]int{b.Addr().String(): 2})
 	return c
 }
@@ -265,7 +265,7 @@
 // A long answer is streamed. If it is truncated, reading must return an error instead
 // of io.EOF, so that the caller's connection can be aborted.
 func TestTruncatedStreamReturnsError(t *testing.T) {
-	const size = 1000 // over HoldMax
+	const size = 1000 // over MaxBufferedBodyBytes
 	head := "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n"
 	for name, cut := range map[string]bool{"whole": false, "cut": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/bench/waves/variant.go
+++ b/internal/bench/waves/variant.go
@@ -1,6 +1,6 @@
 // Package waves compares the decisions about a fleet with plain baselines, over the
 // example deployments in simulated time: maintenance waves, the reserve of free
-// VMs, patience with changing documents, and the order of turns. Results are in
+// VMs, planning delays with changing documents, and the order of turns. Results are in
 // docs/MEASUREMENTS.md, section "Fleet decisions".
 package waves
 
@@ -45,7 +45,7 @@
 	pool.Fill(r)
 	for _, w := range v.Waves {
 		for _, p := range v.Pools {
-			if r.Out(w, p) {
+			if r.HasDrained(w, p) {
 				continue
 			}
 			drained := 0
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -24,7 +24,7 @@
 
 // Readiness controls whether the balancer sends callers to this process.
 type Readiness interface {
-	Unready(source, reason string)
+	SetNotReady(source, reason string)
 }
 
 // ServerConfig configures a Server.
@@ -39,7 +39,8 @@
 	IdleTimeout    time.Duration
 	// Stop is closed when the process must stop.
 	Stop <-chan struct{}
-	// Notice is how long the balancer may still send callers here after Unready.
+	// Notice is how long the balancer may still send callers here after
+	// SetNotReady.
 	Notice time.Duration
 	// Drain returns how long requests in flight may take after Notice.
 	Drain func() time.Duration
@@ -88,8 +89,8 @@
 // connection, so that few connections are idle at the shutdown: a request that
 // arrives on an idle connection while it is closed would be lost.
 func (s *Server) gracefulStop(ctx context.Context) {
-	s.cfg.Readiness.Unready("callers", "the process is stopping")
-	s.cfg.Handler.Leave()
+	s.cfg.Readiness.SetNotReady("callers", "the process is stopping")
+	s.cfg.Handler.DisableKeepAlive()
 	s.cfg.Logger.Info("stopping: unready, still serving requests", "notice", s.cfg.Notice)
 	wait.Sleep(ctx, s.cfg.Notice)
 	limit := s.cfg.Drain()
